--- /dev/null
+++ b/internal/cloud/golden_test.go
@@ -0,0 +1,47 @@
+package cloud
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/glentiller/glentiller/internal/golden"
+	"github.com/glentiller/glentiller/internal/model"
+)
+
+func TestRequestsToTheCloudKeepTheirBytes(t *testing.T) {
+	var requests strings.Builder
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		b, err := io.ReadAll(r.Body)
+		fmt.Fprintf(&requests, "%s %s %q %x\n", r.Method, r.RequestURI, r.Header.Get("Content-Type"), b)
+		if err != nil {
+			t.Error(err)
+		}
+		if strings.Contains(r.RequestURI, "after") {
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		// One machine, and others behind it.
+		_, _ = w.Write([]byte("\x82\xa4more\xc3\xa7tillers\x91\x81\xa3ref\xa3n 1"))
+	}))
+	defer s.Close()
+	c := New(s.Listener.Addr().String(), 1e6, 5*time.Second, nil)
+	if _, err := c.List(context.Background()); err == nil {
+		t.Error("the second page was refused, and the list is taken as whole")
+	}
+	if _, err := c.Catalog(context.Background()); err == nil {
+		t.Error("a list of machines is taken as a catalogue")
+	}
+	if _, _, err := c.Rent(model.Rental{Name: "h-1", Type: "g8", Zone: "a", Spot: true, Count: 50}); err == nil {
+		t.Error("a list of machines is taken as a list of names")
+	}
+	if err := c.Return([]string{"n-000231", "n-000232"}); err != nil {
+		t.Error(err)
+	}
+	golden.Check(t, "requests.txt", []byte(requests.String()))
+}
--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,244 @@
+package config
+
+import (
+	"encoding/xml"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"github.com/glentiller/glentiller/internal/golden"
+)
+
+// setting is what a part of the program goes by, and the setting that it comes from.
+type setting struct {
+	name  string
+	value any
+}
+
+// What is read from the files of deploy, under the names that the files use.
+func TestFilesAreReadAsBefore(t *testing.T) {
+	files, err := filepath.Glob(filepath.Join("..", "..", "deploy", "*.xml"))
+	if err != nil || len(files) < 9 {
+		t.Fatalf("got %d operators' files, %v, want nine or more", len(files), err)
+	}
+	for _, path := range files {
+		t.Run(filepath.Base(path), func(t *testing.T) {
+			text, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			o, err := parseOperator(text)
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkOperator(t, filepath.Base(path), o)
+		})
+	}
+	t.Run("every setting", func(t *testing.T) {
+		// Each has a value of its own, so that none is taken for another.
+		o := &Operator{}
+		golden.Fill(o)
+		checkOperator(t, "filled.xml", o)
+	})
+	t.Run("example.toml", func(t *testing.T) {
+		p, err := ReadPlatform(filepath.Join("..", "..", "deploy", "example.toml"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		checkPlatform(t, "example.toml", p)
+	})
+	t.Run("every field of the platform", func(t *testing.T) {
+		p := &Platform{}
+		golden.Fill(p)
+		checkPlatform(t, "filled.toml", p)
+	})
+}
+
+func checkOperator(t *testing.T, name string, o *Operator) {
+	t.Helper()
+	b, err := xml.MarshalIndent(o, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := Operator{}
+	if err := xml.Unmarshal(golden.Check(t, name, append(b, '\n')), &got); err != nil {
+		t.Fatal(err)
+	}
+	again, err := xml.MarshalIndent(&got, "", " ")
+	if err != nil || string(again) != string(b) {
+		t.Errorf("%s: read back as\n%s\n%v, want\n%s", name, again, err, b)
+	}
+}
+
+func checkPlatform(t *testing.T, name string, p *Platform) {
+	t.Helper()
+	b, err := toml.Marshal(p)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := Platform{}
+	if err := toml.Unmarshal(golden.Check(t, name, b), &got); err != nil {
+		t.Fatal(err)
+	}
+	again, err := toml.Marshal(&got)
+	if err != nil || string(again) != string(b) {
+		t.Errorf("%s: read back as\n%s\n%v, want\n%s", name, again, err, b)
+	}
+}
+
+// What the parts of the program are given: every setting arrives where it did.
+func TestSettingsReachTheirParts(t *testing.T) {
+	p := &Platform{}
+	golden.Fill(p)
+	p.Deployment.Workers.Report, p.Deployment.Workers.Lease, p.Deployment.Workers.Cancel = 2, 12, 32
+	p.Deployment.State.StateLimits = StateLimits{RPS: 201, WriteRPS: 81, ValueKB: 9, TxnOps: 13}
+	p.Deployment.State.Next = StateLimits{RPS: 101, WriteRPS: 41, ValueKB: 7, TxnOps: 11}
+	p.Deployment.Teams = append(p.Deployment.Teams, team{Name: "vision", CPUs: 64, CPUsMax: 256, GPUs: 1, GPUsMax: 8}, team{Name: "none"})
+	p.Deployment.Objectives = []Objective{{Kind: "wait", Class: "a", Within: 30}, {Kind: "finished", Class: "b", Within: 600},
+		{Kind: "deadline", Class: "a", Times: 1.5}, {Kind: "other", Class: "c", Within: 1}}
+	filled := &Operator{}
+	golden.Fill(filled)
+	filled.Promises.Outage = filled.Leadership.Lease * 3
+	example, err := ReadPlatform(filepath.Join("..", "..", "deploy", "example.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(filepath.Join("..", "..", "deploy", "product.xml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	product, err := parseOperator(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		name string
+		p    *Platform
+		o    *Operator
+	}{{"filled", p, filled}, {"product", example, product}} {
+		t.Run(c.name, func(t *testing.T) {
+			var out strings.Builder
+			for _, s := range settings(c.p, c.o) {
+				fmt.Fprintf(&out, "%s: %v\n", s.name, s.value)
+			}
+			golden.Check(t, "parts-"+c.name+".txt", []byte(out.String()))
+		})
+	}
+	t.Run("switches", func(t *testing.T) {
+		// Each switch by itself, since all of them are on above.
+		var out strings.Builder
+		on := settings(p, filled)
+		for _, s := range []struct {
+			name string
+			at   *bool
+		}{
+			{"scheduler/preempt-for-guarantees", &filled.Scheduler.PreemptGuarantees}, {"scheduler/production-image-first", &filled.Scheduler.ImageFirst},
+			{"scheduler/fetch-in-time", &filled.Scheduler.FetchInTime}, {"scheduler/vacate", &filled.Scheduler.Vacate},
+		} {
+			*s.at = false
+			for i, off := range settings(p, filled) {
+				if was, is := fmt.Sprint(on[i].value), fmt.Sprint(off.value); was != is {
+					fmt.Fprintf(&out, "%s off: %s: %s, not %s\n", s.name, off.name, is, was)
+				}
+			}
+			*s.at = true
+		}
+		golden.Check(t, "parts-switches.txt", []byte(out.String()))
+	})
+}
+
+func settings(p *Platform, o *Operator) []setting {
+	core, administration, records := Control(p, o), AdminServer(p, o), Store(p)
+	election, routing, relay := Election(p, o), Routing(p, o), Posting(p, o)
+	stale, bounded := Informed(p)
+	return []setting{
+		{"leader: member", core.Member},
+		{"leader: deployment.teams", core.Teams},
+		{"leader: deployment.objectives", core.Aims},
+		{"leader: deployment.workers.report_s", core.Report},
+		{"leader: deployment.workers.lease_s", core.Lease},
+		{"leader: deployment.workers.gang_wait_s", core.GangWait},
+		{"leader: deployment.workers.gang_peer_s", core.GangPeer},
+		{"leader: deployment.workers.cancel_s", core.Cancel},
+		{"leader: deployment.cloud.list_lag_s", core.ListLag},
+		{"scheduler: scheduler/idle-power", core.Sched.IdleShare},
+		{"scheduler: scheduler/overtake", core.Sched.Overtake},
+		{"scheduler: scheduler/overtake-late", core.Sched.OvertakeLate},
+		{"scheduler: scheduler/preempt-most", core.Sched.MaxPreempt},
+		{"scheduler: scheduler/start-most", core.Sched.StartMost},
+		{"scheduler: scheduler/min-run", core.Sched.MinRun},
+		{"scheduler: scheduler/dear", core.Sched.Dear},
+		{"scheduler: scheduler/production-image-first", core.Sched.ImageFirst},
+		{"scheduler: scheduler/tight", core.Sched.Tight},
+		{"scheduler: scheduler/fetch-in-time", core.Sched.FetchInTime},
+		{"scheduler: scheduler/vacate", core.Sched.Vacate},
+		{"scheduler: scheduler/begin-within", core.Sched.BeginWithin},
+		{"scheduler: scheduler/preempt-for-guarantees", core.Sched.PreemptWithin},
+		{"fleet: fleet/keep-idle", core.Fleet.KeepIdle},
+		{"fleet: fleet/keep-boots", core.Fleet.KeepBoots},
+		{"fleet: fleet/least-paid", core.Fleet.LeastPaid},
+		{"fleet: fleet/keep-spot", core.Fleet.KeepSpot},
+		{"fleet: fleet/boot-factor", core.Fleet.BootFactor},
+		{"fleet: fleet/boot-extra", core.Fleet.BootExtra},
+		{"fleet: fleet/refused", core.Fleet.Refused},
+		{"fleet: fleet/soon-boots", core.Fleet.SoonBoots},
+		{"fleet: machines of one request", core.Fleet.MaxRent},
+		{"leader: workers/lease-margin", core.LeaseMargin},
+		{"leader: scheduler/pass", core.Pass},
+		{"leader: scheduler/flush", core.Flush},
+		{"leader: fleet/list", core.ListEvery},
+		{"leader: fleet/catalog", core.CatalogEvery},
+		{"leader: workers/silent-after", core.SilentAfter},
+		{"leader: workers/silent-share", core.SilentShare},
+		{"leader: scheduler/backoff", core.Backoff},
+		{"leader: scheduler/backoff-most", core.BackoffMost},
+		{"leader: workers/sick-errors", core.SickErrors},
+		{"leader: workers/direct-hold", core.DirectHold},
+		{"leader: scheduler/consolidate", core.Consolidate},
+		{"leader: deployment.state.txn_ops", core.TxnOps},
+		{"leader: tasks of a numbered chunk", core.Numbered},
+		{"ledger: ledger/settle", core.Ledger.Settle},
+		{"ledger: fair-share/half-life", core.Ledger.Half},
+		{"ledger: fair-share/gpu-weight", core.Ledger.Settings.Weights.GPU},
+		{"ledger: fair-share/memory-weight", core.Ledger.Settings.Weights.Mem},
+		{"ledger: bytes of a record", core.Ledger.Most},
+		{"ledger: ledger/keep-hours", core.Ledger.Keep.Hours},
+		{"ledger: ledger/keep-days", core.Ledger.Keep.Days},
+		{"ledger: fair-share", core.Ledger.FairShare},
+		{"ledger: weights of teams", core.Ledger.Weights},
+		{"admin: token", string(administration.Token)},
+		{"admin: ledger", administration.Ledger},
+		{"admin: fair-share", administration.Orders},
+		{"admin: fair-share/half-life", administration.Half},
+		{"admin: weights of teams", administration.Weights},
+		{"admin: requests a second", administration.Rate},
+		{"records: deployment.state.value_kb", records.Value},
+		{"records: deployment.state.txn_ops", records.Ops},
+		{"election: member", election.Member},
+		{"election: leadership/lease", election.Life},
+		{"election: leadership/margin", election.Margin},
+		{"election: leadership/look", election.Look},
+		{"election: leadership/retry", election.Retry},
+		{"election: length of a promise", election.Promise},
+		{"election: promises/outage", election.Outage},
+		{"election: members", election.Others},
+		{"election: highest level", election.Can},
+		{"requests: members", routing.Others},
+		{"requests: requests/retries", routing.Retries},
+		{"requests: requests/hedge", routing.Hedge},
+		{"requests: requests/most", routing.Most},
+		{"relay: least time between batches", relay.Every},
+		{"relay: heartbeats that wait", relay.Queue},
+		{"relay: bytes that wait", relay.Bytes},
+		{"relay: batches at once", relay.Out},
+		{"relay: wait for an answer", relay.Patience},
+		{"relay: pause after no answer", relay.Pause},
+		{"cancellations: bounded", bounded},
+		{"cancellations: bound for leases", stale.Keep},
+		{"cancellations: bound for starts", stale.Start},
+	}
+}
--- /dev/null
+++ b/internal/ledger/golden_test.go
@@ -0,0 +1,46 @@
+package ledger
+
+import (
+	"testing"
+	"time"
+)
+
+// Hashes of pages stand in their records: what is hashed, and how, stays.
+func TestPageHashesStay(t *testing.T) {
+	page := Page{Team: "vision \"a\"", First: 3, Last: 6, Unit: Day, From: time.Unix(1_789_948_800, 0), Prev: "00ff", Head: "11ee",
+		Cells: []Cell{{Class: "train", Use: FromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})}, {Class: "serve"}}}
+	for _, c := range []struct{ name, secret, want string }{
+		{"plain", "", "89f046485ce6e0acbb0328f2f9db589e"},
+		{"keyed", "a secret of operators", "751cc92d568d56d3dd2cc2be0271ded9"},
+	} {
+		if got := NewSeal([]byte(c.secret)).Sum(&page); got != c.want {
+			t.Errorf("%s hash: got %s, want %s", c.name, got, c.want)
+		}
+	}
+	text := "1 \"vision \\\"a\\\"\" 3 6 2 1789948800 \"00ff\" \"11ee\"\n\"train\" 1 2 3 4 5 6 7 8 9 10 11 12 13\n\"serve\" 0 0 0 0 0 0 0 0 0 0 0 0 0\n"
+	if got := string(page.canonical()); got != text {
+		t.Errorf("what is hashed: got\n%s\nwant\n%s", got, text)
+	}
+}
+
+// The amounts of a record stand in this order.
+func TestAmountsKeepTheirOrder(t *testing.T) {
+	var list []uint64
+	for i := range uint64(13) {
+		list = append(list, i+1)
+	}
+	u := FromNumbers(list)
+	if u.CPU != 1 || u.GPU != 2 || u.Mem != 3 || u.Lost != 4 || u.Starts != 5 || u.TakenOver != 6 {
+		t.Errorf("the first six amounts: got %+v, want 1 to 6", u)
+	}
+	for i, want := range []string{"limit", "guarantee", "room", "share", "awaits", "backoff", "takeover"} {
+		if got := Cause(i).String(); got != want || u.Wait[i] != uint64(7+i) {
+			t.Errorf("cause %d: got %s with %d, want %s with %d", i, got, u.Wait[i], want, 7+i)
+		}
+	}
+	for i, want := range []string{"none", "hour", "day", "month"} {
+		if got := Unit(i).String(); got != want {
+			t.Errorf("unit %d: got %s, want %s", i, got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/peer/golden_test.go
@@ -0,0 +1,59 @@
+package peer
+
+import (
+	"bytes"
+	"encoding/hex"
+	"strings"
+	"testing"
+
+	"google.golang.org/protobuf/encoding/protodelim"
+	"google.golang.org/protobuf/encoding/prototext"
+	"google.golang.org/protobuf/proto"
+
+	"github.com/glentiller/glentiller/internal/golden"
+	"github.com/glentiller/glentiller/internal/peer/peerpb"
+)
+
+func filled[M any](m *M) *M {
+	golden.Fill(m)
+	return m
+}
+
+// Every message between controllers, with every field set, as it goes over the connection. The numbers are stated here
+// too, since they and not the names are what is sent.
+func TestMessagesBetweenControllersKeepTheirBytes(t *testing.T) {
+	for name, e := range map[string]*peerpb.Envelope{
+		"relay":          {Id: 300, Body: &peerpb.Envelope_Relay{Relay: filled(&peerpb.Relay{})}},
+		"relay-answer":   {Id: 300, Body: &peerpb.Envelope_RelayAnswer{RelayAnswer: filled(&peerpb.RelayAnswer{})}},
+		"progress":       {Id: 300, Body: &peerpb.Envelope_Progress{Progress: filled(&peerpb.Progress{})}},
+		"ask":            {Id: 300, Body: &peerpb.Envelope_Ask{Ask: filled(&peerpb.Ask{})}},
+		"ask-answer":     {Id: 300, Body: &peerpb.Envelope_AskAnswer{AskAnswer: filled(&peerpb.AskAnswer{})}},
+		"promise-ask":    {Id: 300, Body: &peerpb.Envelope_PromiseAsk{PromiseAsk: filled(&peerpb.PromiseAsk{})}},
+		"promise-answer": {Id: 300, Body: &peerpb.Envelope_PromiseAnswer{PromiseAnswer: filled(&peerpb.PromiseAnswer{})}},
+		"hand":           {Id: 300, Body: &peerpb.Envelope_Hand{Hand: filled(&peerpb.Hand{})}},
+		"hand-answer":    {Id: 300, Body: &peerpb.Envelope_HandAnswer{HandAnswer: filled(&peerpb.HandAnswer{})}},
+		"empty":          {},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var sent bytes.Buffer
+			if _, err := protodelim.MarshalTo(&sent, e); err != nil {
+				t.Fatal(err)
+			}
+			// The text form puts spaces at random.
+			text := strings.Join(strings.Fields(prototext.MarshalOptions{}.Format(e)), " ")
+			stored := golden.Check(t, name+".txt", []byte(text+"\n"+hex.EncodeToString(sent.Bytes())+"\n"))
+			_, digits, _ := strings.Cut(strings.TrimSuffix(string(stored), "\n"), "\n")
+			b, err := hex.DecodeString(digits)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got := &peerpb.Envelope{}
+			if err := protodelim.UnmarshalFrom(bytes.NewReader(b), got); err != nil {
+				t.Fatal(err)
+			}
+			if !proto.Equal(got, e) {
+				t.Errorf("read back as %v, want %v", got, e)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/rehearse/scale/codec_test.go
@@ -0,0 +1,73 @@
+package scale
+
+import (
+	"testing"
+	"time"
+
+	"github.com/glentiller/glentiller/internal/golden"
+	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/wire"
+)
+
+// What the stand-ins send is what they sent before, and what the controllers read.
+func TestMessagesOfStandInsKeepTheirBytes(t *testing.T) {
+	task := model.TaskID{Job: "wk-000412", Index: 3}
+	beat := &model.Report{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1 << 63, Seq: 88, Token: 41}
+	for phase := model.Fetching; phase < model.Exited; phase++ {
+		beat.Tasks = append(beat.Tasks, model.TaskReport{Task: task, Try: 2, Phase: phase})
+	}
+	for cause := model.CauseDone; cause <= model.CauseUnknown; cause++ {
+		beat.Tasks = append(beat.Tasks, model.TaskReport{Task: task, Try: 3, Phase: model.Exited, Cause: cause, Saved: true})
+	}
+	types := []model.MachineType{{Name: "g8", Cap: model.Resources{CPU: 8, GPU: 1, MemGB: 64}, CacheGB: 100, FetchGBPerS: 0.25, Price: 3.5,
+		SpotPrice: 1.25, Boot: 42500 * time.Millisecond, Zones: []string{"a", "b"}}}
+	machines := []model.Listed{{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Age: 60500 * time.Millisecond},
+		{Machine: "n-000232", Booting: true}, {Machine: "n-000233", Failed: true}}
+	for _, c := range []struct {
+		name string
+		sent []byte
+		read func(b []byte) (any, error)
+		want any
+	}{
+		{"stand-in-heartbeat", appendReport(nil, beat), func(b []byte) (any, error) { return wire.DecodeReport(b) }, beat},
+		{"stand-in-catalog", appendCatalog(nil, types), func(b []byte) (any, error) { return wire.DecodeCatalog(b) }, types},
+		{"stand-in-machines", appendList(nil, machines, true), func(b []byte) (any, error) {
+			list, _, err := wire.DecodeList(b)
+			return list, err
+		}, machines},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got, err := c.read(golden.CheckMessagePack(t, c.name, c.sent))
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden.Equal(t, c.name, got, c.want)
+		})
+	}
+}
+
+// What the controllers send is read by the stand-ins.
+func TestStandInsReadMessagesOfControllers(t *testing.T) {
+	task := model.TaskID{Job: "wk-000412", Index: 3}
+	commands := []model.Order{{Op: model.OpLaunch, Task: task, Try: 2}, {Op: model.OpStop, Task: task, Try: 3, Grace: 7500 * time.Millisecond},
+		{Op: model.OpForget, Task: task, Try: 4}}
+	got, err := decodeMessage(wire.AppendCommands(nil, 41, 1<<63, commands))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "commands", got, &message{token: 41, session: 1 << 63, orders: commands})
+	request := model.Rental{Name: "h-1", Type: "g8", Zone: "a", Spot: true, Count: 50}
+	read, err := decodeRental(wire.AppendRent(nil, request))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "a request for machines", read, request)
+	if got := decodeLeader(wire.AppendLeader(nil, "tiller-1")); got != "tiller-1" {
+		t.Errorf("the leader of a 421: got %q, want tiller-1", got)
+	}
+	for state := wire.StateQueued; state <= wire.StateCancelled; state++ {
+		if got := decodeState(wire.AppendShortStatus(nil, "wk-000412", state)); got != state {
+			t.Errorf("a job's state: got %v, want %v", got, state)
+		}
+	}
+}
--- /dev/null
+++ b/internal/rehearse/troubles/golden_test.go
@@ -0,0 +1,11 @@
+package troubles
+
+import (
+	"testing"
+
+	"github.com/glentiller/glentiller/internal/golden"
+)
+
+func TestResultKeepsItsJSON(t *testing.T) {
+	golden.CheckJSON[Result](t, "result")
+}
--- /dev/null
+++ b/internal/route/golden_test.go
@@ -0,0 +1,26 @@
+package route
+
+import (
+	"testing"
+
+	"github.com/glentiller/glentiller/internal/golden"
+)
+
+// Controllers tell each other kinds and causes by number.
+func TestKindsAndCausesKeepTheirNumbers(t *testing.T) {
+	for i, want := range []string{"submit", "poll", "cancel"} {
+		if got := Kind(i).String(); got != want {
+			t.Errorf("kind %d: got %s, want %s", i, got, want)
+		}
+	}
+	numbers := []Cause{Taken, Down, Busy, Short, Unready, Silent, Refused}
+	for i, want := range []string{"taken", "down", "busy", "short", "unready", "silent", "refused"} {
+		if got := Cause(i); got.String() != want || numbers[i] != got {
+			t.Errorf("cause %d: got %v, want %s, which the code has as %d", i, got, want, numbers[i])
+		}
+	}
+}
+
+func TestStatusOfRoutesKeepsItsJSON(t *testing.T) {
+	golden.CheckJSON[Standing](t, "status")
+}
--- /dev/null
+++ b/internal/store/golden_test.go
@@ -0,0 +1,188 @@
+package store_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/tinylib/msgp/msgp"
+
+	"github.com/glentiller/glentiller/internal/control"
+	"github.com/glentiller/glentiller/internal/election"
+	"github.com/glentiller/glentiller/internal/golden"
+	"github.com/glentiller/glentiller/internal/ledger"
+	"github.com/glentiller/glentiller/internal/level"
+	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/rpc"
+	"github.com/glentiller/glentiller/internal/store"
+	"github.com/glentiller/glentiller/internal/wire"
+)
+
+// recorder stands in for the state service: it writes every request down, and answers with what it is given for a path,
+// or that the key isn't there.
+type recorder struct {
+	t        *testing.T
+	answers  map[string][]byte // by the beginning of "METHOD path"
+	requests strings.Builder
+}
+
+func (r *recorder) Call(method, uri string, body []byte, _ time.Duration) ([]byte, error) {
+	fmt.Fprintf(&r.requests, "%s %s", method, uri)
+	if len(body) > 0 {
+		fmt.Fprintf(&r.requests, " %s %x", golden.JSON(r.t, body), body)
+	}
+	r.requests.WriteByte('\n')
+	for path, b := range r.answers {
+		if strings.HasPrefix(method+" "+uri, path) {
+			return b, nil
+		}
+	}
+	return nil, &rpc.StatusError{Status: 404}
+}
+
+func record(t *testing.T) (*recorder, *store.Client) {
+	t.Helper()
+	number := func(key string) []byte {
+		return msgp.AppendUint64(msgp.AppendString(msgp.AppendMapHeader(nil, 1), key), 77)
+	}
+	r := &recorder{t: t, answers: map[string][]byte{"POST /commit": number("epoch"), "POST /grants": number("tenancy"),
+		"DELETE /grants": msgp.AppendMapHeader(nil, 0), "GET /keys?": number("epoch"), "GET /changes": number("epoch")}}
+	c := store.NewOver(r, r, time.Second)
+	c.SetRates(1e9, 1e9)
+	return r, c
+}
+
+// Every request to the state service: its path, the keys and conditions of its transaction, and the records in it.
+func TestStateServiceRequestsKeepTheirBytes(t *testing.T) {
+	at := time.UnixMilli(1_790_000_000_123)
+	cell := []ledger.Cell{{Class: "train", Use: ledger.FromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})}}
+	open := ledger.Open{Team: "vision/a b", Number: 4, Settled: 9, Token: 41, From: at, At: at, Cells: cell, Prev: "00ff", Decayed: 5}
+	page := ledger.Page{Team: "vision/a b", First: 3, Last: 3, Unit: ledger.Hour, From: at, Cells: cell, Prev: "00ff", Sum: "22dd"}
+	next := page
+	next.First, next.Last = 4, 4
+	into := page
+	into.Last, into.Unit, into.Head = 4, ledger.Day, "11ee"
+	interval := ledger.Stretch{From: at, To: at.Add(time.Minute), Token: 41, Without: 2}
+	machine := model.Listed{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true}
+	spec := func(awaits int) *model.Spec {
+		s := &model.Spec{ID: "wk-000412", Class: "train", Team: "vision", Shape: model.Gang, Rank: model.High, Tasks: 16,
+			Need: model.Resources{CPU: 8, GPU: 1, MemGB: 64}}
+		for i := range awaits {
+			s.Awaits = append(s.Awaits, fmt.Sprintf("wk-%06d", i))
+		}
+		return s
+	}
+	batch := store.Batch{Member: "tiller-1", Batch: wire.Batch{Life: 7, Seq: 12, Text: "AQNhYmM"}}
+	jobs := func(c *store.Client) *store.Jobs {
+		return store.NewJobs(c, 7, 100, store.Limits{Value: 2048, Ops: 4}, func([]store.JobChange) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	}
+	ctx := context.Background()
+	commit := func(saves ...control.Save) func(c *store.Client) error {
+		return func(c *store.Client) error {
+			_, _, err := c.Save(ctx, 12, saves)
+			return err
+		}
+	}
+	for _, c := range []struct {
+		name string
+		call func(c *store.Client) error
+	}{
+		{"machine", commit(control.Save{Kind: control.SaveMachine, Machine: machine}, control.Save{Kind: control.DropMachine, Machine: machine})},
+		{"finished-tasks", commit(
+			control.Save{Kind: control.SaveTasks, Job: "wk-000412", Chunk: model.Chunk{N: 6}, Bits: []byte{0xff, 0x5a}},
+			control.Save{Kind: control.SaveTasks, Job: "wk-000412", Chunk: model.Chunk{Span: true, N: 2048}, Bits: []byte{0xff, 0x5a}},
+			control.Save{Kind: control.DropTasks, Job: "wk-000412", Chunk: model.Chunk{N: 6}},
+			control.Save{Kind: control.DropTasks, Job: "wk-000412", Chunk: model.Chunk{Span: true, N: 2048}})},
+		{"layout", commit(control.Save{Kind: control.SaveLayout, Tasks: 16384})},
+		{"gpu-request", commit(control.Save{Kind: control.SaveNeed, Need: model.Resources{CPU: 8, GPU: 0.5, MemGB: 1e8}})},
+		{"job-done", commit(control.Save{Kind: control.EndJob, Job: "wk-000412", Version: 3, Tasks: 16, At: at})},
+		{"job-doomed", commit(control.Save{Kind: control.EndDoomed, Job: "wk-000412", Version: 3, Tasks: 16, At: at})},
+		{"awaits-dropped", commit(control.Save{Kind: control.DropAwaits, Job: "wk-000412", Key: "job/w/wk-000412/ff/0"})},
+		{"ledger-settled", commit(control.Save{Kind: control.SaveUse, Use: &ledger.Settlement{Version: 5, Open: open, Closed: &page}})},
+		{"ledger-unaccounted", commit(control.Save{Kind: control.SaveStretch, Stretch: &interval})},
+		{"ledger-folded", commit(control.Save{Kind: control.FoldUse, Fold: &control.Fold{
+			From: []ledger.Stored{{Page: page, Version: 5}, {Page: next, Version: 6}}, Into: &into}})},
+		{"ledger-read", func(c *store.Client) error {
+			_, err := c.Accounts(ctx)
+			_, aerr := c.Account(ctx, strings.Repeat("long ", 60))
+			_, _, perr := c.Pages(ctx, "vision/a b", 7, 50)
+			_, _, serr := c.Stretches(ctx, 41, 50)
+			return errors.Join(err, aerr, perr, serr)
+		}},
+		{"leader-claimed", func(c *store.Client) error {
+			_, _, err := c.Claim(ctx, "tiller-1", election.Claim{Token: 41, TokenVersion: 12, LevelVersion: 3, Lease: 9, Raise: 1})
+			return err
+		}},
+		{"leader-claimed-first", func(c *store.Client) error {
+			_, _, err := c.Claim(ctx, "tiller-1", election.Claim{Token: 1, Lease: 9})
+			return err
+		}},
+		{"leader-fenced", func(c *store.Client) error {
+			_, _, err := c.Rewrite(ctx, "tiller-1", 41, 12)
+			return err
+		}},
+		{"leader-read", func(c *store.Client) error {
+			_, _, err := c.Look(ctx)
+			_, _, _, werr := c.WatchLeader(ctx, 5)
+			_, lerr := c.StillLast(ctx, 12)
+			return errors.Join(err, werr, lerr)
+		}},
+		{"member-announced", func(c *store.Client) error {
+			err := c.Announce(ctx, 9, level.Member{Name: "tiller-1", Release: "1.2.3", Can: 1, Life: 7})
+			_, rerr := c.Announced(ctx)
+			return errors.Join(err, rerr)
+		}},
+		{"lease", func(c *store.Client) error {
+			id, err := c.Grant(4 * time.Second)
+			return errors.Join(err, c.Touch(id), c.Drop(id))
+		}},
+		{"relay", func(c *store.Client) error {
+			err := c.PutReports(ctx, batch)
+			_, aerr := c.PutAnswers(ctx, 12, batch)
+			_, rerr := c.RelayNow(ctx, "")
+			_, nerr := c.RelayNow(ctx, "tiller-1")
+			_, _, werr := c.Relayed(ctx, "", 5, time.Second)
+			_, _, merr := c.Relayed(ctx, "tiller-1", 5, time.Second)
+			return errors.Join(err, aerr, rerr, nerr, werr, merr, c.DropRelay(ctx, "tiller-1", 12))
+		}},
+		{"takeover-read", func(c *store.Client) error {
+			_, err := c.Records(ctx, true)
+			return err
+		}},
+		{"job-accepted", func(c *store.Client) error {
+			_, _, err := jobs(c).Accept(ctx, spec(2), false, at)
+			return err
+		}},
+		{"job-accepted-parts", func(c *store.Client) error {
+			_, _, err := jobs(c).Accept(ctx, spec(400), false, at)
+			return err
+		}},
+		{"job-accepted-doomed", func(c *store.Client) error {
+			_, _, err := jobs(c).Accept(ctx, spec(2), true, at)
+			return err
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r, client := record(t)
+			if err := c.call(client); err != nil {
+				t.Error(err)
+			}
+			golden.Check(t, c.name+".txt", []byte(r.requests.String()))
+		})
+	}
+	t.Run("job-cancelled", func(t *testing.T) {
+		r, client := record(t)
+		entry := msgp.AppendString(msgp.AppendString(msgp.AppendMapHeader(nil, 3), "k"), "job/a/wk-000412")
+		entry = append(msgp.AppendString(entry, "value"), wire.AppendActive(nil, spec(0), at, nil, wire.Parts{})...)
+		r.answers["GET /keys/job/a/wk-000412"] = msgp.AppendUint64(msgp.AppendString(entry, "stamp"), 3)
+		if _, err := jobs(client).Cancel(ctx, "wk-000412", at); err != nil {
+			t.Error(err)
+		}
+		golden.Check(t, "job-cancelled.txt", []byte(r.requests.String()))
+	})
+}
--- /dev/null
+++ b/internal/worker/golden_test.go
@@ -0,0 +1,34 @@
+package worker
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/glentiller/glentiller/internal/golden"
+	"github.com/glentiller/glentiller/internal/model"
+)
+
+func TestRequestsToWorkersKeepTheirBytes(t *testing.T) {
+	var requests strings.Builder
+	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		b, err := io.ReadAll(r.Body)
+		fmt.Fprintf(&requests, "%s %s %q %x\n", r.Method, r.RequestURI, r.Header.Get("Content-Type"), b)
+		if err != nil {
+			t.Error(err)
+		}
+	}))
+	defer s.Close()
+	c := New(5*time.Second, nil)
+	task := model.TaskID{Job: "wk-000412", Index: 3}
+	r := c.Commands(s.Listener.Addr().String(), 41, 1<<63, []model.Order{{Op: model.OpLaunch, Task: task, Try: 2},
+		{Op: model.OpStop, Task: task, Try: 3, Grace: 7500 * time.Millisecond}, {Op: model.OpForget, Task: task, Try: 4}}, true)
+	if !r.Executed || r.Report != nil {
+		t.Errorf("an empty answer of 200: got %+v, want executed, without a heartbeat", r)
+	}
+	golden.Check(t, "requests.txt", []byte(requests.String()))
+}
