--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -14,8 +14,8 @@
 	"github.com/glentiller/glentiller/internal/level"
 	"github.com/glentiller/glentiller/internal/route"
 	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/staleness"
 	"github.com/glentiller/glentiller/internal/store"
-	"github.com/glentiller/glentiller/internal/word"
 )
 
 // numbered is how many tasks a numbered chunk of the finished-task record has. The
@@ -149,9 +149,9 @@
 
 // Informed is how old a leader's knowledge of cancellations may be; ok is false where workers'
 // leases are too long for any bound.
-func Informed(p *Platform) (b word.Bound, ok bool) {
+func Informed(p *Platform) (b staleness.Bound, ok bool) {
 	w := p.Deployment.Workers
-	return word.Within(Seconds(w.Cancel), Seconds(w.Lease))
+	return staleness.Within(Seconds(w.Cancel), Seconds(w.Lease))
 }
 
 // Routing puts together what users' requests are routed by; nil: they are answered where they
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -18,9 +18,9 @@
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/rpc"
+	"github.com/glentiller/glentiller/internal/staleness"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/wire"
-	"github.com/glentiller/glentiller/internal/word"
 )
 
 // World is a deployment in memory: controllers, the state service, the cloud and
@@ -34,10 +34,10 @@
 	Types       []model.MachineType
 	ToldBy      map[string]string // by which member users were told first that a job is cancelled
 	Teams       map[string]model.Team
-	Limits      store.Limits // that the controllers keep within
-	Bound       word.Bound   // how old a leader's knowledge of cancellations may be
-	Keep        int          // ended jobs that a controller remembers
-	Rejected    []string     // records that the state service would not take
+	Limits      store.Limits    // that the controllers keep within
+	Bound       staleness.Bound // how old a leader's knowledge of cancellations may be
+	Keep        int             // ended jobs that a controller remembers
+	Rejected    []string        // records that the state service would not take
 
 	Slow     func() time.Duration                                  // until the state service answers a leader; nil: none
 	Net      func(c *Controller, body []byte) (err error, ok bool) // what becomes of a transaction; !ok: nothing
@@ -118,7 +118,7 @@
 	Jobs   *store.Jobs
 	Elect  *election.Machine
 	Core   *control.Core
-	book   *word.Book // nil: it has no core
+	book   *staleness.Book // nil: it has no core
 	toldBy map[string]store.Told
 	token  uint64
 	ver    uint64
@@ -204,7 +204,7 @@
 	w.Cloud = NewCloud(func() int { return len(w.Workers) })
 	w.State = NewState(func() time.Time { return w.now })
 	w.State.Carried = w.look
-	w.Bound, _ = word.Within(set.Cancel, set.Lease)
+	w.Bound, _ = staleness.Within(set.Cancel, set.Lease)
 	for _, t := range set.Teams {
 		w.Teams[t.Name] = t
 	}
@@ -696,7 +696,7 @@
 	c.Jobs.Snapshot(snap)
 	c.Core = control.New(c.w.now, c.set, c.token, snap, c.w.Types, c.log)
 	c.changes = nil
-	c.book = word.New(c.esets.Others, c.Jobs.AsOf())
+	c.book = staleness.New(c.esets.Others, c.Jobs.AsOf())
 }
 
 // act hands an event to the core and carries out the effects.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -26,8 +26,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/peer"
 	"github.com/glentiller/glentiller/internal/route"
+	"github.com/glentiller/glentiller/internal/staleness"
 	"github.com/glentiller/glentiller/internal/store"
-	"github.com/glentiller/glentiller/internal/word"
 	"github.com/glentiller/glentiller/internal/worker"
 )
 
@@ -68,8 +68,8 @@
 	held  holds
 	event control.Event // that the core took last
 	// What it knows of cancellations as leader; nil: its core is not there yet.
-	book   *word.Book
-	bound  word.Bound
+	book   *staleness.Book
+	bound  staleness.Bound
 	behind bool                  // it knows too little to act
 	toldBy map[string]store.Told // by member, how far this one was told
 	// While the right of the present leadership has lapsed: its token, and since when.
--- a/internal/node/word.go
+++ b/internal/node/word.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/peer/peerpb"
+	"github.com/glentiller/glentiller/internal/staleness"
 	"github.com/glentiller/glentiller/internal/store"
-	"github.com/glentiller/glentiller/internal/word"
 )
 
 // What a leader knows of cancellations: docs/safety.md, "Cancelled is gone in time".
@@ -79,6 +79,6 @@
 
 // informed begins the book of a leadership whose core has just been made.
 func (n *Node) informed(now time.Time) {
-	n.book, n.behind = word.New(slices.Collect(maps.Keys(n.peers)), n.jobs.AsOf()), false
+	n.book, n.behind = staleness.New(slices.Collect(maps.Keys(n.peers)), n.jobs.AsOf()), false
 	n.showRight(now)
 }
--- a/internal/word/word.go
+++ b/internal/staleness/word.go
@@ -1,8 +1,8 @@
-// Package word decides for how long a leader may keep workers' leases and start tasks by what it
+// Package staleness decides for how long a leader may keep workers' leases and start tasks by what it
 // knows of cancellations. Users are told of them by any member, and a leader may be the one that
 // the state service does not answer: it goes by the others' word then. It reads no clock. The
 // argument is in docs/safety.md, "Cancelled is gone in time".
-package word
+package staleness
 
 import "time"
 
--- a/internal/word/word_test.go
+++ b/internal/staleness/word_test.go
@@ -1,4 +1,4 @@
-package word
+package staleness
 
 import (
 	"math/rand/v2"
