--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/fleet"
-	"github.com/glentiller/glentiller/internal/hearing"
 	"github.com/glentiller/glentiller/internal/ledger"
+	"github.com/glentiller/glentiller/internal/liveness"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/sched"
 )
@@ -133,7 +133,7 @@
 	catalogs  bool
 	resumeAt  time.Time // no machine counts as silent before this
 
-	detector  hearing.Settings
+	detector  liveness.Settings
 	foreignAt time.Time               // when a report of another machine by a known name was last told of
 	asking    int                     // questions that are out
 	inDoubtOf map[*model.Machine]bool // machines that seem not to hear this leader
@@ -157,7 +157,7 @@
 		refused: map[fleet.Offer]time.Time{}, renting: map[string]model.Rental{}, rentAt: map[string]time.Time{},
 		dirtyJobs: map[string]bool{}, chunks: map[chunkKey]bool{}, ruled: map[*model.Job]*ruled{}, keptGPU: map[*model.MachineType]bool{}, doubts: map[machineKind]int{}, quietAt: map[string]time.Time{}, news: map[*model.Machine]bool{}, types: types, listAt: now, catalogAt: now, sweepAt: now,
 		resumeAt:  now.Add(set.SilentAfter),
-		detector:  hearing.Settings{Lease: set.Lease, Gap: max(dropped, set.Report+set.Report/2), Replace: set.SilentAfter},
+		detector:  liveness.Settings{Lease: set.Lease, Gap: max(dropped, set.Report+set.Report/2), Replace: set.SilentAfter},
 		inDoubtOf: map[*model.Machine]bool{}, provedAt: now}
 	for i := range set.Teams {
 		c.teams[set.Teams[i].Name] = &set.Teams[i]
--- a/internal/control/hearing.go
+++ b/internal/control/hearing.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/glentiller/glentiller/internal/hearing"
+	"github.com/glentiller/glentiller/internal/liveness"
 	"github.com/glentiller/glentiller/internal/model"
 )
 
@@ -61,14 +61,14 @@
 }
 
 // heard takes what a report tells of a machine's hearing.
-func (c *Core) heard(now time.Time, m *model.Machine, s hearing.Sign) {
+func (c *Core) heard(now time.Time, m *model.Machine, s liveness.Sign) {
 	if s.Shows {
 		c.provedAt = now
 	}
 	if m.Detector.Heard(now, s, c.detector) {
 		c.hearingMoved(m)
 	}
-	if m.Detector.State != hearing.Hears {
+	if m.Detector.State != liveness.Hears {
 		c.question(now, m)
 	}
 }
@@ -83,7 +83,7 @@
 
 // hearingMoved tells of a change of a machine's hearing, and counts those in doubt.
 func (c *Core) hearingMoved(m *model.Machine) {
-	was, is := c.inDoubtOf[m], m.Detector.State >= hearing.Doubtful
+	was, is := c.inDoubtOf[m], m.Detector.State >= liveness.Doubtful
 	if is {
 		c.inDoubtOf[m] = true
 	} else {
@@ -100,7 +100,7 @@
 func (c *Core) lacks(m *model.Machine, r *model.Report) bool {
 	told := 0
 	for _, a := range m.Rows {
-		if a.State == model.Launching && a.Carried != (hearing.Mark{}) && a.Carried.Before(hearing.Mark{Session: r.Session, Seq: r.Seq}) {
+		if a.State == model.Launching && a.Carried != (liveness.Mark{}) && a.Carried.Before(liveness.Mark{Session: r.Session, Seq: r.Seq}) {
 			told++
 		}
 	}
@@ -119,7 +119,7 @@
 // questions alone is not believed of many at once: then the fault is likely here.
 func (c *Core) hears(m *model.Machine) bool {
 	many := float64(len(c.inDoubtOf)) > max(1, c.set.SilentShare*float64(len(c.machines)))
-	return m.Detector.State < hearing.Doubtful || !m.Detector.Sure() && many
+	return m.Detector.State < liveness.Doubtful || !m.Detector.Sure() && many
 }
 
 // fewInDoubt tells that the machines that seem not to hear are few, so that they may be replaced.
@@ -155,9 +155,9 @@
 }
 
 // Hearing tells whether a machine hears this leader, as far as it knows.
-func (c *Core) Hearing(machine string) hearing.State {
+func (c *Core) Hearing(machine string) liveness.State {
 	if m := c.machines[machine]; m != nil {
 		return m.Detector.State
 	}
-	return hearing.Hears
+	return liveness.Hears
 }
--- a/internal/control/hearing_test.go
+++ b/internal/control/hearing_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/glentiller/glentiller/internal/hearing"
+	"github.com/glentiller/glentiller/internal/liveness"
 	"github.com/glentiller/glentiller/internal/model"
 )
 
@@ -121,7 +121,7 @@
 		t.Fatalf("refused %v, holding %d: a report alone has decided it", k.refused(), m.Holding)
 	}
 	k.answer(says(name, 1, 2, 1))
-	if m := k.c.machines[name]; m.Numbering != hearing.Restarted || m.Holding != 0 || k.c.jobs["wk-1"].Waiting() != 1 {
+	if m := k.c.machines[name]; m.Numbering != liveness.Restarted || m.Holding != 0 || k.c.jobs["wk-1"].Waiting() != 1 {
 		t.Fatalf("life %v, holding %d, waiting %d", m.Numbering, m.Holding, k.c.jobs["wk-1"].Waiting())
 	}
 	k.step(time.Second, Tick{})
@@ -158,7 +158,7 @@
 		t.Fatal("a copy from the life before has freed a task that runs")
 	}
 	k.answer(says("n-1", 1, 6, 1, task))
-	if m := k.c.machines["n-1"]; m.Holding != 1 || m.Numbering != hearing.Restarted || m.Unsure {
+	if m := k.c.machines["n-1"]; m.Holding != 1 || m.Numbering != liveness.Restarted || m.Unsure {
 		t.Errorf("holding %d, life %v, unsure %v", m.Holding, m.Numbering, m.Unsure)
 	}
 	// One that it really has no more is gone with the next answer.
@@ -184,7 +184,7 @@
 	}
 	lease("a new life")
 	k.answer(says("n-1", 1, 4, 1))
-	if m := k.c.machines["n-1"]; m.Numbering != hearing.Restarted || m.Seq != 4 {
+	if m := k.c.machines["n-1"]; m.Numbering != liveness.Restarted || m.Seq != 4 {
 		t.Errorf("life %v, number %d", m.Numbering, m.Seq)
 	}
 	lease("an answer, which may be a new life's")
@@ -245,7 +245,7 @@
 	k.unanswered()
 	other := map[string]string{"n-1": "n-2", "n-2": "n-1"}[name]
 	k.deaf(6*time.Second, name, 10)
-	if m := k.c.machines[name]; m.Detector.State != hearing.Doubtful {
+	if m := k.c.machines[name]; m.Detector.State != liveness.Doubtful {
 		t.Fatalf("%v after three reports without what it was told", m.Detector.State)
 	}
 	k.report(0, says(other, 1, 10, 1))
@@ -264,11 +264,11 @@
 	k := talks(t, &Snapshot{})
 	k.up("n-1", "n-2", "n-3", "n-4")
 	k.step(5*time.Second, ReportIn{Report: says("n-1", 1, 3, 1), Handed: true})
-	if m := k.c.machines["n-1"]; m.Detector.State != hearing.Asked {
+	if m := k.c.machines["n-1"]; m.Detector.State != liveness.Asked {
 		t.Fatalf("%v", m.Detector.State)
 	}
 	k.unanswered()
-	if m := k.c.machines["n-1"]; m.Detector.State != hearing.Doubtful || k.c.placeable(k.now, m) {
+	if m := k.c.machines["n-1"]; m.Detector.State != liveness.Doubtful || k.c.placeable(k.now, m) {
 		t.Errorf("%v, placeable %v", m.Detector.State, k.c.placeable(k.now, m))
 	}
 	// One whose answers arrive by way of another member keeps its session, and is trusted again.
@@ -276,13 +276,13 @@
 		k.step(2*time.Second, ReportIn{Report: says("n-1", 1, seq, 1), Handed: true})
 		k.unanswered()
 	}
-	if m := k.c.machines["n-1"]; m.Detector.State != hearing.Hears {
+	if m := k.c.machines["n-1"]; m.Detector.State != liveness.Hears {
 		t.Errorf("%v after its session has outlived the doubt", m.Detector.State)
 	}
 	// Its lease runs out although it was answered: it is asked.
 	k.report(2*time.Second, says("n-2", 1, 3, 1))
 	k.step(13*time.Second, ReportIn{Report: says("n-2", 2, 1, 1), Handed: true})
-	if m := k.c.machines["n-2"]; m.Detector.State != hearing.Asked {
+	if m := k.c.machines["n-2"]; m.Detector.State != liveness.Asked {
 		t.Errorf("%v: its lease has run out in between", m.Detector.State)
 	}
 }
@@ -294,7 +294,7 @@
 	k.unanswered()
 	k.deaf(5*time.Second, name, 10)
 	k.report(2*time.Second, says(name, 1, 30, 1, task)) // the launch has reached it after all
-	if m := k.c.machines[name]; m.Detector.State != hearing.Hears || !k.c.placeable(k.now, m) {
+	if m := k.c.machines[name]; m.Detector.State != liveness.Hears || !k.c.placeable(k.now, m) {
 		t.Errorf("%v, %s", m.Detector.State, k.c.unplaceable(k.now, m))
 	}
 }
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/glentiller/glentiller/internal/hearing"
+	"github.com/glentiller/glentiller/internal/liveness"
 	"github.com/glentiller/glentiller/internal/model"
 )
 
@@ -151,7 +151,7 @@
 	ask := !c.returning && !now.Before(c.returnAt)
 	probe := c.wantsProof(now)
 	for _, m := range c.machines {
-		if probe && m.Detector.State == hearing.Hears && c.placeable(now, m) {
+		if probe && m.Detector.State == liveness.Hears && c.placeable(now, m) {
 			probe = !c.question(now, m)
 		}
 		if m.State != model.Booting && now.After(m.Deadline) && (m.Session > m.DeadSession || m.Unsure) {
@@ -162,7 +162,7 @@
 				c.settle(now, m, "lease")
 			}
 		}
-		if m.Detector.State != hearing.Hears && m.State < model.Returning {
+		if m.Detector.State != liveness.Hears && m.State < model.Returning {
 			c.listen(now, m)
 		}
 		if !m.Suspect.IsZero() {
@@ -179,7 +179,7 @@
 				giveBack(m, "silent")
 			case now.Sub(m.LastReport) > c.set.SilentAfter && now.After(c.resumeAt) && !quiet[m.Zone] && !quiet[anyZone]:
 				giveBack(m, "silent")
-			case m.Detector.State == hearing.Deaf && c.fewInDoubt():
+			case m.Detector.State == liveness.Deaf && c.fewInDoubt():
 				giveBack(m, "deaf")
 			case m.Unsure || m.Holding > 0:
 			case m.State == model.Draining:
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/glentiller/glentiller/internal/hearing"
+	"github.com/glentiller/glentiller/internal/liveness"
 	"github.com/glentiller/glentiller/internal/model"
 )
 
@@ -26,7 +26,7 @@
 			continue
 		}
 		n := len(out)
-		if out = c.order1(out, a); len(out) > n && straight && a.Carried == (hearing.Mark{}) {
+		if out = c.order1(out, a); len(out) > n && straight && a.Carried == (liveness.Mark{}) {
 			a.Carried = m.Reported()
 		}
 		if a.State == model.Ended && c.forgettable(now, a) {
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/glentiller/glentiller/internal/hearing"
+	"github.com/glentiller/glentiller/internal/liveness"
 	"github.com/glentiller/glentiller/internal/model"
 )
 
@@ -24,7 +24,7 @@
 		m.Detector.Strange(now)
 		c.log.Info("unexpected machine reports", "machine", m.Name, "type", r.Type, "zone", r.Zone)
 	}
-	if m.State == model.Booting && m.Detector.State >= hearing.Doubtful && r.Token < c.token {
+	if m.State == model.Booting && m.Detector.State >= liveness.Doubtful && r.Token < c.token {
 		// Guards against a late copy that brings back a machine which an earlier leader has given
 		// back: work was placed on it, and its rows counted, until it was silent for long enough.
 		c.question(now, m)
@@ -46,15 +46,15 @@
 		c.log.Warn("machine has begun anew", "machine", m.Name, "known", m.Known(), "session", r.Session, "number", r.Seq, "token", m.Token, "shows", r.Token)
 	}
 	switch kind {
-	case hearing.Old:
+	case liveness.Old:
 		c.log.Debug("old report", "machine", m.Name, "session", r.Session, "number", r.Seq, "known", m.Known())
 		c.question(now, m)
 		c.emit(Answer{Refused: true})
 		return
-	case hearing.Unsorted:
+	case liveness.Unsorted:
 		c.question(now, m)
-	case hearing.Fresh:
-		sign := hearing.Sign{Straight: !ev.Handed, Lacks: r.Session == session && c.lacks(m, r), Session: session != 0 && r.Session > session, Quiet: c.quietNow(now, m.Zone),
+	case liveness.Fresh:
+		sign := liveness.Sign{Straight: !ev.Handed, Lacks: r.Session == session && c.lacks(m, r), Session: session != 0 && r.Session > session, Quiet: c.quietNow(now, m.Zone),
 			Shows: r.Token >= c.token && m.Token < c.token}
 		sign.Shows = c.observe(now, m, r, false) || sign.Shows
 		c.heard(now, m, sign)
@@ -62,7 +62,7 @@
 			c.untold(now, m)
 		}
 	}
-	if kind != hearing.Repeated {
+	if kind != liveness.Repeated {
 		// Also one that an answer to a command has overtaken: it renews the worker's lease. One that
 		// comes again was sent before it first came.
 		m.Deadline = c.leaseEnd(now)
@@ -74,7 +74,7 @@
 		m.LastReport = now
 	}
 	c.emit(Answer{Orders: c.orders(now, m, !ev.Handed)})
-	if kind == hearing.Fresh {
+	if kind == liveness.Fresh {
 		delete(c.news, m)
 	}
 }
--- a/internal/hearing/detector.go
+++ b/internal/liveness/detector.go
@@ -1,4 +1,4 @@
-package hearing
+package liveness
 
 import "time"
 
--- a/internal/hearing/incarnation.go
+++ b/internal/liveness/incarnation.go
@@ -1,8 +1,8 @@
-// Package hearing decides what a worker's messages tell a leader, and whether what the leader sends
+// Package liveness decides what a worker's messages tell a leader, and whether what the leader sends
 // arrives: which message is newer than what is known, whether a machine has begun anew, and whether
 // one that is heard hears anything itself. It is pure: numbers and moments go in, verdicts come out.
 // Why a late copy is harmless is argued for in docs/safety.md, "Copies and lives".
-package hearing
+package liveness
 
 // Mark is the place of a message among those of one life of a machine: the later one is the newer.
 type Mark struct{ Session, Seq uint64 }
--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"github.com/glentiller/glentiller/internal/hearing"
+	"github.com/glentiller/glentiller/internal/liveness"
 )
 
 // AttemptState is where one start of a task stands, as the leader knows it.
@@ -51,11 +51,11 @@
 	RunningAt  time.Time // first seen running
 	StopAt     time.Time // when it was told to stop
 	Grace      time.Duration
-	Yields     bool         // was stopped to make room
-	Told       AttemptState // the state that a direct command has told the worker of
-	Straight   bool         // its launch went straight to the worker
-	EndedAt    time.Time    // when a report showed its exit
-	Carried    hearing.Mark // the straight report whose answer first told the worker of the present state; zero: none
+	Yields     bool          // was stopped to make room
+	Told       AttemptState  // the state that a direct command has told the worker of
+	Straight   bool          // its launch went straight to the worker
+	EndedAt    time.Time     // when a report showed its exit
+	Carried    liveness.Mark // the straight report whose answer first told the worker of the present state; zero: none
 
 	Choice Choice // why it is on its machine; zero where another leader chose
 
@@ -99,7 +99,7 @@
 		panic(fmt.Sprintf("attempt %v/%d: %v -> %v", a.Task, a.Try, a.State, s))
 	}
 	held, leaving := a.Holds(), a.State == Stopping
-	a.State, a.Carried = s, hearing.Mark{}
+	a.State, a.Carried = s, liveness.Mark{}
 	if s == Stopping {
 		a.Use.Leaving = a.Use.Leaving.Add(a.Need)
 	}
@@ -187,11 +187,11 @@
 	Unsure   bool
 	Recorded Listed // where it is unsure: what its record says of it
 
-	hearing.Incarnation                  // the numbers of its messages
-	Detector            hearing.Detector // whether it hears this leader
-	Deadline            time.Time        // by then its worker's lease has certainly run out unless a report is answered
-	LastReport          time.Time        // the last report; an answer to a command is none
-	LastSeen            time.Time        // its last message of any kind
+	liveness.Incarnation                   // the numbers of its messages
+	Detector             liveness.Detector // whether it hears this leader
+	Deadline             time.Time         // by then its worker's lease has certainly run out unless a report is answered
+	LastReport           time.Time         // the last report; an answer to a command is none
+	LastSeen             time.Time         // its last message of any kind
 
 	Used    Resources
 	Holding int // attempts that count as being on it
--- a/internal/rehearse/troubles/play.go
+++ b/internal/rehearse/troubles/play.go
@@ -18,7 +18,7 @@
 
 	"github.com/glentiller/glentiller/internal/config"
 	"github.com/glentiller/glentiller/internal/fake"
-	"github.com/glentiller/glentiller/internal/hearing"
+	"github.com/glentiller/glentiller/internal/liveness"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/wire"
 )
@@ -296,7 +296,7 @@
 		return
 	}
 	for name, since := range r.deaf {
-		if k := r.w.Workers[name]; !r.noticed[name] && (k == nil || l.Core.Hearing(name) >= hearing.Doubtful) {
+		if k := r.w.Workers[name]; !r.noticed[name] && (k == nil || l.Core.Hearing(name) >= liveness.Doubtful) {
 			r.noticed[name] = true
 			took := r.w.Now().Sub(since).Seconds()
 			r.res.Deaf = max(r.res.Deaf, took)
