--- a/cmd/glentiller/rollout.go
+++ b/cmd/glentiller/rollout.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"slices"
 
-	"github.com/glentiller/glentiller/internal/level"
+	"github.com/glentiller/glentiller/internal/featuregate"
 )
 
 type rolloutCmd struct {
@@ -46,7 +46,7 @@
 		}
 		fmt.Printf("  %-12s level %d, %s\n", f.Name, f.Level, state)
 	}
-	slices.SortFunc(r.Members, func(a, b level.Member) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(r.Members, func(a, b featuregate.Member) int { return cmp.Compare(a.Name, b.Name) })
 	for _, o := range r.Members {
 		fmt.Printf("  %-12s release %s, knows level %d\n", o.Name, o.Release, o.Can)
 	}
--- a/internal/admin/api.go
+++ b/internal/admin/api.go
@@ -6,8 +6,8 @@
 import (
 	"time"
 
+	"github.com/glentiller/glentiller/internal/featuregate"
 	"github.com/glentiller/glentiller/internal/ledger"
-	"github.com/glentiller/glentiller/internal/level"
 	"github.com/glentiller/glentiller/internal/route"
 )
 
@@ -122,13 +122,13 @@
 
 // Rollout is how the features stand that all members' programs must know.
 type Rollout struct {
-	Level    uint32         `json:"level"` // in force
-	Knows    uint32         `json:"knows"` // the highest that the program that is asked knows
-	State    string         `json:"state"` // off, ready, raise, on or behind
-	Why      string         `json:"why"`
-	Held     bool           `json:"held"`
-	Features []Feature      `json:"features"`
-	Members  []level.Member `json:"members"` // that have told of themselves lately
+	Level    uint32               `json:"level"` // in force
+	Knows    uint32               `json:"knows"` // the highest that the program that is asked knows
+	State    string               `json:"state"` // off, ready, raise, on or behind
+	Why      string               `json:"why"`
+	Held     bool                 `json:"held"`
+	Features []Feature            `json:"features"`
+	Members  []featuregate.Member `json:"members"` // that have told of themselves lately
 }
 
 // Feature is one that comes with a level.
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -9,9 +9,9 @@
 	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/courier"
 	"github.com/glentiller/glentiller/internal/election"
+	"github.com/glentiller/glentiller/internal/featuregate"
 	"github.com/glentiller/glentiller/internal/fleet"
 	"github.com/glentiller/glentiller/internal/ledger"
-	"github.com/glentiller/glentiller/internal/level"
 	"github.com/glentiller/glentiller/internal/route"
 	"github.com/glentiller/glentiller/internal/sched"
 	"github.com/glentiller/glentiller/internal/staleness"
@@ -131,7 +131,7 @@
 // Election puts together what the election works by.
 func Election(p *Platform, o *Operator) election.Settings {
 	s := election.Settings{Member: p.Member, Life: o.Leadership.Lease.D(), Margin: o.Leadership.Margin.D(),
-		Look: o.Leadership.Look.D(), Retry: o.Leadership.Retry.D(), Can: level.Can}
+		Look: o.Leadership.Look.D(), Retry: o.Leadership.Retry.D(), Can: featuregate.Can}
 	for _, m := range p.Members {
 		s.Others = append(s.Others, m.Member)
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -7,7 +7,7 @@
 	"log/slog"
 	"time"
 
-	"github.com/glentiller/glentiller/internal/level"
+	"github.com/glentiller/glentiller/internal/featuregate"
 )
 
 // State is where this controller stands.
@@ -38,7 +38,7 @@
 	Outage  time.Duration // the same while the state service is silent; 0: no longer
 	Others  []string      // the other members
 
-	Can level.Level // the highest level that this program knows
+	Can featuregate.Level // the highest level that this program knows
 }
 
 // Record is the content of the leader's keys.
@@ -48,7 +48,7 @@
 	Lease        uint64
 	Token        uint64 // the last one given out
 	TokenVersion uint64
-	Level        level.Level // in force; 0: there is no record of it
+	Level        featuregate.Level // in force; 0: there is no record of it
 	LevelVersion uint64
 }
 
@@ -88,7 +88,7 @@
 	// Raising: this member has seen that the level may be raised to this by the next claim; 0: no
 	// more. Again tells a leader to give up the leadership for it, and to stand again at once.
 	Raising struct {
-		To    level.Level
+		To    featuregate.Level
 		Again bool
 	}
 	// PromiseBack: a member has promised this leader not to claim, as asked at Sent.
@@ -131,7 +131,7 @@
 	Claim struct {
 		Lease, Token, TokenVersion uint64
 		LevelVersion               uint64
-		Raise                      level.Level // to be written as the level in force; 0: none is
+		Raise                      featuregate.Level // to be written as the level in force; 0: none is
 	}
 	Touch   struct{ Lease uint64 }
 	Drop    struct{ Lease uint64 }
@@ -176,11 +176,11 @@
 	touching bool
 	holdOff  time.Time // do not stand before this
 
-	level        level.Level // in force, the highest that was ever read: it never falls
-	levelRead    level.Level // what the record said last
+	level        featuregate.Level // in force, the highest that was ever read: it never falls
+	levelRead    featuregate.Level // what the record said last
 	levelVersion uint64
-	raise        level.Level // what the next claim may raise it to
-	writes       level.Level // what the claim that is out writes; 0: nothing
+	raise        featuregate.Level // what the next claim may raise it to
+	writes       featuregate.Level // what the claim that is out writes; 0: nothing
 
 	promises promises
 }
@@ -354,7 +354,7 @@
 
 // Level is the level in force as this member knows it: what it has read last, or has raised
 // itself. It never falls.
-func (m *Machine) Level() level.Level { return m.level }
+func (m *Machine) Level() featuregate.Level { return m.level }
 
 func (m *Machine) tick(now time.Time) []Effect {
 	var out []Effect
--- a/internal/fake/level_test.go
+++ b/internal/fake/level_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"github.com/glentiller/glentiller/internal/election"
-	"github.com/glentiller/glentiller/internal/level"
+	"github.com/glentiller/glentiller/internal/featuregate"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/wire"
 )
@@ -36,10 +36,10 @@
 	t.Helper()
 	for _, c := range w.Controllers {
 		if c.Up && !c.Before {
-			c.election(election.Raising{To: level.Can, Again: c == l})
+			c.election(election.Raising{To: featuregate.Can, Again: c == l})
 		}
 	}
-	until(t, w, 20*second, "the level is raised", func() bool { l := w.Leader(); return l != nil && l.Elect.Level() == level.Can })
+	until(t, w, 20*second, "the level is raised", func() bool { l := w.Leader(); return l != nil && l.Elect.Level() == featuregate.Can })
 }
 
 func record(t *testing.T, w *World) election.Record {
@@ -67,7 +67,7 @@
 	starts := len(w.Starts)
 	old.Crash()
 	raise(t, w, l)
-	if r := record(t, w); r.Level != level.Can || r.Token != stale.Token+1 {
+	if r := record(t, w); r.Level != featuregate.Can || r.Token != stale.Token+1 {
 		t.Errorf("raised by more than one claim: %+v, before %+v", r, stale)
 	}
 	w.Pass(5 * second)
@@ -94,7 +94,7 @@
 		c.Start()
 	}
 	until(t, w, 30*second, "a new one leads", func() bool { return w.Leader() != nil })
-	if got := w.Leader().Elect.Level(); got != level.Can {
+	if got := w.Leader().Elect.Level(); got != featuregate.Can {
 		t.Errorf("it leads by level %d", got)
 	}
 	until(t, w, 120*second, "done", done(t, w, s))
@@ -133,7 +133,7 @@
 	l := w.Leader()
 	l.Crash()
 	until(t, w, 30*second, "another leads", func() bool { return w.Leader() != nil })
-	if r := record(t, w); r.Level != level.Can || w.Leader().Elect.Level() != level.Can {
+	if r := record(t, w); r.Level != featuregate.Can || w.Leader().Elect.Level() != featuregate.Can {
 		t.Errorf("on record %d, acted by %d", r.Level, w.Leader().Elect.Level())
 	}
 }
--- a/internal/level/level.go
+++ b/internal/featuregate/level.go
@@ -1,8 +1,8 @@
-// Package level decides which features are in force for a deployment whose members may run
+// Package featuregate decides which features are in force for a deployment whose members may run
 // different programs. It is pure: what is known of the members goes in with the time, a state and
 // its evidence come out. Why no older program can act under a level that it does not know is in
 // docs/safety.md, "Levels".
-package level
+package featuregate
 
 import (
 	"fmt"
--- a/internal/level/level_test.go
+++ b/internal/featuregate/level_test.go
@@ -1,4 +1,4 @@
-package level
+package featuregate
 
 import (
 	"flag"
--- a/internal/node/rollout.go
+++ b/internal/node/rollout.go
@@ -8,7 +8,7 @@
 
 	"github.com/glentiller/glentiller/internal/admin"
 	"github.com/glentiller/glentiller/internal/election"
-	"github.com/glentiller/glentiller/internal/level"
+	"github.com/glentiller/glentiller/internal/featuregate"
 	"github.com/glentiller/glentiller/internal/store"
 )
 
@@ -20,9 +20,9 @@
 
 // standing is what this member knows of the way to the next level.
 type standing struct {
-	state   level.State
+	state   featuregate.State
 	why     string
-	members map[string]level.Member
+	members map[string]featuregate.Member
 }
 
 // rulesNow tells the front whether all members know the rules of jobs; nil: nobody watches over it,
@@ -31,18 +31,18 @@
 	if n.oper.Rollout == nil {
 		return nil
 	}
-	return func() bool { return level.Level(n.level.Load()) >= level.Constraints }
+	return func() bool { return featuregate.Level(n.level.Load()) >= featuregate.Constraints }
 }
 
 // runRollout tells the others what this member's program knows, and watches over the way to the
 // next level.
 func (n *Node) runRollout() error {
-	me := level.Member{Name: n.plat.Member, Release: n.version, Can: level.Can, Life: rand.Uint64()}
+	me := featuregate.Member{Name: n.plat.Member, Release: n.version, Can: featuregate.Can, Life: rand.Uint64()}
 	listed := []string{n.plat.Member}
 	for _, m := range n.plat.Members {
 		listed = append(listed, m.Member)
 	}
-	gate := level.NewGate(listed, n.oper.Rollout.Steady.D())
+	gate := featuregate.NewGate(listed, n.oper.Rollout.Steady.D())
 	var lease uint64
 	var gaveWay time.Time
 	for ; n.ctx.Err() == nil; store.Wait(n.ctx, rolloutEvery) {
@@ -61,7 +61,7 @@
 			moved := gate.Step(now, inForce, known)
 			state, why := gate.State()
 			if moved {
-				n.log.Info("rollout", "state", state.String(), "level", inForce, "known", level.Can, "why", why)
+				n.log.Info("rollout", "state", state.String(), "level", inForce, "known", featuregate.Can, "why", why)
 			}
 			n.rollout.Store(&standing{state, why, known})
 			next := gate.Next(inForce)
@@ -82,7 +82,7 @@
 
 // announce keeps what this member tells of itself alive. It returns the lease that it hangs on; 0:
 // it has to be told anew.
-func (n *Node) announce(lease uint64, me level.Member) (uint64, error) {
+func (n *Node) announce(lease uint64, me featuregate.Member) (uint64, error) {
 	if lease != 0 {
 		err := n.state.Touch(lease)
 		if err == nil {
@@ -110,9 +110,9 @@
 	if n.oper.Rollout == nil || s == nil {
 		return nil
 	}
-	out := &admin.Rollout{Level: uint32(n.level.Load()), Knows: uint32(level.Can), State: s.state.String(), Why: s.why, Held: n.oper.Rollout.Hold}
-	for l := level.Level(1); l <= level.Can; l++ {
-		out.Features = append(out.Features, admin.Feature{Name: level.Features[l], Level: uint32(l), InForce: uint32(l) <= out.Level})
+	out := &admin.Rollout{Level: uint32(n.level.Load()), Knows: uint32(featuregate.Can), State: s.state.String(), Why: s.why, Held: n.oper.Rollout.Hold}
+	for l := featuregate.Level(1); l <= featuregate.Can; l++ {
+		out.Features = append(out.Features, admin.Feature{Name: featuregate.Features[l], Level: uint32(l), InForce: uint32(l) <= out.Level})
 	}
 	for _, m := range s.members {
 		out.Members = append(out.Members, m)
--- a/internal/rehearse/electionplay/play.go
+++ b/internal/rehearse/electionplay/play.go
@@ -15,7 +15,7 @@
 	"lukechampine.com/blake3"
 
 	"github.com/glentiller/glentiller/internal/election"
-	"github.com/glentiller/glentiller/internal/level"
+	"github.com/glentiller/glentiller/internal/featuregate"
 )
 
 // Break leaves a part of the protocol out.
@@ -98,7 +98,7 @@
 	token, version uint64
 	leases         map[uint64]int // seconds left
 	next           uint64
-	level          level.Level // in force
+	level          featuregate.Level // in force
 	levelVersion   uint64
 	highest        uint64 // token that anybody was entitled with
 
@@ -121,7 +121,7 @@
 	set := election.Settings{Member: s.names()[i], Life: 4 * second, Margin: 200 * time.Millisecond, Look: 2 * second, Retry: second,
 		Promise: 3500 * time.Millisecond, Outage: 7 * second}
 	if s.set.Levels && !s.members[i].old {
-		set.Can = level.Can
+		set.Can = featuregate.Can
 	}
 	for j, n := range s.names() {
 		if j != i {
@@ -335,7 +335,7 @@
 	}
 	for i := range s.members {
 		if k := &s.members[i]; !k.old {
-			s.event(i, s.now, election.Raising{To: level.Can, Again: i == leader})
+			s.event(i, s.now, election.Raising{To: featuregate.Can, Again: i == leader})
 		}
 	}
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -14,9 +14,9 @@
 
 	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/election"
+	"github.com/glentiller/glentiller/internal/featuregate"
 	"github.com/glentiller/glentiller/internal/golden"
 	"github.com/glentiller/glentiller/internal/ledger"
-	"github.com/glentiller/glentiller/internal/level"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/rpc"
 	"github.com/glentiller/glentiller/internal/store"
@@ -133,7 +133,7 @@
 			return errors.Join(err, werr, lerr)
 		}},
 		{"member-announced", func(c *store.Client) error {
-			err := c.Announce(ctx, 9, level.Member{Name: "tiller-1", Release: "1.2.3", Can: 1, Life: 7})
+			err := c.Announce(ctx, 9, featuregate.Member{Name: "tiller-1", Release: "1.2.3", Can: 1, Life: 7})
 			_, rerr := c.Announced(ctx)
 			return errors.Join(err, rerr)
 		}},
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -10,7 +10,7 @@
 
 	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/election"
-	"github.com/glentiller/glentiller/internal/level"
+	"github.com/glentiller/glentiller/internal/featuregate"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/wire"
 )
@@ -41,7 +41,7 @@
 			if err != nil {
 				return r, fmt.Errorf("%s: %w", e.Key, err)
 			}
-			r.Level, r.LevelVersion = level.Level(l), e.Version
+			r.Level, r.LevelVersion = featuregate.Level(l), e.Version
 			continue
 		}
 		token, member, err := wire.DecodeToken(e.Value)
@@ -105,19 +105,19 @@
 }
 
 // Announce writes what this member tells of itself, attached to a lease.
-func (c *Client) Announce(ctx context.Context, lease uint64, m level.Member) error {
+func (c *Client) Announce(ctx context.Context, lease uint64, m featuregate.Member) error {
 	_, _, err := c.Commit(ctx, &wire.Txn{Then: []wire.Change{{Key: rolloutPrefix + m.Name, Value: wire.AppendMember(nil, m), Lease: lease}}}, false)
 	return err
 }
 
 // Announced reads what the members tell of themselves; one that is gone, or that has a program
 // without levels, is not among them.
-func (c *Client) Announced(ctx context.Context) (map[string]level.Member, error) {
+func (c *Client) Announced(ctx context.Context) (map[string]featuregate.Member, error) {
 	entries, _, err := c.List(ctx, rolloutPrefix)
 	if err != nil {
 		return nil, err
 	}
-	out := map[string]level.Member{}
+	out := map[string]featuregate.Member{}
 	for _, e := range entries {
 		m, err := wire.DecodeMember(e.Key[len(rolloutPrefix):], e.Value)
 		if err != nil {
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/tinylib/msgp/msgp"
 
+	"github.com/glentiller/glentiller/internal/featuregate"
 	"github.com/glentiller/glentiller/internal/golden"
 	"github.com/glentiller/glentiller/internal/ledger"
-	"github.com/glentiller/glentiller/internal/level"
 	"github.com/glentiller/glentiller/internal/model"
 )
 
@@ -104,7 +104,7 @@
 	interval := ledger.Stretch{From: goldenTime.UTC(), To: goldenTime.Add(time.Minute).UTC(), Token: 41, Without: 2}
 	machine := model.Listed{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true}
 	need := model.Resources{CPU: 8, GPU: 1, MemGB: 64.5}
-	member := level.Member{Name: "tiller-1", Release: "1.2.3", Can: 1, Life: 1 << 63}
+	member := featuregate.Member{Name: "tiller-1", Release: "1.2.3", Can: 1, Life: 1 << 63}
 	batch := Batch{Life: 1 << 63, Seq: 12, Text: "AQNhYmM"}
 	awaits := []string{"wk-000007", "wk-000008"}
 
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -8,7 +8,7 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"github.com/glentiller/glentiller/internal/level"
+	"github.com/glentiller/glentiller/internal/featuregate"
 	"github.com/glentiller/glentiller/internal/model"
 )
 
@@ -292,15 +292,15 @@
 }
 
 // AppendMember writes what a member tells of itself.
-func AppendMember(b []byte, m level.Member) []byte {
+func AppendMember(b []byte, m featuregate.Member) []byte {
 	b = appendStr(msgp.AppendMapHeader(b, 3), "release", m.Release)
 	b = appendUint(b, "can", uint64(m.Can))
 	return appendUint(b, "life", m.Life)
 }
 
 // DecodeMember reads what a member tells of itself.
-func DecodeMember(name string, b []byte) (level.Member, error) {
-	m := level.Member{Name: name}
+func DecodeMember(name string, b []byte) (featuregate.Member, error) {
+	m := featuregate.Member{Name: name}
 	var can uint64
 	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
@@ -316,6 +316,6 @@
 	if err == nil && can > math.MaxUint32 {
 		err = errors.New("not a member's record")
 	}
-	m.Can = level.Level(can)
+	m.Can = featuregate.Level(can)
 	return m, err
 }
