--- a/internal/front/away_test.go
+++ b/internal/httpapi/away_test.go
@@ -1,4 +1,4 @@
-package front
+package httpapi
 
 import (
 	"context"
--- a/internal/front/front.go
+++ b/internal/httpapi/front.go
@@ -1,6 +1,6 @@
-// Package front answers users, workers and the load balancer's probes over
+// Package httpapi answers users, workers and the load balancer's probes over
 // HTTP.
-package front
+package httpapi
 
 import (
 	"context"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,7 +22,7 @@
 	"github.com/glentiller/glentiller/internal/config"
 	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/election"
-	"github.com/glentiller/glentiller/internal/front"
+	"github.com/glentiller/glentiller/internal/httpapi"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/peer"
 	"github.com/glentiller/glentiller/internal/route"
@@ -43,7 +43,7 @@
 	jobs     *store.Jobs
 	cloud    *cloud.Client
 	workers  *worker.Client
-	front    *front.Server
+	front    *httpapi.Server
 	peers    map[string]*peer.Client
 	forwards map[string]*peer.Client // for users' requests, so that a late one costs no promise
 	router   *route.Router           // nil: requests are answered where they come
@@ -133,7 +133,7 @@
 	n.toldBy = map[string]store.Told{}
 	n.router = n.newRouter()
 	n.mail = newMail(n)
-	n.front = front.New(front.Settings{RetryAfter: o.Front.RetryAfter.D(), Conns: conns, Sockets: n.sockets, Rules: o.Constraints != nil, RulesNow: n.rulesNow(), Router: n.router}, n.jobs, n, time.Now, log)
+	n.front = httpapi.New(httpapi.Settings{RetryAfter: o.Front.RetryAfter.D(), Conns: conns, Sockets: n.sockets, Rules: o.Constraints != nil, RulesNow: n.rulesNow(), Router: n.router}, n.jobs, n, time.Now, log)
 	n.peers, n.forwards = map[string]*peer.Client{}, map[string]*peer.Client{}
 	for _, m := range p.Members {
 		n.peers[m.Member] = peer.NewClient(m.Addr, n.sockets.Dial(budget.Peers))
@@ -278,26 +278,26 @@
 // --- what the front asks
 
 // Report hands a worker's report to the core.
-func (n *Node) Report(ctx context.Context, r *model.Report) front.Verdict {
+func (n *Node) Report(ctx context.Context, r *model.Report) httpapi.Verdict {
 	return n.report(ctx, control.ReportIn{Report: r})
 }
 
-func (n *Node) report(ctx context.Context, r control.ReportIn) front.Verdict {
+func (n *Node) report(ctx context.Context, r control.ReportIn) httpapi.Verdict {
 	leader := ""
 	if p := n.leader.Load(); p != nil {
 		leader = *p
 	}
 	if cur := n.right.Load(); !cur.holds() {
-		return front.Verdict{Act: leader == n.plat.Member, Leader: n.redirect(leader, time.Now()), Valid: never}
+		return httpapi.Verdict{Act: leader == n.plat.Member, Leader: n.redirect(leader, time.Now()), Valid: never}
 	}
-	answer := make(chan front.Verdict, 1)
+	answer := make(chan httpapi.Verdict, 1)
 	f := func(now time.Time) {
 		cur := n.right.Load()
 		if n.core == nil || !cur.holds() || ctx.Err() != nil {
-			answer <- front.Verdict{Act: true, Valid: never}
+			answer <- httpapi.Verdict{Act: true, Valid: never}
 			return
 		}
-		v := front.Verdict{Act: true, Token: cur.token, Valid: func() bool {
+		v := httpapi.Verdict{Act: true, Token: cur.token, Valid: func() bool {
 			r := n.right.Load()
 			return r != nil && r.token == cur.token && r.holds()
 		}}
@@ -313,13 +313,13 @@
 	select {
 	case n.inbox <- f:
 	case <-ctx.Done():
-		return front.Verdict{Act: true, Valid: never}
+		return httpapi.Verdict{Act: true, Valid: never}
 	}
 	select {
 	case v := <-answer:
 		return v
 	case <-ctx.Done():
-		return front.Verdict{Act: true, Valid: never}
+		return httpapi.Verdict{Act: true, Valid: never}
 	}
 }
 
