--- a/internal/budget/budget.go
+++ b/internal/connquota/budget.go
@@ -1,8 +1,8 @@
-// Package budget decides who may hold the process's sockets. Every socket has an owner, and
+// Package connquota decides who may hold the process's sockets. Every socket has an owner, and
 // every owner a share that follows from how many the platform allows. The package opens and
 // closes nothing and reads no clock: sockets are told to it, and it names those that have to
 // go.
-package budget
+package connquota
 
 import (
 	"container/list"
--- a/internal/budget/budget_test.go
+++ b/internal/connquota/budget_test.go
@@ -1,4 +1,4 @@
-package budget
+package connquota
 
 import (
 	"testing"
--- a/internal/httpapi/away_test.go
+++ b/internal/httpapi/away_test.go
@@ -15,7 +15,7 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fasthttp/fasthttputil"
 
-	"github.com/glentiller/glentiller/internal/budget"
+	"github.com/glentiller/glentiller/internal/connquota"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/route"
 	"github.com/glentiller/glentiller/internal/store"
@@ -206,14 +206,14 @@
 // At its last users' socket a member takes requests on a newcomer's and has another member answer
 // them; what asks for nothing of the sort is told when to come back.
 func TestAMemberWithoutSocketsForUsersHandsOver(t *testing.T) {
-	sockets := budget.New(200, 1, nil)
+	sockets := connquota.New(200, 1, nil)
 	b := &backend{types: eight, hand: func(_ context.Context, _ string, q route.Request) route.Answer {
 		return route.Answer{Status: 201, Body: wire.AppendShortStatus(nil, q.ID, wire.StateQueued)}
 	}}
 	s := New(Settings{RetryAfter: time.Second, Conns: 200, Sockets: sockets, Router: router(0)}, &records{known: map[string]store.JobView{}}, b, time.Now, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	for range sockets.Standing().Owners[budget.Users].Share {
-		h, err := sockets.Enter(time.Now(), budget.Newcomers, nil)
-		if err != nil || !h.Become(budget.Users) {
+	for range sockets.Standing().Owners[connquota.Users].Share {
+		h, err := sockets.Enter(time.Now(), connquota.Newcomers, nil)
+		if err != nil || !h.Become(connquota.Users) {
 			t.Fatal("no socket for a user")
 		}
 	}
--- a/internal/httpapi/front.go
+++ b/internal/httpapi/front.go
@@ -15,7 +15,7 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/time/rate"
 
-	"github.com/glentiller/glentiller/internal/budget"
+	"github.com/glentiller/glentiller/internal/connquota"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/route"
 	"github.com/glentiller/glentiller/internal/store"
@@ -68,11 +68,11 @@
 // Settings are the front's.
 type Settings struct {
 	RetryAfter time.Duration
-	Conns      int            // the most that the platform allows
-	Sockets    *budget.Budget // who may hold them
-	Rules      bool           // submissions may carry rules
-	RulesNow   func() bool    // and whether all members know rules by now; nil: they do
-	Router     *route.Router  // decides where requests are answered; nil: here
+	Conns      int               // the most that the platform allows
+	Sockets    *connquota.Budget // who may hold them
+	Rules      bool              // submissions may carry rules
+	RulesNow   func() bool       // and whether all members know rules by now; nil: they do
+	Router     *route.Router     // decides where requests are answered; nil: here
 }
 
 // Server answers requests.
@@ -128,7 +128,7 @@
 	if s.set.Sockets == nil {
 		return s.httpSrv.Serve(l)
 	}
-	return s.httpSrv.Serve(&budget.Listener{Listener: l, Budget: s.set.Sockets, Owner: budget.Newcomers, Now: s.now, Refuse: s.refuse})
+	return s.httpSrv.Serve(&connquota.Listener{Listener: l, Budget: s.set.Sockets, Owner: connquota.Newcomers, Now: s.now, Refuse: s.refuse})
 }
 
 // Shutdown stops serving.
@@ -164,7 +164,7 @@
 	}()
 	path := string(c.URI().PathOriginal())
 	socket := s.welcome(c, path)
-	if !socket && (s.set.Router == nil || ownerOf(path) != budget.Users) {
+	if !socket && (s.set.Router == nil || ownerOf(path) != connquota.Users) {
 		s.unavailable(c, "no connection is free")
 		return
 	}
--- a/internal/httpapi/front_test.go
+++ b/internal/httpapi/front_test.go
@@ -23,7 +23,7 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fasthttp/fasthttputil"
 
-	"github.com/glentiller/glentiller/internal/budget"
+	"github.com/glentiller/glentiller/internal/connquota"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/route"
 	"github.com/glentiller/glentiller/internal/store"
@@ -412,7 +412,7 @@
 func TestWorkersGetInBesideUsersThatHoldConnectionsOpen(t *testing.T) {
 	var clock atomic.Int64
 	now := func() time.Time { return time.Unix(1e9+clock.Load(), 0) }
-	sockets := budget.New(200, 1, nil)
+	sockets := connquota.New(200, 1, nil)
 	s := New(Settings{RetryAfter: time.Second, Conns: 200, Sockets: sockets}, &records{known: map[string]store.JobView{"wk-000001": {State: wire.StateQueued}}},
 		&backend{verdict: Verdict{Act: true, Token: 41, Valid: func() bool { return true }}, types: eight}, now, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	l := fasthttputil.NewInmemoryListener()
@@ -440,10 +440,10 @@
 		return c
 	}
 	share := sockets.Standing().Owners
-	for range share[budget.Newcomers].Share {
+	for range share[connquota.Newcomers].Share {
 		dial()
 	}
-	for sockets.Standing().Owners[budget.Newcomers].Used < share[budget.Newcomers].Share {
+	for sockets.Standing().Owners[connquota.Newcomers].Used < share[connquota.Newcomers].Share {
 		runtime.Gosched()
 	}
 	if code, after := ask(dial(), "GET", "/healthz", nil); code != 503 || after == "" {
@@ -451,7 +451,7 @@
 	}
 	clock.Add(6)
 	var users []net.Conn
-	for range share[budget.Users].Share {
+	for range share[connquota.Users].Share {
 		c := dial()
 		users = append(users, c)
 		if code, _ := ask(c, "GET", "/api/jobs/wk-000001", nil); code != 200 {
--- a/internal/httpapi/sockets.go
+++ b/internal/httpapi/sockets.go
@@ -8,13 +8,13 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/glentiller/glentiller/internal/budget"
+	"github.com/glentiller/glentiller/internal/connquota"
 )
 
 // connState tells the budget when a connection waits for its next request.
 func connState(now func() time.Time) func(net.Conn, fasthttp.ConnState) {
 	return func(c net.Conn, state fasthttp.ConnState) {
-		held, ok := c.(*budget.Conn)
+		held, ok := c.(*connquota.Conn)
 		if !ok {
 			return
 		}
@@ -28,22 +28,22 @@
 }
 
 // ownerOf tells what a request's connection is for.
-func ownerOf(path string) budget.Owner {
+func ownerOf(path string) connquota.Owner {
 	switch {
 	case path == "/v1/report":
-		return budget.Reports
+		return connquota.Reports
 	case path == "/healthz":
-		return budget.Health
+		return connquota.Health
 	case path == jobsPath, strings.HasPrefix(path, jobsPath+"/"):
-		return budget.Users
+		return connquota.Users
 	}
-	return budget.Newcomers
+	return connquota.Newcomers
 }
 
 // welcome enters what a connection is for, and tells whether it may be held for that. A request
 // on one that may not is answered at once, with when to come back, or by another member.
 func (s *Server) welcome(c *fasthttp.RequestCtx, path string) bool {
-	held, ok := c.Conn().(*budget.Conn)
+	held, ok := c.Conn().(*connquota.Conn)
 	if !ok {
 		return true
 	}
@@ -59,7 +59,7 @@
 
 // comeBack says when to come back: spread in time where sockets are what is short.
 func (s *Server) comeBack(c *fasthttp.RequestCtx, after time.Duration) {
-	if s.set.Sockets != nil && s.set.Sockets.Level() == budget.Full {
+	if s.set.Sockets != nil && s.set.Sockets.Level() == connquota.Full {
 		after = s.set.Sockets.Later(after)
 	}
 	c.Response.Header.Set("Retry-After", strconv.Itoa(max(1, int(after.Round(time.Second)/time.Second))))
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"github.com/glentiller/glentiller/internal/budget"
+	"github.com/glentiller/glentiller/internal/connquota"
 	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/ledger"
@@ -55,7 +55,7 @@
 				switch {
 				case reply.Executed:
 					ev.Outcome = control.OK
-				case errors.Is(reply.Err, budget.ErrFull):
+				case errors.Is(reply.Err, connquota.ErrFull):
 					// Nothing is known of the machine.
 				case reply.NotSent:
 					ev.Outcome = control.Refused
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,9 +17,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/glentiller/glentiller/internal/admin"
-	"github.com/glentiller/glentiller/internal/budget"
 	"github.com/glentiller/glentiller/internal/cloud"
 	"github.com/glentiller/glentiller/internal/config"
+	"github.com/glentiller/glentiller/internal/connquota"
 	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/httpapi"
@@ -48,8 +48,8 @@
 	forwards map[string]*peer.Client // for users' requests, so that a late one costs no promise
 	router   *route.Router           // nil: requests are answered where they come
 	relays   relays
-	sockets  *budget.Budget
-	memory   *budget.Memory
+	sockets  *connquota.Budget
+	memory   *connquota.Memory
 	teams    map[string]*model.Team
 
 	group  *errgroup.Group
@@ -104,7 +104,7 @@
 		conns = 1000
 	}
 	var told time.Time // the budget's lock is held where this is used
-	n.sockets = budget.New(conns, len(p.Members), func(from, to budget.Level, used, most int) {
+	n.sockets = connquota.New(conns, len(p.Members), func(from, to connquota.Level, used, most int) {
 		level := slog.LevelDebug
 		if now := time.Now(); now.Sub(told) > holdEvery {
 			// Guards against a flood where workers come and go round a level's edge.
@@ -112,13 +112,13 @@
 		}
 		log.Log(context.Background(), level, "sockets", "from", from.String(), "to", to.String(), "used", used, "most", most)
 	})
-	n.memory = budget.NewMemory(uint64(p.Deployment.Limits.MemMB*(1<<20)), func(short bool, held, most uint64) {
+	n.memory = connquota.NewMemory(uint64(p.Deployment.Limits.MemMB*(1<<20)), func(short bool, held, most uint64) {
 		log.Warn("memory", "short", short, "held_mb", held>>20, "most_mb", most>>20)
 	})
-	n.state = store.New(p.Outside.State, o.Front.StateTimeout.D(), n.sockets.Dial(budget.State))
+	n.state = store.New(p.Outside.State, o.Front.StateTimeout.D(), n.sockets.Dial(connquota.State))
 	n.jobs = store.NewJobs(n.state, rand.Uint64()|1, o.Front.KeepEnded, config.Store(p), n.jobsChanged, log)
-	n.cloud = cloud.New(p.Outside.Cloud, 1, cloudTimeout, n.sockets.Dial(budget.Cloud))
-	n.workers = worker.New(o.Workers.DirectWait.D(), n.sockets.Dial(budget.Direct))
+	n.cloud = cloud.New(p.Outside.Cloud, 1, cloudTimeout, n.sockets.Dial(connquota.Cloud))
+	n.workers = worker.New(o.Workers.DirectWait.D(), n.sockets.Dial(connquota.Direct))
 	set := config.Election(p, o)
 	n.elect = election.New(time.Now(), set, log)
 	if o.Promises != nil && set.Promise == 0 {
@@ -136,8 +136,8 @@
 	n.front = httpapi.New(httpapi.Settings{RetryAfter: o.Front.RetryAfter.D(), Conns: conns, Sockets: n.sockets, Rules: o.Constraints != nil, RulesNow: n.rulesNow(), Router: n.router}, n.jobs, n, time.Now, log)
 	n.peers, n.forwards = map[string]*peer.Client{}, map[string]*peer.Client{}
 	for _, m := range p.Members {
-		n.peers[m.Member] = peer.NewClient(m.Addr, n.sockets.Dial(budget.Peers))
-		n.forwards[m.Member] = peer.NewClient(m.Addr, n.sockets.Dial(budget.Peers))
+		n.peers[m.Member] = peer.NewClient(m.Addr, n.sockets.Dial(connquota.Peers))
+		n.forwards[m.Member] = peer.NewClient(m.Addr, n.sockets.Dial(connquota.Peers))
 	}
 	n.share(false)
 	return n
@@ -191,7 +191,7 @@
 		return errors.Join(err, l.Close(), back.Close())
 	}
 	n.group.Go(func() error {
-		return peer.Serve(n.ctx, &budget.Listener{Listener: back, Budget: n.sockets, Owner: budget.Peers, Now: time.Now}, relayed{n})
+		return peer.Serve(n.ctx, &connquota.Listener{Listener: back, Budget: n.sockets, Owner: connquota.Peers, Now: time.Now}, relayed{n})
 	})
 	n.group.Go(func() error { return n.tellProgress() })
 	n.group.Go(func() error { return n.weigh() })
@@ -231,7 +231,7 @@
 	s := admin.New(config.AdminServer(n.plat, n.oper), n.state, n, n.log)
 	n.log.Info("operators' interface", "listen", l.Addr().String())
 	n.group.Go(func() error {
-		if err := s.Serve(&budget.Listener{Listener: l, Budget: n.sockets, Owner: budget.Operators, Now: time.Now}); err != nil {
+		if err := s.Serve(&connquota.Listener{Listener: l, Budget: n.sockets, Owner: connquota.Operators, Now: time.Now}); err != nil {
 			return err
 		}
 		return n.ctx.Err()
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -11,7 +11,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/glentiller/glentiller/internal/budget"
+	"github.com/glentiller/glentiller/internal/connquota"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/rpc"
 	"github.com/glentiller/glentiller/internal/wire"
@@ -53,7 +53,7 @@
 		}
 		return func(addr string) (net.Conn, error) {
 			made, err := dial(addr)
-			if errors.Is(err, budget.ErrFull) && c.yield(w) {
+			if errors.Is(err, connquota.ErrFull) && c.yield(w) {
 				made, err = dial(addr)
 			}
 			return made, err
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/glentiller/glentiller/internal/budget"
+	"github.com/glentiller/glentiller/internal/connquota"
 )
 
 // listen makes a stand-in worker that answers commands after the gate is open.
@@ -33,20 +33,20 @@
 func TestAnIdleConnectionMakesRoomForUrgentWorkHoweverLatelyItWasUsed(t *testing.T) {
 	open := make(chan struct{})
 	close(open)
-	c := New(5*time.Second, budget.New(16, 0, nil).Dial(budget.Direct))
+	c := New(5*time.Second, connquota.New(16, 0, nil).Dial(connquota.Direct))
 	for i := range 4 * directShare {
 		if r := c.Commands(listen(t, open), 1, 1, nil, true); !r.Executed {
 			t.Fatalf("worker %d: %v", i, r.Err)
 		}
 	}
-	if r := c.Commands(listen(t, open), 1, 1, nil, false); !errors.Is(r.Err, budget.ErrFull) {
+	if r := c.Commands(listen(t, open), 1, 1, nil, false); !errors.Is(r.Err, connquota.ErrFull) {
 		t.Errorf("what is not urgent: %+v", r)
 	}
 }
 
 func TestAConnectionThatIsInUseMakesNoRoom(t *testing.T) {
 	gate := make(chan struct{})
-	c := New(5*time.Second, budget.New(16, 0, nil).Dial(budget.Direct))
+	c := New(5*time.Second, connquota.New(16, 0, nil).Dial(connquota.Direct))
 	replies := make([]Reply, directShare)
 	var all sync.WaitGroup
 	for i := range replies {
@@ -63,7 +63,7 @@
 		c.mu.Unlock()
 	}
 	time.Sleep(50 * time.Millisecond) // all of them are connected by now
-	if r := c.Commands(listen(t, gate), 1, 1, nil, true); !errors.Is(r.Err, budget.ErrFull) {
+	if r := c.Commands(listen(t, gate), 1, 1, nil, true); !errors.Is(r.Err, connquota.ErrFull) {
 		t.Errorf("one more: %+v", r)
 	}
 	close(gate)
