--- a/internal/fleet/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet decides which machines to rent and which to give back. It is
+// Package autoscaler decides which machines to rent and which to give back. It is
 // pure, like package sched.
-package fleet
+package autoscaler
 
 import (
 	"cmp"
--- a/internal/fleet/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"testing"
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/admin"
+	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/courier"
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/featuregate"
-	"github.com/glentiller/glentiller/internal/fleet"
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/route"
 	"github.com/glentiller/glentiller/internal/sched"
@@ -38,7 +38,7 @@
 		GangPeer: Seconds(d.Workers.GangPeer), Cancel: Seconds(d.Workers.Cancel), ListLag: Seconds(d.Cloud.ListLag),
 		Sched: sched.Settings{IdleShare: o.Scheduler.IdlePower, Overtake: o.Scheduler.Overtake.D(), OvertakeLate: o.Scheduler.OvertakeLate.D(), MaxPreempt: o.Scheduler.PreemptMost, StartMost: o.Scheduler.StartMost,
 			MinRun: o.Scheduler.MinRun.D(), ImageFirst: o.Scheduler.ImageFirst, Tight: o.Scheduler.Tight.D(), Dear: o.Scheduler.Dear, FetchInTime: o.Scheduler.FetchInTime, Vacate: o.Scheduler.Vacate, BeginWithin: o.Scheduler.BeginWithin.D(), PreemptWithin: o.Scheduler.PreemptGuarantees},
-		Fleet: fleet.Settings{KeepIdle: o.Fleet.KeepIdle.D(), KeepBoots: o.Fleet.KeepBoots, LeastPaid: o.Fleet.LeastPaid.D(), KeepSpot: o.Fleet.KeepSpot, BootFactor: o.Fleet.BootFactor,
+		Fleet: autoscaler.Settings{KeepIdle: o.Fleet.KeepIdle.D(), KeepBoots: o.Fleet.KeepBoots, LeastPaid: o.Fleet.LeastPaid.D(), KeepSpot: o.Fleet.KeepSpot, BootFactor: o.Fleet.BootFactor,
 			BootExtra: o.Fleet.BootExtra.D(), Refused: o.Fleet.Refused.D(), SoonBoots: o.Fleet.SoonBoots, MaxRent: 50},
 		LeaseMargin: o.Workers.LeaseMargin.D(), Pass: o.Scheduler.Pass.D(), Flush: o.Scheduler.Flush.D(),
 		ListEvery: o.Fleet.List.D(), CatalogEvery: o.Fleet.Catalog.D(),
--- a/internal/control/cloud.go
+++ b/internal/control/cloud.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/glentiller/glentiller/internal/fleet"
+	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/model"
 )
 
@@ -25,7 +25,7 @@
 	}
 	delete(c.renting, r.Name)
 	delete(c.rentAt, r.Name)
-	offer := fleet.Offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+	offer := autoscaler.Offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	if len(ev.Machines) < r.Count {
 		c.refused[offer] = now.Add(c.set.Fleet.Refused)
 	}
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/glentiller/glentiller/internal/fleet"
+	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/liveness"
 	"github.com/glentiller/glentiller/internal/model"
@@ -23,7 +23,7 @@
 	ListLag                                   time.Duration
 
 	Sched sched.Settings
-	Fleet fleet.Settings
+	Fleet autoscaler.Settings
 
 	LeaseMargin  time.Duration // beyond a worker's lease before it counts as run out
 	Pass         time.Duration // least time between scheduling passes
@@ -100,7 +100,7 @@
 	// startCounts: users expect tasks of the class to start in some time, so a
 	// start that is taken back soon was in vain.
 	startCounts map[string]bool
-	refused     map[fleet.Offer]time.Time
+	refused     map[autoscaler.Offer]time.Time
 	renting     map[string]model.Rental
 	rentAt      map[string]time.Time
 
@@ -154,7 +154,7 @@
 	c := &Core{set: set, log: log, token: token, start: now, rev: snap.Revision,
 		teams: map[string]*model.Team{}, jobs: map[string]*model.Job{}, graph: model.NewGraph(), times: map[string][]float64{}, machines: map[string]*model.Machine{},
 		gone: map[string]time.Time{}, use: map[string]*model.Usage{}, gpuNeed: map[model.Resources]bool{}, runs: runTimes{}, startCounts: map[string]bool{},
-		refused: map[fleet.Offer]time.Time{}, renting: map[string]model.Rental{}, rentAt: map[string]time.Time{},
+		refused: map[autoscaler.Offer]time.Time{}, renting: map[string]model.Rental{}, rentAt: map[string]time.Time{},
 		dirtyJobs: map[string]bool{}, chunks: map[chunkKey]bool{}, ruled: map[*model.Job]*ruled{}, keptGPU: map[*model.MachineType]bool{}, doubts: map[machineKind]int{}, quietAt: map[string]time.Time{}, news: map[*model.Machine]bool{}, types: types, listAt: now, catalogAt: now, sweepAt: now,
 		resumeAt:  now.Add(set.SilentAfter),
 		detector:  liveness.Settings{Lease: set.Lease, Gap: max(dropped, set.Report+set.Report/2), Replace: set.SilentAfter},
--- a/internal/control/pass.go
+++ b/internal/control/pass.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/glentiller/glentiller/internal/fleet"
+	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/sched"
 )
@@ -184,20 +184,20 @@
 }
 
 // coming is the room that comes without renting.
-func (c *Core) coming(now time.Time) []*fleet.Coming {
-	var out []*fleet.Coming
+func (c *Core) coming(now time.Time) []*autoscaler.Coming {
+	var out []*autoscaler.Coming
 	for _, m := range c.machines {
 		if m.State == model.Booting {
-			out = append(out, &fleet.Coming{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
+			out = append(out, &autoscaler.Coming{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 			continue
 		}
 		if !m.Unsure && m.Holding > 0 && c.placeable(now, m) {
-			out = append(out, &fleet.Coming{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Soon: func() model.Resources { return c.soon(now, m) }})
+			out = append(out, &autoscaler.Coming{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Soon: func() model.Resources { return c.soon(now, m) }})
 		}
 	}
 	for _, r := range c.renting {
 		for n := 0; n < r.Count; n++ {
-			out = append(out, &fleet.Coming{Type: c.typeOf(r.Type), Zone: r.Zone, Spot: r.Spot})
+			out = append(out, &autoscaler.Coming{Type: c.typeOf(r.Type), Zone: r.Zone, Spot: r.Spot})
 		}
 	}
 	return out
@@ -351,11 +351,11 @@
 	}
 	c.rentedAt = now
 	coming := c.coming(now)
-	v := &fleet.View{Types: c.types, Coming: coming, Refused: c.refused, Count: map[string]int{}, Quiet: c.quietZones(now), ForGPU: c.forGPU, Room: p.RoomIn}
+	v := &autoscaler.View{Types: c.types, Coming: coming, Refused: c.refused, Count: map[string]int{}, Quiet: c.quietZones(now), ForGPU: c.forGPU, Room: p.RoomIn}
 	for _, m := range c.machines {
 		v.Count[m.Zone]++
 	}
-	for _, ask := range fleet.Rent(&c.set.Fleet, now, v, lacking) {
+	for _, ask := range autoscaler.Rent(&c.set.Fleet, now, v, lacking) {
 		if len(c.renting) >= maxRenting {
 			break
 		}
--- a/internal/control/rulesets_test.go
+++ b/internal/control/rulesets_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
+	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/constraint"
-	"github.com/glentiller/glentiller/internal/fleet"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/sched"
 )
@@ -46,7 +46,7 @@
 	now := time.Unix(1e9, 0)
 	set := Settings{Member: "tiller-0", Teams: []model.Team{{Name: "red", Limit: model.LimitOf(1e6, 1e6)}}, SilentAfter: time.Hour, Lease: time.Hour,
 		Pass: time.Millisecond, TxnOps: 12, Numbered: 64, Sched: sched.Settings{IdleShare: 0.7, Overtake: time.Hour, OvertakeLate: time.Hour, Dear: 1e6},
-		Fleet: fleet.Settings{KeepIdle: time.Hour, BootFactor: 3, MaxRent: 50}}
+		Fleet: autoscaler.Settings{KeepIdle: time.Hour, BootFactor: 3, MaxRent: 50}}
 	c := New(now, set, 3, &Snapshot{Numbered: 64}, types, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for i, k := range constraint.Classes(types) {
 		m := c.newMachine(now, model.Listed{Machine: fmt.Sprintf("n-%06d", i), Type: k.Type.Name, Zone: k.Zone, Spot: k.Spot}, model.Booting)
