--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
 // Settings are the fleet rule's starting values.
@@ -48,10 +48,10 @@
 	Soon func() model.Resources // of a machine that is up, asked for once where tasks may go there; nil: the whole machine
 
 	free  model.Resources
-	known bool        // free is
-	kind  int         // its kind's number
-	by    *sched.Want // the last one that it was filled with
-	of    int         // and how many tasks of it
+	known bool            // free is
+	kind  int             // its kind's number
+	by    *scheduler.Want // the last one that it was filled with
+	of    int             // and how many tasks of it
 }
 
 // room is what is left of it.
@@ -98,10 +98,10 @@
 	Count   map[string]int                             // machines by zone, to spread over zones
 	Quiet   map[string]bool                            // zones that are likely cut off: what comes up there cannot report
 	ForGPU  func(t *model.MachineType, spot bool) bool // machines that are kept for GPU work
-	Room    func(w *sched.Want, zone string) int       // how many tasks fit on what is up in a zone; nil: none
+	Room    func(w *scheduler.Want, zone string) int   // how many tasks fit on what is up in a zone; nil: none
 
 	kinds   []kindOfMachine // of what is coming, by number
-	judged  *sched.Want     // whom the kinds were judged for last
+	judged  *scheduler.Want // whom the kinds were judged for last
 	verdict []bool          // by kind: whether its tasks may go there
 }
 
@@ -123,7 +123,7 @@
 
 // may tells whether tasks of a want may go to what is coming, whatever room it has. It is judged once a kind for each
 // want. Guards against judging thousands of machines for each of hundreds of wants.
-func (v *View) may(w *sched.Want, c *Coming) bool {
+func (v *View) may(w *scheduler.Want, c *Coming) bool {
 	if v.judged != w {
 		v.judged, v.verdict = w, v.verdict[:0]
 	}
@@ -156,7 +156,7 @@
 // was not refused lately is asked for, in a quiet zone only where no other will do.
 // Guards against renting in the middle of a cut right where nothing can report, since
 // that zone seems to have the fewest machines.
-func Rent(s *Settings, now time.Time, v *View, lacking []sched.Shortage) []Ask {
+func Rent(s *Settings, now time.Time, v *View, lacking []scheduler.Shortage) []Ask {
 	v.kinds, v.judged = nil, nil
 	for _, c := range v.Coming {
 		c.known = false
@@ -233,7 +233,7 @@
 
 // fillComing puts one task of a want on what is coming, beginning at a place in the list,
 // and tells where; the length of the list: nothing has room. lock is the only zone; "": any.
-func fillComing(v *View, w *sched.Want, zones map[string]int, lock string, from int) int {
+func fillComing(v *View, w *scheduler.Want, zones map[string]int, lock string, from int) int {
 	spec := w.Job.Spec
 	for i := from; i < len(v.Coming); i++ {
 		c := v.Coming[i]
@@ -267,13 +267,13 @@
 	upTo int
 }
 
-func kindOf(w *sched.Want) kind {
+func kindOf(w *scheduler.Want) kind {
 	s := w.Job.Spec
 	return kind{w.Urgent(), s.Spot, s.Need.GPU > 0, w.Job.GPUToo, s.Zone, strings.Join(s.Types, " ")}
 }
 
 // from is where to begin to look for room.
-func (f fulls) from(w *sched.Want) int {
+func (f fulls) from(w *scheduler.Want) int {
 	at := 0
 	for _, e := range f[kindOf(w)] {
 		if e.need.Fits(w.Job.Spec.Need) {
@@ -285,7 +285,7 @@
 
 // add notes that there is no room for a want's tasks up to a place in the list. What else
 // bounds them says nothing of others.
-func (f fulls) add(w *sched.Want, lock string, upTo int) {
+func (f fulls) add(w *scheduler.Want, lock string, upTo int) {
 	k := kindOf(w)
 	if w.Rules != nil || w.Job.Spec.Spread || lock != "" || len(f[k]) >= mostFull {
 		return
@@ -297,7 +297,7 @@
 const mostFull = 32
 
 // cheapest chooses what to rent for one more task, in one zone unless that is empty.
-func cheapest(now time.Time, v *View, w *sched.Want, zones map[string]int, lock string) (Offer, int, bool) {
+func cheapest(now time.Time, v *View, w *scheduler.Want, zones map[string]int, lock string) (Offer, int, bool) {
 	spec := w.Job.Spec
 	type option struct {
 		Offer
--- a/internal/autoscaler/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
 var types = []model.MachineType{
@@ -27,13 +27,13 @@
 	},
 }
 
-func lacking(n int, change func(*model.Spec)) []sched.Shortage {
+func lacking(n int, change func(*model.Spec)) []scheduler.Shortage {
 	s := &model.Spec{ID: "wk-000001", Class: "c", Tasks: n, Need: model.Resources{CPU: 2, MemGB: 6}, Shape: model.Array}
 	if change != nil {
 		change(s)
 	}
-	return []sched.Shortage{
-		{Want: &sched.Want{Job: model.NewJob(s, time.Unix(0, 0), 1), Zones: map[string]int{}}, Count: n},
+	return []scheduler.Shortage{
+		{Want: &scheduler.Want{Job: model.NewJob(s, time.Unix(0, 0), 1), Zones: map[string]int{}}, Count: n},
 	}
 }
 
@@ -92,12 +92,12 @@
 		t.Errorf("one boots in b: rented in %q", got)
 	}
 	v = view()
-	v.Room = func(_ *sched.Want, zone string) int { return map[string]int{"b": 3}[zone] }
+	v.Room = func(_ *scheduler.Want, zone string) int { return map[string]int{"b": 3}[zone] }
 	if got := ask(v, nil); got != "b" {
 		t.Errorf("there is room in b: rented in %q", got)
 	}
 	v = view()
-	v.Room, v.Refused[Offer{"small", "b", false}] = func(_ *sched.Want, zone string) int { return map[string]int{"b": 3}[zone] }, time.Unix(
+	v.Room, v.Refused[Offer{"small", "b", false}] = func(_ *scheduler.Want, zone string) int { return map[string]int{"b": 3}[zone] }, time.Unix(
 		200,
 		0,
 	)
--- a/internal/autoscaler/onezone.go
+++ b/internal/autoscaler/onezone.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
 // lock chooses the zone that machines for a want have to be in; "": any. What has to be in one
 // zone goes where most of it fits already, on what is up and on what is coming, and is rented for
 // only there. Guards against machines for a gang that are rented spread over the zones, where
 // no zone ever holds all of it, and that go back idle to be rented again in the same way.
-func (v *View) lock(now time.Time, w *sched.Want) string {
+func (v *View) lock(now time.Time, w *scheduler.Want) string {
 	spec := w.Job.Spec
 	if !spec.OneZone || spec.Zone != "" {
 		return ""
@@ -80,7 +80,7 @@
 }
 
 // comingRoom is how many tasks of a want fit on what is coming in a zone.
-func (v *View) comingRoom(w *sched.Want, zone string) int {
+func (v *View) comingRoom(w *scheduler.Want, zone string) int {
 	n := 0
 	for _, c := range v.Coming {
 		if c.Zone == zone && v.takes(w, c) {
@@ -91,7 +91,7 @@
 }
 
 // takes tells whether tasks of a want may go to what is coming, and one of them fits.
-func (v *View) takes(w *sched.Want, c *Coming) bool {
+func (v *View) takes(w *scheduler.Want, c *Coming) bool {
 	return v.may(w, c) && w.Job.Spec.Need.Fits(c.room())
 }
 
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -13,7 +13,7 @@
 	"github.com/glentiller/glentiller/internal/featuregate"
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/route"
-	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/scheduler"
 	"github.com/glentiller/glentiller/internal/staleness"
 	"github.com/glentiller/glentiller/internal/store"
 )
@@ -36,7 +36,7 @@
 		Member: p.Member, Teams: p.Teams(), Aims: aims(d.Objectives),
 		Report: Seconds(d.Workers.Report), Lease: Seconds(d.Workers.Lease), GangWait: Seconds(d.Workers.GangWait),
 		GangPeer: Seconds(d.Workers.GangPeer), Cancel: Seconds(d.Workers.Cancel), ListLag: Seconds(d.Cloud.ListLag),
-		Sched: sched.Settings{IdleShare: o.Scheduler.IdlePower, Overtake: o.Scheduler.Overtake.D(), OvertakeLate: o.Scheduler.OvertakeLate.D(), MaxPreempt: o.Scheduler.PreemptMost, StartMost: o.Scheduler.StartMost,
+		Sched: scheduler.Settings{IdleShare: o.Scheduler.IdlePower, Overtake: o.Scheduler.Overtake.D(), OvertakeLate: o.Scheduler.OvertakeLate.D(), MaxPreempt: o.Scheduler.PreemptMost, StartMost: o.Scheduler.StartMost,
 			MinRun: o.Scheduler.MinRun.D(), ImageFirst: o.Scheduler.ImageFirst, Tight: o.Scheduler.Tight.D(), Dear: o.Scheduler.Dear, FetchInTime: o.Scheduler.FetchInTime, Vacate: o.Scheduler.Vacate, BeginWithin: o.Scheduler.BeginWithin.D(), PreemptWithin: o.Scheduler.PreemptGuarantees},
 		Fleet: autoscaler.Settings{KeepIdle: o.Fleet.KeepIdle.D(), KeepBoots: o.Fleet.KeepBoots, LeastPaid: o.Fleet.LeastPaid.D(), KeepSpot: o.Fleet.KeepSpot, BootFactor: o.Fleet.BootFactor,
 			BootExtra: o.Fleet.BootExtra.D(), Refused: o.Fleet.Refused.D(), SoonBoots: o.Fleet.SoonBoots, MaxRent: 50},
--- a/internal/control/accounting.go
+++ b/internal/control/accounting.go
@@ -7,7 +7,7 @@
 
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
 // Ledger is what the accounting goes by. docs/ledger.md defines what counts as run
@@ -117,12 +117,12 @@
 
 // waits charges what waited since the last look to the causes of that time, and notes
 // what keeps each job waiting from now on.
-func (c *Core) waits(now time.Time, lacking []sched.Shortage) {
+func (c *Core) waits(now time.Time, lacking []scheduler.Shortage) {
 	if c.acc == nil || now.Before(c.acc.waitsAt) {
 		return
 	}
 	c.acc.waitsAt = now.Add(waitsEvery)
-	why := make(map[*model.Job]sched.Why, len(lacking))
+	why := make(map[*model.Job]scheduler.Why, len(lacking))
 	for _, l := range lacking {
 		if _, ok := why[l.Want.Job]; !ok {
 			why[l.Want.Job] = l.Why
@@ -141,7 +141,7 @@
 const waitsEvery = 250 * time.Millisecond
 
 // cause tells what keeps a job's tasks waiting.
-func (c *Core) cause(now time.Time, j *model.Job, why map[*model.Job]sched.Why) ledger.Cause {
+func (c *Core) cause(now time.Time, j *model.Job, why map[*model.Job]scheduler.Why) ledger.Cause {
 	reason, lacks := why[j]
 	switch {
 	case !mayStart(j):
@@ -150,11 +150,11 @@
 		return ledger.Backoff
 	case c.inDoubt(j):
 		return ledger.Takeover
-	case reason == sched.WhyLimit, !lacks && c.limited(j):
+	case reason == scheduler.WhyLimit, !lacks && c.limited(j):
 		return ledger.Limit // what a pass does not lack and does not place is beyond the limit
-	case reason == sched.WhyGuarantee:
+	case reason == scheduler.WhyGuarantee:
 		return ledger.Guarantee
-	case reason == sched.WhyShare:
+	case reason == scheduler.WhyShare:
 		return ledger.Share
 	}
 	return ledger.Room
--- a/internal/control/accounting_test.go
+++ b/internal/control/accounting_test.go
@@ -10,7 +10,7 @@
 	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
 // busy is a leader of 400 machines and 16 teams, with five tasks of each machine running
@@ -20,7 +20,7 @@
 	zones := []string{"a", "b"}
 	set := Settings{Member: "tiller-0", Report: 2 * time.Second, Lease: 12 * time.Second, SilentAfter: 7 * time.Second,
 		Pass: 50 * time.Millisecond, Flush: 500 * time.Millisecond, ListEvery: time.Hour, CatalogEvery: time.Hour, TxnOps: 12, Numbered: 16384,
-		Fleet: autoscaler.Settings{KeepIdle: time.Hour, BootFactor: 3, MaxRent: 50}, Sched: sched.Settings{IdleShare: 0.7, Overtake: time.Minute, OvertakeLate: 15 * time.Minute}, Ledger: book}
+		Fleet: autoscaler.Settings{KeepIdle: time.Hour, BootFactor: 3, MaxRent: 50}, Sched: scheduler.Settings{IdleShare: 0.7, Overtake: time.Minute, OvertakeLate: 15 * time.Minute}, Ledger: book}
 	for i := range 16 {
 		set.Teams = append(set.Teams, model.Team{Name: fmt.Sprintf("team-%02d", i), Limit: model.LimitOf(125, 0)})
 	}
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -10,7 +10,7 @@
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/liveness"
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
 // Settings are what a core works by; the platform and the operators set them.
@@ -22,7 +22,7 @@
 	Report, Lease, GangWait, GangPeer, Cancel time.Duration // of the workers
 	ListLag                                   time.Duration
 
-	Sched sched.Settings
+	Sched scheduler.Settings
 	Fleet autoscaler.Settings
 
 	LeaseMargin  time.Duration // beyond a worker's lease before it counts as run out
--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -9,7 +9,7 @@
 
 	"github.com/glentiller/glentiller/internal/constraint"
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
 // Explanation says why a job's tasks wait, and why those that run are where they are.
@@ -95,13 +95,13 @@
 func (c *Core) explainWaiting(now time.Time, j *model.Job, e *Explanation, say func(list *[]string, format string, args ...any)) {
 	s := j.Spec
 	p := c.picture(now)
-	i := slices.IndexFunc(p.Wants, func(w *sched.Want) bool { return w.Job == j })
+	i := slices.IndexFunc(p.Wants, func(w *scheduler.Want) bool { return w.Job == j })
 	if i < 0 {
 		return
 	}
 	w := p.Wants[i]
 	ahead := 0
-	plan := sched.Make(&c.set.Sched, p) // of a picture of its own: nothing is done
+	plan := scheduler.Make(&c.set.Sched, p) // of a picture of its own: nothing is done
 	for _, o := range p.Wants {
 		if o == w {
 			break
@@ -117,17 +117,17 @@
 	if n > 0 {
 		say(&e.Why, "%d tasks are placed with the next pass", n)
 	}
-	if k := slices.IndexFunc(plan.Lacking, func(l sched.Shortage) bool { return l.Want.Job == j }); k >= 0 {
+	if k := slices.IndexFunc(plan.Lacking, func(l scheduler.Shortage) bool { return l.Want.Job == j }); k >= 0 {
 		team, use := c.teams[s.Team], p.Used[s.Team]
 		switch l := plan.Lacking[k]; l.Why {
-		case sched.WhyLimit:
+		case scheduler.WhyLimit:
 			say(&e.Why, "team %s is at its limit: %s are in use", s.Team, team.Limit.Of(use))
 			say(&e.Change, "tasks of the team have to end, or its limit has to be raised")
-		case sched.WhyGuarantee:
+		case scheduler.WhyGuarantee:
 			say(&e.Why, "production and what other teams' guarantees cover goes first")
-		case sched.WhyShare:
+		case scheduler.WhyShare:
 			say(&e.Why, "teams that have used less of their share go first (band %d)", w.Band)
-		case sched.WhyRoom:
+		case scheduler.WhyRoom:
 			say(&e.Why, "no machine that fits has room for %d tasks", l.Count)
 		}
 	} else if n < e.Waiting && c.limited(j) {
@@ -150,7 +150,7 @@
 }
 
 // judgeMachines counts why machines do not take one more task.
-func (c *Core) judgeMachines(now time.Time, j *model.Job, w *sched.Want, p *sched.Picture, e *Explanation) {
+func (c *Core) judgeMachines(now time.Time, j *model.Job, w *scheduler.Want, p *scheduler.Picture, e *Explanation) {
 	counts := map[string]int{}
 	for _, m := range c.machines {
 		if why := c.unplaceable(now, m); why != "" {
@@ -163,13 +163,13 @@
 	for _, nd := range p.Nodes {
 		why := nd.Judge(w, "")
 		text := why.String()
-		if why == sched.ByRules {
+		if why == scheduler.ByRules {
 			m := nd.Machine
 			if by, ok := c.ruled[j].set.Allows(constraint.Class{Type: m.Type, Zone: m.Zone, Spot: m.Spot}); !ok {
 				text = "refused by " + by.String()
 			}
 		}
-		if why == sched.Fits {
+		if why == scheduler.Fits {
 			text = "would take one"
 		}
 		counts[text]++
@@ -182,7 +182,7 @@
 
 // explainComing tells what is rented or boots that could take a task, and what the cloud
 // has refused.
-func (c *Core) explainComing(now time.Time, j *model.Job, w *sched.Want, e *Explanation, say func(list *[]string, format string, args ...any)) {
+func (c *Core) explainComing(now time.Time, j *model.Job, w *scheduler.Want, e *Explanation, say func(list *[]string, format string, args ...any)) {
 	s := j.Spec
 	useful := func(t *model.MachineType, zone string, spot bool) bool {
 		return constraint.Takes(s, constraint.Class{Type: t, Zone: zone, Spot: spot}) && w.Rules.Offer(t, zone, spot) && (s.Need.GPU > 0 || j.GPUToo || !c.forGPU(t, spot))
--- a/internal/control/pass.go
+++ b/internal/control/pass.go
@@ -5,7 +5,7 @@
 
 	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
 // pass places what waits, stops what makes room for it, and rents for the rest.
@@ -21,8 +21,8 @@
 		c.consolidate(now, p)
 		return
 	}
-	plan := sched.Make(&c.set.Sched, p)
-	var gang *sched.Want
+	plan := scheduler.Make(&c.set.Sched, p)
+	var gang *scheduler.Want
 	var try uint64
 	for _, pl := range plan.Place {
 		if pl.Want.Rules != nil && !c.stands(pl, plan.Place) {
@@ -59,7 +59,7 @@
 }
 
 // restoredYet says once after a takeover when nothing of the highest rank waits any more.
-func (c *Core) restoredYet(now time.Time, wants []*sched.Want) {
+func (c *Core) restoredYet(now time.Time, wants []*scheduler.Want) {
 	if c.restored || c.unsure > 0 {
 		return
 	}
@@ -73,13 +73,13 @@
 }
 
 // consolidate moves one replica off a machine that is dear, or that it has to itself.
-func (c *Core) consolidate(now time.Time, p *sched.Picture) {
+func (c *Core) consolidate(now time.Time, p *scheduler.Picture) {
 	if c.unsure > 0 || c.set.Consolidate == 0 || now.Before(c.moveAt) {
 		return
 	}
 	c.moveAt = now.Add(c.set.Consolidate)
 	for _, j := range c.order {
-		if a := sched.Consolidate(&c.set.Sched, now, p, j); a != nil {
+		if a := scheduler.Consolidate(&c.set.Sched, now, p, j); a != nil {
 			c.log.Info("moving", "task", a.Task, "from", a.Machine.Name, "type", a.Machine.Type.Name)
 			c.halt(now, a)
 			return
@@ -88,7 +88,7 @@
 	if !c.set.Sched.Vacate {
 		return
 	}
-	if a := sched.Vacate(&c.set.Sched, now, p); a != nil {
+	if a := scheduler.Vacate(&c.set.Sched, now, p); a != nil {
 		c.log.Info("vacating", "task", a.Task, "machine", a.Machine.Name, "type", a.Machine.Type.Name, "holding", a.Machine.Holding)
 		c.halt(now, a)
 	}
@@ -96,7 +96,7 @@
 
 // launch starts one task of a want. From here on it counts as being on the
 // machine: see docs/safety.md, "What is on a machine".
-func (c *Core) launch(now time.Time, pl sched.Placement, try uint64) {
+func (c *Core) launch(now time.Time, pl scheduler.Placement, try uint64) {
 	j, m := pl.Want.Job, pl.Node.Machine
 	if !mayStart(j) {
 		return
@@ -151,20 +151,20 @@
 // on them: teams' accounts are kept as attempts change, and what could be stopped is
 // looked for only when room is short. Guards against passes that grow with all that
 // runs, so that at hundreds of machines reports wait behind them.
-func (c *Core) picture(now time.Time) *sched.Picture {
-	p := &sched.Picture{Used: make(map[string]model.Resources, len(c.use)), Leaving: make(map[string]model.Resources, len(c.use)),
-		Teams: c.teams, Nodes: make([]*sched.Node, 0, len(c.machines))}
+func (c *Core) picture(now time.Time) *scheduler.Picture {
+	p := &scheduler.Picture{Used: make(map[string]model.Resources, len(c.use)), Leaving: make(map[string]model.Resources, len(c.use)),
+		Teams: c.teams, Nodes: make([]*scheduler.Node, 0, len(c.machines))}
 	clear(c.keptGPU)
 	c.paths(now)
 	c.shares(now)
 	guaranteed := c.guaranteed()
 	unknown := c.stray.Held // of attempts whose team is not known, and of unsettled machines
-	nodes := make([]sched.Node, 0, len(c.machines))
+	nodes := make([]scheduler.Node, 0, len(c.machines))
 	for _, m := range c.machines {
 		if m.Unsure {
 			unknown = unknown.Add(m.Type.Cap) // its worst case
 		} else if c.placeable(now, m) {
-			nodes = append(nodes, sched.Node{Machine: m, Free: m.Free(), ForGPU: c.forGPU(m.Type, m.Spot)})
+			nodes = append(nodes, scheduler.Node{Machine: m, Free: m.Free(), ForGPU: c.forGPU(m.Type, m.Spot)})
 			p.Nodes = append(p.Nodes, &nodes[len(nodes)-1])
 		}
 	}
@@ -259,7 +259,7 @@
 }
 
 // wants adds what waits of a job.
-func (c *Core) wants(now time.Time, p *sched.Picture, j *model.Job, guaranteed bool) {
+func (c *Core) wants(now time.Time, p *scheduler.Picture, j *model.Job, guaranteed bool) {
 	if !mayStart(j) || j.Waiting() == 0 || !c.readable(j) {
 		return
 	}
@@ -286,14 +286,14 @@
 		}
 		n := j.Unfinished()
 		slack, due := c.slack(now, j, restart, 0)
-		p.Wants = append(p.Wants, &sched.Want{Job: j, From: from, Restart: restart, Count: n, Cap: n, Slack: slack, Due: due,
+		p.Wants = append(p.Wants, &scheduler.Want{Job: j, From: from, Restart: restart, Count: n, Cap: n, Slack: slack, Due: due,
 			Waited: now.Sub(j.WaitSince), Guaranteed: guaranteed, Zones: zones, Rules: rules, Band: c.band(s.Team)})
 		return
 	}
 	for _, st := range []model.TaskState{model.TaskRestart, model.TaskNew, model.TaskYielded} {
 		if n := j.Count(st); n > 0 {
 			slack, due := c.slack(now, j, st != model.TaskNew, 0)
-			p.Wants = append(p.Wants, &sched.Want{Job: j, From: st, Restart: st == model.TaskRestart, Count: n, Cap: n, Slack: slack, Due: due,
+			p.Wants = append(p.Wants, &scheduler.Want{Job: j, From: st, Restart: st == model.TaskRestart, Count: n, Cap: n, Slack: slack, Due: due,
 				Waited: now.Sub(j.WaitSince), Guaranteed: guaranteed, Zones: zones, Rules: rules, Band: c.band(s.Team)})
 		}
 	}
@@ -341,7 +341,7 @@
 }
 
 // rent asks for machines for what fits nowhere.
-func (c *Core) rent(now time.Time, p *sched.Picture, lacking []sched.Shortage) {
+func (c *Core) rent(now time.Time, p *scheduler.Picture, lacking []scheduler.Shortage) {
 	if len(lacking) == 0 || len(c.renting) >= maxRenting {
 		return
 	}
--- a/internal/control/rules.go
+++ b/internal/control/rules.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/glentiller/glentiller/internal/constraint"
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
 // ruled is a job with rules: compiled once, judged once a class of machines.
@@ -78,7 +78,7 @@
 }
 
 // rulesOf is what a job's rules say of the machines of this pass; nil: it has none.
-func (c *Core) rulesOf(j *model.Job) *sched.Rules {
+func (c *Core) rulesOf(j *model.Job) *scheduler.Rules {
 	r := c.ruled[j]
 	if r == nil || r.set == nil {
 		return nil
@@ -94,8 +94,8 @@
 			r.wishes[k] = append(r.wishes[k], r.set.Wish(class, k == 1)/100)
 		}
 	}
-	out := &sched.Rules{Fit: r.fit, Wishes: r.wishes, PerMachine: r.set.PerMachine(), PerZone: r.set.PerZone(),
-		Offers: func(o sched.Offered) bool {
+	out := &scheduler.Rules{Fit: r.fit, Wishes: r.wishes, PerMachine: r.set.PerMachine(), PerZone: r.set.PerZone(),
+		Offers: func(o scheduler.Offered) bool {
 			_, ok := r.set.Allows(constraint.Class{Type: o.Type, Zone: o.Zone, Spot: o.Spot})
 			return ok
 		}}
@@ -114,7 +114,7 @@
 // tie works out where another job is that a rule speaks of. While it is on no machine,
 // it counts as where it may be: guards against a start in another zone while the other
 // job moves. Once it has ended the rule says nothing.
-func (c *Core) tie(out *sched.Rules, k *constraint.Kin) {
+func (c *Core) tie(out *scheduler.Rules, k *constraint.Kin) {
 	other := c.jobs[k.Job]
 	if other == nil {
 		return
@@ -139,9 +139,9 @@
 	}
 	switch {
 	case k.Weight != 0 && k.Same:
-		out.Ties = append(out.Ties, sched.Tie{Zones: zones, Weight: k.Weight / 100})
+		out.Ties = append(out.Ties, scheduler.Tie{Zones: zones, Weight: k.Weight / 100})
 	case k.Weight != 0:
-		out.Ties = append(out.Ties, sched.Tie{Zones: zones, Machines: machines, Weight: -k.Weight / 100})
+		out.Ties = append(out.Ties, scheduler.Tie{Zones: zones, Machines: machines, Weight: -k.Weight / 100})
 	case k.Same:
 		out.Near = append(out.Near, zones)
 	default:
@@ -163,7 +163,7 @@
 // stands tells whether a placement still meets what its job's rules say of other jobs.
 // Guards against a pass that starts that other job too, ahead of it: the rules were
 // judged by where it was before. Of a gang all placements stand or none does.
-func (c *Core) stands(pl sched.Placement, all []sched.Placement) bool {
+func (c *Core) stands(pl scheduler.Placement, all []scheduler.Placement) bool {
 	j := pl.Want.Job
 	r := c.ruled[j]
 	if r == nil || r.set == nil || len(r.set.Kin) == 0 {
@@ -182,7 +182,7 @@
 }
 
 // classify numbers the classes of the machines of a pass, where any job has rules.
-func (c *Core) classify(nodes []*sched.Node) {
+func (c *Core) classify(nodes []*scheduler.Node) {
 	if len(c.ruled) == 0 {
 		return
 	}
--- a/internal/control/rulesets_test.go
+++ b/internal/control/rulesets_test.go
@@ -17,7 +17,7 @@
 	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/constraint"
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
 // ruleset is one line of the table: a job with rules, and what has to come of it. The
@@ -45,7 +45,7 @@
 func idle(types []model.MachineType) (*Core, time.Time) {
 	now := time.Unix(1e9, 0)
 	set := Settings{Member: "tiller-0", Teams: []model.Team{{Name: "red", Limit: model.LimitOf(1e6, 1e6)}}, SilentAfter: time.Hour, Lease: time.Hour,
-		Pass: time.Millisecond, TxnOps: 12, Numbered: 64, Sched: sched.Settings{IdleShare: 0.7, Overtake: time.Hour, OvertakeLate: time.Hour, Dear: 1e6},
+		Pass: time.Millisecond, TxnOps: 12, Numbered: 64, Sched: scheduler.Settings{IdleShare: 0.7, Overtake: time.Hour, OvertakeLate: time.Hour, Dear: 1e6},
 		Fleet: autoscaler.Settings{KeepIdle: time.Hour, BootFactor: 3, MaxRent: 50}}
 	c := New(now, set, 3, &Snapshot{Numbered: 64}, types, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for i, k := range constraint.Classes(types) {
@@ -162,7 +162,7 @@
 			b.ResetTimer()
 			for b.Loop() {
 				p := c.picture(now)
-				sched.Make(&c.set.Sched, p)
+				scheduler.Make(&c.set.Sched, p)
 			}
 		})
 	}
--- a/internal/control/session_test.go
+++ b/internal/control/session_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
 // lead makes the core of a leader for a small deployment.
@@ -18,7 +18,7 @@
 		Teams:  []model.Team{{Name: "red", Guarantee: model.Resources{CPU: 10}, Limit: model.LimitOf(100, 0)}},
 		Aims:   map[string][]Aim{"last": {{Times: 1}, {Times: 1.5}}},
 		Report: 2 * time.Second, Lease: 12 * time.Second, LeaseMargin: 500 * time.Millisecond, SilentAfter: 7 * time.Second, TxnOps: 12,
-		BackoffMost: time.Minute, Sched: sched.Settings{IdleShare: 0.7}, Fleet: autoscaler.Settings{KeepIdle: time.Hour, BootFactor: 100}}
+		BackoffMost: time.Minute, Sched: scheduler.Settings{IdleShare: 0.7}, Fleet: autoscaler.Settings{KeepIdle: time.Hour, BootFactor: 100}}
 	return New(now, set, 1, snap, types, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
--- a/internal/control/victims.go
+++ b/internal/control/victims.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/sched"
+	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
 // jobFacts are what all attempts of a job have in common in one pass.
@@ -18,7 +18,7 @@
 // looker makes what shows a pass the attempts on one machine that might be stopped to make room, and what is being
 // freed there already. A pass asks for the machines that it weighs, and only where room is short. Guards against
 // passes that work out what each of tens of thousands of attempts would lose, where a few machines come into question.
-func (c *Core) looker(now time.Time, guaranteed map[*model.Job]bool) func(nd *sched.Node) {
+func (c *Core) looker(now time.Time, guaranteed map[*model.Job]bool) func(nd *scheduler.Node) {
 	known := map[*model.Job]*jobFacts{}
 	facts := func(j *model.Job) *jobFacts {
 		f := known[j]
@@ -29,9 +29,9 @@
 		}
 		return f
 	}
-	return func(nd *sched.Node) {
+	return func(nd *scheduler.Node) {
 		held := nd.Machine.Held()
-		nd.Victims = make([]sched.Running, 0, len(held))
+		nd.Victims = make([]scheduler.Running, 0, len(held))
 		for _, a := range held {
 			switch {
 			case a.Job == nil:
@@ -45,9 +45,9 @@
 }
 
 // victim describes an attempt that might be stopped to make room.
-func (c *Core) victim(now time.Time, a *model.Attempt, f *jobFacts) sched.Running {
+func (c *Core) victim(now time.Time, a *model.Attempt, f *jobFacts) scheduler.Running {
 	s := a.Job.Spec
-	v := sched.Running{
+	v := scheduler.Running{
 		Attempt: a,
 		Rank:    a.Job.Rank,
 		Over:    !f.guaranteed,
--- a/internal/sched/judge.go
+++ b/internal/scheduler/judge.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"math"
--- a/internal/sched/sched.go
+++ b/internal/scheduler/sched.go
@@ -1,9 +1,9 @@
-// Package sched decides what is placed where: the order of waiting work, the
+// Package scheduler decides what is placed where: the order of waiting work, the
 // choice of a machine, gangs, limits, guarantees and preemption. It is pure: a
 // picture goes in, a plan comes out.
 //
 // Order and choice follow the paper's POFARE/POFAME as docs/design.md reads it.
-package sched
+package scheduler
 
 import (
 	"cmp"
