--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/glentiller/glentiller/internal/control"
+	"github.com/glentiller/glentiller/internal/reconciler"
 )
 
 // Client asks a controller's operators' interface.
@@ -85,8 +85,8 @@
 }
 
 // Explain has the leader say why a job's tasks wait.
-func (c *Client) Explain(id string) (*control.Explanation, error) {
-	e := &control.Explanation{}
+func (c *Client) Explain(id string) (*reconciler.Explanation, error) {
+	e := &reconciler.Explanation{}
 	return e, c.get(JobsPath+id+explainEnd, nil, e)
 }
 
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -7,11 +7,11 @@
 
 	"github.com/glentiller/glentiller/internal/admin"
 	"github.com/glentiller/glentiller/internal/autoscaler"
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/courier"
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/featuregate"
 	"github.com/glentiller/glentiller/internal/ledger"
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/route"
 	"github.com/glentiller/glentiller/internal/scheduler"
 	"github.com/glentiller/glentiller/internal/staleness"
@@ -25,14 +25,14 @@
 }
 
 // Control puts together what the core of a leader works by.
-func Control(p *Platform, o *Operator) control.Settings {
+func Control(p *Platform, o *Operator) reconciler.Settings {
 	d := &p.Deployment
 	silent := o.Workers.SilentAfter.D()
 	if silent == 0 {
 		// Three reports missed, and time for one try at another controller.
 		silent = Seconds(3*d.Workers.Report) + time.Second
 	}
-	return control.Settings{
+	return reconciler.Settings{
 		Member: p.Member, Teams: p.Teams(), Aims: aims(d.Objectives),
 		Report: Seconds(d.Workers.Report), Lease: Seconds(d.Workers.Lease), GangWait: Seconds(d.Workers.GangWait),
 		GangPeer: Seconds(d.Workers.GangPeer), Cancel: Seconds(d.Workers.Cancel), ListLag: Seconds(d.Cloud.ListLag),
@@ -50,7 +50,7 @@
 }
 
 // Accounting puts together what the accounting goes by; nil: no ledger is kept.
-func Accounting(p *Platform, o *Operator) *control.Ledger {
+func Accounting(p *Platform, o *Operator) *reconciler.Ledger {
 	if o.Ledger == nil {
 		return nil
 	}
@@ -61,7 +61,7 @@
 	limits := p.StateLimits()
 	most := min(int(limits.ValueKB*1024), mostPage)
 	teams := p.Teams()
-	l := &control.Ledger{FairShare: o.FairShare != nil, Weights: map[string]float64{},
+	l := &reconciler.Ledger{FairShare: o.FairShare != nil, Weights: map[string]float64{},
 		Settings: ledger.Settings{Half: share.HalfLife.D(), Weights: ledger.Weights{GPU: share.GPUWeight, Mem: share.MemWeight}, Most: most,
 			Keep: ledger.Retention{Hours: o.Ledger.KeepHours.D(), Days: o.Ledger.KeepDays.D()}, Seal: ledger.NewSeal(o.Ledger.Key),
 			// Every team's account is one change. Guards against settlements that
@@ -185,10 +185,10 @@
 const promiseSlack = 3 * time.Second
 
 // aims sorts out which objectives the order of waiting work depends on.
-func aims(objectives []Objective) map[string][]control.Aim {
-	out := map[string][]control.Aim{}
+func aims(objectives []Objective) map[string][]reconciler.Aim {
+	out := map[string][]reconciler.Aim{}
 	for _, o := range objectives {
-		var a control.Aim
+		var a reconciler.Aim
 		switch o.Kind {
 		case "wait":
 			a.Start = Seconds(o.Within)
@@ -197,7 +197,7 @@
 		case "deadline":
 			a.Times = o.Times
 		}
-		if o.Class != "" && a != (control.Aim{}) {
+		if o.Class != "" && a != (reconciler.Aim{}) {
 			out[o.Class] = append(out[o.Class], a)
 		}
 	}
--- a/internal/fake/fleet_test.go
+++ b/internal/fake/fleet_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/reconciler"
 )
 
 // fleet is a deployment of many machines whose leader knows them all, each with four tasks.
@@ -35,7 +35,7 @@
 			k := w.Workers["n-000001"]
 			b.ReportAllocs()
 			for b.Loop() {
-				l.Core.Step(w.now, control.ReportIn{Report: k.report()})
+				l.Core.Step(w.now, reconciler.ReportIn{Report: k.report()})
 			}
 		})
 	}
@@ -57,10 +57,10 @@
 		}
 		b.StartTimer()
 		for i, name := range w.Names() {
-			l.Core.Step(w.now, control.ReportIn{Report: w.Workers[name].report()})
+			l.Core.Step(w.now, reconciler.ReportIn{Report: w.Workers[name].report()})
 			if i%200 == 199 {
 				w.now = w.now.Add(100 * time.Millisecond)
-				l.Core.Step(w.now, control.Tick{})
+				l.Core.Step(w.now, reconciler.Tick{})
 			}
 		}
 	}
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -13,10 +13,10 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/rpc"
 	"github.com/glentiller/glentiller/internal/staleness"
 	"github.com/glentiller/glentiller/internal/store"
@@ -59,7 +59,7 @@
 	Again  []Again         // direct commands that were answered, and may be repeated
 	Hold   bool            // hold direct commands back and give their senders up
 	Way    func() Fate     // what becomes of the next direct command; nil: it is answered
-	ledger *control.Ledger
+	ledger *reconciler.Ledger
 
 	Looks       bool          // users ask everywhere about a job as a transaction changes its record
 	Unread      bool          // members answer from what they have read last: shows that checks can fail
@@ -101,7 +101,7 @@
 type Controller struct {
 	w      *World
 	Member string
-	set    control.Settings
+	set    reconciler.Settings
 	esets  election.Settings
 	log    *slog.Logger
 	Up     bool
@@ -117,7 +117,7 @@
 	State  *store.Client
 	Jobs   *store.Jobs
 	Elect  *election.Machine
-	Core   *control.Core
+	Core   *reconciler.Core
 	book   *staleness.Book // nil: it has no core
 	toldBy map[string]store.Told
 	token  uint64
@@ -196,7 +196,7 @@
 }
 
 // NewWorld makes a deployment with n controllers, which work by the settings.
-func NewWorld(n int, set control.Settings, el election.Settings, limits store.Limits, log *slog.Logger) *World {
+func NewWorld(n int, set reconciler.Settings, el election.Settings, limits store.Limits, log *slog.Logger) *World {
 	w := &World{Workers: map[string]*Worker{}, ToldBy: map[string]string{}, Teams: map[string]model.Team{},
 		Limits: limits, Keep: 1000, ledger: set.Ledger}
 	w.Site = newSite(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), w.gang)
@@ -488,8 +488,8 @@
 		return verdict{}, false
 	}
 	v, ok := verdict{token: c.token}, true
-	for _, e := range c.act(control.ReportIn{Report: r, Handed: handed}) {
-		if a, is := e.(control.Answer); is {
+	for _, e := range c.act(reconciler.ReportIn{Report: r, Handed: handed}) {
+		if a, is := e.(reconciler.Answer); is {
 			v.orders, ok = a.Orders, !a.Refused
 		}
 	}
@@ -539,7 +539,7 @@
 			c.Core.Resume(c.w.now)
 		}
 		c.Core.Still(!c.w.now.Before(c.Elect.StartsUntil()) || !c.w.now.Before(c.book.Since().Add(c.w.Bound.Start)))
-		c.act(control.Tick{})
+		c.act(reconciler.Tick{})
 		if c.Core.Deaf(c.w.now) {
 			c.election(election.Resign{})
 		}
@@ -694,36 +694,36 @@
 		return
 	}
 	c.Jobs.Snapshot(snap)
-	c.Core = control.New(c.w.now, c.set, c.token, snap, c.w.Types, c.log)
+	c.Core = reconciler.New(c.w.now, c.set, c.token, snap, c.w.Types, c.log)
 	c.changes = nil
 	c.book = staleness.New(c.esets.Others, c.Jobs.AsOf())
 }
 
 // act hands an event to the core and carries out the effects.
-func (c *Controller) act(ev control.Event) []control.Effect {
+func (c *Controller) act(ev reconciler.Event) []reconciler.Effect {
 	if c.Core == nil {
 		return nil
 	}
 	if c.w.Observer != nil {
 		switch ev := ev.(type) {
-		case control.ReportIn:
+		case reconciler.ReportIn:
 			c.w.Observer.Taken(c, c.token, ev.Report)
-		case control.CommandBack:
+		case reconciler.CommandBack:
 			if ev.Report != nil {
 				c.w.Observer.Taken(c, c.token, ev.Report)
 			}
 		}
 	}
-	effects := append([]control.Effect(nil), c.Core.Step(c.w.now, ev)...)
+	effects := append([]reconciler.Effect(nil), c.Core.Step(c.w.now, ev)...)
 	core := c.Core
-	back := func(ev control.Event) {
+	back := func(ev reconciler.Event) {
 		f := func() {
 			if c.Core == core {
 				c.act(ev)
 			}
 		}
 		switch ev.(type) {
-		case control.SaveBack, control.FenceBack:
+		case reconciler.SaveBack, reconciler.FenceBack:
 			c.replied(f)
 		default:
 			c.later = append(c.later, f)
@@ -735,21 +735,21 @@
 	return effects
 }
 
-func (c *Controller) perform(e control.Effect, back func(control.Event)) {
+func (c *Controller) perform(e reconciler.Effect, back func(reconciler.Event)) {
 	w, token := c.w, c.token
 	switch e := e.(type) {
-	case control.Command:
+	case reconciler.Command:
 		w.Commands++
-		ev := control.CommandBack{Machine: e.Machine, Session: e.Session, Orders: e.Orders, Outcome: control.Unknown}
+		ev := reconciler.CommandBack{Machine: e.Machine, Session: e.Session, Orders: e.Orders, Outcome: reconciler.Unknown}
 		k := w.Workers[e.Machine]
-		deliver := func() (control.Outcome, *model.Report) {
+		deliver := func() (reconciler.Outcome, *model.Report) {
 			if k == nil || w.Workers[e.Machine] != k { // a later life knows nothing of its connections
-				return control.Unknown, nil
+				return reconciler.Unknown, nil
 			}
 			if !k.Command(token, e.Session, e.Orders) {
-				return control.Refused, k.report()
+				return reconciler.Refused, k.report()
 			}
-			return control.OK, k.report()
+			return reconciler.OK, k.report()
 		}
 		fate := Answered
 		if w.Way != nil {
@@ -766,86 +766,86 @@
 				w.Again = append(w.Again[max(0, len(w.Again)-w.Copies):], Again{w.now, func() { deliver() }})
 			}
 			if ev.Outcome, ev.Report = deliver(); fate == Unanswered {
-				ev.Outcome, ev.Report = control.Unknown, nil
+				ev.Outcome, ev.Report = reconciler.Unknown, nil
 			}
 		}
 		back(ev)
-	case control.Rent:
+	case reconciler.Rent:
 		if w.full {
-			back(control.RentBack{Rental: e.Rental, Outcome: control.Refused})
+			back(reconciler.RentBack{Rental: e.Rental, Outcome: reconciler.Refused})
 			return
 		}
 		names, ok := w.Rent(w.now, e.Rental)
 		if !ok {
-			back(control.RentBack{Rental: e.Rental, Outcome: control.Refused})
+			back(reconciler.RentBack{Rental: e.Rental, Outcome: reconciler.Refused})
 			return
 		}
 		if w.CloudMute {
-			back(control.RentBack{Rental: e.Rental, Outcome: control.Unknown})
+			back(reconciler.RentBack{Rental: e.Rental, Outcome: reconciler.Unknown})
 		} else {
-			back(control.RentBack{Rental: e.Rental, Outcome: control.OK, Machines: names})
+			back(reconciler.RentBack{Rental: e.Rental, Outcome: reconciler.OK, Machines: names})
 		}
-	case control.Return:
+	case reconciler.Return:
 		w.Returns++
 		w.queue = append(w.queue, func() {
 			for _, n := range e.Machines {
 				delete(w.Workers, n)
 				w.Forget(n)
 			}
-			back(control.ReturnBack{Machines: e.Machines, Outcome: control.OK})
+			back(reconciler.ReturnBack{Machines: e.Machines, Outcome: reconciler.OK})
 		})
 		w.drain()
-	case control.List:
+	case reconciler.List:
 		var list []model.Listed
 		for _, n := range w.Names() {
 			k := w.Workers[n]
 			list = append(list, model.Listed{Machine: n, Addr: n, Type: k.Type, Zone: k.Zone, Spot: k.Spot})
 		}
-		back(control.ListIn{Machines: list, Asked: w.now})
-	case control.Catalog:
-		back(control.CatalogIn{Types: w.Types})
-	case control.LookUp:
-		back(control.EndsIn{Ends: c.Jobs.Ends(context.Background(), e.IDs)})
-	case control.Commit:
+		back(reconciler.ListIn{Machines: list, Asked: w.now})
+	case reconciler.Catalog:
+		back(reconciler.CatalogIn{Types: w.Types})
+	case reconciler.LookUp:
+		back(reconciler.EndsIn{Ends: c.Jobs.Ends(context.Background(), e.IDs)})
+	case reconciler.Commit:
 		rev, ok, err := c.State.Save(context.Background(), c.ver, e.Saves)
-		ev := control.SaveBack{Saves: e.Saves, Outcome: control.OK, Version: rev}
+		ev := reconciler.SaveBack{Saves: e.Saves, Outcome: reconciler.OK, Version: rev}
 		switch {
 		case errors.Is(err, store.ErrRejected):
-			ev.Outcome = control.Rejected
+			ev.Outcome = reconciler.Rejected
 			w.Rejected = append(w.Rejected, store.Keys(e.Saves)...)
 		case errors.Is(err, store.ErrNotExecuted):
-			ev.Outcome = control.NotSent
+			ev.Outcome = reconciler.NotSent
 		case err != nil:
-			ev.Outcome = control.Unknown
+			ev.Outcome = reconciler.Unknown
 		case !ok:
-			ev.Outcome = control.Refused
+			ev.Outcome = reconciler.Refused
 			if last, err := c.State.StillLast(context.Background(), c.ver); err == nil && !last {
 				c.election(election.Fenced{Token: token})
 			}
 		}
 		back(ev)
-	case control.Fence:
+	case reconciler.Fence:
 		v, ok, err := c.State.Rewrite(context.Background(), c.Member, token, c.ver)
 		switch {
 		case err != nil:
-			back(control.FenceBack{Outcome: control.Unknown})
+			back(reconciler.FenceBack{Outcome: reconciler.Unknown})
 		case !ok:
 			c.election(election.Fenced{Token: token})
 		default:
 			c.ver = v
 			c.election(election.Rewritten{Token: token, Version: v})
-			back(control.FenceBack{Outcome: control.OK})
+			back(reconciler.FenceBack{Outcome: reconciler.OK})
 		}
-	case control.ReadAccounts:
-		ev := control.AccountsIn{Accounts: map[string]ledger.OnRecord{}}
+	case reconciler.ReadAccounts:
+		ev := reconciler.AccountsIn{Accounts: map[string]ledger.OnRecord{}}
 		for _, team := range e.Teams {
 			if r, err := c.State.Account(context.Background(), team); err == nil {
 				ev.Accounts[team] = r
 			}
 		}
 		back(ev)
-	case control.ReadPages:
-		pages, _, _ := c.State.Pages(context.Background(), e.Team, 0, control.OldestPages) // none: looked for again later
-		back(control.PagesIn{Team: e.Team, Pages: pages})
+	case reconciler.ReadPages:
+		pages, _, _ := c.State.Pages(context.Background(), e.Team, 0, reconciler.OldestPages) // none: looked for again later
+		back(reconciler.PagesIn{Team: e.Team, Pages: pages})
 	}
 }
--- a/internal/node/courier.go
+++ b/internal/node/courier.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/glentiller/glentiller/internal/config"
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/courier"
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/wire"
 )
@@ -275,7 +275,7 @@
 			if err != nil {
 				return nil // its worker is answered by nobody; the others are
 			}
-			if v := n.report(ctx, control.ReportIn{Report: r, Handed: true}); v.Act && v.Valid() {
+			if v := n.report(ctx, reconciler.ReportIn{Report: r, Handed: true}); v.Act && v.Valid() {
 				answers[i] = wire.AppendReportAnswer(nil, v.Token, v.Orders)
 			}
 			return nil
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -5,17 +5,17 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/connquota"
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/store"
 )
 
 // The leading core's effects, and the changes and answers that are handed back to it.
 
 // step hands an event to the core, if this controller may act.
-func (n *Node) step(now time.Time, ev control.Event) []control.Effect {
+func (n *Node) step(now time.Time, ev reconciler.Event) []reconciler.Effect {
 	if n.core == nil {
 		return nil
 	}
@@ -28,7 +28,7 @@
 }
 
 // back hands the answer to an effect to the core of the same leadership.
-func (n *Node) back(term uint64, ev control.Event) {
+func (n *Node) back(term uint64, ev reconciler.Event) {
 	n.post(func(now time.Time) {
 		if n.term == term {
 			n.step(now, ev)
@@ -38,70 +38,70 @@
 
 // perform carries out one effect. Whoever needs the right to act has it checked
 // right before the request leaves.
-func (n *Node) perform(now time.Time, e control.Effect) {
+func (n *Node) perform(now time.Time, e reconciler.Effect) {
 	term, r := n.term, n.right.Load()
 	if r == nil {
 		return
 	}
 	may := func() bool { cur := n.right.Load(); return cur != nil && cur.token == r.token && cur.holds() }
 	switch e := e.(type) {
-	case control.Command:
+	case reconciler.Command:
 		orders := append([]model.Order(nil), e.Orders...)
 		n.spawn(func() {
-			ev := control.CommandBack{Machine: e.Machine, Session: e.Session, Orders: orders, Outcome: control.NotSent}
+			ev := reconciler.CommandBack{Machine: e.Machine, Session: e.Session, Orders: orders, Outcome: reconciler.NotSent}
 			if may() {
 				reply := n.workers.Commands(e.Addr, r.token, e.Session, orders, e.Urgent)
 				ev.Report = reply.Report
 				switch {
 				case reply.Executed:
-					ev.Outcome = control.OK
+					ev.Outcome = reconciler.OK
 				case errors.Is(reply.Err, connquota.ErrFull):
 					// Nothing is known of the machine.
 				case reply.NotSent:
-					ev.Outcome = control.Refused
+					ev.Outcome = reconciler.Refused
 				default:
-					ev.Outcome = control.Unknown
+					ev.Outcome = reconciler.Unknown
 				}
 			}
 			n.back(term, ev)
 		})
-	case control.Rent:
+	case reconciler.Rent:
 		n.spawn(func() {
-			ev := control.RentBack{Rental: e.Rental, Outcome: control.Unknown}
+			ev := reconciler.RentBack{Rental: e.Rental, Outcome: reconciler.Unknown}
 			if n.cloud.Wait(n.ctx) == nil && may() && n.mayRent() {
 				names, full, err := n.cloud.Rent(e.Rental)
 				switch {
 				case full:
-					ev.Outcome = control.Refused
+					ev.Outcome = reconciler.Refused
 				case err == nil:
-					ev.Outcome, ev.Machines = control.OK, names
+					ev.Outcome, ev.Machines = reconciler.OK, names
 				default:
 					n.log.Debug("rental not answered", "request", e.Rental.Name, "err", err)
 				}
 			}
 			n.back(term, ev)
 		})
-	case control.Return:
+	case reconciler.Return:
 		names := append([]string(nil), e.Machines...)
 		n.spawn(func() {
-			ev := control.ReturnBack{Machines: names, Outcome: control.Unknown}
+			ev := reconciler.ReturnBack{Machines: names, Outcome: reconciler.Unknown}
 			if n.cloud.Wait(n.ctx) == nil && may() && n.mayRent() {
 				if err := n.cloud.Return(names); err == nil {
-					ev.Outcome = control.OK
+					ev.Outcome = reconciler.OK
 				}
 			}
 			n.back(term, ev)
 		})
-	case control.List:
+	case reconciler.List:
 		n.spawn(func() {
 			asked := time.Now()
 			list, err := n.cloud.List(n.ctx)
 			if err != nil {
 				n.log.Debug("machine list", "err", err)
 			}
-			n.back(term, control.ListIn{Machines: list, Asked: asked})
+			n.back(term, reconciler.ListIn{Machines: list, Asked: asked})
 		})
-	case control.Catalog:
+	case reconciler.Catalog:
 		n.spawn(func() {
 			types, err := n.cloud.Catalog(n.ctx)
 			if err != nil {
@@ -109,40 +109,40 @@
 			} else {
 				n.types.Store(&types)
 			}
-			n.back(term, control.CatalogIn{Types: types})
+			n.back(term, reconciler.CatalogIn{Types: types})
 		})
-	case control.LookUp:
-		n.spawn(func() { n.back(term, control.EndsIn{Ends: n.jobs.Ends(n.ctx, e.IDs)}) })
-	case control.Commit:
-		saves := append([]control.Save(nil), e.Saves...)
+	case reconciler.LookUp:
+		n.spawn(func() { n.back(term, reconciler.EndsIn{Ends: n.jobs.Ends(n.ctx, e.IDs)}) })
+	case reconciler.Commit:
+		saves := append([]reconciler.Save(nil), e.Saves...)
 		n.spawn(func() {
-			ev := control.SaveBack{Saves: saves, Outcome: control.OK}
+			ev := reconciler.SaveBack{Saves: saves, Outcome: reconciler.OK}
 			rev, ok, err := n.state.Save(n.ctx, r.version, saves)
 			ev.Version = rev
 			switch {
 			case errors.Is(err, store.ErrRejected):
-				ev.Outcome = control.Rejected
+				ev.Outcome = reconciler.Rejected
 				n.log.Error("the state service rejects records", "keys", store.Keys(saves), "err", err)
 			case errors.Is(err, store.ErrNotExecuted):
-				ev.Outcome = control.NotSent
+				ev.Outcome = reconciler.NotSent
 			case err != nil:
-				ev.Outcome = control.Unknown
+				ev.Outcome = reconciler.Unknown
 			case !ok:
-				ev.Outcome = control.Refused
+				ev.Outcome = reconciler.Refused
 				if last, err := n.state.StillLast(n.ctx, r.version); err != nil {
-					ev.Outcome = control.Unknown
+					ev.Outcome = reconciler.Unknown
 				} else if !last {
 					n.election(election.Fenced{Token: r.token})
 				}
 			}
 			n.back(term, ev)
 		})
-	case control.Fence:
+	case reconciler.Fence:
 		n.spawn(func() {
 			v, ok, err := n.state.Rewrite(n.ctx, n.plat.Member, r.token, r.version)
 			if err != nil {
 				n.log.Debug("fence", "err", err)
-				n.back(term, control.FenceBack{Outcome: control.Unknown})
+				n.back(term, reconciler.FenceBack{Outcome: reconciler.Unknown})
 				return
 			}
 			if !ok {
@@ -153,13 +153,13 @@
 			n.post(func(now time.Time) {
 				if n.term == term {
 					n.elected(now, n.elect.Step(now, election.Rewritten{Token: r.token, Version: v}))
-					n.step(now, control.FenceBack{Outcome: control.OK})
+					n.step(now, reconciler.FenceBack{Outcome: reconciler.OK})
 				}
 			})
 		})
-	case control.ReadAccounts:
+	case reconciler.ReadAccounts:
 		n.spawn(func() {
-			ev := control.AccountsIn{Accounts: map[string]ledger.OnRecord{}}
+			ev := reconciler.AccountsIn{Accounts: map[string]ledger.OnRecord{}}
 			for _, team := range e.Teams {
 				if r, err := n.state.Account(n.ctx, team); err == nil {
 					ev.Accounts[team] = r
@@ -169,13 +169,13 @@
 			}
 			n.back(term, ev)
 		})
-	case control.ReadPages:
+	case reconciler.ReadPages:
 		n.spawn(func() {
-			pages, _, err := n.state.Pages(n.ctx, e.Team, 0, control.OldestPages)
+			pages, _, err := n.state.Pages(n.ctx, e.Team, 0, reconciler.OldestPages)
 			if err != nil {
 				n.log.Debug("closed pages", "team", e.Team, "err", err)
 			}
-			n.back(term, control.PagesIn{Team: e.Team, Pages: pages})
+			n.back(term, reconciler.PagesIn{Team: e.Team, Pages: pages})
 		})
 	}
 }
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -6,8 +6,8 @@
 	"errors"
 	"time"
 
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/peer/peerpb"
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -43,7 +43,7 @@
 	}
 	a, _ := inLoop(ctx, n.inbox, func(now time.Time) *peerpb.AskAnswer {
 		a := &peerpb.AskAnswer{}
-		var e *control.Explanation
+		var e *reconciler.Explanation
 		if n.core != nil && ctx.Err() == nil {
 			a.Act, e = true, n.core.Explain(now, id)
 		}
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/election"
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/store"
 )
 
@@ -117,7 +117,7 @@
 func (n *Node) takeOver(term uint64, e election.Elected) {
 	n.spawn(func() {
 		for n.ctx.Err() == nil {
-			var snap *control.Snapshot
+			var snap *reconciler.Snapshot
 			err := n.jobs.Refresh(n.ctx)
 			if err == nil {
 				snap, err = n.state.Records(n.ctx, n.set.Ledger != nil)
@@ -128,7 +128,7 @@
 					if n.term == term {
 						// Read in the loop: no change of a job can come in between.
 						n.jobs.Snapshot(snap)
-						n.core = control.New(now, n.set, e.Token, snap, n.Types(), n.log)
+						n.core = reconciler.New(now, n.set, e.Token, snap, n.Types(), n.log)
 						n.informed(now)
 					}
 					started <- true
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/election"
+	"github.com/glentiller/glentiller/internal/reconciler"
 )
 
 // The loop: one goroutine that owns the cores, what reaches it, and in which order it takes that.
@@ -43,7 +43,7 @@
 		if n.core != nil && n.right.Load().holds() {
 			n.core.Still(!n.right.Load().mayStart(now))
 			n.hold("pass", func(now time.Time) {
-				n.step(now, control.Tick{})
+				n.step(now, reconciler.Tick{})
 				if took := time.Since(now); n.core != nil && n.core.Took(took) && took > longPass {
 					n.log.Debug("long pass", "took", took)
 				}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -20,11 +20,11 @@
 	"github.com/glentiller/glentiller/internal/cloud"
 	"github.com/glentiller/glentiller/internal/config"
 	"github.com/glentiller/glentiller/internal/connquota"
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/httpapi"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/peer"
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/route"
 	"github.com/glentiller/glentiller/internal/staleness"
 	"github.com/glentiller/glentiller/internal/store"
@@ -36,7 +36,7 @@
 	version string
 	plat    *config.Platform
 	oper    *config.Operator
-	set     control.Settings
+	set     reconciler.Settings
 	log     *slog.Logger
 
 	state    *store.Client
@@ -63,10 +63,10 @@
 
 	// Owned by the loop.
 	elect *election.Machine
-	core  *control.Core
+	core  *reconciler.Core
 	term  uint64 // counts the leaderships of this process; effects of an earlier one are void
 	held  holds
-	event control.Event // that the core took last
+	event reconciler.Event // that the core took last
 	// What it knows of cancellations as leader; nil: its core is not there yet.
 	book   *staleness.Book
 	bound  staleness.Bound
@@ -279,10 +279,10 @@
 
 // Report hands a worker's report to the core.
 func (n *Node) Report(ctx context.Context, r *model.Report) httpapi.Verdict {
-	return n.report(ctx, control.ReportIn{Report: r})
+	return n.report(ctx, reconciler.ReportIn{Report: r})
 }
 
-func (n *Node) report(ctx context.Context, r control.ReportIn) httpapi.Verdict {
+func (n *Node) report(ctx context.Context, r reconciler.ReportIn) httpapi.Verdict {
 	leader := ""
 	if p := n.leader.Load(); p != nil {
 		leader = *p
@@ -302,7 +302,7 @@
 			return r != nil && r.token == cur.token && r.holds()
 		}}
 		for _, e := range n.step(now, r) {
-			if a, ok := e.(control.Answer); ok {
+			if a, ok := e.(reconciler.Answer); ok {
 				if v.Orders = a.Orders; a.Refused {
 					v.Valid = never
 				}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/peer/peerpb"
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/wire"
 )
@@ -139,7 +139,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayWait)
 	defer cancel()
-	v := h.n.report(ctx, control.ReportIn{Report: r, Handed: true})
+	v := h.n.report(ctx, reconciler.ReportIn{Report: r, Handed: true})
 	if !v.Act || !v.Valid() {
 		return &peerpb.RelayAnswer{Leader: v.Leader}
 	}
--- a/internal/control/events.go
+++ b/internal/reconciler/events.go
@@ -1,8 +1,8 @@
-// Package control is the core of a leading controller. It holds the picture of
+// Package reconciler is the core of a leading controller. It holds the picture of
 // jobs and machines, takes events and gives effects. It does no input or
 // output, starts no goroutine and reads no clock; all of that is in package
 // node.
-package control
+package reconciler
 
 import (
 	"time"
--- a/internal/control/rules.go
+++ b/internal/reconciler/rules.go
@@ -1,4 +1,4 @@
-package control
+package reconciler
 
 import (
 	"github.com/glentiller/glentiller/internal/constraint"
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -12,12 +12,12 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/featuregate"
 	"github.com/glentiller/glentiller/internal/golden"
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/rpc"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/wire"
@@ -82,7 +82,7 @@
 		return store.NewJobs(c, 7, 100, store.Limits{Value: 2048, Ops: 4}, func([]store.JobChange) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}
 	ctx := context.Background()
-	commit := func(saves ...control.Save) func(c *store.Client) error {
+	commit := func(saves ...reconciler.Save) func(c *store.Client) error {
 		return func(c *store.Client) error {
 			_, _, err := c.Save(ctx, 12, saves)
 			return err
@@ -92,20 +92,20 @@
 		name string
 		call func(c *store.Client) error
 	}{
-		{"machine", commit(control.Save{Kind: control.SaveMachine, Machine: machine}, control.Save{Kind: control.DropMachine, Machine: machine})},
+		{"machine", commit(reconciler.Save{Kind: reconciler.SaveMachine, Machine: machine}, reconciler.Save{Kind: reconciler.DropMachine, Machine: machine})},
 		{"finished-tasks", commit(
-			control.Save{Kind: control.SaveTasks, Job: "wk-000412", Chunk: model.Chunk{N: 6}, Bits: []byte{0xff, 0x5a}},
-			control.Save{Kind: control.SaveTasks, Job: "wk-000412", Chunk: model.Chunk{Span: true, N: 2048}, Bits: []byte{0xff, 0x5a}},
-			control.Save{Kind: control.DropTasks, Job: "wk-000412", Chunk: model.Chunk{N: 6}},
-			control.Save{Kind: control.DropTasks, Job: "wk-000412", Chunk: model.Chunk{Span: true, N: 2048}})},
-		{"layout", commit(control.Save{Kind: control.SaveLayout, Tasks: 16384})},
-		{"gpu-request", commit(control.Save{Kind: control.SaveNeed, Need: model.Resources{CPU: 8, GPU: 0.5, MemGB: 1e8}})},
-		{"job-done", commit(control.Save{Kind: control.EndJob, Job: "wk-000412", Version: 3, Tasks: 16, At: at})},
-		{"job-doomed", commit(control.Save{Kind: control.EndDoomed, Job: "wk-000412", Version: 3, Tasks: 16, At: at})},
-		{"awaits-dropped", commit(control.Save{Kind: control.DropAwaits, Job: "wk-000412", Key: "job/w/wk-000412/ff/0"})},
-		{"ledger-settled", commit(control.Save{Kind: control.SaveUse, Use: &ledger.Settlement{Version: 5, Open: open, Closed: &page}})},
-		{"ledger-unaccounted", commit(control.Save{Kind: control.SaveStretch, Stretch: &interval})},
-		{"ledger-folded", commit(control.Save{Kind: control.FoldUse, Fold: &control.Fold{
+			reconciler.Save{Kind: reconciler.SaveTasks, Job: "wk-000412", Chunk: model.Chunk{N: 6}, Bits: []byte{0xff, 0x5a}},
+			reconciler.Save{Kind: reconciler.SaveTasks, Job: "wk-000412", Chunk: model.Chunk{Span: true, N: 2048}, Bits: []byte{0xff, 0x5a}},
+			reconciler.Save{Kind: reconciler.DropTasks, Job: "wk-000412", Chunk: model.Chunk{N: 6}},
+			reconciler.Save{Kind: reconciler.DropTasks, Job: "wk-000412", Chunk: model.Chunk{Span: true, N: 2048}})},
+		{"layout", commit(reconciler.Save{Kind: reconciler.SaveLayout, Tasks: 16384})},
+		{"gpu-request", commit(reconciler.Save{Kind: reconciler.SaveNeed, Need: model.Resources{CPU: 8, GPU: 0.5, MemGB: 1e8}})},
+		{"job-done", commit(reconciler.Save{Kind: reconciler.EndJob, Job: "wk-000412", Version: 3, Tasks: 16, At: at})},
+		{"job-doomed", commit(reconciler.Save{Kind: reconciler.EndDoomed, Job: "wk-000412", Version: 3, Tasks: 16, At: at})},
+		{"awaits-dropped", commit(reconciler.Save{Kind: reconciler.DropAwaits, Job: "wk-000412", Key: "job/w/wk-000412/ff/0"})},
+		{"ledger-settled", commit(reconciler.Save{Kind: reconciler.SaveUse, Use: &ledger.Settlement{Version: 5, Open: open, Closed: &page}})},
+		{"ledger-unaccounted", commit(reconciler.Save{Kind: reconciler.SaveStretch, Stretch: &interval})},
+		{"ledger-folded", commit(reconciler.Save{Kind: reconciler.FoldUse, Fold: &reconciler.Fold{
 			From: []ledger.Stored{{Page: page, Version: 5}, {Page: next, Version: 6}}, Into: &into}})},
 		{"ledger-read", func(c *store.Client) error {
 			_, err := c.Accounts(ctx)
--- a/internal/store/jobs.go
+++ b/internal/store/jobs.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -45,13 +45,13 @@
 }
 
 // Added tells the core of an unfinished job.
-func (v JobView) Added() control.JobAdded {
-	return control.JobAdded{Spec: v.Spec, At: v.At, Version: v.Version, Parts: v.Parts}
+func (v JobView) Added() reconciler.JobAdded {
+	return reconciler.JobAdded{Spec: v.Spec, At: v.At, Version: v.Version, Parts: v.Parts}
 }
 
 // Ended tells the core of a job that is over.
-func (v JobView) Ended(id string) control.JobEnded {
-	e := control.JobEnded{ID: id, End: v.State.End()}
+func (v JobView) Ended(id string) reconciler.JobEnded {
+	e := reconciler.JobEnded{ID: id, End: v.State.End()}
 	if e.End != model.EndUnknown {
 		e.At = v.At
 	}
@@ -472,7 +472,7 @@
 // Event tells the core of a change. What counts is the view as it is now: a job that
 // has ended since must not come up again. One that the view has let go of meanwhile
 // had ended.
-func (j *Jobs) Event(ch JobChange) control.Event {
+func (j *Jobs) Event(ch JobChange) reconciler.Event {
 	v := j.Peek(ch.ID)
 	switch {
 	case v.Spec != nil:
@@ -484,7 +484,7 @@
 }
 
 // Snapshot adds to what a new leader reads all unfinished jobs, as of now.
-func (j *Jobs) Snapshot(snap *control.Snapshot) {
+func (j *Jobs) Snapshot(snap *reconciler.Snapshot) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	snap.Revision = j.rev
@@ -496,14 +496,14 @@
 	for key := range j.parts {
 		id, _, _ := strings.Cut(key[len(partPrefix):], "/")
 		if _, ok := j.active[id]; !ok {
-			snap.Strays = append(snap.Strays, control.Save{Kind: control.DropAwaits, Job: id, Key: key})
+			snap.Strays = append(snap.Strays, reconciler.Save{Kind: reconciler.DropAwaits, Job: id, Key: key})
 		}
 	}
 }
 
 // Ends tells how jobs have ended, of those where that can be found out.
-func (j *Jobs) Ends(ctx context.Context, ids []string) []control.JobEnded {
-	var out []control.JobEnded
+func (j *Jobs) Ends(ctx context.Context, ids []string) []reconciler.JobEnded {
+	var out []reconciler.JobEnded
 	for _, id := range ids {
 		v := j.Peek(id)
 		if !v.State.Ended() {
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -8,10 +8,10 @@
 	"strings"
 	"time"
 
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/featuregate"
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -130,8 +130,8 @@
 
 // Records reads what a new leader needs besides the jobs; with the teams' accounts,
 // which are as many as the teams however old the ledger is.
-func (c *Client) Records(ctx context.Context, accounts bool) (snap *control.Snapshot, err error) {
-	snap = &control.Snapshot{Done: map[string]map[model.Chunk][]byte{}}
+func (c *Client) Records(ctx context.Context, accounts bool) (snap *reconciler.Snapshot, err error) {
+	snap = &reconciler.Snapshot{Done: map[string]map[model.Chunk][]byte{}}
 	if accounts {
 		if snap.Accounts, err = c.Accounts(ctx); err != nil {
 			return nil, err
@@ -193,32 +193,32 @@
 // Save carries out a leader's saves in one transaction under the condition that
 // its token is still the last one. Without an error and with ok false a
 // condition has failed. rev is the version of all that it has written.
-func (c *Client) Save(ctx context.Context, tokenVersion uint64, saves []control.Save) (rev uint64, ok bool, err error) {
+func (c *Client) Save(ctx context.Context, tokenVersion uint64, saves []reconciler.Save) (rev uint64, ok bool, err error) {
 	t := &wire.Txn{If: []wire.Cond{{Key: tokenKey, Version: tokenVersion}}}
 	for _, s := range saves {
 		key := saveKey(s)
 		switch s.Kind {
-		case control.SaveMachine:
+		case reconciler.SaveMachine:
 			t.Then = append(t.Then, wire.Change{Key: key, Value: wire.AppendMachine(nil, s.Machine)})
-		case control.DropMachine:
+		case reconciler.DropMachine:
 			t.Then = append(t.Then, wire.Change{Key: key})
-		case control.SaveTasks:
+		case reconciler.SaveTasks:
 			t.Then = append(t.Then, wire.Change{Key: key, Value: wire.AppendTasksDone(nil, s.Bits)})
-		case control.DropTasks:
+		case reconciler.DropTasks:
 			t.Then = append(t.Then, wire.Change{Key: key})
-		case control.SaveLayout:
+		case reconciler.SaveLayout:
 			t.Then = append(t.Then, wire.Change{Key: key, Value: wire.AppendLayout(nil, s.Tasks)})
-		case control.SaveNeed:
+		case reconciler.SaveNeed:
 			t.Then = append(t.Then, wire.Change{Key: key, Value: wire.AppendNeed(nil, s.Need)})
-		case control.EndJob, control.EndDoomed:
+		case reconciler.EndJob, reconciler.EndDoomed:
 			end := wire.StateDone
-			if s.Kind == control.EndDoomed {
+			if s.Kind == reconciler.EndDoomed {
 				end = wire.StateCancelled
 			}
 			t.If = append(t.If, wire.Cond{Key: activePrefix + s.Job, Version: s.Version}, wire.Cond{Key: key})
 			t.Then = append(t.Then, wire.Change{Key: activePrefix + s.Job},
 				wire.Change{Key: key, Value: wire.AppendEnded(nil, end, s.Tasks, s.At)})
-		case control.DropAwaits:
+		case reconciler.DropAwaits:
 			// Never of an unfinished job: it may have been accepted since.
 			t.If = append(t.If, wire.Cond{Key: activePrefix + s.Job})
 			t.Then = append(t.Then, wire.Change{Key: key})
@@ -230,36 +230,36 @@
 }
 
 // saveKey names the record that a save is about.
-func saveKey(s control.Save) string {
+func saveKey(s reconciler.Save) string {
 	switch s.Kind {
-	case control.SaveMachine, control.DropMachine:
+	case reconciler.SaveMachine, reconciler.DropMachine:
 		return machinePrefix + s.Machine.Machine
-	case control.SaveTasks, control.DropTasks:
+	case reconciler.SaveTasks, reconciler.DropTasks:
 		prefix := tasksPrefix
 		if s.Chunk.Span {
 			prefix = spanPrefix
 		}
 		return prefix + s.Job + "/" + strconv.Itoa(s.Chunk.N)
-	case control.SaveLayout:
+	case reconciler.SaveLayout:
 		return layoutKey
-	case control.SaveNeed:
+	case reconciler.SaveNeed:
 		return fmt.Sprintf("%s%g-%g-%g", needPrefix, s.Need.CPU, s.Need.GPU, s.Need.MemGB)
-	case control.EndJob, control.EndDoomed:
+	case reconciler.EndJob, reconciler.EndDoomed:
 		return endedPrefix + s.Job
-	case control.DropAwaits:
+	case reconciler.DropAwaits:
 		return s.Key
-	case control.SaveUse:
+	case reconciler.SaveUse:
 		return accountPrefix + teamKey(s.Use.Open.Team)
-	case control.SaveStretch:
+	case reconciler.SaveStretch:
 		return stretchPrefix + number(s.Stretch.Token)
-	case control.FoldUse:
+	case reconciler.FoldUse:
 		return pageKey(s.Fold.Into.Team, s.Fold.Into.First)
 	}
 	return ""
 }
 
 // Keys names the records that saves are about, for the log.
-func Keys(saves []control.Save) []string {
+func Keys(saves []reconciler.Save) []string {
 	var out []string
 	for _, s := range saves {
 		out = append(out, saveKey(s))
--- a/internal/store/ledger.go
+++ b/internal/store/ledger.go
@@ -9,8 +9,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/glentiller/glentiller/internal/control"
 	"github.com/glentiller/glentiller/internal/ledger"
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -44,9 +44,9 @@
 
 // useTxn adds a save of the ledger to a transaction. Each goes under a condition of its
 // own, so that no copy of it is carried out twice: docs/safety.md, "Ledger".
-func useTxn(t *wire.Txn, s control.Save) {
+func useTxn(t *wire.Txn, s reconciler.Save) {
 	switch s.Kind {
-	case control.SaveUse:
+	case reconciler.SaveUse:
 		o := &s.Use.Open
 		t.If = append(t.If, wire.Cond{Key: saveKey(s), Version: s.Use.Version})
 		t.Then = append(t.Then, wire.Change{Key: saveKey(s), Value: wire.AppendOpenPage(nil, o)})
@@ -55,9 +55,9 @@
 			t.If = append(t.If, wire.Cond{Key: key})
 			t.Then = append(t.Then, wire.Change{Key: key, Value: wire.AppendPage(nil, p)})
 		}
-	case control.SaveStretch:
+	case reconciler.SaveStretch:
 		t.Then = append(t.Then, wire.Change{Key: saveKey(s), Value: wire.AppendStretch(nil, *s.Stretch)})
-	case control.FoldUse:
+	case reconciler.FoldUse:
 		for i := range s.Fold.From {
 			p := &s.Fold.From[i]
 			t.If = append(t.If, wire.Cond{Key: pageKey(p.Team, p.First), Version: p.Version})
