--- a/cmd/glentiller/main.go
+++ b/cmd/glentiller/main.go
@@ -18,7 +18,7 @@
 
 	_ "github.com/glentiller/glentiller/internal/cgo"
 	"github.com/glentiller/glentiller/internal/config"
-	"github.com/glentiller/glentiller/internal/node"
+	"github.com/glentiller/glentiller/internal/controller"
 )
 
 // version is set when a release is built.
@@ -82,7 +82,7 @@
 		}
 		defer done()
 	}
-	return node.New(p, o, version, log).Run(ctx)
+	return controller.New(p, o, version, log).Run(ctx)
 }
 
 // profile writes a profile of the processor's time to a file, until the context ends: what comes after that are
--- a/internal/node/alone.go
+++ b/internal/controller/alone.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
--- a/internal/node/node.go
+++ b/internal/controller/node.go
@@ -1,7 +1,7 @@
-// Package node is a controller: it puts sockets, timers and clients round the
+// Package controller is a controller: it puts sockets, timers and clients round the
 // cores of election and control. One goroutine owns both cores; everything else
 // reaches them through its inbox.
-package node
+package controller
 
 import (
 	"context"
