--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -10,7 +10,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"github.com/glentiller/glentiller/internal/rehearse/electionplay"
+	"github.com/glentiller/glentiller/internal/rehearse/electionsim"
 	"github.com/glentiller/glentiller/internal/rehearse/ledgerweek"
 	"github.com/glentiller/glentiller/internal/rehearse/troubles"
 )
@@ -63,7 +63,7 @@
 
 // Run plays every course and tells what was found.
 func (c *electionCmd) Run() error {
-	r, err := electionplay.Play(electionplay.Settings{Members: c.Members, Seconds: c.Seconds, Faults: c.Faults, Most: c.Most, Break: electionplay.Break(c.Break), Levels: c.Levels, Blink: c.Blink})
+	r, err := electionsim.Play(electionsim.Settings{Members: c.Members, Seconds: c.Seconds, Faults: c.Faults, Most: c.Most, Break: electionsim.Break(c.Break), Levels: c.Levels, Blink: c.Blink})
 	if err != nil {
 		return err
 	}
--- a/internal/rehearse/electionplay/play.go
+++ b/internal/rehearse/electionsim/play.go
@@ -1,7 +1,7 @@
-// Package electionplay plays the election's own code through every course that some troubles can
+// Package electionsim plays the election's own code through every course that some troubles can
 // take, in steps of a second, and says where two members may act at once or one with a token of
 // old.
-package electionplay
+package electionsim
 
 import (
 	"encoding/binary"
--- a/internal/rehearse/electionplay/play_test.go
+++ b/internal/rehearse/electionsim/play_test.go
@@ -1,4 +1,4 @@
-package electionplay
+package electionsim
 
 import "testing"
 
