--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -11,7 +11,7 @@
 	"github.com/alecthomas/kong"
 
 	"github.com/glentiller/glentiller/internal/rehearse/electionsim"
-	"github.com/glentiller/glentiller/internal/rehearse/ledgerweek"
+	"github.com/glentiller/glentiller/internal/rehearse/ledgersim"
 	"github.com/glentiller/glentiller/internal/rehearse/troubles"
 )
 
@@ -29,7 +29,7 @@
 	if c.Days < 1 || c.Days > 366 {
 		return errors.New("--days: from 1 to 366")
 	}
-	r := ledgerweek.Play(c.Days, c.Seed, func(day int) {
+	r := ledgersim.Play(c.Days, c.Seed, func(day int) {
 		if !c.JSON {
 			fmt.Fprintf(os.Stderr, "day %d of %d\n", day, c.Days)
 		}
--- a/internal/rehearse/ledgerweek/golden_test.go
+++ b/internal/rehearse/ledgersim/golden_test.go
@@ -1,4 +1,4 @@
-package ledgerweek
+package ledgersim
 
 import (
 	"testing"
--- a/internal/rehearse/ledgerweek/week.go
+++ b/internal/rehearse/ledgersim/week.go
@@ -1,9 +1,9 @@
-// Package ledgerweek rehearses the ledger: it plays a week of synthetic submissions in
+// Package ledgersim rehearses the ledger: it plays a week of synthetic submissions in
 // simulated time on the in-memory stand-ins, with leaders and all controllers killed,
 // outages of the state service, late transactions, lost answers, a controller of a version
 // without a ledger and clocks that jump, and compares the ledger with the account that the
 // stand-ins keep by themselves. One seed plays one week.
-package ledgerweek
+package ledgersim
 
 import (
 	"context"
