--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -11,8 +11,8 @@
 	"github.com/alecthomas/kong"
 
 	"github.com/glentiller/glentiller/internal/rehearse/electionsim"
+	"github.com/glentiller/glentiller/internal/rehearse/faults"
 	"github.com/glentiller/glentiller/internal/rehearse/ledgersim"
-	"github.com/glentiller/glentiller/internal/rehearse/troubles"
 )
 
 type ledgerCmd struct {
@@ -88,10 +88,10 @@
 
 // Run plays and tells what was found.
 func (c *troublesCmd) Run() error {
-	return c.play("runs", func() *troubles.Result { return troubles.Play(c.Machines, c.Runs, c.Seed, c.AtOnce) })
+	return c.play("runs", func() *faults.Result { return faults.Play(c.Machines, c.Runs, c.Seed, c.AtOnce) })
 }
 
-func (c *troublesCmd) play(what string, play func() *troubles.Result) error {
+func (c *troublesCmd) play(what string, play func() *faults.Result) error {
 	if c.Machines < 10 || c.Machines > 2000 || c.Runs < 1 || c.AtOnce < 1 {
 		return errors.New("--machines: from 10 to 2000; --runs, --at-once: from 1 on")
 	}
@@ -115,8 +115,8 @@
 
 // Run plays and tells what was found.
 func (c *meetingsCmd) Run() error {
-	return c.play("runs", func() *troubles.Result {
-		return troubles.Meet(c.Machines, c.Runs, c.Seed, c.AtOnce, troubles.Break(c.Break))
+	return c.play("runs", func() *faults.Result {
+		return faults.Meet(c.Machines, c.Runs, c.Seed, c.AtOnce, faults.Break(c.Break))
 	})
 }
 
--- a/internal/rehearse/troubles/play.go
+++ b/internal/rehearse/faults/play.go
@@ -1,8 +1,8 @@
-// Package troubles rehearses what the operators fear of machines and members together, on the
+// Package faults rehearses what the operators fear of machines and members together, on the
 // in-memory stand-ins in simulated time: machines that are heard and do not hear, copies of reports
 // that come late, members cut off from all but the workers, and members and machines that are back
 // at once. One seed draws one run; the rules are checked all along.
-package troubles
+package faults
 
 import (
 	"cmp"
--- a/internal/rehearse/troubles/play_test.go
+++ b/internal/rehearse/faults/play_test.go
@@ -1,4 +1,4 @@
-package troubles
+package faults
 
 import "testing"
 
