--- a/cmd/rehearse/capacity.go
+++ b/cmd/rehearse/capacity.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"github.com/glentiller/glentiller/internal/rehearse/capacity"
+	"github.com/glentiller/glentiller/internal/clustersim/capacity"
 )
 
 type capacityCmd struct {
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -10,9 +10,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"github.com/glentiller/glentiller/internal/rehearse/electionsim"
-	"github.com/glentiller/glentiller/internal/rehearse/faults"
-	"github.com/glentiller/glentiller/internal/rehearse/ledgersim"
+	"github.com/glentiller/glentiller/internal/clustersim/electionsim"
+	"github.com/glentiller/glentiller/internal/clustersim/faults"
+	"github.com/glentiller/glentiller/internal/clustersim/ledgersim"
 )
 
 type ledgerCmd struct {
--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -9,7 +9,7 @@
 	"os/signal"
 	"syscall"
 
-	"github.com/glentiller/glentiller/internal/rehearse/scale"
+	"github.com/glentiller/glentiller/internal/clustersim/scale"
 )
 
 type scaleCmd struct {
--- a/internal/rehearse/capacity/capacity.go
+++ b/internal/clustersim/capacity/capacity.go
@@ -14,7 +14,7 @@
 
 	"gonum.org/v1/gonum/mat"
 
-	"github.com/glentiller/glentiller/internal/rehearse/scale"
+	"github.com/glentiller/glentiller/internal/clustersim/scale"
 )
 
 // Load is what a quantity may grow with.
--- a/internal/rehearse/capacity/capacity_test.go
+++ b/internal/clustersim/capacity/capacity_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"github.com/glentiller/glentiller/internal/rehearse/scale"
+	"github.com/glentiller/glentiller/internal/clustersim/scale"
 )
 
 func TestALineIsFoundAgain(t *testing.T) {
--- a/internal/rehearse/capacity/quantities.go
+++ b/internal/clustersim/capacity/quantities.go
@@ -1,6 +1,6 @@
 package capacity
 
-import "github.com/glentiller/glentiller/internal/rehearse/scale"
+import "github.com/glentiller/glentiller/internal/clustersim/scale"
 
 // Quantities are the rows of the table.
 func Quantities() []Quantity {
