--- a/cmd/glentiller/constraints.go
+++ b/cmd/glentiller/constraints.go
@@ -91,8 +91,8 @@
 		return errors.New("--rows: from 1 on")
 	}
 	shape := map[string]model.Shape{"array": model.Array, "ensemble": model.Gang, "daemon": model.Service}[c.Shape]
-	spec := &model.Spec{Shape: shape, Tasks: c.Rows, Need: model.Resources{CPU: c.Cores, GPU: c.Cards, MemGB: c.Memory}, Types: c.Breeds, Zone: c.Field,
-		Spot: !c.NoSpot, OneZone: c.OneZone, Spread: c.Scatter}
+	spec := &model.Spec{Shape: shape, Tasks: c.Rows, Demand: model.Resources{CPU: c.Cores, GPU: c.Cards, MemGB: c.Memory}, MachineTypes: c.Breeds, Zone: c.Field,
+		AllowSpot: !c.NoSpot, SingleZone: c.OneZone, Spread: c.Scatter}
 	set, err := constraint.Parse(c.Text)
 	if err != nil {
 		return err
--- a/cmd/glentiller/main.go
+++ b/cmd/glentiller/main.go
@@ -40,7 +40,7 @@
 			return nil, nil, err
 		}
 	}
-	if err := config.Agree(p, o); err != nil {
+	if err := config.CheckConsistency(p, o); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", f.Operator, err)
 	}
 	return p, o, nil
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -172,7 +172,7 @@
 
 // explain has the leader say why a job's tasks wait.
 func (s *Server) explain(ctx context.Context, id string) (any, error) {
-	if !model.JobIDValid(id) {
+	if !model.ValidJobID(id) {
 		return nil, fmt.Errorf("%w: %q is not the id of a job", errBad, id)
 	}
 	if err := s.wait(ctx); err != nil {
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -58,7 +58,7 @@
 func (c *Coming) room() model.Resources {
 	if !c.known {
 		c.known = true
-		if c.free = c.Type.Cap; c.Soon != nil {
+		if c.free = c.Type.Capacity; c.Soon != nil {
 			c.free = c.Soon()
 		}
 	}
@@ -74,13 +74,13 @@
 	if spot {
 		floor = time.Duration(float64(floor) * s.KeepSpot)
 	}
-	return empty > max(floor, time.Duration(s.KeepBoots*float64(t.Boot))) && age >= s.LeastPaid
+	return empty > max(floor, time.Duration(s.KeepBoots*float64(t.BootTime))) && age >= s.LeastPaid
 }
 
 // BootLimit is when a machine that has not come up is given up. Guards against machines of a
 // type without a stated boot time that are given up before any of them can come up, over and over.
 func (s *Settings) BootLimit(t *model.MachineType) time.Duration {
-	boot := t.Boot
+	boot := t.BootTime
 	if boot == 0 {
 		boot = unstatedBoot
 	}
@@ -130,7 +130,7 @@
 	for len(v.verdict) < len(v.kinds) {
 		k := v.kinds[len(v.verdict)]
 		spec := w.Job.Spec
-		v.verdict = append(v.verdict, !(w.Urgent() && k.up) && (spec.Spot || !k.spot) && spec.Need.Fits(k.of.Cap) && spec.AllowsType(k.of.Name) &&
+		v.verdict = append(v.verdict, !(w.Urgent() && k.up) && (spec.AllowSpot || !k.spot) && spec.Demand.Fits(k.of.Capacity) && spec.AllowsType(k.of.Name) &&
 			(spec.Zone == "" || spec.Zone == k.zone) && !v.keeps(w.Job, k.of, k.spot) && w.Rules.Offer(k.of, k.zone, k.spot))
 	}
 	return v.verdict[c.kind]
@@ -140,13 +140,13 @@
 // machine is filled with tasks like it. Machines that GPU work needs are not
 // rented for anything else.
 func (v *View) price(j *model.Job, t *model.MachineType, spot bool) (float64, int) {
-	n := j.Spec.Need.CountIn(t.Cap)
+	n := j.Spec.Demand.FitCount(t.Capacity)
 	if n == 0 || v.keeps(j, t, spot) {
 		return 0, 0
 	}
-	p := t.Price
+	p := t.PricePerHour
 	if spot {
-		p = t.SpotPrice
+		p = t.SpotPricePerHour
 	}
 	return p / float64(n), n
 }
@@ -188,7 +188,7 @@
 			}
 			per = min(per, l.Want.PerMachine())
 			t := typeOf(v.Types, best.Type)
-			c := &Coming{Type: t, Zone: best.Zone, Spot: best.Spot, free: t.Cap, known: true}
+			c := &Coming{Type: t, Zone: best.Zone, Spot: best.Spot, free: t.Capacity, known: true}
 			v.number(c)
 			v.Coming = append(v.Coming, c)
 			v.Count[best.Zone]++
@@ -197,7 +197,7 @@
 				if l.Want.ZoneFull(zones, best.Zone) {
 					break
 				}
-				c.free = c.free.Sub(spec.Need)
+				c.free = c.free.Sub(spec.Demand)
 				zones[best.Zone]++
 				n--
 			}
@@ -244,7 +244,7 @@
 			c.by, c.of = w, 0
 		}
 		c.of++
-		c.free = c.free.Sub(spec.Need)
+		c.free = c.free.Sub(spec.Demand)
 		zones[c.Zone]++
 		return i
 	}
@@ -269,14 +269,14 @@
 
 func kindOf(w *scheduler.Want) kind {
 	s := w.Job.Spec
-	return kind{w.Urgent(), s.Spot, s.Need.GPU > 0, w.Job.GPUToo, s.Zone, strings.Join(s.Types, " ")}
+	return kind{w.Urgent(), s.AllowSpot, s.Demand.GPU > 0, w.Job.MayUseGPUMachines, s.Zone, strings.Join(s.MachineTypes, " ")}
 }
 
 // from is where to begin to look for room.
 func (f fulls) from(w *scheduler.Want) int {
 	at := 0
 	for _, e := range f[kindOf(w)] {
-		if e.need.Fits(w.Job.Spec.Need) {
+		if e.need.Fits(w.Job.Spec.Demand) {
 			at = max(at, e.upTo)
 		}
 	}
@@ -290,7 +290,7 @@
 	if w.Rules != nil || w.Job.Spec.Spread || lock != "" || len(f[k]) >= mostFull {
 		return
 	}
-	f[k] = append(f[k], full{w.Job.Spec.Need, upTo})
+	f[k] = append(f[k], full{w.Job.Spec.Demand, upTo})
 }
 
 // mostFull bounds what is kept for tasks of one kind.
@@ -313,7 +313,7 @@
 			continue
 		}
 		for _, spot := range []bool{false, true} {
-			if spot && (!spec.Spot || t.SpotPrice <= 0) {
+			if spot && (!spec.AllowSpot || t.SpotPricePerHour <= 0) {
 				continue // a type without a spot price is not offered as one
 			}
 			p, per := v.price(w.Job, t, spot)
--- a/internal/autoscaler/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -10,25 +10,25 @@
 
 var types = []model.MachineType{
 	{
-		Name:      "small",
-		Cap:       model.Resources{CPU: 4, MemGB: 16},
-		Price:     0.2,
-		SpotPrice: 0.05,
-		Boot:      30 * time.Second,
-		Zones:     []string{"a", "b"},
+		Name:             "small",
+		Capacity:         model.Resources{CPU: 4, MemGB: 16},
+		PricePerHour:     0.2,
+		SpotPricePerHour: 0.05,
+		BootTime:         30 * time.Second,
+		Zones:            []string{"a", "b"},
 	},
 	{
-		Name:      "gpu",
-		Cap:       model.Resources{CPU: 96, GPU: 8, MemGB: 384},
-		Price:     28,
-		SpotPrice: 9,
-		Boot:      time.Minute,
-		Zones:     []string{"a"},
+		Name:             "gpu",
+		Capacity:         model.Resources{CPU: 96, GPU: 8, MemGB: 384},
+		PricePerHour:     28,
+		SpotPricePerHour: 9,
+		BootTime:         time.Minute,
+		Zones:            []string{"a"},
 	},
 }
 
 func lacking(n int, change func(*model.Spec)) []scheduler.Shortage {
-	s := &model.Spec{ID: "wk-000001", Class: "c", Tasks: n, Need: model.Resources{CPU: 2, MemGB: 6}, Shape: model.Array}
+	s := &model.Spec{ID: "wk-000001", Class: "c", Tasks: n, Demand: model.Resources{CPU: 2, MemGB: 6}, Shape: model.Array}
 	if change != nil {
 		change(s)
 	}
@@ -39,7 +39,7 @@
 
 func view() *View {
 	return &View{Types: types, Refused: map[Offer]time.Time{}, Count: map[string]int{},
-		ForGPU: func(t *model.MachineType, spot bool) bool { return t.Cap.GPU > 0 && !spot }}
+		ForGPU: func(t *model.MachineType, spot bool) bool { return t.Capacity.GPU > 0 && !spot }}
 }
 
 var set = &Settings{
@@ -72,7 +72,7 @@
 func TestWhatHasToBeInOneZoneIsRentedForInOne(t *testing.T) {
 	ask := func(v *View, held map[string]int) string {
 		t.Helper()
-		l := lacking(8, func(s *model.Spec) { s.Shape, s.OneZone = model.Gang, true })
+		l := lacking(8, func(s *model.Spec) { s.Shape, s.SingleZone = model.Gang, true })
 		l[0].Want.Count, l[0].Want.Zones = 8, held
 		zones := ""
 		for _, a := range Rent(set, time.Unix(100, 0), v, l) {
@@ -109,8 +109,8 @@
 // A type that says nothing of its boot time or has no spot price is still rented and waited for.
 func TestTypesThatLeaveThingsOut(t *testing.T) {
 	v := view()
-	v.Types = []model.MachineType{{Name: "own", Cap: model.Resources{CPU: 4, MemGB: 16}, Zones: []string{"a"}}}
-	asks := Rent(set, time.Unix(0, 0), v, lacking(1, func(s *model.Spec) { s.Spot = true }))
+	v.Types = []model.MachineType{{Name: "own", Capacity: model.Resources{CPU: 4, MemGB: 16}, Zones: []string{"a"}}}
+	asks := Rent(set, time.Unix(0, 0), v, lacking(1, func(s *model.Spec) { s.AllowSpot = true }))
 	if len(asks) != 1 || asks[0].Spot {
 		t.Errorf("asked for %v", asks)
 	}
@@ -120,7 +120,7 @@
 }
 
 func TestSpotOnlyForJobsThatAllowIt(t *testing.T) {
-	for _, a := range Rent(set, time.Unix(0, 0), view(), lacking(4, func(s *model.Spec) { s.Spot = true })) {
+	for _, a := range Rent(set, time.Unix(0, 0), view(), lacking(4, func(s *model.Spec) { s.AllowSpot = true })) {
 		if !a.Spot {
 			t.Errorf("a job that may use spot machines gets %v", a)
 		}
@@ -154,7 +154,7 @@
 	if asks := Rent(set, time.Unix(0, 0), v, limited); len(asks) != 0 {
 		t.Errorf("for work that its team's limit keeps back: asked for %v", asks)
 	}
-	if asks := Rent(set, time.Unix(0, 0), v, lacking(3, func(s *model.Spec) { s.Rank = model.Production })); len(
+	if asks := Rent(set, time.Unix(0, 0), v, lacking(3, func(s *model.Spec) { s.Priority = model.PriorityProduction })); len(
 		asks,
 	) != 1 {
 		t.Errorf("production does not wait for what may become free: asked for %v", asks)
--- a/internal/autoscaler/onezone.go
+++ b/internal/autoscaler/onezone.go
@@ -15,7 +15,7 @@
 // no zone ever holds all of it, and that go back idle to be rented again in the same way.
 func (v *View) lock(now time.Time, w *scheduler.Want) string {
 	spec := w.Job.Spec
-	if !spec.OneZone || spec.Zone != "" {
+	if !spec.SingleZone || spec.Zone != "" {
 		return ""
 	}
 	for z, n := range w.Zones {
@@ -84,7 +84,7 @@
 	n := 0
 	for _, c := range v.Coming {
 		if c.Zone == zone && v.takes(w, c) {
-			n += min(w.Job.Spec.Need.CountIn(c.room()), w.PerMachine())
+			n += min(w.Job.Spec.Demand.FitCount(c.room()), w.PerMachine())
 		}
 	}
 	return n
@@ -92,10 +92,10 @@
 
 // takes tells whether tasks of a want may go to what is coming, and one of them fits.
 func (v *View) takes(w *scheduler.Want, c *Coming) bool {
-	return v.may(w, c) && w.Job.Spec.Need.Fits(c.room())
+	return v.may(w, c) && w.Job.Spec.Demand.Fits(c.room())
 }
 
 // keeps tells whether a kind of machine is kept for GPU work, which a job is not.
 func (v *View) keeps(j *model.Job, t *model.MachineType, spot bool) bool {
-	return j.Spec.Need.GPU == 0 && !j.GPUToo && v.ForGPU(t, spot)
+	return j.Spec.Demand.GPU == 0 && !j.MayUseGPUMachines && v.ForGPU(t, spot)
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -17,32 +17,32 @@
 
 // Client talks to the cloud within a budget of requests.
 type Client struct {
-	c       *rpc.Client
-	budget  *rate.Limiter
+	rpc     *rpc.Client
+	limiter *rate.Limiter
 	timeout time.Duration
 }
 
 // New makes a client. The rate is this controller's share; connections are made under a
 // condition (rpc.New).
-func New(addr string, perSecond float64, timeout time.Duration, under func(rpc.Dial) rpc.Dial) *Client {
-	return &Client{c: rpc.New(addr, 8, under), budget: rate.NewLimiter(rate.Limit(perSecond), 1), timeout: timeout}
+func New(addr string, perSecond float64, timeout time.Duration, under func(rpc.DialFunc) rpc.DialFunc) *Client {
+	return &Client{rpc: rpc.New(addr, 8, under), limiter: rate.NewLimiter(rate.Limit(perSecond), 1), timeout: timeout}
 }
 
 // SetRate sets this controller's share of the published limit.
 func (c *Client) SetRate(perSecond float64) {
-	c.budget.SetLimit(rate.Limit(perSecond))
-	c.budget.SetBurst(max(1, int(perSecond)))
+	c.limiter.SetLimit(rate.Limit(perSecond))
+	c.limiter.SetBurst(max(1, int(perSecond)))
 }
 
 // Wait waits until a request is within the budget. Rent and Return do not wait
 // themselves: their caller checks its right to act in between.
-func (c *Client) Wait(ctx context.Context) error { return c.budget.Wait(ctx) }
+func (c *Client) Wait(ctx context.Context) error { return c.limiter.Wait(ctx) }
 
 func (c *Client) get(ctx context.Context, uri string) ([]byte, error) {
 	if err := c.Wait(ctx); err != nil {
 		return nil, err
 	}
-	return c.c.Call(fasthttp.MethodGet, uri, nil, c.timeout)
+	return c.rpc.Call(fasthttp.MethodGet, uri, nil, c.timeout)
 }
 
 // Catalog returns the machine types.
@@ -54,12 +54,12 @@
 	return wire.DecodeCatalog(out)
 }
 
-// Rent asks for machines. full tells that the cloud has answered that it has
+// Provision asks for machines. full tells that the cloud has answered that it has
 // none of this kind. Any error leaves the outcome open.
-func (c *Client) Rent(r model.Rental) (names []string, full bool, err error) {
-	out, err := c.c.Call(fasthttp.MethodPost, "/rentals", wire.AppendRent(nil, r), c.timeout)
+func (c *Client) Provision(r model.Provisioning) (names []string, full bool, err error) {
+	out, err := c.rpc.Call(fasthttp.MethodPost, "/rentals", wire.AppendProvisioning(nil, r), c.timeout)
 	if err != nil {
-		switch rpc.Status(err) {
+		switch rpc.StatusCode(err) {
 		case fasthttp.StatusBadRequest:
 			return nil, true, nil // it will never be taken
 		case fasthttp.StatusServiceUnavailable:
@@ -67,19 +67,19 @@
 		}
 		return nil, false, err
 	}
-	names, err = wire.DecodeMachines(out)
+	names, err = wire.DecodeMachineNames(out)
 	return names, false, err
 }
 
-// Return gives machines back. Without an error they are gone.
-func (c *Client) Return(names []string) error {
-	_, err := c.c.Call(fasthttp.MethodPost, "/rentals/return", wire.AppendMachines(nil, names), c.timeout)
+// Release gives machines back. Without an error they are gone.
+func (c *Client) Release(names []string) error {
+	_, err := c.rpc.Call(fasthttp.MethodPost, "/rentals/return", wire.AppendMachineNames(nil, names), c.timeout)
 	return err
 }
 
-// List returns all rented machines, as of some time ago.
-func (c *Client) List(ctx context.Context) ([]model.Listed, error) {
-	var all []model.Listed
+// ListMachines returns all rented machines, as of some time ago.
+func (c *Client) ListMachines(ctx context.Context) ([]model.MachineInfo, error) {
+	var all []model.MachineInfo
 	after := ""
 	for {
 		uri := "/rentals?page=500"
@@ -90,7 +90,7 @@
 		if err != nil {
 			return nil, err
 		}
-		page, more, err := wire.DecodeList(out)
+		page, more, err := wire.DecodeMachineList(out)
 		if err != nil {
 			return nil, err
 		}
@@ -98,6 +98,6 @@
 		if !more || len(page) == 0 {
 			return all, nil
 		}
-		after = page[len(page)-1].Machine
+		after = page[len(page)-1].Name
 	}
 }
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -31,16 +31,16 @@
 	}))
 	defer s.Close()
 	c := New(s.Listener.Addr().String(), 1e6, 5*time.Second, nil)
-	if _, err := c.List(context.Background()); err == nil {
+	if _, err := c.ListMachines(context.Background()); err == nil {
 		t.Error("the second page was refused, and the list is taken as whole")
 	}
 	if _, err := c.Catalog(context.Background()); err == nil {
 		t.Error("a list of machines is taken as a catalogue")
 	}
-	if _, _, err := c.Rent(model.Rental{Name: "h-1", Type: "g8", Zone: "a", Spot: true, Count: 50}); err == nil {
+	if _, _, err := c.Provision(model.Provisioning{Name: "h-1", Type: "g8", Zone: "a", Spot: true, Count: 50}); err == nil {
 		t.Error("a list of machines is taken as a list of names")
 	}
-	if err := c.Return([]string{"n-000231", "n-000232"}); err != nil {
+	if err := c.Release([]string{"n-000231", "n-000232"}); err != nil {
 		t.Error(err)
 	}
 	golden.Check(t, "requests.txt", []byte(requests.String()))
--- a/internal/clustersim/faults/meet.go
+++ b/internal/clustersim/faults/meet.go
@@ -73,18 +73,18 @@
 
 // submit plans the submission of a job.
 func (r *run) submit(i, machines int) {
-	s := &model.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "few", Team: [...]string{"red", "blue"}[r.IntN(2)], Shape: model.Array, Rank: model.Normal, Tasks: 2 + r.IntN(2),
-		Need: model.Resources{CPU: 2, MemGB: 4}, Image: "img", ImageGB: 1, Estimate: 40 * second, Spot: true}
+	s := &model.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "few", Team: [...]string{"red", "blue"}[r.IntN(2)], Shape: model.Array, Priority: model.PriorityNormal, Tasks: 2 + r.IntN(2),
+		Demand: model.Resources{CPU: 2, MemGB: 4}, Image: "img", ImageGB: 1, EstimatedRunTime: 40 * second, AllowSpot: true}
 	switch r.IntN(5) {
 	case 0:
 		s.Class, s.Tasks = "arrays", 1+r.IntN(max(machines/3, 2))
 		if r.IntN(2) == 0 {
-			s.Checkpoint, s.Save = 10*second, 4*second
+			s.CheckpointInterval, s.CheckpointTime = 10*second, 4*second
 		}
 	case 1:
 		s.Class, s.Shape, s.Tasks = "gangs", model.Gang, 2+r.IntN(3)
 	case 2:
-		s.Class, s.Shape, s.Rank, s.Spread = "services", model.Service, model.Production, true
+		s.Class, s.Shape, s.Priority, s.Spread = "services", model.Service, model.PriorityProduction, true
 	}
 	var try func()
 	try = func() {
--- a/internal/clustersim/faults/play.go
+++ b/internal/clustersim/faults/play.go
@@ -136,17 +136,17 @@
 	d.Workers.Report, d.Workers.Lease, d.Workers.GangWait, d.Workers.GangPeer, d.Workers.Cancel = 2.5, 14, 35, 5, 34
 	d.State.ValueKB, d.State.TxnOps, d.Cloud.ListLag = 8, 12, 6
 	o := config.Defaults()
-	o.Scheduler.BeginWithin = config.Duration(240 * second)
-	o.Promises = &config.Promises{Outage: config.Duration(10 * second)}
-	set, el := config.Control(p, o), config.Election(p, o)
+	o.Scheduler.StarvationBound = config.Duration(240 * second)
+	o.Votes = &config.Votes{Outage: config.Duration(10 * second)}
+	set, el := config.ReconcilerSettings(p, o), config.ElectionSettings(p, o)
 	cpus := 8 * float64(machines)
-	set.Teams = []model.Team{{Name: "red", Guarantee: model.Resources{CPU: cpus / 4}, Limit: model.LimitOf(cpus*3/4, 0)},
+	set.Teams = []model.Team{{Name: "red", Guarantee: model.Resources{CPU: cpus / 4}, Quota: model.NewQuota(cpus*3/4, 0)},
 		{Name: "blue", Guarantee: model.Resources{CPU: cpus / 4}}}
-	w := fake.NewWorld(members, set, el, config.Store(p), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	w := fake.NewWorld(members, set, el, config.StoreLimits(p), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	w.Tick, w.Fetch, w.Boot, w.Capacity, w.Copies = tick, second, 20*second, machines*5/4, 40*machines
-	w.Types = []model.MachineType{{Name: "eight", Cap: model.Resources{CPU: 8, MemGB: 64}, Price: 1, SpotPrice: 0.3, Boot: 20 * second, Zones: d.Zones}}
+	w.Types = []model.MachineType{{Name: "eight", Capacity: model.Resources{CPU: 8, MemGB: 64}, PricePerHour: 1, SpotPricePerHour: 0.3, BootTime: 20 * second, Zones: d.Zones}}
 	for i := range machines {
-		w.AddMachine(model.Listed{Machine: fmt.Sprintf("m-%06d", i), Type: "eight", Zone: d.Zones[i%2]})
+		w.AddMachine(model.MachineInfo{Name: fmt.Sprintf("m-%06d", i), Type: "eight", Zone: d.Zones[i%2]})
 	}
 	return w
 }
@@ -194,10 +194,10 @@
 	id := 0
 	submit := func(shape model.Shape, tasks int, class string) {
 		id++
-		s := &model.Spec{ID: fmt.Sprintf("wk-%06d", id), Class: class, Team: [...]string{"red", "blue"}[r.IntN(2)], Shape: shape, Rank: model.Normal, Tasks: tasks,
-			Need: model.Resources{CPU: 4, MemGB: 8}, Image: "img", ImageGB: 1, Estimate: 20 * second, Spot: true}
+		s := &model.Spec{ID: fmt.Sprintf("wk-%06d", id), Class: class, Team: [...]string{"red", "blue"}[r.IntN(2)], Shape: shape, Priority: model.PriorityNormal, Tasks: tasks,
+			Demand: model.Resources{CPU: 4, MemGB: 8}, Image: "img", ImageGB: 1, EstimatedRunTime: 20 * second, AllowSpot: true}
 		if shape == model.Service {
-			s.Rank, s.Spread = model.Production, true
+			s.Priority, s.Spread = model.PriorityProduction, true
 		}
 		r.in(r.some(troubled), func() {
 			for _, c := range r.Perm(len(w.Controllers)) {
--- a/internal/clustersim/ledgersim/audit.go
+++ b/internal/clustersim/ledgersim/audit.go
@@ -60,34 +60,34 @@
 
 // Taken: a leader takes a message. What the message before showed running, and this one
 // still shows, has run in between.
-func (a *audit) Taken(c *fake.Controller, token uint64, r *model.Report) {
+func (a *audit) Taken(c *fake.Controller, token uint64, r *model.Heartbeat) {
 	l := a.leaders[token]
 	if l == nil {
 		l = &heard{machines: map[string]*message{}, pending: map[string]Sum{}}
 		a.leaders[token] = l
 	}
 	last := l.machines[r.Machine]
-	if last != nil && (r.Session < last.session || r.Session == last.session && r.Seq <= last.seq) {
+	if last != nil && (r.Epoch < last.session || r.Epoch == last.session && r.Seq <= last.seq) {
 		return // overtaken on the way
 	}
-	next := &message{session: r.Session, seq: r.Seq, at: a.w.Now(), running: map[model.AttemptKey]bool{}}
+	next := &message{session: r.Epoch, seq: r.Seq, at: a.w.Now(), running: map[model.AttemptKey]bool{}}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		key := model.AttemptKey{Task: t.Task, Try: t.Try}
-		before := last != nil && last.session == r.Session && last.running[key]
+		key := model.AttemptKey{Task: t.Task, Number: t.Attempt}
+		before := last != nil && last.session == r.Epoch && last.running[key]
 		if before {
 			s := a.w.Specs[t.Task.Job]
 			p := l.pending[s.Team]
-			p.add(during(s.Need, next.at.Sub(last.at)))
+			p.add(during(s.Demand, next.at.Sub(last.at)))
 			l.pending[s.Team] = p
 		}
-		if t.Phase != model.Running && t.Phase != model.Saving {
+		if t.Phase != model.PhaseRunning && t.Phase != model.PhaseCheckpointing {
 			continue
 		}
 		// Of a job whose end a leader has read before it sees the attempt, it knows
 		// neither team nor request; that is not run time.
 		end, over := a.ended[t.Task.Job]
-		if before || triesOf(t.Try) == token || !over || end > c.Seen {
+		if before || triesOf(t.Attempt) == token || !over || end > c.Seen {
 			next.running[key] = true
 		}
 	}
--- a/internal/clustersim/ledgersim/week.go
+++ b/internal/clustersim/ledgersim/week.go
@@ -119,27 +119,27 @@
 
 // teams of the rehearsal: three with a guarantee, a guest, and one with GPUs.
 var teams = []model.Team{
-	{Name: "grading", Guarantee: model.Resources{CPU: 64}, Limit: model.LimitOf(160, 0)},
-	{Name: "content", Guarantee: model.Resources{CPU: 48}, Limit: model.LimitOf(128, 0)},
-	{Name: "ops", Guarantee: model.Resources{CPU: 32}, Limit: model.LimitOf(64, 0)},
-	{Name: "guest house", Limit: model.LimitOf(96, 0)},
-	{Name: "vision", Guarantee: model.Resources{CPU: 32, GPU: 8}, Limit: model.LimitOf(128, 16)},
+	{Name: "grading", Guarantee: model.Resources{CPU: 64}, Quota: model.NewQuota(160, 0)},
+	{Name: "content", Guarantee: model.Resources{CPU: 48}, Quota: model.NewQuota(128, 0)},
+	{Name: "ops", Guarantee: model.Resources{CPU: 32}, Quota: model.NewQuota(64, 0)},
+	{Name: "guest house", Quota: model.NewQuota(96, 0)},
+	{Name: "vision", Guarantee: model.Resources{CPU: 32, GPU: 8}, Quota: model.NewQuota(128, 16)},
 }
 
 // Play plays some days with a seed. progress, if not nil, is told after each day.
 func Play(days int, seed uint64, progress func(day int)) *Result {
 	p, o := platform(), config.Defaults()
-	o.Leadership.Lease, o.Leadership.Look = config.Duration(20*time.Second), config.Duration(10*time.Second)
-	o.Ledger = &config.Ledger{Settle: config.Duration(30 * time.Second), KeepHours: config.Duration(30 * time.Hour), KeepDays: config.Duration(80 * time.Hour)}
-	set := config.Control(p, o)
+	o.Leadership.Lease, o.Leadership.PollInterval = config.Duration(20*time.Second), config.Duration(10*time.Second)
+	o.Ledger = &config.Ledger{SettleInterval: config.Duration(30 * time.Second), KeepHours: config.Duration(30 * time.Hour), KeepDays: config.Duration(80 * time.Hour)}
+	set := config.ReconcilerSettings(p, o)
 	set.Teams = teams
 	quiet := slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError + 1}))
-	w := fake.NewWorld(3, set, config.Election(p, o), config.Store(p), quiet)
+	w := fake.NewWorld(3, set, config.ElectionSettings(p, o), config.StoreLimits(p), quiet)
 	w.Tick, w.Boot, w.Fetch = tick, 30*time.Second, 5*time.Second
 	w.State.MostValue, w.State.MostOps = int(p.Deployment.State.ValueKB*1024), p.Deployment.State.TxnOps
 	w.Types = []model.MachineType{
-		{Name: "eight", Cap: model.Resources{CPU: 8, MemGB: 64}, Price: 1, SpotPrice: 0.3, Boot: 30 * time.Second, Zones: []string{"a", "b"}},
-		{Name: "gpu", Cap: model.Resources{CPU: 32, GPU: 4, MemGB: 256}, Price: 9, SpotPrice: 3, Boot: 45 * time.Second, Zones: []string{"a", "b"}},
+		{Name: "eight", Capacity: model.Resources{CPU: 8, MemGB: 64}, PricePerHour: 1, SpotPricePerHour: 0.3, BootTime: 30 * time.Second, Zones: []string{"a", "b"}},
+		{Name: "gpu", Capacity: model.Resources{CPU: 32, GPU: 4, MemGB: 256}, PricePerHour: 9, SpotPricePerHour: 3, BootTime: 45 * time.Second, Zones: []string{"a", "b"}},
 	}
 	k := &week{w: w, rand: rand.New(rand.NewPCG(seed, 7)), fates: rand.New(rand.NewPCG(seed, 8)), seed: seed, res: &Result{Days: days, Seed: seed}, runs: map[string]time.Duration{}, set: p}
 	k.audit = newAudit(w)
@@ -186,8 +186,8 @@
 	var sum Sum
 	for _, m := range k.w.Workers {
 		for _, t := range m.Tasks {
-			if t.Phase == model.Running || t.Phase == model.Saving {
-				sum.add(during(t.Spec.Need, tick))
+			if t.Phase == model.PhaseRunning || t.Phase == model.PhaseCheckpointing {
+				sum.add(during(t.Spec.Demand, tick))
 			}
 		}
 	}
@@ -210,26 +210,26 @@
 	make        func(k *week, s *model.Spec) (run time.Duration)
 }{
 	{"marking", "grading", 26, func(k *week, s *model.Spec) time.Duration {
-		s.Tasks, s.Need = 2+k.rand.IntN(20), model.Resources{CPU: 4, MemGB: 18}
+		s.Tasks, s.Demand = 2+k.rand.IntN(20), model.Resources{CPU: 4, MemGB: 18}
 		s.Deadline = time.Hour
 		return k.between(30*time.Second, 12*time.Minute)
 	}},
 	{"lists", "content", 22, func(k *week, s *model.Spec) time.Duration {
-		s.Tasks, s.Need = 2+k.rand.IntN(16), model.Resources{CPU: 1.5, MemGB: 7.25}
-		s.Rank, s.Checkpoint, s.Save = model.Low, 30*time.Second, 3*time.Second
+		s.Tasks, s.Demand = 2+k.rand.IntN(16), model.Resources{CPU: 1.5, MemGB: 7.25}
+		s.Priority, s.CheckpointInterval, s.CheckpointTime = model.PriorityLow, 30*time.Second, 3*time.Second
 		return k.between(time.Minute, 25*time.Minute)
 	}},
 	{"serve", "ops", 4, func(k *week, s *model.Spec) time.Duration {
-		s.Shape, s.Tasks, s.Need, s.Rank, s.Estimate = model.Service, 1+k.rand.IntN(3), model.Resources{CPU: 2, MemGB: 8}, model.Production, 0
+		s.Shape, s.Tasks, s.Demand, s.Priority, s.EstimatedRunTime = model.Service, 1+k.rand.IntN(3), model.Resources{CPU: 2, MemGB: 8}, model.PriorityProduction, 0
 		return 0
 	}},
 	{"swarm", "guest house", 14, func(k *week, s *model.Spec) time.Duration {
-		s.Tasks, s.Need, s.Deadline = 4+k.rand.IntN(24), model.Resources{CPU: 0.5, MemGB: 1}, 10*time.Minute
+		s.Tasks, s.Demand, s.Deadline = 4+k.rand.IntN(24), model.Resources{CPU: 0.5, MemGB: 1}, 10*time.Minute
 		return k.between(10*time.Second, 5*time.Minute)
 	}},
 	{"train", "vision", 8, func(k *week, s *model.Spec) time.Duration {
-		s.Shape, s.Tasks, s.Need, s.Rank = model.Gang, 1+k.rand.IntN(3), model.Resources{CPU: 8, GPU: 2, MemGB: 60}, model.High
-		s.Checkpoint, s.Save = time.Minute, 5*time.Second
+		s.Shape, s.Tasks, s.Demand, s.Priority = model.Gang, 1+k.rand.IntN(3), model.Resources{CPU: 8, GPU: 2, MemGB: 60}, model.PriorityHigh
+		s.CheckpointInterval, s.CheckpointTime = time.Minute, 5*time.Second
 		return k.between(2*time.Minute, 40*time.Minute)
 	}},
 }
@@ -241,10 +241,10 @@
 		for range kind.perDay {
 			k.at(day, func() {
 				k.jobs++
-				s := &model.Spec{ID: fmt.Sprintf("wk-%06d", k.jobs), Class: kind.class, Team: kind.team, Shape: model.Array, Rank: model.Normal, Spot: true,
+				s := &model.Spec{ID: fmt.Sprintf("wk-%06d", k.jobs), Class: kind.class, Team: kind.team, Shape: model.Array, Priority: model.PriorityNormal, AllowSpot: true,
 					Image: kind.class, ImageGB: 1}
 				run := kind.make(k, s)
-				s.Estimate = run
+				s.EstimatedRunTime = run
 				k.runs[s.ID] = run
 				k.submit(s, 0)
 			})
@@ -406,7 +406,7 @@
 // carry has the state service carry a transaction out, whose sender does not learn of it.
 func (k *week) carry(body []byte) {
 	_, err := k.w.State.Call("POST", "/commit", body, time.Second)
-	if err != nil && rpc.Status(err) == 0 {
+	if err != nil && rpc.StatusCode(err) == 0 {
 		k.res.Broken = "the state service stand-in: " + err.Error()
 	}
 }
--- a/internal/clustersim/scale/codec.go
+++ b/internal/clustersim/scale/codec.go
@@ -14,37 +14,37 @@
 // The outside ends of the published interfaces, of which package wire has the controllers' ends.
 
 var phaseNames = map[model.Phase]string{
-	model.Fetching: "pulling",
-	model.Waiting:  "gathering",
-	model.Running:  "running",
-	model.Saving:   "saving",
-	model.Exited:   "exited",
+	model.PhaseFetching:      "pulling",
+	model.PhaseWaiting:       "gathering",
+	model.PhaseRunning:       "running",
+	model.PhaseCheckpointing: "saving",
+	model.PhaseExited:        "exited",
 }
 
-var causeNames = map[model.Cause]string{
-	model.CauseDone:    "done",
-	model.CauseStopped: "halted",
-	model.CausePeers:   "mates_gone",
-	model.CauseAlone:   "incomplete",
-	model.CauseError:   "error",
-	model.CauseNoRoom:  "no_room",
-	model.CauseBusy:    "busy",
-	model.CauseUnknown: "no_such",
+var causeNames = map[model.ExitCause]string{
+	model.CauseDone:            "done",
+	model.CauseStopped:         "halted",
+	model.CauseGangMemberLost:  "mates_gone",
+	model.CauseGangIncomplete:  "incomplete",
+	model.CauseError:           "error",
+	model.CauseNoCapacity:      "no_room",
+	model.CauseAttemptConflict: "busy",
+	model.CauseUnknownJob:      "no_such",
 }
 
 var verbs = map[string]model.Op{"launch": model.OpLaunch, "stop": model.OpStop, "forget": model.OpForget}
 
 // appendReport writes a worker's report.
-func appendReport(b []byte, r *model.Report) []byte {
+func appendReport(b []byte, r *model.Heartbeat) []byte {
 	b = msgp.AppendMapHeader(b, 9)
 	b = text(b, "tiller", r.Machine)
 	b = text(b, "addr", r.Addr)
 	b = text(b, "breed", r.Type)
 	b = text(b, "field", r.Zone)
 	b = msgp.AppendBool(msgp.AppendString(b, "loaners"), r.Spot)
-	b = number(b, "shift", r.Session)
+	b = number(b, "shift", r.Epoch)
 	b = number(b, "tick", r.Seq)
-	b = number(b, "baton", r.Token)
+	b = number(b, "baton", r.FencingToken)
 	b = msgp.AppendArrayHeader(msgp.AppendString(b, "rows"), uint32(len(r.Tasks)))
 	for _, t := range r.Tasks {
 		b = appendTask(b, &t)
@@ -52,18 +52,18 @@
 	return b
 }
 
-func appendTask(b []byte, t *model.TaskReport) []byte {
+func appendTask(b []byte, t *model.TaskStatus) []byte {
 	fields := uint32(3)
-	if t.Phase == model.Exited {
+	if t.Phase == model.PhaseExited {
 		fields = 5
 	}
 	b = msgp.AppendMapHeader(b, fields)
 	b = text(b, "row", wire.TaskName(t.Task))
-	b = number(b, "try", t.Try)
+	b = number(b, "try", t.Attempt)
 	b = text(b, "status", phaseNames[t.Phase])
-	if t.Phase == model.Exited {
+	if t.Phase == model.PhaseExited {
 		b = text(b, "cause", causeNames[t.Cause])
-		b = msgp.AppendBool(msgp.AppendString(b, "saved"), t.Saved)
+		b = msgp.AppendBool(msgp.AppendString(b, "saved"), t.Checkpointed)
 	}
 	return b
 }
@@ -83,7 +83,7 @@
 // message is an answer to a report, or direct commands.
 type message struct {
 	token, session uint64
-	orders         []model.Order
+	orders         []model.Command
 }
 
 var errForm = errors.New("not of the published form")
@@ -107,20 +107,20 @@
 	return out, nil
 }
 
-func decodeOrder(v any) (model.Order, error) {
+func decodeOrder(v any) (model.Command, error) {
 	m, _ := v.(map[string]any)
 	verb, _ := m["verb"].(string)
 	row, _ := m["row"].(string)
-	task, err := wire.ParseTask(row)
+	task, err := wire.ParseTaskName(row)
 	if verbs[verb] == 0 || err != nil {
-		return model.Order{}, errForm
+		return model.Command{}, errForm
 	}
 	grace, _ := m["windDownS"].(float64)
-	return model.Order{
-		Op:    verbs[verb],
-		Task:  task,
-		Try:   fake.Number(m["try"]),
-		Grace: time.Duration(grace * float64(time.Second)),
+	return model.Command{
+		Op:          verbs[verb],
+		Task:        task,
+		Attempt:     fake.Number(m["try"]),
+		GracePeriod: time.Duration(grace * float64(time.Second)),
 	}, nil
 }
 
@@ -156,14 +156,14 @@
 	for _, t := range types {
 		b = msgp.AppendMapHeader(b, 10)
 		b = text(b, "label", t.Name)
-		b = decimal(b, "cores", t.Cap.CPU)
-		b = decimal(b, "cards", t.Cap.GPU)
-		b = decimal(b, "memoryGb", t.Cap.MemGB)
+		b = decimal(b, "cores", t.Capacity.CPU)
+		b = decimal(b, "cards", t.Capacity.GPU)
+		b = decimal(b, "memoryGb", t.Capacity.MemGB)
 		b = decimal(b, "localGb", t.CacheGB)
 		b = decimal(b, "fetchGbPerS", t.FetchGBPerS)
-		b = decimal(b, "price", t.Price)
-		b = decimal(b, "lowPrice", t.SpotPrice)
-		b = decimal(b, "startupS", t.Boot.Seconds())
+		b = decimal(b, "price", t.PricePerHour)
+		b = decimal(b, "lowPrice", t.SpotPricePerHour)
+		b = decimal(b, "startupS", t.BootTime.Seconds())
 		b = msgp.AppendArrayHeader(msgp.AppendString(b, "fields"), uint32(len(t.Zones)))
 		for _, z := range t.Zones {
 			b = msgp.AppendString(b, z)
@@ -173,7 +173,7 @@
 }
 
 // appendList writes a page of the machine list.
-func appendList(b []byte, page []model.Listed, more bool) []byte {
+func appendList(b []byte, page []model.MachineInfo, more bool) []byte {
 	b = msgp.AppendMapHeader(b, 2)
 	b = msgp.AppendBool(msgp.AppendString(b, "more"), more)
 	b = msgp.AppendArrayHeader(msgp.AppendString(b, "tillers"), uint32(len(page)))
@@ -186,7 +186,7 @@
 			status = "failed"
 		}
 		b = msgp.AppendMapHeader(b, 7)
-		b = text(b, "ref", l.Machine)
+		b = text(b, "ref", l.Name)
 		b = text(b, "addr", l.Addr)
 		b = text(b, "breed", l.Type)
 		b = text(b, "field", l.Zone)
@@ -198,13 +198,13 @@
 }
 
 // decodeRental reads a request for machines.
-func decodeRental(b []byte) (model.Rental, error) {
+func decodeRental(b []byte) (model.Provisioning, error) {
 	v, _, err := msgp.ReadIntfBytes(b)
 	m, ok := v.(map[string]any)
 	if err != nil || !ok {
-		return model.Rental{}, errForm
+		return model.Provisioning{}, errForm
 	}
-	r := model.Rental{Count: int(fake.Number(m["number"]))}
+	r := model.Provisioning{Count: int(fake.Number(m["number"]))}
 	r.Name, _ = m["hire"].(string)
 	r.Type, _ = m["breed"].(string)
 	r.Zone, _ = m["field"].(string)
--- a/internal/clustersim/scale/codec_test.go
+++ b/internal/clustersim/scale/codec_test.go
@@ -12,27 +12,27 @@
 // What the stand-ins send is what they sent before, and what the controllers read.
 func TestMessagesOfStandInsKeepTheirBytes(t *testing.T) {
 	task := model.TaskID{Job: "wk-000412", Index: 3}
-	beat := &model.Report{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1 << 63, Seq: 88, Token: 41}
-	for phase := model.Fetching; phase < model.Exited; phase++ {
-		beat.Tasks = append(beat.Tasks, model.TaskReport{Task: task, Try: 2, Phase: phase})
+	beat := &model.Heartbeat{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Epoch: 1 << 63, Seq: 88, FencingToken: 41}
+	for phase := model.PhaseFetching; phase < model.PhaseExited; phase++ {
+		beat.Tasks = append(beat.Tasks, model.TaskStatus{Task: task, Attempt: 2, Phase: phase})
 	}
-	for cause := model.CauseDone; cause <= model.CauseUnknown; cause++ {
-		beat.Tasks = append(beat.Tasks, model.TaskReport{Task: task, Try: 3, Phase: model.Exited, Cause: cause, Saved: true})
+	for cause := model.CauseDone; cause <= model.CauseUnknownJob; cause++ {
+		beat.Tasks = append(beat.Tasks, model.TaskStatus{Task: task, Attempt: 3, Phase: model.PhaseExited, Cause: cause, Checkpointed: true})
 	}
-	types := []model.MachineType{{Name: "g8", Cap: model.Resources{CPU: 8, GPU: 1, MemGB: 64}, CacheGB: 100, FetchGBPerS: 0.25, Price: 3.5,
-		SpotPrice: 1.25, Boot: 42500 * time.Millisecond, Zones: []string{"a", "b"}}}
-	machines := []model.Listed{{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Age: 60500 * time.Millisecond},
-		{Machine: "n-000232", Booting: true}, {Machine: "n-000233", Failed: true}}
+	types := []model.MachineType{{Name: "g8", Capacity: model.Resources{CPU: 8, GPU: 1, MemGB: 64}, CacheGB: 100, FetchGBPerS: 0.25, PricePerHour: 3.5,
+		SpotPricePerHour: 1.25, BootTime: 42500 * time.Millisecond, Zones: []string{"a", "b"}}}
+	machines := []model.MachineInfo{{Name: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Age: 60500 * time.Millisecond},
+		{Name: "n-000232", Booting: true}, {Name: "n-000233", Failed: true}}
 	for _, c := range []struct {
 		name string
 		sent []byte
 		read func(b []byte) (any, error)
 		want any
 	}{
-		{"stand-in-heartbeat", appendReport(nil, beat), func(b []byte) (any, error) { return wire.DecodeReport(b) }, beat},
+		{"stand-in-heartbeat", appendReport(nil, beat), func(b []byte) (any, error) { return wire.DecodeHeartbeat(b) }, beat},
 		{"stand-in-catalog", appendCatalog(nil, types), func(b []byte) (any, error) { return wire.DecodeCatalog(b) }, types},
 		{"stand-in-machines", appendList(nil, machines, true), func(b []byte) (any, error) {
-			list, _, err := wire.DecodeList(b)
+			list, _, err := wire.DecodeMachineList(b)
 			return list, err
 		}, machines},
 	} {
@@ -49,15 +49,15 @@
 // What the controllers send is read by the stand-ins.
 func TestStandInsReadMessagesOfControllers(t *testing.T) {
 	task := model.TaskID{Job: "wk-000412", Index: 3}
-	commands := []model.Order{{Op: model.OpLaunch, Task: task, Try: 2}, {Op: model.OpStop, Task: task, Try: 3, Grace: 7500 * time.Millisecond},
-		{Op: model.OpForget, Task: task, Try: 4}}
+	commands := []model.Command{{Op: model.OpLaunch, Task: task, Attempt: 2}, {Op: model.OpStop, Task: task, Attempt: 3, GracePeriod: 7500 * time.Millisecond},
+		{Op: model.OpForget, Task: task, Attempt: 4}}
 	got, err := decodeMessage(wire.AppendCommands(nil, 41, 1<<63, commands))
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Equal(t, "commands", got, &message{token: 41, session: 1 << 63, orders: commands})
-	request := model.Rental{Name: "h-1", Type: "g8", Zone: "a", Spot: true, Count: 50}
-	read, err := decodeRental(wire.AppendRent(nil, request))
+	request := model.Provisioning{Name: "h-1", Type: "g8", Zone: "a", Spot: true, Count: 50}
+	read, err := decodeRental(wire.AppendProvisioning(nil, request))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 		t.Errorf("the leader of a 421: got %q, want tiller-1", got)
 	}
 	for state := wire.StateQueued; state <= wire.StateCancelled; state++ {
-		if got := decodeState(wire.AppendShortStatus(nil, "wk-000412", state)); got != state {
+		if got := decodeState(wire.AppendJobState(nil, "wk-000412", state)); got != state {
 			t.Errorf("a job's state: got %v, want %v", got, state)
 		}
 	}
--- a/internal/clustersim/scale/faults.go
+++ b/internal/clustersim/scale/faults.go
@@ -85,7 +85,7 @@
 			sleep(ctx, backAfter)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if ctx.Err() == nil && w.byName[l.Machine] == nil {
+			if ctx.Err() == nil && w.byName[l.Name] == nil {
 				w.add(r, l)
 			}
 		}()
@@ -157,14 +157,14 @@
 }
 
 // machinesOf makes the machines that a region has at the start.
-func machinesOf(r *region, w *workers, count int) []model.Listed {
-	out := make([]model.Listed, count)
+func machinesOf(r *region, w *workers, count int) []model.MachineInfo {
+	out := make([]model.MachineInfo, count)
 	for i := range out {
-		out[i] = model.Listed{
-			Machine: r.cloud.cloud.Name(),
-			Addr:    w.nextAddress(),
-			Type:    typeAt(i),
-			Zone:    r.zones[(i/gpuShare+i)%len(r.zones)],
+		out[i] = model.MachineInfo{
+			Name: r.cloud.cloud.Name(),
+			Addr: w.nextAddress(),
+			Type: typeAt(i),
+			Zone: r.zones[(i/gpuShare+i)%len(r.zones)],
 		}
 	}
 	return out
--- a/internal/clustersim/scale/plan.go
+++ b/internal/clustersim/scale/plan.go
@@ -191,24 +191,24 @@
 func machineTypes(zones []string) []model.MachineType {
 	return []model.MachineType{
 		{
-			Name:        plainType,
-			Cap:         model.Resources{CPU: 8, MemGB: 32},
-			CacheGB:     200,
-			FetchGBPerS: 1,
-			Price:       0.4,
-			SpotPrice:   0.1,
-			Boot:        bootTime,
-			Zones:       zones,
+			Name:             plainType,
+			Capacity:         model.Resources{CPU: 8, MemGB: 32},
+			CacheGB:          200,
+			FetchGBPerS:      1,
+			PricePerHour:     0.4,
+			SpotPricePerHour: 0.1,
+			BootTime:         bootTime,
+			Zones:            zones,
 		},
 		{
-			Name:        gpuType,
-			Cap:         model.Resources{CPU: 16, GPU: gpuCards, MemGB: 128},
-			CacheGB:     200,
-			FetchGBPerS: 1,
-			Price:       8,
-			SpotPrice:   3,
-			Boot:        bootTime,
-			Zones:       zones,
+			Name:             gpuType,
+			Capacity:         model.Resources{CPU: 16, GPU: gpuCards, MemGB: 128},
+			CacheGB:          200,
+			FetchGBPerS:      1,
+			PricePerHour:     8,
+			SpotPricePerHour: 3,
+			BootTime:         bootTime,
+			Zones:            zones,
 		},
 	}
 }
@@ -235,7 +235,7 @@
 		out[i] = model.Team{
 			Name:      fmt.Sprintf("team-%03d", i),
 			Guarantee: model.Resources{CPU: mean / 2},
-			Limit:     model.LimitOf(limit, 0),
+			Quota:     model.NewQuota(limit, 0),
 		}
 	}
 	return out
--- a/internal/clustersim/scale/region.go
+++ b/internal/clustersim/scale/region.go
@@ -98,7 +98,7 @@
 	line("[outside]\ncloud = %q\nstate = %q", r.cloud.addr, r.state.addr)
 	line("[deployment]\nnodes = %d\nzones = [%s]\nclock_off_ms = 5.0", len(r.controllers), quoted(r.zones))
 	for _, t := range p.teams() {
-		cpus, _ := t.Limit.CPU.Most()
+		cpus, _ := t.Quota.CPU.Max()
 		line(
 			"[[deployment.teams]]\nname = %q\ncpus = %f\ncpus_max = %f\ngpus = 0.0\ngpus_max = 0.0",
 			t.Name,
@@ -167,7 +167,7 @@
 }
 
 // plant puts the region's machines on record with the state service, as a leader before would have.
-func (r *region) plant(machines []model.Listed) {
+func (r *region) plant(machines []model.MachineInfo) {
 	for _, l := range machines {
 		r.state.plant(l)
 	}
@@ -177,8 +177,8 @@
 func newFleet(p *Plan) *fake.Fleet {
 	teams := p.teams()
 	for i := range teams {
-		cpus, _ := teams[i].Limit.CPU.Most()
-		teams[i].Limit = model.LimitOf(cpus*float64(p.Regions), 0)
+		cpus, _ := teams[i].Quota.CPU.Max()
+		teams[i].Quota = model.NewQuota(cpus*float64(p.Regions), 0)
 	}
 	f := fake.NewFleet(time.Now(), teams)
 	f.Tick, f.Fetch, f.Run, f.Lease = pollEvery, fetchTime, shortTask, leaseTime
--- a/internal/clustersim/scale/scale_test.go
+++ b/internal/clustersim/scale/scale_test.go
@@ -69,29 +69,29 @@
 
 // The two ends of the worker protocol understand each other.
 func TestMessagesAreReadAsTheyWereWritten(t *testing.T) {
-	report := &model.Report{
-		Machine: "n-1",
-		Addr:    "127.64.0.1:9000",
-		Type:    plainType,
-		Zone:    "a",
-		Session: 2,
-		Seq:     7,
-		Token:   41,
-		Tasks: []model.TaskReport{
-			{Task: model.TaskID{Job: "wk-000001", Index: 3}, Try: 9, Phase: model.Exited, Cause: model.CausePeers, Saved: true},
-			{Task: model.TaskID{Job: "wk-000002"}, Try: 1, Phase: model.Waiting},
+	report := &model.Heartbeat{
+		Machine:      "n-1",
+		Addr:         "127.64.0.1:9000",
+		Type:         plainType,
+		Zone:         "a",
+		Epoch:        2,
+		Seq:          7,
+		FencingToken: 41,
+		Tasks: []model.TaskStatus{
+			{Task: model.TaskID{Job: "wk-000001", Index: 3}, Attempt: 9, Phase: model.PhaseExited, Cause: model.CauseGangMemberLost, Checkpointed: true},
+			{Task: model.TaskID{Job: "wk-000002"}, Attempt: 1, Phase: model.PhaseWaiting},
 		},
 	}
-	got, err := wire.DecodeReport(appendReport(nil, report))
-	if err != nil || got.Addr != report.Addr || got.Session != 2 || got.Seq != 7 || got.Token != 41 ||
+	got, err := wire.DecodeHeartbeat(appendReport(nil, report))
+	if err != nil || got.Addr != report.Addr || got.Epoch != 2 || got.Seq != 7 || got.FencingToken != 41 ||
 		len(got.Tasks) != 2 ||
 		got.Tasks[0] != report.Tasks[0] ||
 		got.Tasks[1] != report.Tasks[1] {
 		t.Errorf("read as %+v, %v", got, err)
 	}
-	orders := []model.Order{
-		{Op: model.OpLaunch, Task: model.TaskID{Job: "wk-000001", Index: 4}, Try: 5},
-		{Op: model.OpStop, Task: model.TaskID{Job: "wk-000001"}, Try: 6, Grace: 10 * time.Second},
+	orders := []model.Command{
+		{Op: model.OpLaunch, Task: model.TaskID{Job: "wk-000001", Index: 4}, Attempt: 5},
+		{Op: model.OpStop, Task: model.TaskID{Job: "wk-000001"}, Attempt: 6, GracePeriod: 10 * time.Second},
 	}
 	m, err := decodeMessage(wire.AppendCommands(nil, 41, 2, orders))
 	if err != nil || m.token != 41 || m.session != 2 || len(m.orders) != 2 || m.orders[0] != orders[0] ||
@@ -101,17 +101,17 @@
 	if decodeLeader(wire.AppendLeader(nil, "tiller-2")) != "tiller-2" || decodeLeader(wire.AppendLeader(nil, "")) != "" {
 		t.Error("whom a 421 names is not read")
 	}
-	if decodeState(wire.AppendShortStatus(nil, "wk-000001", wire.StateCancelled)) != wire.StateCancelled {
+	if decodeState(wire.AppendJobState(nil, "wk-000001", wire.StateCancelled)) != wire.StateCancelled {
 		t.Error("a job's state is not read")
 	}
 	types := machineTypes([]string{"a", "b"})
 	if read, err := wire.DecodeCatalog(appendCatalog(nil, types)); err != nil || len(read) != 2 ||
-		read[1].Cap != types[1].Cap ||
+		read[1].Capacity != types[1].Capacity ||
 		len(read[0].Zones) != 2 {
 		t.Errorf("the catalogue is read as %+v, %v", read, err)
 	}
-	rental := model.Rental{Name: "r-1", Type: gpuType, Zone: "a", Spot: true, Count: 3}
-	if read, err := decodeRental(wire.AppendRent(nil, rental)); err != nil || read != rental {
+	rental := model.Provisioning{Name: "r-1", Type: gpuType, Zone: "a", Spot: true, Count: 3}
+	if read, err := decodeRental(wire.AppendProvisioning(nil, rental)); err != nil || read != rental {
 		t.Errorf("a rental is read as %+v, %v", read, err)
 	}
 }
@@ -133,10 +133,10 @@
 		}
 		defer r.close()
 		for _, l := range machinesOf(r, w, 20) {
-			if names[l.Machine] {
-				t.Errorf("%s is in two regions", l.Machine)
+			if names[l.Name] {
+				t.Errorf("%s is in two regions", l.Name)
 			}
-			names[l.Machine] = true
+			names[l.Name] = true
 		}
 	}
 }
@@ -145,13 +145,13 @@
 func TestRegionsShareLimits(t *testing.T) {
 	p := DefaultPlan()
 	p.Workers, p.Regions = 10_000, 5
-	one, _ := p.teams()[0].Limit.CPU.Most()
+	one, _ := p.teams()[0].Quota.CPU.Max()
 	for _, k := range newFleet(&p).Workers {
 		t.Errorf("there is a worker already: %s", k.Name)
 	}
 	whole := DefaultPlan()
 	whole.Workers = 10_000
-	all, _ := whole.teams()[0].Limit.CPU.Most()
+	all, _ := whole.teams()[0].Quota.CPU.Max()
 	if one*5 != all {
 		t.Errorf("%v in each of five regions, %v in one", one, all)
 	}
--- a/internal/clustersim/scale/standins.go
+++ b/internal/clustersim/scale/standins.go
@@ -150,10 +150,10 @@
 }
 
 // plant puts a machine on record.
-func (s *stateServer) plant(l model.Listed) {
+func (s *stateServer) plant(l model.MachineInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state.Plant("machine/"+l.Machine, wire.AppendMachine(nil, l))
+	s.state.Plant("machine/"+l.Name, wire.AppendMachine(nil, l))
 }
 
 // leader is the name of the controller that leads; "": none does.
@@ -285,11 +285,11 @@
 		c.SetBody(wire.AppendError(nil, "no capacity"))
 		return
 	}
-	c.SetBody(wire.AppendMachines(nil, names))
+	c.SetBody(wire.AppendMachineNames(nil, names))
 }
 
 func (s *cloudServer) giveBack(c *fasthttp.RequestCtx) {
-	names, err := wire.DecodeMachines(c.PostBody())
+	names, err := wire.DecodeMachineNames(c.PostBody())
 	if err != nil {
 		c.SetStatusCode(fasthttp.StatusBadRequest)
 		return
@@ -309,8 +309,8 @@
 	from, _ := slices.BinarySearchFunc(
 		all,
 		string(c.QueryArgs().Peek("after"))+"\x00",
-		func(l model.Listed, name string) int {
-			return strings.Compare(l.Machine, name)
+		func(l model.MachineInfo, name string) int {
+			return strings.Compare(l.Name, name)
 		},
 	)
 	rest := all[from:]
@@ -318,14 +318,14 @@
 }
 
 // list lists a region's machines in the order of their names.
-func (w *workers) list(r *region, c *fake.Cloud) []model.Listed {
+func (w *workers) list(r *region, c *fake.Cloud) []model.MachineInfo {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var out []model.Listed
+	var out []model.MachineInfo
 	for _, h := range w.byRegion[r] {
 		out = append(out, h.listed())
 	}
 	out = append(out, slices.Collect(maps.Values(c.Booting()))...)
-	slices.SortFunc(out, func(a, b model.Listed) int { return strings.Compare(a.Machine, b.Machine) })
+	slices.SortFunc(out, func(a, b model.MachineInfo) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
--- a/internal/clustersim/scale/users.go
+++ b/internal/clustersim/scale/users.go
@@ -103,7 +103,7 @@
 	first := !u.began[t.ID.Job]
 	u.began[t.ID.Job] = true
 	switch {
-	case t.Spec.Rank == model.High:
+	case t.Spec.Priority == model.PriorityHigh:
 		_ = u.urgent.RecordValue(waited) // it is within the bounds
 	case first:
 		_ = u.others.RecordValue(waited) // it is within the bounds
@@ -115,7 +115,7 @@
 	const replicas = 20
 	count := int(math.Ceil(serviceRate * float64(u.plan.Workers) / replicas))
 	for i := range count {
-		s := u.spec("service", model.Service, model.Normal, replicas)
+		s := u.spec("service", model.Service, model.PriorityNormal, replicas)
 		u.submit(ctx, u.regions[i%len(u.regions)], s, false)
 	}
 }
@@ -158,39 +158,39 @@
 	most := min(mostArray, max(leastArray+1, int(mostBurst*u.plan.starts())))
 	switch r := u.random.Float64(); {
 	case r < urgentShare:
-		return u.spec("urgent", model.Array, model.High, 1+u.random.IntN(urgentTasks)), false
+		return u.spec("urgent", model.Array, model.PriorityHigh, 1+u.random.IntN(urgentTasks)), false
 	case r < urgentShare+gangPart:
 		size := min(1<<(1+u.random.IntN(8)), largestGang, u.plan.Workers/gpuShare*gpuCards/2, 4*most)
-		s := u.spec("gang", model.Gang, model.Normal, max(size, 2))
-		s.Need = model.Resources{CPU: 1, GPU: 1, MemGB: 8}
-		s.Checkpoint, s.Save = 2*time.Second, time.Second
+		s := u.spec("gang", model.Gang, model.PriorityNormal, max(size, 2))
+		s.Demand = model.Resources{CPU: 1, GPU: 1, MemGB: 8}
+		s.CheckpointInterval, s.CheckpointTime = 2*time.Second, time.Second
 		return s, false
 	}
 	size := leastArray * math.Pow(float64(most)/leastArray, u.random.Float64())
-	return u.spec("array", model.Array, model.Low, int(size)), u.random.Float64() < cancelledShare
+	return u.spec("array", model.Array, model.PriorityLow, int(size)), u.random.Float64() < cancelledShare
 }
 
 // spec makes a job.
-func (u *users) spec(class string, shape model.Shape, rank model.Rank, tasks int) *model.Spec {
+func (u *users) spec(class string, shape model.Shape, rank model.Priority, tasks int) *model.Spec {
 	n := int(u.jobs.Add(1))
 	s := &model.Spec{
-		ID:    fmt.Sprintf("wk-%06d", n),
-		Class: class,
-		Team:  fmt.Sprintf("team-%03d", n%u.plan.Teams),
-		Shape: shape,
-		Rank:  rank,
-		Tasks: tasks,
-		Need: model.Resources{
+		ID:       fmt.Sprintf("wk-%06d", n),
+		Class:    class,
+		Team:     fmt.Sprintf("team-%03d", n%u.plan.Teams),
+		Shape:    shape,
+		Priority: rank,
+		Tasks:    tasks,
+		Demand: model.Resources{
 			CPU:   1,
 			MemGB: 1,
 		},
-		Image:    fmt.Sprintf("image-%d", n%50),
-		ImageGB:  0.2,
-		Estimate: shortTask,
-		Spot:     true,
+		Image:            fmt.Sprintf("image-%d", n%50),
+		ImageGB:          0.2,
+		EstimatedRunTime: shortTask,
+		AllowSpot:        true,
 	}
 	if shape == model.Service {
-		s.Estimate = 0
+		s.EstimatedRunTime = 0
 	}
 	return s
 }
--- a/internal/clustersim/scale/workers.go
+++ b/internal/clustersim/scale/workers.go
@@ -62,13 +62,13 @@
 	target int // of the region's controllers
 }
 
-func (h *hollow) listed() model.Listed {
-	return model.Listed{
-		Machine: h.worker.Name,
-		Addr:    h.worker.Addr,
-		Type:    h.worker.Type,
-		Zone:    h.worker.Zone,
-		Spot:    h.worker.Spot,
+func (h *hollow) listed() model.MachineInfo {
+	return model.MachineInfo{
+		Name: h.worker.Name,
+		Addr: h.worker.Addr,
+		Type: h.worker.Type,
+		Zone: h.worker.Zone,
+		Spot: h.worker.Spot,
 	}
 }
 
@@ -101,18 +101,18 @@
 func (w *workers) close() error { return w.http.Shutdown() }
 
 // add brings a machine up. The lock is held.
-func (w *workers) add(r *region, l model.Listed) *hollow {
+func (w *workers) add(r *region, l model.MachineInfo) *hollow {
 	if l.Addr == "" {
 		l.Addr = w.nextAddress()
 	}
 	host, _, _ := net.SplitHostPort(l.Addr)
 	h := &hollow{worker: w.fleet.Add(l), region: r, ip: host, target: w.random.IntN(len(r.controllers))}
 	h.worker.Retry(time.Duration(w.random.Float64() * float64(reportEvery)))
-	w.byName[l.Machine], w.byIP[host] = h, h
+	w.byName[l.Name], w.byIP[host] = h, h
 	if w.byRegion[r] == nil {
 		w.byRegion[r] = map[string]*hollow{}
 	}
-	w.byRegion[r][l.Machine] = h
+	w.byRegion[r][l.Name] = h
 	return h
 }
 
@@ -283,7 +283,7 @@
 }
 
 // answered has a worker take what its report has led to, as the protocol says.
-func (w *workers) answered(h *hollow, r *model.Report, sent time.Time, a answer) {
+func (w *workers) answered(h *hollow, r *model.Heartbeat, sent time.Time, a answer) {
 	took := time.Since(sent)
 	var m *message
 	if a.status == fasthttp.StatusOK {
@@ -304,7 +304,7 @@
 	w.fleet.SetNow(time.Now())
 	switch a.status {
 	case fasthttp.StatusOK:
-		h.worker.Take(r.Session, sent, m.token, w.carried(h, m.orders))
+		h.worker.Take(r.Epoch, sent, m.token, w.carried(h, m.orders))
 	case fasthttp.StatusMisdirectedRequest:
 		w.redirect(h, decodeLeader(a.body))
 	default:
@@ -378,7 +378,7 @@
 }
 
 // carried are the orders that a worker carries out: all of them, unless it is at fault on purpose. The lock is held.
-func (w *workers) carried(h *hollow, orders []model.Order) []model.Order {
+func (w *workers) carried(h *hollow, orders []model.Command) []model.Command {
 	if w.broken != BreakTwice {
 		return orders
 	}
@@ -391,7 +391,7 @@
 	return orders
 }
 
-func launches(orders []model.Order) (out []model.Order) {
+func launches(orders []model.Command) (out []model.Command) {
 	for _, o := range orders {
 		if o.Op == model.OpLaunch {
 			out = append(out, o)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -20,7 +20,7 @@
 	return path
 }
 
-func example(t *testing.T, name string) string {
+func readSample(t *testing.T, name string) string {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("..", "..", "deploy", name))
 	if err != nil {
@@ -29,9 +29,9 @@
 	return string(b)
 }
 
-func TestContradictorySettingsAreNamed(t *testing.T) {
-	good := example(t, "example.toml")
-	if _, err := ReadPlatform(write(t, "good.toml", good+"\n[new_section]\nx = 1\n")); err != nil {
+func TestInvalidPlatformSettingIsReported(t *testing.T) {
+	good := readSample(t, "example.toml")
+	if _, err := ReadPlatform(writeFile(t, "good.toml", good+"\n[new_section]\nx = 1\n")); err != nil {
 		t.Fatalf("fields that are not known must be ignored: %v", err)
 	}
 	for change, want := range map[string]string{
@@ -51,7 +51,7 @@
 		if bad == good {
 			t.Fatalf("%q changes nothing", change)
 		}
-		if _, err := ReadPlatform(write(t, "bad.toml", bad)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ReadPlatform(writeFile(t, "bad.toml", bad)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v, want %q", change, err, want)
 		}
 	}
@@ -59,10 +59,10 @@
 
 // A limit of 0 is none, for each amount by itself, and so is a guarantee of 0. A guarantee above
 // a limit is refused only where there is one (docs/incidents/exams-limits.md).
-func TestALimitOfZeroIsNone(t *testing.T) {
+func TestZeroQuotaIsUnlimited(t *testing.T) {
 	team := func(amounts string) model.Team {
 		t.Helper()
-		p, err := ReadPlatform(write(t, "team.toml", strings.Replace(example(t, "example.toml"), "cpus = 64.0\ncpus_max = 256.0\ngpus = 0.0\ngpus_max = 8.0", amounts, 1)))
+		p, err := ReadPlatform(writeFile(t, "team.toml", strings.Replace(readSample(t, "example.toml"), "cpus = 64.0\ncpus_max = 256.0\ngpus = 0.0\ngpus_max = 8.0", amounts, 1)))
 		if err != nil {
 			t.Fatalf("%s: %v", amounts, err)
 		}
@@ -76,70 +76,70 @@
 		"cpus = 4.0\ngpus = 2.0\ngpus_max = 2.0":                 {allowed: uses(1e6, 2), refused: uses(1, 3), guaranteed: uses(4, 2), not: uses(5, 0)},
 	} {
 		got := team(amounts)
-		if !got.Limit.Allows(want.allowed) || want.refused.CPU > 0 && got.Limit.Allows(want.refused) {
-			t.Errorf("%q is read as a limit of %v", amounts, got.Limit)
+		if !got.Quota.Allows(want.allowed) || want.refused.CPU > 0 && got.Quota.Allows(want.refused) {
+			t.Errorf("%q is read as a limit of %v", amounts, got.Quota)
 		}
-		if got.Guaranteed(want.not) || want.guaranteed.CPU > 0 && !got.Guaranteed(want.guaranteed) {
+		if got.WithinGuarantee(want.not) || want.guaranteed.CPU > 0 && !got.WithinGuarantee(want.guaranteed) {
 			t.Errorf("%q is read as a guarantee of %v", amounts, got.Guarantee)
 		}
 	}
 }
 
 // What the platform does not limit is kept within modest limits, and keeps nobody from starting.
-func TestLimitsThatAreNotStated(t *testing.T) {
-	text := example(t, "example.toml")
+func TestMissingStateLimitsUseDefaults(t *testing.T) {
+	text := readSample(t, "example.toml")
 	for _, line := range []string{"rps = 200.0\n", "write_rps = 80.0\n", "value_kb = 8.0\n", "txn_ops = 12\n", "rps = 2.0\n", "max_connections = 1200", "mem_mb = 125.0\n", "list_lag_s = 6.0\n"} {
 		text = strings.Replace(text, line, "", 1)
 	}
-	p, err := ReadPlatform(write(t, "bare.toml", text))
+	p, err := ReadPlatform(writeFile(t, "bare.toml", text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := p.StateLimits()
-	if l.RPS <= 0 || l.WriteRPS <= 0 || l.ValueKB < leastKB || l.TxnOps < leastOps || p.CloudRPS() <= 0 {
+	if l.RPS <= 0 || l.WriteRPS <= 0 || l.ValueKB < minValueKB || l.TxnOps < minTxnOps || p.CloudRPS() <= 0 {
 		t.Errorf("limits %+v, cloud %v", l, p.CloudRPS())
 	}
-	if set := Control(p, Defaults()); set.TxnOps != l.TxnOps || set.Numbered < 64 || Store(p).Value < 1024 {
-		t.Errorf("a core's %d changes, old chunks of %d, values of %d", set.TxnOps, set.Numbered, Store(p).Value)
+	if set := ReconcilerSettings(p, Defaults()); set.TxnOps != l.TxnOps || set.Numbered < 64 || StoreLimits(p).Value < 1024 {
+		t.Errorf("a core's %d changes, old chunks of %d, values of %d", set.TxnOps, set.Numbered, StoreLimits(p).Value)
 	}
 }
 
 // Without a weight of its own a team shares by what it is guaranteed; where it is guaranteed
 // nothing, like the least of those that are, and where nobody is, all alike.
-func TestWhatTeamsShareBy(t *testing.T) {
+func TestFairShareWeightsDefaultToGuarantees(t *testing.T) {
 	p, o := &Platform{}, Defaults()
-	o.Ledger = &Ledger{Settle: Duration(time.Second)}
+	o.Ledger = &Ledger{SettleInterval: Duration(time.Second)}
 	p.Deployment.State.WriteRPS = 10
 	p.Deployment.Teams = []team{{Name: "a"}, {Name: "b"}}
-	if w := Accounting(p, o).Weights; w["a"] != w["b"] || w["a"] <= 0 {
+	if w := LedgerSettings(p, o).Weights; w["a"] != w["b"] || w["a"] <= 0 {
 		t.Errorf("nobody is guaranteed anything: %v", w)
 	}
 	p.Deployment.Teams = []team{{Name: "a", CPUs: 400}, {Name: "b", CPUs: 100}, {Name: "guest"}}
-	if w := Accounting(p, o).Weights; w["a"] != 400 || w["b"] != 100 || w["guest"] != 100 {
+	if w := LedgerSettings(p, o).Weights; w["a"] != 400 || w["b"] != 100 || w["guest"] != 100 {
 		t.Errorf("a guest among guaranteed teams: %v", w)
 	}
 }
 
 // The smaller of the present limits and of those to come holds from the start; one
 // that is not named stays. The layout of old records goes by the present one.
-func TestLimitsToComeHoldFromTheStart(t *testing.T) {
+func TestUpcomingStateLimitsApplyFromTheStart(t *testing.T) {
 	next := "[deployment.state.next]\nvalue_kb = 2.0\nwrite_rps = 56.0\nrps = 900.0\n\n[deployment.cloud]"
-	p, err := ReadPlatform(write(t, "next.toml", strings.Replace(example(t, "example.toml"), "[deployment.cloud]", next, 1)))
+	p, err := ReadPlatform(writeFile(t, "next.toml", strings.Replace(readSample(t, "example.toml"), "[deployment.cloud]", next, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, want := p.StateLimits(), (StateLimits{RPS: 200, WriteRPS: 56, ValueKB: 2, TxnOps: 12}); got != want {
 		t.Errorf("limits %+v, want %+v", got, want)
 	}
-	if set := Control(p, Defaults()); set.Numbered != 16384 || set.TxnOps != 12 || Store(p).Value != 2048 {
-		t.Errorf("old chunks of %d tasks, %d changes, values of %d bytes", set.Numbered, set.TxnOps, Store(p).Value)
+	if set := ReconcilerSettings(p, Defaults()); set.Numbered != 16384 || set.TxnOps != 12 || StoreLimits(p).Value != 2048 {
+		t.Errorf("old chunks of %d tasks, %d changes, values of %d bytes", set.Numbered, set.TxnOps, StoreLimits(p).Value)
 	}
 }
 
 // The sample that operators start from explains every setting and holds the
 // defaults: reading it changes nothing.
-func TestSampleOperatorSettingsAreTheDefaults(t *testing.T) {
-	sample := example(t, "operator.xml")
+func TestSampleOperatorFileMatchesDefaults(t *testing.T) {
+	sample := readSample(t, "operator.xml")
 	o, err := parseOperator([]byte(sample))
 	if err != nil {
 		t.Fatal(err)
@@ -170,7 +170,7 @@
 	check(reflect.TypeOf(*want))
 }
 
-func TestPartsThatAreOffByDefault(t *testing.T) {
+func TestOptionalOperatorSectionsAreValidated(t *testing.T) {
 	for text, want := range map[string]string{
 		"<fair-share/>":                        "needs <ledger>",
 		"<ledger><settle>1h</settle></ledger>": "ledger/settle",
@@ -183,22 +183,22 @@
 			t.Errorf("%s: got %v, want %q", text, err, want)
 		}
 	}
-	p, err := ReadPlatform(write(t, "good.toml", example(t, "example.toml")))
+	p, err := ReadPlatform(writeFile(t, "good.toml", readSample(t, "example.toml")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for team, good := range map[string]bool{"vision": true, "visoin": false} {
 		o, err := parseOperator([]byte(`<glentiller><ledger/><fair-share><weight team="` + team + `">3</weight></fair-share></glentiller>`))
-		if err != nil || (Agree(p, o) == nil) != good {
-			t.Errorf("a weight of %s: %v, %v", team, err, Agree(p, o))
+		if err != nil || (CheckConsistency(p, o) == nil) != good {
+			t.Errorf("a weight of %s: %v, %v", team, err, CheckConsistency(p, o))
 		}
-		if good && (Accounting(p, o).Weights[team] != 3 || Accounting(p, o).Half != 24*time.Hour) {
-			t.Errorf("%+v", Accounting(p, o))
+		if good && (LedgerSettings(p, o).Weights[team] != 3 || LedgerSettings(p, o).Half != 24*time.Hour) {
+			t.Errorf("%+v", LedgerSettings(p, o))
 		}
 	}
 }
 
-func TestOperatorSettingsAreStrict(t *testing.T) {
+func TestUnknownOperatorSettingIsRejected(t *testing.T) {
 	for text, want := range map[string]string{
 		"<glentiller><fleet><keep-idel>1s</keep-idel></fleet></glentiller>":                      "keep-idel",
 		"<glentiller><flete/></glentiller>":                                                      "flete",
@@ -214,7 +214,7 @@
 		}
 	}
 	o, err := parseOperator([]byte("<glentiller><fleet><keep-idle>90s</keep-idle></fleet></glentiller>\n"))
-	if err != nil || o.Fleet.KeepIdle.D() != 90*time.Second || o.Scheduler.Overtake != Defaults().Scheduler.Overtake {
+	if err != nil || o.Autoscaler.IdleTimeout.Std() != 90*time.Second || o.Scheduler.PromoteAfter != Defaults().Scheduler.PromoteAfter {
 		t.Errorf("one setting alone: %+v, %v", o, err)
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -102,7 +102,7 @@
 		{Kind: "deadline", Class: "a", Times: 1.5}, {Kind: "other", Class: "c", Within: 1}}
 	filled := &Operator{}
 	golden.Fill(filled)
-	filled.Promises.Outage = filled.Leadership.Lease * 3
+	filled.Votes.Outage = filled.Leadership.Lease * 3
 	example, err := ReadPlatform(filepath.Join("..", "..", "deploy", "example.toml"))
 	if err != nil {
 		t.Fatal(err)
@@ -136,8 +136,8 @@
 			name string
 			at   *bool
 		}{
-			{"scheduler/preempt-for-guarantees", &filled.Scheduler.PreemptGuarantees}, {"scheduler/production-image-first", &filled.Scheduler.ImageFirst},
-			{"scheduler/fetch-in-time", &filled.Scheduler.FetchInTime}, {"scheduler/vacate", &filled.Scheduler.Vacate},
+			{"scheduler/preempt-for-guarantees", &filled.Scheduler.PreemptForGuarantees}, {"scheduler/production-image-first", &filled.Scheduler.ImageFirst},
+			{"scheduler/fetch-in-time", &filled.Scheduler.FetchByDeadline}, {"scheduler/vacate", &filled.Scheduler.Drain},
 		} {
 			*s.at = false
 			for i, off := range settings(p, filled) {
@@ -152,9 +152,9 @@
 }
 
 func settings(p *Platform, o *Operator) []setting {
-	core, administration, records := Control(p, o), AdminServer(p, o), Store(p)
-	election, routing, relay := Election(p, o), Routing(p, o), Posting(p, o)
-	stale, bounded := Informed(p)
+	core, administration, records := ReconcilerSettings(p, o), AdminSettings(p, o), StoreLimits(p)
+	election, routing, relay := ElectionSettings(p, o), RoutingSettings(p, o), RelaySettings(p, o)
+	stale, bounded := StalenessBound(p)
 	return []setting{
 		{"leader: member", core.Member},
 		{"leader: deployment.teams", core.Teams},
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -19,13 +19,13 @@
 // Platform is what the platform hands over. Fields that it does not know are
 // ignored.
 type Platform struct {
-	Member  string `toml:"member"`
-	Zone    string `toml:"domain"`
-	Front   string `toml:"front"`
-	Back    string `toml:"back"`
-	Members []Peer `toml:"members"`
+	Member   string `toml:"member"`
+	Zone     string `toml:"domain"`
+	HTTPAddr string `toml:"front"`
+	PeerAddr string `toml:"back"`
+	Members  []Peer `toml:"members"`
 
-	Outside struct {
+	Services struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
 	} `toml:"outside"`
@@ -73,43 +73,43 @@
 // in any case. Guards against a controller that refuses to start for want of a limit.
 func (p *Platform) StateLimits() StateLimits {
 	l, next := p.Deployment.State.StateLimits, p.Deployment.State.Next
-	otherwise(&l.RPS, unstated.RPS)
-	otherwise(&l.WriteRPS, unstated.WriteRPS)
-	otherwise(&l.ValueKB, unstated.ValueKB)
-	otherwise(&l.TxnOps, unstated.TxnOps)
-	lower(&l.RPS, next.RPS)
-	lower(&l.WriteRPS, next.WriteRPS)
-	lower(&l.ValueKB, next.ValueKB)
-	lower(&l.TxnOps, next.TxnOps)
+	setDefault(&l.RPS, defaultStateLimits.RPS)
+	setDefault(&l.WriteRPS, defaultStateLimits.WriteRPS)
+	setDefault(&l.ValueKB, defaultStateLimits.ValueKB)
+	setDefault(&l.TxnOps, defaultStateLimits.TxnOps)
+	lowerTo(&l.RPS, next.RPS)
+	lowerTo(&l.WriteRPS, next.WriteRPS)
+	lowerTo(&l.ValueKB, next.ValueKB)
+	lowerTo(&l.TxnOps, next.TxnOps)
 	return l
 }
 
 // valueKB is the present limit on values, whatever comes next.
 func (p *Platform) valueKB() float64 {
 	v := p.Deployment.State.ValueKB
-	otherwise(&v, unstated.ValueKB)
+	setDefault(&v, defaultStateLimits.ValueKB)
 	return v
 }
 
 // CloudRPS is how many requests a second the cloud takes of all controllers.
 func (p *Platform) CloudRPS() float64 {
 	rps := p.Deployment.Cloud.RPS
-	otherwise(&rps, unstatedCloud)
+	setDefault(&rps, defaultCloudRPS)
 	return rps
 }
 
 // What is kept within where the platform states no limit.
-var unstated = StateLimits{RPS: 200, WriteRPS: 80, ValueKB: 8, TxnOps: 12}
+var defaultStateLimits = StateLimits{RPS: 200, WriteRPS: 80, ValueKB: 8, TxnOps: 12}
 
-const unstatedCloud = 1.0
+const defaultCloudRPS = 1.0
 
-func otherwise[N int | float64](to *N, value N) {
+func setDefault[N int | float64](to *N, value N) {
 	if *to == 0 {
 		*to = value
 	}
 }
 
-func lower[N int | float64](to *N, next N) {
+func lowerTo[N int | float64](to *N, next N) {
 	if next > 0 && next < *to {
 		*to = next
 	}
@@ -149,21 +149,21 @@
 	if err := toml.Unmarshal(b, p); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := p.check(); err != nil {
+	if err := p.validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return p, nil
 }
 
 const (
-	leastOps = 2 // the end of a job takes two changes
-	leastKB  = 1 // a chunk of finished tasks takes half of it
+	minTxnOps  = 2 // the end of a job takes two changes
+	minValueKB = 1 // a chunk of finished tasks takes half of it
 )
 
 // Seconds turns a number of seconds into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func (p *Platform) check() error {
+func (p *Platform) validate() error {
 	var errs []error
 	bad := func(format string, args ...any) { errs = append(errs, fmt.Errorf(format, args...)) }
 	addr := func(name, v string) {
@@ -180,13 +180,13 @@
 	if p.Member == "" {
 		bad("member: missing")
 	}
-	addr("front", p.Front)
-	addr("back", p.Back)
-	if p.Front == p.Back && p.Front != "" {
+	addr("front", p.HTTPAddr)
+	addr("back", p.PeerAddr)
+	if p.HTTPAddr == p.PeerAddr && p.HTTPAddr != "" {
 		bad("front and back are the same address")
 	}
-	addr("outside.cloud", p.Outside.Cloud)
-	addr("outside.state", p.Outside.State)
+	addr("outside.cloud", p.Services.Cloud)
+	addr("outside.state", p.Services.State)
 	names := map[string]bool{p.Member: true}
 	for i, m := range p.Members {
 		if m.Member == "" || names[m.Member] {
@@ -215,7 +215,7 @@
 				break
 			}
 		}
-		if l := model.LimitOf(t.CPUsMax, t.GPUsMax); !l.Allows(model.Resources{CPU: t.CPUs, GPU: t.GPUs}) {
+		if l := model.NewQuota(t.CPUsMax, t.GPUsMax); !l.Allows(model.Resources{CPU: t.CPUs, GPU: t.GPUs}) {
 			bad("%s: the guarantee is above the limit", name)
 		}
 	}
@@ -241,11 +241,11 @@
 		bad("deployment.state.next: negative")
 	}
 	l := p.StateLimits()
-	if l.TxnOps < leastOps {
-		bad("deployment.state.txn_ops: must be %d or more, now and next", leastOps)
+	if l.TxnOps < minTxnOps {
+		bad("deployment.state.txn_ops: must be %d or more, now and next", minTxnOps)
 	}
-	if l.ValueKB < leastKB {
-		bad("deployment.state.value_kb: must be %d or more, now and next", leastKB)
+	if l.ValueKB < minValueKB {
+		bad("deployment.state.value_kb: must be %d or more, now and next", minValueKB)
 	}
 	if d.Cloud.ListLag < 0 {
 		bad("deployment.cloud.list_lag_s: negative")
@@ -261,7 +261,7 @@
 	var out []model.Team
 	for _, t := range p.Deployment.Teams {
 		out = append(out, model.Team{Name: t.Name, Guarantee: model.Resources{CPU: t.CPUs, GPU: t.GPUs},
-			Limit: model.LimitOf(t.CPUsMax, t.GPUsMax)})
+			Quota: model.NewQuota(t.CPUsMax, t.GPUsMax)})
 	}
 	return out
 }
--- a/internal/connquota/conn.go
+++ b/internal/connquota/conn.go
@@ -48,14 +48,14 @@
 
 // Dial puts the making of connections for an owner under the budget: the socket is asked for
 // first. A nil budget bounds nothing.
-func (b *Budget) Dial(o Owner) func(rpc.Dial) rpc.Dial {
+func (b *Budget) Dial(o Owner) func(rpc.DialFunc) rpc.DialFunc {
 	if b == nil {
 		return nil
 	}
-	return func(dial rpc.Dial) rpc.Dial { return b.dial(o, dial) }
+	return func(dial rpc.DialFunc) rpc.DialFunc { return b.dial(o, dial) }
 }
 
-func (b *Budget) dial(o Owner, dial rpc.Dial) rpc.Dial {
+func (b *Budget) dial(o Owner, dial rpc.DialFunc) rpc.DialFunc {
 	return func(addr string) (net.Conn, error) {
 		h, err := b.Enter(time.Time{}, o, nil)
 		if err != nil {
--- a/internal/constraint/catalog.go
+++ b/internal/constraint/catalog.go
@@ -27,8 +27,8 @@
 	var out []model.MachineType
 	for _, t := range in.Breeds {
 		fields := slices.DeleteFunc(t.Fields, func(z string) bool { return len(zones) > 0 && !slices.Contains(zones, z) })
-		out = append(out, model.MachineType{Name: t.Label, Cap: model.Resources{CPU: t.Cores, GPU: t.Cards, MemGB: t.MemoryGb}, CacheGB: t.LocalGb,
-			FetchGBPerS: t.FetchGbPerS, Price: t.Price, SpotPrice: t.LowPrice, Boot: time.Duration(t.StartupS * float64(time.Second)), Zones: fields})
+		out = append(out, model.MachineType{Name: t.Label, Capacity: model.Resources{CPU: t.Cores, GPU: t.Cards, MemGB: t.MemoryGb}, CacheGB: t.LocalGb,
+			FetchGBPerS: t.FetchGbPerS, PricePerHour: t.Price, SpotPricePerHour: t.LowPrice, BootTime: time.Duration(t.StartupS * float64(time.Second)), Zones: fields})
 	}
 	if len(Classes(out)) == 0 {
 		return nil, errors.New("no machine type in any of the zones")
--- a/internal/constraint/check.go
+++ b/internal/constraint/check.go
@@ -44,7 +44,7 @@
 
 // Takes tells whether a job's own fields, its rules aside, allow it a class of machines.
 func Takes(spec *model.Spec, c Class) bool {
-	return (spec.Zone == "" || spec.Zone == c.Zone) && (spec.Spot || !c.Spot) && spec.AllowsType(c.Type.Name) && spec.Need.Fits(c.Type.Cap)
+	return (spec.Zone == "" || spec.Zone == c.Zone) && (spec.AllowSpot || !c.Spot) && spec.AllowsType(c.Type.Name) && spec.Demand.Fits(c.Type.Capacity)
 }
 
 // Classes lists the classes of machines that can be rented.
@@ -111,14 +111,14 @@
 		c := &set.Hard[i]
 		class(c.String(), func(at Class) bool { return c.expr.holds(at, false) })
 	}
-	class(fmt.Sprintf("a task's %g CPUs, %g GPUs and %g GB", spec.Need.CPU, spec.Need.GPU, spec.Need.MemGB), func(c Class) bool { return spec.Need.Fits(c.Type.Cap) })
-	if len(spec.Types) > 0 {
-		class("the job's breeds "+strings.Join(spec.Types, ", "), func(c Class) bool { return spec.AllowsType(c.Type.Name) })
+	class(fmt.Sprintf("a task's %g CPUs, %g GPUs and %g GB", spec.Demand.CPU, spec.Demand.GPU, spec.Demand.MemGB), func(c Class) bool { return spec.Demand.Fits(c.Type.Capacity) })
+	if len(spec.MachineTypes) > 0 {
+		class("the job's breeds "+strings.Join(spec.MachineTypes, ", "), func(c Class) bool { return spec.AllowsType(c.Type.Name) })
 	}
 	if spec.Zone != "" {
 		class("the job's field "+spec.Zone, func(c Class) bool { return c.Zone == spec.Zone })
 	}
-	if !spec.Spot {
+	if !spec.AllowSpot {
 		class("the job's loaners: false", func(c Class) bool { return !c.Spot })
 	}
 	for _, k := range set.Kin {
@@ -143,10 +143,10 @@
 			p.items = append(p.items, item{what: m.Clause.String(), most: m.Count})
 		}
 	}
-	if spec.Spread && spec.ZoneCap() < p.gather {
-		p.items = append(p.items, item{what: "the job's scatter", most: spec.ZoneCap()})
+	if spec.Spread && spec.MaxTasksPerZone() < p.gather {
+		p.items = append(p.items, item{what: "the job's scatter", most: spec.MaxTasksPerZone()})
 	}
-	if spec.OneZone && p.gather > 1 {
+	if spec.SingleZone && p.gather > 1 {
 		p.items = append(p.items, item{what: "the job's oneZone", one: true})
 	}
 	return p
--- a/internal/constraint/constraint_test.go
+++ b/internal/constraint/constraint_test.go
@@ -39,12 +39,12 @@
 	d := &drawn{}
 	zones := []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "zones")]
 	for i := range rapid.IntRange(1, 3).Draw(t, "types") {
-		d.types = append(d.types, model.MachineType{Name: fmt.Sprintf("t%d", i), Cap: model.Resources{CPU: float64(rapid.SampledFrom([]int{4, 8, 16}).Draw(t, "cpus")),
-			GPU: float64(rapid.SampledFrom([]int{0, 0, 2}).Draw(t, "gpus")), MemGB: 64}, Price: 1, SpotPrice: 0.3,
+		d.types = append(d.types, model.MachineType{Name: fmt.Sprintf("t%d", i), Capacity: model.Resources{CPU: float64(rapid.SampledFrom([]int{4, 8, 16}).Draw(t, "cpus")),
+			GPU: float64(rapid.SampledFrom([]int{0, 0, 2}).Draw(t, "gpus")), MemGB: 64}, PricePerHour: 1, SpotPricePerHour: 0.3,
 			Zones: zones[:rapid.IntRange(1, len(zones)).Draw(t, "in")]})
 	}
 	d.spec = &model.Spec{Shape: rapid.SampledFrom([]model.Shape{model.Array, model.Gang, model.Service}).Draw(t, "shape"), Tasks: rapid.IntRange(1, 4).Draw(t, "tasks"),
-		Need: model.Resources{CPU: float64(rapid.SampledFrom([]int{1, 8}).Draw(t, "need"))}, Spot: rapid.Bool().Draw(t, "spot"), OneZone: rapid.Bool().Draw(t, "one"),
+		Demand: model.Resources{CPU: float64(rapid.SampledFrom([]int{1, 8}).Draw(t, "need"))}, AllowSpot: rapid.Bool().Draw(t, "spot"), SingleZone: rapid.Bool().Draw(t, "one"),
 		Spread: rapid.Bool().Draw(t, "spread")}
 	if rapid.Bool().Draw(t, "field") {
 		d.spec.Zone = "b"
@@ -59,10 +59,10 @@
 		{`type not in ("t0", "t2")`, func(c Class) bool { return c.Type.Name != "t0" && c.Type.Name != "t2" }},
 		{`zone != "a"`, func(c Class) bool { return c.Zone != "a" }},
 		{`zone in ("a", "c")`, func(c Class) bool { return c.Zone == "a" || c.Zone == "c" }},
-		{`cpus >= 8`, func(c Class) bool { return c.Type.Cap.CPU >= 8 }},
-		{`cpus < 16 or gpus > 0`, func(c Class) bool { return c.Type.Cap.CPU < 16 || c.Type.Cap.GPU > 0 }},
-		{`gpus = 0 and price <= 0.3`, func(c Class) bool { return c.Type.Cap.GPU == 0 && c.Price() <= 0.3 }},
-		{`not (cpus = 4 and zone = "b")`, func(c Class) bool { return c.Type.Cap.CPU != 4 || c.Zone != "b" }},
+		{`cpus >= 8`, func(c Class) bool { return c.Type.Capacity.CPU >= 8 }},
+		{`cpus < 16 or gpus > 0`, func(c Class) bool { return c.Type.Capacity.CPU < 16 || c.Type.Capacity.GPU > 0 }},
+		{`gpus = 0 and price <= 0.3`, func(c Class) bool { return c.Type.Capacity.GPU == 0 && c.Price() <= 0.3 }},
+		{`not (cpus = 4 and zone = "b")`, func(c Class) bool { return c.Type.Capacity.CPU != 4 || c.Zone != "b" }},
 	}
 	var lines []string
 	for range rapid.IntRange(0, 4).Draw(t, "rules") {
@@ -93,7 +93,7 @@
 	}
 	var may []Class
 	for _, c := range Classes(d.types) {
-		ok := d.spec.Need.Fits(c.Type.Cap) && (d.spec.Spot || !c.Spot) && (d.spec.Zone == "" || d.spec.Zone == c.Zone)
+		ok := d.spec.Demand.Fits(c.Type.Capacity) && (d.spec.AllowSpot || !c.Spot) && (d.spec.Zone == "" || d.spec.Zone == c.Zone)
 		for _, h := range d.holds {
 			ok = ok && h(c)
 		}
@@ -111,7 +111,7 @@
 			return true
 		}
 		for _, c := range may {
-			if d.zone > 0 && in[c.Zone] >= d.zone || d.spec.Spread && in[c.Zone] >= d.spec.ZoneCap() || d.spec.OneZone && left < n && in[c.Zone] == 0 {
+			if d.zone > 0 && in[c.Zone] >= d.zone || d.spec.Spread && in[c.Zone] >= d.spec.MaxTasksPerZone() || d.spec.SingleZone && left < n && in[c.Zone] == 0 {
 				continue
 			}
 			in[c.Zone]++
@@ -178,13 +178,13 @@
 func TestHostileTextCostsLittle(t *testing.T) {
 	var types []model.MachineType
 	for i := range 12 {
-		ty := model.MachineType{Name: fmt.Sprintf("t%d", i), Cap: model.Resources{CPU: 8}}
+		ty := model.MachineType{Name: fmt.Sprintf("t%d", i), Capacity: model.Resources{CPU: 8}}
 		for z := range maxClauses {
 			ty.Zones = append(ty.Zones, fmt.Sprintf("z%d", z))
 		}
 		types = append(types, ty)
 	}
-	spec := &model.Spec{Tasks: 1, Shape: model.Array, Need: model.Resources{CPU: 1}, Spot: true}
+	spec := &model.Spec{Tasks: 1, Shape: model.Array, Demand: model.Resources{CPU: 1}, AllowSpot: true}
 	for name, text := range hostile() {
 		least := time.Hour
 		for range 5 {
@@ -211,7 +211,7 @@
 	for _, text := range hostile() {
 		f.Add(text)
 	}
-	types := []model.MachineType{{Name: "a", Cap: model.Resources{CPU: 8, GPU: 1, MemGB: 16}, Zones: []string{"a", "b"}}}
+	types := []model.MachineType{{Name: "a", Capacity: model.Resources{CPU: 8, GPU: 1, MemGB: 16}, Zones: []string{"a", "b"}}}
 	f.Fuzz(func(t *testing.T, text string) {
 		set, err := Parse(text)
 		if err != nil {
@@ -228,7 +228,7 @@
 			_, _ = set.Allows(c)
 			set.Wish(c, true)
 		}
-		_ = Check(set, &model.Spec{Tasks: 3, Shape: model.Gang, Need: model.Resources{CPU: 1}}, World{Types: types}) // any verdict, in bounded time
+		_ = Check(set, &model.Spec{Tasks: 3, Shape: model.Gang, Demand: model.Resources{CPU: 1}}, World{Types: types}) // any verdict, in bounded time
 	})
 }
 
@@ -241,8 +241,8 @@
 }
 
 func BenchmarkHostile(b *testing.B) {
-	types := []model.MachineType{{Name: "a", Cap: model.Resources{CPU: 8}, Zones: []string{"z0", "z1", "z2"}}}
-	spec := &model.Spec{Tasks: 1, Shape: model.Array, Need: model.Resources{CPU: 1}}
+	types := []model.MachineType{{Name: "a", Capacity: model.Resources{CPU: 8}, Zones: []string{"z0", "z1", "z2"}}}
+	spec := &model.Spec{Tasks: 1, Shape: model.Array, Demand: model.Resources{CPU: 1}}
 	for name, text := range hostile() {
 		b.Run(strings.ReplaceAll(name, " ", "_"), func(b *testing.B) {
 			for b.Loop() {
--- a/internal/constraint/parse.go
+++ b/internal/constraint/parse.go
@@ -193,7 +193,7 @@
 			return at(c.Pos, "more than %d clauses name other jobs", maxKin)
 		}
 		job := c.Same + c.Apart
-		if !model.JobIDValid(job) {
+		if !model.ValidJobID(job) {
 			return at(c.Pos, "%q is not the id of a job, like wk-000412", job)
 		}
 		s.Kin = append(s.Kin, Kin{from, job, c.Same != "", c.Same != "" || c.By == "zone", weight})
--- a/internal/constraint/set.go
+++ b/internal/constraint/set.go
@@ -66,9 +66,9 @@
 // Price is what a machine of the class costs an hour.
 func (c Class) Price() float64 {
 	if c.Spot {
-		return c.Type.SpotPrice
+		return c.Type.SpotPricePerHour
 	}
-	return c.Type.Price
+	return c.Type.PricePerHour
 }
 
 // Allows tells whether all required clauses hold on a class of machines. The first one
@@ -185,11 +185,11 @@
 func (p *compare) number(c Class) float64 {
 	switch p.Attr {
 	case "cpus":
-		return c.Type.Cap.CPU
+		return c.Type.Capacity.CPU
 	case "gpus":
-		return c.Type.Cap.GPU
+		return c.Type.Capacity.GPU
 	case "memory":
-		return c.Type.Cap.MemGB
+		return c.Type.Capacity.MemGB
 	case "disk":
 		return c.Type.CacheGB
 	case "fetch":
--- a/internal/controller/courier.go
+++ b/internal/controller/courier.go
@@ -42,11 +42,11 @@
 
 // newMail makes it; nil: it is off, or there is nobody to hand anything to.
 func newMail(n *Node) *mail {
-	set := config.Posting(n.plat, n.oper)
+	set := config.RelaySettings(n.plat, n.oper)
 	if set == nil || len(n.plat.Members) == 0 {
 		return nil
 	}
-	p := &mail{n: n, life: rand.Uint64() | 1, room: wire.BatchRoom(config.Store(n.plat).Value), kick: make(chan struct{}, 1), wake: make(chan struct{}, 1), waiting: map[uint64]chan []byte{}}
+	p := &mail{n: n, life: rand.Uint64() | 1, room: wire.MaxBatchPayload(config.StoreLimits(n.plat).Value), kick: make(chan struct{}, 1), wake: make(chan struct{}, 1), waiting: map[uint64]chan []byte{}}
 	p.box = courier.New(*set, func(from, to courier.Path, why string) {
 		n.log.Info("way of reports", "from", from.String(), "to", to.String(), "why", why)
 	})
@@ -149,7 +149,7 @@
 		if count == 0 {
 			continue
 		}
-		err := n.state.PutReports(n.ctx, store.Batch{Member: n.plat.Member, Batch: wire.Batch{Life: p.life, Seq: seq, Text: text}})
+		err := n.state.PutReports(n.ctx, store.Batch{Member: n.plat.Member, RelayBatch: wire.RelayBatch{Incarnation: p.life, Seq: seq, Payload: text}})
 		if err != nil {
 			n.log.Debug("reports not handed over", "count", count, "err", err)
 			p.mu.Lock()
@@ -204,8 +204,8 @@
 		}
 		rev = at
 		for _, b := range batches {
-			letters, err := courier.Unpack(b.Text)
-			if err != nil || b.Life != p.life {
+			letters, err := courier.Unpack(b.Payload)
+			if err != nil || b.Incarnation != p.life {
 				continue // for an earlier life of this process
 			}
 			p.mu.Lock()
@@ -259,7 +259,7 @@
 
 // answerRelayed answers a batch of reports, each as if it had come by itself.
 func (n *Node) answerRelayed(b store.Batch) {
-	letters, err := courier.Unpack(b.Text)
+	letters, err := courier.Unpack(b.Payload)
 	if err != nil {
 		n.log.Warn("a batch of reports cannot be read", "member", b.Member, "err", err)
 		return
@@ -271,12 +271,12 @@
 	group.SetLimit(atOnce)
 	for i, l := range letters {
 		group.Go(func() error {
-			r, err := wire.DecodeReport(l.Body)
+			r, err := wire.DecodeHeartbeat(l.Body)
 			if err != nil {
 				return nil // its worker is answered by nobody; the others are
 			}
 			if v := n.report(ctx, reconciler.ReportIn{Report: r, Handed: true}); v.Act && v.Valid() {
-				answers[i] = wire.AppendReportAnswer(nil, v.Token, v.Orders)
+				answers[i] = wire.AppendHeartbeatResponse(nil, v.Token, v.Orders)
 			}
 			return nil
 		})
@@ -288,7 +288,7 @@
 			out = append(out, courier.Letter{ID: letters[i].ID, Body: a})
 		}
 	}
-	room := wire.BatchRoom(config.Store(n.plat).Value)
+	room := wire.MaxBatchPayload(config.StoreLimits(n.plat).Value)
 	for len(out) > 0 {
 		r := n.right.Load()
 		text, k := courier.Pack(out, room)
@@ -299,7 +299,7 @@
 		if !r.holds() {
 			return
 		}
-		if _, err := n.state.PutAnswers(n.ctx, r.version, store.Batch{Member: b.Member, Batch: wire.Batch{Life: b.Life, Seq: b.Seq, Text: text}}); err != nil {
+		if _, err := n.state.PutAnswers(n.ctx, r.version, store.Batch{Member: b.Member, RelayBatch: wire.RelayBatch{Incarnation: b.Incarnation, Seq: b.Seq, Payload: text}}); err != nil {
 			n.log.Debug("answers not handed over", "member", b.Member, "count", k, "err", err)
 			return
 		}
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -46,12 +46,12 @@
 	may := func() bool { cur := n.right.Load(); return cur != nil && cur.token == r.token && cur.holds() }
 	switch e := e.(type) {
 	case reconciler.Command:
-		orders := append([]model.Order(nil), e.Orders...)
+		orders := append([]model.Command(nil), e.Orders...)
 		n.spawn(func() {
 			ev := reconciler.CommandBack{Machine: e.Machine, Session: e.Session, Orders: orders, Outcome: reconciler.NotSent}
 			if may() {
-				reply := n.workers.Commands(e.Addr, r.token, e.Session, orders, e.Urgent)
-				ev.Report = reply.Report
+				reply := n.workers.Send(e.Addr, r.token, e.Session, orders, e.Urgent)
+				ev.Report = reply.Heartbeat
 				switch {
 				case reply.Executed:
 					ev.Outcome = reconciler.OK
@@ -69,7 +69,7 @@
 		n.spawn(func() {
 			ev := reconciler.RentBack{Rental: e.Rental, Outcome: reconciler.Unknown}
 			if n.cloud.Wait(n.ctx) == nil && may() && n.mayRent() {
-				names, full, err := n.cloud.Rent(e.Rental)
+				names, full, err := n.cloud.Provision(e.Rental)
 				switch {
 				case full:
 					ev.Outcome = reconciler.Refused
@@ -86,7 +86,7 @@
 		n.spawn(func() {
 			ev := reconciler.ReturnBack{Machines: names, Outcome: reconciler.Unknown}
 			if n.cloud.Wait(n.ctx) == nil && may() && n.mayRent() {
-				if err := n.cloud.Return(names); err == nil {
+				if err := n.cloud.Release(names); err == nil {
 					ev.Outcome = reconciler.OK
 				}
 			}
@@ -95,7 +95,7 @@
 	case reconciler.List:
 		n.spawn(func() {
 			asked := time.Now()
-			list, err := n.cloud.List(n.ctx)
+			list, err := n.cloud.ListMachines(n.ctx)
 			if err != nil {
 				n.log.Debug("machine list", "err", err)
 			}
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -15,7 +15,7 @@
 
 // newRouter makes what decides where users' requests are answered; nil: where they come.
 func (n *Node) newRouter() *route.Router {
-	set := config.Routing(n.plat, n.oper)
+	set := config.RoutingSettings(n.plat, n.oper)
 	if set == nil {
 		return nil
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -93,7 +93,7 @@
 
 // New makes a controller of a release.
 func New(p *config.Platform, o *config.Operator, release string, log *slog.Logger) *Node {
-	n := &Node{plat: p, oper: o, version: release, set: config.Control(p, o), log: log, teams: map[string]*model.Team{}, inbox: make(chan func(time.Time), 256),
+	n := &Node{plat: p, oper: o, version: release, set: config.ReconcilerSettings(p, o), log: log, teams: map[string]*model.Team{}, inbox: make(chan func(time.Time), 256),
 		urgent: make(chan func(time.Time), 64), changed: make(chan struct{}, 1)}
 	teams := p.Teams()
 	for i := range teams {
@@ -115,25 +115,25 @@
 	n.memory = connquota.NewMemory(uint64(p.Deployment.Limits.MemMB*(1<<20)), func(short bool, held, most uint64) {
 		log.Warn("memory", "short", short, "held_mb", held>>20, "most_mb", most>>20)
 	})
-	n.state = store.New(p.Outside.State, o.Front.StateTimeout.D(), n.sockets.Dial(connquota.State))
-	n.jobs = store.NewJobs(n.state, rand.Uint64()|1, o.Front.KeepEnded, config.Store(p), n.jobsChanged, log)
-	n.cloud = cloud.New(p.Outside.Cloud, 1, cloudTimeout, n.sockets.Dial(connquota.Cloud))
-	n.workers = worker.New(o.Workers.DirectWait.D(), n.sockets.Dial(connquota.Direct))
-	set := config.Election(p, o)
+	n.state = store.New(p.Services.State, o.HTTPAPI.StateTimeout.Std(), n.sockets.Dial(connquota.State))
+	n.jobs = store.NewJobs(n.state, rand.Uint64()|1, o.HTTPAPI.EndedJobsCached, config.StoreLimits(p), n.jobsChanged, log)
+	n.cloud = cloud.New(p.Services.Cloud, 1, cloudTimeout, n.sockets.Dial(connquota.Cloud))
+	n.workers = worker.New(o.Workers.CommandTimeout.Std(), n.sockets.Dial(connquota.Direct))
+	set := config.ElectionSettings(p, o)
 	n.elect = election.New(time.Now(), set, log)
-	if o.Promises != nil && set.Promise == 0 {
+	if o.Votes != nil && set.Promise == 0 {
 		log.Warn("promises stay off: workers' leases, the leader's lease and 3 s are not below cancel_s", "lease_s", p.Deployment.Workers.Lease,
 			"leader_lease", set.Life, "cancel_s", p.Deployment.Workers.Cancel)
 	}
 	var ok bool
-	if n.bound, ok = config.Informed(p); !ok {
+	if n.bound, ok = config.StalenessBound(p); !ok {
 		log.Warn("workers' leases are too long for cancel_s: tasks of cancelled jobs on machines that can't be reached may outlast it", "lease_s", p.Deployment.Workers.Lease,
 			"cancel_s", p.Deployment.Workers.Cancel, "knows_of_cancellations_within", n.bound.Keep)
 	}
 	n.toldBy = map[string]store.Told{}
 	n.router = n.newRouter()
 	n.mail = newMail(n)
-	n.front = httpapi.New(httpapi.Settings{RetryAfter: o.Front.RetryAfter.D(), Conns: conns, Sockets: n.sockets, Rules: o.Constraints != nil, RulesNow: n.rulesNow(), Router: n.router}, n.jobs, n, time.Now, log)
+	n.front = httpapi.New(httpapi.Settings{RetryAfter: o.HTTPAPI.RetryAfter.Std(), Conns: conns, Sockets: n.sockets, Rules: o.Constraints != nil, RulesNow: n.rulesNow(), Router: n.router}, n.jobs, n, time.Now, log)
 	n.peers, n.forwards = map[string]*peer.Client{}, map[string]*peer.Client{}
 	for _, m := range p.Members {
 		n.peers[m.Member] = peer.NewClient(m.Addr, n.sockets.Dial(connquota.Peers))
@@ -168,11 +168,11 @@
 
 // Run serves until the context ends or something breaks that cannot be mended.
 func (n *Node) Run(ctx context.Context) error {
-	l, err := net.Listen("tcp4", n.plat.Front)
+	l, err := net.Listen("tcp4", n.plat.HTTPAddr)
 	if err != nil {
 		return err
 	}
-	back, err := net.Listen("tcp4", n.plat.Back)
+	back, err := net.Listen("tcp4", n.plat.PeerAddr)
 	if err != nil {
 		return errors.Join(err, l.Close())
 	}
@@ -211,7 +211,7 @@
 		n.group.Go(func() error { return n.runRollout() })
 	}
 	n.group.Go(func() error { return n.fetchTypes() })
-	n.log.Info("serving", "member", n.plat.Member, "front", n.plat.Front)
+	n.log.Info("serving", "member", n.plat.Member, "front", n.plat.HTTPAddr)
 	err = n.group.Wait()
 	if ctx.Err() != nil {
 		return nil
@@ -228,7 +228,7 @@
 	if err != nil {
 		return err
 	}
-	s := admin.New(config.AdminServer(n.plat, n.oper), n.state, n, n.log)
+	s := admin.New(config.AdminSettings(n.plat, n.oper), n.state, n, n.log)
 	n.log.Info("operators' interface", "listen", l.Addr().String())
 	n.group.Go(func() error {
 		if err := s.Serve(&connquota.Listener{Listener: l, Budget: n.sockets, Owner: connquota.Operators, Now: time.Now}); err != nil {
@@ -278,7 +278,7 @@
 // --- what the front asks
 
 // Report hands a worker's report to the core.
-func (n *Node) Report(ctx context.Context, r *model.Report) httpapi.Verdict {
+func (n *Node) Report(ctx context.Context, r *model.Heartbeat) httpapi.Verdict {
 	return n.report(ctx, reconciler.ReportIn{Report: r})
 }
 
@@ -359,7 +359,7 @@
 		return false
 	}
 	// A leader that acts on promises alone shows nothing of the kind.
-	alone := n.state.Down(now) > config.Election(n.plat, n.oper).Life+outOfReach
+	alone := n.state.Down(now) > config.ElectionSettings(n.plat, n.oper).Life+outOfReach
 	h := n.heard.Load()
 	return !alone || h == nil || h.onPromises || now.Sub(h.at) > outOfReach/2 || n.right.Load().holds()
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -133,7 +133,7 @@
 
 // Relay answers a worker's report that another controller hands over.
 func (h relayed) Relay(ctx context.Context, report []byte) *peerpb.RelayAnswer {
-	r, err := wire.DecodeReport(report)
+	r, err := wire.DecodeHeartbeat(report)
 	if err != nil {
 		return &peerpb.RelayAnswer{}
 	}
@@ -143,7 +143,7 @@
 	if !v.Act || !v.Valid() {
 		return &peerpb.RelayAnswer{Leader: v.Leader}
 	}
-	return &peerpb.RelayAnswer{Act: true, Body: wire.AppendReportAnswer(nil, v.Token, v.Orders)}
+	return &peerpb.RelayAnswer{Act: true, Body: wire.AppendHeartbeatResponse(nil, v.Token, v.Orders)}
 }
 
 // Progress takes what the leader tells for display. It also shows that the
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -42,7 +42,7 @@
 	for _, m := range n.plat.Members {
 		listed = append(listed, m.Member)
 	}
-	gate := featuregate.NewGate(listed, n.oper.Rollout.Steady.D())
+	gate := featuregate.NewGate(listed, n.oper.Rollout.SettleTime.Std())
 	var lease uint64
 	var gaveWay time.Time
 	for ; n.ctx.Err() == nil; store.Wait(n.ctx, rolloutEvery) {
@@ -65,7 +65,7 @@
 			}
 			n.rollout.Store(&standing{state, why, known})
 			next := gate.Next(inForce)
-			if n.oper.Rollout.Hold {
+			if n.oper.Rollout.Paused {
 				next = 0
 			}
 			ev := election.Raising{To: next}
@@ -110,7 +110,7 @@
 	if n.oper.Rollout == nil || s == nil {
 		return nil
 	}
-	out := &admin.Rollout{Level: uint32(n.level.Load()), Knows: uint32(featuregate.Can), State: s.state.String(), Why: s.why, Held: n.oper.Rollout.Hold}
+	out := &admin.Rollout{Level: uint32(n.level.Load()), Knows: uint32(featuregate.Can), State: s.state.String(), Why: s.why, Held: n.oper.Rollout.Paused}
 	for l := featuregate.Level(1); l <= featuregate.Can; l++ {
 		out.Features = append(out.Features, admin.Feature{Name: featuregate.Features[l], Level: uint32(l), InForce: uint32(l) <= out.Level})
 	}
--- a/internal/fake/answers_test.go
+++ b/internal/fake/answers_test.go
@@ -115,7 +115,7 @@
 	for tick := range 1200 {
 		each()
 		if tick%8 == 0 {
-			s := job(model.Array, 1+r.IntN(2), func(s *model.Spec) { s.Need = model.Resources{CPU: 0.2, MemGB: 0.2} })
+			s := job(model.Array, 1+r.IntN(2), func(s *model.Spec) { s.Demand = model.Resources{CPU: 0.2, MemGB: 0.2} })
 			take := func(c *Controller) error { return w.Submit(c, s) }
 			if try(s, take) {
 				jobs = append(jobs, s)
@@ -190,7 +190,7 @@
 	} {
 		w := worldOf(3, 1, 1)
 		until(t, w, 20*second, "somebody leads", func() bool { return w.Leader() != nil })
-		s := job(model.Array, 1, func(s *model.Spec) { s.Need.CPU = 100 }) // never runs
+		s := job(model.Array, 1, func(s *model.Spec) { s.Demand.CPU = 100 }) // never runs
 		submit(t, w, s)
 		if _, err := w.Ask(w.Controllers[1], s.ID); err != nil || len(w.Broken) > 0 {
 			t.Fatal(err, w.Broken)
--- a/internal/fake/cancel_test.go
+++ b/internal/fake/cancel_test.go
@@ -83,7 +83,7 @@
 		for _, ahead := range []time.Duration{second / 2, second, 2 * second, 3 * second, 5 * second, 10 * second} {
 			t.Run(fmt.Sprint(n, " members, refused ", ahead, " ahead"), func(t *testing.T) {
 				w := members(t, n, 4)
-				gone := []*model.Spec{job(model.Array, 2, nil), job(model.Gang, 2, nil), job(model.Array, 1, func(s *model.Spec) { s.Checkpoint, s.Save = second, 8*second })}
+				gone := []*model.Spec{job(model.Array, 2, nil), job(model.Gang, 2, nil), job(model.Array, 1, func(s *model.Spec) { s.CheckpointInterval, s.CheckpointTime = second, 8*second })}
 				stays := job(model.Service, 2, func(s *model.Spec) { s.Team = "blue" })
 				running(t, w, append(gone, stays)...)
 				leader := w.Leader()
@@ -355,7 +355,7 @@
 	for range 5 {
 		open = append(open, job([]model.Shape{model.Array, model.Gang}[r.IntN(2)], 1+r.IntN(2), func(s *model.Spec) {
 			if r.IntN(2) == 0 {
-				s.Checkpoint, s.Save = second, 6*second
+				s.CheckpointInterval, s.CheckpointTime = second, 6*second
 			}
 		}))
 	}
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -22,7 +22,7 @@
 }
 
 type bootingMachine struct {
-	model.Listed
+	model.MachineInfo
 	at time.Time
 }
 
@@ -38,7 +38,7 @@
 }
 
 // Rent carries a request out, or tells what it has led to before. It is false where there is no machine left.
-func (c *Cloud) Rent(now time.Time, r model.Rental) (names []string, ok bool) {
+func (c *Cloud) Rent(now time.Time, r model.Provisioning) (names []string, ok bool) {
 	if names = c.rented[r.Name]; names != nil {
 		return names, true
 	}
@@ -57,7 +57,7 @@
 		n := c.Name()
 		names = append(names, n)
 		c.booting[n] = bootingMachine{
-			model.Listed{Machine: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Booting: true},
+			model.MachineInfo{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Booting: true},
 			now.Add(boot),
 		}
 	}
@@ -72,12 +72,12 @@
 }
 
 // Up takes the machines whose boot has ended off the list of those that boot.
-func (c *Cloud) Up(now time.Time) (up []model.Listed) {
+func (c *Cloud) Up(now time.Time) (up []model.MachineInfo) {
 	for n, b := range c.booting {
 		if !now.Before(b.at) {
 			delete(c.booting, n)
 			b.Booting = false
-			up = append(up, b.Listed)
+			up = append(up, b.MachineInfo)
 		}
 	}
 	return up
@@ -90,10 +90,10 @@
 func (c *Cloud) Rented() int { return c.machines }
 
 // Booting lists the machines that boot, by name.
-func (c *Cloud) Booting() map[string]model.Listed {
-	out := make(map[string]model.Listed, len(c.booting))
+func (c *Cloud) Booting() map[string]model.MachineInfo {
+	out := make(map[string]model.MachineInfo, len(c.booting))
 	for n, b := range c.booting {
-		out[n] = b.Listed
+		out[n] = b.MachineInfo
 	}
 	return out
 }
--- a/internal/fake/copies_test.go
+++ b/internal/fake/copies_test.go
@@ -67,16 +67,16 @@
 				w.Pass(time.Duration(rapid.IntRange(1, 40).Draw(r, "tenths")) * 100 * time.Millisecond)
 				for len(w.Workers) < 2 {
 					w.machines++
-					w.AddMachine(model.Listed{Machine: fmt.Sprintf("n-%06d", w.machines), Type: "eight", Zone: "a"})
+					w.AddMachine(model.MachineInfo{Name: fmt.Sprintf("n-%06d", w.machines), Type: "eight", Zone: "a"})
 				}
 			},
 			"a job comes": func(r *rapid.T) {
 				c := controller(r)
 				s := job(rapid.SampledFrom([]model.Shape{model.Array, model.Array, model.Service}).Draw(r, "shape"), rapid.IntRange(1, 3).Draw(r, "tasks"), func(s *model.Spec) {
-					s.Rank = rapid.SampledFrom([]model.Rank{model.Low, model.Normal, model.Production}).Draw(r, "rank")
-					s.Need.CPU = float64(rapid.SampledFrom([]int{2, 4, 8}).Draw(r, "cpus"))
+					s.Priority = rapid.SampledFrom([]model.Priority{model.PriorityLow, model.PriorityNormal, model.PriorityProduction}).Draw(r, "rank")
+					s.Demand.CPU = float64(rapid.SampledFrom([]int{2, 4, 8}).Draw(r, "cpus"))
 					if rapid.Bool().Draw(r, "saves") {
-						s.Checkpoint, s.Save = 2*second, second
+						s.CheckpointInterval, s.CheckpointTime = 2*second, second
 					}
 				})
 				if c.Up && w.Submit(c, s) == nil {
--- a/internal/fake/fleet.go
+++ b/internal/fake/fleet.go
@@ -17,7 +17,7 @@
 	Workers  map[string]*Worker
 	Launched func(t *Task) // told of each launch that a worker takes; nil: nobody is
 
-	limits map[string]model.Limit
+	limits map[string]model.Quota
 	gangs  map[gangAttempt]map[*Task]bool
 	on     map[model.TaskID]*Worker
 	used   map[string]model.Resources // by team
@@ -37,12 +37,12 @@
 
 // NewFleet makes a fleet without workers, in which teams have limits.
 func NewFleet(now time.Time, teams []model.Team) *Fleet {
-	f := &Fleet{Workers: map[string]*Worker{}, limits: map[string]model.Limit{}, gangs: map[gangAttempt]map[*Task]bool{},
+	f := &Fleet{Workers: map[string]*Worker{}, limits: map[string]model.Quota{}, gangs: map[gangAttempt]map[*Task]bool{},
 		on: map[model.TaskID]*Worker{}, used: map[string]model.Resources{}, placed: map[string]*placement{}}
 	f.Site = newSite(now, f.gang)
 	f.Site.Moved, f.Site.Known = f.moved, f.known
 	for _, t := range teams {
-		f.limits[t.Name] = t.Limit
+		f.limits[t.Name] = t.Quota
 	}
 	return f
 }
@@ -51,10 +51,10 @@
 func (f *Fleet) SetNow(now time.Time) { f.now = now }
 
 // Add brings a machine up.
-func (f *Fleet) Add(l model.Listed) *Worker {
-	k := &Worker{site: &f.Site, Name: l.Machine, Addr: l.Addr, Type: l.Type, Zone: l.Zone, Spot: l.Spot, Session: 1,
+func (f *Fleet) Add(l model.MachineInfo) *Worker {
+	k := &Worker{site: &f.Site, Name: l.Name, Addr: l.Addr, Type: l.Type, Zone: l.Zone, Spot: l.Spot, Session: 1,
 		Tasks: map[model.AttemptKey]*Task{}, renewed: f.now}
-	f.Workers[l.Machine] = k
+	f.Workers[l.Name] = k
 	return k
 }
 
@@ -134,7 +134,7 @@
 		f.broken("ran_twice: %v on %s and %s", t.ID, other.Name, k.Name)
 	}
 	f.on[t.ID] = k
-	f.used[t.Spec.Team] = f.used[t.Spec.Team].Add(t.Spec.Need)
+	f.used[t.Spec.Team] = f.used[t.Spec.Team].Add(t.Spec.Demand)
 	if u := f.used[t.Spec.Team]; !f.limits[t.Spec.Team].Allows(u) {
 		f.broken("quota: %s uses %v", t.Spec.Team, u)
 	}
@@ -146,10 +146,10 @@
 	p.tasks++
 	p.zones[k.Zone]++
 	s := t.Spec
-	if !s.Spot && k.Spot || !s.AllowsType(k.Type) || s.Zone != "" && s.Zone != k.Zone {
+	if !s.AllowSpot && k.Spot || !s.AllowsType(k.Type) || s.Zone != "" && s.Zone != k.Zone {
 		f.broken("wrong_place: %v on %s", t.ID, k.Name)
 	}
-	if s.OneZone && len(p.zones) > 1 || s.Spread && p.zones[k.Zone] > s.ZoneCap() {
+	if s.SingleZone && len(p.zones) > 1 || s.Spread && p.zones[k.Zone] > s.MaxTasksPerZone() {
 		f.broken("wrong_place: %s has %d tasks in %s", s.ID, p.zones[k.Zone], k.Zone)
 	}
 	if at, ok := f.Cancelled[t.ID.Job]; ok && f.now.Sub(at) > f.CancelIn {
@@ -162,7 +162,7 @@
 	if f.on[t.ID] == k {
 		delete(f.on, t.ID)
 	}
-	f.used[t.Spec.Team] = f.used[t.Spec.Team].Sub(t.Spec.Need)
+	f.used[t.Spec.Team] = f.used[t.Spec.Team].Sub(t.Spec.Demand)
 	p := f.placed[t.ID.Job]
 	if p == nil {
 		return
--- a/internal/fake/fleet_rules_test.go
+++ b/internal/fake/fleet_rules_test.go
@@ -13,7 +13,7 @@
 func TestAFleetFindsBrokenRules(t *testing.T) {
 	now := time.Unix(1000, 0)
 	launch := func(k *Worker, job string, index int) {
-		k.Execute([]model.Order{{Op: model.OpLaunch, Task: model.TaskID{Job: job, Index: index}, Try: uint64(index + 1)}})
+		k.Execute([]model.Command{{Op: model.OpLaunch, Task: model.TaskID{Job: job, Index: index}, Attempt: uint64(index + 1)}})
 	}
 	for rule, play := range map[string]func(f *Fleet, a, b *Worker){
 		"ran_twice": func(_ *Fleet, a, b *Worker) { launch(a, "wk-000001", 0); launch(b, "wk-000001", 0) },
@@ -36,17 +36,17 @@
 		},
 		"": func(_ *Fleet, a, b *Worker) { launch(a, "wk-000001", 0); launch(b, "wk-000001", 1) },
 	} {
-		f := NewFleet(now, []model.Team{{Name: "red", Limit: model.LimitOf(8, 0)}})
+		f := NewFleet(now, []model.Team{{Name: "red", Quota: model.NewQuota(8, 0)}})
 		f.Lease = 2 * time.Hour
 		f.Specs["wk-000001"] = &model.Spec{
-			ID:    "wk-000001",
-			Team:  "red",
-			Shape: model.Array,
-			Tasks: 9,
-			Need:  model.Resources{CPU: 4},
+			ID:     "wk-000001",
+			Team:   "red",
+			Shape:  model.Array,
+			Tasks:  9,
+			Demand: model.Resources{CPU: 4},
 		}
-		a := f.Add(model.Listed{Machine: "n-1", Zone: "a"})
-		b := f.Add(model.Listed{Machine: "n-2", Zone: "a"})
+		a := f.Add(model.MachineInfo{Name: "n-1", Zone: "a"})
+		b := f.Add(model.MachineInfo{Name: "n-2", Zone: "a"})
 		play(f, a, b)
 		for range 2 { // the image comes, and what was launched is on its machine
 			f.SetNow(f.Now().Add(2 * time.Second))
@@ -66,11 +66,11 @@
 	f := NewFleet(now, []model.Team{{Name: "red"}})
 	f.Lease, f.GangWait, f.Run = time.Hour, time.Hour, time.Hour
 	f.Specs["wk-000001"] = &model.Spec{
-		ID:    "wk-000001",
-		Team:  "red",
-		Shape: model.Gang,
-		Tasks: 2,
-		Need:  model.Resources{CPU: 4},
+		ID:     "wk-000001",
+		Team:   "red",
+		Shape:  model.Gang,
+		Tasks:  2,
+		Demand: model.Resources{CPU: 4},
 	}
 	var machines [2]*Worker
 	phase := func(i int) model.Phase {
@@ -86,18 +86,18 @@
 		return 0
 	}
 	for i := range machines {
-		machines[i] = f.Add(model.Listed{Machine: string(rune('a' + i)), Zone: "a"})
-		machines[i].Execute([]model.Order{{Op: model.OpLaunch, Task: model.TaskID{Job: "wk-000001", Index: i}, Try: 7}})
-		if phase(i); i == 0 && phase(0) != model.Waiting {
+		machines[i] = f.Add(model.MachineInfo{Name: string(rune('a' + i)), Zone: "a"})
+		machines[i].Execute([]model.Command{{Op: model.OpLaunch, Task: model.TaskID{Job: "wk-000001", Index: i}, Attempt: 7}})
+		if phase(i); i == 0 && phase(0) != model.PhaseWaiting {
 			t.Error("the first task does not wait for the second")
 		}
 	}
-	if phase(0); phase(0) != model.Running {
+	if phase(0); phase(0) != model.PhaseRunning {
 		t.Error("a whole gang does not run")
 	}
 	f.Remove(machines[1].Name)
-	machines[0].Tasks[model.AttemptKey{Task: model.TaskID{Job: "wk-000001"}, Try: 7}].until = f.Now()
-	if phase(0); phase(0) != model.Exited {
+	machines[0].Tasks[model.AttemptKey{Task: model.TaskID{Job: "wk-000001"}, Number: 7}].until = f.Now()
+	if phase(0); phase(0) != model.PhaseExited {
 		t.Error("a gang that has lost a task goes on")
 	}
 }
--- a/internal/fake/fleet_test.go
+++ b/internal/fake/fleet_test.go
@@ -15,7 +15,7 @@
 	w := world(machines, float64(machines))
 	w.Tick, w.Run, w.full = 250*time.Millisecond, time.Hour, true
 	w.Pass(8 * second)
-	s := job(model.Service, 4*machines, func(s *model.Spec) { s.Need.CPU, s.Rank = 2, model.Production })
+	s := job(model.Service, 4*machines, func(s *model.Spec) { s.Demand.CPU, s.Priority = 2, model.PriorityProduction })
 	if err := w.Submit(w.Controllers[0], s); err != nil {
 		b.Fatal(err)
 	}
@@ -149,10 +149,10 @@
 			w.full, w.Run = true, 20*second
 			var services []*model.Spec
 			for range 10 {
-				s := job(model.Service, 6, func(s *model.Spec) { s.Rank = model.Production })
+				s := job(model.Service, 6, func(s *model.Spec) { s.Priority = model.PriorityProduction })
 				services = append(services, s)
 				submit(t, w, s)
-				submit(t, w, job(model.Array, 3, func(s *model.Spec) { s.Rank = model.Low }))
+				submit(t, w, job(model.Array, 3, func(s *model.Spec) { s.Priority = model.PriorityLow }))
 			}
 			all := func() bool {
 				for _, s := range services {
--- a/internal/fake/ledger_test.go
+++ b/internal/fake/ledger_test.go
@@ -23,8 +23,8 @@
 	p := &config.Platform{Member: "tiller-0"}
 	p.Deployment.State.ValueKB, p.Deployment.State.TxnOps, p.Deployment.State.WriteRPS = 2, 4, 80
 	o := config.Defaults()
-	o.Ledger = &config.Ledger{Settle: config.Duration(2 * second), KeepHours: config.Duration(24 * time.Hour), KeepDays: config.Duration(96 * time.Hour)}
-	w.ledger = config.Accounting(p, o)
+	o.Ledger = &config.Ledger{SettleInterval: config.Duration(2 * second), KeepHours: config.Duration(24 * time.Hour), KeepDays: config.Duration(96 * time.Hour)}
+	w.ledger = config.LedgerSettings(p, o)
 	w.ledger.Weights = map[string]float64{"red": 16, "blue": 8}
 	if change != nil {
 		change(w.ledger)
@@ -77,9 +77,9 @@
 	w := accounted(t, 8, nil)
 	w.Run = 20 * second
 	limit := job(model.Array, 12, nil) // 8 of its tasks fill the team's 32 CPUs
-	behind := job(model.Array, 1, func(s *model.Spec) { s.Awaits, s.Class = []string{limit.ID}, "behind" })
+	behind := job(model.Array, 1, func(s *model.Spec) { s.Dependencies, s.Class = []string{limit.ID}, "behind" })
 	bad := job(model.Array, 1, func(s *model.Spec) { s.Team, s.Class = "blue", "bad" })
-	huge := job(model.Array, 1, func(s *model.Spec) { s.Team, s.Class, s.Types = "blue", "huge", []string{"none"} })
+	huge := job(model.Array, 1, func(s *model.Spec) { s.Team, s.Class, s.MachineTypes = "blue", "huge", []string{"none"} })
 	w.Bad[bad.ID] = true
 	for _, s := range []*model.Spec{limit, behind, bad, huge} {
 		submit(t, w, s)
@@ -137,7 +137,7 @@
 func TestABrokenAccountKeepsNoJobFromEnding(t *testing.T) {
 	for what, value := range map[string][]byte{
 		"of a version to come":   []byte("\x81\xa1v\x02"),
-		"changed by hand":        wire.AppendOpenPage(nil, &ledger.Open{Team: "red", Number: 1, Settled: 900, Token: 77, From: time.Unix(0, 0), At: time.Unix(0, 0)}),
+		"changed by hand":        wire.AppendOpenSegment(nil, &ledger.Open{Team: "red", Number: 1, Settled: 900, Token: 77, From: time.Unix(0, 0), At: time.Unix(0, 0)}),
 		"unreadable, by a write": []byte("\x81\xa1n\xa1x"),
 	} {
 		w := accounted(t, 2, nil)
@@ -167,7 +167,7 @@
 		w.CloudFull = true
 		w.full = true // the cloud has no more machines: 32 CPUs for all
 		team := func(name string, cpus float64) {
-			w.Teams[name] = model.Team{Name: name, Limit: model.LimitOf(cpus, 0)}
+			w.Teams[name] = model.Team{Name: name, Quota: model.NewQuota(cpus, 0)}
 			w.ledger.Weights[name] = 1
 		}
 		team("guest", 32)
@@ -184,7 +184,7 @@
 		until(t, w, 10*second, "another leads", func() bool { return w.Leader() != nil })
 		w.Run = 20 * second
 		add := func(team string, tasks int, deadline time.Duration) *model.Spec {
-			s := job(model.Array, tasks, func(s *model.Spec) { s.Team, s.Deadline, s.Estimate, s.Class = team, deadline, 20*second, team })
+			s := job(model.Array, tasks, func(s *model.Spec) { s.Team, s.Deadline, s.EstimatedRunTime, s.Class = team, deadline, 20*second, team })
 			submit(t, w, s)
 			return s
 		}
--- a/internal/fake/level_test.go
+++ b/internal/fake/level_test.go
@@ -125,7 +125,7 @@
 	raise(t, w, w.Leader())
 	w.Pass(5 * second) // the others have read it
 	lost := func() {
-		if _, ok, err := w.Controllers[1].State.Commit(context.Background(), &wire.Txn{Then: []wire.Change{{Key: "leader/level"}}}, true); !ok || err != nil {
+		if _, ok, err := w.Controllers[1].State.Commit(context.Background(), &wire.Txn{Changes: []wire.Change{{Key: "leader/level"}}}, true); !ok || err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fake/limits_test.go
+++ b/internal/fake/limits_test.go
@@ -35,7 +35,7 @@
 			s := job(model.Array, 2, func(s *model.Spec) {
 				s.Team = team
 				if i%2 == 0 {
-					s.Checkpoint, s.Save = second, 8*second
+					s.CheckpointInterval, s.CheckpointTime = second, 8*second
 				}
 			})
 			submit(t, w, s)
@@ -143,7 +143,7 @@
 		for _, long := range []time.Duration{3 * second, 8 * second, 11 * second, 30 * second} {
 			w := members(t, 3, 1)
 			w.Capacity = 1
-			s := job(model.Array, 2, func(s *model.Spec) { s.Checkpoint, s.Save = second, 10*second })
+			s := job(model.Array, 2, func(s *model.Spec) { s.CheckpointInterval, s.CheckpointTime = second, 10*second })
 			running(t, w, s)
 			k := holders(w, s)[0]
 			switch at {
@@ -152,7 +152,7 @@
 				until(t, w, 20*second, "it saves", func() bool {
 					n := 0
 					for _, x := range k.Tasks {
-						if x.Phase == model.Saving {
+						if x.Phase == model.PhaseCheckpointing {
 							n++
 						}
 					}
--- a/internal/fake/meetings_test.go
+++ b/internal/fake/meetings_test.go
@@ -120,7 +120,7 @@
 func TestLaunchesOfManyTasksAreRepeated(t *testing.T) {
 	w := members(t, 3, 1)
 	w.Run, w.Copies = second, 10_000
-	s := job(model.Array, 150, func(s *model.Spec) { s.Need = model.Resources{CPU: 0.05, MemGB: 0.1} })
+	s := job(model.Array, 150, func(s *model.Spec) { s.Demand = model.Resources{CPU: 0.05, MemGB: 0.1} })
 	submit(t, w, s)
 	until(t, w, 60*second, "done", done(t, w, s))
 	w.Pass(10 * second)
--- a/internal/fake/mute_test.go
+++ b/internal/fake/mute_test.go
@@ -13,7 +13,7 @@
 // A mute machine answers stops now and then, since jobs on it are cancelled one after another. It gets no work that
 // cannot live there, and what else ran on it runs elsewhere soon, and once.
 func TestAMuteMachineGetsNoWorkThatCannotLive(t *testing.T) {
-	small := func(s *model.Spec) { s.Need = model.Resources{CPU: 0.5, MemGB: 1} }
+	small := func(s *model.Spec) { s.Demand = model.Resources{CPU: 0.5, MemGB: 1} }
 	for _, newLeader := range []bool{false, true} {
 		w := members(t, 3, 4)
 		var cancelled []*model.Spec
@@ -66,7 +66,7 @@
 					w := members(t, 3, 16)
 					w.Capacity = 16
 					a, g := job(model.Array, 8, nil), job(model.Gang, 3, nil)
-					s := job(model.Service, 4, func(s *model.Spec) { s.Team, s.Spread, s.Rank = "blue", true, model.Production })
+					s := job(model.Service, 4, func(s *model.Spec) { s.Team, s.Spread, s.Priority = "blue", true, model.PriorityProduction })
 					running(t, w, a, g, s)
 					var far []*Worker
 					for _, n := range w.Names() {
--- a/internal/fake/ops_test.go
+++ b/internal/fake/ops_test.go
@@ -76,13 +76,13 @@
 	w.Teams["guest"] = model.Team{Name: "guest"}
 	until(t, w, 20*second, "somebody leads", func() bool { return w.Leader() != nil })
 	w.Capacity, w.Run = 16, 6*second
-	guest := func(class string, rank model.Rank, due time.Duration) func(s *model.Spec) {
+	guest := func(class string, rank model.Priority, due time.Duration) func(s *model.Spec) {
 		return func(s *model.Spec) {
-			s.Team, s.Class, s.Rank, s.Deadline, s.Estimate = "guest", class, rank, due, 6*second
-			s.Need = model.Resources{CPU: 2, MemGB: 1}
+			s.Team, s.Class, s.Priority, s.Deadline, s.EstimatedRunTime = "guest", class, rank, due, 6*second
+			s.Demand = model.Resources{CPU: 2, MemGB: 1}
 		}
 	}
-	atlas := job(model.Array, 600, guest("atlas", model.Low, 0))
+	atlas := job(model.Array, 600, guest("atlas", model.PriorityLow, 0))
 	submit(t, w, atlas)
 	begun := map[string]int{}
 	count := map[string]int{}
@@ -97,15 +97,15 @@
 	waitsFor := map[string]bool{}
 	for tick := range 1600 {
 		if tick%4 == 0 {
-			swarm = append(swarm, submitted(job(model.Array, 1, guest("swarm", model.Normal, 8*second))))
+			swarm = append(swarm, submitted(job(model.Array, 1, guest("swarm", model.PriorityNormal, 8*second))))
 		}
 		if tick%100 == 0 {
-			idle = append(idle, submitted(job(model.Array, 4, guest("idle", model.Low, 0))))
+			idle = append(idle, submitted(job(model.Array, 4, guest("idle", model.PriorityLow, 0))))
 		}
 		if tick%160 == 80 && len(own) < 10 {
 			s := job(model.Array, 2, nil)
 			if len(own)%3 == 0 {
-				s = job(model.Service, 2, func(s *model.Spec) { s.Rank = model.Production })
+				s = job(model.Service, 2, func(s *model.Spec) { s.Priority = model.PriorityProduction })
 			}
 			own = append(own, submitted(s))
 			waitsFor[s.ID] = true
@@ -171,14 +171,14 @@
 	until(t, w, 20*second, "somebody leads", func() bool { return w.Leader() != nil })
 	var bad, good []*model.Spec
 	for range 5 {
-		s := job(model.Array, 4, func(s *model.Spec) { s.Need.CPU = 1 })
+		s := job(model.Array, 4, func(s *model.Spec) { s.Demand.CPU = 1 })
 		w.Bad[s.ID] = true
 		submit(t, w, s)
 		bad = append(bad, s)
 	}
 	var sick *Worker
 	for i := range 12 {
-		s := job(model.Array, 4, func(s *model.Spec) { s.Need.CPU = 2 })
+		s := job(model.Array, 4, func(s *model.Spec) { s.Demand.CPU = 2 })
 		submit(t, w, s)
 		good = append(good, s)
 		if i == 3 {
@@ -229,7 +229,7 @@
 			}
 			return w.Boot
 		}
-		gang := job(model.Gang, 6, func(s *model.Spec) { s.Need = model.Resources{CPU: 8, MemGB: 30} })
+		gang := job(model.Gang, 6, func(s *model.Spec) { s.Demand = model.Resources{CPU: 8, MemGB: 30} })
 		submit(t, w, gang)
 		until(t, w, 200*second, "the gang runs", func() bool { return on(w, gang) == 6 })
 		w.Calm()
--- a/internal/fake/pipelines_test.go
+++ b/internal/fake/pipelines_test.go
@@ -17,9 +17,9 @@
 // after makes an array of one task that awaits other jobs.
 func after(needs ...*model.Spec) *model.Spec {
 	return job(model.Array, 1, func(s *model.Spec) {
-		s.Need.CPU = 1
+		s.Demand.CPU = 1
 		for _, n := range needs {
-			s.Awaits = append(s.Awaits, n.ID)
+			s.Dependencies = append(s.Dependencies, n.ID)
 		}
 	})
 }
@@ -83,8 +83,8 @@
 	w := deployment(t, 2) // the world checks too_early
 	a := job(model.Array, 4, nil)
 	b1, b2 := after(a), after(a)
-	gang := job(model.Gang, 2, func(s *model.Spec) { s.Awaits = []string{b1.ID, b2.ID, a.ID} })
-	huge := job(model.Array, 60, func(s *model.Spec) { s.Team = "blue"; s.Awaits = []string{gang.ID} })
+	gang := job(model.Gang, 2, func(s *model.Spec) { s.Dependencies = []string{b1.ID, b2.ID, a.ID} })
+	huge := job(model.Array, 60, func(s *model.Spec) { s.Team = "blue"; s.Dependencies = []string{gang.ID} })
 	submitAll(t, w, a, b1, b2, gang, huge)
 	rented := w.Rented()
 	until(t, w, 60*second, "the gang runs", func() bool { return on(w, gang) == 2 })
@@ -197,7 +197,7 @@
 	until(t, w, 60*second, "done", done(t, w, ended))
 	restart(t, w, 0) // nobody remembers anything
 	self := after()
-	self.Awaits = []string{self.ID}
+	self.Dependencies = []string{self.ID}
 	for name, s := range map[string]*model.Spec{"one never accepted": after(&model.Spec{ID: "wk-999999"}), "itself": self} {
 		if err := w.Submit(w.Controllers[1], s); !errors.Is(err, store.ErrNeverAccepted) {
 			t.Errorf("a job that awaits %s: %v", name, err)
@@ -230,7 +230,7 @@
 	restart(t, w, 0)
 	w.Run = 2 * second
 	a, b := job(model.Array, 1, nil), job(model.Array, 1, nil)
-	long := job(model.Array, 1, func(s *model.Spec) { s.Team = "blue"; s.Need.CPU = 100 }) // fits nowhere
+	long := job(model.Array, 1, func(s *model.Spec) { s.Team = "blue"; s.Demand.CPU = 100 }) // fits nowhere
 	submitAll(t, w, a, b, long)
 	c := after(a, b, long)
 	submitAll(t, w, c)
@@ -241,7 +241,7 @@
 		until(t, w, 60*second, "done", done(t, w, s))
 	}
 	d := after(a)
-	d.Awaits = append(d.Awaits, long.ID)
+	d.Dependencies = append(d.Dependencies, long.ID)
 	submitAll(t, w, d)
 	restart(t, w, 0)
 	w.Pass(5 * second)
@@ -279,7 +279,7 @@
 	w := deployment(t, 2)
 	a := job(model.Array, 1, nil)
 	b := after(a)
-	b.Need.CPU = 100 // fits nowhere
+	b.Demand.CPU = 100 // fits nowhere
 	submitAll(t, w, a, b)
 	until(t, w, 60*second, "freed", done(t, w, a))
 	freed := w.Now()
@@ -287,7 +287,7 @@
 	restart(t, w, 0)
 	w.Pass(5 * second)
 	for _, e := range w.Leader().Jobs.Ends(context.Background(), []string{a.ID}) {
-		if d := freed.Sub(e.At); e.End != model.EndDone || d < 0 || d > second {
+		if d := freed.Sub(e.At); e.End != model.OutcomeDone || d < 0 || d > second {
 			t.Errorf("the end on record is %v before the one that was seen", d)
 		}
 	}
@@ -305,7 +305,7 @@
 		s := after()
 		s.ID = fmt.Sprintf("wk-9%030d", i)
 		submitAll(t, w, s)
-		last.Awaits = append(last.Awaits, s.ID)
+		last.Dependencies = append(last.Dependencies, s.ID)
 	}
 	submitAll(t, w, last)
 	if n := len(w.State.Keys("job/w/")); n < 5 {
@@ -318,7 +318,7 @@
 		t.Errorf("rejected: %v", w.Rejected)
 	}
 	for i := range 2000 {
-		last.Awaits = append(last.Awaits, fmt.Sprintf("wk-7%030d", i))
+		last.Dependencies = append(last.Dependencies, fmt.Sprintf("wk-7%030d", i))
 	}
 	if err := w.Controllers[0].Jobs.Fits(last); !errors.Is(err, store.ErrTooLarge) {
 		t.Errorf("a list that cannot be kept at all: %v", err)
@@ -331,7 +331,7 @@
 	w := deployment(t, 1)
 	s := after()
 	key := "job/w/" + s.ID + "/cbf29ce484222325/0"
-	w.State.Plant(key, wire.AppendAwaits(nil, []string{"wk-000001"}))
+	w.State.Plant(key, wire.AppendDependencies(nil, []string{"wk-000001"}))
 	restart(t, w, 0)
 	until(t, w, 10*second, "cleared away", func() bool { return w.State.Value(key) == nil })
 	if v, err := w.Controllers[0].Jobs.Lookup(context.Background(), s.ID); err != nil || v.State != wire.StateUnknown {
@@ -395,7 +395,7 @@
 		t.Errorf("records that the old version does not know: %v", keys)
 	}
 	// And a job that the new version accepts is, byte for byte, one of the old.
-	b := wire.AppendActive(nil, s, time.Date(2026, 1, 1, 0, 0, 1, 0, time.UTC), s.Awaits, wire.Parts{})
+	b := wire.AppendActiveJob(nil, s, time.Date(2026, 1, 1, 0, 0, 1, 0, time.UTC), s.Dependencies, wire.DependencyParts{})
 	if hex.EncodeToString(b) != oldActive12 {
 		t.Errorf("the record of a job that awaits nothing differs:\n%x\n%s", b, oldActive12)
 	}
@@ -495,13 +495,13 @@
 // take: the others are saved, and the job ends.
 func TestARejectedRecordDoesNotHoldUpTheRest(t *testing.T) {
 	w := deployment(t, 2)
-	s := job(model.Array, 1900, func(s *model.Spec) { s.Need.CPU = 1 })
+	s := job(model.Array, 1900, func(s *model.Spec) { s.Demand.CPU = 1 })
 	other := job(model.Array, 3, nil)
 	w.Specs[s.ID] = s
 	for i := range 1895 {
 		w.Done[model.TaskID{Job: s.ID, Index: i}] = true
 	}
-	w.State.Plant("job/a/"+s.ID, wire.AppendActive(nil, s, w.Now(), nil, wire.Parts{}))
+	w.State.Plant("job/a/"+s.ID, wire.AppendActiveJob(nil, s, w.Now(), nil, wire.DependencyParts{}))
 	bits := make([]byte, 238)
 	for i := range 1895 {
 		bits[i/8] |= 1 << (i % 8)
--- a/internal/fake/rules_test.go
+++ b/internal/fake/rules_test.go
@@ -11,7 +11,7 @@
 func ruled(t *testing.T, machines int) *World {
 	t.Helper()
 	w := deployment(t, machines)
-	w.Types = append(w.Types, model.MachineType{Name: "big", Cap: model.Resources{CPU: 16, MemGB: 128}, Price: 9, SpotPrice: 5, Boot: 5 * second, Zones: []string{"a", "b"}})
+	w.Types = append(w.Types, model.MachineType{Name: "big", Capacity: model.Resources{CPU: 16, MemGB: 128}, PricePerHour: 9, SpotPricePerHour: 5, BootTime: 5 * second, Zones: []string{"a", "b"}})
 	for _, c := range w.Controllers {
 		c.Crash()
 		c.Start()
@@ -71,8 +71,8 @@
 func TestApartFromAJobThatStartsInTheSamePass(t *testing.T) {
 	w := ruled(t, 2)
 	w.Run = 30 * second
-	first := job(model.Array, 1, func(s *model.Spec) { s.Rank, s.Team = model.Production, "blue" })
-	behind := job(model.Gang, 2, func(s *model.Spec) { s.Need.CPU = 2 })
+	first := job(model.Array, 1, func(s *model.Spec) { s.Priority, s.Team = model.PriorityProduction, "blue" })
+	behind := job(model.Gang, 2, func(s *model.Spec) { s.Demand.CPU = 2 })
 	behind.Rules = "require apart from " + first.ID + " by zone"
 	w.Leader().Crash() // both are there when the next leader makes its first pass
 	submitTo(t, w, w.Controllers, first, behind)
@@ -99,11 +99,13 @@
 
 func TestRulesHoldWhereRoomIsMadeAndWhereReplicasMove(t *testing.T) {
 	w := ruled(t, 4) // two machines in each zone
-	low := job(model.Array, 8, func(s *model.Spec) { s.Rank, s.Checkpoint, s.Save = model.Low, 5*second, second })
+	low := job(model.Array, 8, func(s *model.Spec) {
+		s.Priority, s.CheckpointInterval, s.CheckpointTime = model.PriorityLow, 5*second, second
+	})
 	w.Run = 300 * second
 	submit(t, w, low)
 	until(t, w, 20*second, "low work fills all", func() bool { return on(w, low) == 8 })
-	serve := under(t, w, job(model.Service, 2, func(s *model.Spec) { s.Rank, s.Team = model.Production, "blue" }), "require zone = \"a\"; require at most 1 per machine",
+	serve := under(t, w, job(model.Service, 2, func(s *model.Spec) { s.Priority, s.Team = model.PriorityProduction, "blue" }), "require zone = \"a\"; require at most 1 per machine",
 		func(k *Worker) bool { return k.Zone == "a" })
 	until(t, w, 30*second, "room is made in its zone", func() bool { return on(w, serve) == 2 })
 	w.Cancel(w.Controllers[0], low.ID)
@@ -115,7 +117,7 @@
 
 func TestAnAcceptedJobWaitsForATypeThatIsGone(t *testing.T) {
 	w := ruled(t, 2)
-	submit(t, w, job(model.Service, 2, func(s *model.Spec) { s.Need.CPU = 8 })) // keeps both machines
+	submit(t, w, job(model.Service, 2, func(s *model.Spec) { s.Demand.CPU = 8 })) // keeps both machines
 	all := w.Types
 	w.Types = all[:1]
 	w.Pass(70 * second) // the catalogue is read anew
@@ -147,7 +149,7 @@
 	w.Run = 60 * second
 	limit := job(model.Array, 10, nil)
 	submit(t, w, limit)
-	behind := job(model.Array, 1, func(s *model.Spec) { s.Awaits = []string{limit.ID} })
+	behind := job(model.Array, 1, func(s *model.Spec) { s.Dependencies = []string{limit.ID} })
 	submit(t, w, behind)
 	wish := under(t, w, job(model.Array, 1, func(s *model.Spec) { s.Team = "blue" }), "prefer 100 zone = \"b\"", func(k *Worker) bool { return k.Zone == "b" })
 	w.Pass(6 * second)
--- a/internal/fake/settings_test.go
+++ b/internal/fake/settings_test.go
@@ -88,9 +88,9 @@
 	var teams []model.Team
 	for i := range rapid.IntRange(1, 4).Draw(r, "teams") {
 		t := model.Team{Name: fmt.Sprintf("team-%d", i), Guarantee: model.Resources{CPU: f("cpus", 0, 0, 8), GPU: f("gpus", 0, 0, 2)},
-			Limit: model.LimitOf(f("cpus_max", 0, 0, 16, 400), f("gpus_max", 0, 0, 4))}
-		cpus, _ := t.Limit.CPU.Most()
-		gpus, _ := t.Limit.GPU.Most()
+			Quota: model.NewQuota(f("cpus_max", 0, 0, 16, 400), f("gpus_max", 0, 0, 4))}
+		cpus, _ := t.Quota.CPU.Max()
+		gpus, _ := t.Quota.GPU.Max()
 		teams = append(teams, t)
 		say("[[deployment.teams]]\nname = %q\ncpus = %g\ncpus_max = %g\ngpus = %g\ngpus_max = %g", t.Name, t.Guarantee.CPU, cpus, t.Guarantee.GPU, gpus)
 	}
@@ -106,13 +106,13 @@
 	p := platform(r, dir, b.String())
 	o := config.Defaults()
 	if rapid.Bool().Draw(r, "promises") {
-		o.Promises = &config.Promises{Outage: config.Duration(10 * time.Second)}
+		o.Votes = &config.Votes{Outage: config.Duration(10 * time.Second)}
 	}
-	w := NewWorld(members, config.Control(p, o), config.Election(p, o), config.Store(p), quiet)
+	w := NewWorld(members, config.ReconcilerSettings(p, o), config.ElectionSettings(p, o), config.StoreLimits(p), quiet)
 	w.Tick, w.Run, w.Fetch = 100*time.Millisecond, 3*second, 200*time.Millisecond
-	w.Types = []model.MachineType{{Name: "plain", Cap: model.Resources{CPU: 8, MemGB: 64}, Price: 1, SpotPrice: f("spot price", 0, 0.3), Boot: time.Duration(f("boot", 0, 5) * 1e9), Zones: zones}}
+	w.Types = []model.MachineType{{Name: "plain", Capacity: model.Resources{CPU: 8, MemGB: 64}, PricePerHour: 1, SpotPricePerHour: f("spot price", 0, 0.3), BootTime: time.Duration(f("boot", 0, 5) * 1e9), Zones: zones}}
 	if rapid.Bool().Draw(r, "GPUs") {
-		w.Types = append(w.Types, model.MachineType{Name: "cards", Cap: model.Resources{CPU: 32, GPU: 4, MemGB: 128}, Price: 9, SpotPrice: 2, Boot: 5 * second, Zones: zones[:1]})
+		w.Types = append(w.Types, model.MachineType{Name: "cards", Capacity: model.Resources{CPU: 32, GPU: 4, MemGB: 128}, PricePerHour: 9, SpotPricePerHour: 2, BootTime: 5 * second, Zones: zones[:1]})
 	}
 	w.Capacity = rapid.SampledFrom([]int{0, few, 40}).Draw(r, "machines that the cloud has")
 	return w, teams, zones
@@ -143,24 +143,24 @@
 			team := rapid.SampledFrom(teams).Draw(r, "team")
 			s := job(rapid.SampledFrom([]model.Shape{model.Array, model.Gang, model.Service}).Draw(r, "shape"), rapid.IntRange(1, 5).Draw(r, "tasks"), func(s *model.Spec) {
 				s.Team = team.Name
-				s.Need = model.Resources{CPU: float64(rapid.SampledFrom([]int{1, 8, 24}).Draw(r, "cpus")), GPU: float64(rapid.SampledFrom([]int{0, 0, 1, 4}).Draw(r, "cards")), MemGB: 4}
-				s.Spot = rapid.Bool().Draw(r, "spot")
-				s.OneZone = rapid.Bool().Draw(r, "one zone")
+				s.Demand = model.Resources{CPU: float64(rapid.SampledFrom([]int{1, 8, 24}).Draw(r, "cpus")), GPU: float64(rapid.SampledFrom([]int{0, 0, 1, 4}).Draw(r, "cards")), MemGB: 4}
+				s.AllowSpot = rapid.Bool().Draw(r, "spot")
+				s.SingleZone = rapid.Bool().Draw(r, "one zone")
 				// Only one zone has cards: of what needs them half would never start.
-				s.Spread = !s.OneZone && s.Shape == model.Service && len(zones) > 1 && s.Need.GPU == 0 && s.Need.CPU <= 8 && rapid.Bool().Draw(r, "spread")
+				s.Spread = !s.SingleZone && s.Shape == model.Service && len(zones) > 1 && s.Demand.GPU == 0 && s.Demand.CPU <= 8 && rapid.Bool().Draw(r, "spread")
 			})
 			fits := false
 			for _, m := range w.Types {
-				fits = fits || s.Need.CPU <= m.Cap.CPU && s.Need.GPU <= m.Cap.GPU
+				fits = fits || s.Demand.CPU <= m.Capacity.CPU && s.Demand.GPU <= m.Capacity.GPU
 			}
-			needs := s.Need
+			needs := s.Demand
 			if s.Shape != model.Array {
-				needs = s.Total()
+				needs = s.TotalDemand()
 			}
-			cpus, some := team.Limit.CPU.Most()
-			gpus, any := team.Limit.GPU.Most()
+			cpus, some := team.Quota.CPU.Max()
+			gpus, any := team.Quota.GPU.Max()
 			within := (!some || needs.CPU <= cpus) && (!any || needs.GPU <= gpus)
-			ok, why := model.CanEverRun(s, w.Controllers[0].Team(s.Team), w.Types)
+			ok, why := model.CheckFeasibility(s, w.Controllers[0].Team(s.Team), w.Types)
 			if ok != (fits && within) {
 				r.Fatalf("%+v: accepted %v (%s), but fits %v and within its team's limit %v", s, ok, why, fits, within)
 			}
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -72,7 +72,7 @@
 func (s *Site) gangComplete(t *Task) bool {
 	n := 0
 	for o := range s.mates(t.ID.Job, t.Try) {
-		if o.Phase == model.Waiting || o.Phase == model.Running {
+		if o.Phase == model.PhaseWaiting || o.Phase == model.PhaseRunning {
 			n++
 		}
 	}
@@ -83,7 +83,7 @@
 func (s *Site) gangWhole(t *Task) bool {
 	n := 0
 	for o := range s.mates(t.ID.Job, t.Try) {
-		if o.Phase != model.Exited || o.Cause == model.CauseDone {
+		if o.Phase != model.PhaseExited || o.Cause == model.CauseDone {
 			n++
 		}
 	}
--- a/internal/fake/stories_test.go
+++ b/internal/fake/stories_test.go
@@ -62,16 +62,16 @@
 	d.State.ValueKB, d.State.TxnOps = 8, 12
 	d.Cloud.ListLag = 5
 	o := config.Defaults()
-	set, el := config.Control(p, o), config.Election(p, o)
+	set, el := config.ReconcilerSettings(p, o), config.ElectionSettings(p, o)
 	set.Teams = []model.Team{
-		{Name: "red", Guarantee: model.Resources{CPU: 16 * times}, Limit: model.LimitOf(32*times, 0)},
-		{Name: "blue", Guarantee: model.Resources{CPU: 8 * times}, Limit: model.LimitOf(16*times, 0)},
+		{Name: "red", Guarantee: model.Resources{CPU: 16 * times}, Quota: model.NewQuota(32*times, 0)},
+		{Name: "blue", Guarantee: model.Resources{CPU: 8 * times}, Quota: model.NewQuota(16*times, 0)},
 	}
-	w := NewWorld(members, set, el, config.Store(p), quiet)
-	w.Types = []model.MachineType{{Name: "eight", Cap: model.Resources{CPU: 8, MemGB: 64}, Price: 1, SpotPrice: 0.3, Boot: 5 * second, Zones: []string{"a", "b"}}}
+	w := NewWorld(members, set, el, config.StoreLimits(p), quiet)
+	w.Types = []model.MachineType{{Name: "eight", Capacity: model.Resources{CPU: 8, MemGB: 64}, PricePerHour: 1, SpotPricePerHour: 0.3, BootTime: 5 * second, Zones: []string{"a", "b"}}}
 	for i := range machines {
 		w.machines++
-		w.AddMachine(model.Listed{Machine: fmt.Sprintf("n-%06d", w.machines), Type: "eight", Zone: d.Zones[i%2]})
+		w.AddMachine(model.MachineInfo{Name: fmt.Sprintf("n-%06d", w.machines), Type: "eight", Zone: d.Zones[i%2]})
 	}
 	return w
 }
@@ -81,8 +81,8 @@
 // job makes a job of the red team; change adapts it.
 func job(shape model.Shape, tasks int, change func(*model.Spec)) *model.Spec {
 	jobs++
-	s := &model.Spec{ID: fmt.Sprintf("wk-%06d", jobs), Class: "work", Team: "red", Shape: shape, Rank: model.Normal, Tasks: tasks,
-		Need: model.Resources{CPU: 4, MemGB: 8}, Image: "img", ImageGB: 1, Estimate: 10 * second, Spot: true}
+	s := &model.Spec{ID: fmt.Sprintf("wk-%06d", jobs), Class: "work", Team: "red", Shape: shape, Priority: model.PriorityNormal, Tasks: tasks,
+		Demand: model.Resources{CPU: 4, MemGB: 8}, Image: "img", ImageGB: 1, EstimatedRunTime: 10 * second, AllowSpot: true}
 	if change != nil {
 		change(s)
 	}
@@ -231,12 +231,12 @@
 	w.full = true
 	for range 3 {
 		w.machines++
-		w.AddMachine(model.Listed{Machine: fmt.Sprintf("n-%06d", w.machines), Type: "eight", Zone: "a", Spot: true})
+		w.AddMachine(model.MachineInfo{Name: fmt.Sprintf("n-%06d", w.machines), Type: "eight", Zone: "a", Spot: true})
 	}
 	w.Run = 60 * second
 	w.Pass(8 * second)
-	may := job(model.Array, 4, func(s *model.Spec) { s.Rank = model.Low })
-	not := job(model.Service, 4, func(s *model.Spec) { s.Rank, s.Spot = model.Production, false })
+	may := job(model.Array, 4, func(s *model.Spec) { s.Priority = model.PriorityLow })
+	not := job(model.Service, 4, func(s *model.Spec) { s.Priority, s.AllowSpot = model.PriorityProduction, false })
 	submit(t, w, may)
 	submit(t, w, not)
 	until(t, w, 20*second, "all run", func() bool { return on(w, may) == 4 && on(w, not) == 4 })
@@ -288,7 +288,7 @@
 	w := deployment(t, 3)
 	w.Run = 25 * second
 	s := job(model.Array, 5, nil)
-	svc := job(model.Service, 2, func(s *model.Spec) { s.Rank = model.Production; s.Spot = false; s.Spread = true })
+	svc := job(model.Service, 2, func(s *model.Spec) { s.Priority = model.PriorityProduction; s.AllowSpot = false; s.Spread = true })
 	submit(t, w, s)
 	submit(t, w, svc)
 	until(t, w, 20*second, "all run", func() bool { return on(w, s) == 5 && on(w, svc) == 2 })
@@ -440,13 +440,18 @@
 		if when == "before its start" {
 			w.Fetch = 8 * second
 		}
-		s := job(model.Gang, 3, func(s *model.Spec) { s.Need.CPU = 6; s.OneZone = true; s.Checkpoint = 5 * second; s.Save = second })
+		s := job(model.Gang, 3, func(s *model.Spec) {
+			s.Demand.CPU = 6
+			s.SingleZone = true
+			s.CheckpointInterval = 5 * second
+			s.CheckpointTime = second
+		})
 		submit(t, w, s)
 		until(t, w, 60*second, "the tasks are on machines", func() bool {
 			n := 0
 			for _, k := range w.Workers {
 				for _, x := range k.Tasks {
-					if x.ID.Job == s.ID && x.Phase != model.Exited {
+					if x.ID.Job == s.ID && x.Phase != model.PhaseExited {
 						n++
 					}
 				}
@@ -470,7 +475,7 @@
 func TestGangThatIsNotCompleteInTimeStartsAgain(t *testing.T) {
 	w := deployment(t, 2)
 	w.Workers["n-000002"].Slow = 40 * second // longer than a gang waits
-	s := job(model.Gang, 2, func(s *model.Spec) { s.Need.CPU = 6 })
+	s := job(model.Gang, 2, func(s *model.Spec) { s.Demand.CPU = 6 })
 	submit(t, w, s)
 	until(t, w, 60*second, "the task that waited gave up", func() bool { return w.Starts[model.TaskID{Job: s.ID, Index: 0}] > 1 })
 	w.Workers["n-000002"].Slow = 0
@@ -480,7 +485,11 @@
 func TestGangUnderNoticeStopsInOrderAndGoesOn(t *testing.T) {
 	w := deployment(t, 4)
 	w.Run = 40 * second
-	s := job(model.Gang, 2, func(s *model.Spec) { s.Need.CPU = 6; s.Checkpoint = 10 * second; s.Save = 2 * second })
+	s := job(model.Gang, 2, func(s *model.Spec) {
+		s.Demand.CPU = 6
+		s.CheckpointInterval = 10 * second
+		s.CheckpointTime = 2 * second
+	})
 	submit(t, w, s)
 	until(t, w, 30*second, "the tasks are there", func() bool { return on(w, s) == 2 })
 	w.Pass(2 * second) // they run
@@ -559,7 +568,11 @@
 func TestNoticeMovesTasksThatCanSave(t *testing.T) {
 	w := deployment(t, 2)
 	w.Run = 60 * second
-	s := job(model.Array, 1, func(s *model.Spec) { s.Checkpoint = 10 * second; s.Save = second; s.Estimate = 60 * second })
+	s := job(model.Array, 1, func(s *model.Spec) {
+		s.CheckpointInterval = 10 * second
+		s.CheckpointTime = second
+		s.EstimatedRunTime = 60 * second
+	})
 	submit(t, w, s)
 	until(t, w, 20*second, "runs", func() bool { return on(w, s) == 1 })
 	k := w.Workers[w.On(model.TaskID{Job: s.ID})[0]]
--- a/internal/fake/waits.go
+++ b/internal/fake/waits.go
@@ -26,12 +26,12 @@
 	for _, k := range w.Workers {
 		free[k] = w.capOf(k.Type)
 		for _, t := range k.Tasks {
-			if t.Phase == model.Exited {
+			if t.Phase == model.PhaseExited {
 				continue
 			}
 			held[t.ID] = true
-			free[k] = free[k].Sub(t.Spec.Need)
-			used[t.Spec.Team] = used[t.Spec.Team].Add(t.Spec.Need)
+			free[k] = free[k].Sub(t.Spec.Demand)
+			used[t.Spec.Team] = used[t.Spec.Team].Add(t.Spec.Demand)
 			if zones[t.ID.Job] == nil {
 				zones[t.ID.Job] = map[string]int{}
 			}
@@ -61,7 +61,7 @@
 func (w *World) capOf(breed string) model.Resources {
 	for _, t := range w.Types {
 		if t.Name == breed {
-			return t.Cap
+			return t.Capacity
 		}
 	}
 	return model.Resources{}
@@ -95,27 +95,27 @@
 	if s.Shape == model.Gang {
 		n = s.Tasks
 	}
-	if !w.Teams[s.Team].Limit.Allows(used.Add(s.Need.Times(n))) {
+	if !w.Teams[s.Team].Quota.Allows(used.Add(s.Demand.Times(n))) {
 		return false
 	}
 	fits := map[string]int{}
 	for k, f := range free {
 		fine := !k.Cut && !k.Deaf && !k.Mute && !k.Hung && !k.Sick && k.Notice == 0
-		if !fine || !s.AllowsType(k.Type) || s.Zone != "" && s.Zone != k.Zone || k.Spot && !s.Spot ||
-			s.OneZone && len(zones) > 0 && zones[k.Zone] == 0 {
+		if !fine || !s.AllowsType(k.Type) || s.Zone != "" && s.Zone != k.Zone || k.Spot && !s.AllowSpot ||
+			s.SingleZone && len(zones) > 0 && zones[k.Zone] == 0 {
 			continue
 		}
 		if allowed := w.Allowed[s.ID]; allowed != nil && !allowed(k) {
 			continue
 		}
-		fits[k.Zone] += s.Need.CountIn(f)
+		fits[k.Zone] += s.Demand.FitCount(f)
 	}
 	all := 0
 	for zone, count := range fits {
-		count = min(count, s.ZoneCap()-zones[zone])
-		if all += max(count, 0); s.OneZone && count >= n {
+		count = min(count, s.MaxTasksPerZone()-zones[zone])
+		if all += max(count, 0); s.SingleZone && count >= n {
 			return true
 		}
 	}
-	return !s.OneZone && all >= n
+	return !s.SingleZone && all >= n
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -14,14 +14,14 @@
 	Try   uint64
 	Spec  *model.Spec
 	Phase model.Phase
-	Cause model.Cause
+	Cause model.ExitCause
 	Saved bool
 	since time.Time
 	until time.Time // when it completes, has saved, or has its image
 }
 
 // On tells whether the task counts as being on its machine.
-func (t *Task) On() bool { return t.Phase >= model.Waiting && t.Phase <= model.Saving }
+func (t *Task) On() bool { return t.Phase >= model.PhaseWaiting && t.Phase <= model.PhaseCheckpointing }
 
 // Worker is a stand-in for a machine's worker, as the protocol describes it.
 type Worker struct {
@@ -51,25 +51,25 @@
 	target  int  // the controller that it reports to
 }
 
-func (k *Worker) report() *model.Report {
+func (k *Worker) report() *model.Heartbeat {
 	k.Seq++
-	r := &model.Report{Machine: k.Name, Addr: cmp.Or(k.Addr, k.Name), Type: k.Type, Zone: k.Zone, Spot: k.Spot, Session: k.Session, Seq: k.Seq, Token: k.Token,
-		Notice: k.Notice > 0, NoticeIn: k.Notice}
+	r := &model.Heartbeat{Machine: k.Name, Addr: cmp.Or(k.Addr, k.Name), Type: k.Type, Zone: k.Zone, Spot: k.Spot, Epoch: k.Session, Seq: k.Seq, FencingToken: k.Token,
+		InterruptionNotice: k.Notice > 0, InterruptionIn: k.Notice}
 	for key, t := range k.Tasks {
-		r.Tasks = append(r.Tasks, model.TaskReport{Task: key.Task, Try: key.Try, Phase: t.Phase, Cause: t.Cause, Saved: t.Saved})
+		r.Tasks = append(r.Tasks, model.TaskStatus{Task: key.Task, Attempt: key.Number, Phase: t.Phase, Cause: t.Cause, Checkpointed: t.Saved})
 	}
 	return r
 }
 
 // Report is the worker's report of now. It counts as sent: the next one without news is due after the usual time.
-func (k *Worker) Report() *model.Report {
+func (k *Worker) Report() *model.Heartbeat {
 	now := k.site.now
 	k.lastRep, k.nextRep, k.changed, k.waits = now, now.Add(k.site.interval()), false, false
 	return k.report()
 }
 
 // Take takes the answer to a report of a session that was sent at some time.
-func (k *Worker) Take(session uint64, sent time.Time, token uint64, orders []model.Order) {
+func (k *Worker) Take(session uint64, sent time.Time, token uint64, orders []model.Command) {
 	if session != k.Session || !k.accept(token) {
 		return // dropped: it renews nothing
 	}
@@ -79,7 +79,7 @@
 
 // Command takes commands that come straight to the worker. It is false where they are refused, by their token
 // or their session.
-func (k *Worker) Command(token, session uint64, orders []model.Order) bool {
+func (k *Worker) Command(token, session uint64, orders []model.Command) bool {
 	if token < k.Token && !k.site.AnyToken || session != k.Session {
 		return false
 	}
@@ -92,7 +92,7 @@
 func (k *Worker) Retry(after time.Duration) { k.nextRep = k.site.now.Add(after) }
 
 // Inspect is the worker's report of now, as an answer to a question: the next one is due as before.
-func (k *Worker) Inspect() *model.Report { return k.report() }
+func (k *Worker) Inspect() *model.Heartbeat { return k.report() }
 
 // accept takes a token; a lower one is refused.
 func (k *Worker) accept(token uint64) bool {
@@ -106,10 +106,10 @@
 }
 
 // Execute carries out commands.
-func (k *Worker) Execute(orders []model.Order) {
+func (k *Worker) Execute(orders []model.Command) {
 	now := k.site.now
 	for _, o := range orders {
-		key := model.AttemptKey{Task: o.Task, Try: o.Try}
+		key := model.AttemptKey{Task: o.Task, Number: o.Attempt}
 		t := k.Tasks[key]
 		switch o.Op {
 		case model.OpLaunch:
@@ -120,18 +120,18 @@
 			k.Tasks[key] = k.launch(key, now)
 			k.site.known(k, k.Tasks[key], true)
 		case model.OpStop:
-			if t == nil || t.Phase == model.Exited {
+			if t == nil || t.Phase == model.PhaseExited {
 				continue
 			}
 			k.changed = true
-			if t.Phase == model.Running && t.Spec.Checkpoint > 0 && o.Grace >= t.Spec.Save {
-				k.enter(t, model.Saving)
-				t.until = now.Add(t.Spec.Save)
-			} else if t.Phase != model.Saving || o.Grace == 0 {
+			if t.Phase == model.PhaseRunning && t.Spec.CheckpointInterval > 0 && o.GracePeriod >= t.Spec.CheckpointTime {
+				k.enter(t, model.PhaseCheckpointing)
+				t.until = now.Add(t.Spec.CheckpointTime)
+			} else if t.Phase != model.PhaseCheckpointing || o.GracePeriod == 0 {
 				k.exit(t, model.CauseStopped)
 			}
 		case model.OpForget:
-			if t != nil && t.Phase == model.Exited {
+			if t != nil && t.Phase == model.PhaseExited {
 				delete(k.Tasks, key)
 				k.site.known(k, t, false)
 			}
@@ -160,14 +160,14 @@
 			k.site.broken("rules: %v started on %s", key.Task, k.Name)
 		}
 	}()
-	t := &Task{ID: key.Task, Try: key.Try, Spec: k.site.Specs[key.Task.Job], Phase: model.Fetching, until: now.Add(k.site.Fetch + k.Slow)}
+	t := &Task{ID: key.Task, Try: key.Number, Spec: k.site.Specs[key.Task.Job], Phase: model.PhaseFetching, until: now.Add(k.site.Fetch + k.Slow)}
 	if t.Spec == nil {
-		k.exit(t, model.CauseUnknown)
+		k.exit(t, model.CauseUnknownJob)
 		return t
 	}
 	for _, o := range k.Tasks {
-		if o.ID == t.ID && o.Phase != model.Exited {
-			k.exit(t, model.CauseBusy)
+		if o.ID == t.ID && o.Phase != model.PhaseExited {
+			k.exit(t, model.CauseAttemptConflict)
 			return t
 		}
 	}
@@ -184,9 +184,9 @@
 }
 
 // exit ends a task.
-func (k *Worker) exit(t *Task, why model.Cause) {
+func (k *Worker) exit(t *Task, why model.ExitCause) {
 	t.Cause = why
-	k.enter(t, model.Exited)
+	k.enter(t, model.PhaseExited)
 }
 
 // Clear ends and forgets all tasks, and tells how many were on the machine.
@@ -196,7 +196,7 @@
 		if t.On() {
 			n++
 		}
-		if t.Phase != model.Exited {
+		if t.Phase != model.PhaseExited {
 			k.exit(t, model.CauseStopped)
 		}
 		k.site.known(k, t, false)
@@ -221,7 +221,7 @@
 		return false
 	}
 	for _, t := range k.Tasks {
-		if t.Phase != model.Exited && (t.Phase == model.Waiting || !now.Before(t.until)) {
+		if t.Phase != model.PhaseExited && (t.Phase == model.PhaseWaiting || !now.Before(t.until)) {
 			k.proceed(t)
 		}
 	}
@@ -235,20 +235,20 @@
 // proceed takes a task whose time has come to what follows.
 func (k *Worker) proceed(t *Task) {
 	switch t.Phase {
-	case model.Fetching:
+	case model.PhaseFetching:
 		k.fetched(t)
-	case model.Waiting:
+	case model.PhaseWaiting:
 		k.gather(t)
-	case model.Running:
+	case model.PhaseRunning:
 		if t.Spec.Shape == model.Gang && !k.site.gangWhole(t) {
 			k.changed = true
-			k.exit(t, model.CausePeers)
+			k.exit(t, model.CauseGangMemberLost)
 		} else if t.Spec.Shape != model.Service {
 			k.changed = true
 			k.exit(t, model.CauseDone)
 			k.site.Done[t.ID] = true
 		}
-	case model.Saving:
+	case model.PhaseCheckpointing:
 		k.changed = true
 		t.Saved = true
 		k.exit(t, model.CauseStopped)
@@ -265,7 +265,7 @@
 	case k.site.Done[t.ID]:
 		k.exit(t, model.CauseDone)
 	default:
-		k.enter(t, model.Waiting)
+		k.enter(t, model.PhaseWaiting)
 		if t.Spec.Shape != model.Gang {
 			k.run(t)
 		}
@@ -279,7 +279,7 @@
 		k.run(t)
 	} else if k.site.now.Sub(t.since) > k.site.GangWait {
 		k.changed = true
-		k.exit(t, model.CauseAlone)
+		k.exit(t, model.CauseGangIncomplete)
 	}
 }
 
@@ -288,7 +288,7 @@
 	if k.site.Runs != nil {
 		run = k.site.Runs(t.ID)
 	}
-	k.enter(t, model.Running)
+	k.enter(t, model.PhaseRunning)
 	t.until = k.site.now.Add(run)
 }
 
@@ -313,7 +313,7 @@
 		k.Retry(5 * time.Second)
 		k.waits = true
 	case ok:
-		k.Take(r.Session, now, v.token, v.orders)
+		k.Take(r.Epoch, now, v.token, v.orders)
 	default:
 		k.target = (k.target + 1) % len(w.Controllers)
 		k.Retry(time.Second)
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -53,12 +53,12 @@
 	queue     []func()
 	lives     uint64 // of controllers
 
-	Copied []*model.Report // copies of reports that the network keeps; the oldest go first
-	Copies int             // how many it keeps at the most
-	Held   []func()        // direct commands that the network holds back
-	Again  []Again         // direct commands that were answered, and may be repeated
-	Hold   bool            // hold direct commands back and give their senders up
-	Way    func() Fate     // what becomes of the next direct command; nil: it is answered
+	Copied []*model.Heartbeat // copies of reports that the network keeps; the oldest go first
+	Copies int                // how many it keeps at the most
+	Held   []func()           // direct commands that the network holds back
+	Again  []Again            // direct commands that were answered, and may be repeated
+	Hold   bool               // hold direct commands back and give their senders up
+	Way    func() Fate        // what becomes of the next direct command; nil: it is answered
 	ledger *reconciler.Ledger
 
 	Looks       bool          // users ask everywhere about a job as a transaction changes its record
@@ -92,7 +92,7 @@
 // Observer is told what passes between controllers and the stand-ins.
 type Observer interface {
 	// Taken: a leader takes a worker's message.
-	Taken(c *Controller, token uint64, r *model.Report)
+	Taken(c *Controller, token uint64, r *model.Heartbeat)
 	// Sent: a transaction leaves a controller, now or once more.
 	Sent(ops []any)
 }
@@ -345,7 +345,7 @@
 
 // Late has a copy of an earlier report arrive at whoever leads, or at a controller of the caller's
 // choice. Nobody waits for its answer.
-func (w *World) Late(c *Controller, r *model.Report) {
+func (w *World) Late(c *Controller, r *model.Heartbeat) {
 	c.report(r, false)
 	w.Check()
 }
@@ -354,14 +354,14 @@
 // its first numbers.
 func (w *World) Blink(k *Worker) {
 	w.Workers[k.Name] = nil
-	n := w.AddMachine(model.Listed{Machine: k.Name, Type: k.Type, Zone: k.Zone, Spot: k.Spot})
+	n := w.AddMachine(model.MachineInfo{Name: k.Name, Type: k.Type, Zone: k.Zone, Spot: k.Spot})
 	n.target, n.Deaf, n.Mute, n.Cut, n.Hung, n.Sick, n.Slow = k.target, k.Deaf, k.Mute, k.Cut, k.Hung, k.Sick, k.Slow
 }
 
 // AddMachine brings a machine up.
-func (w *World) AddMachine(l model.Listed) *Worker {
-	k := &Worker{site: &w.Site, Name: l.Machine, Type: l.Type, Zone: l.Zone, Spot: l.Spot, Session: 1, Tasks: map[model.AttemptKey]*Task{}, renewed: w.now}
-	w.Workers[l.Machine] = k
+func (w *World) AddMachine(l model.MachineInfo) *Worker {
+	k := &Worker{site: &w.Site, Name: l.Name, Type: l.Type, Zone: l.Zone, Spot: l.Spot, Session: 1, Tasks: map[model.AttemptKey]*Task{}, renewed: w.now}
+	w.Workers[l.Name] = k
 	return k
 }
 
@@ -369,7 +369,7 @@
 func (w *World) Submit(c *Controller, s *model.Spec) error {
 	w.Specs[s.ID] = s
 	ctx := context.Background()
-	awaits := s.Awaits
+	awaits := s.Dependencies
 	doomed, err := c.Jobs.Resolve(ctx, s)
 	if err != nil {
 		return err
@@ -432,12 +432,12 @@
 					w.broken("too_early: %v on %s before %s is done", t.ID, n, need)
 				}
 			}
-			used[t.Spec.Team] = used[t.Spec.Team].Add(t.Spec.Need)
+			used[t.Spec.Team] = used[t.Spec.Team].Add(t.Spec.Demand)
 			if zones[t.ID.Job] == nil {
 				zones[t.ID.Job] = map[string]int{}
 			}
 			zones[t.ID.Job][k.Zone]++
-			if !t.Spec.Spot && k.Spot || !t.Spec.AllowsType(k.Type) {
+			if !t.Spec.AllowSpot && k.Spot || !t.Spec.AllowsType(k.Type) {
 				w.broken("wrong_place: %v on %s", t.ID, n)
 			}
 			if at, ok := w.Cancelled[t.ID.Job]; ok {
@@ -449,14 +449,14 @@
 		}
 	}
 	for team, u := range used {
-		if !w.Teams[team].Limit.Allows(u) {
+		if !w.Teams[team].Quota.Allows(u) {
 			w.broken("quota: %s uses %v", team, u)
 		}
 	}
 	for id, z := range zones {
 		s := w.Specs[id]
 		for zone, n := range z {
-			if s.Spread && n > s.ZoneCap() || s.OneZone && len(z) > 1 {
+			if s.Spread && n > s.MaxTasksPerZone() || s.SingleZone && len(z) > 1 {
 				w.broken("wrong_place: %s has %d tasks in %s", id, n, zone)
 			}
 		}
@@ -480,10 +480,10 @@
 
 type verdict struct {
 	token  uint64
-	orders []model.Order
+	orders []model.Command
 }
 
-func (c *Controller) report(r *model.Report, handed bool) (verdict, bool) {
+func (c *Controller) report(r *model.Heartbeat, handed bool) (verdict, bool) {
 	if !c.Leads() || c.Deaf || c.Frozen {
 		return verdict{}, false
 	}
@@ -564,7 +564,7 @@
 	}
 	entries, _, err := c.State.List(context.Background(), "leader/")
 	for _, e := range entries {
-		if _, _, bad := wire.DecodeToken(e.Value); bad != nil {
+		if _, _, bad := wire.DecodeLeaderRecord(e.Value); bad != nil {
 			err = bad
 		}
 	}
@@ -578,10 +578,10 @@
 	if !c.Before {
 		return c.State.Claim(context.Background(), c.Member, e)
 	}
-	v := wire.AppendToken(nil, e.Token, c.Member)
+	v := wire.AppendLeaderRecord(nil, e.Token, c.Member)
 	return c.State.Commit(context.Background(), &wire.Txn{
-		If:   []wire.Cond{{Key: "leader/holder"}, {Key: "leader/token", Version: e.TokenVersion}},
-		Then: []wire.Change{{Key: "leader/holder", Value: v, Lease: e.Lease}, {Key: "leader/token", Value: v}}}, true)
+		Conditions: []wire.Condition{{Key: "leader/holder"}, {Key: "leader/token", Version: e.TokenVersion}},
+		Changes:    []wire.Change{{Key: "leader/holder", Value: v, Lease: e.Lease}, {Key: "leader/token", Value: v}}}, true)
 }
 
 func (c *Controller) election(ev election.Event) {
@@ -742,7 +742,7 @@
 		w.Commands++
 		ev := reconciler.CommandBack{Machine: e.Machine, Session: e.Session, Orders: e.Orders, Outcome: reconciler.Unknown}
 		k := w.Workers[e.Machine]
-		deliver := func() (reconciler.Outcome, *model.Report) {
+		deliver := func() (reconciler.Outcome, *model.Heartbeat) {
 			if k == nil || w.Workers[e.Machine] != k { // a later life knows nothing of its connections
 				return reconciler.Unknown, nil
 			}
@@ -796,10 +796,10 @@
 		})
 		w.drain()
 	case reconciler.List:
-		var list []model.Listed
+		var list []model.MachineInfo
 		for _, n := range w.Names() {
 			k := w.Workers[n]
-			list = append(list, model.Listed{Machine: n, Addr: n, Type: k.Type, Zone: k.Zone, Spot: k.Spot})
+			list = append(list, model.MachineInfo{Name: n, Addr: n, Type: k.Type, Zone: k.Zone, Spot: k.Spot})
 		}
 		back(reconciler.ListIn{Machines: list, Asked: w.now})
 	case reconciler.Catalog:
--- a/internal/fake/zones_test.go
+++ b/internal/fake/zones_test.go
@@ -23,7 +23,7 @@
 		w.Runs = func(id model.TaskID) time.Duration { return time.Duration(3+18*id.Index) * second }
 		var jobs []*model.Spec
 		for i := range 6 {
-			s := job(model.Array, 2+i%2, func(s *model.Spec) { s.Need = model.Resources{CPU: 2, MemGB: 1} })
+			s := job(model.Array, 2+i%2, func(s *model.Spec) { s.Demand = model.Resources{CPU: 2, MemGB: 1} })
 			submit(t, w, s)
 			jobs = append(jobs, s)
 		}
@@ -124,7 +124,7 @@
 			w := members(t, 3, 8)
 			w.Capacity = 10
 			bound := func(s *model.Spec) { s.Zone = "a" }
-			oneZone := func(s *model.Spec) { s.OneZone = true }
+			oneZone := func(s *model.Spec) { s.SingleZone = true }
 			jobs := []*model.Spec{job(model.Array, 3, bound), job(model.Array, 3, oneZone), job(model.Gang, 3, oneZone),
 				job(model.Service, 2, bound)}
 			running(t, w, jobs...)
@@ -196,10 +196,10 @@
 		var jobs []*model.Spec
 		for i := range 30 {
 			s := job([]model.Shape{model.Array, model.Array, model.Gang}[i%3], 1+r.IntN(3), func(s *model.Spec) {
-				s.Rank = []model.Rank{model.Low, model.Normal, model.High, model.Production}[r.IntN(4)]
+				s.Priority = []model.Priority{model.PriorityLow, model.PriorityNormal, model.PriorityHigh, model.PriorityProduction}[r.IntN(4)]
 				s.Team = []string{"red", "blue"}[r.IntN(2)]
 				if r.IntN(2) == 0 {
-					s.Checkpoint, s.Save = second, 3*second
+					s.CheckpointInterval, s.CheckpointTime = second, 3*second
 				}
 				s.Deadline = time.Duration(20+r.IntN(200)) * second
 			})
@@ -239,7 +239,7 @@
 	w.Run, w.Fetch = 3*second, 200*time.Millisecond
 	r := rand.New(rand.NewPCG(1, 1))
 	tiny := func(s *model.Spec) {
-		s.Need = model.Resources{CPU: 1, MemGB: 1}
+		s.Demand = model.Resources{CPU: 1, MemGB: 1}
 		s.Team = []string{"red", "blue"}[r.IntN(2)]
 	}
 	var jobs []*model.Spec
--- a/internal/httpapi/away_test.go
+++ b/internal/httpapi/away_test.go
@@ -123,11 +123,11 @@
 		older, end route.Answer
 	}{
 		{route.Request{Kind: route.Poll, ID: "wk-000001"},
-			route.Answer{Status: 200, Body: wire.AppendStatus(nil, "wk-000001", wire.StateRunning, 1, 1)},
-			route.Answer{Status: 200, Body: wire.AppendStatus(nil, "wk-000001", wire.StateDone, 3, 0)}},
+			route.Answer{Status: 200, Body: wire.AppendJobStatus(nil, "wk-000001", wire.StateRunning, 1, 1)},
+			route.Answer{Status: 200, Body: wire.AppendJobStatus(nil, "wk-000001", wire.StateDone, 3, 0)}},
 		{route.Request{Kind: route.Submit, ID: "wk-000001", Body: body},
-			route.Answer{Status: 201, Body: wire.AppendShortStatus(nil, "wk-000001", wire.StateQueued)},
-			route.Answer{Status: 200, Body: wire.AppendShortStatus(nil, "wk-000001", wire.StateDone)}},
+			route.Answer{Status: 201, Body: wire.AppendJobState(nil, "wk-000001", wire.StateQueued)},
+			route.Answer{Status: 200, Body: wire.AppendJobState(nil, "wk-000001", wire.StateDone)}},
 	} {
 		views := &slowRecords{}
 		b := &backend{types: eight}
@@ -208,7 +208,7 @@
 func TestAMemberWithoutSocketsForUsersHandsOver(t *testing.T) {
 	sockets := connquota.New(200, 1, nil)
 	b := &backend{types: eight, hand: func(_ context.Context, _ string, q route.Request) route.Answer {
-		return route.Answer{Status: 201, Body: wire.AppendShortStatus(nil, q.ID, wire.StateQueued)}
+		return route.Answer{Status: 201, Body: wire.AppendJobState(nil, q.ID, wire.StateQueued)}
 	}}
 	s := New(Settings{RetryAfter: time.Second, Conns: 200, Sockets: sockets, Router: router(0)}, &records{known: map[string]store.JobView{}}, b, time.Now, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for range sockets.Standing().Owners[connquota.Users].Share {
--- a/internal/httpapi/front.go
+++ b/internal/httpapi/front.go
@@ -37,7 +37,7 @@
 	Act    bool // this controller answers for all; Token and Orders hold
 	Leader string
 	Token  uint64
-	Orders []model.Order
+	Orders []model.Command
 	// Valid tells, at the moment of sending, whether the right to act still holds.
 	Valid func() bool
 }
@@ -45,7 +45,7 @@
 // Backend is what the front needs of the controller behind it.
 type Backend interface {
 	// Report takes a worker's report.
-	Report(ctx context.Context, r *model.Report) Verdict
+	Report(ctx context.Context, r *model.Heartbeat) Verdict
 	// Relay hands a worker's report to the leader, if the worker seems not to
 	// reach it; ok is false where that did not work or is not needed.
 	Relay(ctx context.Context, machine string, report []byte) (answer []byte, ok bool)
@@ -98,7 +98,7 @@
 		NoDefaultServerHeader:         true,
 		NoDefaultDate:                 true,
 		DisableHeaderNamesNormalizing: false,
-		MaxRequestBodySize:            wire.MaxBody + 1,
+		MaxRequestBodySize:            wire.MaxBodyBytes + 1,
 		ReadBufferSize:                4096,
 		WriteBufferSize:               2048,
 		Concurrency:                   set.Conns,
@@ -245,11 +245,11 @@
 	case route.Poll:
 		return s.about(ctx, q.ID, s.jobs.Lookup, func(v store.JobView) []byte {
 			st, done, running := s.state(q.ID, v)
-			return wire.AppendStatus(nil, q.ID, st, done, running)
+			return wire.AppendJobStatus(nil, q.ID, st, done, running)
 		})
 	default:
 		cancel := func(ctx context.Context, id string) (store.JobView, error) { return s.jobs.Cancel(ctx, id, s.now()) }
-		return s.about(ctx, q.ID, cancel, func(v store.JobView) []byte { return wire.AppendShortStatus(nil, q.ID, v.State) })
+		return s.about(ctx, q.ID, cancel, func(v store.JobView) []byte { return wire.AppendJobState(nil, q.ID, v.State) })
 	}
 }
 
@@ -276,13 +276,13 @@
 
 // malformedBody tells what is wrong with a body before anything is known of the job.
 func malformedBody(body []byte) (id, why string) {
-	if len(body) > wire.MaxBody {
+	if len(body) > wire.MaxBodyBytes {
 		return "", "the body is too large"
 	}
-	if err := wire.Valid(body); err != nil {
+	if err := wire.Validate(body); err != nil {
 		return "", err.Error()
 	}
-	id, err := wire.PeekRef(body)
+	id, err := wire.DecodeJobID(body)
 	if err != nil {
 		return "", err.Error()
 	}
@@ -294,7 +294,7 @@
 func (s *Server) submit(ctx context.Context, q route.Request) route.Answer {
 	id := q.ID
 	if v := s.jobs.Peek(id); v.State.Ended() {
-		return final(fasthttp.StatusOK, wire.AppendShortStatus(nil, id, v.State))
+		return final(fasthttp.StatusOK, wire.AppendJobState(nil, id, v.State))
 	}
 	spec, err := wire.DecodeJob(q.Body)
 	var stop *route.Answer
@@ -303,7 +303,7 @@
 		stop = answer(refused(fasthttp.StatusBadRequest, err.Error()))
 	} else if types := s.back.Types(); len(types) == 0 {
 		stop = answer(not(route.Unready, "the machine types are not known yet"))
-	} else if ok, w := model.CanEverRun(spec, s.back.Team(spec.Team), types); !ok {
+	} else if ok, w := model.CheckFeasibility(spec, s.back.Team(spec.Team), types); !ok {
 		stop = answer(refused(fasthttp.StatusUnprocessableEntity, w))
 	} else if s.jobs.Peek(id).State == wire.StateUnknown {
 		if stop = s.rules(ctx, spec, types); stop == nil {
@@ -339,7 +339,7 @@
 		s.log.Debug("submission not accepted", "id", id, "err", err)
 		return failed(err)
 	case created:
-		return final(fasthttp.StatusCreated, wire.AppendShortStatus(nil, id, wire.StateQueued))
+		return final(fasthttp.StatusCreated, wire.AppendJobState(nil, id, wire.StateQueued))
 	default:
 		return s.known(id, v)
 	}
@@ -366,7 +366,7 @@
 // known answers a repeated submission with the job's state.
 func (s *Server) known(id string, v store.JobView) route.Answer {
 	st, _, _ := s.state(id, v)
-	return final(fasthttp.StatusOK, wire.AppendShortStatus(nil, id, st))
+	return final(fasthttp.StatusOK, wire.AppendJobState(nil, id, st))
 }
 
 // state adds the progress to an unfinished job's state.
@@ -388,7 +388,7 @@
 func (s *Server) about(ctx context.Context, id string, ask func(context.Context, string) (store.JobView, error),
 	text func(v store.JobView) []byte) route.Answer {
 	var v store.JobView
-	if model.JobIDValid(id) {
+	if model.ValidJobID(id) {
 		var err error
 		if v, err = ask(ctx, id); err != nil {
 			return failed(err)
@@ -407,7 +407,7 @@
 var errLate = errors.New("no answer in time")
 
 func (s *Server) report(c *fasthttp.RequestCtx) {
-	r, err := wire.DecodeReport(c.PostBody())
+	r, err := wire.DecodeHeartbeat(c.PostBody())
 	if err != nil {
 		s.badReports.Add(1)
 		s.tellBad.Do(func() { s.log.Warn("malformed report", "err", err, "since_last_line", s.badReports.Swap(0)) })
@@ -420,7 +420,7 @@
 	// The right to act is checked here, where the answer leaves, and not only
 	// where it was worked out: docs/safety.md, "The right to act".
 	if v.Act && v.Valid() {
-		s.reply(c, fasthttp.StatusOK, wire.AppendReportAnswer(nil, v.Token, v.Orders))
+		s.reply(c, fasthttp.StatusOK, wire.AppendHeartbeatResponse(nil, v.Token, v.Orders))
 		return
 	}
 	if v.Act {
--- a/internal/httpapi/front_test.go
+++ b/internal/httpapi/front_test.go
@@ -60,7 +60,7 @@
 }
 
 func (r *records) Resolve(_ context.Context, s *model.Spec) (bool, error) {
-	for _, id := range s.Awaits {
+	for _, id := range s.Dependencies {
 		if r.down {
 			return false, errDown
 		}
@@ -94,7 +94,7 @@
 	hand    func(ctx context.Context, member string, q route.Request) route.Answer // what becomes of a request at another member
 }
 
-func (b *backend) Report(context.Context, *model.Report) Verdict { return b.verdict }
+func (b *backend) Report(context.Context, *model.Heartbeat) Verdict { return b.verdict }
 func (b *backend) Relay(context.Context, string, []byte) ([]byte, bool) {
 	return b.relayed, b.relayed != nil
 }
@@ -104,7 +104,7 @@
 	if name != "vision" {
 		return nil
 	}
-	return &model.Team{Name: name, Limit: model.LimitOf(64, 0)}
+	return &model.Team{Name: name, Quota: model.NewQuota(64, 0)}
 }
 func (b *backend) Healthy() bool      { return true }
 func (b *backend) Reached() time.Time { return time.Time{} }
@@ -165,12 +165,12 @@
 		"markS": 0.0, "storeS": 0.0}
 }
 
-var eight = []model.MachineType{{Name: "eight", Cap: model.Resources{CPU: 8, MemGB: 64}, Zones: []string{"a"}}}
+var eight = []model.MachineType{{Name: "eight", Capacity: model.Resources{CPU: 8, MemGB: 64}, Zones: []string{"a"}}}
 
 func TestRulesOfSubmissions(t *testing.T) {
 	r := &records{known: map[string]store.JobView{"wk-000009": {State: wire.StateQueued, Spec: &model.Spec{Tasks: 1, Zone: "b"}}}}
-	b := &backend{types: []model.MachineType{{Name: "eight", Cap: model.Resources{CPU: 8, MemGB: 64}, Zones: []string{"a"}},
-		{Name: "gpu", Cap: model.Resources{CPU: 8, GPU: 4, MemGB: 64}, Zones: []string{"b"}}}}
+	b := &backend{types: []model.MachineType{{Name: "eight", Capacity: model.Resources{CPU: 8, MemGB: 64}, Zones: []string{"a"}},
+		{Name: "gpu", Capacity: model.Resources{CPU: 8, GPU: 4, MemGB: 64}, Zones: []string{"b"}}}}
 	do := serveWith(t, Settings{RetryAfter: time.Second, Conns: 10, Rules: true}, r, b)
 	ruled := func(id string, rules any) map[string]any {
 		m := maps.Clone(submission(id))
@@ -242,7 +242,7 @@
 		{"known and over", "POST", "/api/jobs", submission("wk-000009"), 200, "done"},
 		{"malformed", "POST", "/api/jobs", []byte("hello"), 400, ""},
 		{"bytes behind", "POST", "/api/jobs", []byte{0x80, 0x80}, 400, ""},
-		{"too large", "POST", "/api/jobs", []byte(strings.Repeat("x", wire.MaxBody+1)), 400, ""},
+		{"too large", "POST", "/api/jobs", []byte(strings.Repeat("x", wire.MaxBodyBytes+1)), 400, ""},
 		{"a field is missing", "POST", "/api/jobs", with("wk-000002", func(m map[string]any) { delete(m, "rank") }), 400, ""},
 		{"unknown team", "POST", "/api/jobs", with("wk-000003", func(m map[string]any) { m["owner"] = "nobody" }), 422, ""},
 		{"fits no machine", "POST", "/api/jobs", with("wk-000004", func(m map[string]any) { m["cores"] = 9 }), 422, ""},
@@ -349,7 +349,7 @@
 	if code, _, _ := do("POST", "/api/jobs", submission("wk-000001")); code != 201 {
 		t.Fatal("the good one is not taken")
 	}
-	tiny := []model.MachineType{{Name: "tiny", Cap: model.Resources{CPU: 1}, Zones: []string{"b"}}}
+	tiny := []model.MachineType{{Name: "tiny", Capacity: model.Resources{CPU: 1}, Zones: []string{"b"}}}
 	for _, types := range [][]model.MachineType{eight, tiny, nil} {
 		b.types = types // the catalogue has changed, or is not known
 		for what, fields := range never {
@@ -479,7 +479,7 @@
 	report := map[string]any{"tiller": "n-1", "addr": "a", "breed": "eight", "field": "a", "loaners": false, "shift": 1, "tick": 1, "baton": 0, "rows": []any{}}
 	valid := true
 	b := &backend{verdict: Verdict{Act: true, Token: 41, Valid: func() bool { return valid },
-		Orders: []model.Order{{Op: model.OpLaunch, Task: model.TaskID{Job: "wk-000412", Index: 4}, Try: 2}}}}
+		Orders: []model.Command{{Op: model.OpLaunch, Task: model.TaskID{Job: "wk-000412", Index: 4}, Attempt: 2}}}}
 	do := serve(t, &records{}, b)
 	code, body, _ := do("POST", "/v1/report", report)
 	orders, _ := body["orders"].([]any)
@@ -494,7 +494,7 @@
 	if code, body, _ = do("POST", "/v1/report", report); code != 421 || body["foreman"] != "tiller-2" {
 		t.Errorf("a follower: got %d %v", code, body)
 	}
-	b.relayed = wire.AppendReportAnswer(nil, 42, nil)
+	b.relayed = wire.AppendHeartbeatResponse(nil, 42, nil)
 	if code, body, _ = do("POST", "/v1/report", report); code != 200 || body["baton"] == nil {
 		t.Errorf("a follower that hands on: got %d %v", code, body)
 	}
--- a/internal/httpapi/rules.go
+++ b/internal/httpapi/rules.go
@@ -21,7 +21,7 @@
 	switch spec.Rules {
 	case "":
 		return nil
-	case wire.NoRules:
+	case wire.MalformedRules:
 		return answer(refused(fasthttp.StatusBadRequest, "rules: not a text"))
 	}
 	if s.set.RulesNow != nil && !s.set.RulesNow() {
--- a/internal/model/held_test.go
+++ b/internal/model/attempt_test.go
@@ -8,16 +8,16 @@
 )
 
 // The index of held attempts is what the rows say, whatever becomes of them in whatever order.
-func TestHeldAttemptsAreThoseOfTheRowsThatHold(t *testing.T) {
+func TestActiveAttemptsMatchMachineAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		machines := []*Machine{{Rows: map[AttemptKey]*Attempt{}}, {Rows: map[AttemptKey]*Attempt{}}}
+		machines := []*Machine{{Attempts: map[AttemptKey]*Attempt{}}, {Attempts: map[AttemptKey]*Attempt{}}}
 		var all []*Attempt
 		t.Repeat(map[string]func(*rapid.T){
 			"start": func(t *rapid.T) {
 				m := rapid.SampledFrom(machines).Draw(t, "machine")
-				a := &Attempt{Task: TaskID{Job: "wk-000001", Index: len(all)}, Machine: m, Use: &Usage{}, Need: Resources{CPU: 1}}
-				a.Set(rapid.SampledFrom([]AttemptState{Launching, Present}).Draw(t, "state"))
-				m.Rows[AttemptKey{Task: a.Task}] = a
+				a := &Attempt{Task: TaskID{Job: "wk-000001", Index: len(all)}, Machine: m, Usage: &Usage{}, Demand: Resources{CPU: 1}}
+				a.Transition(rapid.SampledFrom([]AttemptState{AttemptLaunching, AttemptPresent}).Draw(t, "state"))
+				m.Attempts[AttemptKey{Task: a.Task}] = a
 				all = append(all, a)
 			},
 			"change": func(t *rapid.T) {
@@ -25,26 +25,26 @@
 					t.Skip("nothing was started")
 				}
 				a := rapid.SampledFrom(all).Draw(t, "attempt")
-				if moves := attemptMoves[a.State]; len(moves) > 0 {
-					a.Set(rapid.SampledFrom(moves).Draw(t, "state"))
+				if moves := attemptTransitions[a.State]; len(moves) > 0 {
+					a.Transition(rapid.SampledFrom(moves).Draw(t, "state"))
 				}
-				if a.State == Dropped {
-					delete(a.Machine.Rows, AttemptKey{Task: a.Task})
+				if a.State == AttemptDropped {
+					delete(a.Machine.Attempts, AttemptKey{Task: a.Task})
 				}
 			},
 			"": func(t *rapid.T) {
 				for _, m := range machines {
 					n := 0
-					for _, a := range m.Rows {
-						if a.Holds() {
+					for _, a := range m.Attempts {
+						if a.Active() {
 							n++
-							if !slices.Contains(m.Held(), a) {
+							if !slices.Contains(m.ActiveAttempts(), a) {
 								t.Fatalf("%v is held and not listed", a.Task)
 							}
 						}
 					}
-					if len(m.Held()) != n || m.Holding != n || m.Used.CPU != float64(n) {
-						t.Fatalf("%d are listed, %d counted, %v used by %d", len(m.Held()), m.Holding, m.Used, n)
+					if len(m.ActiveAttempts()) != n || m.ActiveCount != n || m.Used.CPU != float64(n) {
+						t.Fatalf("%d are listed, %d counted, %v used by %d", len(m.ActiveAttempts()), m.ActiveCount, m.Used, n)
 					}
 				}
 			},
--- a/internal/model/graph_test.go
+++ b/internal/model/dependency_graph_test.go
@@ -9,12 +9,12 @@
 
 // What the graph says of a job is what follows from all ends, in whatever order jobs
 // and ends become known.
-func TestGraphAgreesWithAllThatIsKnown(t *testing.T) {
+func TestDependencyGraphMatchesStatesDerivedFromOutcomes(t *testing.T) {
 	for seed := range int64(300) {
 		r := rand.New(rand.NewSource(seed))
 		n := 2 + r.Intn(12)
 		needs := make([][]string, n)
-		end := make([]End, n) // what is known in the end
+		end := make([]Outcome, n) // what is known in the end
 		for i := range n {
 			for k := range i {
 				if r.Intn(3) == 0 {
@@ -23,24 +23,24 @@
 			}
 		}
 		added := make([]bool, n)
-		state := func(i int) LinkState { // from scratch
-			var of func(i int) LinkState
-			of = func(i int) LinkState {
-				s := LinkFree
+		state := func(i int) DependencyState { // from scratch
+			var of func(i int) DependencyState
+			of = func(i int) DependencyState {
+				s := DependencySatisfied
 				for _, id := range needs[i] {
 					k, _ := strconv.Atoi(id)
 					switch {
-					case end[k] == EndCancelled, end[k] == EndUnknown && added[k] && of(k) == LinkDoomed:
-						return LinkDoomed
-					case end[k] == EndUnknown:
-						s = LinkWaiting
+					case end[k] == OutcomeCancelled, end[k] == OutcomeUnknown && added[k] && of(k) == DependencyFailed:
+						return DependencyFailed
+					case end[k] == OutcomeUnknown:
+						s = DependencyWaiting
 					}
 				}
 				return s
 			}
 			return of(i)
 		}
-		g, at := NewGraph(), time.Unix(0, 0)
+		g, at := NewDependencyGraph(), time.Unix(0, 0)
 		for range 4 * n {
 			at = at.Add(time.Second)
 			i := r.Intn(n)
@@ -53,15 +53,15 @@
 					k, _ := strconv.Atoi(need)
 					g.End(need, end[k], at)
 				}
-			case end[i] == EndUnknown && r.Intn(4) == 0:
-				end[i] = EndCancelled
+			case end[i] == OutcomeUnknown && r.Intn(4) == 0:
+				end[i] = OutcomeCancelled
 				g.End(id, end[i], at)
-			case end[i] == EndUnknown && state(i) == LinkFree:
-				end[i] = EndDone
+			case end[i] == OutcomeUnknown && state(i) == DependencySatisfied:
+				end[i] = OutcomeDone
 				g.End(id, end[i], at)
 			}
 			for k := range n {
-				if l := g.Link(strconv.Itoa(k)); added[k] && end[k] == EndUnknown && l.State != state(k) {
+				if l := g.Node(strconv.Itoa(k)); added[k] && end[k] == OutcomeUnknown && l.State != state(k) {
 					t.Fatalf("seed %d: job %d is %v, but follows to be %v", seed, k, l.State, state(k))
 				}
 			}
--- a/internal/model/spec.go
+++ b/internal/model/spec.go
@@ -31,26 +31,26 @@
 	return "unknown"
 }
 
-// Rank is a job's priority; the larger goes first.
-type Rank uint8
+// Priority is a job's priority; the larger goes first.
+type Priority uint8
 
 // The ranks, lowest first.
 const (
-	Low Rank = iota + 1
-	Normal
-	High
-	Production
+	PriorityLow Priority = iota + 1
+	PriorityNormal
+	PriorityHigh
+	PriorityProduction
 )
 
-func (r Rank) String() string {
+func (r Priority) String() string {
 	switch r {
-	case Low:
+	case PriorityLow:
 		return "low"
-	case Normal:
+	case PriorityNormal:
 		return "normal"
-	case High:
+	case PriorityHigh:
 		return "high"
-	case Production:
+	case PriorityProduction:
 		return "production"
 	}
 	return "unknown"
@@ -61,9 +61,9 @@
 	CPU, GPU, MemGB float64
 }
 
-// slop absorbs the rounding of decimal amounts that are added and removed many
+// roundingTolerance absorbs the rounding of decimal amounts that are added and removed many
 // times. It is far below any amount that a job may ask for.
-const slop = 1e-6
+const roundingTolerance = 1e-6
 
 // Add returns r + o.
 func (r Resources) Add(o Resources) Resources {
@@ -88,16 +88,16 @@
 
 // Fits tells whether r can be taken from free.
 func (r Resources) Fits(free Resources) bool {
-	return r.CPU <= free.CPU+slop && r.GPU <= free.GPU+slop && r.MemGB <= free.MemGB+slop
+	return r.CPU <= free.CPU+roundingTolerance && r.GPU <= free.GPU+roundingTolerance && r.MemGB <= free.MemGB+roundingTolerance
 }
 
-// CountIn tells how many times r can be taken from free, of which any amount may be infinite.
-func (r Resources) CountIn(free Resources) int {
+// FitCount tells how many times r can be taken from free, of which any amount may be infinite.
+func (r Resources) FitCount(free Resources) int {
 	n := math.MaxInt32
 	for _, d := range [3][2]float64{{r.CPU, free.CPU}, {r.GPU, free.GPU}, {r.MemGB, free.MemGB}} {
-		if d[0] > slop {
+		if d[0] > roundingTolerance {
 			// Compared before it becomes a whole number: what is infinite has none.
-			if times := (d[1] + slop) / d[0]; times < float64(n) {
+			if times := (d[1] + roundingTolerance) / d[0]; times < float64(n) {
 				n = int(times)
 			}
 		}
@@ -107,38 +107,38 @@
 
 // Spec is what a user submitted.
 type Spec struct {
-	ID, Class, Team string
-	Shape           Shape
-	Rank            Rank
-	Tasks           int
-	Need            Resources // of each task
-	Types           []string  // allowed machine types; empty: any
-	Zone            string    // the only allowed zone; empty: any
-	OneZone         bool      // all tasks in the same zone
-	Spread          bool      // at most half of the tasks, rounded up, in one zone
-	Spot            bool      // may use spot machines
-	Image           string
-	ImageGB         float64
-	Estimate        time.Duration // the owner's estimate of a task's run time
-	Checkpoint      time.Duration // progress between checkpoints; 0: never saves
-	Save            time.Duration // time to save when stopped
-	Deadline        time.Duration // from submission; 0: none
-	Awaits          []string      // jobs that have to be done before any task starts
-	Rules           string        // where it may run and would like to, in the language of package constraint
-}
-
-// JobIDValid tells whether an id has the form that users' ids always have.
-func JobIDValid(id string) bool {
+	ID, Class, Team    string
+	Shape              Shape
+	Priority           Priority
+	Tasks              int
+	Demand             Resources // of each task
+	MachineTypes       []string  // allowed machine types; empty: any
+	Zone               string    // the only allowed zone; empty: any
+	SingleZone         bool      // all tasks in the same zone
+	Spread             bool      // at most half of the tasks, rounded up, in one zone
+	AllowSpot          bool      // may use spot machines
+	Image              string
+	ImageGB            float64
+	EstimatedRunTime   time.Duration // the owner's estimate of a task's run time
+	CheckpointInterval time.Duration // progress between checkpoints; 0: never saves
+	CheckpointTime     time.Duration // time to save when stopped
+	Deadline           time.Duration // from submission; 0: none
+	Dependencies       []string      // jobs that have to be done before any task starts
+	Rules              string        // where it may run and would like to, in the language of package constraint
+}
+
+// ValidJobID tells whether an id has the form that users' ids always have.
+func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "wk-")
 	return ok && len(digits) >= 6 && len(id) <= 40 && strings.Trim(digits, "0123456789") == ""
 }
 
 // AllowsType tells whether the job may use machines of the type.
 func (s *Spec) AllowsType(name string) bool {
-	if len(s.Types) == 0 {
+	if len(s.MachineTypes) == 0 {
 		return true
 	}
-	for _, t := range s.Types {
+	for _, t := range s.MachineTypes {
 		if t == name {
 			return true
 		}
@@ -146,31 +146,31 @@
 	return false
 }
 
-// ZoneCap is how many tasks of the job may be in one zone.
-func (s *Spec) ZoneCap() int {
+// MaxTasksPerZone is how many tasks of the job may be in one zone.
+func (s *Spec) MaxTasksPerZone() int {
 	if s.Spread {
 		return (s.Tasks + 1) / 2
 	}
 	return s.Tasks
 }
 
-// Total is what all tasks of the job take together.
-func (s *Spec) Total() Resources { return s.Need.Times(s.Tasks) }
+// TotalDemand is what all tasks of the job take together.
+func (s *Spec) TotalDemand() Resources { return s.Demand.Times(s.Tasks) }
 
 // MachineType is one entry of the cloud's catalogue.
 type MachineType struct {
-	Name        string
-	Cap         Resources
-	CacheGB     float64
-	FetchGBPerS float64
-	Price       float64 // per hour
-	SpotPrice   float64
-	Boot        time.Duration
-	Zones       []string
-}
-
-// InZone tells whether the type is offered in the zone.
-func (t *MachineType) InZone(zone string) bool {
+	Name             string
+	Capacity         Resources
+	CacheGB          float64
+	FetchGBPerS      float64
+	PricePerHour     float64 // per hour
+	SpotPricePerHour float64
+	BootTime         time.Duration
+	Zones            []string
+}
+
+// OfferedIn tells whether the type is offered in the zone.
+func (t *MachineType) OfferedIn(zone string) bool {
 	for _, z := range t.Zones {
 		if z == zone {
 			return true
@@ -179,27 +179,27 @@
 	return false
 }
 
-// CanEverRun tells whether a task of the job fits some machine type that the
+// CheckFeasibility tells whether a task of the job fits some machine type that the
 // job allows, and all that has to run at once the team's limit and the zones; and if not, why.
-func CanEverRun(s *Spec, team *Team, types []MachineType) (bool, string) {
+func CheckFeasibility(s *Spec, team *Team, types []MachineType) (bool, string) {
 	if team == nil {
 		return false, "unknown team"
 	}
-	need := s.Need
+	need := s.Demand
 	if s.Shape != Array {
-		need = s.Total()
+		need = s.TotalDemand()
 	}
-	if !team.Limit.Allows(need) {
+	if !team.Quota.Allows(need) {
 		return false, "more than the team's limit"
 	}
-	if s.Shape != Array && s.Spread && s.Tasks > 1 && (s.OneZone || s.Zone != "") {
+	if s.Shape != Array && s.Spread && s.Tasks > 1 && (s.SingleZone || s.Zone != "") {
 		// Guards against a job that is accepted, and of which a part waits for ever.
 		return false, "its tasks are to be spread and in one zone"
 	}
 	zones := map[string]bool{}
 	for i := range types {
 		t := &types[i]
-		if !s.AllowsType(t.Name) || !s.Need.Fits(t.Cap) || s.Zone != "" && !t.InZone(s.Zone) {
+		if !s.AllowsType(t.Name) || !s.Demand.Fits(t.Capacity) || s.Zone != "" && !t.OfferedIn(s.Zone) {
 			continue
 		}
 		if s.Shape != Gang || !s.Spread || s.Tasks == 1 {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -132,7 +132,7 @@
 // it needs it.
 type Client struct {
 	addr  string
-	dial  rpc.Dial
+	dial  rpc.DialFunc
 	heard atomic.Uint64 // answers that have come
 
 	mu      sync.Mutex
@@ -149,7 +149,7 @@
 }
 
 // NewClient makes a client; connections are made under a condition (rpc.New).
-func NewClient(addr string, under func(rpc.Dial) rpc.Dial) *Client {
+func NewClient(addr string, under func(rpc.DialFunc) rpc.DialFunc) *Client {
 	c := &Client{addr: addr, dial: func(addr string) (net.Conn, error) { return net.DialTimeout("tcp4", addr, dialTimeout) },
 		waiting: map[uint64]waiter{}}
 	if under != nil {
--- a/internal/reconciler/accounting.go
+++ b/internal/reconciler/accounting.go
@@ -79,10 +79,10 @@
 // begin notes the first message that shows an attempt running: from here on it is
 // charged. What the leader did not launch itself, or had running before, began unseen.
 func (c *Core) begin(now time.Time, a *model.Attempt, p model.Phase, taken bool) {
-	if c.acc == nil || !a.Charged.IsZero() || a.Job == nil || p != model.Running && p != model.Saving {
+	if c.acc == nil || !a.ChargedUntil.IsZero() || a.Job == nil || p != model.PhaseRunning && p != model.PhaseCheckpointing {
 		return
 	}
-	a.Ran, a.Charged = now, now
+	a.ChargedFrom, a.ChargedUntil = now, now
 	u := ledger.Use{Starts: 1}
 	if taken {
 		u = ledger.Use{TakenOver: 1}
@@ -92,27 +92,27 @@
 
 // charge charges an attempt's run time up to the moment of a message.
 func (c *Core) charge(now time.Time, a *model.Attempt, upTo time.Time) {
-	if c.acc == nil || a.Charged.IsZero() || !upTo.After(a.Charged) {
+	if c.acc == nil || a.ChargedUntil.IsZero() || !upTo.After(a.ChargedUntil) {
 		return
 	}
 	b := c.acc.book
-	ms := b.Instant(upTo) - b.Instant(a.Charged)
-	a.Charged = upTo
-	b.Charge(now, a.Team, a.Job.Spec.Class, ledger.RateOf(a.Need).For(ms))
+	ms := b.Instant(upTo) - b.Instant(a.ChargedUntil)
+	a.ChargedUntil = upTo
+	b.Charge(now, a.Team, a.Job.Spec.Class, ledger.RateOf(a.Demand).For(ms))
 }
 
 // wasted notes the run time of an attempt that has to be repeated, since it neither
 // completed nor saved: all of it, or what came after the last checkpoint.
 func (c *Core) wasted(now time.Time, a *model.Attempt) {
-	if c.acc == nil || a.Charged.IsZero() || a.Job.Spec.Shape == model.Service || a.Job.State == model.JobEnded {
+	if c.acc == nil || a.ChargedUntil.IsZero() || a.Job.Spec.Shape == model.Service || a.Job.State == model.JobEnded {
 		return
 	}
-	ran := a.Charged.Sub(a.Ran)
-	if every := a.Job.Spec.Checkpoint; every > 0 {
+	ran := a.ChargedUntil.Sub(a.ChargedFrom)
+	if every := a.Job.Spec.CheckpointInterval; every > 0 {
 		ran %= every
 	}
-	c.acc.book.Charge(now, a.Team, a.Job.Spec.Class, ledger.Use{Lost: ledger.RateOf(a.Need).For(uint64(ran / time.Millisecond)).CPU})
-	a.Ran = a.Charged
+	c.acc.book.Charge(now, a.Team, a.Job.Spec.Class, ledger.Use{Lost: ledger.RateOf(a.Demand).For(uint64(ran / time.Millisecond)).CPU})
+	a.ChargedFrom = a.ChargedUntil
 }
 
 // waits charges what waited since the last look to the causes of that time, and notes
@@ -146,7 +146,7 @@
 	switch {
 	case !mayStart(j):
 		return ledger.Awaits
-	case now.Before(j.NotBefore):
+	case now.Before(j.RetryNotBefore):
 		return ledger.Backoff
 	case c.inDoubt(j):
 		return ledger.Takeover
@@ -163,7 +163,7 @@
 // limited tells whether a job's team has a limit that its tasks could wait under.
 func (c *Core) limited(j *model.Job) bool {
 	t := c.teams[j.Spec.Team]
-	return t != nil && t.Limit.Bounds()
+	return t != nil && t.Quota.Limited()
 }
 
 // waited charges what a job's tasks waited, and begins to count anew; nil: none waits.
@@ -231,7 +231,7 @@
 // chargeAll charges what runs up to the last message of its machine.
 func (c *Core) chargeAll(now time.Time) {
 	for _, m := range c.machines {
-		for _, a := range m.Held() {
+		for _, a := range m.ActiveAttempts() {
 			c.charge(now, a, m.LastSeen)
 		}
 	}
--- a/internal/reconciler/accounting_test.go
+++ b/internal/reconciler/accounting_test.go
@@ -22,21 +22,21 @@
 		Pass: 50 * time.Millisecond, Flush: 500 * time.Millisecond, ListEvery: time.Hour, CatalogEvery: time.Hour, TxnOps: 12, Numbered: 16384,
 		Fleet: autoscaler.Settings{KeepIdle: time.Hour, BootFactor: 3, MaxRent: 50}, Sched: scheduler.Settings{IdleShare: 0.7, Overtake: time.Minute, OvertakeLate: 15 * time.Minute}, Ledger: book}
 	for i := range 16 {
-		set.Teams = append(set.Teams, model.Team{Name: fmt.Sprintf("team-%02d", i), Limit: model.LimitOf(125, 0)})
+		set.Teams = append(set.Teams, model.Team{Name: fmt.Sprintf("team-%02d", i), Quota: model.NewQuota(125, 0)})
 	}
-	types := []model.MachineType{{Name: "five", Cap: model.Resources{CPU: 5, MemGB: 64}, Price: 1, SpotPrice: 1, Zones: zones}}
+	types := []model.MachineType{{Name: "five", Capacity: model.Resources{CPU: 5, MemGB: 64}, PricePerHour: 1, SpotPricePerHour: 1, Zones: zones}}
 	snap := &Snapshot{Numbered: 16384}
 	for i := range 400 {
-		snap.Machines = append(snap.Machines, model.Listed{Machine: fmt.Sprintf("n-%06d", i), Addr: "x", Type: "five", Zone: zones[i%2]})
+		snap.Machines = append(snap.Machines, model.MachineInfo{Name: fmt.Sprintf("n-%06d", i), Addr: "x", Type: "five", Zone: zones[i%2]})
 	}
 	for i := range 64 {
-		s := &model.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "work", Team: set.Teams[i%16].Name, Shape: model.Array, Rank: model.Normal, Tasks: 40,
-			Need: model.Resources{CPU: 1, MemGB: 1}, Image: "i", Estimate: time.Hour}
+		s := &model.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "work", Team: set.Teams[i%16].Name, Shape: model.Array, Priority: model.PriorityNormal, Tasks: 40,
+			Demand: model.Resources{CPU: 1, MemGB: 1}, Image: "i", EstimatedRunTime: time.Hour}
 		snap.Jobs = append(snap.Jobs, JobAdded{Spec: s, At: now, Version: uint64(i + 1)})
 	}
 	snap.Revision = 64
 	c := New(now, set, 7, snap, types, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	reports := make([]*model.Report, 400)
+	reports := make([]*model.Heartbeat, 400)
 	tasks := map[string]map[model.AttemptKey]model.Phase{}
 	step := func(ev Event) {
 		for _, e := range append([]Effect(nil), c.Step(now, ev)...) {
@@ -45,25 +45,25 @@
 				c.Step(now, SaveBack{Saves: append([]Save(nil), e.Saves...), Outcome: OK, Version: uint64(now.Unix())})
 			case Command:
 				for _, o := range e.Orders {
-					tasks[e.Machine][model.AttemptKey{Task: o.Task, Try: o.Try}] = model.Running
+					tasks[e.Machine][model.AttemptKey{Task: o.Task, Number: o.Attempt}] = model.PhaseRunning
 				}
-				c.Step(now, CommandBack{Machine: e.Machine, Session: e.Session, Orders: append([]model.Order(nil), e.Orders...), Outcome: OK})
+				c.Step(now, CommandBack{Machine: e.Machine, Session: e.Session, Orders: append([]model.Command(nil), e.Orders...), Outcome: OK})
 			}
 		}
 	}
 	at := 0
 	second = func() {
 		for range 200 { // each machine reports every 2 s
-			name := snap.Machines[at%400].Machine
+			name := snap.Machines[at%400].Name
 			r := reports[at%400]
 			if r == nil {
-				r = &model.Report{Machine: name, Addr: "x", Type: "five", Zone: snap.Machines[at%400].Zone, Session: 1, Token: 7}
+				r = &model.Heartbeat{Machine: name, Addr: "x", Type: "five", Zone: snap.Machines[at%400].Zone, Epoch: 1, FencingToken: 7}
 				reports[at%400], tasks[name] = r, map[model.AttemptKey]model.Phase{}
 			}
 			r.Seq++
 			r.Tasks = r.Tasks[:0]
 			for k, p := range tasks[name] {
-				r.Tasks = append(r.Tasks, model.TaskReport{Task: k.Task, Try: k.Try, Phase: p})
+				r.Tasks = append(r.Tasks, model.TaskStatus{Task: k.Task, Attempt: k.Number, Phase: p})
 			}
 			step(ReportIn{Report: r})
 			now = now.Add(5 * time.Millisecond)
--- a/internal/reconciler/anyreport_test.go
+++ b/internal/reconciler/anyreport_test.go
@@ -21,22 +21,22 @@
 		defer func() { _ = flag.Set(name, old) }()
 	}
 	rapid.Check(t, func(r *rapid.T) {
-		k := talks(t, &Snapshot{Machines: []model.Listed{{Machine: "n-1", Addr: "n-1", Type: "eight", Zone: "a"}}})
+		k := talks(t, &Snapshot{Machines: []model.MachineInfo{{Name: "n-1", Addr: "n-1", Type: "eight", Zone: "a"}}})
 		for _, id := range []string{"wk-1", "wk-2", "wk-3"} {
 			shape := rapid.SampledFrom([]model.Shape{model.Array, model.Service, model.Gang}).Draw(r, "shape")
-			k.step(0, JobAdded{At: k.now, Spec: &model.Spec{ID: id, Team: "red", Shape: shape, Tasks: 3, Need: model.Resources{CPU: 2, MemGB: 4}, Estimate: time.Minute}})
+			k.step(0, JobAdded{At: k.now, Spec: &model.Spec{ID: id, Team: "red", Shape: shape, Tasks: 3, Demand: model.Resources{CPU: 2, MemGB: 4}, EstimatedRunTime: time.Minute}})
 		}
-		var sent []*model.Report
-		draw := func() *model.Report {
+		var sent []*model.Heartbeat
+		draw := func() *model.Heartbeat {
 			if len(sent) > 0 && rapid.IntRange(0, 2).Draw(r, "copy") == 0 {
 				return rapid.SampledFrom(sent).Draw(r, "which")
 			}
 			m := says(rapid.SampledFrom([]string{"n-1", "n-2", "n-3"}).Draw(r, "machine"), rapid.Uint64Range(1, 3).Draw(r, "session"), rapid.Uint64Range(0, 30).Draw(r, "number"), rapid.Uint64Range(0, 2).Draw(r, "token"))
-			m.Zone, m.Notice = rapid.SampledFrom([]string{"a", "a", "a", "b"}).Draw(r, "zone"), rapid.IntRange(0, 9).Draw(r, "notice") == 0
+			m.Zone, m.InterruptionNotice = rapid.SampledFrom([]string{"a", "a", "a", "b"}).Draw(r, "zone"), rapid.IntRange(0, 9).Draw(r, "notice") == 0
 			for range rapid.IntRange(0, 4).Draw(r, "rows") {
-				m.Tasks = append(m.Tasks, model.TaskReport{Task: model.TaskID{Job: rapid.SampledFrom([]string{"wk-1", "wk-2", "wk-3", "wk-9"}).Draw(r, "job"), Index: rapid.IntRange(0, 3).Draw(r, "task")},
-					Try: rapid.SampledFrom([]uint64{3, 4, 1<<24 + 1, 1<<24 + 2}).Draw(r, "try"), Phase: rapid.SampledFrom([]model.Phase{model.Fetching, model.Waiting, model.Running, model.Saving, model.Exited}).Draw(r, "phase"),
-					Cause: rapid.SampledFrom([]model.Cause{model.CauseDone, model.CauseStopped, model.CausePeers, model.CauseError, model.CauseBusy}).Draw(r, "cause")})
+				m.Tasks = append(m.Tasks, model.TaskStatus{Task: model.TaskID{Job: rapid.SampledFrom([]string{"wk-1", "wk-2", "wk-3", "wk-9"}).Draw(r, "job"), Index: rapid.IntRange(0, 3).Draw(r, "task")},
+					Attempt: rapid.SampledFrom([]uint64{3, 4, 1<<24 + 1, 1<<24 + 2}).Draw(r, "try"), Phase: rapid.SampledFrom([]model.Phase{model.PhaseFetching, model.PhaseWaiting, model.PhaseRunning, model.PhaseCheckpointing, model.PhaseExited}).Draw(r, "phase"),
+					Cause: rapid.SampledFrom([]model.ExitCause{model.CauseDone, model.CauseStopped, model.CauseGangMemberLost, model.CauseError, model.CauseAttemptConflict}).Draw(r, "cause")})
 			}
 			sent = append(sent, m)
 			return m
@@ -72,25 +72,25 @@
 				live := map[model.TaskID]*model.Attempt{}
 				for _, m := range k.c.machines {
 					n := 0
-					for _, a := range m.Rows {
-						if a.Holds() {
+					for _, a := range m.Attempts {
+						if a.Active() {
 							n++
-							held = held.Add(a.Need)
+							held = held.Add(a.Demand)
 						}
-						if a.Holds() && a.Job != nil && a.Job.Live[a.Task.Index] == a {
+						if a.Active() && a.Job != nil && a.Job.ActiveAttempts[a.Task.Index] == a {
 							if live[a.Task] != nil {
 								r.Fatalf("%v is live twice", a.Task)
 							}
 							live[a.Task] = a
 						}
 					}
-					if n != m.Holding {
-						r.Fatalf("%s holds %d, counted %d", m.Name, n, m.Holding)
+					if n != m.ActiveCount {
+						r.Fatalf("%s holds %d, counted %d", m.Name, n, m.ActiveCount)
 					}
 				}
-				sum := k.c.stray.Held
+				sum := k.c.stray.Allocated
 				for _, u := range k.c.use {
-					sum = sum.Add(u.Held)
+					sum = sum.Add(u.Allocated)
 				}
 				if d := sum.CPU - held.CPU; d > 1e-6 || d < -1e-6 {
 					r.Fatalf("held %v, accounts say %v", held, sum)
--- a/internal/reconciler/blame.go
+++ b/internal/reconciler/blame.go
@@ -18,15 +18,15 @@
 // condemn the machine, errors on several machines put the job off.
 func (c *Core) failed(now time.Time, a *model.Attempt) {
 	j, m := a.Job, a.Machine
-	m.Errors[j.Spec.ID]++
-	m.FailedAt = now
-	j.Failed(m.Name)
-	if j.Strikes >= 2 && !j.Good {
-		wait := c.set.Backoff << min(j.Strikes-2, 6)
-		j.NotBefore = now.Add(min(wait, c.set.BackoffMost))
+	m.ErrorsByJob[j.Spec.ID]++
+	m.LastFailure = now
+	j.RecordFailure(m.Name)
+	if j.FailedMachineCount >= 2 && !j.KnownGood {
+		wait := c.set.Backoff << min(j.FailedMachineCount-2, 6)
+		j.RetryNotBefore = now.Add(min(wait, c.set.BackoffMost))
 	}
 	jobs := c.blame(now, m)
-	c.log.Warn("task failed", "task", a.Task, "machine", m.Name, "errors_of_job", j.Errors, "jobs_failing_here", jobs)
+	c.log.Warn("task failed", "task", a.Task, "machine", m.Name, "errors_of_job", j.ConsecutiveErrors, "jobs_failing_here", jobs)
 }
 
 // blame looks at a machine on which tasks have failed, and says how many jobs fail there that are not at
@@ -35,29 +35,29 @@
 // other, since two jobs with a mistake fail on them.
 func (c *Core) blame(now time.Time, m *model.Machine) (jobs int) {
 	proven, twice := 0, false
-	for id, n := range m.Errors {
+	for id, n := range m.ErrorsByJob {
 		j := c.jobs[id]
 		if n == 0 || j != nil && j.Faulty() {
 			continue
 		}
 		jobs++
-		if j == nil || j.Good || c.runsElsewhere(now, j, m) {
+		if j == nil || j.KnownGood || c.runsElsewhere(now, j, m) {
 			proven++
 			twice = twice || n >= c.set.SickErrors
 		}
 	}
 	switch {
 	case proven >= c.set.SickErrors || twice,
-		jobs >= c.set.SickErrors && !m.Suspect.IsZero() && now.Sub(m.Suspect) > suspectMost:
-		m.Suspect = time.Time{}
+		jobs >= c.set.SickErrors && !m.QuarantinedSince.IsZero() && now.Sub(m.QuarantinedSince) > suspectMost:
+		m.QuarantinedSince = time.Time{}
 		c.drain(now, m, "sick")
 	case jobs < c.set.SickErrors:
-		if !m.Suspect.IsZero() {
-			m.Suspect, c.dirty = time.Time{}, true
+		if !m.QuarantinedSince.IsZero() {
+			m.QuarantinedSince, c.dirty = time.Time{}, true
 			c.log.Info("machine is not at fault", "machine", m.Name)
 		}
-	case m.Suspect.IsZero() && m.State < model.Draining:
-		m.Suspect = now
+	case m.QuarantinedSince.IsZero() && m.State < model.MachineDraining:
+		m.QuarantinedSince = now
 		c.log.Info("machine or jobs at fault", "machine", m.Name, "jobs_failing_here", jobs)
 	}
 	return jobs
@@ -66,24 +66,24 @@
 // cleared takes that a task has completed on a machine: if it was started after the last failure there, the
 // machine is well.
 func (c *Core) cleared(a *model.Attempt) {
-	if m := a.Machine; a.LaunchedAt.After(m.FailedAt) {
-		clear(m.Errors)
+	if m := a.Machine; a.LaunchedAt.After(m.LastFailure) {
+		clear(m.ErrorsByJob)
 	}
 }
 
 // acquit takes the failures of a job that was cancelled off its machines: they tell nothing any more.
 func (c *Core) acquit(j *model.Job) {
-	for name := range j.FailedOn {
+	for name := range j.MachinesWithErrors {
 		if m := c.machines[name]; m != nil {
-			delete(m.Errors, j.Spec.ID)
+			delete(m.ErrorsByJob, j.Spec.ID)
 		}
 	}
 }
 
 // runsElsewhere tells whether a job does well on another machine.
 func (c *Core) runsElsewhere(now time.Time, j *model.Job, m *model.Machine) bool {
-	for _, a := range j.Live {
-		if a.Machine != m && a.Phase == model.Running && now.Sub(a.RunningAt) > 15*time.Second {
+	for _, a := range j.ActiveAttempts {
+		if a.Machine != m && a.Phase == model.PhaseRunning && now.Sub(a.RunningAt) > 15*time.Second {
 			return true
 		}
 	}
--- a/internal/reconciler/blame_test.go
+++ b/internal/reconciler/blame_test.go
@@ -16,7 +16,7 @@
 	}
 	m := k.c.machines[name]
 	r := says(name, m.Session, m.Seq+1, 1)
-	r.Tasks = append(r.Tasks, model.TaskReport{Task: key.Task, Try: key.Try, Phase: model.Exited, Cause: model.CauseError})
+	r.Tasks = append(r.Tasks, model.TaskStatus{Task: key.Task, Attempt: key.Number, Phase: model.PhaseExited, Cause: model.CauseError})
 	k.report(100*time.Millisecond, r)
 	return name
 }
@@ -34,8 +34,8 @@
 		if other := k.fails("wk-2"); other != m.Name {
 			t.Fatalf("they were on %s and %s", m.Name, other)
 		}
-		if m.Suspect.IsZero() || k.c.placeable(k.now, m) || m.State != model.Ready {
-			t.Errorf("sick %v: after two jobs' failures: %v, suspect %v", sick, m.State, m.Suspect)
+		if m.QuarantinedSince.IsZero() || k.c.placeable(k.now, m) || m.State != model.MachineReady {
+			t.Errorf("sick %v: after two jobs' failures: %v, suspect %v", sick, m.State, m.QuarantinedSince)
 		}
 		k.step(time.Second, Tick{})
 		if !sick {
@@ -45,8 +45,8 @@
 				}
 			}
 			k.step(300*time.Millisecond, Tick{})
-			if !m.Suspect.IsZero() || m.State != model.Ready {
-				t.Errorf("both jobs fail elsewhere: %v, suspect %v", m.State, m.Suspect)
+			if !m.QuarantinedSince.IsZero() || m.State != model.MachineReady {
+				t.Errorf("both jobs fail elsewhere: %v, suspect %v", m.State, m.QuarantinedSince)
 			}
 			continue
 		}
@@ -54,12 +54,12 @@
 			name, key := k.on(id)
 			o := k.c.machines[name]
 			r := says(name, o.Session, o.Seq+1, 1)
-			r.Tasks = append(r.Tasks, model.TaskReport{Task: key.Task, Try: key.Try, Phase: model.Exited,
+			r.Tasks = append(r.Tasks, model.TaskStatus{Task: key.Task, Attempt: key.Number, Phase: model.PhaseExited,
 				Cause: model.CauseDone})
 			k.report(time.Second, r)
 		}
 		k.step(300*time.Millisecond, Tick{})
-		if m.State != model.Draining && m.State != model.Returning {
+		if m.State != model.MachineDraining && m.State != model.MachineReleasing {
 			t.Errorf("both jobs are done elsewhere: %v", m.State)
 		}
 	}
@@ -83,10 +83,10 @@
 			k.step(500*time.Millisecond, Tick{})
 		}
 	}
-	k.step(0, JobEnded{ID: "wk-1", End: model.EndCancelled})
+	k.step(0, JobEnded{ID: "wk-1", End: model.OutcomeCancelled})
 	for _, m := range k.c.machines {
-		if len(m.Errors) > 0 || m.State != model.Ready {
-			t.Errorf("%s: %v, %v", m.Name, m.State, m.Errors)
+		if len(m.ErrorsByJob) > 0 || m.State != model.MachineReady {
+			t.Errorf("%s: %v, %v", m.Name, m.State, m.ErrorsByJob)
 		}
 	}
 }
--- a/internal/reconciler/cloud.go
+++ b/internal/reconciler/cloud.go
@@ -14,7 +14,7 @@
 )
 
 func (c *Core) register(m *model.Machine) {
-	c.saves = append(c.saves, Save{Kind: SaveMachine, Machine: model.Listed{Machine: m.Name, Addr: m.Addr, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot}})
+	c.saves = append(c.saves, Save{Kind: SaveMachine, Machine: model.MachineInfo{Name: m.Name, Addr: m.Addr, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot}})
 }
 
 func (c *Core) rentBack(now time.Time, ev RentBack) {
@@ -34,8 +34,8 @@
 		if _, ok := c.gone[name]; ok || c.machines[name] != nil {
 			continue
 		}
-		m := c.newMachine(now, model.Listed{Machine: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, model.Booting)
-		m.Rented = now
+		m := c.newMachine(now, model.MachineInfo{Name: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, model.MachineBooting)
+		m.RequestedAt = now
 	}
 	c.dirty = true
 }
@@ -52,15 +52,15 @@
 		}
 		// It and everything on it are gone.
 		c.loseAll(now, m, "returned")
-		if m.Unsure {
+		if m.Unreconciled {
 			c.settle(now, m, "returned")
 		}
-		m.Set(now, model.Gone, "")
+		m.Transition(now, model.MachineReleased, "")
 		delete(c.machines, name)
 		delete(c.news, m)
 		delete(c.inDoubtOf, m)
 		c.gone[name] = now
-		c.saves = append(c.saves, Save{Kind: DropMachine, Machine: model.Listed{Machine: name}})
+		c.saves = append(c.saves, Save{Kind: DropMachine, Machine: model.MachineInfo{Name: name}})
 	}
 }
 
@@ -84,23 +84,23 @@
 	c.listAt = now.Add(c.set.ListEvery)
 	news, first := 0, ""
 	for _, l := range ev.Machines {
-		m := c.machines[l.Machine]
+		m := c.machines[l.Name]
 		if m == nil {
-			if at, ok := c.gone[l.Machine]; ok && ev.Asked.Sub(at) < 3*c.set.ListLag+10*time.Second {
+			if at, ok := c.gone[l.Name]; ok && ev.Asked.Sub(at) < 3*c.set.ListLag+10*time.Second {
 				continue // the list lags
 			}
-			m = c.newMachine(now, l, model.Booting)
-			m.Since, m.Rented = now.Add(-l.Age), now.Add(-l.Age)
+			m = c.newMachine(now, l, model.MachineBooting)
+			m.StateSince, m.RequestedAt = now.Add(-l.Age), now.Add(-l.Age)
 			if news++; first == "" {
-				first = l.Machine
+				first = l.Name
 			}
-			c.log.Debug("unexpected machine is listed", "machine", l.Machine, "type", l.Type, "zone", l.Zone)
+			c.log.Debug("unexpected machine is listed", "machine", l.Name, "type", l.Type, "zone", l.Zone)
 		}
 		if m.Addr == "" {
 			m.Addr = l.Addr
 		}
-		if l.Failed && m.State != model.Returning && m.Set(now, model.Returning, "failed") {
-			c.log.Info("returning", "machine", m.Name, "why", "failed", "holding", m.Holding)
+		if l.Failed && m.State != model.MachineReleasing && m.Transition(now, model.MachineReleasing, "failed") {
+			c.log.Info("returning", "machine", m.Name, "why", "failed", "holding", m.ActiveCount)
 		}
 	}
 	if news > 0 {
