--- a/internal/reconciler/core.go
+++ b/internal/reconciler/core.go
@@ -61,7 +61,7 @@
 	Done     map[string]map[model.Chunk][]byte // finished tasks by job
 	Numbered int                               // tasks in a numbered chunk; 0: not on record
 	Strays   []Save                            // parts of lists of awaited jobs that no unfinished job owns
-	Machines []model.Listed
+	Machines []model.MachineInfo
 	Needs    []model.Resources // GPU requests that were seen
 	Accounts []ledger.OnRecord // of the teams; only where a ledger is kept
 }
@@ -82,7 +82,7 @@
 	teams    map[string]*model.Team
 	jobs     map[string]*model.Job
 	order    []*model.Job // by the moment from which their ages count
-	graph    *model.Graph
+	graph    *model.DependencyGraph
 	lookAt   time.Time // ends of awaited jobs are not asked for before this
 	looking  bool
 	pathsAt  time.Time            // when the paths behind jobs are looked over again
@@ -101,7 +101,7 @@
 	// start that is taken back soon was in vain.
 	startCounts map[string]bool
 	refused     map[autoscaler.Offer]time.Time
-	renting     map[string]model.Rental
+	renting     map[string]model.Provisioning
 	rentAt      map[string]time.Time
 
 	returning bool      // a return is asked for and not answered
@@ -152,9 +152,9 @@
 // New makes the core of a leader that has just taken over.
 func New(now time.Time, set Settings, token uint64, snap *Snapshot, types []model.MachineType, log *slog.Logger) *Core {
 	c := &Core{set: set, log: log, token: token, start: now, rev: snap.Revision,
-		teams: map[string]*model.Team{}, jobs: map[string]*model.Job{}, graph: model.NewGraph(), times: map[string][]float64{}, machines: map[string]*model.Machine{},
+		teams: map[string]*model.Team{}, jobs: map[string]*model.Job{}, graph: model.NewDependencyGraph(), times: map[string][]float64{}, machines: map[string]*model.Machine{},
 		gone: map[string]time.Time{}, use: map[string]*model.Usage{}, gpuNeed: map[model.Resources]bool{}, runs: runTimes{}, startCounts: map[string]bool{},
-		refused: map[autoscaler.Offer]time.Time{}, renting: map[string]model.Rental{}, rentAt: map[string]time.Time{},
+		refused: map[autoscaler.Offer]time.Time{}, renting: map[string]model.Provisioning{}, rentAt: map[string]time.Time{},
 		dirtyJobs: map[string]bool{}, chunks: map[chunkKey]bool{}, ruled: map[*model.Job]*ruled{}, keptGPU: map[*model.MachineType]bool{}, doubts: map[machineKind]int{}, quietAt: map[string]time.Time{}, news: map[*model.Machine]bool{}, types: types, listAt: now, catalogAt: now, sweepAt: now,
 		resumeAt:  now.Add(set.SilentAfter),
 		detector:  liveness.Settings{Lease: set.Lease, Gap: max(dropped, set.Report+set.Report/2), Replace: set.SilentAfter},
@@ -198,22 +198,22 @@
 		}
 		for chunk, bits := range chunks {
 			from := chunk.First(numbered)
-			j.Load(from, bits)
-			j.Durable(from, bits)
-			j.Recorded[chunk] = true
+			j.LoadDone(from, bits)
+			j.MarkDurable(from, bits)
+			j.RecordedChunks[chunk] = true
 		}
 		c.checkEnd(now, j)
 	}
 	for _, j := range c.jobs {
-		for id := range j.Link.Needs {
+		for id := range j.Dependency.Upstream {
 			// What it needs was not done when this leader took over, so no leader
 			// before can have started it: docs/safety.md, "Pipelines".
-			j.Fresh = j.Fresh || c.jobs[id] != nil
+			j.NoPriorAttempts = j.NoPriorAttempts || c.jobs[id] != nil
 		}
 	}
 	for _, l := range snap.Machines {
-		m := c.newMachine(now, l, model.Unsettled)
-		m.Registered, m.Unsure, m.Recorded = true, true, l
+		m := c.newMachine(now, l, model.MachineInherited)
+		m.Registered, m.Unreconciled, m.Record = true, true, l
 		c.unsure++
 		c.doubts[kindOf(m)]++
 	}
@@ -223,11 +223,11 @@
 }
 
 // newMachine enters a machine into the picture.
-func (c *Core) newMachine(now time.Time, l model.Listed, s model.MachineState) *model.Machine {
-	m := &model.Machine{Name: l.Machine, Addr: l.Addr, Zone: l.Zone, Spot: l.Spot, Type: c.typeOf(l.Type),
-		Rows: map[model.AttemptKey]*model.Attempt{}, Images: map[string]time.Time{}, Errors: map[string]int{},
-		EmptySince: now, LastReport: now, LastSeen: now, Deadline: c.leaseEnd(now)}
-	m.Set(now, s, "")
+func (c *Core) newMachine(now time.Time, l model.MachineInfo, s model.MachineState) *model.Machine {
+	m := &model.Machine{Name: l.Name, Addr: l.Addr, Zone: l.Zone, Spot: l.Spot, Type: c.typeOf(l.Type),
+		Attempts: map[model.AttemptKey]*model.Attempt{}, CachedImages: map[string]time.Time{}, ErrorsByJob: map[string]int{},
+		EmptySince: now, LastHeartbeat: now, LastSeen: now, LeaseExpiry: c.leaseEnd(now)}
+	m.Transition(now, s, "")
 	c.machines[m.Name] = m
 	return m
 }
@@ -251,7 +251,7 @@
 			return &c.types[i]
 		}
 	}
-	return &model.MachineType{Name: name, Cap: model.Resources{CPU: 1e-9}}
+	return &model.MachineType{Name: name, Capacity: model.Resources{CPU: 1e-9}}
 }
 
 // leaseEnd is when the lease of a worker whose last answered report came at t
@@ -410,16 +410,16 @@
 		return
 	}
 	j := model.NewJob(ev.Spec, ev.At, ev.Version)
-	j.Parts = ev.Parts
+	j.DependencyKeys = ev.Parts
 	c.jobs[ev.Spec.ID] = j
 	c.addRules(j)
-	j.Link = c.graph.Add(ev.Spec.ID, ev.Spec.Awaits, ev.At)
+	j.Dependency = c.graph.Add(ev.Spec.ID, ev.Spec.Dependencies, ev.At)
 	c.enqueue(j)
-	if len(ev.Spec.Awaits) > 0 {
+	if len(ev.Spec.Dependencies) > 0 {
 		c.pathsAt = now
 		c.checkEnd(now, j)
 	}
-	if need := ev.Spec.Need; need.GPU > 0 && !c.gpuNeed[need] && len(c.gpuNeed) < maxNeeds {
+	if need := ev.Spec.Demand; need.GPU > 0 && !c.gpuNeed[need] && len(c.gpuNeed) < maxNeeds {
 		// Guards against a new leader that knows no GPU work at the moment, and
 		// fills or rents the dearest machines for anything.
 		c.gpuNeed[need] = true
@@ -427,7 +427,7 @@
 	}
 	c.dirty = true
 	c.log.Info("job", "id", ev.Spec.ID, "class", ev.Spec.Class, "team", ev.Spec.Team, "shape", ev.Spec.Shape.String(),
-		"rank", ev.Spec.Rank.String(), "tasks", ev.Spec.Tasks, "awaits", len(ev.Spec.Awaits), "link", j.Link.State.String())
+		"rank", ev.Spec.Priority.String(), "tasks", ev.Spec.Tasks, "awaits", len(ev.Spec.Dependencies), "link", j.Dependency.State.String())
 }
 
 // maxNeeds bounds the GPU requests that are kept in mind.
@@ -438,31 +438,31 @@
 // freed or doomed by nothing else.
 func (c *Core) endJob(now time.Time, ev JobEnded) {
 	if j := c.jobs[ev.ID]; j != nil {
-		c.log.Info("job ended", "id", ev.ID, "done", j.Count(model.TaskDone), "live", len(j.Live), "feeds", len(j.Link.Feeds))
-		j.Set(model.JobEnded)
+		c.log.Info("job ended", "id", ev.ID, "done", j.Count(model.TaskDone), "live", len(j.ActiveAttempts), "feeds", len(j.Dependency.Downstream))
+		j.Transition(model.JobEnded)
 		delete(c.jobs, ev.ID)
 		delete(c.ruled, j)
 		delete(c.dirtyJobs, ev.ID)
-		for _, a := range j.Live {
+		for _, a := range j.ActiveAttempts {
 			c.stop(now, a, 0)
 		}
-		for k := range j.Recorded {
+		for k := range j.RecordedChunks {
 			c.saves = append(c.saves, Save{Kind: DropTasks, Job: ev.ID, Chunk: k})
 		}
-		for _, key := range j.Parts {
+		for _, key := range j.DependencyKeys {
 			c.saves = append(c.saves, Save{Kind: DropAwaits, Job: ev.ID, Key: key})
 		}
-		if ev.End != model.EndDone {
+		if ev.End != model.OutcomeDone {
 			c.acquit(j)
 		}
 		c.waited(now, j, nil)
 		c.dequeue(j)
 		c.dirty = true
-		if len(j.Link.Needs) > 0 {
+		if len(j.Dependency.Upstream) > 0 {
 			c.pathsAt = now
 		}
 	}
-	if ev.End == model.EndUnknown {
+	if ev.End == model.OutcomeUnknown {
 		c.graph.Forget(ev.ID)
 		return
 	}
@@ -483,8 +483,8 @@
 		return
 	}
 	j.SetTask(i, model.TaskDone)
-	j.Good, j.Errors, j.Strikes = true, 0, 0
-	j.Dirty[j.Spec.ChunkOf(i)] = true
+	j.KnownGood, j.ConsecutiveErrors, j.FailedMachineCount = true, 0, 0
+	j.DirtyChunks[j.Spec.ChunkOf(i)] = true
 	if len(c.dirtyJobs) == 0 {
 		c.flushAt = now.Add(c.set.Flush)
 	}
@@ -500,14 +500,14 @@
 	switch {
 	case j.State != model.JobActive:
 		return
-	case j.Link.State == model.LinkDoomed:
+	case j.Dependency.State == model.DependencyFailed:
 		kind = EndDoomed
-		c.log.Info("job awaits a cancelled one", "id", j.Spec.ID, "cancelled", j.Link.By)
+		c.log.Info("job awaits a cancelled one", "id", j.Spec.ID, "cancelled", j.Dependency.DecidedBy)
 	case j.Unfinished() > 0:
 		return
 	}
-	if j.Set(model.JobEnding) {
-		c.saves = append(c.saves, Save{Kind: kind, Job: j.Spec.ID, Version: j.Version, Tasks: j.Spec.Tasks, At: now})
+	if j.Transition(model.JobCompleting) {
+		c.saves = append(c.saves, Save{Kind: kind, Job: j.Spec.ID, Version: j.RecordVersion, Tasks: j.Spec.Tasks, At: now})
 		delete(c.dirtyJobs, j.Spec.ID)
 	}
 }
@@ -527,7 +527,7 @@
 
 // status writes a summary of the picture to the log.
 func (c *Core) status(now time.Time) {
-	var states [model.Gone + 1]int
+	var states [model.MachineReleased + 1]int
 	var total, used model.Resources
 	kinds := map[string]string{}
 	for _, k := range c.kinds() {
@@ -535,30 +535,30 @@
 	}
 	for _, m := range c.machines {
 		states[m.State]++
-		if m.State == model.Ready {
-			total = total.Add(m.Type.Cap)
+		if m.State == model.MachineReady {
+			total = total.Add(m.Type.Capacity)
 			used = used.Add(m.Used)
 		}
 	}
 	waiting, live, awaiting := map[string]int{}, map[string]int{}, map[string]int{}
 	for _, j := range c.jobs {
-		if n := j.Waiting(); n > 0 && j.Link.State == model.LinkFree {
+		if n := j.Waiting(); n > 0 && j.Dependency.State == model.DependencySatisfied {
 			waiting[j.Spec.Class] += n
 		} else if n > 0 {
 			awaiting[j.Spec.Class]++
 		}
-		if n := len(j.Live); n > 0 {
+		if n := len(j.ActiveAttempts); n > 0 {
 			live[j.Spec.Class] += n
 		}
 	}
 	teams := map[string]string{} // only those that are near their limit
 	for name, use := range c.use {
-		if t := c.teams[name]; t != nil && t.Limit.Near(use.Held, 0.9) {
-			teams[name] = t.Limit.Of(use.Held)
+		if t := c.teams[name]; t != nil && t.Quota.ExceedsFraction(use.Allocated, 0.9) {
+			teams[name] = t.Quota.FormatUsage(use.Allocated)
 		}
 	}
-	c.log.Info("status", "jobs", len(c.jobs), "waiting", waiting, "awaiting", awaiting, "live", live, "ready", states[model.Ready], "booting", states[model.Booting],
-		"draining", states[model.Draining], "unsettled", c.unsure, "at_limit", teams, "kinds", kinds, "cpus", total.CPU, "cpus_used", used.CPU, "gpus", total.GPU, "gpus_used", used.GPU)
+	c.log.Info("status", "jobs", len(c.jobs), "waiting", waiting, "awaiting", awaiting, "live", live, "ready", states[model.MachineReady], "booting", states[model.MachineBooting],
+		"draining", states[model.MachineDraining], "unsettled", c.unsure, "at_limit", teams, "kinds", kinds, "cpus", total.CPU, "cpus_used", used.CPU, "gpus", total.GPU, "gpus_used", used.GPU)
 }
 
 // kind sums up the machines of one type, ordinary or spot.
@@ -581,7 +581,7 @@
 			out[name] = k
 		}
 		k.count++
-		k.cpus += m.Type.Cap.CPU
+		k.cpus += m.Type.Capacity.CPU
 		k.used += m.Used.CPU
 	}
 	return out
--- a/internal/reconciler/doubts.go
+++ b/internal/reconciler/doubts.go
@@ -10,7 +10,7 @@
 
 // kindOf is the kind that a machine's record says: that is what leaders before went by.
 func kindOf(m *model.Machine) machineKind {
-	return machineKind{m.Recorded.Type, m.Recorded.Zone, m.Recorded.Spot}
+	return machineKind{m.Record.Type, m.Record.Zone, m.Record.Spot}
 }
 
 // inDoubt tells whether a waiting task of a job may already be on a machine that is not settled
@@ -19,14 +19,14 @@
 // (docs/safety.md, "Rebuilding"). Guards against work that waits for the leases of machines
 // that it may not even use.
 func (c *Core) inDoubt(j *model.Job) bool {
-	if c.unsure == 0 || j.Version > c.rev || j.Fresh {
+	if c.unsure == 0 || j.RecordVersion > c.rev || j.NoPriorAttempts {
 		return false
 	}
 	s := j.Spec
 	for k := range c.doubts {
 		t := c.typeOf(k.breed)
-		known := t.Cap.CPU > 1e-6 // a type that the catalogue lacks may be anything
-		if s.AllowsType(k.breed) && (s.Zone == "" || s.Zone == k.zone) && (s.Spot || !k.spot) && (!known || s.Need.Fits(t.Cap)) {
+		known := t.Capacity.CPU > 1e-6 // a type that the catalogue lacks may be anything
+		if s.AllowsType(k.breed) && (s.Zone == "" || s.Zone == k.zone) && (s.AllowSpot || !k.spot) && (!known || s.Demand.Fits(t.Capacity)) {
 			return true
 		}
 	}
--- a/internal/reconciler/events.go
+++ b/internal/reconciler/events.go
@@ -41,7 +41,7 @@
 	// unknown end, a view that has missed changes only tells that it is over.
 	JobEnded struct {
 		ID  string
-		End model.End
+		End model.Outcome
 		At  time.Time // zero: before any job was submitted that awaits another
 	}
 	// EndsIn: how jobs that others await have ended, of those where that could be
@@ -49,7 +49,7 @@
 	EndsIn struct{ Ends []JobEnded }
 	// ReportIn: a worker's report has come; Answer is its effect.
 	ReportIn struct {
-		Report *model.Report
+		Report *model.Heartbeat
 		Handed bool // by another member
 	}
 	// CommandBack: a direct command was answered, or not. Report is the
@@ -57,20 +57,20 @@
 	CommandBack struct {
 		Machine string
 		Session uint64
-		Orders  []model.Order
+		Orders  []model.Command
 		Outcome Outcome
-		Report  *model.Report
+		Report  *model.Heartbeat
 	}
 	// CatalogIn: the machine types.
 	CatalogIn struct{ Types []model.MachineType }
 	// ListIn: the machine list, asked for at Asked.
 	ListIn struct {
-		Machines []model.Listed
+		Machines []model.MachineInfo
 		Asked    time.Time
 	}
 	// RentBack: a rental request was answered, or not.
 	RentBack struct {
-		Rental   model.Rental
+		Rental   model.Provisioning
 		Outcome  Outcome
 		Machines []string
 	}
@@ -143,16 +143,16 @@
 // Save is one change of the leader's records.
 type Save struct {
 	Kind    SaveKind
-	Machine model.Listed    // SaveMachine, DropMachine (its name)
-	Job     string          // SaveTasks, DropTasks, EndJob, EndDoomed, DropAwaits
-	Version uint64          // EndJob, EndDoomed: of the job's record
-	Tasks   int             // EndJob, EndDoomed: how many it has; SaveLayout
-	At      time.Time       // EndJob, EndDoomed
-	Chunk   model.Chunk     // SaveTasks, DropTasks
-	Bits    []byte          // SaveTasks
-	Need    model.Resources // SaveNeed
-	Key     string          // DropAwaits
-	Solo    bool            // goes alone: it was in a transaction that was rejected
+	Machine model.MachineInfo // SaveMachine, DropMachine (its name)
+	Job     string            // SaveTasks, DropTasks, EndJob, EndDoomed, DropAwaits
+	Version uint64            // EndJob, EndDoomed: of the job's record
+	Tasks   int               // EndJob, EndDoomed: how many it has; SaveLayout
+	At      time.Time         // EndJob, EndDoomed
+	Chunk   model.Chunk       // SaveTasks, DropTasks
+	Bits    []byte            // SaveTasks
+	Need    model.Resources   // SaveNeed
+	Key     string            // DropAwaits
+	Solo    bool              // goes alone: it was in a transaction that was rejected
 
 	Team    string             // SaveUse
 	Use     *ledger.Settlement // SaveUse; made when its transaction leaves
@@ -174,19 +174,19 @@
 	// Answer is the answer to the report of this Step. It is refused where its worker certainly
 	// waits for no answer, or its machine is gone.
 	Answer struct {
-		Orders  []model.Order
+		Orders  []model.Command
 		Refused bool
 	}
 	// Command sends commands straight to a worker.
 	Command struct {
 		Machine, Addr string
 		Session       uint64
-		Orders        []model.Order
+		Orders        []model.Command
 		Urgent        bool // a launch of high or production rank is among them
 	}
 	// Rent asks the cloud for machines. After an unknown outcome it is repeated
 	// under its own name only.
-	Rent struct{ Rental model.Rental }
+	Rent struct{ Rental model.Provisioning }
 	// Return gives machines back.
 	Return struct{ Machines []string }
 	// List asks for the machine list.
--- a/internal/reconciler/explain.go
+++ b/internal/reconciler/explain.go
@@ -56,14 +56,14 @@
 		return nil
 	}
 	s := j.Spec
-	e := &Explanation{Job: id, Class: s.Class, Team: s.Team, Rank: j.Rank.String(), Tasks: s.Tasks, Done: j.Count(model.TaskDone), On: len(j.Live), Waiting: j.Waiting()}
+	e := &Explanation{Job: id, Class: s.Class, Team: s.Team, Rank: j.EffectivePriority.String(), Tasks: s.Tasks, Done: j.Count(model.TaskDone), On: len(j.ActiveAttempts), Waiting: j.Waiting()}
 	r := c.ruled[j]
 	if r != nil && r.set != nil {
 		e.Rules = r.set.Lines()
 	}
-	for _, i := range slices.Sorted(maps.Keys(j.Live)) {
+	for _, i := range slices.Sorted(maps.Keys(j.ActiveAttempts)) {
 		if len(e.Placed) < mostPlaced {
-			e.Placed = append(e.Placed, placed(j.Live[i]))
+			e.Placed = append(e.Placed, placed(j.ActiveAttempts[i]))
 		}
 	}
 	say := func(list *[]string, format string, args ...any) { *list = append(*list, fmt.Sprintf(format, args...)) }
@@ -71,20 +71,20 @@
 	case e.Waiting == 0:
 	case j.State != model.JobActive:
 		say(&e.Why, "its end is being written")
-	case j.Link.State == model.LinkWaiting:
-		say(&e.Why, "it awaits %v", slices.Sorted(maps.Keys(j.Link.Needs)))
+	case j.Dependency.State == model.DependencyWaiting:
+		say(&e.Why, "it awaits %v", slices.Sorted(maps.Keys(j.Dependency.Upstream)))
 		say(&e.Change, "those jobs have to be done")
-	case j.Link.State == model.LinkDoomed:
-		say(&e.Why, "it awaits %s, which is cancelled", j.Link.By)
+	case j.Dependency.State == model.DependencyFailed:
+		say(&e.Why, "it awaits %s, which is cancelled", j.Dependency.DecidedBy)
 	case r != nil && r.set == nil:
 		say(&e.Why, "its rules cannot be read by this version: %v", r.err)
 		say(&e.Change, "a version that reads them has to lead, or it has to be cancelled")
-	case now.Before(j.NotBefore):
-		say(&e.Why, "its tasks failed or were refused; they are tried again in %v", j.NotBefore.Sub(now).Round(time.Second))
+	case now.Before(j.RetryNotBefore):
+		say(&e.Why, "its tasks failed or were refused; they are tried again in %v", j.RetryNotBefore.Sub(now).Round(time.Second))
 	case c.inDoubt(j):
 		say(&e.Why, "the new leader does not know yet what runs on %d machines, and a task of it might", c.unsure)
-	case s.Shape == model.Gang && len(j.Live) > 0:
-		say(&e.Why, "%d tasks of the attempt before are not gone yet", len(j.Live))
+	case s.Shape == model.Gang && len(j.ActiveAttempts) > 0:
+		say(&e.Why, "%d tasks of the attempt before are not gone yet", len(j.ActiveAttempts))
 	default:
 		c.explainWaiting(now, j, e, say)
 	}
@@ -121,7 +121,7 @@
 		team, use := c.teams[s.Team], p.Used[s.Team]
 		switch l := plan.Lacking[k]; l.Why {
 		case scheduler.WhyLimit:
-			say(&e.Why, "team %s is at its limit: %s are in use", s.Team, team.Limit.Of(use))
+			say(&e.Why, "team %s is at its limit: %s are in use", s.Team, team.Quota.FormatUsage(use))
 			say(&e.Change, "tasks of the team have to end, or its limit has to be raised")
 		case scheduler.WhyGuarantee:
 			say(&e.Why, "production and what other teams' guarantees cover goes first")
@@ -154,8 +154,8 @@
 	counts := map[string]int{}
 	for _, m := range c.machines {
 		if why := c.unplaceable(now, m); why != "" {
-			if m.Why != "" {
-				why += ": " + m.Why
+			if m.StateReason != "" {
+				why += ": " + m.StateReason
 			}
 			counts[why]++
 		}
@@ -185,11 +185,11 @@
 func (c *Core) explainComing(now time.Time, j *model.Job, w *scheduler.Want, e *Explanation, say func(list *[]string, format string, args ...any)) {
 	s := j.Spec
 	useful := func(t *model.MachineType, zone string, spot bool) bool {
-		return constraint.Takes(s, constraint.Class{Type: t, Zone: zone, Spot: spot}) && w.Rules.Offer(t, zone, spot) && (s.Need.GPU > 0 || j.GPUToo || !c.forGPU(t, spot))
+		return constraint.Takes(s, constraint.Class{Type: t, Zone: zone, Spot: spot}) && w.Rules.Offer(t, zone, spot) && (s.Demand.GPU > 0 || j.MayUseGPUMachines || !c.forGPU(t, spot))
 	}
 	coming := map[string]int{}
 	for _, m := range c.machines {
-		if m.State == model.Booting && useful(m.Type, m.Zone, m.Spot) {
+		if m.State == model.MachineBooting && useful(m.Type, m.Zone, m.Spot) {
 			coming["booting "+constraint.Class{Type: m.Type, Zone: m.Zone, Spot: m.Spot}.String()]++
 		}
 	}
@@ -219,14 +219,14 @@
 	m := a.Machine
 	p := Placed{Task: a.Task.Index, Machine: m.Name, Class: constraint.Class{Type: m.Type, Zone: m.Zone, Spot: m.Spot}.String()}
 	switch ch := a.Choice; {
-	case ch.Of == 0:
+	case ch.FeasibleNodes == 0:
 		p.Why = "an earlier leader placed it"
-	case ch.Wish != 0:
-		p.Why = fmt.Sprintf("of %d that fitted: efficiency %.2f, and %+.2f for wishes", ch.Of, ch.Efficiency, ch.Wish)
+	case ch.Preference != 0:
+		p.Why = fmt.Sprintf("of %d that fitted: efficiency %.2f, and %+.2f for wishes", ch.FeasibleNodes, ch.Efficiency, ch.Preference)
 	default:
-		p.Why = fmt.Sprintf("of %d that fitted the most efficient: %.2f", ch.Of, ch.Efficiency)
+		p.Why = fmt.Sprintf("of %d that fitted the most efficient: %.2f", ch.FeasibleNodes, ch.Efficiency)
 	}
-	if a.Choice.Image {
+	if a.Choice.ImageCached {
 		p.Why += "; it held the image"
 	}
 	return p
--- a/internal/reconciler/hearing.go
+++ b/internal/reconciler/hearing.go
@@ -11,10 +11,10 @@
 // what it shows and of its hearing; a report is not. At most one is out for a machine, and few
 // altogether: the next report raises it again.
 func (c *Core) question(now time.Time, m *model.Machine) bool {
-	if m.Direct || m.Addr == "" || m.State >= model.Returning || c.asking >= mostAsked || now.Sub(m.Asked) < askEvery {
+	if m.CommandInFlight || m.Addr == "" || m.State >= model.MachineReleasing || c.asking >= mostAsked || now.Sub(m.ProbedAt) < askEvery {
 		return false
 	}
-	m.Asked = now
+	m.ProbedAt = now
 	c.asking++
 	c.command(m, nil, false)
 	return true
@@ -28,12 +28,12 @@
 
 // listen looks after a machine in doubt: it is asked again, and replaced if that lasts.
 func (c *Core) listen(now time.Time, m *model.Machine) {
-	if now.Sub(m.Asked) >= doubtEvery {
+	if now.Sub(m.ProbedAt) >= doubtEvery {
 		c.question(now, m)
 	}
 	runs := false
-	for _, a := range m.Rows {
-		runs = runs || a.Holds() && a.Phase != 0
+	for _, a := range m.Attempts {
+		runs = runs || a.Active() && a.Phase != 0
 	}
 	if m.Detector.Wait(now, runs, c.detector) {
 		c.hearingMoved(m)
@@ -41,21 +41,21 @@
 }
 
 // answered takes a worker's report that answers a command: it was sent after the command.
-func (c *Core) answered(now time.Time, m *model.Machine, r *model.Report) {
+func (c *Core) answered(now time.Time, m *model.Machine, r *model.Heartbeat) {
 	c.proved(now, m, "it has answered")
-	if known := m.Known(); m.Answered(r.Session, r.Seq) {
-		c.log.Warn("machine has begun anew", "machine", m.Name, "known", known, "session", r.Session, "number", r.Seq, "holding", m.Holding, "commands_on_their_way", m.Copies.Attempts())
-		m.Errors = map[string]int{}
-		if m.Copies.Attempts() > 0 && m.Set(now, model.Returning, "began anew") {
+	if known := m.Known(); m.Answered(r.Epoch, r.Seq) {
+		c.log.Warn("machine has begun anew", "machine", m.Name, "known", known, "session", r.Epoch, "number", r.Seq, "holding", m.ActiveCount, "commands_on_their_way", m.UnansweredLaunches.Len())
+		m.ErrorsByJob = map[string]int{}
+		if m.UnansweredLaunches.Len() > 0 && m.Transition(now, model.MachineReleasing, "began anew") {
 			// Launches that were sent to its former life may reach this one, which does not
 			// know them. What they name stays where it is until the machine is gone.
-			c.log.Info("returning", "machine", m.Name, "why", m.Why, "holding", m.Holding)
+			c.log.Info("returning", "machine", m.Name, "why", m.StateReason, "holding", m.ActiveCount)
 		}
 	}
 	// Its lease may have begun as late as now, if it has begun anew with higher numbers than were known.
 	// Guards against tasks of a new life that are freed when the lease of the former one has run out.
-	m.Deadline = c.leaseEnd(now)
-	if r.Session > m.DeadSession {
+	m.LeaseExpiry = c.leaseEnd(now)
+	if r.Epoch > m.DeadSession {
 		c.observe(now, m, r, true)
 	}
 }
@@ -92,15 +92,15 @@
 	if was || is {
 		c.dirty = true
 		c.log.Info("hearing", "machine", m.Name, "is", m.Detector.State.String(), "why", m.Detector.Why,
-			"holding", m.Holding, "in_doubt", len(c.inDoubtOf))
+			"holding", m.ActiveCount, "in_doubt", len(c.inDoubtOf))
 	}
 }
 
 // lacks tells whether a report lacks what the answer to an earlier one has told its worker.
-func (c *Core) lacks(m *model.Machine, r *model.Report) bool {
+func (c *Core) lacks(m *model.Machine, r *model.Heartbeat) bool {
 	told := 0
-	for _, a := range m.Rows {
-		if a.State == model.Launching && a.Carried != (liveness.Mark{}) && a.Carried.Before(liveness.Mark{Session: r.Session, Seq: r.Seq}) {
+	for _, a := range m.Attempts {
+		if a.State == model.AttemptLaunching && a.SentInReplyTo != (liveness.Mark{}) && a.SentInReplyTo.Before(liveness.Mark{Session: r.Epoch, Seq: r.Seq}) {
 			told++
 		}
 	}
@@ -108,7 +108,7 @@
 		return false
 	}
 	for i := range r.Tasks {
-		if a := m.Rows[model.AttemptKey{Task: r.Tasks[i].Task, Try: r.Tasks[i].Try}]; a != nil && a.State == model.Launching {
+		if a := m.Attempts[model.AttemptKey{Task: r.Tasks[i].Task, Number: r.Tasks[i].Attempt}]; a != nil && a.State == model.AttemptLaunching {
 			return false // it shows some of it: its report and the answer have crossed
 		}
 	}
@@ -142,7 +142,7 @@
 func (c *Core) reporting(now time.Time) int {
 	n := 0
 	for _, m := range c.machines {
-		if m.State != model.Booting && m.State < model.Returning && now.Sub(m.LastReport) <= c.set.SilentAfter {
+		if m.State != model.MachineBooting && m.State < model.MachineReleasing && now.Sub(m.LastHeartbeat) <= c.set.SilentAfter {
 			n++
 		}
 	}
--- a/internal/reconciler/hearing_test.go
+++ b/internal/reconciler/hearing_test.go
@@ -34,18 +34,18 @@
 }
 
 // says has a machine report; rows are its tasks that run.
-func says(machine string, session, seq, token uint64, rows ...model.AttemptKey) *model.Report {
-	r := &model.Report{Machine: machine, Addr: machine, Type: "eight", Zone: "a", Session: session, Seq: seq, Token: token}
+func says(machine string, session, seq, token uint64, rows ...model.AttemptKey) *model.Heartbeat {
+	r := &model.Heartbeat{Machine: machine, Addr: machine, Type: "eight", Zone: "a", Epoch: session, Seq: seq, FencingToken: token}
 	for _, x := range rows {
-		r.Tasks = append(r.Tasks, model.TaskReport{Task: x.Task, Try: x.Try, Phase: model.Running})
+		r.Tasks = append(r.Tasks, model.TaskStatus{Task: x.Task, Attempt: x.Number, Phase: model.PhaseRunning})
 	}
 	return r
 }
 
-func (k *talk) report(after time.Duration, r *model.Report) { k.step(after, ReportIn{Report: r}) }
+func (k *talk) report(after time.Duration, r *model.Heartbeat) { k.step(after, ReportIn{Report: r}) }
 
 // answer has a machine answer the question that the last step has asked it.
-func (k *talk) answer(r *model.Report) {
+func (k *talk) answer(r *model.Heartbeat) {
 	k.Helper()
 	for _, e := range k.out {
 		if q, ok := e.(Command); ok && q.Machine == r.Machine && len(q.Orders) == 0 {
@@ -68,16 +68,16 @@
 // job adds a job of one task and tells the machine that it is placed on.
 func (k *talk) job(id string) (string, model.AttemptKey) {
 	k.Helper()
-	k.step(0, JobAdded{Version: 9, At: k.now, Spec: &model.Spec{ID: id, Team: "red", Shape: model.Array, Rank: model.Normal, Tasks: 1,
-		Need: model.Resources{CPU: 4, MemGB: 8}, Estimate: time.Minute}})
+	k.step(0, JobAdded{Version: 9, At: k.now, Spec: &model.Spec{ID: id, Team: "red", Shape: model.Array, Priority: model.PriorityNormal, Tasks: 1,
+		Demand: model.Resources{CPU: 4, MemGB: 8}, EstimatedRunTime: time.Minute}})
 	k.step(200*time.Millisecond, Tick{})
 	return k.on(id)
 }
 
 func (k *talk) on(id string) (string, model.AttemptKey) {
 	for _, m := range k.c.machines {
-		for key, a := range m.Rows {
-			if key.Task.Job == id && a.Holds() {
+		for key, a := range m.Attempts {
+			if key.Task.Job == id && a.Active() {
 				return m.Name, key
 			}
 		}
@@ -98,14 +98,14 @@
 	k.up("n-1")
 	_, task := k.job("wk-1")
 	k.report(2*time.Second, says("n-1", 1, 20, 1, task))
-	deadline := k.c.machines["n-1"].Deadline
+	deadline := k.c.machines["n-1"].LeaseExpiry
 	k.report(3*time.Second, says("n-1", 1, 10, 1))
-	if m := k.c.machines["n-1"]; !k.refused() || m.Deadline != deadline || m.Holding != 1 {
-		t.Errorf("refused %v, lease longer by %v, holding %d", k.refused(), m.Deadline.Sub(deadline), m.Holding)
+	if m := k.c.machines["n-1"]; !k.refused() || m.LeaseExpiry != deadline || m.ActiveCount != 1 {
+		t.Errorf("refused %v, lease longer by %v, holding %d", k.refused(), m.LeaseExpiry.Sub(deadline), m.ActiveCount)
 	}
 	// The same report by another way is answered, and counts from when it came first.
 	k.report(0, says("n-1", 1, 20, 1, task))
-	if k.refused() || k.c.machines["n-1"].Deadline != deadline {
+	if k.refused() || k.c.machines["n-1"].LeaseExpiry != deadline {
 		t.Error("what comes again is refused, or renews the lease")
 	}
 }
@@ -114,23 +114,23 @@
 	k := talks(t, &Snapshot{})
 	k.up("n-1", "n-2")
 	name, task := k.job("wk-1")
-	k.step(0, CommandBack{Machine: name, Session: 1, Orders: []model.Order{{Op: model.OpLaunch, Task: task.Task, Try: task.Try}}, Outcome: OK, Report: says(name, 1, 30, 1, task)})
+	k.step(0, CommandBack{Machine: name, Session: 1, Orders: []model.Command{{Op: model.OpLaunch, Task: task.Task, Attempt: task.Number}}, Outcome: OK, Report: says(name, 1, 30, 1, task)})
 	k.report(time.Second, says(name, 1, 50, 1, task))
 	k.report(time.Second, says(name, 1, 1, 0)) // it has begun anew
-	if m := k.c.machines[name]; !k.refused() || m.Holding != 1 {
-		t.Fatalf("refused %v, holding %d: a report alone has decided it", k.refused(), m.Holding)
+	if m := k.c.machines[name]; !k.refused() || m.ActiveCount != 1 {
+		t.Fatalf("refused %v, holding %d: a report alone has decided it", k.refused(), m.ActiveCount)
 	}
 	k.answer(says(name, 1, 2, 1))
-	if m := k.c.machines[name]; m.Numbering != liveness.Restarted || m.Holding != 0 || k.c.jobs["wk-1"].Waiting() != 1 {
-		t.Fatalf("life %v, holding %d, waiting %d", m.Numbering, m.Holding, k.c.jobs["wk-1"].Waiting())
+	if m := k.c.machines[name]; m.Numbering != liveness.Restarted || m.ActiveCount != 0 || k.c.jobs["wk-1"].Waiting() != 1 {
+		t.Fatalf("life %v, holding %d, waiting %d", m.Numbering, m.ActiveCount, k.c.jobs["wk-1"].Waiting())
 	}
 	k.step(time.Second, Tick{})
-	if _, again := k.on("wk-1"); again.Try == task.Try || again.Try == 0 {
+	if _, again := k.on("wk-1"); again.Number == task.Number || again.Number == 0 {
 		t.Error("the task was not started again")
 	}
 	// What its former life has sent is not believed, though its numbers are higher.
 	k.report(time.Second, says(name, 1, 49, 1, task))
-	if k.c.machines[name].Rows[task] != nil {
+	if k.c.machines[name].Attempts[task] != nil {
 		t.Error("a late copy has brought the task back")
 	}
 }
@@ -139,32 +139,32 @@
 	k := talks(t, &Snapshot{})
 	k.up("n-1")
 	name, task := k.job("wk-1")
-	k.step(0, CommandBack{Machine: name, Session: 1, Orders: []model.Order{{Op: model.OpLaunch, Task: task.Task, Try: task.Try}}, Outcome: Unknown})
+	k.step(0, CommandBack{Machine: name, Session: 1, Orders: []model.Command{{Op: model.OpLaunch, Task: task.Task, Attempt: task.Number}}, Outcome: Unknown})
 	k.report(time.Second, says(name, 1, 50, 1, task))
 	k.report(time.Second, says(name, 1, 1, 0))
 	k.answer(says(name, 1, 2, 1))
-	if m := k.c.machines[name]; m.State != model.Returning || m.Holding != 1 {
-		t.Errorf("%v, holding %d: the launch that hangs may reach the new life", m.State, m.Holding)
+	if m := k.c.machines[name]; m.State != model.MachineReleasing || m.ActiveCount != 1 {
+		t.Errorf("%v, holding %d: the launch that hangs may reach the new life", m.State, m.ActiveCount)
 	}
 }
 
 func TestACopyFromBeforeALifeDoesNotFreeWhatRunsInIt(t *testing.T) {
-	k := talks(t, &Snapshot{Jobs: []JobAdded{{Version: 0, At: time.Unix(900, 0), Spec: &model.Spec{ID: "wk-1", Team: "red", Shape: model.Array, Rank: model.Normal, Tasks: 1,
-		Need: model.Resources{CPU: 4, MemGB: 8}, Estimate: time.Minute}}}, Machines: []model.Listed{{Machine: "n-1", Addr: "n-1", Type: "eight", Zone: "a"}}})
-	task := model.AttemptKey{Task: model.TaskID{Job: "wk-1"}, Try: 7}
+	k := talks(t, &Snapshot{Jobs: []JobAdded{{Version: 0, At: time.Unix(900, 0), Spec: &model.Spec{ID: "wk-1", Team: "red", Shape: model.Array, Priority: model.PriorityNormal, Tasks: 1,
+		Demand: model.Resources{CPU: 4, MemGB: 8}, EstimatedRunTime: time.Minute}}}, Machines: []model.MachineInfo{{Name: "n-1", Addr: "n-1", Type: "eight", Zone: "a"}}})
+	task := model.AttemptKey{Task: model.TaskID{Job: "wk-1"}, Number: 7}
 	k.report(0, says("n-1", 1, 5, 0, task)) // an earlier leader has started it, in the machine's second life
 	k.report(time.Second, says("n-1", 1, 501, 0))
-	if k.c.machines["n-1"].Holding != 1 {
+	if k.c.machines["n-1"].ActiveCount != 1 {
 		t.Fatal("a copy from the life before has freed a task that runs")
 	}
 	k.answer(says("n-1", 1, 6, 1, task))
-	if m := k.c.machines["n-1"]; m.Holding != 1 || m.Numbering != liveness.Restarted || m.Unsure {
-		t.Errorf("holding %d, life %v, unsure %v", m.Holding, m.Numbering, m.Unsure)
+	if m := k.c.machines["n-1"]; m.ActiveCount != 1 || m.Numbering != liveness.Restarted || m.Unreconciled {
+		t.Errorf("holding %d, life %v, unsure %v", m.ActiveCount, m.Numbering, m.Unreconciled)
 	}
 	// One that it really has no more is gone with the next answer.
 	k.report(time.Second, says("n-1", 1, 7, 1))
 	k.answer(says("n-1", 1, 8, 1))
-	if k.c.machines["n-1"].Holding != 0 {
+	if k.c.machines["n-1"].ActiveCount != 0 {
 		t.Error("what the answer to a question lacks still counts")
 	}
 }
@@ -178,8 +178,8 @@
 	}
 	lease := func(what string) {
 		t.Helper()
-		if m := k.c.machines["n-1"]; m.Deadline != k.c.leaseEnd(k.now) {
-			t.Errorf("%s: its lease counts from %v ago", what, k.c.leaseEnd(k.now).Sub(m.Deadline))
+		if m := k.c.machines["n-1"]; m.LeaseExpiry != k.c.leaseEnd(k.now) {
+			t.Errorf("%s: its lease counts from %v ago", what, k.c.leaseEnd(k.now).Sub(m.LeaseExpiry))
 		}
 	}
 	lease("a new life")
@@ -193,10 +193,10 @@
 func TestACopyOfAMachineThatIsGoneBringsNothingBack(t *testing.T) {
 	k := talks(t, &Snapshot{})
 	k.c.token = 5
-	ghost := model.AttemptKey{Task: model.TaskID{Job: "wk-1"}, Try: 3}
+	ghost := model.AttemptKey{Task: model.TaskID{Job: "wk-1"}, Number: 3}
 	k.report(0, says("n-9", 2, 400, 4, ghost)) // returned under an earlier leader
-	if m := k.c.machines["n-9"]; m.State != model.Booting || len(m.Rows) != 0 {
-		t.Fatalf("%v with %d rows after a report that may be of long ago", m.State, len(m.Rows))
+	if m := k.c.machines["n-9"]; m.State != model.MachineBooting || len(m.Attempts) != 0 {
+		t.Fatalf("%v with %d rows after a report that may be of long ago", m.State, len(m.Attempts))
 	}
 	if name, _ := k.job("wk-1"); name != "" {
 		t.Error("placed on a machine that is gone")
@@ -204,18 +204,18 @@
 	// One that is there answers.
 	k.report(time.Second, says("n-8", 1, 400, 4))
 	k.answer(says("n-8", 1, 401, 5))
-	if m := k.c.machines["n-8"]; m.State != model.Ready {
+	if m := k.c.machines["n-8"]; m.State != model.MachineReady {
 		t.Errorf("%v after it has answered", m.State)
 	}
 }
 
 func TestTheLaterStartIsTheOneThatRuns(t *testing.T) {
-	k := talks(t, &Snapshot{Jobs: []JobAdded{{Version: 0, At: time.Unix(900, 0), Spec: &model.Spec{ID: "wk-1", Team: "red", Shape: model.Service, Rank: model.Normal, Tasks: 1,
-		Need: model.Resources{CPU: 4, MemGB: 8}}}}, Machines: []model.Listed{{Machine: "n-1", Type: "eight", Zone: "a"}, {Machine: "n-2", Type: "eight", Zone: "a"}}})
-	first, second := model.AttemptKey{Task: model.TaskID{Job: "wk-1"}, Try: 3}, model.AttemptKey{Task: model.TaskID{Job: "wk-1"}, Try: 4}
+	k := talks(t, &Snapshot{Jobs: []JobAdded{{Version: 0, At: time.Unix(900, 0), Spec: &model.Spec{ID: "wk-1", Team: "red", Shape: model.Service, Priority: model.PriorityNormal, Tasks: 1,
+		Demand: model.Resources{CPU: 4, MemGB: 8}}}}, Machines: []model.MachineInfo{{Name: "n-1", Type: "eight", Zone: "a"}, {Name: "n-2", Type: "eight", Zone: "a"}}})
+	first, second := model.AttemptKey{Task: model.TaskID{Job: "wk-1"}, Number: 3}, model.AttemptKey{Task: model.TaskID{Job: "wk-1"}, Number: 4}
 	k.report(0, says("n-1", 1, 5, 0, first)) // a late copy
 	k.report(0, says("n-2", 1, 5, 0, second))
-	if a := k.c.machines["n-2"].Rows[second]; a.State != model.Present || k.c.jobs["wk-1"].Live[0] != a {
+	if a := k.c.machines["n-2"].Attempts[second]; a.State != model.AttemptPresent || k.c.jobs["wk-1"].ActiveAttempts[0] != a {
 		t.Errorf("the start that runs is %v", a.State)
 	}
 }
@@ -253,8 +253,8 @@
 		t.Errorf("placed on %q", on)
 	}
 	k.deaf(8*time.Second, name, 20)
-	if m := k.c.machines[name]; m.State != model.Returning || m.Why != "deaf" || m.Holding != 1 {
-		t.Errorf("%v (%s), holding %d", m.State, m.Why, m.Holding)
+	if m := k.c.machines[name]; m.State != model.MachineReleasing || m.StateReason != "deaf" || m.ActiveCount != 1 {
+		t.Errorf("%v (%s), holding %d", m.State, m.StateReason, m.ActiveCount)
 	}
 }
 
@@ -315,7 +315,7 @@
 		t.Error("it goes on leading")
 	}
 	for _, n := range names {
-		if m := k.c.machines[n]; m.State == model.Returning {
+		if m := k.c.machines[n]; m.State == model.MachineReleasing {
 			t.Errorf("%s is given back for what is wrong here", n)
 		}
 	}
@@ -327,17 +327,17 @@
 	k := talks(t, &Snapshot{})
 	k.up("n-1")
 	_, task := k.job("wk-1")
-	k.step(0, CommandBack{Machine: "n-1", Session: 1, Orders: []model.Order{{Op: model.OpLaunch, Task: task.Task, Try: task.Try}}, Outcome: OK, Report: says("n-1", 1, 30, 1, task)})
-	exited := func(seq uint64) *model.Report {
+	k.step(0, CommandBack{Machine: "n-1", Session: 1, Orders: []model.Command{{Op: model.OpLaunch, Task: task.Task, Attempt: task.Number}}, Outcome: OK, Report: says("n-1", 1, 30, 1, task)})
+	exited := func(seq uint64) *model.Heartbeat {
 		r := says("n-1", 1, seq, 1, task)
-		r.Tasks[0].Phase, r.Tasks[0].Cause = model.Exited, model.CauseError
+		r.Tasks[0].Phase, r.Tasks[0].Cause = model.PhaseExited, model.CauseError
 		return r
 	}
 	forgets := func() bool {
 		for _, e := range k.out {
 			if a, ok := e.(Answer); ok {
 				for _, o := range a.Orders {
-					if o.Op == model.OpForget && o.Try == task.Try {
+					if o.Op == model.OpForget && o.Attempt == task.Number {
 						return true
 					}
 				}
--- a/internal/reconciler/machines.go
+++ b/internal/reconciler/machines.go
@@ -10,31 +10,31 @@
 // release takes an attempt off its machine's account. Its task waits again
 // unless it is done.
 func (c *Core) release(now time.Time, a *model.Attempt, s model.AttemptState) {
-	a.Set(s)
-	if a.Machine.Holding == 0 {
+	a.Transition(s)
+	if a.Machine.ActiveCount == 0 {
 		a.Machine.EmptySince = now
 	}
 	c.dirty = true
 	j, i := a.Job, a.Task.Index
-	if j == nil || j.Live[i] != a {
+	if j == nil || j.ActiveAttempts[i] != a {
 		return
 	}
-	delete(j.Live, i)
+	delete(j.ActiveAttempts, i)
 	if j.State == model.JobEnded {
 		return
 	}
 	if j.Task(i) != model.TaskDone {
 		if j.Waiting() == 0 {
-			j.WaitSince = now
+			j.WaitingSince = now
 		}
-		if a.Yields && j.Spec.Shape != model.Gang {
-			j.SetTask(i, model.TaskYielded)
+		if a.Preempted && j.Spec.Shape != model.Gang {
+			j.SetTask(i, model.TaskPreempted)
 		} else {
-			j.SetTask(i, model.TaskRestart)
+			j.SetTask(i, model.TaskRetry)
 		}
 	}
 	if j.Spec.Shape == model.Gang {
-		if len(j.Live) == 0 {
+		if len(j.ActiveAttempts) == 0 {
 			j.Gang = model.GangIdle
 		} else if j.Unfinished() > 0 {
 			c.breakGang(now, j)
@@ -45,51 +45,51 @@
 // breakGang stops what is left of a gang that has lost a task: the others make
 // no progress, and the next attempt starts when all of them are gone.
 func (c *Core) breakGang(now time.Time, j *model.Job) {
-	if j.Gang == model.GangBroken || j.Gang == model.GangHalting {
+	if j.Gang == model.GangBroken || j.Gang == model.GangStopping {
 		return
 	}
 	j.Gang = model.GangBroken
-	for _, a := range j.Live {
+	for _, a := range j.ActiveAttempts {
 		c.stop(now, a, 0)
 	}
 }
 
 // lose takes an attempt as gone without a word.
 func (c *Core) lose(now time.Time, a *model.Attempt) {
-	if a.Holds() {
+	if a.Active() {
 		c.charge(now, a, a.Machine.LastSeen)
 		c.wasted(now, a)
-		c.release(now, a, model.Dropped)
-	} else if a.State == model.Ended {
-		a.Set(model.Dropped)
+		c.release(now, a, model.AttemptDropped)
+	} else if a.State == model.AttemptEnded {
+		a.Transition(model.AttemptDropped)
 	}
 }
 
 // loseAll takes everything on a machine as gone.
 func (c *Core) loseAll(now time.Time, m *model.Machine, why string) {
-	if n := m.Holding; n > 0 {
+	if n := m.ActiveCount; n > 0 {
 		c.log.Info("attempts lost", "machine", m.Name, "count", n, "why", why)
 	}
-	for key, a := range m.Rows {
-		delete(m.Rows, key)
+	for key, a := range m.Attempts {
+		delete(m.Attempts, key)
 		c.lose(now, a)
 	}
 }
 
 // stop tells an attempt to stop.
 func (c *Core) stop(now time.Time, a *model.Attempt, grace time.Duration) {
-	if a.Stop(now, grace) {
-		a.Told = 0
+	if a.RequestStop(now, grace) {
+		a.CommandedState = 0
 		c.news[a.Machine] = true
 	}
 }
 
 // grace is how long an attempt may take to save.
 func grace(a *model.Attempt) time.Duration {
-	if a.Job == nil || a.Job.Spec.Checkpoint == 0 {
+	if a.Job == nil || a.Job.Spec.CheckpointInterval == 0 {
 		return 0
 	}
-	return a.Job.Spec.Save + 2*time.Second
+	return a.Job.Spec.CheckpointTime + 2*time.Second
 }
 
 // halt stops an attempt in order. Of a gang all tasks are stopped together.
@@ -99,9 +99,9 @@
 		c.stop(now, a, grace(a))
 		return
 	}
-	if j.Gang == model.GangLive {
-		j.Gang = model.GangHalting
-		for _, b := range j.Live {
+	if j.Gang == model.GangLaunched {
+		j.Gang = model.GangStopping
+		for _, b := range j.ActiveAttempts {
 			c.stop(now, b, grace(b))
 		}
 	}
@@ -109,8 +109,8 @@
 
 // drain places nothing more on a machine; it is given back when it is empty.
 func (c *Core) drain(now time.Time, m *model.Machine, why string) {
-	if m.Set(now, model.Draining, why) {
-		c.log.Info("draining", "machine", m.Name, "why", why, "holding", m.Holding)
+	if m.Transition(now, model.MachineDraining, why) {
+		c.log.Info("draining", "machine", m.Name, "why", why, "holding", m.ActiveCount)
 		c.dirty = true
 	}
 }
@@ -118,9 +118,9 @@
 // evacuate moves the tasks off a machine under notice: what can save is stopped
 // in order, what cannot and will not finish in time is stopped too.
 func (c *Core) evacuate(now time.Time, m *model.Machine) {
-	left := m.Notice.Sub(now)
-	for _, a := range m.Rows {
-		if !a.Holds() || a.State == model.Stopping {
+	left := m.InterruptionAt.Sub(now)
+	for _, a := range m.Attempts {
+		if !a.Active() || a.State == model.AttemptStopping {
 			continue
 		}
 		j := a.Job
@@ -131,7 +131,7 @@
 		if !a.RunningAt.IsZero() {
 			ran = now.Sub(a.RunningAt)
 		}
-		if j.Spec.Shape == model.Array && j.Spec.Checkpoint == 0 && c.runs.estimate(j.Spec)-ran < left {
+		if j.Spec.Shape == model.Array && j.Spec.CheckpointInterval == 0 && c.runs.estimate(j.Spec)-ran < left {
 			continue
 		}
 		c.halt(now, a)
@@ -144,8 +144,8 @@
 	quiet := c.quietZones(now)
 	var back []string
 	giveBack := func(m *model.Machine, why string) {
-		if m.Set(now, model.Returning, why) {
-			c.log.Info("returning", "machine", m.Name, "type", m.Type.Name, "why", why, "holding", m.Holding)
+		if m.Transition(now, model.MachineReleasing, why) {
+			c.log.Info("returning", "machine", m.Name, "type", m.Type.Name, "why", why, "holding", m.ActiveCount)
 		}
 	}
 	ask := !c.returning && !now.Before(c.returnAt)
@@ -154,42 +154,42 @@
 		if probe && m.Detector.State == liveness.Hears && c.placeable(now, m) {
 			probe = !c.question(now, m)
 		}
-		if m.State != model.Booting && now.After(m.Deadline) && (m.Session > m.DeadSession || m.Unsure) {
+		if m.State != model.MachineBooting && now.After(m.LeaseExpiry) && (m.Session > m.DeadSession || m.Unreconciled) {
 			c.log.Warn("lease has certainly run out", "machine", m.Name, "session", m.Session)
 			m.DeadSession = m.Session
 			c.loseAll(now, m, "lease")
-			if m.Unsure {
+			if m.Unreconciled {
 				c.settle(now, m, "lease")
 			}
 		}
-		if m.Detector.State != liveness.Hears && m.State < model.Returning {
+		if m.Detector.State != liveness.Hears && m.State < model.MachineReleasing {
 			c.listen(now, m)
 		}
-		if !m.Suspect.IsZero() {
+		if !m.QuarantinedSince.IsZero() {
 			c.blame(now, m)
 		}
 		switch m.State {
-		case model.Booting:
-			if now.Sub(m.Since) > c.set.Fleet.BootLimit(m.Type) {
+		case model.MachineBooting:
+			if now.Sub(m.StateSince) > c.set.Fleet.BootLimit(m.Type) {
 				giveBack(m, "boot")
 			}
-		case model.Ready, model.Unsettled, model.Draining:
+		case model.MachineReady, model.MachineInherited, model.MachineDraining:
 			switch {
-			case m.Unsure && m.Unanswering && c.fewUnsure():
+			case m.Unreconciled && m.ProbeUnanswered && c.fewUnsure():
 				giveBack(m, "silent")
-			case now.Sub(m.LastReport) > c.set.SilentAfter && now.After(c.resumeAt) && !quiet[m.Zone] && !quiet[anyZone]:
+			case now.Sub(m.LastHeartbeat) > c.set.SilentAfter && now.After(c.resumeAt) && !quiet[m.Zone] && !quiet[anyZone]:
 				giveBack(m, "silent")
 			case m.Detector.State == liveness.Deaf && c.fewInDoubt():
 				giveBack(m, "deaf")
-			case m.Unsure || m.Holding > 0:
-			case m.State == model.Draining:
-				giveBack(m, m.Why)
+			case m.Unreconciled || m.ActiveCount > 0:
+			case m.State == model.MachineDraining:
+				giveBack(m, m.StateReason)
 			case c.away(now, m):
-			case c.set.Fleet.Idle(m.Type, m.Spot, now.Sub(m.EmptySince), now.Sub(m.Rented)):
+			case c.set.Fleet.Idle(m.Type, m.Spot, now.Sub(m.EmptySince), now.Sub(m.RequestedAt)):
 				giveBack(m, "idle")
 			}
 		}
-		if ask && m.State == model.Returning && len(back) < maxReturn {
+		if ask && m.State == model.MachineReleasing && len(back) < maxReturn {
 			back = append(back, m.Name)
 		}
 	}
@@ -214,8 +214,8 @@
 		}
 	}
 	for _, j := range c.jobs {
-		if !j.NotBefore.IsZero() && now.After(j.NotBefore) {
-			j.NotBefore = time.Time{}
+		if !j.RetryNotBefore.IsZero() && now.After(j.RetryNotBefore) {
+			j.RetryNotBefore = time.Time{}
 			c.dirty = true
 			c.checkEnd(now, j)
 		}
@@ -230,7 +230,7 @@
 // a cut, and renting it anew with work waiting. It is waited for as long as another
 // one in its place would be paid for at least.
 func (c *Core) away(now time.Time, m *model.Machine) bool {
-	silent := now.Sub(m.LastReport)
+	silent := now.Sub(m.LastHeartbeat)
 	return silent > c.set.SilentAfter && silent < c.set.SilentAfter+c.set.Fleet.LeastPaid
 }
 
@@ -243,9 +243,9 @@
 	}
 	asked := 0
 	for _, m := range c.machines {
-		if m.Unsure && !m.Unanswering && !m.Direct && m.Addr != "" && m.State < model.Returning &&
-			now.Sub(m.Asked) > askEvery && asked < maxAsked {
-			m.Asked = now
+		if m.Unreconciled && !m.ProbeUnanswered && !m.CommandInFlight && m.Addr != "" && m.State < model.MachineReleasing &&
+			now.Sub(m.ProbedAt) > askEvery && asked < maxAsked {
+			m.ProbedAt = now
 			asked++
 			c.asking++
 			c.command(m, nil, false)
@@ -277,8 +277,8 @@
 	}
 	up := 0
 	for _, m := range c.machines {
-		if m.State == model.Ready || m.State == model.Draining || m.State == model.Unsettled {
-			if now.Sub(m.LastReport) <= patience {
+		if m.State == model.MachineReady || m.State == model.MachineDraining || m.State == model.MachineInherited {
+			if now.Sub(m.LastHeartbeat) <= patience {
 				return false
 			}
 			up++
@@ -299,7 +299,7 @@
 	counts := map[string]*zoneCount{anyZone: {}}
 	all := counts[anyZone]
 	for _, m := range c.machines {
-		if m.State != model.Ready && m.State != model.Draining && m.State != model.Unsettled {
+		if m.State != model.MachineReady && m.State != model.MachineDraining && m.State != model.MachineInherited {
 			continue
 		}
 		n := counts[m.Zone]
@@ -307,7 +307,7 @@
 			n = &zoneCount{}
 			counts[m.Zone] = n
 		}
-		silent := now.Sub(m.LastReport) > c.set.SilentAfter/2
+		silent := now.Sub(m.LastHeartbeat) > c.set.SilentAfter/2
 		n.add(silent)
 		if n != all {
 			all.add(silent)
--- a/internal/reconciler/memory_test.go
+++ b/internal/reconciler/memory_test.go
@@ -24,17 +24,17 @@
 	const machines, each = 2000, 50 // 100,000 live tasks
 	snap := &Snapshot{Numbered: 64}
 	for i := range machines {
-		snap.Machines = append(snap.Machines, model.Listed{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.2.3:9000", Type: "eight", Zone: "a"})
+		snap.Machines = append(snap.Machines, model.MachineInfo{Name: fmt.Sprintf("n-%06d", i), Addr: "10.1.2.3:9000", Type: "eight", Zone: "a"})
 	}
-	snap.Jobs = []JobAdded{{Version: 1, At: now, Spec: stage("wk-000001", time.Second, model.Low)}}
+	snap.Jobs = []JobAdded{{Version: 1, At: now, Spec: stage("wk-000001", time.Second, model.PriorityLow)}}
 	snap.Jobs[0].Spec.Tasks = machines * each
 	before := live()
 	c := lead(now, snap)
 	empty := live()
 	for i := range machines {
-		r := &model.Report{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.2.3:9000", Type: "eight", Zone: "a", Session: 1, Seq: 1, Token: 99}
+		r := &model.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.2.3:9000", Type: "eight", Zone: "a", Epoch: 1, Seq: 1, FencingToken: 99}
 		for k := range each {
-			r.Tasks = append(r.Tasks, model.TaskReport{Task: model.TaskID{Job: "wk-000001", Index: i*each + k}, Try: 7, Phase: model.Running})
+			r.Tasks = append(r.Tasks, model.TaskStatus{Task: model.TaskID{Job: "wk-000001", Index: i*each + k}, Attempt: 7, Phase: model.PhaseRunning})
 		}
 		c.Step(now, ReportIn{Report: r})
 	}
--- a/internal/reconciler/orders.go
+++ b/internal/reconciler/orders.go
@@ -9,28 +9,28 @@
 
 // orders lists everything that a worker is to do, for the answer to a report, which came straight from
 // it or by way of another member.
-func (c *Core) orders(now time.Time, m *model.Machine, straight bool) []model.Order {
-	var out []model.Order
-	for _, a := range m.Rows {
+func (c *Core) orders(now time.Time, m *model.Machine, straight bool) []model.Command {
+	var out []model.Command
+	for _, a := range m.Attempts {
 		// Stops go first. Guards against an answer that is full before them, and renews the lease
 		// of a machine that holds tasks of a cancelled job.
-		if a.State == model.Stopping && len(out) < maxOrders {
+		if a.State == model.AttemptStopping && len(out) < maxOrders {
 			out = c.order1(out, a)
 		}
 	}
-	for _, a := range m.Rows {
+	for _, a := range m.Attempts {
 		if len(out) >= maxOrders {
 			break
 		}
-		if a.State == model.Stopping {
+		if a.State == model.AttemptStopping {
 			continue
 		}
 		n := len(out)
-		if out = c.order1(out, a); len(out) > n && straight && a.Carried == (liveness.Mark{}) {
-			a.Carried = m.Reported()
+		if out = c.order1(out, a); len(out) > n && straight && a.SentInReplyTo == (liveness.Mark{}) {
+			a.SentInReplyTo = m.Reported()
 		}
-		if a.State == model.Ended && c.forgettable(now, a) {
-			out = append(out, model.Order{Op: model.OpForget, Task: a.Task, Try: a.Try})
+		if a.State == model.AttemptEnded && c.forgettable(now, a) {
+			out = append(out, model.Command{Op: model.OpForget, Task: a.Task, Attempt: a.Number})
 		}
 	}
 	return out
@@ -55,8 +55,8 @@
 // straight counts the rows on a machine of attempts that were launched straight.
 func straight(m *model.Machine) int {
 	n := 0
-	for _, a := range m.Rows {
-		if a.Straight {
+	for _, a := range m.Attempts {
+		if a.LaunchedDirectly {
 			n++
 		}
 	}
@@ -67,13 +67,13 @@
 // unwanted attempt that no report has shown yet is launched and stopped: then
 // the worker knows it, and a late copy of its launch does nothing
 // (docs/safety.md, "Late launches").
-func (c *Core) order1(out []model.Order, a *model.Attempt) []model.Order {
+func (c *Core) order1(out []model.Command, a *model.Attempt) []model.Command {
 	switch {
-	case a.State == model.Launching, a.State == model.Stopping && a.Phase == 0:
-		out = append(out, model.Order{Op: model.OpLaunch, Task: a.Task, Try: a.Try})
+	case a.State == model.AttemptLaunching, a.State == model.AttemptStopping && a.Phase == 0:
+		out = append(out, model.Command{Op: model.OpLaunch, Task: a.Task, Attempt: a.Number})
 	}
-	if a.State == model.Stopping && (a.Phase != model.Saving || a.Grace == 0) {
-		out = append(out, model.Order{Op: model.OpStop, Task: a.Task, Try: a.Try, Grace: a.Grace})
+	if a.State == model.AttemptStopping && (a.Phase != model.PhaseCheckpointing || a.GracePeriod == 0) {
+		out = append(out, model.Command{Op: model.OpStop, Task: a.Task, Attempt: a.Number, GracePeriod: a.GracePeriod})
 	}
 	return out
 }
@@ -83,32 +83,32 @@
 // the network: its row stays for some leases, and maxStraight keeps reports within their limit. Guards
 // against a repeat that starts a stopped task beside its next start, or one of a cancelled job.
 func (c *Core) forgettable(now time.Time, a *model.Attempt) bool {
-	if a.Straight && now.Sub(a.EndedAt) < repeatKept*c.set.Lease {
+	if a.LaunchedDirectly && now.Sub(a.EndedAt) < repeatKept*c.set.Lease {
 		return false
 	}
-	if a.Machine.Copies.Out(model.AttemptKey{Task: a.Task, Try: a.Try}) || a.Machine.Token < c.token {
+	if a.Machine.UnansweredLaunches.MayArrive(model.AttemptKey{Task: a.Task, Number: a.Number}) || a.Machine.Token < c.token {
 		return false
 	}
 	if a.Cause != model.CauseDone || a.Job == nil || a.Job.Spec.Shape == model.Service {
 		return true
 	}
-	return a.Job.Saved(a.Task.Index)
+	return a.Job.IsDurable(a.Task.Index)
 }
 
 // sendDirect sends new launches and stops straight to a worker.
 func (c *Core) sendDirect(now time.Time, m *model.Machine) {
-	if m.Direct {
+	if m.CommandInFlight {
 		return
 	}
 	delete(c.news, m)
-	if now.Before(m.HoldOff) || m.Session == 0 || m.Session <= m.DeadSession || m.Addr == "" || m.State >= model.Returning {
+	if now.Before(m.NoDirectCommandBefore) || m.Session == 0 || m.Session <= m.DeadSession || m.Addr == "" || m.State >= model.MachineReleasing {
 		return // the next answer to a report carries it
 	}
-	var out []model.Order
+	var out []model.Command
 	urgent := false
 	rows := -1 // launched straight; not counted yet
-	for key, a := range m.Rows {
-		if !a.Holds() || a.Told == a.State || len(out) >= maxOrders {
+	for key, a := range m.Attempts {
+		if !a.Active() || a.CommandedState == a.State || len(out) >= maxOrders {
 			continue
 		}
 		n := len(out)
@@ -116,18 +116,18 @@
 			if rows < 0 {
 				rows = straight(m)
 			}
-			if m.Copies.Attempts() >= maxCopies && !m.Copies.Out(key) || rows >= maxStraight && !a.Straight {
+			if m.UnansweredLaunches.Len() >= maxCopies && !m.UnansweredLaunches.MayArrive(key) || rows >= maxStraight && !a.LaunchedDirectly {
 				out = out[:n] // the next answer to a report carries it
 				continue
 			}
-			if !a.Straight {
-				a.Straight = true
+			if !a.LaunchedDirectly {
+				a.LaunchedDirectly = true
 				rows++
 			}
-			m.Copies.Send(key)
-			urgent = urgent || a.Job != nil && a.Job.Rank >= model.High
+			m.UnansweredLaunches.Add(key)
+			urgent = urgent || a.Job != nil && a.Job.EffectivePriority >= model.PriorityHigh
 		}
-		a.Told = a.State
+		a.CommandedState = a.State
 	}
 	if len(out) > 0 {
 		c.command(m, out, urgent)
@@ -135,8 +135,8 @@
 }
 
 // command sends commands straight to a worker; none of them is a question.
-func (c *Core) command(m *model.Machine, orders []model.Order, urgent bool) {
-	m.Direct = true
+func (c *Core) command(m *model.Machine, orders []model.Command, urgent bool) {
+	m.CommandInFlight = true
 	m.Ask()
 	c.emit(Command{Machine: m.Name, Addr: m.Addr, Session: m.Session, Orders: orders, Urgent: urgent})
 }
@@ -149,27 +149,27 @@
 	if m == nil {
 		return
 	}
-	m.Direct = false
+	m.CommandInFlight = false
 	if len(ev.Orders) == 0 && ev.Report == nil && (ev.Outcome == Unknown || ev.Outcome == Refused) {
-		m.Unanswering = true // it was asked whether it is there
+		m.ProbeUnanswered = true // it was asked whether it is there
 		if m.Detector.Silent(now) {
 			c.hearingMoved(m)
 		}
 	}
 	if ev.Outcome == Unknown {
-		m.HoldOff = now.Add(c.set.DirectHold)
+		m.NoDirectCommandBefore = now.Add(c.set.DirectHold)
 	} else if ev.Session == m.Session {
 		for _, o := range ev.Orders {
 			if o.Op == model.OpLaunch {
-				m.Copies.Land(model.AttemptKey{Task: o.Task, Try: o.Try})
+				m.UnansweredLaunches.Remove(model.AttemptKey{Task: o.Task, Number: o.Attempt})
 			}
 		}
 	}
 	if ev.Report != nil && ev.Report.Machine == m.Name {
 		c.answered(now, m, ev.Report)
 	}
-	for _, a := range m.Rows {
-		if a.Holds() && a.Told != a.State && (a.State == model.Launching || a.State == model.Stopping) {
+	for _, a := range m.Attempts {
+		if a.Active() && a.CommandedState != a.State && (a.State == model.AttemptLaunching || a.State == model.AttemptStopping) {
 			c.news[m] = true
 		}
 	}
--- a/internal/reconciler/pass.go
+++ b/internal/reconciler/pass.go
@@ -40,8 +40,8 @@
 	}
 	for _, v := range plan.Stop {
 		c.log.Info("preempting", "task", v.Attempt.Task, "machine", v.Attempt.Machine.Name, "rank", v.Rank.String(), "over", v.Over,
-			"loss", v.Loss, "at_once", v.AtOnce, "for", v.For.Job.Spec.ID, "rank_for", v.For.Job.Rank.String(), "guaranteed", v.For.Guaranteed, "slack", v.For.Slack)
-		v.Attempt.Yields = true
+			"loss", v.Loss, "at_once", v.AtOnce, "for", v.For.Job.Spec.ID, "rank_for", v.For.Job.EffectivePriority.String(), "guaranteed", v.For.Guaranteed, "slack", v.For.Slack)
+		v.Attempt.Preempted = true
 		if v.AtOnce && !v.Gang {
 			c.stop(now, v.Attempt, 0)
 		} else {
@@ -64,7 +64,7 @@
 		return
 	}
 	for _, w := range wants {
-		if w.Urgent() && w.Job.Version <= c.rev {
+		if w.Urgent() && w.Job.RecordVersion <= c.rev {
 			return
 		}
 	}
@@ -89,7 +89,7 @@
 		return
 	}
 	if a := scheduler.Vacate(&c.set.Sched, now, p); a != nil {
-		c.log.Info("vacating", "task", a.Task, "machine", a.Machine.Name, "type", a.Machine.Type.Name, "holding", a.Machine.Holding)
+		c.log.Info("vacating", "task", a.Task, "machine", a.Machine.Name, "type", a.Machine.Type.Name, "holding", a.Machine.ActiveCount)
 		c.halt(now, a)
 	}
 }
@@ -101,20 +101,20 @@
 	if !mayStart(j) {
 		return
 	}
-	i, ok := j.Take(pl.Want.From)
-	if !ok || j.Live[i] != nil {
+	i, ok := j.TakePending(pl.Want.From)
+	if !ok || j.ActiveAttempts[i] != nil {
 		return
 	}
-	a := &model.Attempt{Task: model.TaskID{Job: j.Spec.ID, Index: i}, Try: try, Job: j, Machine: m, Session: m.Session,
-		Need: j.Spec.Need, Team: j.Spec.Team, Use: c.usage(j.Spec.Team), LaunchedAt: now, Choice: pl.Choice}
-	a.Set(model.Launching)
-	m.Rows[model.AttemptKey{Task: a.Task, Try: try}] = a
-	j.Live[i] = a
-	j.SetTask(i, model.TaskLive)
+	a := &model.Attempt{Task: model.TaskID{Job: j.Spec.ID, Index: i}, Number: try, Job: j, Machine: m, Epoch: m.Session,
+		Demand: j.Spec.Demand, Team: j.Spec.Team, Usage: c.usage(j.Spec.Team), LaunchedAt: now, Choice: pl.Choice}
+	a.Transition(model.AttemptLaunching)
+	m.Attempts[model.AttemptKey{Task: a.Task, Number: try}] = a
+	j.ActiveAttempts[i] = a
+	j.SetTask(i, model.TaskActive)
 	if j.Spec.Shape == model.Gang {
-		j.Gang = model.GangLive
+		j.Gang = model.GangLaunched
 	}
-	m.Images[j.Spec.Image] = now
+	m.CachedImages[j.Spec.Image] = now
 	c.news[m] = true
 	c.log.Debug("launch", "task", a.Task, "try", try, "machine", m.Name, "restart", pl.Want.Restart)
 }
@@ -125,21 +125,21 @@
 // unplaceable says why nothing is placed on a machine now; "": it may be.
 func (c *Core) unplaceable(now time.Time, m *model.Machine) string {
 	switch {
-	case m.State == model.Booting:
+	case m.State == model.MachineBooting:
 		return "booting"
-	case !m.Notice.IsZero():
+	case !m.InterruptionAt.IsZero():
 		return "the cloud has given notice"
-	case m.State == model.Draining || m.State == model.Returning:
+	case m.State == model.MachineDraining || m.State == model.MachineReleasing:
 		return "given back"
-	case m.Unsure || m.State != model.Ready:
+	case m.Unreconciled || m.State != model.MachineReady:
 		return "not known yet what runs on it since the takeover"
 	case !m.Registered:
 		return "its record is not written yet"
 	case m.Session <= m.DeadSession:
 		return "its worker's lease has run out"
-	case now.Sub(m.LastReport) > c.set.SilentAfter/2:
+	case now.Sub(m.LastHeartbeat) > c.set.SilentAfter/2:
 		return "its worker is silent"
-	case !m.Suspect.IsZero():
+	case !m.QuarantinedSince.IsZero():
 		return "several jobs have failed on it, and it is not known yet which of them is at fault"
 	case !c.hears(m):
 		return "it seems not to hear this controller: " + m.Detector.Why
@@ -158,11 +158,11 @@
 	c.paths(now)
 	c.shares(now)
 	guaranteed := c.guaranteed()
-	unknown := c.stray.Held // of attempts whose team is not known, and of unsettled machines
+	unknown := c.stray.Allocated // of attempts whose team is not known, and of unsettled machines
 	nodes := make([]scheduler.Node, 0, len(c.machines))
 	for _, m := range c.machines {
-		if m.Unsure {
-			unknown = unknown.Add(m.Type.Cap) // its worst case
+		if m.Unreconciled {
+			unknown = unknown.Add(m.Type.Capacity) // its worst case
 		} else if c.placeable(now, m) {
 			nodes = append(nodes, scheduler.Node{Machine: m, Free: m.Free(), ForGPU: c.forGPU(m.Type, m.Spot)})
 			p.Nodes = append(p.Nodes, &nodes[len(nodes)-1])
@@ -173,11 +173,11 @@
 		p.RulesOf = c.rulesOf
 	}
 	for _, j := range c.order {
-		j.GPUToo = len(c.gpuNeed) > 0 && c.gpuToo(j)
+		j.MayUseGPUMachines = len(c.gpuNeed) > 0 && c.gpuToo(j)
 		c.wants(now, p, j, guaranteed[j])
 	}
 	for t, u := range c.use {
-		p.Used[t], p.Leaving[t] = u.Held.Add(unknown), u.Leaving
+		p.Used[t], p.Leaving[t] = u.Allocated.Add(unknown), u.Stopping
 	}
 	p.Look = c.looker(now, guaranteed)
 	return p
@@ -187,11 +187,11 @@
 func (c *Core) coming(now time.Time) []*autoscaler.Coming {
 	var out []*autoscaler.Coming
 	for _, m := range c.machines {
-		if m.State == model.Booting {
+		if m.State == model.MachineBooting {
 			out = append(out, &autoscaler.Coming{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 			continue
 		}
-		if !m.Unsure && m.Holding > 0 && c.placeable(now, m) {
+		if !m.Unreconciled && m.ActiveCount > 0 && c.placeable(now, m) {
 			out = append(out, &autoscaler.Coming{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Soon: func() model.Resources { return c.soon(now, m) }})
 		}
 	}
@@ -207,9 +207,9 @@
 // has been weighed already.
 func (c *Core) soon(now time.Time, m *model.Machine) model.Resources {
 	var soon model.Resources
-	for _, a := range m.Held() {
+	for _, a := range m.ActiveAttempts() {
 		if a.Job != nil && c.endsSoon(now, a) {
-			soon = soon.Add(a.Need)
+			soon = soon.Add(a.Demand)
 		}
 	}
 	if soon == (model.Resources{}) {
@@ -221,7 +221,7 @@
 // endsSoon tells whether an attempt has likely ended by the time that a machine
 // like its own would be up.
 func (c *Core) endsSoon(now time.Time, a *model.Attempt) bool {
-	if a.State == model.Stopping {
+	if a.State == model.AttemptStopping {
 		return true
 	}
 	if a.Job.Spec.Shape == model.Service {
@@ -231,14 +231,14 @@
 	left := estimate - now.Sub(a.RunningAt)
 	if a.RunningAt.IsZero() {
 		left = estimate
-		if r := a.Machine.Type.FetchGBPerS; r > 0 && a.Phase != model.Waiting {
+		if r := a.Machine.Type.FetchGBPerS; r > 0 && a.Phase != model.PhaseWaiting {
 			fetch := time.Duration(a.Job.Spec.ImageGB / r * float64(time.Second))
 			left += max(0, fetch-now.Sub(a.LaunchedAt))
 		}
 	} else if left < 0 {
 		left = estimate / 2 // it takes longer than its owner thought
 	}
-	return left < time.Duration(c.set.Fleet.SoonBoots*float64(a.Machine.Type.Boot))
+	return left < time.Duration(c.set.Fleet.SoonBoots*float64(a.Machine.Type.BootTime))
 }
 
 // guaranteed tells which jobs fit into their team's guarantee together with the
@@ -252,8 +252,8 @@
 		if team == nil || !mayStart(j) {
 			continue // a job that waits for others holds no part of the guarantee
 		}
-		sum[s.Team] = sum[s.Team].Add(s.Need.Times(j.Unfinished()))
-		out[j] = team.Guaranteed(sum[s.Team])
+		sum[s.Team] = sum[s.Team].Add(s.Demand.Times(j.Unfinished()))
+		out[j] = team.WithinGuarantee(sum[s.Team])
 	}
 	return out
 }
@@ -263,38 +263,38 @@
 	if !mayStart(j) || j.Waiting() == 0 || !c.readable(j) {
 		return
 	}
-	if c.inDoubt(j) || now.Before(j.NotBefore) {
+	if c.inDoubt(j) || now.Before(j.RetryNotBefore) {
 		return
 	}
 	s := j.Spec
-	if s.Shape == model.Gang && len(j.Live) > 0 {
+	if s.Shape == model.Gang && len(j.ActiveAttempts) > 0 {
 		return // the attempt before is not gone yet
 	}
 	rules := c.rulesOf(j)
 	zones := map[string]int{}
-	for _, a := range j.Live {
+	for _, a := range j.ActiveAttempts {
 		zones[a.Machine.Zone]++
 	}
 	if s.Shape == model.Gang {
-		restart, from := j.Count(model.TaskRestart) > 0, model.TaskNew
+		restart, from := j.Count(model.TaskRetry) > 0, model.TaskNew
 		// All tasks of a gang start together, so they wait in one state.
 		if restart {
-			for i, ok := j.Take(model.TaskNew); ok; i, ok = j.Take(model.TaskNew) {
-				j.SetTask(i, model.TaskRestart)
+			for i, ok := j.TakePending(model.TaskNew); ok; i, ok = j.TakePending(model.TaskNew) {
+				j.SetTask(i, model.TaskRetry)
 			}
-			from = model.TaskRestart
+			from = model.TaskRetry
 		}
 		n := j.Unfinished()
 		slack, due := c.slack(now, j, restart, 0)
 		p.Wants = append(p.Wants, &scheduler.Want{Job: j, From: from, Restart: restart, Count: n, Cap: n, Slack: slack, Due: due,
-			Waited: now.Sub(j.WaitSince), Guaranteed: guaranteed, Zones: zones, Rules: rules, Band: c.band(s.Team)})
+			Waited: now.Sub(j.WaitingSince), Guaranteed: guaranteed, Zones: zones, Rules: rules, Band: c.band(s.Team)})
 		return
 	}
-	for _, st := range []model.TaskState{model.TaskRestart, model.TaskNew, model.TaskYielded} {
+	for _, st := range []model.TaskState{model.TaskRetry, model.TaskNew, model.TaskPreempted} {
 		if n := j.Count(st); n > 0 {
 			slack, due := c.slack(now, j, st != model.TaskNew, 0)
-			p.Wants = append(p.Wants, &scheduler.Want{Job: j, From: st, Restart: st == model.TaskRestart, Count: n, Cap: n, Slack: slack, Due: due,
-				Waited: now.Sub(j.WaitSince), Guaranteed: guaranteed, Zones: zones, Rules: rules, Band: c.band(s.Team)})
+			p.Wants = append(p.Wants, &scheduler.Want{Job: j, From: st, Restart: st == model.TaskRetry, Count: n, Cap: n, Slack: slack, Due: due,
+				Waited: now.Sub(j.WaitingSince), Guaranteed: guaranteed, Zones: zones, Rules: rules, Band: c.band(s.Team)})
 		}
 	}
 }
@@ -303,13 +303,13 @@
 // seen that fits them. Spot machines are not, since GPU work that may use them
 // is rare, and they are the cheapest CPUs that there are.
 func (c *Core) forGPU(t *model.MachineType, spot bool) bool {
-	if spot || t.Cap.GPU == 0 {
+	if spot || t.Capacity.GPU == 0 {
 		return false
 	}
 	kept, known := c.keptGPU[t]
 	if !known {
 		for need := range c.gpuNeed {
-			kept = kept || need.Fits(t.Cap)
+			kept = kept || need.Fits(t.Capacity)
 		}
 		c.keptGPU[t] = kept
 	}
@@ -322,13 +322,13 @@
 // kind of machine that does not exist.
 func (c *Core) gpuToo(j *model.Job) bool {
 	s := j.Spec
-	if s.Need.GPU > 0 {
+	if s.Demand.GPU > 0 {
 		return false
 	}
 	rules := c.rulesOf(j)
 	for i := range c.types {
 		t := &c.types[i]
-		if c.forGPU(t, false) || !s.AllowsType(t.Name) || !s.Need.Fits(t.Cap) {
+		if c.forGPU(t, false) || !s.AllowsType(t.Name) || !s.Demand.Fits(t.Capacity) {
 			continue
 		}
 		for _, z := range t.Zones {
@@ -359,7 +359,7 @@
 		if len(c.renting) >= maxRenting {
 			break
 		}
-		r := model.Rental{Name: c.nextHire(), Type: ask.Type, Zone: ask.Zone, Spot: ask.Spot, Count: ask.Count}
+		r := model.Provisioning{Name: c.nextHire(), Type: ask.Type, Zone: ask.Zone, Spot: ask.Spot, Count: ask.Count}
 		c.renting[r.Name] = r
 		c.log.Info("renting", "request", r.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count, "for", ask.For)
 		c.emit(Rent{r})
--- a/internal/reconciler/pipelines.go
+++ b/internal/reconciler/pipelines.go
@@ -9,10 +9,10 @@
 
 // enqueue puts a job into the order by the moment from which its age counts.
 func (c *Core) enqueue(j *model.Job) {
-	j.Since = j.Link.Freed
-	j.WaitSince = j.Since
+	j.EligibleAt = j.Dependency.SatisfiedAt
+	j.WaitingSince = j.EligibleAt
 	at, _ := slices.BinarySearchFunc(c.order, j, func(a, b *model.Job) int {
-		if d := a.Since.Compare(b.Since); d != 0 {
+		if d := a.EligibleAt.Compare(b.EligibleAt); d != 0 {
 			return d
 		}
 		return -1 // behind those of the same moment
@@ -28,7 +28,7 @@
 
 // free lets the tasks of a job start: all that it needs is done, and that is durable.
 // Its age counts from here.
-func (c *Core) free(now time.Time, l *model.Link) {
+func (c *Core) free(now time.Time, l *model.DependencyNode) {
 	j := c.jobs[l.ID]
 	if j == nil {
 		return
@@ -36,12 +36,12 @@
 	c.dequeue(j)
 	c.enqueue(j)
 	c.dirty = true
-	c.log.Info("job freed", "id", l.ID, "class", j.Spec.Class, "by", l.By, "after", now.Sub(j.At))
+	c.log.Info("job freed", "id", l.ID, "class", j.Spec.Class, "by", l.DecidedBy, "after", now.Sub(j.SubmittedAt))
 }
 
 // mayStart tells whether tasks of a job may start at all: docs/safety.md, "Pipelines".
 func mayStart(j *model.Job) bool {
-	return j.State == model.JobActive && j.Link.State == model.LinkFree
+	return j.State == model.JobActive && j.Dependency.State == model.DependencySatisfied
 }
 
 const (
@@ -55,7 +55,7 @@
 	if c.looking || now.Before(c.lookAt) {
 		return
 	}
-	ids := c.graph.Named()
+	ids := c.graph.Referenced()
 	if len(ids) == 0 {
 		return
 	}
@@ -68,7 +68,7 @@
 	c.looking = false
 	found := 0
 	for _, e := range ev.Ends {
-		if e.End != model.EndUnknown && c.jobs[e.ID] == nil {
+		if e.End != model.OutcomeUnknown && c.jobs[e.ID] == nil {
 			found++
 			c.endJob(now, e)
 		}
@@ -102,8 +102,8 @@
 		return
 	}
 	seen[j] = true
-	j.Ahead, j.Rank = nil, j.Spec.Rank
-	for id := range j.Link.Feeds {
+	j.DownstreamDeadlines, j.EffectivePriority = nil, j.Spec.Priority
+	for id := range j.Dependency.Downstream {
 		next := c.jobs[id]
 		if next == nil {
 			continue
@@ -111,14 +111,14 @@
 		c.path(next, seen)
 		// Production stands above all guarantees, and a user waits for it: that is
 		// not handed on.
-		j.Rank = max(j.Rank, min(next.Rank, model.High))
-		j.Ahead = earlier(j.Ahead, c.starts(next))
+		j.EffectivePriority = max(j.EffectivePriority, min(next.EffectivePriority, model.PriorityHigh))
+		j.DownstreamDeadlines = earlier(j.DownstreamDeadlines, c.starts(next))
 	}
 }
 
 // starts tells by when a job must start to meet its dates and those behind it.
 func (c *Core) starts(j *model.Job) []time.Time {
-	dates := earlier(c.dates(j), j.Ahead)
+	dates := earlier(c.dates(j), j.DownstreamDeadlines)
 	estimate := c.runs.estimate(j.Spec)
 	out := make([]time.Time, len(dates))
 	for i, d := range dates {
@@ -132,7 +132,7 @@
 	if j.Spec.Deadline <= 0 {
 		return nil
 	}
-	out := []time.Time{j.At.Add(j.Spec.Deadline)}
+	out := []time.Time{j.SubmittedAt.Add(j.Spec.Deadline)}
 	for _, times := range c.times[j.Spec.Class] {
 		out = append(out, c.multiple(j, times))
 	}
@@ -141,7 +141,7 @@
 
 // multiple is a multiple of a job's deadline.
 func (c *Core) multiple(j *model.Job, times float64) time.Time {
-	return j.At.Add(time.Duration(times * float64(j.Spec.Deadline)))
+	return j.SubmittedAt.Add(time.Duration(times * float64(j.Spec.Deadline)))
 }
 
 // earlier takes the earlier one of two rows of dates, place by place. A row that is
--- a/internal/reconciler/pipelines_test.go
+++ b/internal/reconciler/pipelines_test.go
@@ -8,18 +8,18 @@
 )
 
 // stage makes an array of a pipeline.
-func stage(id string, estimate time.Duration, rank model.Rank, awaits ...string) *model.Spec {
-	return &model.Spec{ID: id, Class: "middle", Team: "red", Shape: model.Array, Rank: rank, Tasks: 2, Awaits: awaits,
-		Need: model.Resources{CPU: 4, MemGB: 8}, Estimate: estimate}
+func stage(id string, estimate time.Duration, rank model.Priority, awaits ...string) *model.Spec {
+	return &model.Spec{ID: id, Class: "middle", Team: "red", Shape: model.Array, Priority: rank, Tasks: 2, Dependencies: awaits,
+		Demand: model.Resources{CPU: 4, MemGB: 8}, EstimatedRunTime: estimate}
 }
 
 func TestSlackAndRankComeFromTheEndOfThePipeline(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := lead(now, &Snapshot{})
-	last := stage("wk-000004", 8*time.Second, model.High, "wk-000002", "wk-000003")
+	last := stage("wk-000004", 8*time.Second, model.PriorityHigh, "wk-000002", "wk-000003")
 	last.Class, last.Deadline = "last", 100*time.Second
-	for i, s := range []*model.Spec{stage("wk-000001", 10*time.Second, model.Low), stage("wk-000002", 5*time.Second, model.Low, "wk-000001"),
-		stage("wk-000003", 20*time.Second, model.Normal, "wk-000001"), last} {
+	for i, s := range []*model.Spec{stage("wk-000001", 10*time.Second, model.PriorityLow), stage("wk-000002", 5*time.Second, model.PriorityLow, "wk-000001"),
+		stage("wk-000003", 20*time.Second, model.PriorityNormal, "wk-000001"), last} {
 		c.Step(now, JobAdded{Version: uint64(i + 1), At: now, Spec: s})
 	}
 	slack := func(id string) (time.Duration, bool) { return c.slack(now, c.jobs[id], false, 0) }
@@ -28,7 +28,7 @@
 	if d, due := slack("wk-000001"); !due || d != 62*time.Second {
 		t.Errorf("slack of the first stage: %v", d)
 	}
-	if r := c.jobs["wk-000001"].Rank; r != model.High {
+	if r := c.jobs["wk-000001"].EffectivePriority; r != model.PriorityHigh {
 		t.Errorf("its rank is %v", r)
 	}
 	// The date is past: the one half as long again counts.
@@ -36,9 +36,9 @@
 	if d, due := slack("wk-000001"); !due || d != 22*time.Second {
 		t.Errorf("slack to the later date: %v", d)
 	}
-	c.Step(now, JobEnded{ID: "wk-000004", End: model.EndCancelled, At: now})
+	c.Step(now, JobEnded{ID: "wk-000004", End: model.OutcomeCancelled, At: now})
 	c.paths(now)
-	if _, due := slack("wk-000001"); due || c.jobs["wk-000001"].Rank != model.Normal {
+	if _, due := slack("wk-000001"); due || c.jobs["wk-000001"].EffectivePriority != model.PriorityNormal {
 		t.Error("a job whose dependents are gone still has their date or rank")
 	}
 }
@@ -47,18 +47,18 @@
 func TestProductionIsNotHandedOn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := lead(now, &Snapshot{})
-	c.Step(now, JobAdded{Version: 1, At: now, Spec: stage("wk-000001", time.Second, model.Low)})
-	c.Step(now, JobAdded{Version: 2, At: now, Spec: stage("wk-000002", time.Second, model.Production, "wk-000001")})
+	c.Step(now, JobAdded{Version: 1, At: now, Spec: stage("wk-000001", time.Second, model.PriorityLow)})
+	c.Step(now, JobAdded{Version: 2, At: now, Spec: stage("wk-000002", time.Second, model.PriorityProduction, "wk-000001")})
 	c.paths(now)
-	if r := c.jobs["wk-000001"].Rank; r != model.High {
+	if r := c.jobs["wk-000001"].EffectivePriority; r != model.PriorityHigh {
 		t.Errorf("rank %v", r)
 	}
 }
 
 func TestAgeGuaranteeAndOrderCountFromTheMomentThatFrees(t *testing.T) {
 	at := time.Unix(1000, 0)
-	first, waits := stage("wk-000001", time.Second, model.Low), stage("wk-000002", time.Second, model.Low, "wk-000001", "wk-000009")
-	other := stage("wk-000003", time.Second, model.Low)
+	first, waits := stage("wk-000001", time.Second, model.PriorityLow), stage("wk-000002", time.Second, model.PriorityLow, "wk-000001", "wk-000009")
+	other := stage("wk-000003", time.Second, model.PriorityLow)
 	snap := &Snapshot{Revision: 3, Jobs: []JobAdded{{Spec: waits, At: at, Version: 2}, {Spec: other, At: at.Add(9 * time.Second), Version: 3},
 		{Spec: first, At: at, Version: 1}}}
 	now := at.Add(10 * time.Second)
@@ -76,13 +76,13 @@
 		t.Fatalf("asked for the ends of %v", asked)
 	}
 	j := c.jobs["wk-000002"]
-	c.Step(now, JobEnded{ID: "wk-000001", End: model.EndDone, At: now})
+	c.Step(now, JobEnded{ID: "wk-000001", End: model.OutcomeDone, At: now})
 	if mayStart(j) {
 		t.Fatal("it may start although the end of what it needs is not known")
 	}
-	c.Step(now, EndsIn{Ends: []JobEnded{{ID: "wk-000009", End: model.EndDone}}}) // of the old version: no moment
-	if !mayStart(j) || !j.Since.Equal(now) {
-		t.Errorf("may start: %v, its age counts from %v", mayStart(j), j.Since)
+	c.Step(now, EndsIn{Ends: []JobEnded{{ID: "wk-000009", End: model.OutcomeDone}}}) // of the old version: no moment
+	if !mayStart(j) || !j.EligibleAt.Equal(now) {
+		t.Errorf("may start: %v, its age counts from %v", mayStart(j), j.EligibleAt)
 	}
 	if c.order[len(c.order)-1] != j {
 		t.Error("it does not stand behind the jobs that could start before it")
@@ -104,7 +104,7 @@
 		}
 		return n
 	}
-	if n := count(c.Step(now, JobAdded{Version: 1, At: now, Spec: stage("wk-000002", time.Second, model.Low, "wk-000001")})); n != 1 {
+	if n := count(c.Step(now, JobAdded{Version: 1, At: now, Spec: stage("wk-000002", time.Second, model.PriorityLow, "wk-000001")})); n != 1 {
 		t.Fatalf("asked %d times", n)
 	}
 	if n := count(c.Step(now, EndsIn{})) + count(c.Step(now.Add(100*time.Millisecond), Tick{})); n != 0 {
--- a/internal/reconciler/reports.go
+++ b/internal/reconciler/reports.go
@@ -20,11 +20,11 @@
 		}
 		// A machine that nobody here rented. No leader launches anything on a
 		// machine without a record, so it holds nothing; what this report says may be of long ago.
-		m = c.newMachine(now, model.Listed{Machine: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, model.Booting)
+		m = c.newMachine(now, model.MachineInfo{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, model.MachineBooting)
 		m.Detector.Strange(now)
 		c.log.Info("unexpected machine reports", "machine", m.Name, "type", r.Type, "zone", r.Zone)
 	}
-	if m.State == model.Booting && m.Detector.State >= liveness.Doubtful && r.Token < c.token {
+	if m.State == model.MachineBooting && m.Detector.State >= liveness.Doubtful && r.FencingToken < c.token {
 		// Guards against a late copy that brings back a machine which an earlier leader has given
 		// back: work was placed on it, and its rows counted, until it was silent for long enough.
 		c.question(now, m)
@@ -40,38 +40,38 @@
 		return
 	}
 	session, numbering := m.Session, m.Numbering
-	kind := m.Hear(r.Session, r.Seq, r.Token)
+	kind := m.Hear(r.Epoch, r.Seq, r.FencingToken)
 	if m.Numbering != numbering {
-		m.Deadline = c.leaseEnd(now) // of the new life, which has begun before now
-		c.log.Warn("machine has begun anew", "machine", m.Name, "known", m.Known(), "session", r.Session, "number", r.Seq, "token", m.Token, "shows", r.Token)
+		m.LeaseExpiry = c.leaseEnd(now) // of the new life, which has begun before now
+		c.log.Warn("machine has begun anew", "machine", m.Name, "known", m.Known(), "session", r.Epoch, "number", r.Seq, "token", m.Token, "shows", r.FencingToken)
 	}
 	switch kind {
 	case liveness.Old:
-		c.log.Debug("old report", "machine", m.Name, "session", r.Session, "number", r.Seq, "known", m.Known())
+		c.log.Debug("old report", "machine", m.Name, "session", r.Epoch, "number", r.Seq, "known", m.Known())
 		c.question(now, m)
 		c.emit(Answer{Refused: true})
 		return
 	case liveness.Unsorted:
 		c.question(now, m)
 	case liveness.Fresh:
-		sign := liveness.Sign{Straight: !ev.Handed, Lacks: r.Session == session && c.lacks(m, r), Session: session != 0 && r.Session > session, Quiet: c.quietNow(now, m.Zone),
-			Shows: r.Token >= c.token && m.Token < c.token}
+		sign := liveness.Sign{Straight: !ev.Handed, Lacks: r.Epoch == session && c.lacks(m, r), Session: session != 0 && r.Epoch > session, Quiet: c.quietNow(now, m.Zone),
+			Shows: r.FencingToken >= c.token && m.Token < c.token}
 		sign.Shows = c.observe(now, m, r, false) || sign.Shows
 		c.heard(now, m, sign)
-		if m.Unsure && now.After(c.leaseEnd(c.start).Add(dropped)) {
+		if m.Unreconciled && now.After(c.leaseEnd(c.start).Add(dropped)) {
 			c.untold(now, m)
 		}
 	}
 	if kind != liveness.Repeated {
 		// Also one that an answer to a command has overtaken: it renews the worker's lease. One that
 		// comes again was sent before it first came.
-		m.Deadline = c.leaseEnd(now)
-		if m.Holding == 0 && now.Sub(m.LastReport) > c.set.SilentAfter {
+		m.LeaseExpiry = c.leaseEnd(now)
+		if m.ActiveCount == 0 && now.Sub(m.LastHeartbeat) > c.set.SilentAfter {
 			m.EmptySince = now // from here on it is of use again
 		}
 		// Only here. Guards against a machine that reaches no controller, while commands reach it: its answers to
 		// them were taken for reports, so it got work again and again that its lease killed.
-		m.LastReport = now
+		m.LastHeartbeat = now
 	}
 	c.emit(Answer{Orders: c.orders(now, m, !ev.Handed)})
 	if kind == liveness.Fresh {
@@ -92,8 +92,8 @@
 
 // foreign tells that a report names another type, zone or kind than its machine is known to have.
 // None of them ever changes. Guards against bounds by zone that count tasks where they are not.
-func (c *Core) foreign(m *model.Machine, r *model.Report) bool {
-	if m.State == model.Booting || m.Session == 0 {
+func (c *Core) foreign(m *model.Machine, r *model.Heartbeat) bool {
+	if m.State == model.MachineBooting || m.Session == 0 {
 		return false
 	}
 	return r.Type != m.Type.Name || r.Zone != m.Zone || r.Spot != m.Spot
@@ -102,28 +102,28 @@
 // observe takes what a worker says of itself, unless something newer is known. certain tells that
 // it answers a question, so that it is no copy. It tells whether it shows something that this
 // leader has sent, for the first time.
-func (c *Core) observe(now time.Time, m *model.Machine, r *model.Report, certain bool) (shows bool) {
-	if r.Session < m.Session || r.Session == m.Session && r.Seq <= m.Seq {
+func (c *Core) observe(now time.Time, m *model.Machine, r *model.Heartbeat, certain bool) (shows bool) {
+	if r.Epoch < m.Session || r.Epoch == m.Session && r.Seq <= m.Seq {
 		return false
 	}
-	if r.Session > m.Session {
+	if r.Epoch > m.Session {
 		if m.Session != 0 {
-			c.log.Warn("worker's lease has run out", "machine", m.Name, "session", r.Session)
+			c.log.Warn("worker's lease has run out", "machine", m.Name, "session", r.Epoch)
 			c.loseAll(now, m, "new session")
-			m.Copies.Void()
+			m.UnansweredLaunches.Clear()
 		}
-		m.DeadSession = r.Session - 1
+		m.DeadSession = r.Epoch - 1
 		// The new session has a lease of its own, which began before now. Guards
 		// against a session that an answer to a command has shown, and that was taken
 		// for run out when the one before it would have been: what had been started
 		// in it meanwhile was started once more elsewhere.
-		m.Deadline = c.leaseEnd(now)
-		m.Errors = map[string]int{}
+		m.LeaseExpiry = c.leaseEnd(now)
+		m.ErrorsByJob = map[string]int{}
 	}
-	m.Unanswering = false
+	m.ProbeUnanswered = false
 	before := m.LastSeen
-	m.Session, m.Seq, m.Token, m.LastSeen, m.Addr = r.Session, r.Seq, r.Token, now, r.Addr
-	if r.Type != m.Type.Name || m.Type.Cap.CPU < 1e-6 {
+	m.Session, m.Seq, m.Token, m.LastSeen, m.Addr = r.Epoch, r.Seq, r.FencingToken, now, r.Addr
+	if r.Type != m.Type.Name || m.Type.Capacity.CPU < 1e-6 {
 		m.Type = c.typeOf(r.Type)
 	}
 	m.Zone, m.Spot = r.Zone, r.Spot
@@ -131,45 +131,45 @@
 	seen := make(map[model.AttemptKey]bool, len(r.Tasks))
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		if t.Try > c.token<<24+c.tries {
+		if t.Attempt > c.token<<24+c.tries {
 			// Guards against numbers that nobody has given out: a later start by the same number would
 			// take its place in the accounts. If a later leader has, nothing of this one counts any more.
 			continue
 		}
-		key := model.AttemptKey{Task: t.Task, Try: t.Try}
+		key := model.AttemptKey{Task: t.Task, Number: t.Attempt}
 		seen[key] = true
-		a := m.Rows[key]
+		a := m.Attempts[key]
 		if a == nil {
 			a = c.adopt(now, m, t)
-		} else if a.State == model.Launching {
+		} else if a.State == model.AttemptLaunching {
 			shows = true
 		}
 		c.update(now, a, t)
 	}
-	for key, a := range m.Rows {
+	for key, a := range m.Attempts {
 		if seen[key] {
 			continue
 		}
 		switch {
-		case a.State == model.Ended:
-			a.Set(model.Dropped)
-			delete(m.Rows, key)
+		case a.State == model.AttemptEnded:
+			a.Transition(model.AttemptDropped)
+			delete(m.Attempts, key)
 		case a.Phase != 0 && !certain:
 			// Rows stay until they are forgotten, so one of the two messages is of another life. Guards
 			// against a late copy from before the machine began anew, or from before the task was
 			// started: it was taken for gone, and started elsewhere while it ran.
 			c.question(now, m)
-		case a.Phase != 0 && !m.Copies.Out(key):
+		case a.Phase != 0 && !m.UnansweredLaunches.MayArrive(key):
 			// It was there, and the answer to a question lacks it.
-			c.log.Warn("attempt has vanished", "task", a.Task, "try", a.Try, "machine", m.Name)
+			c.log.Warn("attempt has vanished", "task", a.Task, "try", a.Number, "machine", m.Name)
 			c.charge(now, a, before) // it was last seen then
 			c.wasted(now, a)
-			a.Charged = time.Time{}
+			a.ChargedUntil = time.Time{}
 			c.lose(now, a)
-			delete(m.Rows, key)
+			delete(m.Attempts, key)
 		}
 	}
-	if m.State == model.Booting && m.Set(now, model.Ready, "") {
+	if m.State == model.MachineBooting && m.Transition(now, model.MachineReady, "") {
 		// Only now it gets a record: a machine that still boots holds nothing, and
 		// a new leader need not wait for it to say so.
 		c.register(m)
@@ -177,13 +177,13 @@
 		c.dirty = true
 		c.log.Info("machine is up", "machine", m.Name, "type", m.Type.Name, "zone", m.Zone, "spot", m.Spot)
 	}
-	if m.Unsure && m.Token >= c.token {
+	if m.Unreconciled && m.Token >= c.token {
 		c.settle(now, m, "reported")
 	}
-	if r.Notice {
-		if m.Notice.IsZero() {
-			c.log.Info("spot notice", "machine", m.Name, "in", r.NoticeIn)
-			m.Notice = now.Add(r.NoticeIn)
+	if r.InterruptionNotice {
+		if m.InterruptionAt.IsZero() {
+			c.log.Info("spot notice", "machine", m.Name, "in", r.InterruptionIn)
+			m.InterruptionAt = now.Add(r.InterruptionIn)
 			c.drain(now, m, "notice")
 		}
 		c.evacuate(now, m)
@@ -194,27 +194,27 @@
 // settle notes that everything on a machine from before the takeover is known:
 // see docs/safety.md, "Rebuilding".
 func (c *Core) settle(now time.Time, m *model.Machine, why string) {
-	m.Unsure = false
+	m.Unreconciled = false
 	c.unsure--
 	if k := kindOf(m); c.doubts[k] > 1 {
 		c.doubts[k]--
 	} else {
 		delete(c.doubts, k)
 	}
-	if m.State == model.Unsettled {
-		m.Set(now, model.Ready, "")
+	if m.State == model.MachineInherited {
+		m.Transition(now, model.MachineReady, "")
 	}
-	if m.Holding == 0 {
+	if m.ActiveCount == 0 {
 		m.EmptySince = now
 	}
 	c.dirty = true
-	c.log.Debug("machine settled", "machine", m.Name, "how", why, "holding", m.Holding, "left", c.unsure)
+	c.log.Debug("machine settled", "machine", m.Name, "how", why, "holding", m.ActiveCount, "left", c.unsure)
 	if c.unsure > 0 {
 		return
 	}
 	c.log.Info("all machines settled", "token", c.token, "after", now.Sub(c.start))
 	for _, j := range c.jobs {
-		if j.Spec.Shape == model.Gang && len(j.Live) > 0 && !c.whole(j) {
+		if j.Spec.Shape == model.Gang && len(j.ActiveAttempts) > 0 && !c.whole(j) {
 			c.breakGang(now, j)
 		}
 	}
@@ -223,69 +223,69 @@
 // whole tells whether all tasks of a gang are live with one attempt number.
 func (c *Core) whole(j *model.Job) bool {
 	var try uint64
-	for _, a := range j.Live {
-		if try != 0 && a.Try != try || a.State == model.Stopping {
+	for _, a := range j.ActiveAttempts {
+		if try != 0 && a.Number != try || a.State == model.AttemptStopping {
 			return false
 		}
-		try = a.Try
+		try = a.Number
 	}
-	return len(j.Live) == j.Unfinished()
+	return len(j.ActiveAttempts) == j.Unfinished()
 }
 
 // adopt enters an attempt that only the worker knew.
-func (c *Core) adopt(now time.Time, m *model.Machine, t *model.TaskReport) *model.Attempt {
-	a := &model.Attempt{Task: t.Task, Try: t.Try, Machine: m, Session: m.Session, Job: c.jobs[t.Task.Job], Phase: t.Phase, LaunchedAt: now}
-	m.Rows[model.AttemptKey{Task: t.Task, Try: t.Try}] = a
+func (c *Core) adopt(now time.Time, m *model.Machine, t *model.TaskStatus) *model.Attempt {
+	a := &model.Attempt{Task: t.Task, Number: t.Attempt, Machine: m, Epoch: m.Session, Job: c.jobs[t.Task.Job], Phase: t.Phase, LaunchedAt: now}
+	m.Attempts[model.AttemptKey{Task: t.Task, Number: t.Attempt}] = a
 	j := a.Job
 	if j == nil || t.Task.Index >= j.Spec.Tasks {
 		// Of a job that has ended. What it takes is not known any more, so it
 		// counts as taking the whole machine, for every team, until it is gone.
-		a.Job, a.Need, a.Use = nil, m.Type.Cap, &c.stray
-		a.Set(model.Present)
-		if t.Phase != model.Exited {
+		a.Job, a.Demand, a.Usage = nil, m.Type.Capacity, &c.stray
+		a.Transition(model.AttemptPresent)
+		if t.Phase != model.PhaseExited {
 			c.stop(now, a, 0)
 		}
 		return a
 	}
-	a.Need, a.Team, a.Use = j.Spec.Need, j.Spec.Team, c.usage(j.Spec.Team)
-	a.Set(model.Present)
-	m.Images[j.Spec.Image] = now
-	if t.Phase == model.Exited {
+	a.Demand, a.Team, a.Usage = j.Spec.Demand, j.Spec.Team, c.usage(j.Spec.Team)
+	a.Transition(model.AttemptPresent)
+	m.CachedImages[j.Spec.Image] = now
+	if t.Phase == model.PhaseExited {
 		return a
 	}
 	c.begin(now, a, t.Phase, true)
-	if old := j.Live[t.Task.Index]; old != nil && old.Try < t.Try && j.Spec.Shape != model.Gang {
+	if old := j.ActiveAttempts[t.Task.Index]; old != nil && old.Number < t.Attempt && j.Spec.Shape != model.Gang {
 		// A task's starts have rising numbers, and each waited until the one before was gone: so the
 		// other one is what a late copy has shown. Guards against stopping the one that runs.
 		c.stop(now, old, 0)
-		delete(j.Live, t.Task.Index)
+		delete(j.ActiveAttempts, t.Task.Index)
 	}
-	if j.Live[t.Task.Index] != nil || j.Task(t.Task.Index) == model.TaskDone {
-		c.log.Warn("task is not wanted here", "task", t.Task, "try", t.Try, "machine", m.Name)
+	if j.ActiveAttempts[t.Task.Index] != nil || j.Task(t.Task.Index) == model.TaskDone {
+		c.log.Warn("task is not wanted here", "task", t.Task, "try", t.Attempt, "machine", m.Name)
 		c.stop(now, a, 0)
 		return a
 	}
-	j.Live[t.Task.Index] = a
-	j.SetTask(t.Task.Index, model.TaskLive)
+	j.ActiveAttempts[t.Task.Index] = a
+	j.SetTask(t.Task.Index, model.TaskActive)
 	if j.Spec.Shape == model.Gang {
-		j.Gang = model.GangLive
+		j.Gang = model.GangLaunched
 	}
 	return a
 }
 
 // update takes what a report says of one attempt.
-func (c *Core) update(now time.Time, a *model.Attempt, t *model.TaskReport) {
-	if a.State == model.Ended || a.State == model.Dropped {
+func (c *Core) update(now time.Time, a *model.Attempt, t *model.TaskStatus) {
+	if a.State == model.AttemptEnded || a.State == model.AttemptDropped {
 		return
 	}
-	if t.Phase == model.Exited {
+	if t.Phase == model.PhaseExited {
 		c.exited(now, a, t)
 		return
 	}
-	if a.State == model.Launching {
-		a.Set(model.Present)
+	if a.State == model.AttemptLaunching {
+		a.Transition(model.AttemptPresent)
 	}
-	if t.Phase == model.Running && a.Phase != model.Running {
+	if t.Phase == model.PhaseRunning && a.Phase != model.PhaseRunning {
 		a.RunningAt = now
 		c.log.Debug("attempt runs", "task", a.Task, "machine", a.Machine.Name, "after", now.Sub(a.LaunchedAt))
 	}
@@ -294,16 +294,16 @@
 }
 
 // exited takes the end of an attempt.
-func (c *Core) exited(now time.Time, a *model.Attempt, t *model.TaskReport) {
-	a.Cause, a.Phase, a.EndedAt = t.Cause, model.Exited, now
-	c.log.Debug("attempt ended", "task", a.Task, "try", a.Try, "machine", a.Machine.Name, "why", t.Cause.String(), "saved", t.Saved)
+func (c *Core) exited(now time.Time, a *model.Attempt, t *model.TaskStatus) {
+	a.Cause, a.Phase, a.EndedAt = t.Cause, model.PhaseExited, now
+	c.log.Debug("attempt ended", "task", a.Task, "try", a.Number, "machine", a.Machine.Name, "why", t.Cause.String(), "saved", t.Checkpointed)
 	c.charge(now, a, now)
-	if t.Cause != model.CauseDone && !t.Saved {
+	if t.Cause != model.CauseDone && !t.Checkpointed {
 		c.wasted(now, a)
 	}
 	j, i := a.Job, a.Task.Index
 	if j == nil || j.State == model.JobEnded {
-		c.release(now, a, model.Ended)
+		c.release(now, a, model.AttemptEnded)
 		return
 	}
 	switch t.Cause {
@@ -319,13 +319,13 @@
 		} else {
 			c.taskDone(now, j, i)
 		}
-		a.Machine.Errors[j.Spec.ID] = 0
+		a.Machine.ErrorsByJob[j.Spec.ID] = 0
 		c.cleared(a)
 	case model.CauseError:
 		c.failed(now, a)
-	case model.CauseNoRoom, model.CauseBusy, model.CauseUnknown:
+	case model.CauseNoCapacity, model.CauseAttemptConflict, model.CauseUnknownJob:
 		c.log.Warn("start refused", "task", a.Task, "machine", a.Machine.Name, "why", t.Cause.String())
-		j.NotBefore = now.Add(c.set.Backoff / 4)
+		j.RetryNotBefore = now.Add(c.set.Backoff / 4)
 	}
-	c.release(now, a, model.Ended)
+	c.release(now, a, model.AttemptEnded)
 }
--- a/internal/reconciler/rules.go
+++ b/internal/reconciler/rules.go
@@ -101,7 +101,7 @@
 		}}
 	if out.PerMachine > 0 {
 		out.On = map[*model.Machine]int{}
-		for _, a := range j.Live {
+		for _, a := range j.ActiveAttempts {
 			out.On[a.Machine]++
 		}
 	}
@@ -120,11 +120,11 @@
 		return
 	}
 	zones, machines := map[string]bool{}, map[*model.Machine]bool{}
-	for _, a := range other.Live {
+	for _, a := range other.ActiveAttempts {
 		zones[a.Machine.Zone] = true
 		machines[a.Machine] = true
 	}
-	if len(other.Live) == 0 {
+	if len(other.ActiveAttempts) == 0 {
 		if !k.Same {
 			return
 		}
--- a/internal/reconciler/rulesets_test.go
+++ b/internal/reconciler/rulesets_test.go
@@ -44,13 +44,13 @@
 // idle is a leader with one empty machine of each class, in their order.
 func idle(types []model.MachineType) (*Core, time.Time) {
 	now := time.Unix(1e9, 0)
-	set := Settings{Member: "tiller-0", Teams: []model.Team{{Name: "red", Limit: model.LimitOf(1e6, 1e6)}}, SilentAfter: time.Hour, Lease: time.Hour,
+	set := Settings{Member: "tiller-0", Teams: []model.Team{{Name: "red", Quota: model.NewQuota(1e6, 1e6)}}, SilentAfter: time.Hour, Lease: time.Hour,
 		Pass: time.Millisecond, TxnOps: 12, Numbered: 64, Sched: scheduler.Settings{IdleShare: 0.7, Overtake: time.Hour, OvertakeLate: time.Hour, Dear: 1e6},
 		Fleet: autoscaler.Settings{KeepIdle: time.Hour, BootFactor: 3, MaxRent: 50}}
 	c := New(now, set, 3, &Snapshot{Numbered: 64}, types, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for i, k := range constraint.Classes(types) {
-		m := c.newMachine(now, model.Listed{Machine: fmt.Sprintf("n-%06d", i), Type: k.Type.Name, Zone: k.Zone, Spot: k.Spot}, model.Booting)
-		m.Set(now, model.Ready, "")
+		m := c.newMachine(now, model.MachineInfo{Name: fmt.Sprintf("n-%06d", i), Type: k.Type.Name, Zone: k.Zone, Spot: k.Spot}, model.MachineBooting)
+		m.Transition(now, model.MachineReady, "")
 		m.Registered, m.Session = true, 1
 	}
 	return c, now
@@ -78,10 +78,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		spec := &model.Spec{ID: "wk-000001", Class: "work", Team: "red", Rank: model.Normal, Tasks: r.Job.Rows, Image: "img",
-			Shape: map[string]model.Shape{"array": model.Array, "ensemble": model.Gang, "daemon": model.Service}[r.Job.Shape],
-			Need:  model.Resources{CPU: r.Job.Cores, GPU: r.Job.Cards, MemGB: r.Job.MemoryGb}, Types: r.Job.Breeds, Zone: r.Job.Field, Spot: r.Job.Loaners,
-			OneZone: r.Job.OneZone, Spread: r.Job.Scatter, Rules: r.Rules}
+		spec := &model.Spec{ID: "wk-000001", Class: "work", Team: "red", Priority: model.PriorityNormal, Tasks: r.Job.Rows, Image: "img",
+			Shape:  map[string]model.Shape{"array": model.Array, "ensemble": model.Gang, "daemon": model.Service}[r.Job.Shape],
+			Demand: model.Resources{CPU: r.Job.Cores, GPU: r.Job.Cards, MemGB: r.Job.MemoryGb}, MachineTypes: r.Job.Breeds, Zone: r.Job.Field, AllowSpot: r.Job.Loaners,
+			SingleZone: r.Job.OneZone, Spread: r.Job.Scatter, Rules: r.Rules}
 		set, err := constraint.Parse(r.Rules)
 		if r.Malformed != "" {
 			count["malformed"]++
@@ -113,13 +113,13 @@
 		}
 		c, now := idle(types)
 		for _, i := range r.Images {
-			c.machines[fmt.Sprintf("n-%06d", i)].Images["img"] = now
+			c.machines[fmt.Sprintf("n-%06d", i)].CachedImages["img"] = now
 		}
 		c.Step(now, JobAdded{Spec: spec, At: now, Version: 9})
 		c.Step(now, Tick{})
 		c.Step(now.Add(time.Second), Tick{})
 		got := "nowhere"
-		for _, a := range c.jobs[spec.ID].Live {
+		for _, a := range c.jobs[spec.ID].ActiveAttempts {
 			m := a.Machine
 			got = m.Type.Name + "/" + m.Zone + "/ordinary"
 			if m.Spot {
@@ -138,8 +138,8 @@
 // BenchmarkPassOf500Machines tells what a pass costs that finds little room, with and
 // without rules on all that waits.
 func BenchmarkPassOf500Machines(b *testing.B) {
-	types := []model.MachineType{{Name: "small", Cap: model.Resources{CPU: 8, MemGB: 64}, Price: 1, SpotPrice: 0.3, Zones: []string{"a", "b", "c"}},
-		{Name: "large", Cap: model.Resources{CPU: 64, MemGB: 512}, Price: 8, SpotPrice: 3, Zones: []string{"a", "b"}}}
+	types := []model.MachineType{{Name: "small", Capacity: model.Resources{CPU: 8, MemGB: 64}, PricePerHour: 1, SpotPricePerHour: 0.3, Zones: []string{"a", "b", "c"}},
+		{Name: "large", Capacity: model.Resources{CPU: 64, MemGB: 512}, PricePerHour: 8, SpotPricePerHour: 3, Zones: []string{"a", "b"}}}
 	for _, rules := range []string{"", "require cpus >= 4 and not (zone = \"c\" and spot)\nprefer 20 spot\nprefer -5 type = \"large\"\nrequire at most 4 per machine"} {
 		name := "without"
 		if rules != "" {
@@ -150,14 +150,14 @@
 			all := constraint.Classes(types)
 			for i := range 500 {
 				k := all[i%len(all)]
-				m := c.newMachine(now, model.Listed{Machine: fmt.Sprintf("m-%06d", i), Type: k.Type.Name, Zone: k.Zone, Spot: k.Spot}, model.Booting)
-				m.Set(now, model.Ready, "")
+				m := c.newMachine(now, model.MachineInfo{Name: fmt.Sprintf("m-%06d", i), Type: k.Type.Name, Zone: k.Zone, Spot: k.Spot}, model.MachineBooting)
+				m.Transition(now, model.MachineReady, "")
 				m.Registered, m.Session = true, 1
-				m.Used = model.Resources{CPU: m.Type.Cap.CPU - float64(i%3)}
+				m.Used = model.Resources{CPU: m.Type.Capacity.CPU - float64(i%3)}
 			}
 			for i := range 40 {
-				c.Step(now, JobAdded{At: now, Version: 9, Spec: &model.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "work", Team: "red", Shape: model.Array, Rank: model.Normal,
-					Tasks: 50, Need: model.Resources{CPU: 2, MemGB: 4}, Image: "img", Spot: true, Rules: rules}})
+				c.Step(now, JobAdded{At: now, Version: 9, Spec: &model.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "work", Team: "red", Shape: model.Array, Priority: model.PriorityNormal,
+					Tasks: 50, Demand: model.Resources{CPU: 2, MemGB: 4}, Image: "img", AllowSpot: true, Rules: rules}})
 			}
 			b.ResetTimer()
 			for b.Loop() {
--- a/internal/reconciler/runtimes.go
+++ b/internal/reconciler/runtimes.go
@@ -25,7 +25,7 @@
 
 // observe takes the run time of a task that ran through in one go.
 func (r runTimes) observe(s *model.Spec, ran time.Duration) {
-	if s.Estimate <= 0 || ran <= 0 {
+	if s.EstimatedRunTime <= 0 || ran <= 0 {
 		return
 	}
 	t := r[s.Class]
@@ -33,7 +33,7 @@
 		t = &runTime{factor: 1}
 		r[s.Class] = t
 	}
-	ratio := min(max(float64(ran)/float64(s.Estimate), 1/runBound), runBound)
+	ratio := min(max(float64(ran)/float64(s.EstimatedRunTime), 1/runBound), runBound)
 	t.seen++
 	t.factor += (ratio - t.factor) * max(runWeight, 1/float64(t.seen+1))
 }
@@ -41,7 +41,7 @@
 // estimate is the owner's estimate of a task's run time, corrected.
 func (r runTimes) estimate(s *model.Spec) time.Duration {
 	if t := r[s.Class]; t != nil && t.seen >= runFew {
-		return time.Duration(float64(s.Estimate) * t.factor)
+		return time.Duration(float64(s.EstimatedRunTime) * t.factor)
 	}
-	return s.Estimate
+	return s.EstimatedRunTime
 }
--- a/internal/reconciler/runtimes_test.go
+++ b/internal/reconciler/runtimes_test.go
@@ -9,11 +9,11 @@
 
 func TestEstimatesAreCorrectedByWhatIsSeen(t *testing.T) {
 	r := runTimes{}
-	s := &model.Spec{Class: "low", Estimate: 10 * time.Second}
+	s := &model.Spec{Class: "low", EstimatedRunTime: 10 * time.Second}
 	for range runFew - 1 {
 		r.observe(s, 20*time.Second)
 	}
-	if got := r.estimate(s); got != s.Estimate {
+	if got := r.estimate(s); got != s.EstimatedRunTime {
 		t.Errorf("corrected to %v after too few tasks", got)
 	}
 	for range 100 {
@@ -26,7 +26,7 @@
 	if got := r.estimate(s); got > 22*time.Second {
 		t.Errorf("a single odd one moves the estimate to %v", got)
 	}
-	if other := (&model.Spec{Class: "other", Estimate: time.Second}); r.estimate(other) != time.Second {
+	if other := (&model.Spec{Class: "other", EstimatedRunTime: time.Second}); r.estimate(other) != time.Second {
 		t.Error("another class is corrected too")
 	}
 }
--- a/internal/reconciler/saves.go
+++ b/internal/reconciler/saves.go
@@ -36,8 +36,8 @@
 	if j == nil {
 		return false
 	}
-	from := s.Chunk.N / 8
-	s.Bits = append([]byte(nil), j.Bits[from:min(from+model.ChunkTasks/8, len(j.Bits))]...)
+	from := s.Chunk.Number / 8
+	s.Bits = append([]byte(nil), j.DoneBits[from:min(from+model.ChunkTasks/8, len(j.DoneBits))]...)
 	return true
 }
 
@@ -66,10 +66,10 @@
 		if j == nil || j.State != model.JobActive {
 			continue
 		}
-		for k := range j.Dirty {
+		for k := range j.DirtyChunks {
 			c.queueChunk(id, k)
-			delete(j.Dirty, k)
-			j.Recorded[k] = true
+			delete(j.DirtyChunks, k)
+			j.RecordedChunks[k] = true
 		}
 	}
 	c.flushAt = now.Add(c.set.Flush)
@@ -167,21 +167,21 @@
 		case SaveUse, FoldUse:
 			c.settled(now, s, ev)
 		case SaveMachine:
-			if m := c.machines[s.Machine.Machine]; m != nil && ev.Outcome == OK {
+			if m := c.machines[s.Machine.Name]; m != nil && ev.Outcome == OK {
 				m.Registered = true
 				c.dirty = true
 			}
 		case SaveTasks:
 			if j := c.jobs[s.Job]; j != nil && ev.Outcome == OK {
-				j.Durable(s.Chunk.N, s.Bits)
+				j.MarkDurable(s.Chunk.Number, s.Bits)
 			}
 		case EndJob, EndDoomed:
 			// Done: the watch tells of it too. Refused: somebody else has ended the
 			// job, or an earlier copy of this very save has; the watch tells.
 			if ev.Outcome == OK {
-				end := model.EndDone
+				end := model.OutcomeDone
 				if s.Kind == EndDoomed {
-					end = model.EndCancelled
+					end = model.OutcomeCancelled
 				}
 				c.endJob(now, JobEnded{ID: s.Job, End: end, At: s.At})
 			}
@@ -208,7 +208,7 @@
 		c.settled(now, saves[0], SaveBack{Outcome: Rejected})
 	}
 	if j := c.jobs[saves[0].Job]; j != nil && (saves[0].Kind == EndJob || saves[0].Kind == EndDoomed) {
-		j.Set(model.JobActive)
-		j.NotBefore = now.Add(c.set.BackoffMost)
+		j.Transition(model.JobActive)
+		j.RetryNotBefore = now.Add(c.set.BackoffMost)
 	}
 }
--- a/internal/reconciler/saves_test.go
+++ b/internal/reconciler/saves_test.go
@@ -21,11 +21,11 @@
 
 func newSlowState(t *testing.T) *slowState {
 	s := &slowState{t: t, now: time.Unix(1000, 0)}
-	spec := stage("wk-000001", time.Second, model.Low)
+	spec := stage("wk-000001", time.Second, model.PriorityLow)
 	spec.Tasks = 3 * model.ChunkTasks
 	s.c = lead(s.now, &Snapshot{Numbered: 64, Jobs: []JobAdded{{Version: 1, At: s.now, Spec: spec}}})
 	s.step(
-		ReportIn{Report: &model.Report{Machine: "n-1", Addr: "n-1", Type: "eight", Zone: "a", Session: 1, Seq: 1, Token: 1}},
+		ReportIn{Report: &model.Heartbeat{Machine: "n-1", Addr: "n-1", Type: "eight", Zone: "a", Epoch: 1, Seq: 1, FencingToken: 1}},
 	)
 	s.answer(OK) // the machine's record
 	return s
@@ -103,7 +103,7 @@
 		s.answer(OK)
 		s.end(4)
 		s.answer(OK)
-		if j := s.c.jobs["wk-000001"]; !j.Saved(0) || !j.Saved(3) {
+		if j := s.c.jobs["wk-000001"]; !j.IsDurable(0) || !j.IsDurable(3) {
 			t.Errorf("after %v: not all is durable", outcome)
 		}
 	}
@@ -113,7 +113,7 @@
 	s := newSlowState(t)
 	s.end(0)
 	s.end(1) // waits behind the first
-	s.step(JobEnded{ID: "wk-000001", End: model.EndCancelled, At: s.now})
+	s.step(JobEnded{ID: "wk-000001", End: model.OutcomeCancelled, At: s.now})
 	s.answer(OK)
 	for _, save := range s.sent {
 		if save.Kind == SaveTasks {
--- a/internal/reconciler/session_test.go
+++ b/internal/reconciler/session_test.go
@@ -13,9 +13,9 @@
 
 // lead makes the core of a leader for a small deployment.
 func lead(now time.Time, snap *Snapshot) *Core {
-	types := []model.MachineType{{Name: "eight", Cap: model.Resources{CPU: 8, MemGB: 64}, Boot: 5 * time.Second}}
+	types := []model.MachineType{{Name: "eight", Capacity: model.Resources{CPU: 8, MemGB: 64}, BootTime: 5 * time.Second}}
 	set := Settings{Member: "tiller-0",
-		Teams:  []model.Team{{Name: "red", Guarantee: model.Resources{CPU: 10}, Limit: model.LimitOf(100, 0)}},
+		Teams:  []model.Team{{Name: "red", Guarantee: model.Resources{CPU: 10}, Quota: model.NewQuota(100, 0)}},
 		Aims:   map[string][]Aim{"last": {{Times: 1}, {Times: 1.5}}},
 		Report: 2 * time.Second, Lease: 12 * time.Second, LeaseMargin: 500 * time.Millisecond, SilentAfter: 7 * time.Second, TxnOps: 12,
 		BackoffMost: time.Minute, Sched: scheduler.Settings{IdleShare: 0.7}, Fleet: autoscaler.Settings{KeepIdle: time.Hour, BootFactor: 100}}
@@ -33,8 +33,8 @@
 		now = now.Add(after)
 		return append([]Effect(nil), c.Step(now, ev)...)
 	}
-	report := func(session, seq uint64) *model.Report {
-		return &model.Report{Machine: "n-1", Addr: "n-1", Type: "eight", Zone: "a", Session: session, Seq: seq, Token: 1}
+	report := func(session, seq uint64) *model.Heartbeat {
+		return &model.Heartbeat{Machine: "n-1", Addr: "n-1", Type: "eight", Zone: "a", Epoch: session, Seq: seq, FencingToken: 1}
 	}
 	for _, e := range step(0, ReportIn{Report: report(1, 1)}) {
 		if s, ok := e.(Commit); ok {
@@ -42,8 +42,8 @@
 		}
 	}
 	step(time.Second, ReportIn{Report: report(1, 2)}) // the last report that is answered
-	step(time.Second, JobAdded{Version: 9, At: now, Spec: &model.Spec{ID: "wk-1", Team: "red", Shape: model.Array, Rank: model.Normal, Tasks: 1,
-		Need: model.Resources{CPU: 4, MemGB: 8}, Estimate: time.Minute}})
+	step(time.Second, JobAdded{Version: 9, At: now, Spec: &model.Spec{ID: "wk-1", Team: "red", Shape: model.Array, Priority: model.PriorityNormal, Tasks: 1,
+		Demand: model.Resources{CPU: 4, MemGB: 8}, EstimatedRunTime: time.Minute}})
 	launches := func(effects []Effect) (n int) {
 		for _, e := range effects {
 			if cmd, ok := e.(Command); ok && len(cmd.Orders) > 0 && cmd.Orders[0].Op == model.OpLaunch {
@@ -62,7 +62,7 @@
 			t.Fatal("started once more")
 		}
 	}
-	if m := c.machines["n-1"]; m.Holding != 1 || m.DeadSession != 1 {
-		t.Errorf("holding %d, sessions up to %d count as over", m.Holding, m.DeadSession)
+	if m := c.machines["n-1"]; m.ActiveCount != 1 || m.DeadSession != 1 {
+		t.Errorf("holding %d, sessions up to %d count as over", m.ActiveCount, m.DeadSession)
 	}
 }
--- a/internal/reconciler/victims.go
+++ b/internal/reconciler/victims.go
@@ -30,13 +30,13 @@
 		return f
 	}
 	return func(nd *scheduler.Node) {
-		held := nd.Machine.Held()
+		held := nd.Machine.ActiveAttempts()
 		nd.Victims = make([]scheduler.Running, 0, len(held))
 		for _, a := range held {
 			switch {
 			case a.Job == nil:
-			case a.State == model.Stopping:
-				nd.Freeing = nd.Freeing.Add(a.Need)
+			case a.State == model.AttemptStopping:
+				nd.Freeing = nd.Freeing.Add(a.Demand)
 			case a.Job.State == model.JobActive:
 				nd.Victims = append(nd.Victims, c.victim(now, a, facts(a.Job)))
 			}
@@ -49,23 +49,23 @@
 	s := a.Job.Spec
 	v := scheduler.Running{
 		Attempt: a,
-		Rank:    a.Job.Rank,
+		Rank:    a.Job.EffectivePriority,
 		Over:    !f.guaranteed,
 		Gang:    s.Shape == model.Gang,
 		Band:    f.band,
 		Slack:   f.slack,
 		Due:     f.due,
 	}
-	if s.Checkpoint > 0 {
+	if s.CheckpointInterval > 0 {
 		v.Save = grace(a)
 	}
 	ran := time.Duration(0)
 	if !a.RunningAt.IsZero() {
 		ran = now.Sub(a.RunningAt)
-		if v.Loss = ran; s.Checkpoint > 0 {
+		if v.Loss = ran; s.CheckpointInterval > 0 {
 			// It saves by itself at each checkpoint. Where between two of them it
 			// is depends on its machine's speed and on what it had done before.
-			v.Loss = min(ran, s.Checkpoint/2)
+			v.Loss = min(ran, s.CheckpointInterval/2)
 		}
 	}
 	v.Young = ran < c.set.Sched.MinRun
@@ -82,7 +82,7 @@
 // the slack is negative once none can be met.
 func (c *Core) slack(now time.Time, j *model.Job, started bool, ran time.Duration) (slack time.Duration, due bool) {
 	s := j.Spec
-	age := now.Sub(j.Since)
+	age := now.Sub(j.EligibleAt)
 	estimate := max(c.runs.estimate(s)-ran, 0)
 	slack = -1
 	date := func(left time.Duration) {
@@ -92,12 +92,12 @@
 		}
 	}
 	if s.Deadline > 0 {
-		date(j.At.Add(s.Deadline).Sub(now) - estimate)
+		date(j.SubmittedAt.Add(s.Deadline).Sub(now) - estimate)
 		for _, times := range c.times[s.Class] {
 			date(c.multiple(j, times).Sub(now) - estimate)
 		}
 	}
-	for _, d := range j.Ahead {
+	for _, d := range j.DownstreamDeadlines {
 		date(d.Sub(now) - estimate)
 	}
 	for _, a := range c.set.Aims[s.Class] {
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -24,8 +24,8 @@
 
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
-// Status returns the status of an answer other than 200, or 0.
-func Status(err error) int {
+// StatusCode returns the status of an answer other than 200, or 0.
+func StatusCode(err error) int {
 	var s *StatusError
 	if errors.As(err, &s) {
 		return s.Status
@@ -35,23 +35,23 @@
 
 // Client sends requests to one address.
 type Client struct {
-	hc *fasthttp.HostClient
+	http *fasthttp.HostClient
 }
 
 // dialTimeout bounds how long a connection may take to come about.
 const dialTimeout = time.Second
 
-// Dial makes a connection.
-type Dial func(addr string) (net.Conn, error)
+// DialFunc makes a connection.
+type DialFunc func(addr string) (net.Conn, error)
 
 // New makes a client for an address with up to conns connections. under puts the making of
 // connections under a condition, such as a budget of sockets; nil: there is none.
-func New(addr string, conns int, under func(Dial) Dial) *Client {
-	open := Dial(dial)
+func New(addr string, conns int, under func(DialFunc) DialFunc) *Client {
+	open := DialFunc(dial)
 	if under != nil {
 		open = under(open)
 	}
-	return &Client{hc: &fasthttp.HostClient{
+	return &Client{http: &fasthttp.HostClient{
 		Addr:                          addr,
 		MaxConns:                      conns,
 		MaxIdleConnDuration:           20 * time.Second,
@@ -74,7 +74,7 @@
 func dial(addr string) (net.Conn, error) { return net.DialTimeout("tcp4", addr, dialTimeout) }
 
 // Close closes the idle connections.
-func (c *Client) Close() { c.hc.CloseIdleConnections() }
+func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Call sends a request and returns the body of a 200. Any other answer is a
 // *StatusError.
@@ -84,12 +84,12 @@
 	defer fasthttp.ReleaseResponse(res)
 	req.Header.SetMethod(method)
 	req.URI().DisablePathNormalizing = true
-	req.SetRequestURI("http://" + c.hc.Addr + uri)
+	req.SetRequestURI("http://" + c.http.Addr + uri)
 	if body != nil {
 		req.Header.SetContentType("application/msgpack")
 		req.SetBodyRaw(body)
 	}
-	if err := c.hc.DoTimeout(req, res, timeout); err != nil {
+	if err := c.http.DoTimeout(req, res, timeout); err != nil {
 		if errors.Is(err, fasthttp.ErrNoFreeConns) {
 			return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
--- a/internal/scheduler/begin.go
+++ b/internal/scheduler/begin.go
@@ -21,7 +21,7 @@
 	if w.Job.Spec.Shape != model.Array {
 		after = s.BeginWithin * 3 / 8
 	}
-	return s.BeginWithin > 0 && !w.Job.Begun() && w.Waited >= after
+	return s.BeginWithin > 0 && !w.Job.Started() && w.Waited >= after
 }
 
 // split has the beginnings of arrays wait by themselves.
@@ -55,7 +55,7 @@
 			continue
 		}
 		zone := ""
-		if spec.OneZone {
+		if spec.SingleZone {
 			zone = nd.Machine.Zone
 		}
 		byZone[zone] = append(byZone[zone], nd)
--- a/internal/scheduler/begin_test.go
+++ b/internal/scheduler/begin_test.go
@@ -18,7 +18,7 @@
 		return w
 	}
 	late := func(id string, waited time.Duration) *Want {
-		w := want(id, 10, func(s *model.Spec) { s.Rank = model.Low })
+		w := want(id, 10, func(s *model.Spec) { s.Priority = model.PriorityLow })
 		w.Due, w.Slack, w.Waited = true, -time.Minute, waited
 		return w
 	}
@@ -41,7 +41,7 @@
 	in.BeginWithin = 200 * time.Second
 	gang := func(id string, tasks int, waited time.Duration) *Want {
 		w := want(id, tasks, func(s *model.Spec) {
-			s.Shape, s.Need = model.Gang, model.Resources{CPU: 8, MemGB: 8}
+			s.Shape, s.Demand = model.Gang, model.Resources{CPU: 8, MemGB: 8}
 		})
 		w.Waited, w.Due, w.Slack = waited, true, 10*time.Second
 		return w
@@ -55,7 +55,7 @@
 	if got := placed(Make(&in, picture(nodes(), gang("wide", 3, 20*time.Second), gang("narrow", 1, 0)))); got == "" {
 		t.Error("kept from what could start before it has waited for long")
 	}
-	large := want("large", 1, func(s *model.Spec) { s.Need.CPU = 8 })
+	large := want("large", 1, func(s *model.Spec) { s.Demand.CPU = 8 })
 	large.Waited = 120 * time.Second
 	p := picture(nodes(), large, want("small", 1, nil))
 	p.Used["red"] = model.Resources{CPU: 95} // of 100
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -15,7 +15,7 @@
 // only just begun stays. It returns nil if there is none.
 func Consolidate(s *Settings, now time.Time, p *Picture, j *model.Job) *model.Attempt {
 	spec := j.Spec
-	if spec.Shape != model.Service || len(j.Live) < spec.Tasks || spec.OneZone && spec.Tasks > 1 {
+	if spec.Shape != model.Service || len(j.ActiveAttempts) < spec.Tasks || spec.SingleZone && spec.Tasks > 1 {
 		return nil
 	}
 	var rules *Rules
@@ -25,14 +25,14 @@
 	dear := p.dearer(spec, rules, s.Dear)
 	zones := map[string]int{}
 	var off, lone []*model.Attempt
-	for _, a := range j.Live {
-		if a.State != model.Present || a.Phase != model.Running || now.Sub(a.RunningAt) < s.MinRun {
+	for _, a := range j.ActiveAttempts {
+		if a.State != model.AttemptPresent || a.Phase != model.PhaseRunning || now.Sub(a.RunningAt) < s.MinRun {
 			return nil // one at a time
 		}
 		zones[a.Machine.Zone]++
 		if rate(a.Machine) > dear {
 			off = append(off, a)
-		} else if a.Machine.Holding == 1 {
+		} else if a.Machine.ActiveCount == 1 {
 			lone = append(lone, a)
 		}
 	}
@@ -43,7 +43,7 @@
 	// loop for up to 1.4 s at 3,300 machines.
 	var room []*Node
 	for _, nd := range p.withImage(spec.Image) {
-		if spec.Need.Fits(nd.Free) && nd.never(j, rules, "") == Fits && !rules.machineFull(nd.Machine) {
+		if spec.Demand.Fits(nd.Free) && nd.never(j, rules, "") == Fits && !rules.machineFull(nd.Machine) {
 			room = append(room, nd)
 		}
 	}
--- a/internal/scheduler/fill.go
+++ b/internal/scheduler/fill.go
@@ -14,13 +14,13 @@
 func (p *Picture) fill(s *Settings, w *Want, n int, zone string, st stage, kept bool) []Placement {
 	spec := w.Job.Spec
 	key := shortOf(w, zone, st)
-	if most := p.short.fits(key, spec.Need); most == 0 || spec.Shape == model.Gang && most > 0 && most < n {
+	if most := p.short.fits(key, spec.Demand); most == 0 || spec.Shape == model.Gang && most > 0 && most < n {
 		return nil
 	}
 	var fits []*Node
 	usable := p.usable(w, zone, st)
 	for _, nd := range p.Nodes {
-		if spec.Need.Fits(nd.Free) && usable(nd) {
+		if spec.Demand.Fits(nd.Free) && usable(nd) {
 			fits = append(fits, nd)
 		}
 	}
@@ -36,9 +36,9 @@
 	for len(got) < n && len(q.nodes) > 0 {
 		best := &q.nodes[0]
 		p.take(w, best.node)
-		got = append(got, Placement{w, best.node, model.Choice{Of: len(fits), Efficiency: best.power, Image: best.image}})
+		got = append(got, Placement{w, best.node, model.Choice{FeasibleNodes: len(fits), Efficiency: best.power, ImageCached: best.image}})
 		// A machine only becomes better by what is placed on it, until it is full.
-		if spec.Need.Fits(best.node.Free) {
+		if spec.Demand.Fits(best.node.Free) {
 			best.power = s.power(best.node, spec)
 			heap.Fix(q, 0)
 		} else {
@@ -50,14 +50,14 @@
 		if kept {
 			most = 0
 		}
-		p.short.add(key, spec.Need, most)
+		p.short.add(key, spec.Demand, most)
 	}
 	return got
 }
 
 // power is the power efficiency of a machine with one more task of a job.
 func (s *Settings) power(nd *Node, spec *model.Spec) float64 {
-	return Efficiency(share(nd.Machine, nd.Machine.Type.Cap.Sub(nd.Free).Add(spec.Need)), s.IdleShare)
+	return Efficiency(share(nd.Machine, nd.Machine.Type.Capacity.Sub(nd.Free).Add(spec.Demand)), s.IdleShare)
 }
 
 // ranked is a machine that fits, with what it is compared by.
@@ -111,7 +111,7 @@
 	for len(got) < n {
 		var best *Node
 		var bestEff float64
-		choice := model.Choice{Of: len(fits)}
+		choice := model.Choice{FeasibleNodes: len(fits)}
 		for _, nd := range fits {
 			if nd.now(w) != Fits {
 				continue
@@ -124,11 +124,11 @@
 			}
 			better := eff > bestEff+1e-9
 			if best != nil && !better && eff > bestEff-1e-9 {
-				better = image && !choice.Image || image == choice.Image && rate(nd.Machine) < 0.999*rate(best.Machine)
+				better = image && !choice.ImageCached || image == choice.ImageCached && rate(nd.Machine) < 0.999*rate(best.Machine)
 			}
 			if best == nil || better {
 				best, bestEff = nd, eff
-				choice.Efficiency, choice.Wish, choice.Image = power, wish, image
+				choice.Efficiency, choice.Preference, choice.ImageCached = power, wish, image
 			}
 		}
 		if best == nil {
@@ -142,7 +142,9 @@
 
 // bounded tells that more than room limits how many tasks of the want a machine or a zone
 // may take, or that the machines are weighed by more than efficiency.
-func (w *Want) bounded() bool { return w.Job.Spec.Spread || w.Rules != nil || len(w.Job.ErrorOn) > 0 }
+func (w *Want) bounded() bool {
+	return w.Job.Spec.Spread || w.Rules != nil || len(w.Job.ErrorsByMachine) > 0
+}
 
 // short says where a pass has found that something does not fit: of tasks with these
 // constraints. In a pass room only becomes less, except where something is stopped; so what
@@ -158,7 +160,7 @@
 
 	// Of making room only.
 	team       string
-	rank, own  model.Rank // with what was handed on, and without
+	rank, own  model.Priority // with what was handed on, and without
 	guaranteed bool
 	late       bool // passes ahead of its place in the order
 	stops      int  // that were planned: what they free is room
@@ -166,7 +168,7 @@
 
 func shortOf(w *Want, lock string, st stage) short {
 	spec := w.Job.Spec
-	k := short{zone: spec.Zone, lock: lock, types: strings.Join(spec.Types, " "), spot: spec.Spot, gpu: spec.Need.GPU > 0, gpuToo: w.Job.GPUToo, most: st.rate, fetch: st.fetch}
+	k := short{zone: spec.Zone, lock: lock, types: strings.Join(spec.MachineTypes, " "), spot: spec.AllowSpot, gpu: spec.Demand.GPU > 0, gpuToo: w.Job.MayUseGPUMachines, most: st.rate, fetch: st.fetch}
 	if st.image {
 		k.cached, k.image = true, spec.Image
 	}
--- a/internal/scheduler/judge.go
+++ b/internal/scheduler/judge.go
@@ -115,7 +115,7 @@
 func zoneCap(spec *model.Spec, r *Rules) int {
 	most := math.MaxInt
 	if spec.Spread {
-		most = spec.ZoneCap()
+		most = spec.MaxTasksPerZone()
 	}
 	if r != nil && r.PerZone > 0 {
 		most = min(most, r.PerZone)
@@ -148,11 +148,11 @@
 		return OtherZone
 	case spec.Zone != "" && m.Zone != spec.Zone:
 		return WrongZone
-	case m.Spot && !spec.Spot:
+	case m.Spot && !spec.AllowSpot:
 		return NoSpot
 	case !spec.AllowsType(m.Type.Name):
 		return WrongType
-	case !spec.Need.Fits(m.Type.Cap):
+	case !spec.Demand.Fits(m.Type.Capacity):
 		return TooSmall
 	case rules == nil:
 		return Fits
@@ -172,7 +172,7 @@
 	switch {
 	case nd.kept(j):
 		return KeptForGPU
-	case j.ErrorOn[nd.Machine.Name] > 0:
+	case j.ErrorsByMachine[nd.Machine.Name] > 0:
 		return Failed
 	}
 	return Fits
@@ -181,7 +181,7 @@
 // now judges what is left for one more task of a want.
 func (nd *Node) now(w *Want) Refusal {
 	switch {
-	case !w.Job.Spec.Need.Fits(nd.Free):
+	case !w.Job.Spec.Demand.Fits(nd.Free):
 		return NoRoom
 	case w.ZoneFull(w.Zones, nd.Machine.Zone):
 		return ZoneFull
--- a/internal/scheduler/kinds.go
+++ b/internal/scheduler/kinds.go
@@ -53,7 +53,7 @@
 	if w.Rules != nil {
 		return func(nd *Node) bool { return nd.never(w.Job, w.Rules, zone) == Fits && st.takes(nd, spec) }
 	}
-	kinds, failed := p.machineKinds(), w.Job.ErrorOn
+	kinds, failed := p.machineKinds(), w.Job.ErrorsByMachine
 	may := make([]bool, len(kinds))
 	for i, nd := range kinds {
 		may[i] = nd.may(spec, nil, zone) == Fits && !nd.kept(w.Job) && st.takesKind(nd)
@@ -68,7 +68,7 @@
 	if p.byImage == nil {
 		p.byImage = map[string][]*Node{}
 		for _, nd := range p.Nodes {
-			for held := range nd.Machine.Images {
+			for held := range nd.Machine.CachedImages {
 				p.byImage[held] = append(p.byImage[held], nd)
 			}
 		}
--- a/internal/scheduler/look_test.go
+++ b/internal/scheduler/look_test.go
@@ -26,9 +26,9 @@
 }
 
 var drawnTypes = []*model.MachineType{
-	{Name: "small", Cap: model.Resources{CPU: 4, MemGB: 16}, FetchGBPerS: 1, Price: 0.17, SpotPrice: 0.05},
-	{Name: "cards", Cap: model.Resources{CPU: 48, GPU: 4, MemGB: 384}, FetchGBPerS: 0.3, Price: 9.7, SpotPrice: 2.7},
-	{Name: "large", Cap: model.Resources{CPU: 16, MemGB: 64}, FetchGBPerS: 2, Price: 0.9, SpotPrice: 0.2},
+	{Name: "small", Capacity: model.Resources{CPU: 4, MemGB: 16}, FetchGBPerS: 1, PricePerHour: 0.17, SpotPricePerHour: 0.05},
+	{Name: "cards", Capacity: model.Resources{CPU: 48, GPU: 4, MemGB: 384}, FetchGBPerS: 0.3, PricePerHour: 9.7, SpotPricePerHour: 2.7},
+	{Name: "large", Capacity: model.Resources{CPU: 16, MemGB: 64}, FetchGBPerS: 2, PricePerHour: 0.9, SpotPricePerHour: 0.2},
 }
 
 func drawPicture(t *rapid.T) *drawn {
@@ -36,18 +36,18 @@
 	number := func(from, to int, what string) int { return rapid.IntRange(from, to).Draw(t, what) }
 	teams := []string{"red", "blue", "green"}
 	for _, name := range teams {
-		d.teams[name] = &model.Team{Name: name, Limit: model.LimitOf(float64(number(0, 3, "limit")*40), 0)}
+		d.teams[name] = &model.Team{Name: name, Quota: model.NewQuota(float64(number(0, 3, "limit")*40), 0)}
 		d.used[name] = model.Resources{CPU: float64(number(0, 60, "used"))}
 	}
 	for i := range number(1, 30, "machines") {
 		m := &model.Machine{
-			Name:   fmt.Sprint("m", i),
-			Zone:   rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"),
-			Spot:   number(0, 2, "spot") == 0,
-			Type:   drawnTypes[number(0, 2, "type")],
-			Images: map[string]time.Time{fmt.Sprint("img", number(0, 2, "image")): {}},
+			Name:         fmt.Sprint("m", i),
+			Zone:         rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"),
+			Spot:         number(0, 2, "spot") == 0,
+			Type:         drawnTypes[number(0, 2, "type")],
+			CachedImages: map[string]time.Time{fmt.Sprint("img", number(0, 2, "image")): {}},
 		}
-		free, freeing, victims := m.Type.Cap, model.Resources{}, []Running(nil)
+		free, freeing, victims := m.Type.Capacity, model.Resources{}, []Running(nil)
 		for k := range number(0, 5, "attempts") {
 			need := model.Resources{CPU: float64(number(1, 4, "cpus")), MemGB: 2}
 			if !need.Fits(free) {
@@ -61,12 +61,12 @@
 			a := &model.Attempt{
 				Task:    model.TaskID{Job: fmt.Sprintf("%s-%d", m.Name, k)},
 				Team:    rapid.SampledFrom(teams).Draw(t, "team"),
-				Need:    need,
+				Demand:  need,
 				Machine: m,
 			}
 			victims = append(
 				victims,
-				Running{Attempt: a, Rank: model.Rank(number(1, 4, "rank")), Over: number(0, 1, "over") == 0,
+				Running{Attempt: a, Rank: model.Priority(number(1, 4, "rank")), Over: number(0, 1, "over") == 0,
 					Loss: time.Duration(
 						number(0, 90, "loss"),
 					) * time.Second, Save: time.Duration(number(0, 1, "saves")*4) * time.Second, Young: number(0, 3, "young") == 0,
@@ -86,18 +86,18 @@
 			Team:  rapid.SampledFrom(teams).Draw(t, "owner"),
 			Shape: model.Shape(number(1, 3, "shape")),
 			Tasks: number(1, 6, "tasks"),
-			Rank: model.Rank(
+			Priority: model.Priority(
 				number(1, 4, "its rank"),
 			),
-			Need: model.Resources{CPU: float64(number(1, 8, "its cpus")), MemGB: 1},
-			Spot: number(0, 1, "its spot") == 0,
+			Demand:    model.Resources{CPU: float64(number(1, 8, "its cpus")), MemGB: 1},
+			AllowSpot: number(0, 1, "its spot") == 0,
 			Image: fmt.Sprint(
 				"img",
 				number(0, 2, "its image"),
 			),
-			ImageGB: 1,
-			OneZone: number(0, 4, "one zone") == 0,
-			Spread:  number(0, 5, "spread") == 0,
+			ImageGB:    1,
+			SingleZone: number(0, 4, "one zone") == 0,
+			Spread:     number(0, 5, "spread") == 0,
 		}
 		d.specs = append(d.specs, s)
 		d.wants = append(
@@ -200,11 +200,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPicture(t).picture(false)
 		for _, nd := range p.Nodes {
-			nd.ForGPU = nd.Machine.Type.Cap.GPU > 0 && !nd.Machine.Spot
+			nd.ForGPU = nd.Machine.Type.Capacity.GPU > 0 && !nd.Machine.Spot
 		}
 		for _, w := range p.Wants {
 			if rapid.IntRange(0, 2).Draw(t, "failed somewhere") == 0 {
-				w.Job.ErrorOn = map[string]int{rapid.SampledFrom(p.Nodes).Draw(t, "where").Machine.Name: 1}
+				w.Job.ErrorsByMachine = map[string]int{rapid.SampledFrom(p.Nodes).Draw(t, "where").Machine.Name: 1}
 			}
 			zone := rapid.SampledFrom([]string{"", "x"}).Draw(t, "in")
 			st := stage{
@@ -257,13 +257,13 @@
 					Task:      model.TaskID{Job: j.Spec.ID, Index: i},
 					Job:       j,
 					Machine:   m,
-					Need:      j.Spec.Need,
-					Use:       &model.Usage{},
-					Phase:     model.Running,
+					Demand:    j.Spec.Demand,
+					Usage:     &model.Usage{},
+					Phase:     model.PhaseRunning,
 					RunningAt: now.Add(-time.Duration(rapid.IntRange(25, 300).Draw(t, "ran")) * time.Second),
 				}
-				a.Set(model.Present)
-				j.Live[i] = a
+				a.Transition(model.AttemptPresent)
+				j.ActiveAttempts[i] = a
 			}
 			got, want := Consolidate(&set, now, p, j), consolidateByAll(&set, now, p, j)
 			if got != want {
@@ -282,21 +282,21 @@
 // consolidateByAll is Consolidate with a look at all machines for each replica, as it was.
 func consolidateByAll(s *Settings, now time.Time, p *Picture, j *model.Job) *model.Attempt {
 	spec := j.Spec
-	if spec.Shape != model.Service || len(j.Live) < spec.Tasks || spec.OneZone && spec.Tasks > 1 {
+	if spec.Shape != model.Service || len(j.ActiveAttempts) < spec.Tasks || spec.SingleZone && spec.Tasks > 1 {
 		return nil
 	}
 	dear := p.dearer(spec, nil, s.Dear)
 	zones := map[string]int{}
 	var off, lone []*model.Attempt
 	for i := range spec.Tasks {
-		a := j.Live[i]
-		if a.State != model.Present || a.Phase != model.Running || now.Sub(a.RunningAt) < s.MinRun {
+		a := j.ActiveAttempts[i]
+		if a.State != model.AttemptPresent || a.Phase != model.PhaseRunning || now.Sub(a.RunningAt) < s.MinRun {
 			return nil
 		}
 		zones[a.Machine.Zone]++
 		if rate(a.Machine) > dear {
 			off = append(off, a)
-		} else if a.Machine.Holding == 1 {
+		} else if a.Machine.ActiveCount == 1 {
 			lone = append(lone, a)
 		}
 	}
@@ -305,7 +305,7 @@
 		if nd.Machine.Zone == a.Machine.Zone {
 			room--
 		}
-		return nd.Machine != a.Machine && nd.hasImage(spec) && nd.never(j, nil, "") == Fits && spec.Need.Fits(nd.Free) &&
+		return nd.Machine != a.Machine && nd.hasImage(spec) && nd.never(j, nil, "") == Fits && spec.Demand.Fits(nd.Free) &&
 			room < zoneCap(spec, nil)
 	}
 	for _, a := range off {
--- a/internal/scheduler/room.go
+++ b/internal/scheduler/room.go
@@ -13,12 +13,12 @@
 // also stand behind the want in the order. Guards against two kinds of work that
 // stop each other in turns: one that goes first would take its place back at once.
 func (w *Want) mayStop(v *Running) bool {
-	if v.Rank == model.Production {
+	if v.Rank == model.PriorityProduction {
 		return false // its users would miss it at once
 	}
-	rank := w.Job.Rank
+	rank := w.Job.EffectivePriority
 	if !v.Over && v.Attempt.Team != w.Job.Spec.Team {
-		rank = w.Job.Spec.Rank // one that was handed on does not reach into others' guarantees
+		rank = w.Job.Spec.Priority // one that was handed on does not reach into others' guarantees
 	}
 	if v.Rank >= rank && !(w.Guaranteed && v.Over && v.Attempt.Team != w.Job.Spec.Team) {
 		return false
@@ -30,13 +30,13 @@
 // them may be stopped for a want: attempts that are stopped stay counted.
 type stoppable struct {
 	any  bool
-	rank model.Rank // the lowest
-	over bool       // one runs beyond its team's guarantee
-	last standing   // of the one that stands last
+	rank model.Priority // the lowest
+	over bool           // one runs beyond its team's guarantee
+	last standing       // of the one that stands last
 }
 
 func (s *stoppable) add(v *Running) {
-	if v.Rank == model.Production {
+	if v.Rank == model.PriorityProduction {
 		return
 	}
 	if !s.any || v.Rank < s.rank {
@@ -51,7 +51,7 @@
 // may tells whether any of the attempts might be stopped for a want; mayStop decides on each. Guards against a look at
 // all that runs on thousands of machines for each of the wants in whose favour nothing may be stopped.
 func (s *stoppable) may(w *Want) bool {
-	return s.any && (s.rank < w.Job.Rank || w.Guaranteed && s.over) && w.at.compare(s.last) < 0
+	return s.any && (s.rank < w.Job.EffectivePriority || w.Guaranteed && s.over) && w.at.compare(s.last) < 0
 }
 
 // preempt makes room for tasks that fit nowhere: first it claims what is being
@@ -67,17 +67,17 @@
 		zones[z] = n
 	}
 	lock := ""
-	if spec.OneZone {
+	if spec.SingleZone {
 		if h := held(zones); len(h) > 0 {
 			lock = h[0]
 		}
 	}
 	key := shortOf(w, lock, st)
-	key.rank, key.own, key.guaranteed, key.late, key.stops = w.Job.Rank, spec.Rank, w.Guaranteed, w.at.lane == laneOvertake, len(plan.Stop)
-	if w.Guaranteed || w.Job.Rank != spec.Rank {
+	key.rank, key.own, key.guaranteed, key.late, key.stops = w.Job.EffectivePriority, spec.Priority, w.Guaranteed, w.at.lane == laneOvertake, len(plan.Stop)
+	if w.Guaranteed || w.Job.EffectivePriority != spec.Priority {
 		key.team = spec.Team // what makes way is not the same for all teams
 	}
-	if p.short.fits(key, spec.Need) == 0 {
+	if p.short.fits(key, spec.Demand) == 0 {
 		return 0
 	}
 	// What could make way is worked out once a machine, and anew where it changes.
@@ -110,7 +110,7 @@
 		}
 		if best == nil {
 			if found == 0 && lock == "" && !w.bounded() {
-				p.short.add(key, spec.Need, 0)
+				p.short.add(key, spec.Demand, 0)
 			}
 			return found
 		}
@@ -119,19 +119,19 @@
 		for _, i := range best.set {
 			v := nd.Victims[i]
 			plan.stop(v, w)
-			nd.Freeing = nd.Freeing.Add(v.Attempt.Need)
+			nd.Freeing = nd.Freeing.Add(v.Attempt.Demand)
 			*stops--
 		}
 		nd.drop(best.set)
 		// What is free now is claimed too, so that nobody behind takes it.
-		take := model.Resources{CPU: min(spec.Need.CPU, max(nd.Free.CPU, 0)), GPU: min(spec.Need.GPU, max(nd.Free.GPU, 0)),
-			MemGB: min(spec.Need.MemGB, max(nd.Free.MemGB, 0))}
+		take := model.Resources{CPU: min(spec.Demand.CPU, max(nd.Free.CPU, 0)), GPU: min(spec.Demand.GPU, max(nd.Free.GPU, 0)),
+			MemGB: min(spec.Demand.MemGB, max(nd.Free.MemGB, 0))}
 		nd.Free = nd.Free.Sub(take)
-		nd.claimed = nd.claimed.Add(spec.Need.Sub(take))
+		nd.claimed = nd.claimed.Add(spec.Demand.Sub(take))
 		zones[nd.Machine.Zone]++
 		w.Rules.put(nd.Machine, 1)
 		defer w.Rules.put(nd.Machine, -1)
-		if spec.OneZone {
+		if spec.SingleZone {
 			lock = nd.Machine.Zone
 		}
 		best.known = false
@@ -153,7 +153,7 @@
 func (c *candidate) judge(w *Want, stops int) {
 	nd, spec := c.nd, w.Job.Spec
 	free := nd.Free.Add(nd.Freeing).Sub(nd.claimed)
-	c.known, c.free, c.ok, c.set = true, spec.Need.Fits(free), false, nil
+	c.known, c.free, c.ok, c.set = true, spec.Demand.Fits(free), false, nil
 	if c.free || !nd.stops.may(w) {
 		return
 	}
@@ -168,8 +168,8 @@
 // what loses least first, and none that has only just begun.
 func (p *Picture) yield(plan *Plan, w *Want, tasks, room int, stops *int) {
 	spec := w.Job.Spec
-	claim := spec.Need.Times(tasks - room)
-	spare := p.Teams[spec.Team].Limit.Left(p.Used[spec.Team].Add(spec.Need.Times(room))).AtLeastZero()
+	claim := spec.Demand.Times(tasks - room)
+	spare := p.Teams[spec.Team].Quota.Remaining(p.Used[spec.Team].Add(spec.Demand.Times(room))).AtLeastZero()
 	missing := claim.Sub(p.Leaving[spec.Team]).Sub(spare)
 	type at struct {
 		nd *Node
@@ -183,7 +183,7 @@
 		}
 		p.look(nd)
 		for i, v := range nd.Victims {
-			if v.Attempt.Team == spec.Team && v.Rank < w.Job.Rank && w.mayStop(&v) && !v.Gang && (!v.Young || v.Rank == model.Low && w.tier() == 0) &&
+			if v.Attempt.Team == spec.Team && v.Rank < w.Job.EffectivePriority && w.mayStop(&v) && !v.Gang && (!v.Young || v.Rank == model.PriorityLow && w.tier() == 0) &&
 				(v.Save > 0 || w.tier() == 0) {
 				may = append(may, at{nd, i})
 			}
@@ -200,9 +200,9 @@
 		r := v.nd.Victims[v.i]
 		plan.stop(r, w)
 		*stops--
-		missing = missing.Sub(r.Attempt.Need)
-		p.Leaving[spec.Team] = p.Leaving[spec.Team].Add(r.Attempt.Need)
-		v.nd.Freeing = v.nd.Freeing.Add(r.Attempt.Need)
+		missing = missing.Sub(r.Attempt.Demand)
+		p.Leaving[spec.Team] = p.Leaving[spec.Team].Add(r.Attempt.Demand)
+		v.nd.Freeing = v.nd.Freeing.Add(r.Attempt.Demand)
 		taken[v.nd] = append(taken[v.nd], v.i)
 	}
 	// What is on its way out is spoken for, and so is the room that is free under
@@ -249,14 +249,14 @@
 	var set []int
 	var loss time.Duration
 	for _, i := range may {
-		if spec.Need.Fits(free) || len(set) >= most {
+		if spec.Demand.Fits(free) || len(set) >= most {
 			break
 		}
 		set = append(set, i)
-		free = free.Add(nd.Victims[i].Attempt.Need)
+		free = free.Add(nd.Victims[i].Attempt.Demand)
 		loss += cost(&nd.Victims[i], w)
 	}
-	return set, loss, spec.Need.Fits(free) && len(set) > 0
+	return set, loss, spec.Demand.Fits(free) && len(set) > 0
 }
 
 // tight is the slack of an attempt that would likely miss its date if stopped.
--- a/internal/scheduler/sched.go
+++ b/internal/scheduler/sched.go
@@ -33,7 +33,7 @@
 // Running is an attempt on a node that could be stopped to make room.
 type Running struct {
 	Attempt *model.Attempt
-	Rank    model.Rank
+	Rank    model.Priority
 	Over    bool          // its job runs beyond its team's guarantee
 	Loss    time.Duration // work that it loses if it exits at once
 	Save    time.Duration // time to save before it exits; 0: it never saves
@@ -206,7 +206,7 @@
 // first, then what its team's guarantee covers, then the rest.
 func (w *Want) tier() int {
 	switch {
-	case w.Job.Rank == model.Production:
+	case w.Job.EffectivePriority == model.PriorityProduction:
 		return tierProduction
 	case w.Guaranteed:
 		return tierGuaranteed
@@ -222,7 +222,7 @@
 )
 
 // Urgent tells that the want is not to wait for what may become free.
-func (w *Want) Urgent() bool { return w.Job.Rank == model.Production }
+func (w *Want) Urgent() bool { return w.Job.EffectivePriority == model.PriorityProduction }
 
 // The lanes of the design's order inside a tier.
 const (
@@ -257,7 +257,7 @@
 	lane          int
 	restart       bool
 	slack, waited time.Duration
-	rank          model.Rank
+	rank          model.Priority
 }
 
 func (w *Want) standing(s *Settings) standing {
@@ -265,7 +265,7 @@
 	if w.Begins {
 		tier = min(tier, tierGuaranteed) // in the order only: it stops nobody for it
 	}
-	return standing{tier, beyond(tier, w.Band), w.lane(s), w.Restart, w.Slack, w.Waited, w.Job.Rank}
+	return standing{tier, beyond(tier, w.Band), w.lane(s), w.Restart, w.Slack, w.Waited, w.Job.EffectivePriority}
 }
 
 // beyond is a band where it counts: only in what goes beyond guarantees.
@@ -281,7 +281,7 @@
 func (v *Running) standing() standing {
 	at := standing{tier: 2, lane: laneSlack, slack: v.Slack, rank: v.Rank}
 	switch {
-	case v.Rank == model.Production:
+	case v.Rank == model.PriorityProduction:
 		at.tier = 0
 	case !v.Over:
 		at.tier = 1
@@ -371,9 +371,9 @@
 
 // share is the busy share of a machine: the larger of its CPUs' and its GPUs'.
 func share(m *model.Machine, used model.Resources) float64 {
-	u := used.CPU / m.Type.Cap.CPU
-	if m.Type.Cap.GPU > 0 {
-		u = max(u, used.GPU/m.Type.Cap.GPU)
+	u := used.CPU / m.Type.Capacity.CPU
+	if m.Type.Capacity.GPU > 0 {
+		u = max(u, used.GPU/m.Type.Capacity.GPU)
 	}
 	return u
 }
@@ -396,7 +396,7 @@
 		if team == nil {
 			continue
 		}
-		room := spec.Need.CountIn(team.Limit.Left(p.Used[spec.Team]))
+		room := spec.Demand.FitCount(team.Quota.Remaining(p.Used[spec.Team]))
 		limited := room < n
 		yields := limited && (w.tier() == 0 || w.lane(s) == laneSlack && w.Slack < s.Tight)
 		if yields {
@@ -405,7 +405,7 @@
 		if spec.Shape != model.Array && limited && w.Count == spec.Tasks {
 			if yields || w.Begins {
 				// It waits to start whole: what it has already is kept for it.
-				p.Used[spec.Team] = p.Used[spec.Team].Add(spec.Need.Times(room))
+				p.Used[spec.Team] = p.Used[spec.Team].Add(spec.Demand.Times(room))
 			}
 			plan.Lacking = append(plan.Lacking, Shortage{w, n, true, WhyLimit})
 			continue
@@ -414,7 +414,7 @@
 		if n <= 0 {
 			if w.Begins && limited {
 				// So that smaller tasks of its team do not take the room bit by bit.
-				p.Used[spec.Team] = p.Used[spec.Team].Add(spec.Need)
+				p.Used[spec.Team] = p.Used[spec.Team].Add(spec.Demand)
 			}
 			plan.Lacking = append(plan.Lacking, Shortage{w, w.Count, limited, WhyLimit})
 			continue
@@ -424,7 +424,7 @@
 		// the next pass, finds the machine's room taken in the one after, and so on: 130 tasks lost for two replicas.
 		makeRoom := func(lack int, st stage) int {
 			found := p.preempt(plan, w, lack, &stops, st)
-			p.Used[spec.Team] = p.Used[spec.Team].Add(spec.Need.Times(found))
+			p.Used[spec.Team] = p.Used[spec.Team].Add(spec.Demand.Times(found))
 			return found
 		}
 		later := 0
@@ -503,9 +503,9 @@
 // rate is what a CPU of a machine costs an hour.
 func rate(m *model.Machine) float64 {
 	if m.Spot {
-		return m.Type.SpotPrice / m.Type.Cap.CPU
+		return m.Type.SpotPricePerHour / m.Type.Capacity.CPU
 	}
-	return m.Type.Price / m.Type.Cap.CPU
+	return m.Type.PricePerHour / m.Type.Capacity.CPU
 }
 
 // zones lists the zones that machines are in: what has to be in one zone may be in any of them,
@@ -528,12 +528,12 @@
 	}
 	spec := w.Job.Spec
 	zones := []string{spec.Zone}
-	if spec.OneZone && spec.Zone == "" {
+	if spec.SingleZone && spec.Zone == "" {
 		if zones = held(w.Zones); len(zones) == 0 {
 			zones = p.zones()
 		}
 	}
-	if !spec.OneZone && spec.Shape != model.Gang {
+	if !spec.SingleZone && spec.Shape != model.Gang {
 		got := p.fill(s, w, n, spec.Zone, st, true)
 		p.commit(plan, w, got)
 		return len(got)
@@ -560,8 +560,8 @@
 func (p *Picture) RoomIn(w *Want, zone string) int {
 	n := 0
 	for _, nd := range p.Nodes {
-		if spec := w.Job.Spec; spec.Need.Fits(nd.Free) && nd.never(w.Job, w.Rules, zone) == Fits {
-			n += min(spec.Need.CountIn(nd.Free), w.PerMachine())
+		if spec := w.Job.Spec; spec.Demand.Fits(nd.Free) && nd.never(w.Job, w.Rules, zone) == Fits {
+			n += min(spec.Demand.FitCount(nd.Free), w.PerMachine())
 		}
 	}
 	return n
@@ -578,7 +578,7 @@
 }
 
 func (p *Picture) take(w *Want, nd *Node) {
-	nd.Free = nd.Free.Sub(w.Job.Spec.Need)
+	nd.Free = nd.Free.Sub(w.Job.Spec.Demand)
 	w.Zones[nd.Machine.Zone]++
 	w.Rules.put(nd.Machine, 1)
 }
@@ -586,7 +586,7 @@
 func (p *Picture) undo(w *Want, places []Placement) {
 	for _, pl := range places {
 		nd := pl.Node
-		nd.Free = nd.Free.Add(w.Job.Spec.Need)
+		nd.Free = nd.Free.Add(w.Job.Spec.Demand)
 		w.Zones[nd.Machine.Zone]--
 		w.Rules.put(nd.Machine, -1)
 	}
@@ -595,16 +595,18 @@
 func (p *Picture) commit(plan *Plan, w *Want, places []Placement) {
 	spec := w.Job.Spec
 	plan.Place = append(plan.Place, places...)
-	p.Used[spec.Team] = p.Used[spec.Team].Add(spec.Need.Times(len(places)))
+	p.Used[spec.Team] = p.Used[spec.Team].Add(spec.Demand.Times(len(places)))
 }
 
 // kept tells whether a machine is kept for GPU work, which this job is not.
 // Guards against a few small tasks that hold the dearest machines for hours, but keeps
 // nothing from work that no other machine takes.
-func (nd *Node) kept(j *model.Job) bool { return nd.ForGPU && j.Spec.Need.GPU == 0 && !j.GPUToo }
+func (nd *Node) kept(j *model.Job) bool {
+	return nd.ForGPU && j.Spec.Demand.GPU == 0 && !j.MayUseGPUMachines
+}
 
 // hasImage tells whether a machine is known to hold the job's image.
 func (nd *Node) hasImage(spec *model.Spec) bool {
-	_, ok := nd.Machine.Images[spec.Image]
+	_, ok := nd.Machine.CachedImages[spec.Image]
 	return ok
 }
--- a/internal/scheduler/sched_test.go
+++ b/internal/scheduler/sched_test.go
@@ -13,18 +13,18 @@
 var set = &Settings{IdleShare: 0.7, Overtake: time.Minute, OvertakeLate: 15 * time.Minute, MaxPreempt: 8, MinRun: 30 * time.Second,
 	Dear: 2, Tight: 30 * time.Second, ImageFirst: true, PreemptWithin: true}
 
-var cheap = &model.MachineType{Name: "eight", Cap: model.Resources{CPU: 8, MemGB: 64}, Price: 1, SpotPrice: 0.3}
-var dear = &model.MachineType{Name: "gpu", Cap: model.Resources{CPU: 48, GPU: 4, MemGB: 384}, Price: 60, SpotPrice: 20}
+var cheap = &model.MachineType{Name: "eight", Capacity: model.Resources{CPU: 8, MemGB: 64}, PricePerHour: 1, SpotPricePerHour: 0.3}
+var dear = &model.MachineType{Name: "gpu", Capacity: model.Resources{CPU: 48, GPU: 4, MemGB: 384}, PricePerHour: 60, SpotPricePerHour: 20}
 
 // node makes a machine on which used CPUs are taken.
 func node(name, zone string, t *model.MachineType, used float64) *Node {
-	m := &model.Machine{Name: name, Zone: zone, Type: t, Images: map[string]time.Time{}}
-	return &Node{Machine: m, Free: t.Cap.Sub(model.Resources{CPU: used, MemGB: used})}
+	m := &model.Machine{Name: name, Zone: zone, Type: t, CachedImages: map[string]time.Time{}}
+	return &Node{Machine: m, Free: t.Capacity.Sub(model.Resources{CPU: used, MemGB: used})}
 }
 
 // want makes tasks of four CPUs that wait.
 func want(id string, tasks int, change func(*model.Spec)) *Want {
-	s := &model.Spec{ID: id, Team: "red", Shape: model.Array, Rank: model.Normal, Tasks: tasks, Need: model.Resources{CPU: 4, MemGB: 4}, Image: "img", Spot: true}
+	s := &model.Spec{ID: id, Team: "red", Shape: model.Array, Priority: model.PriorityNormal, Tasks: tasks, Demand: model.Resources{CPU: 4, MemGB: 4}, Image: "img", AllowSpot: true}
 	if change != nil {
 		change(s)
 	}
@@ -32,8 +32,8 @@
 }
 
 // running puts an attempt of another job on a node.
-func running(nd *Node, team string, rank model.Rank, change func(*Running)) *model.Attempt {
-	a := &model.Attempt{Team: team, Need: model.Resources{CPU: 4, MemGB: 4}, Machine: nd.Machine}
+func running(nd *Node, team string, rank model.Priority, change func(*Running)) *model.Attempt {
+	a := &model.Attempt{Team: team, Demand: model.Resources{CPU: 4, MemGB: 4}, Machine: nd.Machine}
 	v := Running{Attempt: a, Rank: rank, Over: true}
 	if change != nil {
 		change(&v)
@@ -45,7 +45,7 @@
 func picture(nodes []*Node, wants ...*Want) *Picture {
 	p := &Picture{Nodes: nodes, Wants: wants, Used: map[string]model.Resources{}, Leaving: map[string]model.Resources{}, Teams: map[string]*model.Team{}, Zones: []string{"a", "b"}}
 	for _, t := range []string{"red", "blue"} {
-		p.Teams[t] = &model.Team{Name: t, Guarantee: model.Resources{CPU: 8}, Limit: model.LimitOf(100, 8)}
+		p.Teams[t] = &model.Team{Name: t, Guarantee: model.Resources{CPU: 8}, Quota: model.NewQuota(100, 8)}
 	}
 	return p
 }
@@ -75,7 +75,7 @@
 	slow.FetchGBPerS, fast.FetchGBPerS = 0.3, 0.6
 	nodes := func() []*Node { return []*Node{node("slow", "a", &slow, 4), node("fast", "a", &fast, 0)} }
 	service := func(slack time.Duration) *Want {
-		w := want("s", 1, func(s *model.Spec) { s.Shape, s.Rank, s.ImageGB = model.Service, model.Production, 0.6 })
+		w := want("s", 1, func(s *model.Spec) { s.Shape, s.Priority, s.ImageGB = model.Service, model.PriorityProduction, 0.6 })
 		w.Due, w.Slack = slack != 0, slack
 		return w
 	}
@@ -89,7 +89,7 @@
 	}
 	full := nodes()
 	full[1].Free = model.Resources{}
-	low := running(full[1], "blue", model.Low, nil)
+	low := running(full[1], "blue", model.PriorityLow, nil)
 	if plan := Make(&in, picture(full, service(2*time.Second))); len(plan.Place) != 0 || len(plan.Stop) != 1 || plan.Stop[0].Attempt != low {
 		t.Errorf("the fast one is full: placed %s, stopped %v", placed(plan), plan.Stop)
 	}
@@ -102,17 +102,17 @@
 		p := picture([]*Node{node("from", "a", cheap, 0), node("to", "a", cheap, 0), node("other", "a", cheap, 0)})
 		hold := func(nd *Node, n int) {
 			for range n {
-				j := model.NewJob(&model.Spec{ID: fmt.Sprintf("%s-%d", nd.Machine.Name, nd.Machine.Holding), Shape: model.Service, Tasks: 1, Need: model.Resources{CPU: 1, MemGB: 1}, Image: "img"}, time.Unix(0, 0), 1)
-				a := &model.Attempt{Task: model.TaskID{Job: j.Spec.ID}, Job: j, Machine: nd.Machine, Need: j.Spec.Need, Use: &model.Usage{}, Phase: model.Running, RunningAt: time.Unix(1, 0)}
-				a.Set(model.Present)
-				j.Live[0] = a
-				if nd.Machine.Rows == nil {
-					nd.Machine.Rows = map[model.AttemptKey]*model.Attempt{}
+				j := model.NewJob(&model.Spec{ID: fmt.Sprintf("%s-%d", nd.Machine.Name, nd.Machine.ActiveCount), Shape: model.Service, Tasks: 1, Demand: model.Resources{CPU: 1, MemGB: 1}, Image: "img"}, time.Unix(0, 0), 1)
+				a := &model.Attempt{Task: model.TaskID{Job: j.Spec.ID}, Job: j, Machine: nd.Machine, Demand: j.Spec.Demand, Usage: &model.Usage{}, Phase: model.PhaseRunning, RunningAt: time.Unix(1, 0)}
+				a.Transition(model.AttemptPresent)
+				j.ActiveAttempts[0] = a
+				if nd.Machine.Attempts == nil {
+					nd.Machine.Attempts = map[model.AttemptKey]*model.Attempt{}
 				}
-				nd.Machine.Rows[model.AttemptKey{Task: a.Task}] = a
-				nd.Free = nd.Free.Sub(a.Need)
+				nd.Machine.Attempts[model.AttemptKey{Task: a.Task}] = a
+				nd.Free = nd.Free.Sub(a.Demand)
 			}
-			nd.Machine.Images["img"] = time.Unix(1, 0)
+			nd.Machine.CachedImages["img"] = time.Unix(1, 0)
 		}
 		hold(p.Nodes[0], 3)
 		hold(p.Nodes[1], 6)
@@ -126,13 +126,13 @@
 	}{
 		"all have room":            {"from-0", func(_, _, _ *Node) {}},
 		"there is room for two":    {"", func(_, _, other *Node) { other.Free = model.Resources{} }},
-		"the image is not there":   {"", func(_, to, _ *Node) { clear(to.Machine.Images) }},
-		"the busier one is dearer": {"", func(_, to, _ *Node) { dearer := *cheap; dearer.Price = 3; to.Machine.Type = &dearer }},
+		"the image is not there":   {"", func(_, to, _ *Node) { clear(to.Machine.CachedImages) }},
+		"the busier one is dearer": {"", func(_, to, _ *Node) { dearer := *cheap; dearer.PricePerHour = 3; to.Machine.Type = &dearer }},
 		"one has only just begun": {"", func(from, _, _ *Node) {
-			from.Machine.Rows[model.AttemptKey{Task: model.TaskID{Job: "from-1"}}].RunningAt = later
+			from.Machine.Attempts[model.AttemptKey{Task: model.TaskID{Job: "from-1"}}].RunningAt = later
 		}},
 		"something else is there": {"", func(from, _, _ *Node) {
-			from.Machine.Rows[model.AttemptKey{Task: model.TaskID{Job: "from-1"}}].Job.Spec.Shape = model.Array
+			from.Machine.Attempts[model.AttemptKey{Task: model.TaskID{Job: "from-1"}}].Job.Spec.Shape = model.Array
 		}},
 		"none of the others is busier": {"", func(from, to, other *Node) {
 			for _, nd := range []*Node{to, other} {
@@ -152,12 +152,12 @@
 
 // A team without a limit is bounded by machines only, and one with a limit on one amount by that alone.
 func TestATeamWithoutALimit(t *testing.T) {
-	for limit, most := range map[model.Limit]int{{}: 80, model.LimitOf(0, 2): 80, model.LimitOf(20, 0): 5} {
+	for limit, most := range map[model.Quota]int{{}: 80, model.NewQuota(0, 2): 80, model.NewQuota(20, 0): 5} {
 		p := picture(nil, want("x", 90, nil))
 		for i := range 40 {
 			p.Nodes = append(p.Nodes, node(fmt.Sprint("n", i), "a", cheap, 0))
 		}
-		p.Teams["red"].Limit = limit
+		p.Teams["red"].Quota = limit
 		if plan := Make(set, p); len(plan.Place) != most || len(plan.Lacking) > 0 && plan.Lacking[0].Limited != (most == 5) {
 			t.Errorf("limit %v: %d tasks placed, want %d; lacking %+v", limit, len(plan.Place), most, plan.Lacking)
 		}
@@ -173,7 +173,7 @@
 	for i := range 8 {
 		nodes = append(nodes, node(fmt.Sprint("n", i), "a", cheap, 0))
 	}
-	gang := want("gang", 5, func(s *model.Spec) { s.Shape, s.Rank = model.Gang, model.High })
+	gang := want("gang", 5, func(s *model.Spec) { s.Shape, s.Priority = model.Gang, model.PriorityHigh })
 	arrays := want("array", 9, nil)
 	p := picture(nodes, arrays, gang)
 	plan := Make(&steps, p)
@@ -185,7 +185,7 @@
 		t.Fatalf("second pass: %s, more %v", placed(plan), plan.More)
 	}
 	p = picture(nodes[:1], want("array", 9, nil))
-	p.Nodes[0].Free = cheap.Cap
+	p.Nodes[0].Free = cheap.Capacity
 	if plan = Make(&steps, p); len(plan.Place) != 2 || plan.More || plan.Lacking[0].Count != 7 {
 		t.Errorf("short of room: %s, more %v, lacking %v", placed(plan), plan.More, plan.Lacking)
 	}
@@ -226,7 +226,7 @@
 	young.Waited, old.Waited, waiting.Waited = time.Second, 30*time.Second, 61*time.Second
 	sure := due("sure", time.Hour)
 	sure.Guaranteed = true
-	prod := want("prod", 1, func(s *model.Spec) { s.Rank = model.Production })
+	prod := want("prod", 1, func(s *model.Spec) { s.Priority = model.PriorityProduction })
 	wants := []*Want{late, young, loose, old, tight, again, sure, waiting, prod}
 	Order(set, wants)
 	if got, want := ids(wants), "prod sure waiting again tight loose old young late "; got != want {
@@ -236,7 +236,7 @@
 
 func TestAGangStartsWholeOrNotAtAll(t *testing.T) {
 	gang := func(n int, oneZone bool) *Want {
-		return want("g", n, func(s *model.Spec) { s.Shape, s.OneZone = model.Gang, oneZone })
+		return want("g", n, func(s *model.Spec) { s.Shape, s.SingleZone = model.Gang, oneZone })
 	}
 	nodes := func() []*Node {
 		return []*Node{node("a1", "a", cheap, 4), node("a2", "a", cheap, 4), node("b1", "b", cheap, 4)}
@@ -276,17 +276,17 @@
 // goes first in the order, so it would take its place back at once.
 func TestProductionIsNotStoppedForAGuarantee(t *testing.T) {
 	nd := node("a1", "a", cheap, 8)
-	running(nd, "blue", model.Production, nil)
-	spare := running(nd, "blue", model.High, nil)
-	w := want("x", 2, func(s *model.Spec) { s.Rank = model.Low })
+	running(nd, "blue", model.PriorityProduction, nil)
+	spare := running(nd, "blue", model.PriorityHigh, nil)
+	w := want("x", 2, func(s *model.Spec) { s.Priority = model.PriorityLow })
 	w.Guaranteed = true
 	plan := Make(set, picture([]*Node{nd}, w))
 	if len(plan.Stop) != 1 || plan.Stop[0].Attempt != spare {
 		t.Errorf("stopped %v", plan.Stop)
 	}
 	nd = node("a1", "a", cheap, 8)
-	running(nd, "blue", model.Production, func(v *Running) { v.Due, v.Slack = true, time.Hour })
-	s := want("s", 1, func(s *model.Spec) { s.Shape, s.Rank = model.Service, model.Production })
+	running(nd, "blue", model.PriorityProduction, func(v *Running) { v.Due, v.Slack = true, time.Hour })
+	s := want("s", 1, func(s *model.Spec) { s.Shape, s.Priority = model.Service, model.PriorityProduction })
 	s.Guaranteed, s.Due, s.Slack = true, true, time.Second
 	if plan = Make(set, picture([]*Node{nd}, s)); len(plan.Stop) != 0 {
 		t.Errorf("stopped %v for other production", plan.Stop)
@@ -295,8 +295,8 @@
 
 func TestWorkThatNobodyMayStopStays(t *testing.T) {
 	nd := node("a1", "a", cheap, 8)
-	running(nd, "blue", model.Normal, func(v *Running) { v.Over = false })
-	running(nd, "red", model.Normal, nil)
+	running(nd, "blue", model.PriorityNormal, func(v *Running) { v.Over = false })
+	running(nd, "red", model.PriorityNormal, nil)
 	w := want("x", 1, nil)
 	w.Guaranteed = true
 	if plan := Make(set, picture([]*Node{nd}, w)); len(plan.Stop) != 0 {
@@ -306,10 +306,10 @@
 
 func TestProductionMakesRoomWhereItsImageIs(t *testing.T) {
 	free, full := node("free", "a", cheap, 0), node("full", "a", cheap, 8)
-	full.Machine.Images["img"] = time.Unix(1, 0)
-	running(full, "blue", model.Low, func(v *Running) { v.Save, v.Loss = 6*time.Second, 25*time.Second })
-	least := running(full, "blue", model.Low, func(v *Running) { v.Loss = 20 * time.Second })
-	plan := Make(set, picture([]*Node{free, full}, want("s", 1, func(s *model.Spec) { s.Shape, s.Rank = model.Service, model.Production })))
+	full.Machine.CachedImages["img"] = time.Unix(1, 0)
+	running(full, "blue", model.PriorityLow, func(v *Running) { v.Save, v.Loss = 6*time.Second, 25*time.Second })
+	least := running(full, "blue", model.PriorityLow, func(v *Running) { v.Loss = 20 * time.Second })
+	plan := Make(set, picture([]*Node{free, full}, want("s", 1, func(s *model.Spec) { s.Shape, s.Priority = model.Service, model.PriorityProduction })))
 	if len(plan.Place) != 0 || len(plan.Stop) != 1 || plan.Stop[0].Attempt != least || !plan.Stop[0].AtOnce {
 		t.Errorf("placed %s, stopped %v (not what loses least, at once)", placed(plan), plan.Stop)
 	}
@@ -317,8 +317,8 @@
 
 func TestTightDeadlinesMakeLowerWorkOfTheTeamYield(t *testing.T) {
 	nd := node("a1", "a", cheap, 4)
-	low := running(nd, "red", model.Low, func(v *Running) { v.Save = 6 * time.Second })
-	other := running(nd, "blue", model.Low, func(v *Running) { v.Save = 6 * time.Second })
+	low := running(nd, "red", model.PriorityLow, func(v *Running) { v.Save = 6 * time.Second })
+	other := running(nd, "blue", model.PriorityLow, func(v *Running) { v.Save = 6 * time.Second })
 	w := want("x", 1, nil)
 	w.Due, w.Slack = true, 10*time.Second
 	p := picture([]*Node{nd}, w)
@@ -340,12 +340,12 @@
 	if got := placed(Make(set, picture([]*Node{nd}, want("x", 1, nil)))); got != "" {
 		t.Errorf("placed %s", got)
 	}
-	g := want("g", 1, func(s *model.Spec) { s.Need.GPU = 2 })
+	g := want("g", 1, func(s *model.Spec) { s.Demand.GPU = 2 })
 	if got := placed(Make(set, picture([]*Node{nd}, g))); got != "g@gpu " {
 		t.Errorf("GPU work: placed %s", got)
 	}
 	only := want("x", 1, nil)
-	only.Job.GPUToo = true
+	only.Job.MayUseGPUMachines = true
 	if got := placed(Make(set, picture([]*Node{nd}, only))); got != "x@gpu " {
 		t.Errorf("work that no other machine takes: placed %s", got)
 	}
@@ -357,13 +357,13 @@
 func TestAReplicaThatHasAMachineToItselfMovesToABusierOne(t *testing.T) {
 	from, to := node("b", "a", cheap, 4), node("a", "a", cheap, 4)
 	for _, nd := range []*Node{from, to} {
-		nd.Machine.Used, nd.Machine.Holding = model.Resources{CPU: 4, MemGB: 4}, 1
-		nd.Machine.Images["img"] = time.Unix(1, 0)
+		nd.Machine.Used, nd.Machine.ActiveCount = model.Resources{CPU: 4, MemGB: 4}, 1
+		nd.Machine.CachedImages["img"] = time.Unix(1, 0)
 	}
 	w := want("s", 2, func(s *model.Spec) { s.Shape = model.Service })
 	at := func(nd *Node, i int) *model.Attempt {
-		a := &model.Attempt{Task: model.TaskID{Job: "s", Index: i}, Machine: nd.Machine, State: model.Present, Phase: model.Running}
-		w.Job.Live[i] = a
+		a := &model.Attempt{Task: model.TaskID{Job: "s", Index: i}, Machine: nd.Machine, State: model.AttemptPresent, Phase: model.PhaseRunning}
+		w.Job.ActiveAttempts[i] = a
 		return a
 	}
 	stays, moves := at(to, 0), at(from, 1)
@@ -391,13 +391,13 @@
 func TestAReplicaMovesOffADearMachine(t *testing.T) {
 	from, to := node("gpu", "a", dear, 4), node("eight", "a", cheap, 0)
 	w := want("s", 1, func(s *model.Spec) { s.Shape = model.Service })
-	a := &model.Attempt{Task: model.TaskID{Job: "s"}, Machine: from.Machine, State: model.Present, Phase: model.Running}
-	w.Job.Live[0] = a
+	a := &model.Attempt{Task: model.TaskID{Job: "s"}, Machine: from.Machine, State: model.AttemptPresent, Phase: model.PhaseRunning}
+	w.Job.ActiveAttempts[0] = a
 	p := picture([]*Node{from, to})
 	if got := Consolidate(set, later, p, w.Job); got != nil {
 		t.Error("moved to a machine that would have to fetch its image")
 	}
-	to.Machine.Images["img"] = time.Unix(1, 0)
+	to.Machine.CachedImages["img"] = time.Unix(1, 0)
 	p = picture([]*Node{from, to}) // of another pass: a pass finds out once where images are
 	if got := Consolidate(set, later, p, w.Job); got != a {
 		t.Errorf("moves %v", got)
@@ -412,8 +412,8 @@
 // it, while the first part that is made free goes to lower work again and again.
 func TestRoomMadeFreeUnderALimitIsKept(t *testing.T) {
 	nodes := []*Node{node("a1", "a", cheap, 0), node("a2", "a", cheap, 0)}
-	service := want("s", 3, func(s *model.Spec) { s.Shape, s.Rank = model.Service, model.Production })
-	low := want("low", 5, func(s *model.Spec) { s.Rank, s.Need = model.Low, model.Resources{CPU: 2, MemGB: 2} })
+	service := want("s", 3, func(s *model.Spec) { s.Shape, s.Priority = model.Service, model.PriorityProduction })
+	low := want("low", 5, func(s *model.Spec) { s.Priority, s.Demand = model.PriorityLow, model.Resources{CPU: 2, MemGB: 2} })
 	p := picture(nodes, low, service)
 	p.Used["red"] = model.Resources{CPU: 94} // one replica fits under the limit, not three
 	if plan := Make(set, p); len(plan.Place) != 0 {
@@ -432,10 +432,10 @@
 // machine in zone a.
 func TestTheLimitIsKeptForWhatOthersMakeWayFor(t *testing.T) {
 	a, b := node("a-1", "a", cheap, 4), node("b-1", "b", cheap, 8)
-	running(b, "blue", model.Normal, nil)
-	running(b, "blue", model.Normal, nil)
+	running(b, "blue", model.PriorityNormal, nil)
+	running(b, "blue", model.PriorityNormal, nil)
 	replica := want("wk-replica", 1, func(s *model.Spec) {
-		s.Shape, s.Rank, s.Zone = model.Service, model.Production, "b"
+		s.Shape, s.Priority, s.Zone = model.Service, model.PriorityProduction, "b"
 	})
 	lower := want("wk-lower", 2, nil)
 	p := picture([]*Node{a, b}, replica, lower)
@@ -446,7 +446,7 @@
 	}
 	// With the room there it starts, and nothing else is stopped for it.
 	b = node("b-1", "b", cheap, 4)
-	running(b, "blue", model.Normal, nil)
+	running(b, "blue", model.PriorityNormal, nil)
 	p = picture([]*Node{node("a-1", "a", cheap, 4), b}, replica, lower)
 	p.Used["red"] = model.Resources{CPU: 96, MemGB: 96}
 	if plan := Make(set, p); len(plan.Stop) != 0 || placed(plan) != "wk-replica@b-1 " {
@@ -460,7 +460,7 @@
 		stops int
 	}{{5 * time.Second, 0}, {time.Minute, 1}, {-1, 1}} {
 		nd := node("a1", "a", cheap, 8)
-		running(nd, "blue", model.Low, func(v *Running) { v.Over, v.Due, v.Slack = false, true, c.slack })
+		running(nd, "blue", model.PriorityLow, func(v *Running) { v.Over, v.Due, v.Slack = false, true, c.slack })
 		w := want("x", 1, nil)
 		w.Guaranteed, w.Due, w.Slack = true, true, 20*time.Second
 		if plan := Make(set, picture([]*Node{nd}, w)); len(plan.Stop) != c.stops {
@@ -472,8 +472,8 @@
 // Guards against low work that has no date and passes ahead once it has waited: it
 // kept a team's work of a higher rank from ever starting in time.
 func TestWaitingLongPassesAheadOfTheOwnRankOnly(t *testing.T) {
-	rank := func(id string, r model.Rank, waited time.Duration) *Want {
-		w := want(id, 1, func(s *model.Spec) { s.Rank = r })
+	rank := func(id string, r model.Priority, waited time.Duration) *Want {
+		w := want(id, 1, func(s *model.Spec) { s.Priority = r })
 		w.Waited = waited
 		return w
 	}
@@ -481,9 +481,9 @@
 		w.Due, w.Slack = true, slack
 		return w
 	}
-	wants := []*Want{rank("low-long", model.Low, 2*time.Minute), rank("normal-long", model.Normal, 2*time.Minute),
-		due(rank("normal-tight", model.Normal, 0), time.Second), due(rank("high-tight", model.High, 0), 0),
-		due(rank("low-loose", model.Low, 0), time.Hour), due(rank("normal-loose", model.Normal, 0), 2*time.Hour)}
+	wants := []*Want{rank("low-long", model.PriorityLow, 2*time.Minute), rank("normal-long", model.PriorityNormal, 2*time.Minute),
+		due(rank("normal-tight", model.PriorityNormal, 0), time.Second), due(rank("high-tight", model.PriorityHigh, 0), 0),
+		due(rank("low-loose", model.PriorityLow, 0), time.Hour), due(rank("normal-loose", model.PriorityNormal, 0), 2*time.Hour)}
 	Order(set, wants)
 	if got, want := ids(wants), "high-tight normal-long normal-tight low-long low-loose normal-loose "; got != want {
 		t.Errorf("order %s, want %s", got, want)
@@ -510,7 +510,7 @@
 			wants = append(wants, w)
 		}
 		p := picture(nodes, wants...)
-		p.Teams["red"].Limit.CPU = model.AtMost(1e6)
+		p.Teams["red"].Quota.CPU = model.AtMost(1e6)
 		seen := map[*Node]bool{}
 		p.Look = func(nd *Node) {
 			if looks++; seen[nd] || nd.Machine.Zone != "a" {
@@ -546,13 +546,13 @@
 		{"lower work of its own team", "red", false, false, 1},
 	} {
 		nd := node("eight", "a", cheap, 8)
-		running(nd, c.team, model.Normal, func(v *Running) { v.Over = c.over })
+		running(nd, c.team, model.PriorityNormal, func(v *Running) { v.Over = c.over })
 		w := want("x", 1, func(s *model.Spec) {
 			if c.own {
-				s.Rank = model.High
+				s.Priority = model.PriorityHigh
 			}
 		})
-		w.Guaranteed, w.Due, w.Slack, w.Job.Rank = true, true, 10*time.Second, model.High
+		w.Guaranteed, w.Due, w.Slack, w.Job.EffectivePriority = true, true, 10*time.Second, model.PriorityHigh
 		if plan := Make(set, picture([]*Node{nd}, w)); len(plan.Stop) != c.stops {
 			t.Errorf("%s: %d stopped", c.name, len(plan.Stop))
 		}
@@ -564,25 +564,25 @@
 func TestFillingFromAQueueIsTheSameAsLookingAtAll(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 	types := []*model.MachineType{
-		{Name: "a", Cap: model.Resources{CPU: 4, MemGB: 16}, Price: 0.17, SpotPrice: 0.05},
-		{Name: "b", Cap: model.Resources{CPU: 48, GPU: 4, MemGB: 384}, Price: 9.7, SpotPrice: 2.7},
-		{Name: "c", Cap: model.Resources{CPU: 8, MemGB: 64}, Price: 0.4, SpotPrice: 0.1},
+		{Name: "a", Capacity: model.Resources{CPU: 4, MemGB: 16}, PricePerHour: 0.17, SpotPricePerHour: 0.05},
+		{Name: "b", Capacity: model.Resources{CPU: 48, GPU: 4, MemGB: 384}, PricePerHour: 9.7, SpotPricePerHour: 2.7},
+		{Name: "c", Capacity: model.Resources{CPU: 8, MemGB: 64}, PricePerHour: 0.4, SpotPricePerHour: 0.1},
 	}
 	set := &Settings{IdleShare: 0.7}
 	for round := range 200 {
 		one, all := &Picture{}, &Picture{}
 		for i := range 60 {
-			m := &model.Machine{Name: fmt.Sprint(i), Zone: []string{"x", "y"}[r.IntN(2)], Spot: r.IntN(3) == 0, Type: types[r.IntN(len(types))], Images: map[string]time.Time{}}
-			m.Images[fmt.Sprint("img", r.IntN(3))] = time.Time{}
-			free := m.Type.Cap
+			m := &model.Machine{Name: fmt.Sprint(i), Zone: []string{"x", "y"}[r.IntN(2)], Spot: r.IntN(3) == 0, Type: types[r.IntN(len(types))], CachedImages: map[string]time.Time{}}
+			m.CachedImages[fmt.Sprint("img", r.IntN(3))] = time.Time{}
+			free := m.Type.Capacity
 			free.CPU -= float64(r.IntN(int(free.CPU)))
 			for _, p := range []*Picture{one, all} {
 				p.Nodes = append(p.Nodes, &Node{Machine: m, Free: free})
 			}
 		}
 		for i := range 12 {
-			spec := &model.Spec{ID: fmt.Sprint(i), Shape: model.Array, Tasks: 40, Spot: r.IntN(2) == 0, Image: fmt.Sprint("img", r.IntN(3)),
-				Need: model.Resources{CPU: float64(1 + r.IntN(6)), GPU: float64(r.IntN(8) / 7), MemGB: 2}}
+			spec := &model.Spec{ID: fmt.Sprint(i), Shape: model.Array, Tasks: 40, AllowSpot: r.IntN(2) == 0, Image: fmt.Sprint("img", r.IntN(3)),
+				Demand: model.Resources{CPU: float64(1 + r.IntN(6)), GPU: float64(r.IntN(8) / 7), MemGB: 2}}
 			if r.IntN(4) == 0 {
 				spec.Zone = "x"
 			}
@@ -592,7 +592,7 @@
 			var fits []*Node
 			w := want()
 			for _, nd := range all.Nodes {
-				if spec.Need.Fits(nd.Free) && nd.never(w.Job, nil, spec.Zone) == Fits && st.takes(nd, spec) {
+				if spec.Demand.Fits(nd.Free) && nd.never(w.Job, nil, spec.Zone) == Fits && st.takes(nd, spec) {
 					fits = append(fits, nd)
 				}
 			}
@@ -601,7 +601,7 @@
 				t.Fatalf("round %d, want %d: %d placed, %d by looking at all", round, i, len(got), len(ref))
 			}
 			for k := range got {
-				if got[k].Node.Machine != ref[k].Node.Machine || got[k].Image != ref[k].Image || math.Abs(got[k].Efficiency-ref[k].Efficiency) > 1e-9 {
+				if got[k].Node.Machine != ref[k].Node.Machine || got[k].ImageCached != ref[k].ImageCached || math.Abs(got[k].Efficiency-ref[k].Efficiency) > 1e-9 {
 					t.Fatalf("round %d, want %d, task %d: on %s, and on %s by looking at all", round, i, k, got[k].Node.Machine.Name, ref[k].Node.Machine.Name)
 				}
 			}
--- a/internal/scheduler/vacate.go
+++ b/internal/scheduler/vacate.go
@@ -16,13 +16,13 @@
 func Vacate(s *Settings, now time.Time, p *Picture) *model.Attempt {
 	var may []*Node
 	for _, nd := range p.Nodes {
-		if m := nd.Machine; m.Holding > 0 && movable(s, now, m) {
+		if m := nd.Machine; m.ActiveCount > 0 && movable(s, now, m) {
 			may = append(may, nd)
 		}
 	}
 	// What empties with the fewest moves goes first; the dearer of two alike.
 	slices.SortFunc(may, func(a, b *Node) int {
-		return cmp.Or(cmp.Compare(a.Machine.Holding, b.Machine.Holding), cmp.Compare(rate(b.Machine), rate(a.Machine)), cmp.Compare(a.Machine.Name, b.Machine.Name))
+		return cmp.Or(cmp.Compare(a.Machine.ActiveCount, b.Machine.ActiveCount), cmp.Compare(rate(b.Machine), rate(a.Machine)), cmp.Compare(a.Machine.Name, b.Machine.Name))
 	})
 	for _, nd := range may[:min(len(may), mostVacated)] {
 		if a := p.vacate(nd); a != nil {
@@ -38,10 +38,10 @@
 // movable tells whether all that is on a machine are replicas of services that run whole and have
 // run for long enough.
 func movable(s *Settings, now time.Time, m *model.Machine) bool {
-	for _, a := range m.Held() {
+	for _, a := range m.ActiveAttempts() {
 		j := a.Job
-		if j == nil || j.Spec.Shape != model.Service || len(j.Live) < j.Spec.Tasks || j.Spec.OneZone && j.Spec.Tasks > 1 ||
-			a.State != model.Present || a.Phase != model.Running || now.Sub(a.RunningAt) < s.MinRun {
+		if j == nil || j.Spec.Shape != model.Service || len(j.ActiveAttempts) < j.Spec.Tasks || j.Spec.SingleZone && j.Spec.Tasks > 1 ||
+			a.State != model.AttemptPresent || a.Phase != model.PhaseRunning || now.Sub(a.RunningAt) < s.MinRun {
 			return false
 		}
 	}
@@ -51,7 +51,7 @@
 // vacate finds room for all that is on a machine, and tells which replica goes first; nil: there
 // is not room for all.
 func (p *Picture) vacate(from *Node) *model.Attempt {
-	list := slices.Clone(from.Machine.Held())
+	list := slices.Clone(from.Machine.ActiveAttempts())
 	slices.SortFunc(list, func(a, b *model.Attempt) int {
 		return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index))
 	})
@@ -64,7 +64,7 @@
 		}
 		if put[a.Job] == nil {
 			put[a.Job] = map[string]int{}
-			for _, o := range a.Job.Live {
+			for _, o := range a.Job.ActiveAttempts {
 				put[a.Job][o.Machine.Zone]++
 			}
 		}
@@ -75,7 +75,7 @@
 			return nil
 		}
 		zones[to.Machine.Zone]++
-		taken[to] = taken[to].Add(a.Need)
+		taken[to] = taken[to].Add(a.Demand)
 	}
 	return list[0]
 }
@@ -84,7 +84,7 @@
 func (p *Picture) target(from *Node, a *model.Attempt, rules *Rules, zones map[string]int, taken map[*Node]model.Resources) *Node {
 	var best *Node
 	for _, nd := range p.withImage(a.Job.Spec.Image) {
-		if nd == from || !a.Need.Fits(nd.Free.Sub(taken[nd])) || rate(nd.Machine) > rate(from.Machine) || nd.never(a.Job, rules, "") != Fits {
+		if nd == from || !a.Demand.Fits(nd.Free.Sub(taken[nd])) || rate(nd.Machine) > rate(from.Machine) || nd.never(a.Job, rules, "") != Fits {
 			continue
 		}
 		if share(nd.Machine, nd.Machine.Used) <= share(from.Machine, from.Machine.Used) || zones[nd.Machine.Zone] >= zoneCap(a.Job.Spec, rules) || rules.machineFull(nd.Machine) {
--- a/internal/store/courier.go
+++ b/internal/store/courier.go
@@ -21,7 +21,7 @@
 // Batch is one batch of reports, or of answers to one.
 type Batch struct {
 	Member string // that handed the reports over
-	wire.Batch
+	wire.RelayBatch
 }
 
 func slot(prefix, member string, seq uint64) string {
@@ -30,14 +30,14 @@
 
 // PutReports writes a batch of reports of this member.
 func (c *Client) PutReports(ctx context.Context, b Batch) error {
-	_, _, err := c.Commit(ctx, &wire.Txn{Then: []wire.Change{{Key: slot(reportsPrefix, b.Member, b.Seq), Value: wire.AppendBatch(nil, b.Batch)}}}, false)
+	_, _, err := c.Commit(ctx, &wire.Txn{Changes: []wire.Change{{Key: slot(reportsPrefix, b.Member, b.Seq), Value: wire.AppendRelayBatch(nil, b.RelayBatch)}}}, false)
 	return err
 }
 
 // PutAnswers writes a leader's answers to a batch, if its token is still the last one.
 func (c *Client) PutAnswers(ctx context.Context, tokenVersion uint64, b Batch) (ok bool, err error) {
-	_, ok, err = c.Commit(ctx, &wire.Txn{If: []wire.Cond{{Key: tokenKey, Version: tokenVersion}},
-		Then: []wire.Change{{Key: slot(answersPrefix, b.Member, b.Seq), Value: wire.AppendBatch(nil, b.Batch)}}}, false)
+	_, ok, err = c.Commit(ctx, &wire.Txn{Conditions: []wire.Condition{{Key: tokenKey, Version: tokenVersion}},
+		Changes: []wire.Change{{Key: slot(answersPrefix, b.Member, b.Seq), Value: wire.AppendRelayBatch(nil, b.RelayBatch)}}}, false)
 	return ok, err
 }
 
@@ -51,7 +51,7 @@
 	}
 	for len(all) > 0 {
 		n := min(len(all), ops)
-		if _, _, err := c.Commit(ctx, &wire.Txn{Then: all[:n]}, false); err != nil {
+		if _, _, err := c.Commit(ctx, &wire.Txn{Changes: all[:n]}, false); err != nil {
 			return err
 		}
 		all = all[n:]
@@ -84,7 +84,7 @@
 		if e.Removed {
 			continue
 		}
-		b, err := wire.DecodeBatch(e.Value)
+		b, err := wire.DecodeRelayBatch(e.Value)
 		if err != nil {
 			return nil, p.Revision, fmt.Errorf("%s: %w", e.Key, err)
 		}
--- a/internal/store/courier_test.go
+++ b/internal/store/courier_test.go
@@ -18,9 +18,9 @@
 func TestReportsAndAnswersGoByWayOfTheStateService(t *testing.T) {
 	s, c := service()
 	ctx := context.Background()
-	s.Plant("leader/token", wire.AppendToken(nil, 7, "b"))
+	s.Plant("leader/token", wire.AppendLeaderRecord(nil, 7, "b"))
 	token := s.Revision()
-	room := wire.BatchRoom(s.MostValue)
+	room := wire.MaxBatchPayload(s.MostValue)
 	toLeader, err := c.RelayNow(ctx, "")
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 		if n != 1 {
 			t.Fatal("it does not fit")
 		}
-		if err := c.PutReports(ctx, store.Batch{Member: "a", Batch: wire.Batch{Life: 5, Seq: seq, Text: text}}); err != nil {
+		if err := c.PutReports(ctx, store.Batch{Member: "a", RelayBatch: wire.RelayBatch{Incarnation: 5, Seq: seq, Payload: text}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -43,10 +43,10 @@
 		t.Fatalf("the leader sees %d batches up to %d: %v", len(batches), at, err)
 	}
 	for i, b := range batches {
-		if b.Member != "a" || b.Life != 5 || b.Seq != uint64(i+1) {
+		if b.Member != "a" || b.Incarnation != 5 || b.Seq != uint64(i+1) {
 			t.Errorf("batch %d: %+v", i, b)
 		}
-		b.Text, _ = courier.Pack([]courier.Letter{{ID: b.Seq, Body: fmt.Append(nil, "answer ", b.Seq)}}, room)
+		b.Payload, _ = courier.Pack([]courier.Letter{{ID: b.Seq, Body: fmt.Append(nil, "answer ", b.Seq)}}, room)
 		if ok, err := c.PutAnswers(ctx, token, b); err != nil || !ok {
 			t.Fatal(ok, err)
 		}
@@ -58,11 +58,11 @@
 	if other, _, err := c.Relayed(ctx, "ab", toMember, time.Second); err != nil || len(other) != 0 {
 		t.Errorf("another one sees %d: %v", len(other), err)
 	}
-	letters, err := courier.Unpack(answers[19].Text)
+	letters, err := courier.Unpack(answers[19].Payload)
 	if err != nil || string(letters[0].Body) != "answer 20" {
 		t.Error(letters, err)
 	}
-	s.Plant("leader/token", wire.AppendToken(nil, 8, "c"))
+	s.Plant("leader/token", wire.AppendLeaderRecord(nil, 8, "c"))
 	if ok, err := c.PutAnswers(ctx, token, batches[0]); ok || err != nil {
 		t.Errorf("a deposed leader answers: %v, %v", ok, err)
 	}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -68,16 +68,16 @@
 	into := page
 	into.Last, into.Unit, into.Head = 4, ledger.Day, "11ee"
 	interval := ledger.Stretch{From: at, To: at.Add(time.Minute), Token: 41, Without: 2}
-	machine := model.Listed{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true}
+	machine := model.MachineInfo{Name: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true}
 	spec := func(awaits int) *model.Spec {
-		s := &model.Spec{ID: "wk-000412", Class: "train", Team: "vision", Shape: model.Gang, Rank: model.High, Tasks: 16,
-			Need: model.Resources{CPU: 8, GPU: 1, MemGB: 64}}
+		s := &model.Spec{ID: "wk-000412", Class: "train", Team: "vision", Shape: model.Gang, Priority: model.PriorityHigh, Tasks: 16,
+			Demand: model.Resources{CPU: 8, GPU: 1, MemGB: 64}}
 		for i := range awaits {
-			s.Awaits = append(s.Awaits, fmt.Sprintf("wk-%06d", i))
+			s.Dependencies = append(s.Dependencies, fmt.Sprintf("wk-%06d", i))
 		}
 		return s
 	}
-	batch := store.Batch{Member: "tiller-1", Batch: wire.Batch{Life: 7, Seq: 12, Text: "AQNhYmM"}}
+	batch := store.Batch{Member: "tiller-1", RelayBatch: wire.RelayBatch{Incarnation: 7, Seq: 12, Payload: "AQNhYmM"}}
 	jobs := func(c *store.Client) *store.Jobs {
 		return store.NewJobs(c, 7, 100, store.Limits{Value: 2048, Ops: 4}, func([]store.JobChange) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}
@@ -94,10 +94,10 @@
 	}{
 		{"machine", commit(reconciler.Save{Kind: reconciler.SaveMachine, Machine: machine}, reconciler.Save{Kind: reconciler.DropMachine, Machine: machine})},
 		{"finished-tasks", commit(
-			reconciler.Save{Kind: reconciler.SaveTasks, Job: "wk-000412", Chunk: model.Chunk{N: 6}, Bits: []byte{0xff, 0x5a}},
-			reconciler.Save{Kind: reconciler.SaveTasks, Job: "wk-000412", Chunk: model.Chunk{Span: true, N: 2048}, Bits: []byte{0xff, 0x5a}},
-			reconciler.Save{Kind: reconciler.DropTasks, Job: "wk-000412", Chunk: model.Chunk{N: 6}},
-			reconciler.Save{Kind: reconciler.DropTasks, Job: "wk-000412", Chunk: model.Chunk{Span: true, N: 2048}})},
+			reconciler.Save{Kind: reconciler.SaveTasks, Job: "wk-000412", Chunk: model.Chunk{Number: 6}, Bits: []byte{0xff, 0x5a}},
+			reconciler.Save{Kind: reconciler.SaveTasks, Job: "wk-000412", Chunk: model.Chunk{StartsAtTask: true, Number: 2048}, Bits: []byte{0xff, 0x5a}},
+			reconciler.Save{Kind: reconciler.DropTasks, Job: "wk-000412", Chunk: model.Chunk{Number: 6}},
+			reconciler.Save{Kind: reconciler.DropTasks, Job: "wk-000412", Chunk: model.Chunk{StartsAtTask: true, Number: 2048}})},
 		{"layout", commit(reconciler.Save{Kind: reconciler.SaveLayout, Tasks: 16384})},
 		{"gpu-request", commit(reconciler.Save{Kind: reconciler.SaveNeed, Need: model.Resources{CPU: 8, GPU: 0.5, MemGB: 1e8}})},
 		{"job-done", commit(reconciler.Save{Kind: reconciler.EndJob, Job: "wk-000412", Version: 3, Tasks: 16, At: at})},
@@ -178,7 +178,7 @@
 	t.Run("job-cancelled", func(t *testing.T) {
 		r, client := record(t)
 		entry := msgp.AppendString(msgp.AppendString(msgp.AppendMapHeader(nil, 3), "k"), "job/a/wk-000412")
-		entry = append(msgp.AppendString(entry, "value"), wire.AppendActive(nil, spec(0), at, nil, wire.Parts{})...)
+		entry = append(msgp.AppendString(entry, "value"), wire.AppendActiveJob(nil, spec(0), at, nil, wire.DependencyParts{})...)
 		r.answers["GET /keys/job/a/wk-000412"] = msgp.AppendUint64(msgp.AppendString(entry, "stamp"), 3)
 		if _, err := jobs(client).Cancel(ctx, "wk-000412", at); err != nil {
 			t.Error(err)
--- a/internal/store/jobs.go
+++ b/internal/store/jobs.go
@@ -51,8 +51,8 @@
 
 // Ended tells the core of a job that is over.
 func (v JobView) Ended(id string) reconciler.JobEnded {
-	e := reconciler.JobEnded{ID: id, End: v.State.End()}
-	if e.End != model.EndUnknown {
+	e := reconciler.JobEnded{ID: id, End: v.State.Outcome()}
+	if e.End != model.OutcomeUnknown {
 		e.At = v.At
 	}
 	return e
@@ -86,7 +86,7 @@
 	fifo    []string // ended jobs, in the order in which they were learned of
 	first   uint64   // the number of the first of them; they are numbered from 0 in a life
 	dropped uint64   // the highest version of those that were let go
-	graph   *model.Graph
+	graph   *model.DependencyGraph
 	parts   map[string][]string // of lists of awaited jobs, by key
 
 	batch *syncBatch
@@ -104,7 +104,7 @@
 func NewJobs(c *Client, life uint64, keep int, limits Limits, notify func([]JobChange), log *slog.Logger) *Jobs {
 	limits.Value = min(limits.Value, mostTxn)
 	return &Jobs{c: c, log: log, limits: limits, life: life, keep: keep, notify: notify, active: map[string]JobView{}, ended: map[string]JobView{},
-		graph: model.NewGraph(), parts: map[string][]string{}}
+		graph: model.NewDependencyGraph(), parts: map[string][]string{}}
 }
 
 // Run follows the changes until the context ends.
@@ -207,7 +207,7 @@
 		j.base = from
 	}
 	j.active, j.rev, j.loaded, j.asOf = active, rev, true, sent
-	j.graph = model.NewGraph()
+	j.graph = model.NewDependencyGraph()
 	for id, v := range active {
 		j.enter(id, v)
 	}
@@ -223,10 +223,10 @@
 	if _, over := j.ended[id]; over {
 		return
 	}
-	j.graph.Add(id, v.Spec.Awaits, v.At)
-	for _, n := range v.Spec.Awaits {
+	j.graph.Add(id, v.Spec.Dependencies, v.At)
+	for _, n := range v.Spec.Dependencies {
 		if e, ok := j.ended[n]; ok {
-			j.graph.End(n, e.State.End(), e.At)
+			j.graph.End(n, e.State.Outcome(), e.At)
 		}
 	}
 }
@@ -237,7 +237,7 @@
 		delete(j.parts, e.Key)
 		return
 	}
-	ids, err := wire.DecodeAwaits(e.Value)
+	ids, err := wire.DecodeDependencies(e.Value)
 	if err != nil {
 		j.log.Error("unreadable job record", "key", e.Key, "err", err)
 		return
@@ -253,7 +253,7 @@
 // decode reads the record of an unfinished job. One whose parts are not all known is
 // not known either: it must not start before what it awaits is whole.
 func (j *Jobs) decode(e wire.Entry) (JobView, bool) {
-	s, at, p, err := wire.DecodeActive(e.Value)
+	s, at, p, err := wire.DecodeActiveJob(e.Value)
 	v := JobView{State: wire.StateQueued, Spec: s, At: at, Version: e.Version}
 	for n := 0; err == nil && n < p.Count; n++ {
 		key := partKey(s.ID, p.Sum, n)
@@ -261,7 +261,7 @@
 		if !ok {
 			err = fmt.Errorf("%s is missing", key)
 		}
-		s.Awaits = append(s.Awaits, ids...)
+		s.Dependencies = append(s.Dependencies, ids...)
 		v.Parts = append(v.Parts, key)
 	}
 	if err != nil {
@@ -332,7 +332,7 @@
 }
 
 func decodeEnded(e wire.Entry) (JobView, error) {
-	state, n, at, err := wire.DecodeEnded(e.Value)
+	state, n, at, err := wire.DecodeEndedJob(e.Value)
 	return JobView{State: state, Tasks: n, Version: e.Version, At: at}, err
 }
 
@@ -341,7 +341,7 @@
 // waiting job needs.
 func (j *Jobs) remember(id string, v JobView) {
 	delete(j.active, id)
-	j.graph.End(id, v.State.End(), v.At)
+	j.graph.End(id, v.State.Outcome(), v.At)
 	if _, ok := j.ended[id]; !ok {
 		j.fifo = append(j.fifo, id)
 	}
@@ -611,10 +611,10 @@
 		}
 		var open []string
 		if v.Spec != nil {
-			if l := j.graph.Link(id); l != nil && l.State == model.LinkDoomed {
+			if l := j.graph.Node(id); l != nil && l.State == model.DependencyFailed {
 				v = JobView{State: wire.StateCancelled, Tasks: v.Tasks}
 			} else {
-				open = j.graph.NamedBefore(id)
+				open = j.graph.ReferencedUpstream(id)
 			}
 		}
 		j.mu.Unlock()
@@ -637,7 +637,7 @@
 	j.mu.Lock()
 	e, known := j.ended[id]
 	if known {
-		j.graph.End(id, e.State.End(), e.At)
+		j.graph.End(id, e.State.Outcome(), e.At)
 	}
 	j.mu.Unlock()
 	if known {
@@ -690,7 +690,7 @@
 // the view does not hold the present state is read.
 func (j *Jobs) Resolve(ctx context.Context, s *model.Spec) (doomed bool, err error) {
 	var open []string
-	for _, id := range s.Awaits {
+	for _, id := range s.Dependencies {
 		if id == s.ID {
 			return false, ErrNeverAccepted
 		}
@@ -712,23 +712,23 @@
 			open = append(open, id)
 		}
 	}
-	s.Awaits = open
+	s.Dependencies = open
 	return doomed, nil
 }
 
 // record lays out the records of a new job: the changes that are written first, and
 // the last one, with which the job is accepted.
 func (j *Jobs) record(s *model.Spec, at time.Time) (parts []wire.Change, last wire.Change, err error) {
-	last = wire.Change{Key: activePrefix + s.ID, Value: wire.AppendActive(nil, s, at, s.Awaits, wire.Parts{})}
+	last = wire.Change{Key: activePrefix + s.ID, Value: wire.AppendActiveJob(nil, s, at, s.Dependencies, wire.DependencyParts{})}
 	if wire.StoredSize(last.Value) <= j.limits.Value {
 		return nil, last, nil
 	}
 	sum := fnv.New64a()
-	for _, id := range s.Awaits {
+	for _, id := range s.Dependencies {
 		_, _ = sum.Write([]byte(id)) // a hash takes everything
 	}
-	p := wire.Parts{Sum: strconv.FormatUint(sum.Sum64(), 16)}
-	for rest := s.Awaits; len(rest) > 0; {
+	p := wire.DependencyParts{Sum: strconv.FormatUint(sum.Sum64(), 16)}
+	for rest := s.Dependencies; len(rest) > 0; {
 		n := 0
 		for size := partOverhead; n < len(rest) && size+len(rest[n])+idOverhead <= j.limits.Value; n++ {
 			size += len(rest[n]) + idOverhead
@@ -736,11 +736,11 @@
 		if n == 0 {
 			return nil, last, ErrTooLarge
 		}
-		parts = append(parts, wire.Change{Key: partKey(s.ID, p.Sum, p.Count), Value: wire.AppendAwaits(nil, rest[:n])})
+		parts = append(parts, wire.Change{Key: partKey(s.ID, p.Sum, p.Count), Value: wire.AppendDependencies(nil, rest[:n])})
 		p.Count++
 		rest = rest[n:]
 	}
-	last.Value = wire.AppendActive(nil, s, at, nil, p)
+	last.Value = wire.AppendActiveJob(nil, s, at, nil, p)
 	if wire.StoredSize(last.Value) > j.limits.Value || len(parts)+2 > condsPerOp*j.limits.Ops {
 		return nil, last, ErrTooLarge
 	}
@@ -764,9 +764,9 @@
 // awaits a cancelled job, is accepted and over at once. It tells whether this call has
 // accepted the job, and the job's state.
 func (j *Jobs) Accept(ctx context.Context, s *model.Spec, doomed bool, now time.Time) (created bool, v JobView, err error) {
-	t := &wire.Txn{If: []wire.Cond{{Key: activePrefix + s.ID}, {Key: endedPrefix + s.ID}}}
+	t := &wire.Txn{Conditions: []wire.Condition{{Key: activePrefix + s.ID}, {Key: endedPrefix + s.ID}}}
 	if doomed {
-		t.Then = []wire.Change{{Key: endedPrefix + s.ID, Value: wire.AppendEnded(nil, wire.StateCancelled, s.Tasks, now)}}
+		t.Changes = []wire.Change{{Key: endedPrefix + s.ID, Value: wire.AppendEndedJob(nil, wire.StateCancelled, s.Tasks, now)}}
 	} else {
 		parts, last, err := j.record(s, now)
 		if err != nil {
@@ -774,18 +774,18 @@
 		}
 		for len(parts) > 0 {
 			n := min(len(parts), j.limits.Ops, max(1, mostTxn/j.limits.Value))
-			rev, ok, err := j.c.Commit(ctx, &wire.Txn{Then: parts[:n]}, false)
+			rev, ok, err := j.c.Commit(ctx, &wire.Txn{Changes: parts[:n]}, false)
 			if err != nil || !ok {
 				return false, v, errors.Join(ErrNotExecuted, err)
 			}
 			// Should the leader clear them away meanwhile, since no job owns them
 			// yet, this job is not accepted.
 			for _, p := range parts[:n] {
-				t.If = append(t.If, wire.Cond{Key: p.Key, Version: rev})
+				t.Conditions = append(t.Conditions, wire.Condition{Key: p.Key, Version: rev})
 			}
 			parts = parts[n:]
 		}
-		t.Then = []wire.Change{last}
+		t.Changes = []wire.Change{last}
 	}
 	rev, ok, err := j.c.Commit(ctx, t, false)
 	if err == nil && ok {
@@ -816,8 +816,8 @@
 		if err != nil || v.State.Ended() || v.State == wire.StateUnknown {
 			return v, err
 		}
-		t := &wire.Txn{If: []wire.Cond{{Key: activePrefix + id, Version: v.Version}, {Key: endedPrefix + id}},
-			Then: []wire.Change{{Key: activePrefix + id}, {Key: endedPrefix + id, Value: wire.AppendEnded(nil, wire.StateCancelled, v.Tasks, now)}}}
+		t := &wire.Txn{Conditions: []wire.Condition{{Key: activePrefix + id, Version: v.Version}, {Key: endedPrefix + id}},
+			Changes: []wire.Change{{Key: activePrefix + id}, {Key: endedPrefix + id, Value: wire.AppendEndedJob(nil, wire.StateCancelled, v.Tasks, now)}}}
 		rev, ok, err := j.c.Commit(ctx, t, false)
 		if err != nil && errors.Is(err, ErrNotExecuted) {
 			return JobView{}, err
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -37,14 +37,14 @@
 			continue
 		}
 		if e.Key == levelKey {
-			l, err := wire.DecodeLevel(e.Value)
+			l, err := wire.DecodeFeatureLevel(e.Value)
 			if err != nil {
 				return r, fmt.Errorf("%s: %w", e.Key, err)
 			}
 			r.Level, r.LevelVersion = featuregate.Level(l), e.Version
 			continue
 		}
-		token, member, err := wire.DecodeToken(e.Value)
+		token, member, err := wire.DecodeLeaderRecord(e.Value)
 		if err != nil {
 			return r, fmt.Errorf("%s: %w", e.Key, err)
 		}
@@ -82,7 +82,7 @@
 		}
 		version, vacant, leader = e.Version, e.Removed, ""
 		if !e.Removed {
-			if _, leader, err = wire.DecodeToken(e.Value); err != nil {
+			if _, leader, err = wire.DecodeLeaderRecord(e.Value); err != nil {
 				return 0, false, "", err
 			}
 		}
@@ -93,20 +93,20 @@
 // Claim takes the leader's key and the next token in one transaction, under the condition that
 // the level in force is still the one that was read; a higher one is written with it.
 func (c *Client) Claim(ctx context.Context, member string, cl election.Claim) (version uint64, ok bool, err error) {
-	v := wire.AppendToken(nil, cl.Token, member)
+	v := wire.AppendLeaderRecord(nil, cl.Token, member)
 	t := &wire.Txn{
-		If:   []wire.Cond{{Key: holderKey}, {Key: tokenKey, Version: cl.TokenVersion}, {Key: levelKey, Version: cl.LevelVersion}},
-		Then: []wire.Change{{Key: holderKey, Value: v, Lease: cl.Lease}, {Key: tokenKey, Value: v}},
+		Conditions: []wire.Condition{{Key: holderKey}, {Key: tokenKey, Version: cl.TokenVersion}, {Key: levelKey, Version: cl.LevelVersion}},
+		Changes:    []wire.Change{{Key: holderKey, Value: v, Lease: cl.Lease}, {Key: tokenKey, Value: v}},
 	}
 	if cl.Raise > 0 {
-		t.Then = append(t.Then, wire.Change{Key: levelKey, Value: wire.AppendLevel(nil, uint32(cl.Raise), member)})
+		t.Changes = append(t.Changes, wire.Change{Key: levelKey, Value: wire.AppendFeatureLevel(nil, uint32(cl.Raise), member)})
 	}
 	return c.Commit(ctx, t, true)
 }
 
 // Announce writes what this member tells of itself, attached to a lease.
 func (c *Client) Announce(ctx context.Context, lease uint64, m featuregate.Member) error {
-	_, _, err := c.Commit(ctx, &wire.Txn{Then: []wire.Change{{Key: rolloutPrefix + m.Name, Value: wire.AppendMember(nil, m), Lease: lease}}}, false)
+	_, _, err := c.Commit(ctx, &wire.Txn{Changes: []wire.Change{{Key: rolloutPrefix + m.Name, Value: wire.AppendMember(nil, m), Lease: lease}}}, false)
 	return err
 }
 
@@ -153,7 +153,7 @@
 			if done[id] == nil {
 				done[id] = map[model.Chunk][]byte{}
 			}
-			done[id][model.Chunk{Span: prefix == spanPrefix, N: chunk}] = bits
+			done[id][model.Chunk{StartsAtTask: prefix == spanPrefix, Number: chunk}] = bits
 		}
 	}
 	entries, _, err := c.List(ctx, layoutPrefix)
@@ -162,7 +162,7 @@
 	}
 	for _, e := range entries {
 		if e.Key == layoutKey {
-			if snap.Numbered, err = wire.DecodeLayout(e.Value); err != nil {
+			if snap.Numbered, err = wire.DecodeChunkLayout(e.Value); err != nil {
 				return nil, fmt.Errorf("unreadable record %s: %w", e.Key, err)
 			}
 		}
@@ -181,7 +181,7 @@
 		return nil, err
 	}
 	for _, e := range entries {
-		need, err := wire.DecodeNeed(e.Value)
+		need, err := wire.DecodeGPUDemand(e.Value)
 		if err != nil {
 			return nil, fmt.Errorf("unreadable record %s: %w", e.Key, err)
 		}
@@ -194,34 +194,34 @@
 // its token is still the last one. Without an error and with ok false a
 // condition has failed. rev is the version of all that it has written.
 func (c *Client) Save(ctx context.Context, tokenVersion uint64, saves []reconciler.Save) (rev uint64, ok bool, err error) {
-	t := &wire.Txn{If: []wire.Cond{{Key: tokenKey, Version: tokenVersion}}}
+	t := &wire.Txn{Conditions: []wire.Condition{{Key: tokenKey, Version: tokenVersion}}}
 	for _, s := range saves {
 		key := saveKey(s)
 		switch s.Kind {
 		case reconciler.SaveMachine:
-			t.Then = append(t.Then, wire.Change{Key: key, Value: wire.AppendMachine(nil, s.Machine)})
+			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendMachine(nil, s.Machine)})
 		case reconciler.DropMachine:
-			t.Then = append(t.Then, wire.Change{Key: key})
+			t.Changes = append(t.Changes, wire.Change{Key: key})
 		case reconciler.SaveTasks:
-			t.Then = append(t.Then, wire.Change{Key: key, Value: wire.AppendTasksDone(nil, s.Bits)})
+			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendTasksDone(nil, s.Bits)})
 		case reconciler.DropTasks:
-			t.Then = append(t.Then, wire.Change{Key: key})
+			t.Changes = append(t.Changes, wire.Change{Key: key})
 		case reconciler.SaveLayout:
-			t.Then = append(t.Then, wire.Change{Key: key, Value: wire.AppendLayout(nil, s.Tasks)})
+			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendChunkLayout(nil, s.Tasks)})
 		case reconciler.SaveNeed:
-			t.Then = append(t.Then, wire.Change{Key: key, Value: wire.AppendNeed(nil, s.Need)})
+			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendGPUDemand(nil, s.Need)})
 		case reconciler.EndJob, reconciler.EndDoomed:
 			end := wire.StateDone
 			if s.Kind == reconciler.EndDoomed {
 				end = wire.StateCancelled
 			}
-			t.If = append(t.If, wire.Cond{Key: activePrefix + s.Job, Version: s.Version}, wire.Cond{Key: key})
-			t.Then = append(t.Then, wire.Change{Key: activePrefix + s.Job},
-				wire.Change{Key: key, Value: wire.AppendEnded(nil, end, s.Tasks, s.At)})
+			t.Conditions = append(t.Conditions, wire.Condition{Key: activePrefix + s.Job, Version: s.Version}, wire.Condition{Key: key})
+			t.Changes = append(t.Changes, wire.Change{Key: activePrefix + s.Job},
+				wire.Change{Key: key, Value: wire.AppendEndedJob(nil, end, s.Tasks, s.At)})
 		case reconciler.DropAwaits:
 			// Never of an unfinished job: it may have been accepted since.
-			t.If = append(t.If, wire.Cond{Key: activePrefix + s.Job})
-			t.Then = append(t.Then, wire.Change{Key: key})
+			t.Conditions = append(t.Conditions, wire.Condition{Key: activePrefix + s.Job})
+			t.Changes = append(t.Changes, wire.Change{Key: key})
 		default:
 			useTxn(t, s)
 		}
@@ -233,13 +233,13 @@
 func saveKey(s reconciler.Save) string {
 	switch s.Kind {
 	case reconciler.SaveMachine, reconciler.DropMachine:
-		return machinePrefix + s.Machine.Machine
+		return machinePrefix + s.Machine.Name
 	case reconciler.SaveTasks, reconciler.DropTasks:
 		prefix := tasksPrefix
-		if s.Chunk.Span {
+		if s.Chunk.StartsAtTask {
 			prefix = spanPrefix
 		}
-		return prefix + s.Job + "/" + strconv.Itoa(s.Chunk.N)
+		return prefix + s.Job + "/" + strconv.Itoa(s.Chunk.Number)
 	case reconciler.SaveLayout:
 		return layoutKey
 	case reconciler.SaveNeed:
@@ -271,8 +271,8 @@
 // that version, and is carried out later, fails. It gives the version to go on with. Where the
 // outcome is open the record tells: only this leader writes it without another token.
 func (c *Client) Rewrite(ctx context.Context, member string, token, tokenVersion uint64) (version uint64, ok bool, err error) {
-	v, ok, err := c.Commit(ctx, &wire.Txn{If: []wire.Cond{{Key: tokenKey, Version: tokenVersion}},
-		Then: []wire.Change{{Key: tokenKey, Value: wire.AppendToken(nil, token, member)}}}, false)
+	v, ok, err := c.Commit(ctx, &wire.Txn{Conditions: []wire.Condition{{Key: tokenKey, Version: tokenVersion}},
+		Changes: []wire.Change{{Key: tokenKey, Value: wire.AppendLeaderRecord(nil, token, member)}}}, false)
 	if err == nil && ok || errors.Is(err, ErrNotExecuted) {
 		return v, ok, err
 	}
@@ -283,7 +283,7 @@
 	if !found {
 		return 0, false, nil // the record is lost: whoever finds none begins anew
 	}
-	last, _, gerr := wire.DecodeToken(e.Value)
+	last, _, gerr := wire.DecodeLeaderRecord(e.Value)
 	switch {
 	case gerr != nil:
 		return 0, false, gerr
--- a/internal/store/ledger.go
+++ b/internal/store/ledger.go
@@ -48,24 +48,24 @@
 	switch s.Kind {
 	case reconciler.SaveUse:
 		o := &s.Use.Open
-		t.If = append(t.If, wire.Cond{Key: saveKey(s), Version: s.Use.Version})
-		t.Then = append(t.Then, wire.Change{Key: saveKey(s), Value: wire.AppendOpenPage(nil, o)})
+		t.Conditions = append(t.Conditions, wire.Condition{Key: saveKey(s), Version: s.Use.Version})
+		t.Changes = append(t.Changes, wire.Change{Key: saveKey(s), Value: wire.AppendOpenSegment(nil, o)})
 		if p := s.Use.Closed; p != nil {
 			key := pageKey(p.Team, p.First)
-			t.If = append(t.If, wire.Cond{Key: key})
-			t.Then = append(t.Then, wire.Change{Key: key, Value: wire.AppendPage(nil, p)})
+			t.Conditions = append(t.Conditions, wire.Condition{Key: key})
+			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendSegment(nil, p)})
 		}
 	case reconciler.SaveStretch:
-		t.Then = append(t.Then, wire.Change{Key: saveKey(s), Value: wire.AppendStretch(nil, *s.Stretch)})
+		t.Changes = append(t.Changes, wire.Change{Key: saveKey(s), Value: wire.AppendUnaccountedInterval(nil, *s.Stretch)})
 	case reconciler.FoldUse:
 		for i := range s.Fold.From {
 			p := &s.Fold.From[i]
-			t.If = append(t.If, wire.Cond{Key: pageKey(p.Team, p.First), Version: p.Version})
+			t.Conditions = append(t.Conditions, wire.Condition{Key: pageKey(p.Team, p.First), Version: p.Version})
 			if i > 0 {
-				t.Then = append(t.Then, wire.Change{Key: pageKey(p.Team, p.First)})
+				t.Changes = append(t.Changes, wire.Change{Key: pageKey(p.Team, p.First)})
 			}
 		}
-		t.Then = append(t.Then, wire.Change{Key: saveKey(s), Value: wire.AppendPage(nil, s.Fold.Into)})
+		t.Changes = append(t.Changes, wire.Change{Key: saveKey(s), Value: wire.AppendSegment(nil, s.Fold.Into)})
 	}
 }
 
@@ -79,7 +79,7 @@
 	for _, e := range entries {
 		// Guards against one record that keeps everybody from leading: it is told, and
 		// the others are kept.
-		o, err := wire.DecodeOpenPage(e.Value)
+		o, err := wire.DecodeOpenSegment(e.Value)
 		if err != nil {
 			if o.Team, _ = url.PathUnescape(e.Key[len(accountPrefix):]); o.Team == "" {
 				o.Team = e.Key
@@ -97,7 +97,7 @@
 	if err != nil || !ok {
 		return ledger.OnRecord{}, err
 	}
-	o, err := wire.DecodeOpenPage(e.Value)
+	o, err := wire.DecodeOpenSegment(e.Value)
 	return ledger.OnRecord{Open: o, Version: e.Version}, err
 }
 
@@ -109,7 +109,7 @@
 		return nil, false, err
 	}
 	for _, e := range p.Entries {
-		page, err := wire.DecodeClosedPage(e.Value)
+		page, err := wire.DecodeSegment(e.Value)
 		if err != nil {
 			return nil, false, fmt.Errorf("unreadable record %s: %w", e.Key, err)
 		}
@@ -125,7 +125,7 @@
 		return nil, false, err
 	}
 	for _, e := range p.Entries {
-		s, err := wire.DecodeStretch(e.Value)
+		s, err := wire.DecodeUnaccountedInterval(e.Value)
 		if err != nil {
 			return nil, false, fmt.Errorf("unreadable record %s: %w", e.Key, err)
 		}
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -33,18 +33,18 @@
 	s, c := service()
 	long := strings.Repeat("x", 200)
 	id := "wk-" + strings.Repeat("9", 37)
-	s.Plant("leader/token", wire.AppendToken(nil, 7, long))
+	s.Plant("leader/token", wire.AppendLeaderRecord(nil, 7, long))
 	token := uint64(2)
-	s.Plant("job/a/"+id, wire.AppendEnded(nil, wire.StateDone, 1, time.Unix(0, 0)))
+	s.Plant("job/a/"+id, wire.AppendEndedJob(nil, wire.StateDone, 1, time.Unix(0, 0)))
 	bits := make([]byte, model.ChunkTasks/8)
 	for i := range bits {
 		bits[i] = 0xff
 	}
-	span := model.Chunk{Span: true, N: 98304}
-	machine := model.Listed{Machine: "n-" + long[:40], Addr: "100.100.100.100:10000", Type: long, Zone: long}
+	span := model.Chunk{StartsAtTask: true, Number: 98304}
+	machine := model.MachineInfo{Name: "n-" + long[:40], Addr: "100.100.100.100:10000", Type: long, Zone: long}
 	for name, saves := range map[string][]reconciler.Save{
 		"finished tasks": {{Kind: reconciler.SaveTasks, Job: id, Chunk: span, Bits: bits}, {Kind: reconciler.SaveTasks, Job: id, Bits: bits},
-			{Kind: reconciler.DropTasks, Job: id, Chunk: model.Chunk{N: 6}}, {Kind: reconciler.DropTasks, Job: id, Chunk: span}},
+			{Kind: reconciler.DropTasks, Job: id, Chunk: model.Chunk{Number: 6}}, {Kind: reconciler.DropTasks, Job: id, Chunk: span}},
 		"machines":            {{Kind: reconciler.SaveMachine, Machine: machine}, {Kind: reconciler.DropMachine, Machine: machine}},
 		"layout and requests": {{Kind: reconciler.SaveLayout, Tasks: 16384}, {Kind: reconciler.SaveNeed, Need: model.Resources{CPU: 1e8, GPU: 1e8, MemGB: 1e8}}},
 		"a part of a list":    {{Kind: reconciler.DropAwaits, Job: "wk-000001", Key: "job/w/wk-000001/ffffffffffffffff/13"}},
@@ -64,9 +64,9 @@
 	s, c := service()
 	s.MostValue, s.MostOps = 16<<10, 12
 	jobs := store.NewJobs(c, 1, 10, store.Limits{Value: 16 << 10, Ops: 12}, func([]store.JobChange) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	spec := &model.Spec{ID: "wk-000001", Class: "c", Team: "t", Shape: model.Array, Rank: model.Normal, Tasks: 1, Need: model.Resources{CPU: 1}}
+	spec := &model.Spec{ID: "wk-000001", Class: "c", Team: "t", Shape: model.Array, Priority: model.PriorityNormal, Tasks: 1, Demand: model.Resources{CPU: 1}}
 	for i := range 7000 { // as many short ids as a submission can hold
-		spec.Awaits = append(spec.Awaits, fmt.Sprintf("wk-%06d", i))
+		spec.Dependencies = append(spec.Dependencies, fmt.Sprintf("wk-%06d", i))
 	}
 	if created, _, err := jobs.Accept(context.Background(), spec, false, time.Unix(4e9, 0)); err != nil || !created {
 		t.Errorf("accepted=%v, %v", created, err)
@@ -86,13 +86,13 @@
 					t.Fatal(err)
 				}
 				spec := &model.Spec{ID: "wk-" + strings.Repeat("1", 37), Class: strings.Repeat(text, 100/len(text)), Team: strings.Repeat(text, 100/len(text)),
-					Image: strings.Repeat(text, 200/len(text)), Zone: "zone", Shape: model.Array, Rank: model.Normal, Tasks: 100_000,
-					Need: model.Resources{CPU: 0.1, GPU: 1e8, MemGB: 12345.678}, ImageGB: 0.3, Estimate: 1e8 * time.Second, Deadline: time.Second}
+					Image: strings.Repeat(text, 200/len(text)), Zone: "zone", Shape: model.Array, Priority: model.PriorityNormal, Tasks: 100_000,
+					Demand: model.Resources{CPU: 0.1, GPU: 1e8, MemGB: 12345.678}, ImageGB: 0.3, EstimatedRunTime: 1e8 * time.Second, Deadline: time.Second}
 				for i := range types {
-					spec.Types = append(spec.Types, fmt.Sprintf("machine-type-of-some-length-%d", i))
+					spec.MachineTypes = append(spec.MachineTypes, fmt.Sprintf("machine-type-of-some-length-%d", i))
 				}
 				for i := range needs {
-					spec.Awaits = append(spec.Awaits, fmt.Sprintf("wk-%037d", i))
+					spec.Dependencies = append(spec.Dependencies, fmt.Sprintf("wk-%037d", i))
 				}
 				err := jobs.Fits(spec)
 				created, _, aerr := jobs.Accept(context.Background(), spec, false, time.Unix(4e9, 0))
@@ -105,7 +105,7 @@
 					if err := jobs.Refresh(context.Background()); err != nil {
 						t.Fatal(err)
 					}
-					if v := jobs.Peek(spec.ID); v.Spec == nil || len(v.Spec.Awaits) != needs {
+					if v := jobs.Peek(spec.ID); v.Spec == nil || len(v.Spec.Dependencies) != needs {
 						t.Errorf("%q, %d types, awaits %d: read back as %+v", text, types, needs, v)
 					}
 				case errors.Is(err, store.ErrTooLarge):
