--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -46,7 +46,7 @@
 }
 
 // New makes a client; connections are made under a condition (rpc.New).
-func New(addr string, timeout time.Duration, under func(rpc.Dial) rpc.Dial) *Client {
+func New(addr string, timeout time.Duration, under func(rpc.DialFunc) rpc.DialFunc) *Client {
 	return NewOver(rpc.New(addr, 48, under), rpc.New(addr, 8, under), timeout)
 }
 
@@ -91,7 +91,7 @@
 
 func (c *Client) call(method, uri string, body []byte) ([]byte, error) {
 	out, err := c.calls.Call(method, uri, body, c.timeout)
-	if err == nil || rpc.Status(err) != 0 && rpc.Status(err) != fasthttp.StatusServiceUnavailable {
+	if err == nil || rpc.StatusCode(err) != 0 && rpc.StatusCode(err) != fasthttp.StatusServiceUnavailable {
 		c.badSince.Store(0)
 		now := c.now()
 		c.goodAt.Store(&now)
@@ -123,7 +123,7 @@
 		return e, false, err
 	}
 	out, err := c.call(fasthttp.MethodGet, "/keys/"+key, nil)
-	if rpc.Status(err) == fasthttp.StatusNotFound {
+	if rpc.StatusCode(err) == fasthttp.StatusNotFound {
 		return e, false, nil
 	}
 	if err != nil {
@@ -168,7 +168,7 @@
 		cl = c.watches
 	}
 	out, err := cl.Call(fasthttp.MethodGet, uri, nil, wait+c.timeout)
-	if rpc.Status(err) == fasthttp.StatusGone {
+	if rpc.StatusCode(err) == fasthttp.StatusGone {
 		return wire.Page{}, ErrTooOld
 	}
 	if err != nil {
@@ -183,7 +183,7 @@
 func (c *Client) Commit(ctx context.Context, t *wire.Txn, urgent bool) (rev uint64, ok bool, err error) {
 	if urgent {
 		c.reads.Allow()
-	} else if err := c.budget(ctx, len(t.Then)); err != nil {
+	} else if err := c.budget(ctx, len(t.Changes)); err != nil {
 		return 0, false, err
 	}
 	out, err := c.call(fasthttp.MethodPost, "/commit", t.Append(nil))
@@ -191,11 +191,11 @@
 	case err == nil:
 		rev, err = wire.DecodeRevision(out)
 		return rev, err == nil, err
-	case rpc.Status(err) == fasthttp.StatusConflict:
+	case rpc.StatusCode(err) == fasthttp.StatusConflict:
 		return 0, false, nil
-	case rpc.Status(err) == fasthttp.StatusBadRequest:
+	case rpc.StatusCode(err) == fasthttp.StatusBadRequest:
 		return 0, false, fmt.Errorf("%w: %w: %w", ErrNotExecuted, ErrRejected, err)
-	case rpc.Status(err) != 0, errors.Is(err, rpc.ErrNotSent):
+	case rpc.StatusCode(err) != 0, errors.Is(err, rpc.ErrNotSent):
 		return 0, false, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 	}
 	return 0, false, err
@@ -204,11 +204,11 @@
 // Grant asks for a lease.
 func (c *Client) Grant(life time.Duration) (uint64, error) {
 	c.reads.Allow()
-	out, err := c.call(fasthttp.MethodPost, "/grants", wire.AppendGrant(nil, uint64(life.Milliseconds())))
+	out, err := c.call(fasthttp.MethodPost, "/grants", wire.AppendLeaseRequest(nil, uint64(life.Milliseconds())))
 	if err != nil {
 		return 0, err
 	}
-	return wire.DecodeGrant(out)
+	return wire.DecodeLeaseID(out)
 }
 
 // Touch renews a lease. It never waits for the budget: the leader's right to
@@ -216,7 +216,7 @@
 func (c *Client) Touch(id uint64) error {
 	c.reads.Allow()
 	_, err := c.call(fasthttp.MethodPost, "/grants/"+strconv.FormatUint(id, 10)+"/touch", nil)
-	if rpc.Status(err) == fasthttp.StatusNotFound {
+	if rpc.StatusCode(err) == fasthttp.StatusNotFound {
 		return ErrLeaseOver
 	}
 	return err
@@ -226,7 +226,7 @@
 func (c *Client) Drop(id uint64) error {
 	c.reads.Allow()
 	_, err := c.call(fasthttp.MethodDelete, "/grants/"+strconv.FormatUint(id, 10), nil)
-	if rpc.Status(err) == fasthttp.StatusNotFound {
+	if rpc.StatusCode(err) == fasthttp.StatusNotFound {
 		return nil
 	}
 	return err
--- a/internal/store/word_test.go
+++ b/internal/store/word_test.go
@@ -27,7 +27,7 @@
 func cancelled(t *testing.T, j *store.Jobs, from, n int) {
 	t.Helper()
 	for i := from; i < from+n; i++ {
-		s := &model.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "t", Shape: model.Array, Rank: model.Normal, Tasks: 1, Need: model.Resources{CPU: 1, MemGB: 1}}
+		s := &model.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "t", Shape: model.Array, Priority: model.PriorityNormal, Tasks: 1, Demand: model.Resources{CPU: 1, MemGB: 1}}
 		if _, _, err := j.Accept(context.Background(), s, false, time.Unix(1000, 0)); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -13,7 +13,7 @@
 // placed there, and it must not keep the others from being known.
 func DecodeCatalog(b []byte) ([]model.MachineType, error) {
 	var out []model.MachineType
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		if key != "breeds" {
 			return b, false, nil
 		}
@@ -23,30 +23,30 @@
 			rest, err := eachField(b, func(key string, b []byte) ([]byte, bool, error) {
 				switch key {
 				case "label":
-					return readStr(b, &t.Name)
+					return readString(b, &t.Name)
 				case "cores":
-					return readNum(b, &t.Cap.CPU)
+					return readFloat(b, &t.Capacity.CPU)
 				case "cards":
-					return readNum(b, &t.Cap.GPU)
+					return readFloat(b, &t.Capacity.GPU)
 				case "memoryGb":
-					return readNum(b, &t.Cap.MemGB)
+					return readFloat(b, &t.Capacity.MemGB)
 				case "localGb":
-					return readNum(b, &t.CacheGB)
+					return readFloat(b, &t.CacheGB)
 				case "fetchGbPerS":
-					return readNum(b, &t.FetchGBPerS)
+					return readFloat(b, &t.FetchGBPerS)
 				case "price":
-					return readNum(b, &t.Price)
+					return readFloat(b, &t.PricePerHour)
 				case "lowPrice":
-					return readNum(b, &t.SpotPrice)
+					return readFloat(b, &t.SpotPricePerHour)
 				case "startupS":
-					return readNum(b, &boot)
+					return readFloat(b, &boot)
 				case "fields":
-					return readStrs(b, &t.Zones)
+					return readStrings(b, &t.Zones)
 				}
 				return b, false, nil
 			})
-			t.Boot = seconds(min(max(boot, 0), maxAmount))
-			if t.Name != "" && t.Cap.CPU > 0 {
+			t.BootTime = seconds(min(max(boot, 0), maxAmount))
+			if t.Name != "" && t.Capacity.CPU > 0 {
 				out = append(out, t)
 			}
 			return rest, err
@@ -59,18 +59,18 @@
 	return out, err
 }
 
-// AppendRent writes a rental request.
-func AppendRent(b []byte, r model.Rental) []byte {
+// AppendProvisioning writes a rental request.
+func AppendProvisioning(b []byte, r model.Provisioning) []byte {
 	b = msgp.AppendMapHeader(b, 5)
-	b = appendStr(b, "hire", r.Name)
-	b = appendStr(b, "breed", r.Type)
-	b = appendStr(b, "field", r.Zone)
+	b = appendString(b, "hire", r.Name)
+	b = appendString(b, "breed", r.Type)
+	b = appendString(b, "field", r.Zone)
 	b = appendBool(b, "loaners", r.Spot)
 	return appendUint(b, "number", uint64(r.Count))
 }
 
-// AppendMachines writes the names of machines to return.
-func AppendMachines(b []byte, names []string) []byte {
+// AppendMachineNames writes the names of machines to return.
+func AppendMachineNames(b []byte, names []string) []byte {
 	b = msgp.AppendString(msgp.AppendMapHeader(b, 1), "tillers")
 	b = msgp.AppendArrayHeader(b, uint32(len(names)))
 	for _, n := range names {
@@ -79,49 +79,49 @@
 	return b
 }
 
-// DecodeMachines reads the names of rented machines.
-func DecodeMachines(b []byte) ([]string, error) {
+// DecodeMachineNames reads the names of rented machines.
+func DecodeMachineNames(b []byte) ([]string, error) {
 	var out []string
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		if key == "tillers" {
-			return readStrs(b, &out)
+			return readStrings(b, &out)
 		}
 		return b, false, nil
 	})
 	return out, err
 }
 
-// DecodeList reads one page of the machine list.
-func DecodeList(b []byte) (out []model.Listed, more bool, err error) {
-	err = whole(b, func(key string, b []byte) ([]byte, bool, error) {
+// DecodeMachineList reads one page of the machine list.
+func DecodeMachineList(b []byte) (out []model.MachineInfo, more bool, err error) {
+	err = decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
 		case "more":
 			return readBool(b, &more)
 		case "tillers":
 			rest, err := eachItem(b, func(b []byte) ([]byte, error) {
-				var m model.Listed
+				var m model.MachineInfo
 				var status string
 				var held float64
 				rest, err := eachField(b, func(key string, b []byte) ([]byte, bool, error) {
 					switch key {
 					case "ref":
-						return readStr(b, &m.Machine)
+						return readString(b, &m.Name)
 					case "addr":
-						return readStr(b, &m.Addr)
+						return readString(b, &m.Addr)
 					case "breed":
-						return readStr(b, &m.Type)
+						return readString(b, &m.Type)
 					case "field":
-						return readStr(b, &m.Zone)
+						return readString(b, &m.Zone)
 					case "loaners":
 						return readBool(b, &m.Spot)
 					case "status":
-						return readStr(b, &status)
+						return readString(b, &status)
 					case "heldS":
-						return readNum(b, &held)
+						return readFloat(b, &held)
 					}
 					return b, false, nil
 				})
-				if err == nil && m.Machine == "" {
+				if err == nil && m.Name == "" {
 					err = errors.New("a machine without name")
 				}
 				m.Failed, m.Booting, m.Age = status == "failed", status == "starting", time.Duration(max(held, 0)*float64(time.Second))
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -11,8 +11,8 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// errType is returned for a field of a wrong type.
-var errType = errors.New("wrong type")
+// errWrongType is returned for a field of a wrong type.
+var errWrongType = errors.New("wrong type")
 
 // maxNesting bounds how deep a message may nest: skipping an unknown field
 // recurses.
@@ -23,7 +23,7 @@
 // skipped. Null stands for an absent field.
 func eachField(b []byte, f func(key string, b []byte) (rest []byte, handled bool, err error)) ([]byte, error) {
 	if msgp.NextType(b) != msgp.MapType {
-		return b, errType
+		return b, errWrongType
 	}
 	n, b, err := msgp.ReadMapHeaderBytes(b)
 	if err != nil {
@@ -31,7 +31,7 @@
 	}
 	for ; n > 0; n-- {
 		if msgp.NextType(b) != msgp.StrType {
-			return b, errType
+			return b, errWrongType
 		}
 		var key []byte
 		if key, b, err = msgp.ReadStringZC(b); err != nil {
@@ -58,8 +58,8 @@
 	return b, nil
 }
 
-// whole decodes a message that is one map with nothing behind it.
-func whole(b []byte, f func(key string, b []byte) ([]byte, bool, error)) error {
+// decodeMap decodes a message that is one map with nothing behind it.
+func decodeMap(b []byte, f func(key string, b []byte) ([]byte, bool, error)) error {
 	rest, err := eachField(b, f)
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 // eachItem walks a list.
 func eachItem(b []byte, f func(b []byte) ([]byte, error)) ([]byte, error) {
 	if msgp.NextType(b) != msgp.ArrayType {
-		return b, errType
+		return b, errWrongType
 	}
 	n, b, err := msgp.ReadArrayHeaderBytes(b)
 	if err != nil {
@@ -87,10 +87,10 @@
 	return b, nil
 }
 
-// readStr reads a text.
-func readStr(b []byte, to *string) ([]byte, bool, error) {
+// readString reads a text.
+func readString(b []byte, to *string) ([]byte, bool, error) {
 	if msgp.NextType(b) != msgp.StrType {
-		return b, true, errType
+		return b, true, errWrongType
 	}
 	s, rest, err := msgp.ReadStringBytes(b)
 	*to = s
@@ -100,7 +100,7 @@
 // readBool reads a boolean.
 func readBool(b []byte, to *bool) ([]byte, bool, error) {
 	if msgp.NextType(b) != msgp.BoolType {
-		return b, true, errType
+		return b, true, errWrongType
 	}
 	v, rest, err := msgp.ReadBoolBytes(b)
 	*to = v
@@ -122,11 +122,11 @@
 		*to = uint64(v)
 		return rest, true, err
 	}
-	return b, true, errType
+	return b, true, errWrongType
 }
 
-// readNum reads a decimal; an integer is a good decimal. It must be finite.
-func readNum(b []byte, to *float64) ([]byte, bool, error) {
+// readFloat reads a decimal; an integer is a good decimal. It must be finite.
+func readFloat(b []byte, to *float64) ([]byte, bool, error) {
 	var v float64
 	var rest []byte
 	var err error
@@ -146,7 +146,7 @@
 		i, rest, err = msgp.ReadInt64Bytes(b)
 		v = float64(i)
 	default:
-		return b, true, errType
+		return b, true, errWrongType
 	}
 	if err == nil && (math.IsNaN(v) || math.IsInf(v, 0)) {
 		err = errors.New("not a finite number")
@@ -155,28 +155,28 @@
 	return rest, true, err
 }
 
-// readStrs reads a list of texts.
-func readStrs(b []byte, to *[]string) ([]byte, bool, error) {
+// readStrings reads a list of texts.
+func readStrings(b []byte, to *[]string) ([]byte, bool, error) {
 	rest, err := eachItem(b, func(b []byte) ([]byte, error) {
 		var s string
-		rest, _, err := readStr(b, &s)
+		rest, _, err := readString(b, &s)
 		*to = append(*to, s)
 		return rest, err
 	})
 	return rest, true, err
 }
 
-// Valid tells whether b is exactly one well-formed MessagePack value. Decoders
+// Validate tells whether b is exactly one well-formed MessagePack value. Decoders
 // below stop at what they need, so a body from outside passes this first.
-func Valid(b []byte) error {
-	rest, err := validValue(b, maxNesting)
+func Validate(b []byte) error {
+	rest, err := validateValue(b, maxNesting)
 	if err == nil && len(rest) != 0 {
 		err = errors.New("bytes behind the message")
 	}
 	return err
 }
 
-func validValue(b []byte, depth int) ([]byte, error) {
+func validateValue(b []byte, depth int) ([]byte, error) {
 	if depth == 0 {
 		return b, errors.New("nested too deep")
 	}
@@ -185,17 +185,17 @@
 		n, b, err := msgp.ReadMapHeaderBytes(b)
 		for ; err == nil && n > 0; n-- {
 			if msgp.NextType(b) != msgp.StrType {
-				return b, errType
+				return b, errWrongType
 			}
 			if b, err = msgp.Skip(b); err == nil {
-				b, err = validValue(b, depth-1)
+				b, err = validateValue(b, depth-1)
 			}
 		}
 		return b, err
 	case msgp.ArrayType:
 		n, b, err := msgp.ReadArrayHeaderBytes(b)
 		for ; err == nil && n > 0; n-- {
-			b, err = validValue(b, depth-1)
+			b, err = validateValue(b, depth-1)
 		}
 		return b, err
 	case msgp.InvalidType:
@@ -204,11 +204,11 @@
 	return msgp.Skip(b)
 }
 
-func appendStr(b []byte, key, v string) []byte {
+func appendString(b []byte, key, v string) []byte {
 	return msgp.AppendString(msgp.AppendString(b, key), v)
 }
 
-func appendStrs(b []byte, key string, list []string) []byte {
+func appendStrings(b []byte, key string, list []string) []byte {
 	b = msgp.AppendArrayHeader(msgp.AppendString(b, key), uint32(len(list)))
 	for _, s := range list {
 		b = msgp.AppendString(b, s)
@@ -220,7 +220,7 @@
 	return msgp.AppendUint64(msgp.AppendString(b, key), v)
 }
 
-func appendNum(b []byte, key string, v float64) []byte {
+func appendFloat(b []byte, key string, v float64) []byte {
 	return msgp.AppendFloat64(msgp.AppendString(b, key), v)
 }
 
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -19,18 +19,18 @@
 
 // fullSpec has every field of a submission set; what it awaits is a field of the record, not of the job in it.
 func fullSpec() *model.Spec {
-	return &model.Spec{ID: "wk-000412", Class: "train", Team: "vision", Shape: model.Gang, Rank: model.High, Tasks: 16,
-		Need: model.Resources{CPU: 8, GPU: 1, MemGB: 64.5}, Types: []string{"g8", "g4"}, Zone: "a", OneZone: true, Spread: true, Spot: true,
-		Image: "img-07", ImageGB: 6.2, Estimate: 4 * time.Minute, Checkpoint: 30 * time.Second, Save: 4 * time.Second,
+	return &model.Spec{ID: "wk-000412", Class: "train", Team: "vision", Shape: model.Gang, Priority: model.PriorityHigh, Tasks: 16,
+		Demand: model.Resources{CPU: 8, GPU: 1, MemGB: 64.5}, MachineTypes: []string{"g8", "g4"}, Zone: "a", SingleZone: true, Spread: true, AllowSpot: true,
+		Image: "img-07", ImageGB: 6.2, EstimatedRunTime: 4 * time.Minute, CheckpointInterval: 30 * time.Second, CheckpointTime: 4 * time.Second,
 		Deadline: 15 * time.Minute, Rules: `type in ("g8")`}
 }
 
-func leastSpec(shape model.Shape, rank model.Rank) *model.Spec {
-	return &model.Spec{ID: "wk-000001", Class: "c", Team: "t", Shape: shape, Rank: rank, Tasks: 1, Need: model.Resources{CPU: 0.5}}
+func leastSpec(shape model.Shape, rank model.Priority) *model.Spec {
+	return &model.Spec{ID: "wk-000001", Class: "c", Team: "t", Shape: shape, Priority: rank, Tasks: 1, Demand: model.Resources{CPU: 0.5}}
 }
 
 func awaiting(s *model.Spec, ids ...string) *model.Spec {
-	s.Awaits = ids
+	s.Dependencies = ids
 	return s
 }
 
@@ -78,10 +78,10 @@
 	type active struct {
 		Spec  *model.Spec
 		At    time.Time
-		Parts Parts
+		Parts DependencyParts
 	}
 	readActive := func(b []byte) (any, error) {
-		s, at, p, err := DecodeActive(b)
+		s, at, p, err := DecodeActiveJob(b)
 		return active{s, at, p}, err
 	}
 	type ended struct {
@@ -90,7 +90,7 @@
 		At    time.Time
 	}
 	readEnded := func(b []byte) (any, error) {
-		s, tasks, at, err := DecodeEnded(b)
+		s, tasks, at, err := DecodeEndedJob(b)
 		return ended{s, tasks, at}, err
 	}
 	type token struct {
@@ -102,10 +102,10 @@
 	closed := ledger.Page{Team: "vision", First: 3, Last: 6, Unit: ledger.Day, From: time.Unix(1_789_948_800, 0).UTC(),
 		Cells: goldenCells(), Prev: "00ff", Head: "11ee", Sum: "22dd"}
 	interval := ledger.Stretch{From: goldenTime.UTC(), To: goldenTime.Add(time.Minute).UTC(), Token: 41, Without: 2}
-	machine := model.Listed{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true}
+	machine := model.MachineInfo{Name: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true}
 	need := model.Resources{CPU: 8, GPU: 1, MemGB: 64.5}
 	member := featuregate.Member{Name: "tiller-1", Release: "1.2.3", Can: 1, Life: 1 << 63}
-	batch := Batch{Life: 1 << 63, Seq: 12, Text: "AQNhYmM"}
+	batch := RelayBatch{Incarnation: 1 << 63, Seq: 12, Payload: "AQNhYmM"}
 	awaits := []string{"wk-000007", "wk-000008"}
 
 	for _, c := range []struct {
@@ -114,31 +114,31 @@
 		read    func(b []byte) (any, error)
 		want    any
 	}{
-		{"record-active", AppendActive(nil, fullSpec(), goldenTime, nil, Parts{}), readActive, active{fullSpec(), goldenTime, Parts{}}},
-		{"record-active-awaits", AppendActive(nil, fullSpec(), goldenTime, awaits, Parts{}), readActive,
-			active{awaiting(fullSpec(), awaits...), goldenTime, Parts{}}},
-		{"record-active-parts", AppendActive(nil, fullSpec(), goldenTime, nil, Parts{Count: 3, Sum: "0123456789abcdef"}), readActive,
-			active{fullSpec(), goldenTime, Parts{Count: 3, Sum: "0123456789abcdef"}}},
-		{"record-active-least", AppendActive(nil, leastSpec(model.Array, model.Low), goldenTime, nil, Parts{}), readActive,
-			active{leastSpec(model.Array, model.Low), goldenTime, Parts{}}},
-		{"record-awaits", AppendAwaits(nil, awaits), func(b []byte) (any, error) { return DecodeAwaits(b) }, awaits},
-		{"record-ended-done", AppendEnded(nil, StateDone, 16, goldenTime), readEnded, ended{StateDone, 16, goldenTime}},
-		{"record-ended-cancelled", AppendEnded(nil, StateCancelled, 16, goldenTime), readEnded, ended{StateCancelled, 16, goldenTime}},
-		{"record-layout", AppendLayout(nil, 16384), func(b []byte) (any, error) { return DecodeLayout(b) }, 16384},
+		{"record-active", AppendActiveJob(nil, fullSpec(), goldenTime, nil, DependencyParts{}), readActive, active{fullSpec(), goldenTime, DependencyParts{}}},
+		{"record-active-awaits", AppendActiveJob(nil, fullSpec(), goldenTime, awaits, DependencyParts{}), readActive,
+			active{awaiting(fullSpec(), awaits...), goldenTime, DependencyParts{}}},
+		{"record-active-parts", AppendActiveJob(nil, fullSpec(), goldenTime, nil, DependencyParts{Count: 3, Sum: "0123456789abcdef"}), readActive,
+			active{fullSpec(), goldenTime, DependencyParts{Count: 3, Sum: "0123456789abcdef"}}},
+		{"record-active-least", AppendActiveJob(nil, leastSpec(model.Array, model.PriorityLow), goldenTime, nil, DependencyParts{}), readActive,
+			active{leastSpec(model.Array, model.PriorityLow), goldenTime, DependencyParts{}}},
+		{"record-awaits", AppendDependencies(nil, awaits), func(b []byte) (any, error) { return DecodeDependencies(b) }, awaits},
+		{"record-ended-done", AppendEndedJob(nil, StateDone, 16, goldenTime), readEnded, ended{StateDone, 16, goldenTime}},
+		{"record-ended-cancelled", AppendEndedJob(nil, StateCancelled, 16, goldenTime), readEnded, ended{StateCancelled, 16, goldenTime}},
+		{"record-layout", AppendChunkLayout(nil, 16384), func(b []byte) (any, error) { return DecodeChunkLayout(b) }, 16384},
 		{"record-finished-tasks", AppendTasksDone(nil, []byte{0xff, 0x00, 0x5a}), func(b []byte) (any, error) { return DecodeTasksDone(b) },
 			[]byte{0xff, 0x00, 0x5a}},
 		{"record-machine", AppendMachine(nil, machine), func(b []byte) (any, error) { return DecodeMachine("n-000231", b) }, machine},
-		{"record-gpu-request", AppendNeed(nil, need), func(b []byte) (any, error) { return DecodeNeed(b) }, need},
-		{"record-leader-token", AppendToken(nil, 41, "tiller-1"), func(b []byte) (any, error) {
-			n, name, err := DecodeToken(b)
+		{"record-gpu-request", AppendGPUDemand(nil, need), func(b []byte) (any, error) { return DecodeGPUDemand(b) }, need},
+		{"record-leader-token", AppendLeaderRecord(nil, 41, "tiller-1"), func(b []byte) (any, error) {
+			n, name, err := DecodeLeaderRecord(b)
 			return token{n, name}, err
 		}, token{41, "tiller-1"}},
-		{"record-level", AppendLevel(nil, 1, "tiller-1"), func(b []byte) (any, error) { return DecodeLevel(b) }, uint32(1)},
+		{"record-level", AppendFeatureLevel(nil, 1, "tiller-1"), func(b []byte) (any, error) { return DecodeFeatureLevel(b) }, uint32(1)},
 		{"record-member", AppendMember(nil, member), func(b []byte) (any, error) { return DecodeMember("tiller-1", b) }, member},
-		{"record-ledger-open", AppendOpenPage(nil, &open), func(b []byte) (any, error) { return DecodeOpenPage(b) }, open},
-		{"record-ledger-closed", AppendPage(nil, &closed), func(b []byte) (any, error) { return DecodeClosedPage(b) }, closed},
-		{"record-ledger-unaccounted", AppendStretch(nil, interval), func(b []byte) (any, error) { return DecodeStretch(b) }, interval},
-		{"record-relay-batch", AppendBatch(nil, batch), func(b []byte) (any, error) { return DecodeBatch(b) }, batch},
+		{"record-ledger-open", AppendOpenSegment(nil, &open), func(b []byte) (any, error) { return DecodeOpenSegment(b) }, open},
+		{"record-ledger-closed", AppendSegment(nil, &closed), func(b []byte) (any, error) { return DecodeSegment(b) }, closed},
+		{"record-ledger-unaccounted", AppendUnaccountedInterval(nil, interval), func(b []byte) (any, error) { return DecodeUnaccountedInterval(b) }, interval},
+		{"record-relay-batch", AppendRelayBatch(nil, batch), func(b []byte) (any, error) { return DecodeRelayBatch(b) }, batch},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := c.read(golden.CheckMessagePack(t, c.name, c.written))
@@ -153,7 +153,7 @@
 // A record of the version without pipelines doesn't say when its job ended.
 func TestEndedRecordWithoutTimeIsRead(t *testing.T) {
 	b := golden.CheckMessagePack(t, "record-ended-first-version", appendPairs(t, nil, pairs{"end", "done", "n", uint64(16)}))
-	s, tasks, at, err := DecodeEnded(b)
+	s, tasks, at, err := DecodeEndedJob(b)
 	if err != nil || s != StateDone || tasks != 16 || !at.IsZero() {
 		t.Errorf("got %v, %d, %v, %v, want done, 16, no time", s, tasks, at, err)
 	}
@@ -161,22 +161,22 @@
 
 // Messages that the controllers send to workers, cloud, state service and users.
 func TestSentMessagesKeepTheirBytes(t *testing.T) {
-	commands := []model.Order{{Op: model.OpLaunch, Task: goldenTask, Try: 2}, {Op: model.OpStop, Task: goldenTask, Try: 3, Grace: 7500 * time.Millisecond},
-		{Op: model.OpForget, Task: goldenTask, Try: 4}}
-	value := AppendLayout(nil, 64)
-	txn := Txn{If: []Cond{{Key: "leader/token", Version: 12}, {Key: "job/e/wk-000001"}},
-		Then: []Change{{Key: "a"}, {Key: "b", Value: value}, {Key: "c", Value: value, Lease: 9}}}
+	commands := []model.Command{{Op: model.OpLaunch, Task: goldenTask, Attempt: 2}, {Op: model.OpStop, Task: goldenTask, Attempt: 3, GracePeriod: 7500 * time.Millisecond},
+		{Op: model.OpForget, Task: goldenTask, Attempt: 4}}
+	value := AppendChunkLayout(nil, 64)
+	txn := Txn{Conditions: []Condition{{Key: "leader/token", Version: 12}, {Key: "job/e/wk-000001"}},
+		Changes: []Change{{Key: "a"}, {Key: "b", Value: value}, {Key: "c", Value: value, Lease: 9}}}
 	for name, b := range map[string][]byte{
-		"worker-heartbeat-answer":       AppendReportAnswer(nil, 41, commands),
-		"worker-heartbeat-answer-empty": AppendReportAnswer(nil, 41, nil),
+		"worker-heartbeat-answer":       AppendHeartbeatResponse(nil, 41, commands),
+		"worker-heartbeat-answer-empty": AppendHeartbeatResponse(nil, 41, nil),
 		"worker-commands":               AppendCommands(nil, 41, 1<<63, commands),
-		"cloud-provision":               AppendRent(nil, model.Rental{Name: "h-1", Type: "g8", Zone: "a", Spot: true, Count: 50}),
-		"cloud-release":                 AppendMachines(nil, []string{"n-000231", "n-000232"}),
+		"cloud-provision":               AppendProvisioning(nil, model.Provisioning{Name: "h-1", Type: "g8", Zone: "a", Spot: true, Count: 50}),
+		"cloud-release":                 AppendMachineNames(nil, []string{"n-000231", "n-000232"}),
 		"state-transaction":             txn.Append(nil),
-		"state-lease-grant":             AppendGrant(nil, 4000),
-		"user-status":                   AppendStatus(nil, "wk-000412", StateRunning, 5, 11),
-		"user-status-negative":          AppendStatus(nil, "wk-000412", StateQueued, -1, -1),
-		"user-short-status":             AppendShortStatus(nil, "wk-000412", StateCancelled),
+		"state-lease-grant":             AppendLeaseRequest(nil, 4000),
+		"user-status":                   AppendJobStatus(nil, "wk-000412", StateRunning, 5, 11),
+		"user-status-negative":          AppendJobStatus(nil, "wk-000412", StateQueued, -1, -1),
+		"user-short-status":             AppendJobState(nil, "wk-000412", StateCancelled),
 		"user-error":                    AppendError(nil, "no such job"),
 		"leader":                        AppendLeader(nil, "tiller-1"),
 		"leader-unknown":                AppendLeader(nil, ""),
@@ -188,7 +188,7 @@
 			t.Errorf("state %d of a job: got %q, want %q", state, got, want)
 		}
 	}
-	names, err := DecodeMachines(AppendMachines(nil, []string{"n-000231"}))
+	names, err := DecodeMachineNames(AppendMachineNames(nil, []string{"n-000231"}))
 	if err != nil || len(names) != 1 || names[0] != "n-000231" {
 		t.Errorf("a list of machines: got %q, %v, want n-000231", names, err)
 	}
@@ -197,8 +197,8 @@
 // A submission is the job in a record; every word for a shape and a rank is read and written.
 func TestSubmissionsKeepTheirBytes(t *testing.T) {
 	for name, s := range map[string]*model.Spec{
-		"full": fullSpec(), "array-low": leastSpec(model.Array, model.Low), "gang-normal": leastSpec(model.Gang, model.Normal),
-		"service-high": leastSpec(model.Service, model.High), "array-production": leastSpec(model.Array, model.Production),
+		"full": fullSpec(), "array-low": leastSpec(model.Array, model.PriorityLow), "gang-normal": leastSpec(model.Gang, model.PriorityNormal),
+		"service-high": leastSpec(model.Service, model.PriorityHigh), "array-production": leastSpec(model.Array, model.PriorityProduction),
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := DecodeJob(golden.CheckMessagePack(t, "submission-"+name, AppendJob(nil, s)))
@@ -213,8 +213,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "submission-awaits", got, awaiting(leastSpec(model.Array, model.Low), "wk-000007", "wk-000008"))
-	if id, err := PeekRef(b); err != nil || id != "wk-000001" {
+	golden.Equal(t, "submission-awaits", got, awaiting(leastSpec(model.Array, model.PriorityLow), "wk-000007", "wk-000008"))
+	if id, err := DecodeJobID(b); err != nil || id != "wk-000001" {
 		t.Errorf("the job's id: got %q, %v, want wk-000001", id, err)
 	}
 }
@@ -232,14 +232,14 @@
 	task := func(status string, more ...any) pairs {
 		return append(pairs{"row", "wk-000412/3", "try", uint64(2), "status", status}, more...)
 	}
-	read := func(p model.Phase, c model.Cause, saved bool) model.TaskReport {
-		return model.TaskReport{Task: goldenTask, Try: 2, Phase: p, Cause: c, Saved: saved}
+	read := func(p model.Phase, c model.ExitCause, saved bool) model.TaskStatus {
+		return model.TaskStatus{Task: goldenTask, Attempt: 2, Phase: p, Cause: c, Checkpointed: saved}
 	}
 	exited := func(cause string) pairs { return task("exited", "cause", cause, "saved", true) }
-	value := AppendLayout(nil, 64)
+	value := AppendChunkLayout(nil, 64)
 	layout := pairs{"tasks", uint64(64)}
 	type list struct {
-		Machines []model.Listed
+		Machines []model.MachineInfo
 		More     bool
 	}
 	for _, c := range []struct {
@@ -252,29 +252,29 @@
 			"shift", uint64(1 << 63), "tick", uint64(88), "baton", uint64(41), "recallS", 7.5, "rows", []any{
 				task("pulling"), task("gathering"), task("running"), task("saving"), exited("done"), exited("halted"), exited("mates_gone"),
 				exited("incomplete"), exited("error"), exited("no_room"), exited("busy"), exited("no_such"), exited("unheard of")}},
-			func(b []byte) (any, error) { return DecodeReport(b) },
-			&model.Report{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1 << 63, Seq: 88, Token: 41,
-				Notice: true, NoticeIn: 7500 * time.Millisecond, Tasks: []model.TaskReport{
-					read(model.Fetching, 0, false), read(model.Waiting, 0, false), read(model.Running, 0, false), read(model.Saving, 0, false),
-					read(model.Exited, model.CauseDone, true), read(model.Exited, model.CauseStopped, true), read(model.Exited, model.CausePeers, true),
-					read(model.Exited, model.CauseAlone, true), read(model.Exited, model.CauseError, true), read(model.Exited, model.CauseNoRoom, true),
-					read(model.Exited, model.CauseBusy, true), read(model.Exited, model.CauseUnknown, true), read(model.Exited, model.CauseError, true)}}},
+			func(b []byte) (any, error) { return DecodeHeartbeat(b) },
+			&model.Heartbeat{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Epoch: 1 << 63, Seq: 88, FencingToken: 41,
+				InterruptionNotice: true, InterruptionIn: 7500 * time.Millisecond, Tasks: []model.TaskStatus{
+					read(model.PhaseFetching, 0, false), read(model.PhaseWaiting, 0, false), read(model.PhaseRunning, 0, false), read(model.PhaseCheckpointing, 0, false),
+					read(model.PhaseExited, model.CauseDone, true), read(model.PhaseExited, model.CauseStopped, true), read(model.PhaseExited, model.CauseGangMemberLost, true),
+					read(model.PhaseExited, model.CauseGangIncomplete, true), read(model.PhaseExited, model.CauseError, true), read(model.PhaseExited, model.CauseNoCapacity, true),
+					read(model.PhaseExited, model.CauseAttemptConflict, true), read(model.PhaseExited, model.CauseUnknownJob, true), read(model.PhaseExited, model.CauseError, true)}}},
 		{"cloud-catalog", pairs{"breeds", []any{pairs{"label", "g8", "cores", 8.0, "cards", 1.0, "memoryGb", 64.0, "localGb", 100.0,
 			"fetchGbPerS", 0.25, "price", 3.5, "lowPrice", 1.25, "startupS", 42.5, "fields", []any{"a", "b"}}}},
 			func(b []byte) (any, error) { return DecodeCatalog(b) },
-			[]model.MachineType{{Name: "g8", Cap: model.Resources{CPU: 8, GPU: 1, MemGB: 64}, CacheGB: 100, FetchGBPerS: 0.25, Price: 3.5,
-				SpotPrice: 1.25, Boot: 42500 * time.Millisecond, Zones: []string{"a", "b"}}}},
-		{"cloud-provisioned", pairs{"tillers", []any{"n-000231", "n-000232"}}, func(b []byte) (any, error) { return DecodeMachines(b) },
+			[]model.MachineType{{Name: "g8", Capacity: model.Resources{CPU: 8, GPU: 1, MemGB: 64}, CacheGB: 100, FetchGBPerS: 0.25, PricePerHour: 3.5,
+				SpotPricePerHour: 1.25, BootTime: 42500 * time.Millisecond, Zones: []string{"a", "b"}}}},
+		{"cloud-provisioned", pairs{"tillers", []any{"n-000231", "n-000232"}}, func(b []byte) (any, error) { return DecodeMachineNames(b) },
 			[]string{"n-000231", "n-000232"}},
 		{"cloud-machines", pairs{"more", true, "tillers", []any{
 			pairs{"ref", "n-000231", "addr", "10.1.0.232:9000", "breed", "g8", "field", "a", "loaners", true, "status", "running", "heldS", 60.5},
 			pairs{"ref", "n-000232", "status", "starting"}, pairs{"ref", "n-000233", "status", "failed"}}},
 			func(b []byte) (any, error) {
-				m, more, err := DecodeList(b)
+				m, more, err := DecodeMachineList(b)
 				return list{m, more}, err
 			},
-			list{[]model.Listed{{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Age: 60500 * time.Millisecond},
-				{Machine: "n-000232", Booting: true}, {Machine: "n-000233", Failed: true}}, true}},
+			list{[]model.MachineInfo{{Name: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Age: 60500 * time.Millisecond},
+				{Name: "n-000232", Booting: true}, {Name: "n-000233", Failed: true}}, true}},
 		{"state-entry", pairs{"k", "layout/numbered", "value", layout, "stamp", uint64(12), "tenancy", uint64(9)},
 			func(b []byte) (any, error) { return DecodeEntry(b) }, Entry{Key: "layout/numbered", Value: value, Version: 12, Lease: 9}},
 		{"state-keys", pairs{"epoch", uint64(77), "more", true, "entries", []any{pairs{"k", "layout/numbered", "value", layout, "stamp", uint64(12)}}},
@@ -285,7 +285,7 @@
 			func(b []byte) (any, error) { return DecodePage(b) },
 			Page{Entries: []Entry{{Key: "a", Value: value, Version: 12, Lease: 9}, {Key: "b", Version: 13, Removed: true}}, Revision: 77}},
 		{"state-committed", pairs{"epoch", uint64(77)}, func(b []byte) (any, error) { return DecodeRevision(b) }, uint64(77)},
-		{"state-lease-granted", pairs{"tenancy", uint64(9)}, func(b []byte) (any, error) { return DecodeGrant(b) }, uint64(9)},
+		{"state-lease-granted", pairs{"tenancy", uint64(9)}, func(b []byte) (any, error) { return DecodeLeaseID(b) }, uint64(9)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := c.read(golden.CheckMessagePack(t, "received-"+c.name, appendPairs(t, nil, c.sent)))
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -12,8 +12,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// MaxBody is the published bound on request bodies.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the published bound on request bodies.
+const MaxBodyBytes = 64 << 10
 
 // maxTasks is the published bound on the tasks of a job.
 const maxTasks = 100_000
@@ -23,9 +23,9 @@
 const maxAmount = 1e8
 
 var shapes = map[string]model.Shape{"array": model.Array, "ensemble": model.Gang, "daemon": model.Service}
-var ranks = map[string]model.Rank{"critical": model.Production, "urgent": model.High, "standard": model.Normal, "idle": model.Low}
+var priorities = map[string]model.Priority{"critical": model.PriorityProduction, "urgent": model.PriorityHigh, "standard": model.PriorityNormal, "idle": model.PriorityLow}
 
-func wireShape(s model.Shape) string {
+func shapeName(s model.Shape) string {
 	for k, v := range shapes {
 		if v == s {
 			return k
@@ -34,8 +34,8 @@
 	return ""
 }
 
-func wireRank(r model.Rank) string {
-	for k, v := range ranks {
+func priorityName(r model.Priority) string {
+	for k, v := range priorities {
 		if v == r {
 			return k
 		}
@@ -43,25 +43,25 @@
 	return ""
 }
 
-// required lists the fields that a submission must carry. The fields that may
+// requiredJobFields lists the fields that a submission must carry. The fields that may
 // be null (breeds, field, dueS) may also be omitted.
-var required = [...]string{"ref", "jobclass", "owner", "shape", "rank", "rows", "cores", "cards", "memoryGb", "oneZone",
+var requiredJobFields = [...]string{"ref", "jobclass", "owner", "shape", "rank", "rows", "cores", "cards", "memoryGb", "oneZone",
 	"scatter", "loaners", "seed", "imageGb", "expectS", "markS", "storeS"}
 
 // seconds turns a duration on the wire into one of Go's.
 func seconds(s float64) time.Duration { return time.Duration(math.Round(s * float64(time.Second))) }
 
-// PeekRef reads the job id of a submission and nothing else: a known job is
+// DecodeJobID reads the job id of a submission and nothing else: a known job is
 // answered before anything is validated.
-func PeekRef(b []byte) (string, error) {
+func DecodeJobID(b []byte) (string, error) {
 	var id string
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		if key == "ref" {
-			return readStr(b, &id)
+			return readString(b, &id)
 		}
 		return b, false, nil
 	})
-	if err == nil && !model.JobIDValid(id) {
+	if err == nil && !model.ValidJobID(id) {
 		err = errors.New("ref is missing or not of the form")
 	}
 	return id, err
@@ -71,33 +71,33 @@
 func DecodeJob(b []byte) (*model.Spec, error) {
 	s := &model.Spec{}
 	seen := map[string]bool{}
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		seen[key] = true
-		rest, handled, err := jobField(s, key, b)
+		rest, handled, err := decodeJobField(s, key, b)
 		return rest, handled, err
 	})
 	if err != nil {
 		return nil, err
 	}
-	for _, k := range required {
+	for _, k := range requiredJobFields {
 		if !seen[k] {
 			return nil, fmt.Errorf("%q is missing", k)
 		}
 	}
 	switch {
-	case !model.JobIDValid(s.ID):
+	case !model.ValidJobID(s.ID):
 		return nil, errors.New("ref is not of the form")
-	case s.Need.CPU <= 0 && s.Need.GPU <= 0:
+	case s.Demand.CPU <= 0 && s.Demand.GPU <= 0:
 		return nil, errors.New("a task takes neither cores nor cards")
-	case s.Class == "" || len(s.Class) > 100 || s.Team == "" || len(s.Team) > 100 || len(s.Image) > 200 || len(s.Types) > 64:
+	case s.Class == "" || len(s.Class) > 100 || s.Team == "" || len(s.Team) > 100 || len(s.Image) > 200 || len(s.MachineTypes) > 64:
 		return nil, errors.New("a text is empty or too long")
 	}
 	return s, nil
 }
 
-func jobField(s *model.Spec, key string, b []byte) ([]byte, bool, error) {
+func decodeJobField(s *model.Spec, key string, b []byte) ([]byte, bool, error) {
 	amount := func(to *float64) ([]byte, bool, error) {
-		rest, ok, err := readNum(b, to)
+		rest, ok, err := readFloat(b, to)
 		if err == nil && (*to < 0 || *to > maxAmount) {
 			err = errors.New("out of range")
 		}
@@ -111,22 +111,22 @@
 	}
 	switch key {
 	case "ref":
-		return readStr(b, &s.ID)
+		return readString(b, &s.ID)
 	case "jobclass":
-		return readStr(b, &s.Class)
+		return readString(b, &s.Class)
 	case "owner":
-		return readStr(b, &s.Team)
+		return readString(b, &s.Team)
 	case "shape":
 		var v string
-		rest, ok, err := readStr(b, &v)
+		rest, ok, err := readString(b, &v)
 		if s.Shape = shapes[v]; err == nil && s.Shape == 0 {
 			err = errors.New("unknown")
 		}
 		return rest, ok, err
 	case "rank":
 		var v string
-		rest, ok, err := readStr(b, &v)
-		if s.Rank = ranks[v]; err == nil && s.Rank == 0 {
+		rest, ok, err := readString(b, &v)
+		if s.Priority = priorities[v]; err == nil && s.Priority == 0 {
 			err = errors.New("unknown")
 		}
 		return rest, ok, err
@@ -139,68 +139,68 @@
 		s.Tasks = int(v)
 		return rest, ok, err
 	case "cores":
-		return amount(&s.Need.CPU)
+		return amount(&s.Demand.CPU)
 	case "cards":
-		return amount(&s.Need.GPU)
+		return amount(&s.Demand.GPU)
 	case "memoryGb":
-		return amount(&s.Need.MemGB)
+		return amount(&s.Demand.MemGB)
 	case "breeds":
-		s.Types = nil
-		rest, ok, err := readStrs(b, &s.Types)
-		if err == nil && len(s.Types) == 0 {
+		s.MachineTypes = nil
+		rest, ok, err := readStrings(b, &s.MachineTypes)
+		if err == nil && len(s.MachineTypes) == 0 {
 			err = errors.New("empty")
 		}
 		return rest, ok, err
 	case "field":
-		rest, ok, err := readStr(b, &s.Zone)
+		rest, ok, err := readString(b, &s.Zone)
 		if err == nil && s.Zone == "" {
 			err = errors.New("empty") // guards against a zone without a name that is taken for any
 		}
 		return rest, ok, err
 	case "oneZone":
-		return readBool(b, &s.OneZone)
+		return readBool(b, &s.SingleZone)
 	case "scatter":
 		return readBool(b, &s.Spread)
 	case "loaners":
-		return readBool(b, &s.Spot)
+		return readBool(b, &s.AllowSpot)
 	case "seed":
-		return readStr(b, &s.Image)
+		return readString(b, &s.Image)
 	case "imageGb":
 		return amount(&s.ImageGB)
 	case "expectS":
-		return duration(&s.Estimate)
+		return duration(&s.EstimatedRunTime)
 	case "markS":
-		return duration(&s.Checkpoint)
+		return duration(&s.CheckpointInterval)
 	case "storeS":
-		return duration(&s.Save)
+		return duration(&s.CheckpointTime)
 	case "dueS":
 		return duration(&s.Deadline)
 	case "awaits":
-		return readAwaits(b, &s.Awaits)
+		return readDependencies(b, &s.Dependencies)
 	case "rules":
 		if msgp.NextType(b) != msgp.StrType {
-			s.Rules = NoRules // malformed, which matters only where rules are on
+			s.Rules = MalformedRules // malformed, which matters only where rules are on
 			return b, false, nil
 		}
-		return readStr(b, &s.Rules)
+		return readString(b, &s.Rules)
 	}
 	return b, false, nil
 }
 
-// NoRules stands for rules that are no text.
-const NoRules = "\x00"
+// MalformedRules stands for rules that are no text.
+const MalformedRules = "\x00"
 
-// readAwaits reads a list of job ids. A name that is repeated counts once.
-func readAwaits(b []byte, to *[]string) ([]byte, bool, error) {
+// readDependencies reads a list of job ids. A name that is repeated counts once.
+func readDependencies(b []byte, to *[]string) ([]byte, bool, error) {
 	var ids []string
-	rest, _, err := readStrs(b, &ids)
+	rest, _, err := readStrings(b, &ids)
 	if err != nil {
 		return rest, true, err
 	}
 	slices.Sort(ids)
 	ids = slices.Compact(ids)
 	for _, id := range ids {
-		if !model.JobIDValid(id) {
+		if !model.ValidJobID(id) {
 			return rest, true, errors.New("not the id of a job")
 		}
 	}
@@ -210,8 +210,8 @@
 
 // AppendJob writes a job in the form that users submit it in.
 func AppendJob(b []byte, s *model.Spec) []byte {
-	n := uint32(len(required))
-	if len(s.Types) > 0 {
+	n := uint32(len(requiredJobFields))
+	if len(s.MachineTypes) > 0 {
 		n++
 	}
 	if s.Zone != "" {
@@ -224,34 +224,34 @@
 		n++
 	}
 	b = msgp.AppendMapHeader(b, n)
-	b = appendStr(b, "ref", s.ID)
-	b = appendStr(b, "jobclass", s.Class)
-	b = appendStr(b, "owner", s.Team)
-	b = appendStr(b, "shape", wireShape(s.Shape))
-	b = appendStr(b, "rank", wireRank(s.Rank))
+	b = appendString(b, "ref", s.ID)
+	b = appendString(b, "jobclass", s.Class)
+	b = appendString(b, "owner", s.Team)
+	b = appendString(b, "shape", shapeName(s.Shape))
+	b = appendString(b, "rank", priorityName(s.Priority))
 	b = appendUint(b, "rows", uint64(s.Tasks))
-	b = appendNum(b, "cores", s.Need.CPU)
-	b = appendNum(b, "cards", s.Need.GPU)
-	b = appendNum(b, "memoryGb", s.Need.MemGB)
-	b = appendBool(b, "oneZone", s.OneZone)
+	b = appendFloat(b, "cores", s.Demand.CPU)
+	b = appendFloat(b, "cards", s.Demand.GPU)
+	b = appendFloat(b, "memoryGb", s.Demand.MemGB)
+	b = appendBool(b, "oneZone", s.SingleZone)
 	b = appendBool(b, "scatter", s.Spread)
-	b = appendBool(b, "loaners", s.Spot)
-	b = appendStr(b, "seed", s.Image)
-	b = appendNum(b, "imageGb", s.ImageGB)
-	b = appendNum(b, "expectS", s.Estimate.Seconds())
-	b = appendNum(b, "markS", s.Checkpoint.Seconds())
-	b = appendNum(b, "storeS", s.Save.Seconds())
-	if len(s.Types) > 0 {
-		b = appendStrs(b, "breeds", s.Types)
+	b = appendBool(b, "loaners", s.AllowSpot)
+	b = appendString(b, "seed", s.Image)
+	b = appendFloat(b, "imageGb", s.ImageGB)
+	b = appendFloat(b, "expectS", s.EstimatedRunTime.Seconds())
+	b = appendFloat(b, "markS", s.CheckpointInterval.Seconds())
+	b = appendFloat(b, "storeS", s.CheckpointTime.Seconds())
+	if len(s.MachineTypes) > 0 {
+		b = appendStrings(b, "breeds", s.MachineTypes)
 	}
 	if s.Zone != "" {
-		b = appendStr(b, "field", s.Zone)
+		b = appendString(b, "field", s.Zone)
 	}
 	if s.Deadline > 0 {
-		b = appendNum(b, "dueS", s.Deadline.Seconds())
+		b = appendFloat(b, "dueS", s.Deadline.Seconds())
 	}
 	if s.Rules != "" {
-		b = appendStr(b, "rules", s.Rules)
+		b = appendString(b, "rules", s.Rules)
 	}
 	return b
 }
@@ -268,45 +268,45 @@
 	StateCancelled
 )
 
-func (s JobState) wire() string {
+func (s JobState) wireName() string {
 	return [...]string{"", "queued", "running", "done", "withdrawn"}[s]
 }
 
-func (s JobState) String() string { return s.wire() }
+func (s JobState) String() string { return s.wireName() }
 
 // Ended tells whether the state is final.
 func (s JobState) Ended() bool { return s == StateDone || s == StateCancelled }
 
-// End is the end that a state stands for.
-func (s JobState) End() model.End {
+// Outcome is the end that a state stands for.
+func (s JobState) Outcome() model.Outcome {
 	switch s {
 	case StateDone:
-		return model.EndDone
+		return model.OutcomeDone
 	case StateCancelled:
-		return model.EndCancelled
+		return model.OutcomeCancelled
 	}
-	return model.EndUnknown
+	return model.OutcomeUnknown
 }
 
-// AppendStatus writes the answer to a poll.
-func AppendStatus(b []byte, id string, s JobState, done, running int) []byte {
+// AppendJobStatus writes the answer to a poll.
+func AppendJobStatus(b []byte, id string, s JobState, done, running int) []byte {
 	b = msgp.AppendMapHeader(b, 4)
-	b = appendStr(b, "ref", id)
-	b = appendStr(b, "status", s.wire())
+	b = appendString(b, "ref", id)
+	b = appendString(b, "status", s.wireName())
 	b = appendUint(b, "done", uint64(max(done, 0)))
 	return appendUint(b, "running", uint64(max(running, 0)))
 }
 
-// AppendShortStatus writes the answer to a submission or a cancellation.
-func AppendShortStatus(b []byte, id string, s JobState) []byte {
+// AppendJobState writes the answer to a submission or a cancellation.
+func AppendJobState(b []byte, id string, s JobState) []byte {
 	b = msgp.AppendMapHeader(b, 2)
-	b = appendStr(b, "ref", id)
-	return appendStr(b, "status", s.wire())
+	b = appendString(b, "ref", id)
+	return appendString(b, "status", s.wireName())
 }
 
 // AppendError writes a body that tells what was wrong.
 func AppendError(b []byte, why string) []byte {
-	return appendStr(msgp.AppendMapHeader(b, 1), "error", why)
+	return appendString(msgp.AppendMapHeader(b, 1), "error", why)
 }
 
 // AppendLeader writes the body of a 421; an unknown leader is left out.
@@ -314,5 +314,5 @@
 	if leader == "" {
 		return msgp.AppendMapHeader(b, 0)
 	}
-	return appendStr(msgp.AppendMapHeader(b, 1), "foreman", leader)
+	return appendString(msgp.AppendMapHeader(b, 1), "foreman", leader)
 }
--- a/internal/wire/ledger.go
+++ b/internal/wire/ledger.go
@@ -12,7 +12,7 @@
 // The records of the ledger. Amounts stand in lists, in the order of
 // ledger.Use.Numbers: what a later version puts behind is skipped.
 
-func appendCells(b []byte, cells []ledger.Cell) []byte {
+func appendUsage(b []byte, cells []ledger.Cell) []byte {
 	b = msgp.AppendMapHeader(msgp.AppendString(b, "use"), uint32(len(cells)))
 	for _, c := range cells {
 		numbers := c.Numbers()
@@ -24,7 +24,7 @@
 	return b
 }
 
-func readCells(b []byte, to *[]ledger.Cell) ([]byte, bool, error) {
+func readUsage(b []byte, to *[]ledger.Cell) ([]byte, bool, error) {
 	rest, err := eachField(b, func(class string, b []byte) ([]byte, bool, error) {
 		var list []uint64
 		rest, err := eachItem(b, func(b []byte) ([]byte, error) {
@@ -39,28 +39,28 @@
 	return rest, true, err
 }
 
-// AppendOpenPage writes the record of a team's account.
-func AppendOpenPage(b []byte, o *ledger.Open) []byte {
+// AppendOpenSegment writes the record of a team's account.
+func AppendOpenSegment(b []byte, o *ledger.Open) []byte {
 	b = msgp.AppendMapHeader(b, 9)
-	b = appendStr(b, "team", o.Team)
+	b = appendString(b, "team", o.Team)
 	b = appendUint(b, "n", o.Number)
 	b = appendUint(b, "settled", o.Settled)
 	b = appendUint(b, "token", o.Token)
 	b = appendUint(b, "from", uint64(o.From.Unix()))
 	b = appendUint(b, "at", uint64(o.At.UnixMilli()))
-	b = appendCells(b, o.Cells)
-	b = appendStr(b, "prev", o.Prev)
+	b = appendUsage(b, o.Cells)
+	b = appendString(b, "prev", o.Prev)
 	return appendUint(b, "decayed", o.Decayed)
 }
 
-// DecodeOpenPage reads the record of a team's account.
-func DecodeOpenPage(b []byte) (ledger.Open, error) {
+// DecodeOpenSegment reads the record of a team's account.
+func DecodeOpenSegment(b []byte) (ledger.Open, error) {
 	var o ledger.Open
 	var from, at uint64
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
 		case "team":
-			return readStr(b, &o.Team)
+			return readString(b, &o.Team)
 		case "n":
 			return readUint(b, &o.Number)
 		case "settled":
@@ -72,9 +72,9 @@
 		case "at":
 			return readUint(b, &at)
 		case "use":
-			return readCells(b, &o.Cells)
+			return readUsage(b, &o.Cells)
 		case "prev":
-			return readStr(b, &o.Prev)
+			return readString(b, &o.Prev)
 		case "decayed":
 			return readUint(b, &o.Decayed)
 		}
@@ -87,28 +87,28 @@
 	return o, err
 }
 
-// AppendPage writes the record of a closed page.
-func AppendPage(b []byte, p *ledger.Page) []byte {
+// AppendSegment writes the record of a closed page.
+func AppendSegment(b []byte, p *ledger.Page) []byte {
 	b = msgp.AppendMapHeader(b, 9)
-	b = appendStr(b, "team", p.Team)
+	b = appendString(b, "team", p.Team)
 	b = appendUint(b, "first", p.First)
 	b = appendUint(b, "last", p.Last)
 	b = appendUint(b, "unit", uint64(p.Unit))
 	b = appendUint(b, "from", uint64(p.From.Unix()))
-	b = appendCells(b, p.Cells)
-	b = appendStr(b, "prev", p.Prev)
-	b = appendStr(b, "head", p.Head)
-	return appendStr(b, "sum", p.Sum)
+	b = appendUsage(b, p.Cells)
+	b = appendString(b, "prev", p.Prev)
+	b = appendString(b, "head", p.Head)
+	return appendString(b, "sum", p.Sum)
 }
 
-// DecodeClosedPage reads the record of a closed page.
-func DecodeClosedPage(b []byte) (ledger.Page, error) {
+// DecodeSegment reads the record of a closed page.
+func DecodeSegment(b []byte) (ledger.Page, error) {
 	var p ledger.Page
 	var unit, from uint64
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
 		case "team":
-			return readStr(b, &p.Team)
+			return readString(b, &p.Team)
 		case "first":
 			return readUint(b, &p.First)
 		case "last":
@@ -118,13 +118,13 @@
 		case "from":
 			return readUint(b, &from)
 		case "use":
-			return readCells(b, &p.Cells)
+			return readUsage(b, &p.Cells)
 		case "prev":
-			return readStr(b, &p.Prev)
+			return readString(b, &p.Prev)
 		case "head":
-			return readStr(b, &p.Head)
+			return readString(b, &p.Head)
 		case "sum":
-			return readStr(b, &p.Sum)
+			return readString(b, &p.Sum)
 		}
 		return b, false, nil
 	})
@@ -135,18 +135,18 @@
 	return p, err
 }
 
-// AppendStretch writes the record of a stretch of time that is not accounted.
-func AppendStretch(b []byte, s ledger.Stretch) []byte {
+// AppendUnaccountedInterval writes the record of a stretch of time that is not accounted.
+func AppendUnaccountedInterval(b []byte, s ledger.Stretch) []byte {
 	b = appendUint(msgp.AppendMapHeader(b, 4), "from", uint64(s.From.UnixMilli()))
 	b = appendUint(b, "to", uint64(s.To.UnixMilli()))
 	b = appendUint(b, "token", s.Token)
 	return appendUint(b, "without", s.Without)
 }
 
-// DecodeStretch reads the record of a stretch of time that is not accounted.
-func DecodeStretch(b []byte) (s ledger.Stretch, err error) {
+// DecodeUnaccountedInterval reads the record of a stretch of time that is not accounted.
+func DecodeUnaccountedInterval(b []byte) (s ledger.Stretch, err error) {
 	var from, to uint64
-	err = whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	err = decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
 		case "from":
 			return readUint(b, &from)
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -14,16 +14,16 @@
 
 // The records that the controllers themselves keep with the state service.
 
-// Parts tells where the rest of a list stands that is too long for the record of
+// DependencyParts tells where the rest of a list stands that is too long for the record of
 // its job: in that many records of their own, named by the sum of what they hold.
-type Parts struct {
+type DependencyParts struct {
 	Count int
 	Sum   string
 }
 
-// AppendActive writes the record of an accepted, unfinished job. Of what the job
+// AppendActiveJob writes the record of an accepted, unfinished job. Of what the job
 // awaits it holds the ids given here; the rest is in its parts.
-func AppendActive(b []byte, s *model.Spec, at time.Time, awaits []string, p Parts) []byte {
+func AppendActiveJob(b []byte, s *model.Spec, at time.Time, awaits []string, p DependencyParts) []byte {
 	n := uint32(2)
 	if len(awaits) > 0 {
 		n++
@@ -35,24 +35,24 @@
 	b = appendUint(b, "at", uint64(at.UnixMilli()))
 	b = AppendJob(msgp.AppendString(b, "job"), s)
 	if len(awaits) > 0 {
-		b = appendStrs(b, "awaits", awaits)
+		b = appendStrings(b, "awaits", awaits)
 	}
 	if p.Count > 0 {
-		b = appendStr(appendUint(b, "parts", uint64(p.Count)), "sum", p.Sum)
+		b = appendString(appendUint(b, "parts", uint64(p.Count)), "sum", p.Sum)
 	}
 	return b
 }
 
-// AppendAwaits writes one part of a list of jobs that a job awaits.
-func AppendAwaits(b []byte, ids []string) []byte {
-	return appendStrs(msgp.AppendMapHeader(b, 1), "awaits", ids)
+// AppendDependencies writes one part of a list of jobs that a job awaits.
+func AppendDependencies(b []byte, ids []string) []byte {
+	return appendStrings(msgp.AppendMapHeader(b, 1), "awaits", ids)
 }
 
-// DecodeAwaits reads one part of a list of jobs that a job awaits.
-func DecodeAwaits(b []byte) (ids []string, err error) {
-	err = whole(b, func(key string, b []byte) ([]byte, bool, error) {
+// DecodeDependencies reads one part of a list of jobs that a job awaits.
+func DecodeDependencies(b []byte) (ids []string, err error) {
+	err = decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		if key == "awaits" {
-			return readStrs(b, &ids)
+			return readStrings(b, &ids)
 		}
 		return b, false, nil
 	})
@@ -62,20 +62,20 @@
 // StoredSize bounds the size at which the state service counts a value: that of its
 // JSON form, however amounts and letters beyond ASCII are written there.
 func StoredSize(value []byte) int {
-	var c counter
+	var c byteCounter
 	if _, err := msgp.UnmarshalAsJSON(&c, value); err != nil {
 		return math.MaxInt
 	}
-	return int(c) + sizeMargin
+	return int(c) + storedSizeMargin
 }
 
-// sizeMargin covers amounts that are written longer there than here.
-const sizeMargin = 64
+// storedSizeMargin covers amounts that are written longer there than here.
+const storedSizeMargin = 64
 
-// counter counts what is written to it.
-type counter int
+// byteCounter counts what is written to it.
+type byteCounter int
 
-func (c *counter) Write(p []byte) (int, error) {
+func (c *byteCounter) Write(p []byte) (int, error) {
 	for _, b := range p {
 		if *c++; b >= 0x80 {
 			*c += 2 // it may be escaped
@@ -84,29 +84,29 @@
 	return len(p), nil
 }
 
-// DecodeActive reads the record of an accepted, unfinished job. What it awaits is
+// DecodeActiveJob reads the record of an accepted, unfinished job. What it awaits is
 // whole only together with its parts.
-func DecodeActive(b []byte) (*model.Spec, time.Time, Parts, error) {
+func DecodeActiveJob(b []byte) (*model.Spec, time.Time, DependencyParts, error) {
 	var body []byte
 	var at, count uint64
 	var awaits []string
-	var p Parts
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	var p DependencyParts
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
 		case "at":
 			return readUint(b, &at)
 		case "job":
-			return raw(b, &body)
+			return readRaw(b, &body)
 		case "awaits":
-			return readStrs(b, &awaits)
+			return readStrings(b, &awaits)
 		case "parts":
 			return readUint(b, &count)
 		case "sum":
-			return readStr(b, &p.Sum)
+			return readString(b, &p.Sum)
 		}
 		return b, false, nil
 	})
-	if err == nil && count > maxParts {
+	if err == nil && count > maxDependencyParts {
 		err = errors.New("too many parts")
 	}
 	if err != nil {
@@ -115,30 +115,30 @@
 	p.Count = int(count)
 	s, err := DecodeJob(body)
 	if err == nil {
-		s.Awaits = awaits
+		s.Dependencies = awaits
 	}
 	return s, time.UnixMilli(int64(at)), p, err
 }
 
-// maxParts is more parts than any submission needs.
-const maxParts = 1 << 10
+// maxDependencyParts is more parts than any submission needs.
+const maxDependencyParts = 1 << 10
 
-// AppendEnded writes the small record that is kept of an ended job for good.
-func AppendEnded(b []byte, s JobState, tasks int, at time.Time) []byte {
-	b = appendStr(msgp.AppendMapHeader(b, 3), "end", s.wire())
+// AppendEndedJob writes the small record that is kept of an ended job for good.
+func AppendEndedJob(b []byte, s JobState, tasks int, at time.Time) []byte {
+	b = appendString(msgp.AppendMapHeader(b, 3), "end", s.wireName())
 	return appendUint(appendUint(b, "n", uint64(tasks)), "at", uint64(at.UnixMilli()))
 }
 
-// DecodeEnded reads the record of an ended job. Records of the version without
+// DecodeEndedJob reads the record of an ended job. Records of the version without
 // pipelines do not say when it ended: then the time is zero, and lies before the
 // submission of any job that awaits another.
-func DecodeEnded(b []byte) (s JobState, tasks int, at time.Time, err error) {
+func DecodeEndedJob(b []byte) (s JobState, tasks int, at time.Time, err error) {
 	var end string
 	var n, ms uint64
-	err = whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	err = decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
 		case "end":
-			return readStr(b, &end)
+			return readString(b, &end)
 		case "n":
 			return readUint(b, &n)
 		case "at":
@@ -150,25 +150,25 @@
 		at = time.UnixMilli(int64(ms))
 	}
 	for _, s = range [...]JobState{StateDone, StateCancelled} {
-		if err == nil && end == s.wire() {
+		if err == nil && end == s.wireName() {
 			return s, int(n), at, nil
 		}
 	}
 	return 0, 0, at, errors.Join(err, errors.New("not the record of an ended job"))
 }
 
-// AppendLayout writes how many tasks a numbered chunk of the finished-task record has.
-func AppendLayout(b []byte, tasks int) []byte {
+// AppendChunkLayout writes how many tasks a numbered chunk of the finished-task record has.
+func AppendChunkLayout(b []byte, tasks int) []byte {
 	return appendUint(msgp.AppendMapHeader(b, 1), "tasks", uint64(tasks))
 }
 
-// maxLayout bounds what a numbered chunk can have held under any limit.
-const maxLayout = 1 << 24
+// maxChunkTasks bounds what a numbered chunk can have held under any limit.
+const maxChunkTasks = 1 << 24
 
-// DecodeLayout reads how many tasks a numbered chunk of the finished-task record has.
-func DecodeLayout(b []byte) (int, error) {
-	n, err := DecodeNumber(b, "tasks")
-	if err == nil && n > maxLayout {
+// DecodeChunkLayout reads how many tasks a numbered chunk of the finished-task record has.
+func DecodeChunkLayout(b []byte) (int, error) {
+	n, err := DecodeUintField(b, "tasks")
+	if err == nil && n > maxChunkTasks {
 		err = errors.New("out of range")
 	}
 	return int(n), err
@@ -176,15 +176,15 @@
 
 // AppendTasksDone writes one chunk of the finished-task record, a bit a task.
 func AppendTasksDone(b []byte, bits []byte) []byte {
-	return appendStr(msgp.AppendMapHeader(b, 1), "bits", hex.EncodeToString(bits))
+	return appendString(msgp.AppendMapHeader(b, 1), "bits", hex.EncodeToString(bits))
 }
 
 // DecodeTasksDone reads one chunk of the finished-task record.
 func DecodeTasksDone(b []byte) ([]byte, error) {
 	var s string
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		if key == "bits" {
-			return readStr(b, &s)
+			return readString(b, &s)
 		}
 		return b, false, nil
 	})
@@ -195,25 +195,25 @@
 }
 
 // AppendMachine writes the record of a machine that may hold tasks.
-func AppendMachine(b []byte, m model.Listed) []byte {
+func AppendMachine(b []byte, m model.MachineInfo) []byte {
 	b = msgp.AppendMapHeader(b, 4)
-	b = appendStr(b, "addr", m.Addr)
-	b = appendStr(b, "type", m.Type)
-	b = appendStr(b, "zone", m.Zone)
+	b = appendString(b, "addr", m.Addr)
+	b = appendString(b, "type", m.Type)
+	b = appendString(b, "zone", m.Zone)
 	return appendBool(b, "spot", m.Spot)
 }
 
 // DecodeMachine reads the record of a machine.
-func DecodeMachine(name string, b []byte) (model.Listed, error) {
-	m := model.Listed{Machine: name}
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
+func DecodeMachine(name string, b []byte) (model.MachineInfo, error) {
+	m := model.MachineInfo{Name: name}
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
 		case "addr":
-			return readStr(b, &m.Addr)
+			return readString(b, &m.Addr)
 		case "type":
-			return readStr(b, &m.Type)
+			return readString(b, &m.Type)
 		case "zone":
-			return readStr(b, &m.Zone)
+			return readString(b, &m.Zone)
 		case "spot":
 			return readBool(b, &m.Spot)
 		}
@@ -222,43 +222,43 @@
 	return m, err
 }
 
-// AppendNeed writes the record of a GPU request that was seen.
-func AppendNeed(b []byte, r model.Resources) []byte {
-	b = appendNum(msgp.AppendMapHeader(b, 3), "cpu", r.CPU)
-	b = appendNum(b, "gpu", r.GPU)
-	return appendNum(b, "mem", r.MemGB)
+// AppendGPUDemand writes the record of a GPU request that was seen.
+func AppendGPUDemand(b []byte, r model.Resources) []byte {
+	b = appendFloat(msgp.AppendMapHeader(b, 3), "cpu", r.CPU)
+	b = appendFloat(b, "gpu", r.GPU)
+	return appendFloat(b, "mem", r.MemGB)
 }
 
-// DecodeNeed reads the record of a GPU request.
-func DecodeNeed(b []byte) (r model.Resources, err error) {
-	err = whole(b, func(key string, b []byte) ([]byte, bool, error) {
+// DecodeGPUDemand reads the record of a GPU request.
+func DecodeGPUDemand(b []byte) (r model.Resources, err error) {
+	err = decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
 		case "cpu":
-			return readNum(b, &r.CPU)
+			return readFloat(b, &r.CPU)
 		case "gpu":
-			return readNum(b, &r.GPU)
+			return readFloat(b, &r.GPU)
 		case "mem":
-			return readNum(b, &r.MemGB)
+			return readFloat(b, &r.MemGB)
 		}
 		return b, false, nil
 	})
 	return r, err
 }
 
-// AppendToken writes the token's or the leader's record.
-func AppendToken(b []byte, token uint64, member string) []byte {
+// AppendLeaderRecord writes the token's or the leader's record.
+func AppendLeaderRecord(b []byte, token uint64, member string) []byte {
 	b = appendUint(msgp.AppendMapHeader(b, 2), "token", token)
-	return appendStr(b, "member", member)
+	return appendString(b, "member", member)
 }
 
-// DecodeToken reads the token's or the leader's record.
-func DecodeToken(b []byte) (token uint64, member string, err error) {
-	err = whole(b, func(key string, b []byte) ([]byte, bool, error) {
+// DecodeLeaderRecord reads the token's or the leader's record.
+func DecodeLeaderRecord(b []byte) (token uint64, member string, err error) {
+	err = decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
 		case "token":
 			return readUint(b, &token)
 		case "member":
-			return readStr(b, &member)
+			return readString(b, &member)
 		}
 		return b, false, nil
 	})
@@ -268,18 +268,18 @@
 	return token, member, err
 }
 
-// AppendLevel writes the record of the level in force. It must never have both fields of a
+// AppendFeatureLevel writes the record of the level in force. It must never have both fields of a
 // token's record: programs before levels read it as one, fail, and so never claim
 // (docs/safety.md, "Levels").
-func AppendLevel(b []byte, level uint32, by string) []byte {
+func AppendFeatureLevel(b []byte, level uint32, by string) []byte {
 	b = appendUint(msgp.AppendMapHeader(b, 2), "level", uint64(level))
-	return appendStr(b, "by", by)
+	return appendString(b, "by", by)
 }
 
-// DecodeLevel reads the record of the level in force.
-func DecodeLevel(b []byte) (uint32, error) {
+// DecodeFeatureLevel reads the record of the level in force.
+func DecodeFeatureLevel(b []byte) (uint32, error) {
 	var v uint64
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		if key == "level" {
 			return readUint(b, &v)
 		}
@@ -293,7 +293,7 @@
 
 // AppendMember writes what a member tells of itself.
 func AppendMember(b []byte, m featuregate.Member) []byte {
-	b = appendStr(msgp.AppendMapHeader(b, 3), "release", m.Release)
+	b = appendString(msgp.AppendMapHeader(b, 3), "release", m.Release)
 	b = appendUint(b, "can", uint64(m.Can))
 	return appendUint(b, "life", m.Life)
 }
@@ -302,10 +302,10 @@
 func DecodeMember(name string, b []byte) (featuregate.Member, error) {
 	m := featuregate.Member{Name: name}
 	var can uint64
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
 		case "release":
-			return readStr(b, &m.Release)
+			return readString(b, &m.Release)
 		case "can":
 			return readUint(b, &can)
 		case "life":
--- a/internal/wire/relay.go
+++ b/internal/wire/relay.go
@@ -6,39 +6,39 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Batch is a batch of reports that a member hands over by way of the state service, or of the
+// RelayBatch is a batch of reports that a member hands over by way of the state service, or of the
 // answers to one.
-type Batch struct {
-	Life uint64 // drawn at the start of the member's process
-	Seq  uint64 // numbers that life's batches
-	Text string // letters, as package courier packs them
+type RelayBatch struct {
+	Incarnation uint64 // drawn at the start of the member's process
+	Seq         uint64 // numbers that life's batches
+	Payload     string // letters, as package courier packs them
 }
 
-// AppendBatch writes a batch.
-func AppendBatch(b []byte, v Batch) []byte {
-	b = appendUint(msgp.AppendMapHeader(b, 3), "life", v.Life)
+// AppendRelayBatch writes a batch.
+func AppendRelayBatch(b []byte, v RelayBatch) []byte {
+	b = appendUint(msgp.AppendMapHeader(b, 3), "life", v.Incarnation)
 	b = appendUint(b, "seq", v.Seq)
-	return appendStr(b, "text", v.Text)
+	return appendString(b, "text", v.Payload)
 }
 
-// DecodeBatch reads a batch.
-func DecodeBatch(b []byte) (v Batch, err error) {
-	err = whole(b, func(key string, b []byte) ([]byte, bool, error) {
+// DecodeRelayBatch reads a batch.
+func DecodeRelayBatch(b []byte) (v RelayBatch, err error) {
+	err = decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
 		case "life":
-			return readUint(b, &v.Life)
+			return readUint(b, &v.Incarnation)
 		case "seq":
 			return readUint(b, &v.Seq)
 		case "text":
-			return readStr(b, &v.Text)
+			return readString(b, &v.Payload)
 		}
 		return b, false, nil
 	})
-	if err == nil && (v.Seq == 0 || v.Text == "") {
+	if err == nil && (v.Seq == 0 || v.Payload == "") {
 		err = errors.New("not a batch")
 	}
 	return v, err
 }
 
-// BatchRoom is how much text a batch may have where values are bounded.
-func BatchRoom(value int) int { return value - 100 }
+// MaxBatchPayload is how much text a batch may have where values are bounded.
+func MaxBatchPayload(value int) int { return value - 100 }
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -15,9 +15,9 @@
 	Removed bool
 }
 
-// Cond is a condition of a transaction: the key has this version; 0: it does
+// Condition is a condition of a transaction: the key has this version; 0: it does
 // not exist.
-type Cond struct {
+type Condition struct {
 	Key     string
 	Version uint64
 }
@@ -31,37 +31,37 @@
 
 // Txn is a transaction.
 type Txn struct {
-	If   []Cond
-	Then []Change
+	Conditions []Condition
+	Changes    []Change
 }
 
 // Append writes the transaction's request.
 func (t *Txn) Append(b []byte) []byte {
 	b = msgp.AppendMapHeader(b, 2)
-	b = msgp.AppendArrayHeader(msgp.AppendString(b, "if"), uint32(len(t.If)))
-	for _, c := range t.If {
-		b = appendStr(msgp.AppendMapHeader(b, 2), "k", c.Key)
+	b = msgp.AppendArrayHeader(msgp.AppendString(b, "if"), uint32(len(t.Conditions)))
+	for _, c := range t.Conditions {
+		b = appendString(msgp.AppendMapHeader(b, 2), "k", c.Key)
 		b = appendUint(b, "stamp", c.Version)
 	}
-	b = msgp.AppendArrayHeader(msgp.AppendString(b, "apply"), uint32(len(t.Then)))
-	for _, c := range t.Then {
+	b = msgp.AppendArrayHeader(msgp.AppendString(b, "apply"), uint32(len(t.Changes)))
+	for _, c := range t.Changes {
 		switch {
 		case c.Value == nil:
-			b = appendStr(msgp.AppendMapHeader(b, 1), "remove", c.Key)
+			b = appendString(msgp.AppendMapHeader(b, 1), "remove", c.Key)
 		case c.Lease != 0:
-			b = appendStr(msgp.AppendMapHeader(b, 3), "write", c.Key)
+			b = appendString(msgp.AppendMapHeader(b, 3), "write", c.Key)
 			b = append(msgp.AppendString(b, "value"), c.Value...)
 			b = appendUint(b, "tenancy", c.Lease)
 		default:
-			b = appendStr(msgp.AppendMapHeader(b, 2), "write", c.Key)
+			b = appendString(msgp.AppendMapHeader(b, 2), "write", c.Key)
 			b = append(msgp.AppendString(b, "value"), c.Value...)
 		}
 	}
 	return b
 }
 
-// raw keeps a value as it stands.
-func raw(b []byte, to *[]byte) ([]byte, bool, error) {
+// readRaw keeps a value as it stands.
+func readRaw(b []byte, to *[]byte) ([]byte, bool, error) {
 	rest, err := msgp.Skip(b)
 	if err == nil {
 		*to = append([]byte(nil), b[:len(b)-len(rest)]...)
@@ -69,15 +69,15 @@
 	return rest, true, err
 }
 
-func entryField(e *Entry, key string, b []byte) ([]byte, bool, error) {
+func decodeEntryField(e *Entry, key string, b []byte) ([]byte, bool, error) {
 	switch key {
 	case "k", "write":
-		return readStr(b, &e.Key)
+		return readString(b, &e.Key)
 	case "remove":
 		e.Removed = true
-		return readStr(b, &e.Key)
+		return readString(b, &e.Key)
 	case "value":
-		return raw(b, &e.Value)
+		return readRaw(b, &e.Value)
 	case "stamp":
 		return readUint(b, &e.Version)
 	case "tenancy":
@@ -89,7 +89,7 @@
 // DecodeEntry reads the answer to a read of one key.
 func DecodeEntry(b []byte) (Entry, error) {
 	var e Entry
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) { return entryField(&e, key, b) })
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) { return decodeEntryField(&e, key, b) })
 	if err == nil && (e.Key == "" || e.Version == 0) {
 		err = errors.New("an entry without key or version")
 	}
@@ -106,7 +106,7 @@
 // DecodePage reads the answer to a read by prefix or to a watch.
 func DecodePage(b []byte) (Page, error) {
 	var p Page
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
 		case "epoch":
 			return readUint(b, &p.Revision)
@@ -115,7 +115,7 @@
 		case "entries", "log":
 			rest, err := eachItem(b, func(b []byte) ([]byte, error) {
 				var e Entry
-				rest, err := eachField(b, func(key string, b []byte) ([]byte, bool, error) { return entryField(&e, key, b) })
+				rest, err := eachField(b, func(key string, b []byte) ([]byte, bool, error) { return decodeEntryField(&e, key, b) })
 				p.Entries = append(p.Entries, e)
 				return rest, err
 			})
@@ -126,10 +126,10 @@
 	return p, err
 }
 
-// DecodeNumber reads one integer of a small answer.
-func DecodeNumber(b []byte, field string) (uint64, error) {
+// DecodeUintField reads one integer of a small answer.
+func DecodeUintField(b []byte, field string) (uint64, error) {
 	var v uint64
-	err := whole(b, func(key string, b []byte) ([]byte, bool, error) {
+	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		if key == field {
 			return readUint(b, &v)
 		}
@@ -142,12 +142,12 @@
 }
 
 // DecodeRevision reads the revision of a transaction's answer.
-func DecodeRevision(b []byte) (uint64, error) { return DecodeNumber(b, "epoch") }
+func DecodeRevision(b []byte) (uint64, error) { return DecodeUintField(b, "epoch") }
 
-// DecodeGrant reads the name of a new lease.
-func DecodeGrant(b []byte) (uint64, error) { return DecodeNumber(b, "tenancy") }
+// DecodeLeaseID reads the name of a new lease.
+func DecodeLeaseID(b []byte) (uint64, error) { return DecodeUintField(b, "tenancy") }
 
-// AppendGrant writes the request for a lease.
-func AppendGrant(b []byte, ms uint64) []byte {
+// AppendLeaseRequest writes the request for a lease.
+func AppendLeaseRequest(b []byte, ms uint64) []byte {
 	return appendUint(msgp.AppendMapHeader(b, 1), "lifeMs", ms)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -27,23 +27,23 @@
 	return b
 }
 
-func TestSubmissionIsRead(t *testing.T) {
+func TestDecodeJobReadsAllFields(t *testing.T) {
 	s, err := DecodeJob(pack(t, submission()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.ID != "wk-000412" || s.Shape != model.Gang || s.Rank != model.High || s.Tasks != 16 || s.Need != (model.Resources{CPU: 8, GPU: 1, MemGB: 64}) ||
-		s.Zone != "" || !s.OneZone || !s.Spot || s.Deadline != 15*time.Minute || s.Estimate != 4*time.Minute || len(s.Types) != 1 {
+	if s.ID != "wk-000412" || s.Shape != model.Gang || s.Priority != model.PriorityHigh || s.Tasks != 16 || s.Demand != (model.Resources{CPU: 8, GPU: 1, MemGB: 64}) ||
+		s.Zone != "" || !s.SingleZone || !s.AllowSpot || s.Deadline != 15*time.Minute || s.EstimatedRunTime != 4*time.Minute || len(s.MachineTypes) != 1 {
 		t.Errorf("read as %+v", s)
 	}
 	at := time.UnixMilli(1_700_000_000_123)
-	again, when, _, err := DecodeActive(AppendActive(nil, s, at, nil, Parts{}))
-	if err != nil || !when.Equal(at) || again.ID != s.ID || again.Estimate != s.Estimate || again.Types[0] != "g8" || again.Need != s.Need {
+	again, when, _, err := DecodeActiveJob(AppendActiveJob(nil, s, at, nil, DependencyParts{}))
+	if err != nil || !when.Equal(at) || again.ID != s.ID || again.EstimatedRunTime != s.EstimatedRunTime || again.MachineTypes[0] != "g8" || again.Demand != s.Demand {
 		t.Errorf("the job's record reads as %+v, %v, %v", again, when, err)
 	}
 }
 
-func TestMalformedSubmissionsAreRefused(t *testing.T) {
+func TestMalformedJobIsRejected(t *testing.T) {
 	for name, change := range map[string]func(m map[string]any){
 		"no id":              func(m map[string]any) { delete(m, "ref") },
 		"id of another form": func(m map[string]any) { m["ref"] = "job-1" },
@@ -75,7 +75,7 @@
 		"a key that is no text": {0x81, 0x01, 0x01}, "a huge map": {0xdf, 0xff, 0xff, 0xff, 0xff},
 		"nested without end": []byte(strings.Repeat("\x91", 5000) + "\xc0"),
 	} {
-		if Valid(b) == nil {
+		if Validate(b) == nil {
 			if s, err := DecodeJob(b); err == nil {
 				t.Errorf("%s: taken as %+v", name, s)
 			}
@@ -87,21 +87,21 @@
 func FuzzDecoders(f *testing.F) {
 	f.Add([]byte{0x80})
 	f.Add([]byte{0x81, 0xa3, 'l', 'o', 'g', 0x91, 0x81, 0xa5, 'w', 'r', 'i', 't', 'e', 0xa1, 'k'})
-	f.Add(AppendReportAnswer(nil, 7, []model.Order{{Op: model.OpStop, Task: model.TaskID{Job: "wk-000001"}, Try: 3, Grace: time.Second}}))
+	f.Add(AppendHeartbeatResponse(nil, 7, []model.Command{{Op: model.OpStop, Task: model.TaskID{Job: "wk-000001"}, Attempt: 3, GracePeriod: time.Second}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r, err := DecodeReport(b)
-		if err == nil && (r.Machine == "" || r.Session == 0) {
+		r, err := DecodeHeartbeat(b)
+		if err == nil && (r.Machine == "" || r.Epoch == 0) {
 			t.Error("a report without machine or session was taken")
 		}
-		if s, err := DecodeJob(b); err == nil && (!model.JobIDValid(s.ID) || s.Tasks < 1 || s.Tasks > 100_000) {
+		if s, err := DecodeJob(b); err == nil && (!model.ValidJobID(s.ID) || s.Tasks < 1 || s.Tasks > 100_000) {
 			t.Errorf("taken as a job: %+v", s)
 		}
 		if p, err := DecodePage(b); err != nil && p.More && len(p.Entries) > len(b) {
 			t.Error("more entries than bytes")
 		}
-		if m, _, err := DecodeList(b); err == nil {
+		if m, _, err := DecodeMachineList(b); err == nil {
 			for _, l := range m {
-				if l.Machine == "" {
+				if l.Name == "" {
 					t.Error("a machine without name was taken")
 				}
 			}
@@ -109,8 +109,8 @@
 	})
 }
 
-func TestReportIsRead(t *testing.T) {
-	r, err := DecodeReport(pack(t, map[string]any{"tiller": "n-000231", "addr": "10.1.0.232:9000", "breed": "g8", "field": "a", "loaners": true,
+func TestDecodeHeartbeatReadsAllFields(t *testing.T) {
+	r, err := DecodeHeartbeat(pack(t, map[string]any{"tiller": "n-000231", "addr": "10.1.0.232:9000", "breed": "g8", "field": "a", "loaners": true,
 		"shift": 1, "tick": 88, "baton": uint64(41), "recallS": 7.5, "rows": []any{
 			map[string]any{"row": "wk-000412/3", "try": 2, "status": "running"},
 			map[string]any{"row": "not ours", "try": 2, "status": "running"},
@@ -118,10 +118,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Machine != "n-000231" || r.Seq != 88 || r.Token != 41 || !r.Notice || r.NoticeIn != 7500*time.Millisecond || len(r.Tasks) != 2 {
+	if r.Machine != "n-000231" || r.Seq != 88 || r.FencingToken != 41 || !r.InterruptionNotice || r.InterruptionIn != 7500*time.Millisecond || len(r.Tasks) != 2 {
 		t.Fatalf("read as %+v", r)
 	}
-	if x := r.Tasks[1]; x.Task.Job != "wk-000398" || x.Phase != model.Exited || x.Cause != model.CauseStopped || !x.Saved {
+	if x := r.Tasks[1]; x.Task.Job != "wk-000398" || x.Phase != model.PhaseExited || x.Cause != model.CauseStopped || !x.Checkpointed {
 		t.Errorf("the exited task reads as %+v", x)
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -19,41 +19,41 @@
 
 // Client sends commands to workers, over few connections a worker.
 type Client struct {
-	timeout time.Duration
-	under   func(rpc.Dial) rpc.Dial
+	timeout  time.Duration
+	wrapDial func(rpc.DialFunc) rpc.DialFunc
 
-	mu     sync.Mutex
-	byAddr map[string]*list.Element
-	order  *list.List // of *conn, those that were used last at the back
+	mu           sync.Mutex
+	byAddr       map[string]*list.Element
+	recentlyUsed *list.List // of *conn, those that were used last at the back
 }
 
-type conn struct {
-	addr   string
-	client *rpc.Client
-	used   time.Time
-	calls  int  // that are under way
-	urgent bool // the last one is
+type connection struct {
+	addr          string
+	client        *rpc.Client
+	lastUsed      time.Time
+	callsInFlight int  // that are under way
+	lastUrgent    bool // the last one is
 }
 
-// unused is when a worker that nothing was sent to is forgotten: machines come
+// idleTimeout is when a worker that nothing was sent to is forgotten: machines come
 // and go, and their addresses with them.
-const unused = 2 * time.Minute
+const idleTimeout = 2 * time.Minute
 
 // New makes a client; connections are made under a condition (rpc.New).
-func New(timeout time.Duration, under func(rpc.Dial) rpc.Dial) *Client {
-	return &Client{timeout: timeout, under: under, byAddr: map[string]*list.Element{}, order: list.New()}
+func New(timeout time.Duration, under func(rpc.DialFunc) rpc.DialFunc) *Client {
+	return &Client{timeout: timeout, wrapDial: under, byAddr: map[string]*list.Element{}, recentlyUsed: list.New()}
 }
 
-// dial puts the making of a connection to a worker under the client's condition. Where there is no socket for it,
+// dialFor puts the making of a connection to a worker under the client's condition. Where there is no socket for it,
 // others make room.
-func (c *Client) dial(w *conn) func(rpc.Dial) rpc.Dial {
-	return func(dial rpc.Dial) rpc.Dial {
-		if c.under != nil {
-			dial = c.under(dial)
+func (c *Client) dialFor(w *connection) func(rpc.DialFunc) rpc.DialFunc {
+	return func(dial rpc.DialFunc) rpc.DialFunc {
+		if c.wrapDial != nil {
+			dial = c.wrapDial(dial)
 		}
 		return func(addr string) (net.Conn, error) {
 			made, err := dial(addr)
-			if errors.Is(err, connquota.ErrFull) && c.yield(w) {
+			if errors.Is(err, connquota.ErrFull) && c.closeIdle(w) {
 				made, err = dial(addr)
 			}
 			return made, err
@@ -61,23 +61,23 @@
 	}
 }
 
-// yield closes connections on which nothing is under way, of the workers that were sent nothing for longest, so that
+// closeIdle closes connections on which nothing is under way, of the workers that were sent nothing for longest, so that
 // another one can be sent something. It is false where there are none to close: for what is not urgent those that were
 // used lately stay, and the launch goes in the answer to its worker's next report, which costs nothing. Guards against
 // urgent launches that wait for such a report, for seconds, and against connections that are made and closed for each
 // of thousands of launches a second.
-func (c *Client) yield(to *conn) bool {
+func (c *Client) closeIdle(to *connection) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	e := c.order.Front()
-	for range yieldsAmong {
-		if e == nil || n == yields {
+	e := c.recentlyUsed.Front()
+	for range maxIdleInspected {
+		if e == nil || n == maxClosedAtOnce {
 			break
 		}
 		next := e.Next()
-		if w := e.Value.(*conn); w.calls == 0 && (to.urgent || time.Since(w.used) > c.timeout) {
-			c.forget(e)
+		if w := e.Value.(*connection); w.callsInFlight == 0 && (to.lastUrgent || time.Since(w.lastUsed) > c.timeout) {
+			c.remove(e)
 			n++
 		}
 		e = next
@@ -86,56 +86,56 @@
 }
 
 const (
-	yields      = 16  // workers whose connections are closed at once
-	yieldsAmong = 128 // that were sent nothing for longest
+	maxClosedAtOnce  = 16  // workers whose connections are closed at once
+	maxIdleInspected = 128 // that were sent nothing for longest
 )
 
-// forget closes the connections to a worker. The lock is held.
-func (c *Client) forget(e *list.Element) {
-	old := c.order.Remove(e).(*conn)
+// remove closes the connections to a worker. The lock is held.
+func (c *Client) remove(e *list.Element) {
+	old := c.recentlyUsed.Remove(e).(*connection)
 	old.client.Close()
 	delete(c.byAddr, old.addr)
 }
 
-// take finds the connection to a worker for a call; give says that it is over.
-func (c *Client) take(addr string, urgent bool, now time.Time) *conn {
+// acquire finds the connection to a worker for a call; give says that it is over.
+func (c *Client) acquire(addr string, urgent bool, now time.Time) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.byAddr[addr]
 	if e == nil {
-		for o := c.order.Front(); o != nil && now.Sub(o.Value.(*conn).used) > unused; o = c.order.Front() {
-			c.forget(o)
+		for o := c.recentlyUsed.Front(); o != nil && now.Sub(o.Value.(*connection).lastUsed) > idleTimeout; o = c.recentlyUsed.Front() {
+			c.remove(o)
 		}
-		w := &conn{addr: addr}
-		w.client = rpc.New(addr, 2, c.dial(w))
-		e = c.order.PushBack(w)
+		w := &connection{addr: addr}
+		w.client = rpc.New(addr, 2, c.dialFor(w))
+		e = c.recentlyUsed.PushBack(w)
 		c.byAddr[addr] = e
 	}
-	c.order.MoveToBack(e)
-	w := e.Value.(*conn)
-	w.used, w.urgent = now, urgent
-	w.calls++
+	c.recentlyUsed.MoveToBack(e)
+	w := e.Value.(*connection)
+	w.lastUsed, w.lastUrgent = now, urgent
+	w.callsInFlight++
 	return w
 }
 
-func (c *Client) give(w *conn) {
+func (c *Client) release(w *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w.calls--
+	w.callsInFlight--
 }
 
 // Reply is what became of commands.
 type Reply struct {
-	Executed bool          // the commands were executed
-	Report   *model.Report // the worker's report after them; nil where none came
-	NotSent  bool          // the commands did not reach the worker and never will
-	Err      error
+	Executed  bool             // the commands were executed
+	Heartbeat *model.Heartbeat // the worker's report after them; nil where none came
+	NotSent   bool             // the commands did not reach the worker and never will
+	Err       error
 }
 
-// Commands sends commands. The caller checks its right to act right before.
-func (c *Client) Commands(addr string, token, session uint64, orders []model.Order, urgent bool) Reply {
-	w := c.take(addr, urgent, time.Now())
-	defer c.give(w)
+// Send sends commands. The caller checks its right to act right before.
+func (c *Client) Send(addr string, token, session uint64, orders []model.Command, urgent bool) Reply {
+	w := c.acquire(addr, urgent, time.Now())
+	defer c.release(w)
 	out, err := w.client.Call(
 		fasthttp.MethodPost,
 		"/commands",
@@ -145,17 +145,17 @@
 	var s *rpc.StatusError
 	switch {
 	case err == nil:
-		r, err := wire.DecodeReport(out)
+		r, err := wire.DecodeHeartbeat(out)
 		if err != nil {
 			r = nil
 		}
-		return Reply{Executed: true, Report: r, Err: err}
+		return Reply{Executed: true, Heartbeat: r, Err: err}
 	case errors.As(err, &s):
-		r, derr := wire.DecodeReport(s.Body)
+		r, derr := wire.DecodeHeartbeat(s.Body)
 		if derr != nil {
 			r = nil
 		}
-		return Reply{Report: r, NotSent: true, Err: err}
+		return Reply{Heartbeat: r, NotSent: true, Err: err}
 	}
 	return Reply{NotSent: errors.Is(err, rpc.ErrNotSent), Err: err}
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -12,8 +12,8 @@
 	"github.com/glentiller/glentiller/internal/connquota"
 )
 
-// listen makes a stand-in worker that answers commands after the gate is open.
-func listen(t *testing.T, gate <-chan struct{}) string {
+// startWorker makes a stand-in worker that answers commands after the gate is open.
+func startWorker(t *testing.T, gate <-chan struct{}) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -25,45 +25,45 @@
 	return l.Addr().String()
 }
 
-// directShare is how many connections for commands the smallest budget allows.
-const directShare = 4
+// maxDirectConnections is how many connections for commands the smallest budget allows.
+const maxDirectConnections = 4
 
 // Guards against launches that wait for their workers' next reports, up to several seconds, where every connection was
 // used lately and none is in use: at 2,200 starts a second urgent work started after 1.2 s.
-func TestAnIdleConnectionMakesRoomForUrgentWorkHoweverLatelyItWasUsed(t *testing.T) {
+func TestUrgentCommandEvictsRecentlyUsedIdleConnection(t *testing.T) {
 	open := make(chan struct{})
 	close(open)
 	c := New(5*time.Second, connquota.New(16, 0, nil).Dial(connquota.Direct))
-	for i := range 4 * directShare {
-		if r := c.Commands(listen(t, open), 1, 1, nil, true); !r.Executed {
+	for i := range 4 * maxDirectConnections {
+		if r := c.Send(startWorker(t, open), 1, 1, nil, true); !r.Executed {
 			t.Fatalf("worker %d: %v", i, r.Err)
 		}
 	}
-	if r := c.Commands(listen(t, open), 1, 1, nil, false); !errors.Is(r.Err, connquota.ErrFull) {
+	if r := c.Send(startWorker(t, open), 1, 1, nil, false); !errors.Is(r.Err, connquota.ErrFull) {
 		t.Errorf("what is not urgent: %+v", r)
 	}
 }
 
-func TestAConnectionThatIsInUseMakesNoRoom(t *testing.T) {
+func TestConnectionInUseIsNotEvicted(t *testing.T) {
 	gate := make(chan struct{})
 	c := New(5*time.Second, connquota.New(16, 0, nil).Dial(connquota.Direct))
-	replies := make([]Reply, directShare)
+	replies := make([]Reply, maxDirectConnections)
 	var all sync.WaitGroup
 	for i := range replies {
-		addr := listen(t, gate)
-		all.Go(func() { replies[i] = c.Commands(addr, 1, 1, nil, true) })
+		addr := startWorker(t, gate)
+		all.Go(func() { replies[i] = c.Send(addr, 1, 1, nil, true) })
 	}
-	for under := 0; under < directShare; {
+	for under := 0; under < maxDirectConnections; {
 		time.Sleep(10 * time.Millisecond)
 		c.mu.Lock()
 		under = 0
-		for e := c.order.Front(); e != nil; e = e.Next() {
-			under += e.Value.(*conn).calls
+		for e := c.recentlyUsed.Front(); e != nil; e = e.Next() {
+			under += e.Value.(*connection).callsInFlight
 		}
 		c.mu.Unlock()
 	}
 	time.Sleep(50 * time.Millisecond) // all of them are connected by now
-	if r := c.Commands(listen(t, gate), 1, 1, nil, true); !errors.Is(r.Err, connquota.ErrFull) {
+	if r := c.Send(startWorker(t, gate), 1, 1, nil, true); !errors.Is(r.Err, connquota.ErrFull) {
 		t.Errorf("one more: %+v", r)
 	}
 	close(gate)
