--- a/cmd/glentiller/constraints.go
+++ b/cmd/glentiller/constraints.go
@@ -29,7 +29,7 @@
 	if c.JSON {
 		return writeJSON(e)
 	}
-	fmt.Printf("%s, class %s, team %s, rank %s: %d of %d tasks done, %d on machines, %d waiting\n", e.Job, e.Class, e.Team, e.Rank, e.Done, e.Tasks, e.On, e.Waiting)
+	fmt.Printf("%s, class %s, team %s, rank %s: %d of %d tasks done, %d on machines, %d waiting\n", e.Job, e.Class, e.Team, e.Priority, e.Done, e.Tasks, e.OnMachines, e.Waiting)
 	list := func(head string, lines []string) {
 		for i, l := range lines {
 			if i == 0 {
@@ -38,20 +38,20 @@
 			fmt.Println("  " + l)
 		}
 	}
-	list("Its rules:", e.Rules)
-	list("It waits because:", e.Why)
+	list("Its rules:", e.Constraints)
+	list("It waits because:", e.Reasons)
 	var machines, placed []string
 	for _, m := range e.Machines {
-		machines = append(machines, fmt.Sprintf("%4d %s", m.Count, m.Why))
+		machines = append(machines, fmt.Sprintf("%4d %s", m.Count, m.Reason))
 	}
-	for _, p := range e.Placed {
-		placed = append(placed, fmt.Sprintf("task %d on %s (%s): %s", p.Task, p.Machine, p.Class, p.Why))
+	for _, p := range e.Placements {
+		placed = append(placed, fmt.Sprintf("task %d on %s (%s): %s", p.Task, p.Machine, p.Class, p.Reason))
 	}
 	list("Machines:", machines)
 	list("On the way:", e.Coming)
-	list("What would have to change:", e.Change)
+	list("What would have to change:", e.Remedies)
 	list("Placed:", placed)
-	if more := e.On - len(e.Placed); more > 0 {
+	if more := e.OnMachines - len(e.Placements); more > 0 {
 		fmt.Printf("  and %d more\n", more)
 	}
 	return nil
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -184,7 +184,7 @@
 	if err := c.get("/v1/none", nil, &Rows{}); err == nil || !strings.Contains(err.Error(), "no such path") {
 		t.Errorf("an unknown path: %v", err)
 	}
-	if e, err := c.Explain("wk-000001"); err != nil || len(e.Why) != 1 {
+	if e, err := c.Explain("wk-000001"); err != nil || len(e.Reasons) != 1 {
 		t.Errorf("explain: %+v, %v", e, err)
 	}
 	if m, err := c.Member(); err != nil || m.State != "leading" || m.Promises["tiller-1"] != 2.5 {
--- a/internal/clustersim/faults/meet.go
+++ b/internal/clustersim/faults/meet.go
@@ -48,7 +48,7 @@
 	}
 	switch without {
 	case Knows:
-		w.Bound.Keep, w.Bound.Start = time.Hour, time.Hour
+		w.Bound.KeepLeases, w.Bound.StartTasks = time.Hour, time.Hour
 	case Tokens:
 		w.AnyToken = true
 	case Leases:
--- a/internal/clustersim/faults/play.go
+++ b/internal/clustersim/faults/play.go
@@ -296,7 +296,7 @@
 		return
 	}
 	for name, since := range r.deaf {
-		if k := r.w.Workers[name]; !r.noticed[name] && (k == nil || l.Core.Hearing(name) >= liveness.Doubtful) {
+		if k := r.w.Workers[name]; !r.noticed[name] && (k == nil || l.Core.Liveness(name) >= liveness.Suspect) {
 			r.noticed[name] = true
 			took := r.w.Now().Sub(since).Seconds()
 			r.res.Deaf = max(r.res.Deaf, took)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -33,24 +33,24 @@
 		silent = Seconds(3*d.Workers.Report) + time.Second
 	}
 	return reconciler.Settings{
-		Member: p.Member, Teams: p.Teams(), Aims: classObjectives(d.Objectives),
-		Report: Seconds(d.Workers.Report), Lease: Seconds(d.Workers.Lease), GangWait: Seconds(d.Workers.GangWait),
-		GangPeer: Seconds(d.Workers.GangPeer), Cancel: Seconds(d.Workers.Cancel), ListLag: Seconds(d.Cloud.ListLag),
-		Sched: scheduler.Settings{IdleShare: o.Scheduler.IdlePowerFraction, Overtake: o.Scheduler.PromoteAfter.Std(), OvertakeLate: o.Scheduler.PromoteLateAfter.Std(), MaxPreempt: o.Scheduler.MaxPreemptions, StartMost: o.Scheduler.MaxStarts,
+		Member: p.Member, Teams: p.Teams(), Objectives: classObjectives(d.Objectives),
+		HeartbeatInterval: Seconds(d.Workers.Report), WorkerLease: Seconds(d.Workers.Lease), GangWait: Seconds(d.Workers.GangWait),
+		GangPeer: Seconds(d.Workers.GangPeer), CancelWithin: Seconds(d.Workers.Cancel), MachineListLag: Seconds(d.Cloud.ListLag),
+		Scheduler: scheduler.Settings{IdleShare: o.Scheduler.IdlePowerFraction, Overtake: o.Scheduler.PromoteAfter.Std(), OvertakeLate: o.Scheduler.PromoteLateAfter.Std(), MaxPreempt: o.Scheduler.MaxPreemptions, StartMost: o.Scheduler.MaxStarts,
 			MinRun: o.Scheduler.MinRuntime.Std(), ImageFirst: o.Scheduler.ImageFirst, Tight: o.Scheduler.TightSlack.Std(), Dear: o.Scheduler.ExpensiveFactor, FetchInTime: o.Scheduler.FetchByDeadline, Vacate: o.Scheduler.Drain, BeginWithin: o.Scheduler.StarvationBound.Std(), PreemptWithin: o.Scheduler.PreemptForGuarantees},
-		Fleet: autoscaler.Settings{KeepIdle: o.Autoscaler.IdleTimeout.Std(), KeepBoots: o.Autoscaler.IdleBootFactor, LeastPaid: o.Autoscaler.MinBilledTime.Std(), KeepSpot: o.Autoscaler.SpotIdleFactor, BootFactor: o.Autoscaler.BootTimeoutFactor,
+		Autoscaler: autoscaler.Settings{KeepIdle: o.Autoscaler.IdleTimeout.Std(), KeepBoots: o.Autoscaler.IdleBootFactor, LeastPaid: o.Autoscaler.MinBilledTime.Std(), KeepSpot: o.Autoscaler.SpotIdleFactor, BootFactor: o.Autoscaler.BootTimeoutFactor,
 			BootExtra: o.Autoscaler.BootTimeoutExtra.Std(), Refused: o.Autoscaler.RefusalBackoff.Std(), SoonBoots: o.Autoscaler.LookaheadBoots, MaxRent: 50},
-		LeaseMargin: o.Workers.LeaseMargin.Std(), Pass: o.Scheduler.PassInterval.Std(), Flush: o.Scheduler.FlushInterval.Std(),
-		ListEvery: o.Autoscaler.ListInterval.Std(), CatalogEvery: o.Autoscaler.CatalogInterval.Std(),
-		SilentAfter: silent, SilentShare: o.Workers.MaxUnresponsiveShare,
-		Backoff: o.Scheduler.Backoff.Std(), BackoffMost: o.Scheduler.MaxBackoff.Std(), SickErrors: o.Workers.MachineFaultErrors,
-		DirectHold: o.Workers.CommandHoldOff.Std(), Consolidate: o.Scheduler.ConsolidateInterval.Std(), TxnOps: p.StateLimits().TxnOps, Numbered: tasksPerNumberedChunk(p.valueKB()),
+		LeaseMargin: o.Workers.LeaseMargin.Std(), PassInterval: o.Scheduler.PassInterval.Std(), FlushInterval: o.Scheduler.FlushInterval.Std(),
+		MachineListInterval: o.Autoscaler.ListInterval.Std(), CatalogInterval: o.Autoscaler.CatalogInterval.Std(),
+		UnresponsiveAfter: silent, MaxUnresponsiveShare: o.Workers.MaxUnresponsiveShare,
+		Backoff: o.Scheduler.Backoff.Std(), MaxBackoff: o.Scheduler.MaxBackoff.Std(), MachineFaultErrors: o.Workers.MachineFaultErrors,
+		CommandHoldOff: o.Workers.CommandHoldOff.Std(), ConsolidateInterval: o.Scheduler.ConsolidateInterval.Std(), MaxTxnOps: p.StateLimits().TxnOps, NumberedChunkTasks: tasksPerNumberedChunk(p.valueKB()),
 		Ledger: LedgerSettings(p, o),
 	}
 }
 
 // LedgerSettings puts together what the accounting goes by; nil: no ledger is kept.
-func LedgerSettings(p *Platform, o *Operator) *reconciler.Ledger {
+func LedgerSettings(p *Platform, o *Operator) *reconciler.LedgerSettings {
 	if o.Ledger == nil {
 		return nil
 	}
@@ -61,13 +61,13 @@
 	limits := p.StateLimits()
 	most := min(int(limits.ValueKB*1024), maxLedgerRecordBytes)
 	teams := p.Teams()
-	l := &reconciler.Ledger{FairShare: o.FairShare != nil, Weights: map[string]float64{},
+	l := &reconciler.LedgerSettings{FairShare: o.FairShare != nil, Weights: map[string]float64{},
 		Settings: ledger.Settings{Half: share.HalfLife.Std(), Weights: ledger.Weights{GPU: share.GPUWeight, Mem: share.MemoryWeight}, Most: most,
 			Keep: ledger.Retention{Hours: o.Ledger.KeepHours.Std(), Days: o.Ledger.KeepDays.Std()}, Seal: ledger.NewSeal(o.Ledger.Key),
 			// Every team's account is one change. Guards against settlements that
 			// take more than their part of the state service's changes.
 			Settle: max(o.Ledger.SettleInterval.Std(), Seconds(float64(len(teams))/(settlementChangeShare*max(limits.WriteRPS, 1e-3))))},
-		Day: func(now time.Time) time.Time { return now }}
+		TimeOfDay: func(now time.Time) time.Time { return now }}
 	// By default what a team is guaranteed. One without a guarantee weighs as much as the
 	// least of those that have one, and where nobody has one all weigh alike. Guards against
 	// a team that was promised nothing and so counts for nothing beside the others.
@@ -151,7 +151,7 @@
 // leases are too long for any bound.
 func StalenessBound(p *Platform) (b staleness.Bound, ok bool) {
 	w := p.Deployment.Workers
-	return staleness.Within(Seconds(w.Cancel), Seconds(w.Lease))
+	return staleness.BoundFor(Seconds(w.Cancel), Seconds(w.Lease))
 }
 
 // RoutingSettings puts together what users' requests are routed by; nil: they are answered where they
@@ -185,19 +185,19 @@
 const voteSlack = 3 * time.Second
 
 // classObjectives sorts out which objectives the order of waiting work depends on.
-func classObjectives(objectives []Objective) map[string][]reconciler.Aim {
-	out := map[string][]reconciler.Aim{}
+func classObjectives(objectives []Objective) map[string][]reconciler.Objective {
+	out := map[string][]reconciler.Objective{}
 	for _, o := range objectives {
-		var a reconciler.Aim
+		var a reconciler.Objective
 		switch o.Kind {
 		case "wait":
-			a.Start = Seconds(o.Within)
+			a.StartWithin = Seconds(o.Within)
 		case "finished":
-			a.Finish = Seconds(o.Within)
+			a.FinishWithin = Seconds(o.Within)
 		case "deadline":
-			a.Times = o.Times
+			a.DeadlineMultiple = o.Times
 		}
-		if o.Class != "" && a != (reconciler.Aim{}) {
+		if o.Class != "" && a != (reconciler.Objective{}) {
 			out[o.Class] = append(out[o.Class], a)
 		}
 	}
--- a/internal/controller/courier.go
+++ b/internal/controller/courier.go
@@ -175,7 +175,7 @@
 			p.ready.Store(false)
 			rev = 0
 			if !used.IsZero() {
-				if err := n.state.DropRelay(n.ctx, n.plat.Member, n.set.TxnOps); err != nil {
+				if err := n.state.DropRelay(n.ctx, n.plat.Member, n.set.MaxTxnOps); err != nil {
 					n.log.Debug("what is left of reports by way of the state service stays", "err", err)
 				}
 			}
@@ -275,7 +275,7 @@
 			if err != nil {
 				return nil // its worker is answered by nobody; the others are
 			}
-			if v := n.report(ctx, reconciler.ReportIn{Report: r, Handed: true}); v.Act && v.Valid() {
+			if v := n.report(ctx, reconciler.HeartbeatReceived{Heartbeat: r, Relayed: true}); v.Act && v.Valid() {
 				answers[i] = wire.AppendHeartbeatResponse(nil, v.Token, v.Orders)
 			}
 			return nil
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -45,13 +45,13 @@
 	}
 	may := func() bool { cur := n.right.Load(); return cur != nil && cur.token == r.token && cur.holds() }
 	switch e := e.(type) {
-	case reconciler.Command:
-		orders := append([]model.Command(nil), e.Orders...)
+	case reconciler.SendCommands:
+		orders := append([]model.Command(nil), e.Commands...)
 		n.spawn(func() {
-			ev := reconciler.CommandBack{Machine: e.Machine, Session: e.Session, Orders: orders, Outcome: reconciler.NotSent}
+			ev := reconciler.CommandCompleted{Machine: e.Machine, Epoch: e.Epoch, Commands: orders, Outcome: reconciler.NotSent}
 			if may() {
-				reply := n.workers.Send(e.Addr, r.token, e.Session, orders, e.Urgent)
-				ev.Report = reply.Heartbeat
+				reply := n.workers.Send(e.Addr, r.token, e.Epoch, orders, e.Urgent)
+				ev.Heartbeat = reply.Heartbeat
 				switch {
 				case reply.Executed:
 					ev.Outcome = reconciler.OK
@@ -65,26 +65,26 @@
 			}
 			n.back(term, ev)
 		})
-	case reconciler.Rent:
+	case reconciler.Provision:
 		n.spawn(func() {
-			ev := reconciler.RentBack{Rental: e.Rental, Outcome: reconciler.Unknown}
+			ev := reconciler.ProvisionCompleted{Provisioning: e.Provisioning, Outcome: reconciler.Unknown}
 			if n.cloud.Wait(n.ctx) == nil && may() && n.mayRent() {
-				names, full, err := n.cloud.Provision(e.Rental)
+				names, full, err := n.cloud.Provision(e.Provisioning)
 				switch {
 				case full:
 					ev.Outcome = reconciler.Refused
 				case err == nil:
 					ev.Outcome, ev.Machines = reconciler.OK, names
 				default:
-					n.log.Debug("rental not answered", "request", e.Rental.Name, "err", err)
+					n.log.Debug("rental not answered", "request", e.Provisioning.Name, "err", err)
 				}
 			}
 			n.back(term, ev)
 		})
-	case reconciler.Return:
+	case reconciler.Release:
 		names := append([]string(nil), e.Machines...)
 		n.spawn(func() {
-			ev := reconciler.ReturnBack{Machines: names, Outcome: reconciler.Unknown}
+			ev := reconciler.ReleaseCompleted{Machines: names, Outcome: reconciler.Unknown}
 			if n.cloud.Wait(n.ctx) == nil && may() && n.mayRent() {
 				if err := n.cloud.Release(names); err == nil {
 					ev.Outcome = reconciler.OK
@@ -92,16 +92,16 @@
 			}
 			n.back(term, ev)
 		})
-	case reconciler.List:
+	case reconciler.ListMachines:
 		n.spawn(func() {
 			asked := time.Now()
 			list, err := n.cloud.ListMachines(n.ctx)
 			if err != nil {
 				n.log.Debug("machine list", "err", err)
 			}
-			n.back(term, reconciler.ListIn{Machines: list, Asked: asked})
+			n.back(term, reconciler.MachineListReceived{Machines: list, RequestedAt: asked})
 		})
-	case reconciler.Catalog:
+	case reconciler.FetchCatalog:
 		n.spawn(func() {
 			types, err := n.cloud.Catalog(n.ctx)
 			if err != nil {
@@ -109,14 +109,14 @@
 			} else {
 				n.types.Store(&types)
 			}
-			n.back(term, reconciler.CatalogIn{Types: types})
+			n.back(term, reconciler.CatalogReceived{Types: types})
 		})
-	case reconciler.LookUp:
-		n.spawn(func() { n.back(term, reconciler.EndsIn{Ends: n.jobs.Ends(n.ctx, e.IDs)}) })
+	case reconciler.LookUpJobEnds:
+		n.spawn(func() { n.back(term, reconciler.JobEndsReceived{Ends: n.jobs.Ends(n.ctx, e.IDs)}) })
 	case reconciler.Commit:
-		saves := append([]reconciler.Save(nil), e.Saves...)
+		saves := append([]reconciler.Change(nil), e.Changes...)
 		n.spawn(func() {
-			ev := reconciler.SaveBack{Saves: saves, Outcome: reconciler.OK}
+			ev := reconciler.CommitCompleted{Changes: saves, Outcome: reconciler.OK}
 			rev, ok, err := n.state.Save(n.ctx, r.version, saves)
 			ev.Version = rev
 			switch {
@@ -142,7 +142,7 @@
 			v, ok, err := n.state.Rewrite(n.ctx, n.plat.Member, r.token, r.version)
 			if err != nil {
 				n.log.Debug("fence", "err", err)
-				n.back(term, reconciler.FenceBack{Outcome: reconciler.Unknown})
+				n.back(term, reconciler.FenceCompleted{Outcome: reconciler.Unknown})
 				return
 			}
 			if !ok {
@@ -153,13 +153,13 @@
 			n.post(func(now time.Time) {
 				if n.term == term {
 					n.elected(now, n.elect.Step(now, election.Rewritten{Token: r.token, Version: v}))
-					n.step(now, reconciler.FenceBack{Outcome: reconciler.OK})
+					n.step(now, reconciler.FenceCompleted{Outcome: reconciler.OK})
 				}
 			})
 		})
 	case reconciler.ReadAccounts:
 		n.spawn(func() {
-			ev := reconciler.AccountsIn{Accounts: map[string]ledger.OnRecord{}}
+			ev := reconciler.AccountsReceived{Accounts: map[string]ledger.OnRecord{}}
 			for _, team := range e.Teams {
 				if r, err := n.state.Account(n.ctx, team); err == nil {
 					ev.Accounts[team] = r
@@ -169,13 +169,13 @@
 			}
 			n.back(term, ev)
 		})
-	case reconciler.ReadPages:
+	case reconciler.ReadSegments:
 		n.spawn(func() {
-			pages, _, err := n.state.Pages(n.ctx, e.Team, 0, reconciler.OldestPages)
+			pages, _, err := n.state.Pages(n.ctx, e.Team, 0, reconciler.MaxSegmentsRead)
 			if err != nil {
 				n.log.Debug("closed pages", "team", e.Team, "err", err)
 			}
-			n.back(term, reconciler.PagesIn{Team: e.Team, Pages: pages})
+			n.back(term, reconciler.SegmentsReceived{Team: e.Team, Segments: pages})
 		})
 	}
 }
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -41,20 +41,20 @@
 		}
 		wake := n.elect.Wake()
 		if n.core != nil && n.right.Load().holds() {
-			n.core.Still(!n.right.Load().mayStart(now))
+			n.core.PauseStarts(!n.right.Load().mayStart(now))
 			n.hold("pass", func(now time.Time) {
 				n.step(now, reconciler.Tick{})
-				if took := time.Since(now); n.core != nil && n.core.Took(took) && took > longPass {
+				if took := time.Since(now); n.core != nil && n.core.ObserveStepDuration(took) && took > longPass {
 					n.log.Debug("long pass", "took", took)
 				}
 			})
-			if n.core != nil && n.core.Deaf(now) && len(n.peers) > 0 {
+			if n.core != nil && n.core.Isolated(now) && len(n.peers) > 0 {
 				n.log.Warn("no worker is heard, stepping down")
 				n.elected(now, n.elect.Step(now, election.Resign{}))
 				continue
 			}
 			if n.core != nil {
-				if w := n.core.Wake(); w.Before(wake) {
+				if w := n.core.NextTick(); w.Before(wake) {
 					wake = w
 				}
 			}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -68,7 +68,7 @@
 	held  holds
 	event reconciler.Event // that the core took last
 	// What it knows of cancellations as leader; nil: its core is not there yet.
-	book   *staleness.Book
+	book   *staleness.Tracker
 	bound  staleness.Bound
 	behind bool                  // it knows too little to act
 	toldBy map[string]store.Told // by member, how far this one was told
@@ -128,7 +128,7 @@
 	var ok bool
 	if n.bound, ok = config.StalenessBound(p); !ok {
 		log.Warn("workers' leases are too long for cancel_s: tasks of cancelled jobs on machines that can't be reached may outlast it", "lease_s", p.Deployment.Workers.Lease,
-			"cancel_s", p.Deployment.Workers.Cancel, "knows_of_cancellations_within", n.bound.Keep)
+			"cancel_s", p.Deployment.Workers.Cancel, "knows_of_cancellations_within", n.bound.KeepLeases)
 	}
 	n.toldBy = map[string]store.Told{}
 	n.router = n.newRouter()
@@ -279,10 +279,10 @@
 
 // Report hands a worker's report to the core.
 func (n *Node) Report(ctx context.Context, r *model.Heartbeat) httpapi.Verdict {
-	return n.report(ctx, reconciler.ReportIn{Report: r})
+	return n.report(ctx, reconciler.HeartbeatReceived{Heartbeat: r})
 }
 
-func (n *Node) report(ctx context.Context, r reconciler.ReportIn) httpapi.Verdict {
+func (n *Node) report(ctx context.Context, r reconciler.HeartbeatReceived) httpapi.Verdict {
 	leader := ""
 	if p := n.leader.Load(); p != nil {
 		leader = *p
@@ -302,8 +302,8 @@
 			return r != nil && r.token == cur.token && r.holds()
 		}}
 		for _, e := range n.step(now, r) {
-			if a, ok := e.(reconciler.Answer); ok {
-				if v.Orders = a.Orders; a.Refused {
+			if a, ok := e.(reconciler.HeartbeatResponse); ok {
+				if v.Orders = a.Commands; a.Refused {
 					v.Valid = never
 				}
 			}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -139,7 +139,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayWait)
 	defer cancel()
-	v := h.n.report(ctx, reconciler.ReportIn{Report: r, Handed: true})
+	v := h.n.report(ctx, reconciler.HeartbeatReceived{Heartbeat: r, Relayed: true})
 	if !v.Act || !v.Valid() {
 		return &peerpb.RelayAnswer{Leader: v.Leader}
 	}
--- a/internal/controller/word.go
+++ b/internal/controller/word.go
@@ -28,7 +28,7 @@
 	n.applyChanges(now)
 	n.toldBy[member] = store.Told{Life: a.GetLife(), Count: a.GetTold()}
 	if n.book != nil && a.GetWhole() {
-		n.book.Told(member, sent)
+		n.book.Acknowledged(member, sent)
 	}
 }
 
@@ -39,7 +39,7 @@
 	}
 	at := n.jobs.AsOf()
 	n.applyChanges(now) // what that reading has brought
-	n.book.Read(at)
+	n.book.RecordsRead(at)
 }
 
 // cap bounds a right by what this leader knows of cancellations. Before its core is there it
@@ -49,11 +49,11 @@
 		r.informed = latest(r.lease, r.promised)
 		return
 	}
-	since := n.book.Since()
-	r.informed, r.news = since.Add(n.bound.Keep), since.Add(n.bound.Start)
+	since := n.book.KnownAsOf()
+	r.informed, r.news = since.Add(n.bound.KeepLeases), since.Add(n.bound.StartTasks)
 	if behind := !now.Before(r.informed) && now.Before(latest(r.lease, r.promised)); behind != n.behind {
 		n.behind = behind
-		n.log.Warn("cancellations that users were told of", "unknown", behind, "since", now.Sub(since), "most", n.bound.Keep, "token", r.token)
+		n.log.Warn("cancellations that users were told of", "unknown", behind, "since", now.Sub(since), "most", n.bound.KeepLeases, "token", r.token)
 	}
 }
 
@@ -64,7 +64,7 @@
 // keepReading has a leader read the changes of the job records, where nothing else does: the
 // watch tells of changes, and not that there are none.
 func (n *Node) keepReading() error {
-	every := min(time.Second, n.bound.Start/4)
+	every := min(time.Second, n.bound.StartTasks/4)
 	for n.ctx.Err() == nil {
 		store.Wait(n.ctx, every)
 		if n.right.Load() == nil || time.Since(n.jobs.AsOf()) < every || !n.jobs.Loaded() {
@@ -79,6 +79,6 @@
 
 // informed begins the book of a leadership whose core has just been made.
 func (n *Node) informed(now time.Time) {
-	n.book, n.behind = staleness.New(slices.Collect(maps.Keys(n.peers)), n.jobs.AsOf()), false
+	n.book, n.behind = staleness.NewTracker(slices.Collect(maps.Keys(n.peers)), n.jobs.AsOf()), false
 	n.showRight(now)
 }
--- a/internal/fake/copies_test.go
+++ b/internal/fake/copies_test.go
@@ -48,7 +48,7 @@
 			return w.Controllers[rapid.IntRange(0, len(w.Controllers)-1).Draw(r, "controller")]
 		}
 		for _, c := range w.Controllers {
-			c.set.DirectHold = 300 * time.Millisecond // the next copy follows soon
+			c.set.CommandHoldOff = 300 * time.Millisecond // the next copy follows soon
 		}
 		way := func() Fate { return Answered }
 		w.Way = func() Fate { return way() }
--- a/internal/fake/fleet_test.go
+++ b/internal/fake/fleet_test.go
@@ -35,7 +35,7 @@
 			k := w.Workers["n-000001"]
 			b.ReportAllocs()
 			for b.Loop() {
-				l.Core.Step(w.now, reconciler.ReportIn{Report: k.report()})
+				l.Core.Step(w.now, reconciler.HeartbeatReceived{Heartbeat: k.report()})
 			}
 		})
 	}
@@ -57,7 +57,7 @@
 		}
 		b.StartTimer()
 		for i, name := range w.Names() {
-			l.Core.Step(w.now, reconciler.ReportIn{Report: w.Workers[name].report()})
+			l.Core.Step(w.now, reconciler.HeartbeatReceived{Heartbeat: w.Workers[name].report()})
 			if i%200 == 199 {
 				w.now = w.now.Add(100 * time.Millisecond)
 				l.Core.Step(w.now, reconciler.Tick{})
--- a/internal/fake/ledger_test.go
+++ b/internal/fake/ledger_test.go
@@ -17,7 +17,7 @@
 )
 
 // accounted is the small deployment with a ledger; change adapts its settings.
-func accounted(t *testing.T, machines int, change func(*reconciler.Ledger)) *World {
+func accounted(t *testing.T, machines int, change func(*reconciler.LedgerSettings)) *World {
 	t.Helper()
 	w := deployment(t, machines)
 	p := &config.Platform{Member: "tiller-0"}
@@ -50,7 +50,7 @@
 }
 
 func TestAJobEndsInTheTransactionThatSettlesWhatItUsed(t *testing.T) {
-	w := accounted(t, 2, func(l *reconciler.Ledger) { l.Settle = time.Hour })
+	w := accounted(t, 2, func(l *reconciler.LedgerSettings) { l.Settle = time.Hour })
 	var together, alone int
 	w.State.Carried = func(ops []any) {
 		text := fmt.Sprint(ops)
@@ -163,7 +163,7 @@
 // that has had less go first in what goes beyond guarantees.
 func TestASwarmOfTightJobsWithAndWithoutFairShare(t *testing.T) {
 	wait := func(share bool) (patient, swarm time.Duration) {
-		w := accounted(t, 4, func(l *reconciler.Ledger) { l.FairShare = share })
+		w := accounted(t, 4, func(l *reconciler.LedgerSettings) { l.FairShare = share })
 		w.CloudFull = true
 		w.full = true // the cloud has no more machines: 32 CPUs for all
 		team := func(name string, cpus float64) {
--- a/internal/fake/mute_test.go
+++ b/internal/fake/mute_test.go
@@ -40,7 +40,7 @@
 			submit(t, w, job(model.Array, 1, small))
 			before := len(mute.Tasks)
 			w.Pass(2 * second)
-			if w.Now().Sub(fell) > w.Controllers[0].set.SilentAfter && len(mute.Tasks) > before && w.Workers[mute.Name] == mute {
+			if w.Now().Sub(fell) > w.Controllers[0].set.UnresponsiveAfter && len(mute.Tasks) > before && w.Workers[mute.Name] == mute {
 				vain++
 			}
 		}
--- a/internal/fake/pipelines_test.go
+++ b/internal/fake/pipelines_test.go
@@ -62,7 +62,7 @@
 		c.Crash()
 	}
 	for _, c := range w.Controllers {
-		c.set.Numbered, c.set.TxnOps = numbered, w.Limits.Ops
+		c.set.NumberedChunkTasks, c.set.MaxTxnOps = numbered, w.Limits.Ops
 		c.Start()
 	}
 	until(t, w, 20*second, "somebody leads", func() bool { return w.Leader() != nil })
@@ -287,7 +287,7 @@
 	restart(t, w, 0)
 	w.Pass(5 * second)
 	for _, e := range w.Leader().Jobs.Ends(context.Background(), []string{a.ID}) {
-		if d := freed.Sub(e.At); e.End != model.OutcomeDone || d < 0 || d > second {
+		if d := freed.Sub(e.EndedAt); e.Outcome != model.OutcomeDone || d < 0 || d > second {
 			t.Errorf("the end on record is %v before the one that was seen", d)
 		}
 	}
--- a/internal/fake/rules_test.go
+++ b/internal/fake/rules_test.go
@@ -124,8 +124,8 @@
 	s := under(t, w, job(model.Array, 1, nil), "require cpus >= 16", func(k *Worker) bool { return k.Type == "big" })
 	w.Pass(20 * second)
 	e := w.Leader().Core.Explain(w.Now(), s.ID)
-	if e == nil || e.Waiting != 1 || !strings.Contains(strings.Join(e.Change, " "), "no machine that can be rented meets `require cpus >= 16` (line 1)") ||
-		len(e.Machines) == 0 || e.Machines[0].Why != "refused by `require cpus >= 16` (line 1)" || e.Machines[0].Count != 2 {
+	if e == nil || e.Waiting != 1 || !strings.Contains(strings.Join(e.Remedies, " "), "no machine that can be rented meets `require cpus >= 16` (line 1)") ||
+		len(e.Machines) == 0 || e.Machines[0].Reason != "refused by `require cpus >= 16` (line 1)" || e.Machines[0].Count != 2 {
 		t.Fatalf("%+v", e)
 	}
 	w.Types = all
@@ -139,7 +139,7 @@
 	submit(t, w, s)
 	w.Pass(30 * second)
 	e := w.Leader().Core.Explain(w.Now(), s.ID)
-	if on(w, s) != 0 || e == nil || len(e.Why) != 1 || !strings.Contains(e.Why[0], "cannot be read") {
+	if on(w, s) != 0 || e == nil || len(e.Reasons) != 1 || !strings.Contains(e.Reasons[0], "cannot be read") {
 		t.Errorf("%d tasks run, %+v", on(w, s), e)
 	}
 }
@@ -155,9 +155,9 @@
 	w.Pass(6 * second)
 	explain := func(s *model.Spec) string {
 		e := w.Leader().Core.Explain(w.Now(), s.ID)
-		text := strings.Join(append(append(e.Why, e.Change...), e.Rules...), "; ")
-		for _, p := range e.Placed {
-			text += "; " + p.Why
+		text := strings.Join(append(append(e.Reasons, e.Remedies...), e.Constraints...), "; ")
+		for _, p := range e.Placements {
+			text += "; " + p.Reason
 		}
 		return text
 	}
@@ -166,7 +166,7 @@
 			t.Errorf("%s: %q, want %q", s.ID, got, want)
 		}
 	}
-	if e := w.Leader().Core.Explain(w.Now(), limit.ID); e.On != 8 || e.Waiting != 2 || len(e.Placed) != 8 || !strings.Contains(e.Placed[0].Why, "most efficient") {
+	if e := w.Leader().Core.Explain(w.Now(), limit.ID); e.OnMachines != 8 || e.Waiting != 2 || len(e.Placements) != 8 || !strings.Contains(e.Placements[0].Reason, "most efficient") {
 		t.Errorf("%+v", e)
 	}
 }
--- a/internal/fake/settings_test.go
+++ b/internal/fake/settings_test.go
@@ -49,7 +49,7 @@
 	until(t, w, 10*second, "all machines are filled", func() bool { return on(w, free) == 16 })
 	w.Pass(3 * second)
 	e := w.Leader().Core.Explain(w.Now(), free.ID)
-	if text := strings.Join(append(e.Why, e.Change...), "; "); strings.Contains(text, "limit") || !strings.Contains(text, "no machine that fits has room") {
+	if text := strings.Join(append(e.Reasons, e.Remedies...), "; "); strings.Contains(text, "limit") || !strings.Contains(text, "no machine that fits has room") {
 		t.Errorf("why it waits: %s", text)
 	}
 	red := job(model.Array, 2, nil)
--- a/internal/fake/stories_test.go
+++ b/internal/fake/stories_test.go
@@ -275,7 +275,7 @@
 		t.Fatal(err)
 	}
 	v := old.Jobs.Peek(s.ID)
-	_, ok, err := old.State.Save(context.Background(), ver, []reconciler.Save{{Kind: reconciler.EndJob, Job: s.ID, Version: v.Version, Tasks: 1}})
+	_, ok, err := old.State.Save(context.Background(), ver, []reconciler.Change{{Kind: reconciler.CompleteJob, Job: s.ID, Version: v.Version, Tasks: 1}})
 	if err != nil || ok {
 		t.Errorf("a late transaction of a deposed leader was carried out (ok=%v, err=%v)", ok, err)
 	}
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -59,7 +59,7 @@
 	Again  []Again            // direct commands that were answered, and may be repeated
 	Hold   bool               // hold direct commands back and give their senders up
 	Way    func() Fate        // what becomes of the next direct command; nil: it is answered
-	ledger *reconciler.Ledger
+	ledger *reconciler.LedgerSettings
 
 	Looks       bool          // users ask everywhere about a job as a transaction changes its record
 	Unread      bool          // members answer from what they have read last: shows that checks can fail
@@ -118,7 +118,7 @@
 	Jobs   *store.Jobs
 	Elect  *election.Machine
 	Core   *reconciler.Core
-	book   *staleness.Book // nil: it has no core
+	book   *staleness.Tracker // nil: it has no core
 	toldBy map[string]store.Told
 	token  uint64
 	ver    uint64
@@ -200,11 +200,11 @@
 	w := &World{Workers: map[string]*Worker{}, ToldBy: map[string]string{}, Teams: map[string]model.Team{},
 		Limits: limits, Keep: 1000, ledger: set.Ledger}
 	w.Site = newSite(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), w.gang)
-	w.Lease, w.ReportEvery, w.GangWait, w.CancelIn = set.Lease, set.Report, set.GangWait, set.Cancel
+	w.Lease, w.ReportEvery, w.GangWait, w.CancelIn = set.WorkerLease, set.HeartbeatInterval, set.GangWait, set.CancelWithin
 	w.Cloud = NewCloud(func() int { return len(w.Workers) })
 	w.State = NewState(func() time.Time { return w.now })
 	w.State.Carried = w.look
-	w.Bound, _ = staleness.Within(set.Cancel, set.Lease)
+	w.Bound, _ = staleness.BoundFor(set.CancelWithin, set.WorkerLease)
 	for _, t := range set.Teams {
 		w.Teams[t.Name] = t
 	}
@@ -232,7 +232,7 @@
 	}
 	if c.set.Ledger != nil {
 		own := *c.set.Ledger
-		own.Day = func(now time.Time) time.Time { return now.Add(c.DayOff) }
+		own.TimeOfDay = func(now time.Time) time.Time { return now.Add(c.DayOff) }
 		c.set.Ledger = &own
 	}
 	c.Jobs = store.NewJobs(c.State, c.w.lives, c.w.Keep, c.w.Limits, func(ch []store.JobChange) { c.changes = append(c.changes, ch...) }, c.log)
@@ -251,7 +251,7 @@
 
 // Leads tells whether the controller may act for all.
 func (c *Controller) Leads() bool {
-	return c.entitled() && c.w.now.Before(c.book.Since().Add(c.w.Bound.Keep))
+	return c.entitled() && c.w.now.Before(c.book.KnownAsOf().Add(c.w.Bound.KeepLeases))
 }
 
 func (c *Controller) entitled() bool { return c.Up && c.Core != nil && c.Elect.Entitled(c.w.now) }
@@ -488,9 +488,9 @@
 		return verdict{}, false
 	}
 	v, ok := verdict{token: c.token}, true
-	for _, e := range c.act(reconciler.ReportIn{Report: r, Handed: handed}) {
-		if a, is := e.(reconciler.Answer); is {
-			v.orders, ok = a.Orders, !a.Refused
+	for _, e := range c.act(reconciler.HeartbeatReceived{Heartbeat: r, Relayed: handed}) {
+		if a, is := e.(reconciler.HeartbeatResponse); is {
+			v.orders, ok = a.Commands, !a.Refused
 		}
 	}
 	return v, ok
@@ -529,7 +529,7 @@
 	if c.book == nil {
 		return // another leader has taken over
 	}
-	c.book.Read(at)
+	c.book.RecordsRead(at)
 	if !c.Leads() && c.w.now.Before(c.Elect.LeaseUntil()) {
 		c.election(election.Resign{}) // it is served, and knows too little to act
 		return
@@ -538,9 +538,9 @@
 		if c.held {
 			c.Core.Resume(c.w.now)
 		}
-		c.Core.Still(!c.w.now.Before(c.Elect.StartsUntil()) || !c.w.now.Before(c.book.Since().Add(c.w.Bound.Start)))
+		c.Core.PauseStarts(!c.w.now.Before(c.Elect.StartsUntil()) || !c.w.now.Before(c.book.KnownAsOf().Add(c.w.Bound.StartTasks)))
 		c.act(reconciler.Tick{})
-		if c.Core.Deaf(c.w.now) {
+		if c.Core.Isolated(c.w.now) {
 			c.election(election.Resign{})
 		}
 	}
@@ -620,7 +620,7 @@
 						c.applyChanges()
 						c.toldBy[o.Member] = word.Upto
 						if word.Whole && c.book != nil {
-							c.book.Told(o.Member, sent)
+							c.book.Acknowledged(o.Member, sent)
 						}
 						if long > 0 {
 							c.election(election.PromiseBack{Member: o.Member, Token: e.Token, Sent: sent, Seq: e.Seq, For: long})
@@ -696,7 +696,7 @@
 	c.Jobs.Snapshot(snap)
 	c.Core = reconciler.New(c.w.now, c.set, c.token, snap, c.w.Types, c.log)
 	c.changes = nil
-	c.book = staleness.New(c.esets.Others, c.Jobs.AsOf())
+	c.book = staleness.NewTracker(c.esets.Others, c.Jobs.AsOf())
 }
 
 // act hands an event to the core and carries out the effects.
@@ -706,11 +706,11 @@
 	}
 	if c.w.Observer != nil {
 		switch ev := ev.(type) {
-		case reconciler.ReportIn:
-			c.w.Observer.Taken(c, c.token, ev.Report)
-		case reconciler.CommandBack:
-			if ev.Report != nil {
-				c.w.Observer.Taken(c, c.token, ev.Report)
+		case reconciler.HeartbeatReceived:
+			c.w.Observer.Taken(c, c.token, ev.Heartbeat)
+		case reconciler.CommandCompleted:
+			if ev.Heartbeat != nil {
+				c.w.Observer.Taken(c, c.token, ev.Heartbeat)
 			}
 		}
 	}
@@ -723,7 +723,7 @@
 			}
 		}
 		switch ev.(type) {
-		case reconciler.SaveBack, reconciler.FenceBack:
+		case reconciler.CommitCompleted, reconciler.FenceCompleted:
 			c.replied(f)
 		default:
 			c.later = append(c.later, f)
@@ -738,15 +738,15 @@
 func (c *Controller) perform(e reconciler.Effect, back func(reconciler.Event)) {
 	w, token := c.w, c.token
 	switch e := e.(type) {
-	case reconciler.Command:
+	case reconciler.SendCommands:
 		w.Commands++
-		ev := reconciler.CommandBack{Machine: e.Machine, Session: e.Session, Orders: e.Orders, Outcome: reconciler.Unknown}
+		ev := reconciler.CommandCompleted{Machine: e.Machine, Epoch: e.Epoch, Commands: e.Commands, Outcome: reconciler.Unknown}
 		k := w.Workers[e.Machine]
 		deliver := func() (reconciler.Outcome, *model.Heartbeat) {
 			if k == nil || w.Workers[e.Machine] != k { // a later life knows nothing of its connections
 				return reconciler.Unknown, nil
 			}
-			if !k.Command(token, e.Session, e.Orders) {
+			if !k.Command(token, e.Epoch, e.Commands) {
 				return reconciler.Refused, k.report()
 			}
 			return reconciler.OK, k.report()
@@ -762,57 +762,57 @@
 		case k != nil && k.Hung:
 			w.Held = append(w.Held, func() { deliver() }) // it is carried out when the machine goes on
 		case k != nil && !k.Cut && !k.Deaf && !c.Deaf && c.Leads():
-			if len(e.Orders) > 0 && w.Copies > 0 {
+			if len(e.Commands) > 0 && w.Copies > 0 {
 				w.Again = append(w.Again[max(0, len(w.Again)-w.Copies):], Again{w.now, func() { deliver() }})
 			}
-			if ev.Outcome, ev.Report = deliver(); fate == Unanswered {
-				ev.Outcome, ev.Report = reconciler.Unknown, nil
+			if ev.Outcome, ev.Heartbeat = deliver(); fate == Unanswered {
+				ev.Outcome, ev.Heartbeat = reconciler.Unknown, nil
 			}
 		}
 		back(ev)
-	case reconciler.Rent:
+	case reconciler.Provision:
 		if w.full {
-			back(reconciler.RentBack{Rental: e.Rental, Outcome: reconciler.Refused})
+			back(reconciler.ProvisionCompleted{Provisioning: e.Provisioning, Outcome: reconciler.Refused})
 			return
 		}
-		names, ok := w.Rent(w.now, e.Rental)
+		names, ok := w.Rent(w.now, e.Provisioning)
 		if !ok {
-			back(reconciler.RentBack{Rental: e.Rental, Outcome: reconciler.Refused})
+			back(reconciler.ProvisionCompleted{Provisioning: e.Provisioning, Outcome: reconciler.Refused})
 			return
 		}
 		if w.CloudMute {
-			back(reconciler.RentBack{Rental: e.Rental, Outcome: reconciler.Unknown})
+			back(reconciler.ProvisionCompleted{Provisioning: e.Provisioning, Outcome: reconciler.Unknown})
 		} else {
-			back(reconciler.RentBack{Rental: e.Rental, Outcome: reconciler.OK, Machines: names})
+			back(reconciler.ProvisionCompleted{Provisioning: e.Provisioning, Outcome: reconciler.OK, Machines: names})
 		}
-	case reconciler.Return:
+	case reconciler.Release:
 		w.Returns++
 		w.queue = append(w.queue, func() {
 			for _, n := range e.Machines {
 				delete(w.Workers, n)
 				w.Forget(n)
 			}
-			back(reconciler.ReturnBack{Machines: e.Machines, Outcome: reconciler.OK})
+			back(reconciler.ReleaseCompleted{Machines: e.Machines, Outcome: reconciler.OK})
 		})
 		w.drain()
-	case reconciler.List:
+	case reconciler.ListMachines:
 		var list []model.MachineInfo
 		for _, n := range w.Names() {
 			k := w.Workers[n]
 			list = append(list, model.MachineInfo{Name: n, Addr: n, Type: k.Type, Zone: k.Zone, Spot: k.Spot})
 		}
-		back(reconciler.ListIn{Machines: list, Asked: w.now})
-	case reconciler.Catalog:
-		back(reconciler.CatalogIn{Types: w.Types})
-	case reconciler.LookUp:
-		back(reconciler.EndsIn{Ends: c.Jobs.Ends(context.Background(), e.IDs)})
+		back(reconciler.MachineListReceived{Machines: list, RequestedAt: w.now})
+	case reconciler.FetchCatalog:
+		back(reconciler.CatalogReceived{Types: w.Types})
+	case reconciler.LookUpJobEnds:
+		back(reconciler.JobEndsReceived{Ends: c.Jobs.Ends(context.Background(), e.IDs)})
 	case reconciler.Commit:
-		rev, ok, err := c.State.Save(context.Background(), c.ver, e.Saves)
-		ev := reconciler.SaveBack{Saves: e.Saves, Outcome: reconciler.OK, Version: rev}
+		rev, ok, err := c.State.Save(context.Background(), c.ver, e.Changes)
+		ev := reconciler.CommitCompleted{Changes: e.Changes, Outcome: reconciler.OK, Version: rev}
 		switch {
 		case errors.Is(err, store.ErrRejected):
 			ev.Outcome = reconciler.Rejected
-			w.Rejected = append(w.Rejected, store.Keys(e.Saves)...)
+			w.Rejected = append(w.Rejected, store.Keys(e.Changes)...)
 		case errors.Is(err, store.ErrNotExecuted):
 			ev.Outcome = reconciler.NotSent
 		case err != nil:
@@ -828,24 +828,24 @@
 		v, ok, err := c.State.Rewrite(context.Background(), c.Member, token, c.ver)
 		switch {
 		case err != nil:
-			back(reconciler.FenceBack{Outcome: reconciler.Unknown})
+			back(reconciler.FenceCompleted{Outcome: reconciler.Unknown})
 		case !ok:
 			c.election(election.Fenced{Token: token})
 		default:
 			c.ver = v
 			c.election(election.Rewritten{Token: token, Version: v})
-			back(reconciler.FenceBack{Outcome: reconciler.OK})
+			back(reconciler.FenceCompleted{Outcome: reconciler.OK})
 		}
 	case reconciler.ReadAccounts:
-		ev := reconciler.AccountsIn{Accounts: map[string]ledger.OnRecord{}}
+		ev := reconciler.AccountsReceived{Accounts: map[string]ledger.OnRecord{}}
 		for _, team := range e.Teams {
 			if r, err := c.State.Account(context.Background(), team); err == nil {
 				ev.Accounts[team] = r
 			}
 		}
 		back(ev)
-	case reconciler.ReadPages:
-		pages, _, _ := c.State.Pages(context.Background(), e.Team, 0, reconciler.OldestPages) // none: looked for again later
-		back(reconciler.PagesIn{Team: e.Team, Pages: pages})
+	case reconciler.ReadSegments:
+		pages, _, _ := c.State.Pages(context.Background(), e.Team, 0, reconciler.MaxSegmentsRead) // none: looked for again later
+		back(reconciler.SegmentsReceived{Team: e.Team, Segments: pages})
 	}
 }
--- a/internal/liveness/incarnation.go
+++ b/internal/liveness/incarnation.go
@@ -4,12 +4,12 @@
 // Why a late copy is harmless is argued for in docs/safety.md, "Copies and lives".
 package liveness
 
-// Mark is the place of a message among those of one life of a machine: the later one is the newer.
-type Mark struct{ Session, Seq uint64 }
+// MessageNumber is the place of a message among those of one life of a machine: the later one is the newer.
+type MessageNumber struct{ Epoch, Seq uint64 }
 
 // Before tells whether a message is older than another one.
-func (m Mark) Before(o Mark) bool {
-	return m.Session < o.Session || m.Session == o.Session && m.Seq < o.Seq
+func (m MessageNumber) Before(o MessageNumber) bool {
+	return m.Epoch < o.Epoch || m.Epoch == o.Epoch && m.Seq < o.Seq
 }
 
 // Numbering is what a leader makes of a machine's numbers.
@@ -17,73 +17,73 @@
 
 // The numberings. Restarted holds until the leader changes.
 const (
-	Steady    Numbering = iota // its numbers have only ever grown
-	Restarted                  // it has begun again with lower ones: only answers to questions are believed
+	Increasing Numbering = iota // its numbers have only ever grown
+	Restarted                   // it has begun again with lower ones: only answers to questions are believed
 )
 
 func (n Numbering) String() string { return [...]string{"steady", "restarted"}[n] }
 
-// Kind is what a report is, by its numbers.
-type Kind uint8
+// HeartbeatKind is what a report is, by its numbers.
+type HeartbeatKind uint8
 
 // The kinds of a report.
 const (
-	Fresh    Kind = iota // newer than every report before
-	Repeated             // the newest one again, by another way: its worker may still wait for the answer
-	Old                  // its worker waits for no answer: a late copy, one that was overtaken, or a life that began anew
-	Unsorted             // of a machine that began anew: its numbers tell nothing
+	Fresh     HeartbeatKind = iota // newer than every report before
+	Duplicate                      // the newest one again, by another way: its worker may still wait for the answer
+	Stale                          // its worker waits for no answer: a late copy, one that was overtaken, or a life that began anew
+	Unordered                      // of a machine that began anew: its numbers tell nothing
 )
 
-func (k Kind) String() string { return [...]string{"fresh", "repeated", "old", "unsorted"}[k] }
+func (k HeartbeatKind) String() string { return [...]string{"fresh", "repeated", "old", "unsorted"}[k] }
 
 // Incarnation is what a leader knows of the present incarnation of a machine, by the numbers of its messages.
 type Incarnation struct {
-	Session, Seq, Token uint64 // of the newest message
-	DeadSession         uint64 // sessions up to this one are certainly over
-	Numbering           Numbering
-	heard               Mark // the newest report; answers to commands have numbers of their own in between
-	asked               Mark // the newest message when the last command left
+	Epoch, Seq, FencingToken uint64 // of the newest message
+	ExpiredEpoch             uint64 // sessions up to this one are certainly over
+	Numbering                Numbering
+	lastHeartbeat            MessageNumber // the newest report; answers to commands have numbers of their own in between
+	lastBeforeCommand        MessageNumber // the newest message when the last command left
 }
 
-// Known is the newest message.
-func (i *Incarnation) Known() Mark { return Mark{i.Session, i.Seq} }
+// LatestMessage is the newest message.
+func (i *Incarnation) LatestMessage() MessageNumber { return MessageNumber{i.Epoch, i.Seq} }
 
-// Reported is the newest report.
-func (i *Incarnation) Reported() Mark { return i.heard }
+// LatestHeartbeat is the newest report.
+func (i *Incarnation) LatestHeartbeat() MessageNumber { return i.lastHeartbeat }
 
-// Hear takes the numbers of a report and tells what it is.
+// ClassifyHeartbeat takes the numbers of a report and tells what it is.
 //
 // A worker has one report in flight: with the next one it has given the former up. So of an older
 // one nobody waits for the answer, and it renews no lease. A worker never forgets a token, so a
 // newer number with a lower token is of another life than what is known: there are two.
-func (i *Incarnation) Hear(session, seq, token uint64) Kind {
-	at := Mark{session, seq}
+func (i *Incarnation) ClassifyHeartbeat(session, seq, token uint64) HeartbeatKind {
+	at := MessageNumber{session, seq}
 	switch {
 	case i.Numbering == Restarted:
-		return Unsorted
-	case session <= i.DeadSession, session < i.Session, at.Before(i.heard):
-		return Old
-	case at == i.heard:
-		return Repeated
-	case token < i.Token && i.Known().Before(at):
-		i.Numbering, i.heard = Restarted, Mark{}
-		return Old
+		return Unordered
+	case session <= i.ExpiredEpoch, session < i.Epoch, at.Before(i.lastHeartbeat):
+		return Stale
+	case at == i.lastHeartbeat:
+		return Duplicate
+	case token < i.FencingToken && i.LatestMessage().Before(at):
+		i.Numbering, i.lastHeartbeat = Restarted, MessageNumber{}
+		return Stale
 	}
-	i.heard = at
+	i.lastHeartbeat = at
 	return Fresh
 }
 
-// Ask notes that a command leaves now.
-func (i *Incarnation) Ask() { i.asked = i.Known() }
+// CommandSent notes that a command leaves now.
+func (i *Incarnation) CommandSent() { i.lastBeforeCommand = i.LatestMessage() }
 
-// Answered takes the numbers of the answer to the last command, and tells whether the machine has
+// CommandAnswered takes the numbers of the answer to the last command, and tells whether the machine has
 // begun anew: in one life an answer has a higher number than everything that was sent before it,
 // and it was sent after all that was known when it was asked for.
-func (i *Incarnation) Answered(session, seq uint64) bool {
-	if i.asked.Before(Mark{session, seq}) {
+func (i *Incarnation) CommandAnswered(session, seq uint64) bool {
+	if i.lastBeforeCommand.Before(MessageNumber{session, seq}) {
 		return false
 	}
-	i.Numbering, i.heard = Restarted, Mark{}
-	i.Session, i.Seq, i.Token, i.DeadSession = session, 0, 0, session-1
+	i.Numbering, i.lastHeartbeat = Restarted, MessageNumber{}
+	i.Epoch, i.Seq, i.FencingToken, i.ExpiredEpoch = session, 0, 0, session-1
 	return true
 }
--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -51,11 +51,11 @@
 	RunningAt        time.Time // first seen running
 	StopRequestedAt  time.Time // when it was told to stop
 	GracePeriod      time.Duration
-	Preempted        bool          // was stopped to make room
-	CommandedState   AttemptState  // the state that a direct command has told the worker of
-	LaunchedDirectly bool          // its launch went straight to the worker
-	EndedAt          time.Time     // when a report showed its exit
-	SentInReplyTo    liveness.Mark // the straight report whose answer first told the worker of the present state; zero: none
+	Preempted        bool                   // was stopped to make room
+	CommandedState   AttemptState           // the state that a direct command has told the worker of
+	LaunchedDirectly bool                   // its launch went straight to the worker
+	EndedAt          time.Time              // when a report showed its exit
+	SentInReplyTo    liveness.MessageNumber // the straight report whose answer first told the worker of the present state; zero: none
 
 	Choice Choice // why it is on its machine; zero where another leader chose
 
@@ -99,7 +99,7 @@
 		panic(fmt.Sprintf("attempt %v/%d: %v -> %v", a.Task, a.Number, a.State, s))
 	}
 	held, leaving := a.Active(), a.State == AttemptStopping
-	a.State, a.SentInReplyTo = s, liveness.Mark{}
+	a.State, a.SentInReplyTo = s, liveness.MessageNumber{}
 	if s == AttemptStopping {
 		a.Usage.Stopping = a.Usage.Stopping.Add(a.Demand)
 	}
--- a/internal/reconciler/accounting.go
+++ b/internal/reconciler/accounting.go
@@ -10,37 +10,37 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// Ledger is what the accounting goes by. docs/ledger.md defines what counts as run
+// LedgerSettings is what the accounting goes by. docs/ledger.md defines what counts as run
 // time; docs/safety.md, "Ledger", argues why nothing is charged twice.
-type Ledger struct {
+type LedgerSettings struct {
 	ledger.Settings
 	FairShare bool                          // teams' shares order what goes beyond guarantees
 	Weights   map[string]float64            // by team
-	Day       func(now time.Time) time.Time // the time of day at a moment of the steady clock: it names pages
+	TimeOfDay func(now time.Time) time.Time // the time of day at a moment of the steady clock: it names pages
 }
 
-// accounts is a leader's accounting.
-type accounts struct {
-	set     *Ledger
-	book    *ledger.Book
-	waits   map[*model.Job]wait
-	waitsAt time.Time // waiting is not looked over before this
-	bands   map[string]int
-	bandsAt time.Time
-
-	reading bool      // accounts in doubt are asked for
-	readAt  time.Time // none is asked for before this
-	held    []Save    // ends of jobs that went with a settlement that is in doubt
-	late    []Save    // settlements that the state service has rejected: tried again at
-	lateAt  time.Time
-
-	toFold  map[string]bool // teams whose pages may have become old enough
-	folding bool
-	foldAt  time.Time // none is looked through before this
+// accounting is a leader's accounting.
+type accounting struct {
+	settings         *LedgerSettings
+	ledger           *ledger.Book
+	waiting          map[*model.Job]waitingTasks
+	waitingAt        time.Time // waiting is not looked over before this
+	fairShareClasses map[string]int
+	fairSharesAt     time.Time
+
+	readPending         bool      // accounts in doubt are asked for
+	readAt              time.Time // none is asked for before this
+	heldEnds            []Change  // ends of jobs that went with a settlement that is in doubt
+	rejectedSettlements []Change  // settlements that the state service has rejected: tried again at
+	rejectedRetryAt     time.Time
+
+	teamsToCompact    map[string]bool // teams whose pages may have become old enough
+	compactionPending bool
+	compactionAt      time.Time // none is looked through before this
 }
 
-// wait is why a job's tasks have been waiting since when.
-type wait struct {
+// waitingTasks is why a job's tasks have been waiting since when.
+type waitingTasks struct {
 	cause ledger.Cause
 	tasks uint64
 	since time.Time
@@ -49,12 +49,12 @@
 // openAccounts goes on from the accounts on record. The time since the last leader
 // settled them is not accounted: what it saw after that nobody knows.
 func (c *Core) openAccounts(now time.Time, snap *Snapshot) {
-	set := c.set.Ledger
+	set := c.settings.Ledger
 	if set == nil {
 		return
 	}
-	c.acc = &accounts{set: set, book: ledger.NewBook(now, set.Settings, c.token, snap.Accounts), waits: map[*model.Job]wait{},
-		bands: map[string]int{}, toFold: map[string]bool{}}
+	c.accounting = &accounting{settings: set, ledger: ledger.NewBook(now, set.Settings, c.fencingToken, snap.Accounts), waiting: map[*model.Job]waitingTasks{},
+		fairShareClasses: map[string]int{}, teamsToCompact: map[string]bool{}}
 	var last ledger.Open
 	for _, r := range snap.Accounts {
 		if r.Err != nil {
@@ -68,18 +68,18 @@
 			}
 		}
 	}
-	if last.Token == 0 || last.Token >= c.token {
+	if last.Token == 0 || last.Token >= c.fencingToken {
 		return // the ledger begins here, or somebody has put another one in its place
 	}
-	s := &ledger.Stretch{From: last.At, To: set.Day(now), Token: c.token, Without: c.token - last.Token - 1}
+	s := &ledger.Stretch{From: last.At, To: set.TimeOfDay(now), Token: c.fencingToken, Without: c.fencingToken - last.Token - 1}
 	c.log.Info("not accounted", "from", s.From, "to", s.To, "leaders_without_ledger", s.Without)
-	c.saves = append(c.saves, Save{Kind: SaveStretch, Stretch: s})
+	c.pendingChanges = append(c.pendingChanges, Change{Kind: PutUnaccounted, Unaccounted: s})
 }
 
-// begin notes the first message that shows an attempt running: from here on it is
+// beginCharging notes the first message that shows an attempt running: from here on it is
 // charged. What the leader did not launch itself, or had running before, began unseen.
-func (c *Core) begin(now time.Time, a *model.Attempt, p model.Phase, taken bool) {
-	if c.acc == nil || !a.ChargedUntil.IsZero() || a.Job == nil || p != model.PhaseRunning && p != model.PhaseCheckpointing {
+func (c *Core) beginCharging(now time.Time, a *model.Attempt, p model.Phase, taken bool) {
+	if c.accounting == nil || !a.ChargedUntil.IsZero() || a.Job == nil || p != model.PhaseRunning && p != model.PhaseCheckpointing {
 		return
 	}
 	a.ChargedFrom, a.ChargedUntil = now, now
@@ -87,70 +87,70 @@
 	if taken {
 		u = ledger.Use{TakenOver: 1}
 	}
-	c.acc.book.Charge(now, a.Team, a.Job.Spec.Class, u)
+	c.accounting.ledger.Charge(now, a.Team, a.Job.Spec.Class, u)
 }
 
-// charge charges an attempt's run time up to the moment of a message.
-func (c *Core) charge(now time.Time, a *model.Attempt, upTo time.Time) {
-	if c.acc == nil || a.ChargedUntil.IsZero() || !upTo.After(a.ChargedUntil) {
+// chargeUntil charges an attempt's run time up to the moment of a message.
+func (c *Core) chargeUntil(now time.Time, a *model.Attempt, upTo time.Time) {
+	if c.accounting == nil || a.ChargedUntil.IsZero() || !upTo.After(a.ChargedUntil) {
 		return
 	}
-	b := c.acc.book
+	b := c.accounting.ledger
 	ms := b.Instant(upTo) - b.Instant(a.ChargedUntil)
 	a.ChargedUntil = upTo
 	b.Charge(now, a.Team, a.Job.Spec.Class, ledger.RateOf(a.Demand).For(ms))
 }
 
-// wasted notes the run time of an attempt that has to be repeated, since it neither
+// chargeWasted notes the run time of an attempt that has to be repeated, since it neither
 // completed nor saved: all of it, or what came after the last checkpoint.
-func (c *Core) wasted(now time.Time, a *model.Attempt) {
-	if c.acc == nil || a.ChargedUntil.IsZero() || a.Job.Spec.Shape == model.Service || a.Job.State == model.JobEnded {
+func (c *Core) chargeWasted(now time.Time, a *model.Attempt) {
+	if c.accounting == nil || a.ChargedUntil.IsZero() || a.Job.Spec.Shape == model.Service || a.Job.State == model.JobEnded {
 		return
 	}
 	ran := a.ChargedUntil.Sub(a.ChargedFrom)
 	if every := a.Job.Spec.CheckpointInterval; every > 0 {
 		ran %= every
 	}
-	c.acc.book.Charge(now, a.Team, a.Job.Spec.Class, ledger.Use{Lost: ledger.RateOf(a.Demand).For(uint64(ran / time.Millisecond)).CPU})
+	c.accounting.ledger.Charge(now, a.Team, a.Job.Spec.Class, ledger.Use{Lost: ledger.RateOf(a.Demand).For(uint64(ran / time.Millisecond)).CPU})
 	a.ChargedFrom = a.ChargedUntil
 }
 
-// waits charges what waited since the last look to the causes of that time, and notes
+// chargeWaiting charges what waited since the last look to the causes of that time, and notes
 // what keeps each job waiting from now on.
-func (c *Core) waits(now time.Time, lacking []scheduler.Shortage) {
-	if c.acc == nil || now.Before(c.acc.waitsAt) {
+func (c *Core) chargeWaiting(now time.Time, lacking []scheduler.Shortage) {
+	if c.accounting == nil || now.Before(c.accounting.waitingAt) {
 		return
 	}
-	c.acc.waitsAt = now.Add(waitsEvery)
+	c.accounting.waitingAt = now.Add(waitingInterval)
 	why := make(map[*model.Job]scheduler.Why, len(lacking))
 	for _, l := range lacking {
 		if _, ok := why[l.Want.Job]; !ok {
 			why[l.Want.Job] = l.Why
 		}
 	}
-	for _, j := range c.order {
-		var w *wait
+	for _, j := range c.jobsByAge {
+		var w *waitingTasks
 		if n := j.Waiting(); n > 0 && j.State == model.JobActive {
-			w = &wait{cause: c.cause(now, j, why), tasks: uint64(n), since: now}
+			w = &waitingTasks{cause: c.waitingCause(now, j, why), tasks: uint64(n), since: now}
 		}
-		c.waited(now, j, w)
+		c.recordWaiting(now, j, w)
 	}
 }
 
-// waitsEvery is how fine waiting is told apart: passes come up to twenty times a second.
-const waitsEvery = 250 * time.Millisecond
+// waitingInterval is how fine waiting is told apart: passes come up to twenty times a second.
+const waitingInterval = 250 * time.Millisecond
 
-// cause tells what keeps a job's tasks waiting.
-func (c *Core) cause(now time.Time, j *model.Job, why map[*model.Job]scheduler.Why) ledger.Cause {
+// waitingCause tells what keeps a job's tasks waiting.
+func (c *Core) waitingCause(now time.Time, j *model.Job, why map[*model.Job]scheduler.Why) ledger.Cause {
 	reason, lacks := why[j]
 	switch {
-	case !mayStart(j):
+	case !startable(j):
 		return ledger.Awaits
 	case now.Before(j.RetryNotBefore):
 		return ledger.Backoff
-	case c.inDoubt(j):
+	case c.mayAlreadyRun(j):
 		return ledger.Takeover
-	case reason == scheduler.WhyLimit, !lacks && c.limited(j):
+	case reason == scheduler.WhyLimit, !lacks && c.hasQuota(j):
 		return ledger.Limit // what a pass does not lack and does not place is beyond the limit
 	case reason == scheduler.WhyGuarantee:
 		return ledger.Guarantee
@@ -160,24 +160,24 @@
 	return ledger.Room
 }
 
-// limited tells whether a job's team has a limit that its tasks could wait under.
-func (c *Core) limited(j *model.Job) bool {
+// hasQuota tells whether a job's team has a limit that its tasks could wait under.
+func (c *Core) hasQuota(j *model.Job) bool {
 	t := c.teams[j.Spec.Team]
 	return t != nil && t.Quota.Limited()
 }
 
-// waited charges what a job's tasks waited, and begins to count anew; nil: none waits.
-func (c *Core) waited(now time.Time, j *model.Job, next *wait) {
-	if c.acc == nil {
+// recordWaiting charges what a job's tasks waited, and begins to count anew; nil: none waits.
+func (c *Core) recordWaiting(now time.Time, j *model.Job, next *waitingTasks) {
+	if c.accounting == nil {
 		return
 	}
-	w, ok := c.acc.waits[j]
+	w, ok := c.accounting.waiting[j]
 	if next != nil {
-		c.acc.waits[j] = *next
+		c.accounting.waiting[j] = *next
 	} else if ok {
-		delete(c.acc.waits, j)
+		delete(c.accounting.waiting, j)
 	}
-	b := c.acc.book
+	b := c.accounting.ledger
 	if ms := b.Instant(now) - b.Instant(w.since); ok && ms > 0 {
 		var u ledger.Use
 		u.Wait[w.cause] = ms * w.tasks
@@ -185,90 +185,90 @@
 	}
 }
 
-// account queues what is due to be settled.
-func (c *Core) account(now time.Time) {
-	acc := c.acc
+// runAccounting queues what is due to be settled.
+func (c *Core) runAccounting(now time.Time) {
+	acc := c.accounting
 	if acc == nil {
 		return
 	}
-	if !now.Before(acc.book.Wake()) {
+	if !now.Before(acc.ledger.Wake()) {
 		c.chargeAll(now)
-		for _, team := range acc.book.Due(now) {
-			c.saves = append(c.saves, Save{Kind: SaveUse, Team: team})
+		for _, team := range acc.ledger.Due(now) {
+			c.pendingChanges = append(c.pendingChanges, Change{Kind: SettleAccount, Team: team})
 		}
 	}
-	if len(acc.late) > 0 && now.After(acc.lateAt) {
-		c.saves = append(c.saves, acc.late...)
-		acc.late = nil
+	if len(acc.rejectedSettlements) > 0 && now.After(acc.rejectedRetryAt) {
+		c.pendingChanges = append(c.pendingChanges, acc.rejectedSettlements...)
+		acc.rejectedSettlements = nil
 	}
-	acc.held = slices.DeleteFunc(acc.held, func(s Save) bool {
+	acc.heldEnds = slices.DeleteFunc(acc.heldEnds, func(s Change) bool {
 		j := c.jobs[s.Job]
-		if j != nil && acc.book.HoldsUp(now, j.Spec.Team) {
+		if j != nil && acc.ledger.HoldsUp(now, j.Spec.Team) {
 			return false
 		}
 		if j != nil {
-			c.saves = append(c.saves, s)
+			c.pendingChanges = append(c.pendingChanges, s)
 		}
 		return true
 	})
-	if !acc.reading && !now.Before(acc.readAt) {
-		if teams := acc.book.Doubts(); len(teams) > 0 {
-			acc.reading = true
+	if !acc.readPending && !now.Before(acc.readAt) {
+		if teams := acc.ledger.Doubts(); len(teams) > 0 {
+			acc.readPending = true
 			c.emit(ReadAccounts{teams})
 		}
 	}
-	if len(acc.toFold) > 0 && !acc.folding && !now.Before(acc.foldAt) {
+	if len(acc.teamsToCompact) > 0 && !acc.compactionPending && !now.Before(acc.compactionAt) {
 		// Pages of all teams are closed at the same time. Guards against reading them
 		// all at once, or when a leader has just taken over.
-		acc.folding, acc.foldAt = true, now.Add(foldEvery)
-		c.emit(ReadPages{slices.Min(slices.Collect(maps.Keys(acc.toFold)))})
+		acc.compactionPending, acc.compactionAt = true, now.Add(compactionInterval)
+		c.emit(ReadSegments{slices.Min(slices.Collect(maps.Keys(acc.teamsToCompact)))})
 	}
 }
 
-// foldEvery is the time between looks through teams' closed pages.
-const foldEvery = 5 * time.Second
+// compactionInterval is the time between looks through teams' closed pages.
+const compactionInterval = 5 * time.Second
 
 // chargeAll charges what runs up to the last message of its machine.
 func (c *Core) chargeAll(now time.Time) {
 	for _, m := range c.machines {
 		for _, a := range m.ActiveAttempts() {
-			c.charge(now, a, m.LastSeen)
+			c.chargeUntil(now, a, m.LastSeen)
 		}
 	}
 }
 
-// together takes a save that goes alone, and with a settlement others of its kind: each
+// takeOwnCommit takes a save that goes alone, and with a settlement others of its kind: each
 // has a condition of its own, and where one fails all are read and sent again. A
 // settlement is made here, as its transaction leaves, of all that is charged by then;
 // one that has left before stays as it was.
-func (c *Core) together(now time.Time, first int) (batch, rest []Save) {
-	lead := c.saves[first]
-	if lead.Kind == SaveUse {
+func (c *Core) takeOwnCommit(now time.Time, first int) (batch, rest []Change) {
+	lead := c.pendingChanges[first]
+	if lead.Kind == SettleAccount {
 		c.chargeAll(now)
 	}
-	room := c.set.TxnOps
-	if team, ok := c.settles(&lead); ok && !c.acc.book.Busy(team) {
+	room := c.settings.MaxTxnOps
+	if team, ok := c.settlingTeam(&lead); ok && !c.accounting.ledger.Busy(team) {
 		// What a job has used is on record with its end, or neither is.
 		c.chargeAll(now)
-		if s := c.acc.book.Settle(now, c.acc.set.Day(now), team); s != nil && !s.Empty() {
-			batch = append(batch, Save{Kind: SaveUse, Team: team, Use: s})
+		if s := c.accounting.ledger.Settle(now, c.accounting.settings.TimeOfDay(now), team); s != nil && !s.Empty() {
+			batch = append(batch, Change{Kind: SettleAccount, Team: team, Settlement: s})
 		} else if s != nil {
-			c.acc.book.Drop(team)
+			c.accounting.ledger.Drop(team)
 		}
 	}
-	for i, s := range c.saves {
-		joins := i == first || lead.Kind == SaveUse && !lead.Solo && s.Kind == SaveUse && !s.Solo && i > first && room >= useOps
-		if joins && s.Kind == SaveUse && s.Use == nil {
-			s.Use = c.acc.book.Settle(now, c.acc.set.Day(now), s.Team)
+	for i, s := range c.pendingChanges {
+		joins := i == first || lead.Kind == SettleAccount && !lead.CommitAlone && s.Kind == SettleAccount && !s.CommitAlone && i > first && room >= maxSettlementOps
+		if joins && s.Kind == SettleAccount && s.Settlement == nil {
+			s.Settlement = c.accounting.ledger.Settle(now, c.accounting.settings.TimeOfDay(now), s.Team)
 		}
 		switch {
 		case !joins:
 			rest = append(rest, s)
-		case s.Kind != SaveUse:
+		case s.Kind != SettleAccount:
 			batch = append(batch, s)
-		case s.Use != nil:
+		case s.Settlement != nil:
 			batch = append(batch, s)
-			if room--; s.Use.Closed != nil {
+			if room--; s.Settlement.Closed != nil {
 				room--
 			}
 		}
@@ -276,10 +276,10 @@
 	return batch, rest
 }
 
-// settles tells whether a save is the end of a job that goes with a settlement of its
+// settlingTeam tells whether a save is the end of a job that goes with a settlement of its
 // team's account.
-func (c *Core) settles(s *Save) (team string, ok bool) {
-	if c.acc == nil || s.Kind != EndJob || s.Solo || c.set.TxnOps < endOps+useOps {
+func (c *Core) settlingTeam(s *Change) (team string, ok bool) {
+	if c.accounting == nil || s.Kind != CompleteJob || s.CommitAlone || c.settings.MaxTxnOps < jobEndOps+maxSettlementOps {
 		return "", false
 	}
 	j := c.jobs[s.Job]
@@ -289,124 +289,124 @@
 	return j.Spec.Team, true
 }
 
-// endOps is how many changes the end of a job makes.
-const endOps = 2
+// jobEndOps is how many changes the end of a job makes.
+const jobEndOps = 2
 
-// heldUp tells whether a save has to wait: the end of a job whose team's last settlement
+// blockedBySettlement tells whether a save has to wait: the end of a job whose team's last settlement
 // is on its way or in doubt. It returns the save to send first; -1: the record is being
 // read.
-func (c *Core) heldUp(now time.Time, s *Save) (instead int, waits bool) {
-	if c.acc == nil || s.Kind != EndJob || len(c.acc.late) > 0 {
+func (c *Core) blockedBySettlement(now time.Time, s *Change) (instead int, waits bool) {
+	if c.accounting == nil || s.Kind != CompleteJob || len(c.accounting.rejectedSettlements) > 0 {
 		return 0, false
 	}
 	j := c.jobs[s.Job]
-	if j == nil || !c.acc.book.HoldsUp(now, j.Spec.Team) {
+	if j == nil || !c.accounting.ledger.HoldsUp(now, j.Spec.Team) {
 		return 0, false
 	}
-	return slices.IndexFunc(c.saves, func(o Save) bool { return o.Kind == SaveUse && o.Use != nil && o.Team == j.Spec.Team }), true
+	return slices.IndexFunc(c.pendingChanges, func(o Change) bool { return o.Kind == SettleAccount && o.Settlement != nil && o.Team == j.Spec.Team }), true
 }
 
-// refusedEnds takes a transaction that was refused whole although it ended a job and settled
+// deferRefusedEnds takes a transaction that was refused whole although it ended a job and settled
 // its team's account: each may have been the reason. The end waits until the account is
 // known again, and then goes by itself; what it used is in the settlement before it.
-func (c *Core) refusedEnds(saves []Save) []Save {
-	if c.acc == nil || len(saves) < 2 {
+func (c *Core) deferRefusedEnds(saves []Change) []Change {
+	if c.accounting == nil || len(saves) < 2 {
 		return saves
 	}
-	return slices.DeleteFunc(slices.Clone(saves), func(s Save) bool {
-		if s.Kind != EndJob {
+	return slices.DeleteFunc(slices.Clone(saves), func(s Change) bool {
+		if s.Kind != CompleteJob {
 			return false
 		}
-		s.Solo = true
-		c.acc.held = append(c.acc.held, s)
+		s.CommitAlone = true
+		c.accounting.heldEnds = append(c.accounting.heldEnds, s)
 		return true
 	})
 }
 
-// useOps is how many changes a settlement makes at the most.
-const useOps = 2
+// maxSettlementOps is how many changes a settlement makes at the most.
+const maxSettlementOps = 2
 
-// settled takes the outcome of a settlement, or of a fold.
-func (c *Core) settled(now time.Time, s Save, ev SaveBack) {
-	acc := c.acc
+// settlementCompleted takes the outcome of a settlement, or of a fold.
+func (c *Core) settlementCompleted(now time.Time, s Change, ev CommitCompleted) {
+	acc := c.accounting
 	switch {
-	case s.Kind == FoldUse:
-		acc.folding = false
+	case s.Kind == CompactAccount:
+		acc.compactionPending = false
 		if ev.Outcome != OK {
-			delete(acc.toFold, s.Fold.Into.Team) // looked through again when a page is closed
+			delete(acc.teamsToCompact, s.Compaction.Result.Team) // looked through again when a page is closed
 		}
 	case ev.Outcome == OK:
-		acc.book.Settled(s.Use.Open.Team, ev.Version)
-		c.log.Debug("ledger settled", "team", s.Use.Open.Team, "settled", s.Use.Open.Settled, "with_end", len(ev.Saves) > 1, "closed", s.Use.Closed != nil)
-		if s.Use.Closed != nil {
-			c.log.Info("ledger page closed", "team", s.Use.Open.Team, "page", s.Use.Closed.First, "hour", s.Use.Closed.From, "sum", s.Use.Closed.Sum)
-			acc.toFold[s.Use.Open.Team] = true
+		acc.ledger.Settled(s.Settlement.Open.Team, ev.Version)
+		c.log.Debug("ledger settled", "team", s.Settlement.Open.Team, "settled", s.Settlement.Open.Settled, "with_end", len(ev.Changes) > 1, "closed", s.Settlement.Closed != nil)
+		if s.Settlement.Closed != nil {
+			c.log.Info("ledger page closed", "team", s.Settlement.Open.Team, "page", s.Settlement.Closed.First, "hour", s.Settlement.Closed.From, "sum", s.Settlement.Closed.Sum)
+			acc.teamsToCompact[s.Settlement.Open.Team] = true
 		}
 	default:
-		acc.book.Refused(now, s.Use.Open.Team)
+		acc.ledger.Refused(now, s.Settlement.Open.Team)
 	}
 }
 
-// unsettled keeps a settlement that the state service rejects, and tries it again much
+// retrySettlementLater keeps a settlement that the state service rejects, and tries it again much
 // later: until then the team's account is not settled, and nothing of it is lost.
-func (c *Core) unsettled(now time.Time, s Save) {
-	c.acc.late = append(c.acc.late, s)
-	c.acc.lateAt = now.Add(c.set.BackoffMost)
+func (c *Core) retrySettlementLater(now time.Time, s Change) {
+	c.accounting.rejectedSettlements = append(c.accounting.rejectedSettlements, s)
+	c.accounting.rejectedRetryAt = now.Add(c.settings.MaxBackoff)
 }
 
-func (c *Core) accountsIn(now time.Time, ev AccountsIn) {
-	acc := c.acc
-	acc.reading = false
-	acc.readAt = now.Add(doubtWait)
+func (c *Core) accountsReceived(now time.Time, ev AccountsReceived) {
+	acc := c.accounting
+	acc.readPending = false
+	acc.readAt = now.Add(accountReadInterval)
 	for team, r := range ev.Accounts {
-		s, foreign := acc.book.Read(team, r)
+		s, foreign := acc.ledger.Read(team, r)
 		if foreign {
 			c.log.Error("a team's account is not what any leader wrote; going on from there", "team", team, "settled", r.Open.Settled, "token", r.Open.Token)
 			continue
 		}
 		c.log.Info("ledger settlement was in doubt", "team", team, "carried_out", s == nil, "settled", r.Open.Settled)
 		if s != nil {
-			c.saves = append(c.saves, Save{Kind: SaveUse, Team: team, Use: s})
+			c.pendingChanges = append(c.pendingChanges, Change{Kind: SettleAccount, Team: team, Settlement: s})
 		}
 	}
 }
 
-// doubtWait is the time between readings of accounts in doubt.
-const doubtWait = 500 * time.Millisecond
+// accountReadInterval is the time between readings of accounts in doubt.
+const accountReadInterval = 500 * time.Millisecond
 
-func (c *Core) pagesIn(now time.Time, ev PagesIn) {
-	acc, set := c.acc, c.acc.set
-	into, from, n := ledger.Fold(&set.Settings, ev.Pages, set.Day(now), c.set.TxnOps)
+func (c *Core) segmentsReceived(now time.Time, ev SegmentsReceived) {
+	acc, set := c.accounting, c.accounting.settings
+	into, from, n := ledger.Fold(&set.Settings, ev.Segments, set.TimeOfDay(now), c.settings.MaxTxnOps)
 	if n == 0 {
-		delete(acc.toFold, ev.Team)
-		acc.folding = false
+		delete(acc.teamsToCompact, ev.Team)
+		acc.compactionPending = false
 		return
 	}
 	c.log.Info("ledger pages folded", "team", ev.Team, "pages", n, "into", into.Unit.String(), "from", into.From)
-	c.saves = append(c.saves, Save{Kind: FoldUse, Fold: &Fold{From: ev.Pages[from : from+n], Into: into}})
+	c.pendingChanges = append(c.pendingChanges, Change{Kind: CompactAccount, Compaction: &Compaction{Sources: ev.Segments[from : from+n], Result: into}})
 }
 
-// OldestPages is how many closed pages are looked through for such as are old enough.
-const OldestPages = 400
+// MaxSegmentsRead is how many closed pages are looked through for such as are old enough.
+const MaxSegmentsRead = 400
 
-// band is a team's band by fair share, looked over once a second.
-func (c *Core) band(team string) int {
-	if c.acc == nil || !c.acc.set.FairShare {
+// fairShareClass is a team's band by fair share, looked over once a second.
+func (c *Core) fairShareClass(team string) int {
+	if c.accounting == nil || !c.accounting.settings.FairShare {
 		return 0
 	}
-	return c.acc.bands[team]
+	return c.accounting.fairShareClasses[team]
 }
 
-// shares looks teams' bands over.
-func (c *Core) shares(now time.Time) {
-	if c.acc == nil || !c.acc.set.FairShare || now.Before(c.acc.bandsAt) {
+// updateFairShares looks teams' bands over.
+func (c *Core) updateFairShares(now time.Time) {
+	if c.accounting == nil || !c.accounting.settings.FairShare || now.Before(c.accounting.fairSharesAt) {
 		return
 	}
-	c.acc.bandsAt = now.Add(time.Second)
-	for _, s := range ledger.Standings(c.acc.set.Weights, func(team string) uint64 { return c.acc.book.Decayed(now, team) }) {
-		if c.acc.bands[s.Team] != s.Band {
+	c.accounting.fairSharesAt = now.Add(time.Second)
+	for _, s := range ledger.Standings(c.accounting.settings.Weights, func(team string) uint64 { return c.accounting.ledger.Decayed(now, team) }) {
+		if c.accounting.fairShareClasses[s.Team] != s.Band {
 			c.log.Info("fair share", "team", s.Team, "band", s.Band, "factor", s.Factor, "part", s.Part, "weight", s.Weight)
-			c.acc.bands[s.Team] = s.Band
+			c.accounting.fairShareClasses[s.Team] = s.Band
 		}
 	}
 }
--- a/internal/reconciler/rulesets_test.go
+++ b/internal/reconciler/constraints_test.go
@@ -20,10 +20,10 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// ruleset is one line of the table: a job with rules, and what has to come of it. The
+// constraintCase is one line of the table: a job with rules, and what has to come of it. The
 // expectations were worked out apart from this code, each rule by a predicate of its own
 // and the smallest sets by trying all of them.
-type ruleset struct {
+type constraintCase struct {
 	N       int
 	Catalog string
 	Job     struct {
@@ -41,22 +41,22 @@
 	Malformed string     // a part of the message
 }
 
-// idle is a leader with one empty machine of each class, in their order.
-func idle(types []model.MachineType) (*Core, time.Time) {
+// idleLeader is a leader with one empty machine of each class, in their order.
+func idleLeader(types []model.MachineType) (*Core, time.Time) {
 	now := time.Unix(1e9, 0)
-	set := Settings{Member: "tiller-0", Teams: []model.Team{{Name: "red", Quota: model.NewQuota(1e6, 1e6)}}, SilentAfter: time.Hour, Lease: time.Hour,
-		Pass: time.Millisecond, TxnOps: 12, Numbered: 64, Sched: scheduler.Settings{IdleShare: 0.7, Overtake: time.Hour, OvertakeLate: time.Hour, Dear: 1e6},
-		Fleet: autoscaler.Settings{KeepIdle: time.Hour, BootFactor: 3, MaxRent: 50}}
-	c := New(now, set, 3, &Snapshot{Numbered: 64}, types, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	set := Settings{Member: "tiller-0", Teams: []model.Team{{Name: "red", Quota: model.NewQuota(1e6, 1e6)}}, UnresponsiveAfter: time.Hour, WorkerLease: time.Hour,
+		PassInterval: time.Millisecond, MaxTxnOps: 12, NumberedChunkTasks: 64, Scheduler: scheduler.Settings{IdleShare: 0.7, Overtake: time.Hour, OvertakeLate: time.Hour, Dear: 1e6},
+		Autoscaler: autoscaler.Settings{KeepIdle: time.Hour, BootFactor: 3, MaxRent: 50}}
+	c := New(now, set, 3, &Snapshot{NumberedChunkTasks: 64}, types, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for i, k := range constraint.Classes(types) {
 		m := c.newMachine(now, model.MachineInfo{Name: fmt.Sprintf("n-%06d", i), Type: k.Type.Name, Zone: k.Zone, Spot: k.Spot}, model.MachineBooting)
 		m.Transition(now, model.MachineReady, "")
-		m.Registered, m.Session = true, 1
+		m.Registered, m.Epoch = true, 1
 	}
 	return c, now
 }
 
-func TestRuleSetsAsExpected(t *testing.T) {
+func TestConstraintCases(t *testing.T) {
 	raw, err := os.ReadFile("../constraint/testdata/catalogs.json")
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 	}
 	count := map[string]int{}
 	for lines := bufio.NewScanner(bytes.NewReader(raw)); lines.Scan(); {
-		var r ruleset
+		var r constraintCase
 		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
 			t.Fatal(err)
 		}
@@ -111,11 +111,11 @@
 			t.Errorf("%d: %q: %v", r.N, r.Rules, err)
 			continue
 		}
-		c, now := idle(types)
+		c, now := idleLeader(types)
 		for _, i := range r.Images {
 			c.machines[fmt.Sprintf("n-%06d", i)].CachedImages["img"] = now
 		}
-		c.Step(now, JobAdded{Spec: spec, At: now, Version: 9})
+		c.Step(now, JobAdded{Spec: spec, SubmittedAt: now, Version: 9})
 		c.Step(now, Tick{})
 		c.Step(now.Add(time.Second), Tick{})
 		got := "nowhere"
@@ -146,23 +146,23 @@
 			name = "with"
 		}
 		b.Run(name, func(b *testing.B) {
-			c, now := idle(types)
+			c, now := idleLeader(types)
 			all := constraint.Classes(types)
 			for i := range 500 {
 				k := all[i%len(all)]
 				m := c.newMachine(now, model.MachineInfo{Name: fmt.Sprintf("m-%06d", i), Type: k.Type.Name, Zone: k.Zone, Spot: k.Spot}, model.MachineBooting)
 				m.Transition(now, model.MachineReady, "")
-				m.Registered, m.Session = true, 1
+				m.Registered, m.Epoch = true, 1
 				m.Used = model.Resources{CPU: m.Type.Capacity.CPU - float64(i%3)}
 			}
 			for i := range 40 {
-				c.Step(now, JobAdded{At: now, Version: 9, Spec: &model.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "work", Team: "red", Shape: model.Array, Priority: model.PriorityNormal,
+				c.Step(now, JobAdded{SubmittedAt: now, Version: 9, Spec: &model.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "work", Team: "red", Shape: model.Array, Priority: model.PriorityNormal,
 					Tasks: 50, Demand: model.Resources{CPU: 2, MemGB: 4}, Image: "img", AllowSpot: true, Rules: rules}})
 			}
 			b.ResetTimer()
 			for b.Loop() {
-				p := c.picture(now)
-				scheduler.Make(&c.set.Sched, p)
+				p := c.schedulerInput(now)
+				scheduler.Make(&c.settings.Scheduler, p)
 			}
 		})
 	}
--- a/internal/reconciler/explain.go
+++ b/internal/reconciler/explain.go
@@ -14,38 +14,38 @@
 
 // Explanation says why a job's tasks wait, and why those that run are where they are.
 type Explanation struct {
-	Job      string   `json:"job"`
-	Class    string   `json:"class"`
-	Team     string   `json:"team"`
-	Rank     string   `json:"rank"`
-	Rules    []string `json:"rules,omitempty"`
-	Tasks    int      `json:"tasks"`
-	Done     int      `json:"done"`
-	On       int      `json:"on_machines"`
-	Waiting  int      `json:"waiting"`
-	Why      []string `json:"why,omitempty"`      // in words, what keeps its tasks waiting
-	Machines []Ruled  `json:"machines,omitempty"` // how many machines do not take one more task, and why
-	Coming   []string `json:"coming,omitempty"`   // what is being rented or boots that could take it
-	Change   []string `json:"change,omitempty"`   // what would have to change
-	Placed   []Placed `json:"placed,omitempty"`   // at most mostPlaced
+	Job         string            `json:"job"`
+	Class       string            `json:"class"`
+	Team        string            `json:"team"`
+	Priority    string            `json:"rank"`
+	Constraints []string          `json:"rules,omitempty"`
+	Tasks       int               `json:"tasks"`
+	Done        int               `json:"done"`
+	OnMachines  int               `json:"on_machines"`
+	Waiting     int               `json:"waiting"`
+	Reasons     []string          `json:"why,omitempty"`      // in words, what keeps its tasks waiting
+	Machines    []MachineCount    `json:"machines,omitempty"` // how many machines do not take one more task, and why
+	Coming      []string          `json:"coming,omitempty"`   // what is being rented or boots that could take it
+	Remedies    []string          `json:"change,omitempty"`   // what would have to change
+	Placements  []PlacementReason `json:"placed,omitempty"`   // at most mostPlaced
 }
 
-// Ruled counts machines that do not take a task for the same reason.
-type Ruled struct {
-	Why   string `json:"why"`
-	Count int    `json:"count"`
+// MachineCount counts machines that do not take a task for the same reason.
+type MachineCount struct {
+	Reason string `json:"why"`
+	Count  int    `json:"count"`
 }
 
-// Placed says why a task is on its machine.
-type Placed struct {
+// PlacementReason says why a task is on its machine.
+type PlacementReason struct {
 	Task    int    `json:"task"`
 	Machine string `json:"machine"`
 	Class   string `json:"class"`
-	Why     string `json:"why"`
+	Reason  string `json:"why"`
 }
 
-// mostPlaced bounds an explanation of a large array.
-const mostPlaced = 20
+// maxPlacements bounds an explanation of a large array.
+const maxPlacements = 20
 
 // Explain says why a job's tasks wait. It plays a pass without carrying it out and asks
 // the functions that decide, so it says what the next pass would find; nil: the job is
@@ -56,35 +56,35 @@
 		return nil
 	}
 	s := j.Spec
-	e := &Explanation{Job: id, Class: s.Class, Team: s.Team, Rank: j.EffectivePriority.String(), Tasks: s.Tasks, Done: j.Count(model.TaskDone), On: len(j.ActiveAttempts), Waiting: j.Waiting()}
-	r := c.ruled[j]
+	e := &Explanation{Job: id, Class: s.Class, Team: s.Team, Priority: j.EffectivePriority.String(), Tasks: s.Tasks, Done: j.Count(model.TaskDone), OnMachines: len(j.ActiveAttempts), Waiting: j.Waiting()}
+	r := c.constraints[j]
 	if r != nil && r.set != nil {
-		e.Rules = r.set.Lines()
+		e.Constraints = r.set.Lines()
 	}
 	for _, i := range slices.Sorted(maps.Keys(j.ActiveAttempts)) {
-		if len(e.Placed) < mostPlaced {
-			e.Placed = append(e.Placed, placed(j.ActiveAttempts[i]))
+		if len(e.Placements) < maxPlacements {
+			e.Placements = append(e.Placements, explainPlacement(j.ActiveAttempts[i]))
 		}
 	}
 	say := func(list *[]string, format string, args ...any) { *list = append(*list, fmt.Sprintf(format, args...)) }
 	switch {
 	case e.Waiting == 0:
 	case j.State != model.JobActive:
-		say(&e.Why, "its end is being written")
+		say(&e.Reasons, "its end is being written")
 	case j.Dependency.State == model.DependencyWaiting:
-		say(&e.Why, "it awaits %v", slices.Sorted(maps.Keys(j.Dependency.Upstream)))
-		say(&e.Change, "those jobs have to be done")
+		say(&e.Reasons, "it awaits %v", slices.Sorted(maps.Keys(j.Dependency.Upstream)))
+		say(&e.Remedies, "those jobs have to be done")
 	case j.Dependency.State == model.DependencyFailed:
-		say(&e.Why, "it awaits %s, which is cancelled", j.Dependency.DecidedBy)
+		say(&e.Reasons, "it awaits %s, which is cancelled", j.Dependency.DecidedBy)
 	case r != nil && r.set == nil:
-		say(&e.Why, "its rules cannot be read by this version: %v", r.err)
-		say(&e.Change, "a version that reads them has to lead, or it has to be cancelled")
+		say(&e.Reasons, "its rules cannot be read by this version: %v", r.err)
+		say(&e.Remedies, "a version that reads them has to lead, or it has to be cancelled")
 	case now.Before(j.RetryNotBefore):
-		say(&e.Why, "its tasks failed or were refused; they are tried again in %v", j.RetryNotBefore.Sub(now).Round(time.Second))
-	case c.inDoubt(j):
-		say(&e.Why, "the new leader does not know yet what runs on %d machines, and a task of it might", c.unsure)
+		say(&e.Reasons, "its tasks failed or were refused; they are tried again in %v", j.RetryNotBefore.Sub(now).Round(time.Second))
+	case c.mayAlreadyRun(j):
+		say(&e.Reasons, "the new leader does not know yet what runs on %d machines, and a task of it might", c.unreconciled)
 	case s.Shape == model.Gang && len(j.ActiveAttempts) > 0:
-		say(&e.Why, "%d tasks of the attempt before are not gone yet", len(j.ActiveAttempts))
+		say(&e.Reasons, "%d tasks of the attempt before are not gone yet", len(j.ActiveAttempts))
 	default:
 		c.explainWaiting(now, j, e, say)
 	}
@@ -94,14 +94,14 @@
 // explainWaiting plays a pass and says what it finds.
 func (c *Core) explainWaiting(now time.Time, j *model.Job, e *Explanation, say func(list *[]string, format string, args ...any)) {
 	s := j.Spec
-	p := c.picture(now)
+	p := c.schedulerInput(now)
 	i := slices.IndexFunc(p.Wants, func(w *scheduler.Want) bool { return w.Job == j })
 	if i < 0 {
 		return
 	}
 	w := p.Wants[i]
 	ahead := 0
-	plan := scheduler.Make(&c.set.Sched, p) // of a picture of its own: nothing is done
+	plan := scheduler.Make(&c.settings.Scheduler, p) // of a picture of its own: nothing is done
 	for _, o := range p.Wants {
 		if o == w {
 			break
@@ -115,45 +115,45 @@
 		}
 	}
 	if n > 0 {
-		say(&e.Why, "%d tasks are placed with the next pass", n)
+		say(&e.Reasons, "%d tasks are placed with the next pass", n)
 	}
 	if k := slices.IndexFunc(plan.Lacking, func(l scheduler.Shortage) bool { return l.Want.Job == j }); k >= 0 {
 		team, use := c.teams[s.Team], p.Used[s.Team]
 		switch l := plan.Lacking[k]; l.Why {
 		case scheduler.WhyLimit:
-			say(&e.Why, "team %s is at its limit: %s are in use", s.Team, team.Quota.FormatUsage(use))
-			say(&e.Change, "tasks of the team have to end, or its limit has to be raised")
+			say(&e.Reasons, "team %s is at its limit: %s are in use", s.Team, team.Quota.FormatUsage(use))
+			say(&e.Remedies, "tasks of the team have to end, or its limit has to be raised")
 		case scheduler.WhyGuarantee:
-			say(&e.Why, "production and what other teams' guarantees cover goes first")
+			say(&e.Reasons, "production and what other teams' guarantees cover goes first")
 		case scheduler.WhyShare:
-			say(&e.Why, "teams that have used less of their share go first (band %d)", w.Band)
+			say(&e.Reasons, "teams that have used less of their share go first (band %d)", w.Band)
 		case scheduler.WhyRoom:
-			say(&e.Why, "no machine that fits has room for %d tasks", l.Count)
+			say(&e.Reasons, "no machine that fits has room for %d tasks", l.Count)
 		}
-	} else if n < e.Waiting && c.limited(j) {
-		say(&e.Why, "team %s has room for no more of its tasks under its limit", s.Team)
-		say(&e.Change, "tasks of the team have to end, or its limit has to be raised")
+	} else if n < e.Waiting && c.hasQuota(j) {
+		say(&e.Reasons, "team %s has room for no more of its tasks under its limit", s.Team)
+		say(&e.Remedies, "tasks of the team have to end, or its limit has to be raised")
 	}
 	if ahead > 0 {
-		say(&e.Why, "%d others stand before it in the order", ahead)
+		say(&e.Reasons, "%d others stand before it in the order", ahead)
 	}
-	c.judgeMachines(now, j, w, p, e)
-	c.explainComing(now, j, w, e, say)
-	r := c.ruled[j]
+	c.explainMachines(now, j, w, p, e)
+	c.explainIncoming(now, j, w, e, say)
+	r := c.constraints[j]
 	set := &constraint.Set{}
 	if r != nil {
 		set = r.set
 	}
-	if err := constraint.Check(set, s, constraint.World{Types: c.types}); err != nil && len(c.types) > 0 {
-		say(&e.Change, "nothing in the catalogue takes it now: %v", err)
+	if err := constraint.Check(set, s, constraint.World{Types: c.machineTypes}); err != nil && len(c.machineTypes) > 0 {
+		say(&e.Remedies, "nothing in the catalogue takes it now: %v", err)
 	}
 }
 
-// judgeMachines counts why machines do not take one more task.
-func (c *Core) judgeMachines(now time.Time, j *model.Job, w *scheduler.Want, p *scheduler.Picture, e *Explanation) {
+// explainMachines counts why machines do not take one more task.
+func (c *Core) explainMachines(now time.Time, j *model.Job, w *scheduler.Want, p *scheduler.Picture, e *Explanation) {
 	counts := map[string]int{}
 	for _, m := range c.machines {
-		if why := c.unplaceable(now, m); why != "" {
+		if why := c.placementObstacle(now, m); why != "" {
 			if m.StateReason != "" {
 				why += ": " + m.StateReason
 			}
@@ -165,7 +165,7 @@
 		text := why.String()
 		if why == scheduler.ByRules {
 			m := nd.Machine
-			if by, ok := c.ruled[j].set.Allows(constraint.Class{Type: m.Type, Zone: m.Zone, Spot: m.Spot}); !ok {
+			if by, ok := c.constraints[j].set.Allows(constraint.Class{Type: m.Type, Zone: m.Zone, Spot: m.Spot}); !ok {
 				text = "refused by " + by.String()
 			}
 		}
@@ -175,17 +175,19 @@
 		counts[text]++
 	}
 	for why, n := range counts {
-		e.Machines = append(e.Machines, Ruled{why, n})
+		e.Machines = append(e.Machines, MachineCount{why, n})
 	}
-	slices.SortFunc(e.Machines, func(a, b Ruled) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Why, b.Why)) })
+	slices.SortFunc(e.Machines, func(a, b MachineCount) int {
+		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Reason, b.Reason))
+	})
 }
 
-// explainComing tells what is rented or boots that could take a task, and what the cloud
+// explainIncoming tells what is rented or boots that could take a task, and what the cloud
 // has refused.
-func (c *Core) explainComing(now time.Time, j *model.Job, w *scheduler.Want, e *Explanation, say func(list *[]string, format string, args ...any)) {
+func (c *Core) explainIncoming(now time.Time, j *model.Job, w *scheduler.Want, e *Explanation, say func(list *[]string, format string, args ...any)) {
 	s := j.Spec
 	useful := func(t *model.MachineType, zone string, spot bool) bool {
-		return constraint.Takes(s, constraint.Class{Type: t, Zone: zone, Spot: spot}) && w.Rules.Offer(t, zone, spot) && (s.Demand.GPU > 0 || j.MayUseGPUMachines || !c.forGPU(t, spot))
+		return constraint.Takes(s, constraint.Class{Type: t, Zone: zone, Spot: spot}) && w.Rules.Offer(t, zone, spot) && (s.Demand.GPU > 0 || j.MayUseGPUMachines || !c.keptForGPU(t, spot))
 	}
 	coming := map[string]int{}
 	for _, m := range c.machines {
@@ -193,8 +195,8 @@
 			coming["booting "+constraint.Class{Type: m.Type, Zone: m.Zone, Spot: m.Spot}.String()]++
 		}
 	}
-	for _, r := range c.renting {
-		if t := c.typeOf(r.Type); useful(t, r.Zone, r.Spot) {
+	for _, r := range c.provisioning {
+		if t := c.machineTypeNamed(r.Type); useful(t, r.Zone, r.Spot) {
 			coming["asked for "+constraint.Class{Type: t, Zone: r.Zone, Spot: r.Spot}.String()] += r.Count
 		}
 	}
@@ -203,31 +205,31 @@
 	}
 	slices.Sort(e.Coming)
 	var refused []string
-	for o, until := range c.refused {
-		if t := c.typeOf(o.Type); now.Before(until) && useful(t, o.Zone, o.Spot) {
+	for o, until := range c.refusedOffers {
+		if t := c.machineTypeNamed(o.Type); now.Before(until) && useful(t, o.Zone, o.Spot) {
 			refused = append(refused, constraint.Class{Type: t, Zone: o.Zone, Spot: o.Spot}.String())
 		}
 	}
 	if len(refused) > 0 {
 		slices.Sort(refused)
-		say(&e.Why, "the cloud has just refused %v; it is asked again soon", refused)
+		say(&e.Reasons, "the cloud has just refused %v; it is asked again soon", refused)
 	}
 }
 
-// placed says why an attempt is on its machine.
-func placed(a *model.Attempt) Placed {
+// explainPlacement says why an attempt is on its machine.
+func explainPlacement(a *model.Attempt) PlacementReason {
 	m := a.Machine
-	p := Placed{Task: a.Task.Index, Machine: m.Name, Class: constraint.Class{Type: m.Type, Zone: m.Zone, Spot: m.Spot}.String()}
+	p := PlacementReason{Task: a.Task.Index, Machine: m.Name, Class: constraint.Class{Type: m.Type, Zone: m.Zone, Spot: m.Spot}.String()}
 	switch ch := a.Choice; {
 	case ch.FeasibleNodes == 0:
-		p.Why = "an earlier leader placed it"
+		p.Reason = "an earlier leader placed it"
 	case ch.Preference != 0:
-		p.Why = fmt.Sprintf("of %d that fitted: efficiency %.2f, and %+.2f for wishes", ch.FeasibleNodes, ch.Efficiency, ch.Preference)
+		p.Reason = fmt.Sprintf("of %d that fitted: efficiency %.2f, and %+.2f for wishes", ch.FeasibleNodes, ch.Efficiency, ch.Preference)
 	default:
-		p.Why = fmt.Sprintf("of %d that fitted the most efficient: %.2f", ch.FeasibleNodes, ch.Efficiency)
+		p.Reason = fmt.Sprintf("of %d that fitted the most efficient: %.2f", ch.FeasibleNodes, ch.Efficiency)
 	}
 	if a.Choice.ImageCached {
-		p.Why += "; it held the image"
+		p.Reason += "; it held the image"
 	}
 	return p
 }
--- a/internal/reconciler/blame.go
+++ b/internal/reconciler/faults.go
@@ -11,29 +11,29 @@
 // follows from what else is known of either, and where that is not enough the machine gets no work until
 // more is.
 
-// suspectMost is how long a machine is left alone at the most while nothing more becomes known.
-const suspectMost = 45 * time.Second
+// maxQuarantine is how long a machine is left alone at the most while nothing more becomes known.
+const maxQuarantine = 45 * time.Second
 
-// failed accounts a task that ended with an error: errors of several jobs
+// taskFailed accounts a task that ended with an error: errors of several jobs
 // condemn the machine, errors on several machines put the job off.
-func (c *Core) failed(now time.Time, a *model.Attempt) {
+func (c *Core) taskFailed(now time.Time, a *model.Attempt) {
 	j, m := a.Job, a.Machine
 	m.ErrorsByJob[j.Spec.ID]++
 	m.LastFailure = now
 	j.RecordFailure(m.Name)
 	if j.FailedMachineCount >= 2 && !j.KnownGood {
-		wait := c.set.Backoff << min(j.FailedMachineCount-2, 6)
-		j.RetryNotBefore = now.Add(min(wait, c.set.BackoffMost))
+		wait := c.settings.Backoff << min(j.FailedMachineCount-2, 6)
+		j.RetryNotBefore = now.Add(min(wait, c.settings.MaxBackoff))
 	}
-	jobs := c.blame(now, m)
+	jobs := c.attributeFaults(now, m)
 	c.log.Warn("task failed", "task", a.Task, "machine", m.Name, "errors_of_job", j.ConsecutiveErrors, "jobs_failing_here", jobs)
 }
 
-// blame looks at a machine on which tasks have failed, and says how many jobs fail there that are not at
+// attributeFaults looks at a machine on which tasks have failed, and says how many jobs fail there that are not at
 // fault themselves. It is sick if such as do well elsewhere do; if nothing is known of them yet it is left
 // alone until they have run elsewhere. Guards against healthy machines that are given back, one after the
 // other, since two jobs with a mistake fail on them.
-func (c *Core) blame(now time.Time, m *model.Machine) (jobs int) {
+func (c *Core) attributeFaults(now time.Time, m *model.Machine) (jobs int) {
 	proven, twice := 0, false
 	for id, n := range m.ErrorsByJob {
 		j := c.jobs[id]
@@ -43,17 +43,17 @@
 		jobs++
 		if j == nil || j.KnownGood || c.runsElsewhere(now, j, m) {
 			proven++
-			twice = twice || n >= c.set.SickErrors
+			twice = twice || n >= c.settings.MachineFaultErrors
 		}
 	}
 	switch {
-	case proven >= c.set.SickErrors || twice,
-		jobs >= c.set.SickErrors && !m.QuarantinedSince.IsZero() && now.Sub(m.QuarantinedSince) > suspectMost:
+	case proven >= c.settings.MachineFaultErrors || twice,
+		jobs >= c.settings.MachineFaultErrors && !m.QuarantinedSince.IsZero() && now.Sub(m.QuarantinedSince) > maxQuarantine:
 		m.QuarantinedSince = time.Time{}
 		c.drain(now, m, "sick")
-	case jobs < c.set.SickErrors:
+	case jobs < c.settings.MachineFaultErrors:
 		if !m.QuarantinedSince.IsZero() {
-			m.QuarantinedSince, c.dirty = time.Time{}, true
+			m.QuarantinedSince, c.passNeeded = time.Time{}, true
 			c.log.Info("machine is not at fault", "machine", m.Name)
 		}
 	case m.QuarantinedSince.IsZero() && m.State < model.MachineDraining:
@@ -63,16 +63,16 @@
 	return jobs
 }
 
-// cleared takes that a task has completed on a machine: if it was started after the last failure there, the
+// clearFaults takes that a task has completed on a machine: if it was started after the last failure there, the
 // machine is well.
-func (c *Core) cleared(a *model.Attempt) {
+func (c *Core) clearFaults(a *model.Attempt) {
 	if m := a.Machine; a.LaunchedAt.After(m.LastFailure) {
 		clear(m.ErrorsByJob)
 	}
 }
 
-// acquit takes the failures of a job that was cancelled off its machines: they tell nothing any more.
-func (c *Core) acquit(j *model.Job) {
+// exonerate takes the failures of a job that was cancelled off its machines: they tell nothing any more.
+func (c *Core) exonerate(j *model.Job) {
 	for name := range j.MachinesWithErrors {
 		if m := c.machines[name]; m != nil {
 			delete(m.ErrorsByJob, j.Spec.ID)
--- a/internal/reconciler/fence.go
+++ b/internal/reconciler/fence.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// saveRetry is the pause after a transaction that was not carried out, or not answered.
-const saveRetry = 300 * time.Millisecond
+// commitRetryDelay is the pause after a transaction that was not carried out, or not answered.
+const commitRetryDelay = 300 * time.Millisecond
 
-// fenceBack takes what became of a fence. A transaction that was not answered may be carried out late, after
+// fenceCompleted takes what became of a fence. A transaction that was not answered may be carried out late, after
 // newer ones. So before the next one a fence is asked for: the token's record is written anew, with the
 // same content, and what was sent under its former version fails from then on. Guards against finished
 // tasks that a late copy of an older record makes unfinished, and machines that it brings back to the
 // records: docs/safety.md, "Late transactions".
-func (c *Core) fenceBack(now time.Time, ev FenceBack) {
-	c.saving = false
+func (c *Core) fenceCompleted(now time.Time, ev FenceCompleted) {
+	c.commitInFlight = false
 	if ev.Outcome == OK {
-		c.fence = false
+		c.fenceNeeded = false
 		return
 	}
-	c.saveAt = now.Add(saveRetry)
+	c.commitAt = now.Add(commitRetryDelay)
 }
--- a/internal/reconciler/pass.go
+++ b/internal/reconciler/pass.go
@@ -8,33 +8,33 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// pass places what waits, stops what makes room for it, and rents for the rest.
-func (c *Core) pass(now time.Time) {
-	c.dirty, c.lastPass = false, now
-	if len(c.types) == 0 {
+// runPass places what waits, stops what makes room for it, and rents for the rest.
+func (c *Core) runPass(now time.Time) {
+	c.passNeeded, c.lastPassAt = false, now
+	if len(c.machineTypes) == 0 {
 		return
 	}
-	p := c.picture(now)
-	c.restoredYet(now, p.Wants)
+	p := c.schedulerInput(now)
+	c.logServicesRestored(now, p.Wants)
 	if len(p.Wants) == 0 {
-		c.waits(now, nil)
+		c.chargeWaiting(now, nil)
 		c.consolidate(now, p)
 		return
 	}
-	plan := scheduler.Make(&c.set.Sched, p)
+	plan := scheduler.Make(&c.settings.Scheduler, p)
 	var gang *scheduler.Want
 	var try uint64
 	for _, pl := range plan.Place {
-		if pl.Want.Rules != nil && !c.stands(pl, plan.Place) {
-			c.dirty = true // the next pass finds another place
+		if pl.Want.Rules != nil && !c.affinityHolds(pl, plan.Place) {
+			c.passNeeded = true // the next pass finds another place
 			continue
 		}
 		if pl.Want.Job.Spec.Shape != model.Gang {
-			c.launch(now, pl, c.nextTry())
+			c.launch(now, pl, c.nextAttemptNumber())
 			continue
 		}
 		if pl.Want != gang {
-			gang, try = pl.Want, c.nextTry()
+			gang, try = pl.Want, c.nextAttemptNumber()
 		}
 		c.launch(now, pl, try)
 	}
@@ -43,54 +43,54 @@
 			"loss", v.Loss, "at_once", v.AtOnce, "for", v.For.Job.Spec.ID, "rank_for", v.For.Job.EffectivePriority.String(), "guaranteed", v.For.Guaranteed, "slack", v.For.Slack)
 		v.Attempt.Preempted = true
 		if v.AtOnce && !v.Gang {
-			c.stop(now, v.Attempt, 0)
+			c.stopAttempt(now, v.Attempt, 0)
 		} else {
-			c.halt(now, v.Attempt)
+			c.stopGracefully(now, v.Attempt)
 		}
 	}
 	if plan.More {
 		// The rest comes with the next pass, right after what has come in meanwhile. What would be
 		// lacking then is not known yet: nothing is rented for it.
-		c.dirty = true
+		c.passNeeded = true
 		return
 	}
-	c.waits(now, plan.Lacking)
-	c.rent(now, p, plan.Lacking)
+	c.chargeWaiting(now, plan.Lacking)
+	c.scaleOut(now, p, plan.Lacking)
 }
 
-// restoredYet says once after a takeover when nothing of the highest rank waits any more.
-func (c *Core) restoredYet(now time.Time, wants []*scheduler.Want) {
-	if c.restored || c.unsure > 0 {
+// logServicesRestored says once after a takeover when nothing of the highest rank waits any more.
+func (c *Core) logServicesRestored(now time.Time, wants []*scheduler.Want) {
+	if c.servicesRestored || c.unreconciled > 0 {
 		return
 	}
 	for _, w := range wants {
-		if w.Urgent() && w.Job.RecordVersion <= c.rev {
+		if w.Urgent() && w.Job.RecordVersion <= c.takeoverRevision {
 			return
 		}
 	}
-	c.restored = true
-	c.log.Info("services are placed", "token", c.token, "after", now.Sub(c.start))
+	c.servicesRestored = true
+	c.log.Info("services are placed", "token", c.fencingToken, "after", now.Sub(c.startedAt))
 }
 
 // consolidate moves one replica off a machine that is dear, or that it has to itself.
 func (c *Core) consolidate(now time.Time, p *scheduler.Picture) {
-	if c.unsure > 0 || c.set.Consolidate == 0 || now.Before(c.moveAt) {
+	if c.unreconciled > 0 || c.settings.ConsolidateInterval == 0 || now.Before(c.consolidateAt) {
 		return
 	}
-	c.moveAt = now.Add(c.set.Consolidate)
-	for _, j := range c.order {
-		if a := scheduler.Consolidate(&c.set.Sched, now, p, j); a != nil {
+	c.consolidateAt = now.Add(c.settings.ConsolidateInterval)
+	for _, j := range c.jobsByAge {
+		if a := scheduler.Consolidate(&c.settings.Scheduler, now, p, j); a != nil {
 			c.log.Info("moving", "task", a.Task, "from", a.Machine.Name, "type", a.Machine.Type.Name)
-			c.halt(now, a)
+			c.stopGracefully(now, a)
 			return
 		}
 	}
-	if !c.set.Sched.Vacate {
+	if !c.settings.Scheduler.Vacate {
 		return
 	}
-	if a := scheduler.Vacate(&c.set.Sched, now, p); a != nil {
+	if a := scheduler.Vacate(&c.settings.Scheduler, now, p); a != nil {
 		c.log.Info("vacating", "task", a.Task, "machine", a.Machine.Name, "type", a.Machine.Type.Name, "holding", a.Machine.ActiveCount)
-		c.halt(now, a)
+		c.stopGracefully(now, a)
 	}
 }
 
@@ -98,15 +98,15 @@
 // machine: see docs/safety.md, "What is on a machine".
 func (c *Core) launch(now time.Time, pl scheduler.Placement, try uint64) {
 	j, m := pl.Want.Job, pl.Node.Machine
-	if !mayStart(j) {
+	if !startable(j) {
 		return
 	}
 	i, ok := j.TakePending(pl.Want.From)
 	if !ok || j.ActiveAttempts[i] != nil {
 		return
 	}
-	a := &model.Attempt{Task: model.TaskID{Job: j.Spec.ID, Index: i}, Number: try, Job: j, Machine: m, Epoch: m.Session,
-		Demand: j.Spec.Demand, Team: j.Spec.Team, Usage: c.usage(j.Spec.Team), LaunchedAt: now, Choice: pl.Choice}
+	a := &model.Attempt{Task: model.TaskID{Job: j.Spec.ID, Index: i}, Number: try, Job: j, Machine: m, Epoch: m.Epoch,
+		Demand: j.Spec.Demand, Team: j.Spec.Team, Usage: c.usageOf(j.Spec.Team), LaunchedAt: now, Choice: pl.Choice}
 	a.Transition(model.AttemptLaunching)
 	m.Attempts[model.AttemptKey{Task: a.Task, Number: try}] = a
 	j.ActiveAttempts[i] = a
@@ -115,15 +115,17 @@
 		j.Gang = model.GangLaunched
 	}
 	m.CachedImages[j.Spec.Image] = now
-	c.news[m] = true
+	c.commandsPending[m] = true
 	c.log.Debug("launch", "task", a.Task, "try", try, "machine", m.Name, "restart", pl.Want.Restart)
 }
 
 // placeable tells whether work may be placed on a machine now.
-func (c *Core) placeable(now time.Time, m *model.Machine) bool { return c.unplaceable(now, m) == "" }
+func (c *Core) placeable(now time.Time, m *model.Machine) bool {
+	return c.placementObstacle(now, m) == ""
+}
 
-// unplaceable says why nothing is placed on a machine now; "": it may be.
-func (c *Core) unplaceable(now time.Time, m *model.Machine) string {
+// placementObstacle says why nothing is placed on a machine now; "": it may be.
+func (c *Core) placementObstacle(now time.Time, m *model.Machine) string {
 	switch {
 	case m.State == model.MachineBooting:
 		return "booting"
@@ -135,56 +137,56 @@
 		return "not known yet what runs on it since the takeover"
 	case !m.Registered:
 		return "its record is not written yet"
-	case m.Session <= m.DeadSession:
+	case m.Epoch <= m.ExpiredEpoch:
 		return "its worker's lease has run out"
-	case now.Sub(m.LastHeartbeat) > c.set.SilentAfter/2:
+	case now.Sub(m.LastHeartbeat) > c.settings.UnresponsiveAfter/2:
 		return "its worker is silent"
 	case !m.QuarantinedSince.IsZero():
 		return "several jobs have failed on it, and it is not known yet which of them is at fault"
-	case !c.hears(m):
-		return "it seems not to hear this controller: " + m.Detector.Why
+	case !c.trustedAlive(m):
+		return "it seems not to hear this controller: " + m.Detector.Reason
 	}
 	return ""
 }
 
-// picture shows the scheduler what there is. It looks at machines, not at what is
+// schedulerInput shows the scheduler what there is. It looks at machines, not at what is
 // on them: teams' accounts are kept as attempts change, and what could be stopped is
 // looked for only when room is short. Guards against passes that grow with all that
 // runs, so that at hundreds of machines reports wait behind them.
-func (c *Core) picture(now time.Time) *scheduler.Picture {
-	p := &scheduler.Picture{Used: make(map[string]model.Resources, len(c.use)), Leaving: make(map[string]model.Resources, len(c.use)),
+func (c *Core) schedulerInput(now time.Time) *scheduler.Picture {
+	p := &scheduler.Picture{Used: make(map[string]model.Resources, len(c.usageByTeam)), Leaving: make(map[string]model.Resources, len(c.usageByTeam)),
 		Teams: c.teams, Nodes: make([]*scheduler.Node, 0, len(c.machines))}
-	clear(c.keptGPU)
-	c.paths(now)
-	c.shares(now)
-	guaranteed := c.guaranteed()
-	unknown := c.stray.Allocated // of attempts whose team is not known, and of unsettled machines
+	clear(c.keptForGPUTypes)
+	c.updateCriticalPaths(now)
+	c.updateFairShares(now)
+	guaranteed := c.guaranteedJobs()
+	unknown := c.orphanUsage.Allocated // of attempts whose team is not known, and of unsettled machines
 	nodes := make([]scheduler.Node, 0, len(c.machines))
 	for _, m := range c.machines {
 		if m.Unreconciled {
 			unknown = unknown.Add(m.Type.Capacity) // its worst case
 		} else if c.placeable(now, m) {
-			nodes = append(nodes, scheduler.Node{Machine: m, Free: m.Free(), ForGPU: c.forGPU(m.Type, m.Spot)})
+			nodes = append(nodes, scheduler.Node{Machine: m, Free: m.Free(), ForGPU: c.keptForGPU(m.Type, m.Spot)})
 			p.Nodes = append(p.Nodes, &nodes[len(nodes)-1])
 		}
 	}
-	c.classify(p.Nodes)
-	if len(c.ruled) > 0 {
-		p.RulesOf = c.rulesOf
+	c.classifyNodes(p.Nodes)
+	if len(c.constraints) > 0 {
+		p.RulesOf = c.constraintsOf
 	}
-	for _, j := range c.order {
-		j.MayUseGPUMachines = len(c.gpuNeed) > 0 && c.gpuToo(j)
-		c.wants(now, p, j, guaranteed[j])
+	for _, j := range c.jobsByAge {
+		j.MayUseGPUMachines = len(c.gpuDemands) > 0 && c.mayFallBackToGPU(j)
+		c.addPendingRequests(now, p, j, guaranteed[j])
 	}
-	for t, u := range c.use {
+	for t, u := range c.usageByTeam {
 		p.Used[t], p.Leaving[t] = u.Allocated.Add(unknown), u.Stopping
 	}
-	p.Look = c.looker(now, guaranteed)
+	p.Look = c.preemptionLister(now, guaranteed)
 	return p
 }
 
-// coming is the room that comes without renting.
-func (c *Core) coming(now time.Time) []*autoscaler.Coming {
+// incomingCapacity is the room that comes without renting.
+func (c *Core) incomingCapacity(now time.Time) []*autoscaler.Coming {
 	var out []*autoscaler.Coming
 	for _, m := range c.machines {
 		if m.State == model.MachineBooting {
@@ -192,20 +194,20 @@
 			continue
 		}
 		if !m.Unreconciled && m.ActiveCount > 0 && c.placeable(now, m) {
-			out = append(out, &autoscaler.Coming{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Soon: func() model.Resources { return c.soon(now, m) }})
+			out = append(out, &autoscaler.Coming{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Soon: func() model.Resources { return c.freeSoon(now, m) }})
 		}
 	}
-	for _, r := range c.renting {
+	for _, r := range c.provisioning {
 		for n := 0; n < r.Count; n++ {
-			out = append(out, &autoscaler.Coming{Type: c.typeOf(r.Type), Zone: r.Zone, Spot: r.Spot})
+			out = append(out, &autoscaler.Coming{Type: c.machineTypeNamed(r.Type), Zone: r.Zone, Spot: r.Spot})
 		}
 	}
 	return out
 }
 
-// soon is what is likely free on a machine within a boot time: none of it where nothing ends, since what is free now
+// freeSoon is what is likely free on a machine within a boot time: none of it where nothing ends, since what is free now
 // has been weighed already.
-func (c *Core) soon(now time.Time, m *model.Machine) model.Resources {
+func (c *Core) freeSoon(now time.Time, m *model.Machine) model.Resources {
 	var soon model.Resources
 	for _, a := range m.ActiveAttempts() {
 		if a.Job != nil && c.endsSoon(now, a) {
@@ -227,7 +229,7 @@
 	if a.Job.Spec.Shape == model.Service {
 		return false
 	}
-	estimate := c.runs.estimate(a.Job.Spec)
+	estimate := c.runTimes.estimate(a.Job.Spec)
 	left := estimate - now.Sub(a.RunningAt)
 	if a.RunningAt.IsZero() {
 		left = estimate
@@ -238,18 +240,18 @@
 	} else if left < 0 {
 		left = estimate / 2 // it takes longer than its owner thought
 	}
-	return left < time.Duration(c.set.Fleet.SoonBoots*float64(a.Machine.Type.BootTime))
+	return left < time.Duration(c.settings.Autoscaler.SoonBoots*float64(a.Machine.Type.BootTime))
 }
 
-// guaranteed tells which jobs fit into their team's guarantee together with the
+// guaranteedJobs tells which jobs fit into their team's guarantee together with the
 // team's earlier unfinished jobs.
-func (c *Core) guaranteed() map[*model.Job]bool {
+func (c *Core) guaranteedJobs() map[*model.Job]bool {
 	sum := map[string]model.Resources{}
-	out := make(map[*model.Job]bool, len(c.order))
-	for _, j := range c.order {
+	out := make(map[*model.Job]bool, len(c.jobsByAge))
+	for _, j := range c.jobsByAge {
 		s := j.Spec
 		team := c.teams[s.Team]
-		if team == nil || !mayStart(j) {
+		if team == nil || !startable(j) {
 			continue // a job that waits for others holds no part of the guarantee
 		}
 		sum[s.Team] = sum[s.Team].Add(s.Demand.Times(j.Unfinished()))
@@ -258,19 +260,19 @@
 	return out
 }
 
-// wants adds what waits of a job.
-func (c *Core) wants(now time.Time, p *scheduler.Picture, j *model.Job, guaranteed bool) {
-	if !mayStart(j) || j.Waiting() == 0 || !c.readable(j) {
+// addPendingRequests adds what waits of a job.
+func (c *Core) addPendingRequests(now time.Time, p *scheduler.Picture, j *model.Job, guaranteed bool) {
+	if !startable(j) || j.Waiting() == 0 || !c.constraintsReadable(j) {
 		return
 	}
-	if c.inDoubt(j) || now.Before(j.RetryNotBefore) {
+	if c.mayAlreadyRun(j) || now.Before(j.RetryNotBefore) {
 		return
 	}
 	s := j.Spec
 	if s.Shape == model.Gang && len(j.ActiveAttempts) > 0 {
 		return // the attempt before is not gone yet
 	}
-	rules := c.rulesOf(j)
+	rules := c.constraintsOf(j)
 	zones := map[string]int{}
 	for _, a := range j.ActiveAttempts {
 		zones[a.Machine.Zone]++
@@ -287,48 +289,48 @@
 		n := j.Unfinished()
 		slack, due := c.slack(now, j, restart, 0)
 		p.Wants = append(p.Wants, &scheduler.Want{Job: j, From: from, Restart: restart, Count: n, Cap: n, Slack: slack, Due: due,
-			Waited: now.Sub(j.WaitingSince), Guaranteed: guaranteed, Zones: zones, Rules: rules, Band: c.band(s.Team)})
+			Waited: now.Sub(j.WaitingSince), Guaranteed: guaranteed, Zones: zones, Rules: rules, Band: c.fairShareClass(s.Team)})
 		return
 	}
 	for _, st := range []model.TaskState{model.TaskRetry, model.TaskNew, model.TaskPreempted} {
 		if n := j.Count(st); n > 0 {
 			slack, due := c.slack(now, j, st != model.TaskNew, 0)
 			p.Wants = append(p.Wants, &scheduler.Want{Job: j, From: st, Restart: st == model.TaskRetry, Count: n, Cap: n, Slack: slack, Due: due,
-				Waited: now.Sub(j.WaitingSince), Guaranteed: guaranteed, Zones: zones, Rules: rules, Band: c.band(s.Team)})
+				Waited: now.Sub(j.WaitingSince), Guaranteed: guaranteed, Zones: zones, Rules: rules, Band: c.fairShareClass(s.Team)})
 		}
 	}
 }
 
-// forGPU tells whether machines of a kind are kept for GPU work: such work was
+// keptForGPU tells whether machines of a kind are kept for GPU work: such work was
 // seen that fits them. Spot machines are not, since GPU work that may use them
 // is rare, and they are the cheapest CPUs that there are.
-func (c *Core) forGPU(t *model.MachineType, spot bool) bool {
+func (c *Core) keptForGPU(t *model.MachineType, spot bool) bool {
 	if spot || t.Capacity.GPU == 0 {
 		return false
 	}
-	kept, known := c.keptGPU[t]
+	kept, known := c.keptForGPUTypes[t]
 	if !known {
-		for need := range c.gpuNeed {
+		for need := range c.gpuDemands {
 			kept = kept || need.Fits(t.Capacity)
 		}
-		c.keptGPU[t] = kept
+		c.keptForGPUTypes[t] = kept
 	}
 	return kept
 }
 
-// gpuToo tells whether a job that needs no GPU has nowhere to run but on machines that are kept
+// mayFallBackToGPU tells whether a job that needs no GPU has nowhere to run but on machines that are kept
 // for GPU work: none of the other types takes it as an ordinary machine. Spot machines don't
 // count, as there may never be any. Guards against an accepted job that waits for ever for a
 // kind of machine that does not exist.
-func (c *Core) gpuToo(j *model.Job) bool {
+func (c *Core) mayFallBackToGPU(j *model.Job) bool {
 	s := j.Spec
 	if s.Demand.GPU > 0 {
 		return false
 	}
-	rules := c.rulesOf(j)
-	for i := range c.types {
-		t := &c.types[i]
-		if c.forGPU(t, false) || !s.AllowsType(t.Name) || !s.Demand.Fits(t.Capacity) {
+	rules := c.constraintsOf(j)
+	for i := range c.machineTypes {
+		t := &c.machineTypes[i]
+		if c.keptForGPU(t, false) || !s.AllowsType(t.Name) || !s.Demand.Fits(t.Capacity) {
 			continue
 		}
 		for _, z := range t.Zones {
@@ -340,33 +342,33 @@
 	return true
 }
 
-// rent asks for machines for what fits nowhere.
-func (c *Core) rent(now time.Time, p *scheduler.Picture, lacking []scheduler.Shortage) {
-	if len(lacking) == 0 || len(c.renting) >= maxRenting {
+// scaleOut asks for machines for what fits nowhere.
+func (c *Core) scaleOut(now time.Time, p *scheduler.Picture, lacking []scheduler.Shortage) {
+	if len(lacking) == 0 || len(c.provisioning) >= maxProvisionsInFlight {
 		return
 	}
-	if now.Before(c.rentedAt.Add(rentEvery)) {
-		c.dirty = true // thought over in a later pass
+	if now.Before(c.scaledOutAt.Add(scaleOutInterval)) {
+		c.passNeeded = true // thought over in a later pass
 		return
 	}
-	c.rentedAt = now
-	coming := c.coming(now)
-	v := &autoscaler.View{Types: c.types, Coming: coming, Refused: c.refused, Count: map[string]int{}, Quiet: c.quietZones(now), ForGPU: c.forGPU, Room: p.RoomIn}
+	c.scaledOutAt = now
+	coming := c.incomingCapacity(now)
+	v := &autoscaler.View{Types: c.machineTypes, Coming: coming, Refused: c.refusedOffers, Count: map[string]int{}, Quiet: c.partitionedZones(now), ForGPU: c.keptForGPU, Room: p.RoomIn}
 	for _, m := range c.machines {
 		v.Count[m.Zone]++
 	}
-	for _, ask := range autoscaler.Rent(&c.set.Fleet, now, v, lacking) {
-		if len(c.renting) >= maxRenting {
+	for _, ask := range autoscaler.Rent(&c.settings.Autoscaler, now, v, lacking) {
+		if len(c.provisioning) >= maxProvisionsInFlight {
 			break
 		}
-		r := model.Provisioning{Name: c.nextHire(), Type: ask.Type, Zone: ask.Zone, Spot: ask.Spot, Count: ask.Count}
-		c.renting[r.Name] = r
+		r := model.Provisioning{Name: c.nextProvisionName(), Type: ask.Type, Zone: ask.Zone, Spot: ask.Spot, Count: ask.Count}
+		c.provisioning[r.Name] = r
 		c.log.Info("renting", "request", r.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count, "for", ask.For)
-		c.emit(Rent{r})
+		c.emit(Provision{r})
 	}
 }
 
 const (
-	maxRenting = 4                      // rental requests in flight: the cloud takes few a second
-	rentEvery  = 200 * time.Millisecond // between thoughts about renting
+	maxProvisionsInFlight = 4                      // rental requests in flight: the cloud takes few a second
+	scaleOutInterval      = 200 * time.Millisecond // between thoughts about renting
 )
--- a/internal/reconciler/victims.go
+++ b/internal/reconciler/preemption.go
@@ -7,24 +7,24 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// jobFacts are what all attempts of a job have in common in one pass.
-type jobFacts struct {
-	guaranteed bool
-	band       int
-	slack      time.Duration // of an attempt that has to do all its work again
-	due        bool
+// preemptionFacts are what all attempts of a job have in common in one pass.
+type preemptionFacts struct {
+	guaranteed     bool
+	fairShareClass int
+	slack          time.Duration // of an attempt that has to do all its work again
+	hasDeadline    bool
 }
 
-// looker makes what shows a pass the attempts on one machine that might be stopped to make room, and what is being
+// preemptionLister makes what shows a pass the attempts on one machine that might be stopped to make room, and what is being
 // freed there already. A pass asks for the machines that it weighs, and only where room is short. Guards against
 // passes that work out what each of tens of thousands of attempts would lose, where a few machines come into question.
-func (c *Core) looker(now time.Time, guaranteed map[*model.Job]bool) func(nd *scheduler.Node) {
-	known := map[*model.Job]*jobFacts{}
-	facts := func(j *model.Job) *jobFacts {
+func (c *Core) preemptionLister(now time.Time, guaranteed map[*model.Job]bool) func(nd *scheduler.Node) {
+	known := map[*model.Job]*preemptionFacts{}
+	facts := func(j *model.Job) *preemptionFacts {
 		f := known[j]
 		if f == nil {
-			f = &jobFacts{guaranteed: guaranteed[j], band: c.band(j.Spec.Team)}
-			f.slack, f.due = c.slack(now, j, true, 0)
+			f = &preemptionFacts{guaranteed: guaranteed[j], fairShareClass: c.fairShareClass(j.Spec.Team)}
+			f.slack, f.hasDeadline = c.slack(now, j, true, 0)
 			known[j] = f
 		}
 		return f
@@ -38,26 +38,26 @@
 			case a.State == model.AttemptStopping:
 				nd.Freeing = nd.Freeing.Add(a.Demand)
 			case a.Job.State == model.JobActive:
-				nd.Victims = append(nd.Victims, c.victim(now, a, facts(a.Job)))
+				nd.Victims = append(nd.Victims, c.preemptionCandidate(now, a, facts(a.Job)))
 			}
 		}
 	}
 }
 
-// victim describes an attempt that might be stopped to make room.
-func (c *Core) victim(now time.Time, a *model.Attempt, f *jobFacts) scheduler.Running {
+// preemptionCandidate describes an attempt that might be stopped to make room.
+func (c *Core) preemptionCandidate(now time.Time, a *model.Attempt, f *preemptionFacts) scheduler.Running {
 	s := a.Job.Spec
 	v := scheduler.Running{
 		Attempt: a,
 		Rank:    a.Job.EffectivePriority,
 		Over:    !f.guaranteed,
 		Gang:    s.Shape == model.Gang,
-		Band:    f.band,
+		Band:    f.fairShareClass,
 		Slack:   f.slack,
-		Due:     f.due,
+		Due:     f.hasDeadline,
 	}
 	if s.CheckpointInterval > 0 {
-		v.Save = grace(a)
+		v.Save = gracePeriod(a)
 	}
 	ran := time.Duration(0)
 	if !a.RunningAt.IsZero() {
@@ -68,7 +68,7 @@
 			v.Loss = min(ran, s.CheckpointInterval/2)
 		}
 	}
-	v.Young = ran < c.set.Sched.MinRun
+	v.Young = ran < c.settings.Scheduler.MinRun
 	if v.Loss < ran {
 		v.Slack, v.Due = c.slack(now, a.Job, true, ran-v.Loss)
 	}
@@ -83,7 +83,7 @@
 func (c *Core) slack(now time.Time, j *model.Job, started bool, ran time.Duration) (slack time.Duration, due bool) {
 	s := j.Spec
 	age := now.Sub(j.EligibleAt)
-	estimate := max(c.runs.estimate(s)-ran, 0)
+	estimate := max(c.runTimes.estimate(s)-ran, 0)
 	slack = -1
 	date := func(left time.Duration) {
 		due = true
@@ -93,19 +93,19 @@
 	}
 	if s.Deadline > 0 {
 		date(j.SubmittedAt.Add(s.Deadline).Sub(now) - estimate)
-		for _, times := range c.times[s.Class] {
-			date(c.multiple(j, times).Sub(now) - estimate)
+		for _, times := range c.deadlineMultiples[s.Class] {
+			date(c.deadlineTimes(j, times).Sub(now) - estimate)
 		}
 	}
 	for _, d := range j.DownstreamDeadlines {
 		date(d.Sub(now) - estimate)
 	}
-	for _, a := range c.set.Aims[s.Class] {
-		if a.Start > 0 && !started {
-			date(a.Start - age)
+	for _, a := range c.settings.Objectives[s.Class] {
+		if a.StartWithin > 0 && !started {
+			date(a.StartWithin - age)
 		}
-		if a.Finish > 0 {
-			date(a.Finish - age - estimate)
+		if a.FinishWithin > 0 {
+			date(a.FinishWithin - age - estimate)
 		}
 	}
 	return slack, due
--- a/internal/reconciler/cloud.go
+++ b/internal/reconciler/provisioning.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	maxReturn   = 100 // machines in one request
-	returnEvery = time.Second
-	goneKept    = 15 * time.Minute
+	maxReleaseBatch   = 100 // machines in one request
+	releaseInterval   = time.Second
+	releasedRetention = 15 * time.Minute
 )
 
-func (c *Core) register(m *model.Machine) {
-	c.saves = append(c.saves, Save{Kind: SaveMachine, Machine: model.MachineInfo{Name: m.Name, Addr: m.Addr, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot}})
+func (c *Core) recordMachine(m *model.Machine) {
+	c.pendingChanges = append(c.pendingChanges, Change{Kind: PutMachine, Machine: model.MachineInfo{Name: m.Name, Addr: m.Addr, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot}})
 }
 
-func (c *Core) rentBack(now time.Time, ev RentBack) {
-	r := ev.Rental
+func (c *Core) provisionCompleted(now time.Time, ev ProvisionCompleted) {
+	r := ev.Provisioning
 	if ev.Outcome == Unknown || ev.Outcome == NotSent {
-		c.rentAt[r.Name] = now.Add(time.Second)
+		c.provisionRetryAt[r.Name] = now.Add(time.Second)
 		return
 	}
-	delete(c.renting, r.Name)
-	delete(c.rentAt, r.Name)
+	delete(c.provisioning, r.Name)
+	delete(c.provisionRetryAt, r.Name)
 	offer := autoscaler.Offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	if len(ev.Machines) < r.Count {
-		c.refused[offer] = now.Add(c.set.Fleet.Refused)
+		c.refusedOffers[offer] = now.Add(c.settings.Autoscaler.Refused)
 	}
 	c.log.Info("rented", "request", r.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(ev.Machines))
 	for _, name := range ev.Machines {
-		if _, ok := c.gone[name]; ok || c.machines[name] != nil {
+		if _, ok := c.releasedMachines[name]; ok || c.machines[name] != nil {
 			continue
 		}
 		m := c.newMachine(now, model.MachineInfo{Name: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, model.MachineBooting)
 		m.RequestedAt = now
 	}
-	c.dirty = true
+	c.passNeeded = true
 }
 
-func (c *Core) returnBack(now time.Time, ev ReturnBack) {
-	c.returning, c.returnAt = false, now.Add(returnEvery)
+func (c *Core) releaseCompleted(now time.Time, ev ReleaseCompleted) {
+	c.releasePending, c.releaseAt = false, now.Add(releaseInterval)
 	if ev.Outcome != OK {
 		return // they are asked for again
 	}
@@ -51,42 +51,42 @@
 			continue
 		}
 		// It and everything on it are gone.
-		c.loseAll(now, m, "returned")
+		c.loseAttempts(now, m, "returned")
 		if m.Unreconciled {
-			c.settle(now, m, "returned")
+			c.markReconciled(now, m, "returned")
 		}
 		m.Transition(now, model.MachineReleased, "")
 		delete(c.machines, name)
-		delete(c.news, m)
-		delete(c.inDoubtOf, m)
-		c.gone[name] = now
-		c.saves = append(c.saves, Save{Kind: DropMachine, Machine: model.MachineInfo{Name: name}})
+		delete(c.commandsPending, m)
+		delete(c.suspects, m)
+		c.releasedMachines[name] = now
+		c.pendingChanges = append(c.pendingChanges, Change{Kind: DeleteMachine, Machine: model.MachineInfo{Name: name}})
 	}
 }
 
-func (c *Core) catalogIn(now time.Time, ev CatalogIn) {
-	c.catalogs = false
+func (c *Core) catalogReceived(now time.Time, ev CatalogReceived) {
+	c.catalogPending = false
 	if len(ev.Types) == 0 {
 		c.catalogAt = now.Add(2 * time.Second)
 		return
 	}
-	c.catalogAt = now.Add(c.set.CatalogEvery)
-	c.types = ev.Types
-	c.catalogRules()
+	c.catalogAt = now.Add(c.settings.CatalogInterval)
+	c.machineTypes = ev.Types
+	c.recheckConstraints()
 	for _, m := range c.machines {
-		m.Type = c.typeOf(m.Type.Name)
+		m.Type = c.machineTypeNamed(m.Type.Name)
 	}
-	c.dirty = true
+	c.passNeeded = true
 }
 
-func (c *Core) listIn(now time.Time, ev ListIn) {
-	c.listing = false
-	c.listAt = now.Add(c.set.ListEvery)
+func (c *Core) machineListReceived(now time.Time, ev MachineListReceived) {
+	c.machineListPending = false
+	c.machineListAt = now.Add(c.settings.MachineListInterval)
 	news, first := 0, ""
 	for _, l := range ev.Machines {
 		m := c.machines[l.Name]
 		if m == nil {
-			if at, ok := c.gone[l.Name]; ok && ev.Asked.Sub(at) < 3*c.set.ListLag+10*time.Second {
+			if at, ok := c.releasedMachines[l.Name]; ok && ev.RequestedAt.Sub(at) < 3*c.settings.MachineListLag+10*time.Second {
 				continue // the list lags
 			}
 			m = c.newMachine(now, l, model.MachineBooting)
--- a/internal/reconciler/runtimes_test.go
+++ b/internal/reconciler/runtimes_test.go
@@ -7,10 +7,10 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-func TestEstimatesAreCorrectedByWhatIsSeen(t *testing.T) {
+func TestEstimatesAreCorrectedByObservedRunTimes(t *testing.T) {
 	r := runTimes{}
 	s := &model.Spec{Class: "low", EstimatedRunTime: 10 * time.Second}
-	for range runFew - 1 {
+	for range minObservations - 1 {
 		r.observe(s, 20*time.Second)
 	}
 	if got := r.estimate(s); got != s.EstimatedRunTime {
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -82,7 +82,7 @@
 		return store.NewJobs(c, 7, 100, store.Limits{Value: 2048, Ops: 4}, func([]store.JobChange) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}
 	ctx := context.Background()
-	commit := func(saves ...reconciler.Save) func(c *store.Client) error {
+	commit := func(saves ...reconciler.Change) func(c *store.Client) error {
 		return func(c *store.Client) error {
 			_, _, err := c.Save(ctx, 12, saves)
 			return err
@@ -92,21 +92,21 @@
 		name string
 		call func(c *store.Client) error
 	}{
-		{"machine", commit(reconciler.Save{Kind: reconciler.SaveMachine, Machine: machine}, reconciler.Save{Kind: reconciler.DropMachine, Machine: machine})},
+		{"machine", commit(reconciler.Change{Kind: reconciler.PutMachine, Machine: machine}, reconciler.Change{Kind: reconciler.DeleteMachine, Machine: machine})},
 		{"finished-tasks", commit(
-			reconciler.Save{Kind: reconciler.SaveTasks, Job: "wk-000412", Chunk: model.Chunk{Number: 6}, Bits: []byte{0xff, 0x5a}},
-			reconciler.Save{Kind: reconciler.SaveTasks, Job: "wk-000412", Chunk: model.Chunk{StartsAtTask: true, Number: 2048}, Bits: []byte{0xff, 0x5a}},
-			reconciler.Save{Kind: reconciler.DropTasks, Job: "wk-000412", Chunk: model.Chunk{Number: 6}},
-			reconciler.Save{Kind: reconciler.DropTasks, Job: "wk-000412", Chunk: model.Chunk{StartsAtTask: true, Number: 2048}})},
-		{"layout", commit(reconciler.Save{Kind: reconciler.SaveLayout, Tasks: 16384})},
-		{"gpu-request", commit(reconciler.Save{Kind: reconciler.SaveNeed, Need: model.Resources{CPU: 8, GPU: 0.5, MemGB: 1e8}})},
-		{"job-done", commit(reconciler.Save{Kind: reconciler.EndJob, Job: "wk-000412", Version: 3, Tasks: 16, At: at})},
-		{"job-doomed", commit(reconciler.Save{Kind: reconciler.EndDoomed, Job: "wk-000412", Version: 3, Tasks: 16, At: at})},
-		{"awaits-dropped", commit(reconciler.Save{Kind: reconciler.DropAwaits, Job: "wk-000412", Key: "job/w/wk-000412/ff/0"})},
-		{"ledger-settled", commit(reconciler.Save{Kind: reconciler.SaveUse, Use: &ledger.Settlement{Version: 5, Open: open, Closed: &page}})},
-		{"ledger-unaccounted", commit(reconciler.Save{Kind: reconciler.SaveStretch, Stretch: &interval})},
-		{"ledger-folded", commit(reconciler.Save{Kind: reconciler.FoldUse, Fold: &reconciler.Fold{
-			From: []ledger.Stored{{Page: page, Version: 5}, {Page: next, Version: 6}}, Into: &into}})},
+			reconciler.Change{Kind: reconciler.PutTasks, Job: "wk-000412", Chunk: model.Chunk{Number: 6}, FinishedBits: []byte{0xff, 0x5a}},
+			reconciler.Change{Kind: reconciler.PutTasks, Job: "wk-000412", Chunk: model.Chunk{StartsAtTask: true, Number: 2048}, FinishedBits: []byte{0xff, 0x5a}},
+			reconciler.Change{Kind: reconciler.DeleteTasks, Job: "wk-000412", Chunk: model.Chunk{Number: 6}},
+			reconciler.Change{Kind: reconciler.DeleteTasks, Job: "wk-000412", Chunk: model.Chunk{StartsAtTask: true, Number: 2048}})},
+		{"layout", commit(reconciler.Change{Kind: reconciler.PutChunkLayout, Tasks: 16384})},
+		{"gpu-request", commit(reconciler.Change{Kind: reconciler.PutGPUDemand, GPUDemand: model.Resources{CPU: 8, GPU: 0.5, MemGB: 1e8}})},
+		{"job-done", commit(reconciler.Change{Kind: reconciler.CompleteJob, Job: "wk-000412", Version: 3, Tasks: 16, At: at})},
+		{"job-doomed", commit(reconciler.Change{Kind: reconciler.CancelDependent, Job: "wk-000412", Version: 3, Tasks: 16, At: at})},
+		{"awaits-dropped", commit(reconciler.Change{Kind: reconciler.DeleteDependencies, Job: "wk-000412", Key: "job/w/wk-000412/ff/0"})},
+		{"ledger-settled", commit(reconciler.Change{Kind: reconciler.SettleAccount, Settlement: &ledger.Settlement{Version: 5, Open: open, Closed: &page}})},
+		{"ledger-unaccounted", commit(reconciler.Change{Kind: reconciler.PutUnaccounted, Unaccounted: &interval})},
+		{"ledger-folded", commit(reconciler.Change{Kind: reconciler.CompactAccount, Compaction: &reconciler.Compaction{
+			Sources: []ledger.Stored{{Page: page, Version: 5}, {Page: next, Version: 6}}, Result: &into}})},
 		{"ledger-read", func(c *store.Client) error {
 			_, err := c.Accounts(ctx)
 			_, aerr := c.Account(ctx, strings.Repeat("long ", 60))
--- a/internal/store/jobs.go
+++ b/internal/store/jobs.go
@@ -46,14 +46,14 @@
 
 // Added tells the core of an unfinished job.
 func (v JobView) Added() reconciler.JobAdded {
-	return reconciler.JobAdded{Spec: v.Spec, At: v.At, Version: v.Version, Parts: v.Parts}
+	return reconciler.JobAdded{Spec: v.Spec, SubmittedAt: v.At, Version: v.Version, DependencyKeys: v.Parts}
 }
 
 // Ended tells the core of a job that is over.
 func (v JobView) Ended(id string) reconciler.JobEnded {
-	e := reconciler.JobEnded{ID: id, End: v.State.Outcome()}
-	if e.End != model.OutcomeUnknown {
-		e.At = v.At
+	e := reconciler.JobEnded{ID: id, Outcome: v.State.Outcome()}
+	if e.Outcome != model.OutcomeUnknown {
+		e.EndedAt = v.At
 	}
 	return e
 }
@@ -496,7 +496,7 @@
 	for key := range j.parts {
 		id, _, _ := strings.Cut(key[len(partPrefix):], "/")
 		if _, ok := j.active[id]; !ok {
-			snap.Strays = append(snap.Strays, reconciler.Save{Kind: reconciler.DropAwaits, Job: id, Key: key})
+			snap.OrphanedDependencies = append(snap.OrphanedDependencies, reconciler.Change{Kind: reconciler.DeleteDependencies, Job: id, Key: key})
 		}
 	}
 }
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -131,13 +131,13 @@
 // Records reads what a new leader needs besides the jobs; with the teams' accounts,
 // which are as many as the teams however old the ledger is.
 func (c *Client) Records(ctx context.Context, accounts bool) (snap *reconciler.Snapshot, err error) {
-	snap = &reconciler.Snapshot{Done: map[string]map[model.Chunk][]byte{}}
+	snap = &reconciler.Snapshot{FinishedTasks: map[string]map[model.Chunk][]byte{}}
 	if accounts {
 		if snap.Accounts, err = c.Accounts(ctx); err != nil {
 			return nil, err
 		}
 	}
-	done := snap.Done
+	done := snap.FinishedTasks
 	for _, prefix := range []string{tasksPrefix, spanPrefix} {
 		entries, _, err := c.List(ctx, prefix)
 		if err != nil {
@@ -162,7 +162,7 @@
 	}
 	for _, e := range entries {
 		if e.Key == layoutKey {
-			if snap.Numbered, err = wire.DecodeChunkLayout(e.Value); err != nil {
+			if snap.NumberedChunkTasks, err = wire.DecodeChunkLayout(e.Value); err != nil {
 				return nil, fmt.Errorf("unreadable record %s: %w", e.Key, err)
 			}
 		}
@@ -185,7 +185,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("unreadable record %s: %w", e.Key, err)
 		}
-		snap.Needs = append(snap.Needs, need)
+		snap.GPUDemands = append(snap.GPUDemands, need)
 	}
 	return snap, nil
 }
@@ -193,32 +193,32 @@
 // Save carries out a leader's saves in one transaction under the condition that
 // its token is still the last one. Without an error and with ok false a
 // condition has failed. rev is the version of all that it has written.
-func (c *Client) Save(ctx context.Context, tokenVersion uint64, saves []reconciler.Save) (rev uint64, ok bool, err error) {
+func (c *Client) Save(ctx context.Context, tokenVersion uint64, saves []reconciler.Change) (rev uint64, ok bool, err error) {
 	t := &wire.Txn{Conditions: []wire.Condition{{Key: tokenKey, Version: tokenVersion}}}
 	for _, s := range saves {
 		key := saveKey(s)
 		switch s.Kind {
-		case reconciler.SaveMachine:
+		case reconciler.PutMachine:
 			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendMachine(nil, s.Machine)})
-		case reconciler.DropMachine:
+		case reconciler.DeleteMachine:
 			t.Changes = append(t.Changes, wire.Change{Key: key})
-		case reconciler.SaveTasks:
-			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendTasksDone(nil, s.Bits)})
-		case reconciler.DropTasks:
+		case reconciler.PutTasks:
+			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendTasksDone(nil, s.FinishedBits)})
+		case reconciler.DeleteTasks:
 			t.Changes = append(t.Changes, wire.Change{Key: key})
-		case reconciler.SaveLayout:
+		case reconciler.PutChunkLayout:
 			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendChunkLayout(nil, s.Tasks)})
-		case reconciler.SaveNeed:
-			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendGPUDemand(nil, s.Need)})
-		case reconciler.EndJob, reconciler.EndDoomed:
+		case reconciler.PutGPUDemand:
+			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendGPUDemand(nil, s.GPUDemand)})
+		case reconciler.CompleteJob, reconciler.CancelDependent:
 			end := wire.StateDone
-			if s.Kind == reconciler.EndDoomed {
+			if s.Kind == reconciler.CancelDependent {
 				end = wire.StateCancelled
 			}
 			t.Conditions = append(t.Conditions, wire.Condition{Key: activePrefix + s.Job, Version: s.Version}, wire.Condition{Key: key})
 			t.Changes = append(t.Changes, wire.Change{Key: activePrefix + s.Job},
 				wire.Change{Key: key, Value: wire.AppendEndedJob(nil, end, s.Tasks, s.At)})
-		case reconciler.DropAwaits:
+		case reconciler.DeleteDependencies:
 			// Never of an unfinished job: it may have been accepted since.
 			t.Conditions = append(t.Conditions, wire.Condition{Key: activePrefix + s.Job})
 			t.Changes = append(t.Changes, wire.Change{Key: key})
@@ -230,36 +230,36 @@
 }
 
 // saveKey names the record that a save is about.
-func saveKey(s reconciler.Save) string {
+func saveKey(s reconciler.Change) string {
 	switch s.Kind {
-	case reconciler.SaveMachine, reconciler.DropMachine:
+	case reconciler.PutMachine, reconciler.DeleteMachine:
 		return machinePrefix + s.Machine.Name
-	case reconciler.SaveTasks, reconciler.DropTasks:
+	case reconciler.PutTasks, reconciler.DeleteTasks:
 		prefix := tasksPrefix
 		if s.Chunk.StartsAtTask {
 			prefix = spanPrefix
 		}
 		return prefix + s.Job + "/" + strconv.Itoa(s.Chunk.Number)
-	case reconciler.SaveLayout:
+	case reconciler.PutChunkLayout:
 		return layoutKey
-	case reconciler.SaveNeed:
-		return fmt.Sprintf("%s%g-%g-%g", needPrefix, s.Need.CPU, s.Need.GPU, s.Need.MemGB)
-	case reconciler.EndJob, reconciler.EndDoomed:
+	case reconciler.PutGPUDemand:
+		return fmt.Sprintf("%s%g-%g-%g", needPrefix, s.GPUDemand.CPU, s.GPUDemand.GPU, s.GPUDemand.MemGB)
+	case reconciler.CompleteJob, reconciler.CancelDependent:
 		return endedPrefix + s.Job
-	case reconciler.DropAwaits:
+	case reconciler.DeleteDependencies:
 		return s.Key
-	case reconciler.SaveUse:
-		return accountPrefix + teamKey(s.Use.Open.Team)
-	case reconciler.SaveStretch:
-		return stretchPrefix + number(s.Stretch.Token)
-	case reconciler.FoldUse:
-		return pageKey(s.Fold.Into.Team, s.Fold.Into.First)
+	case reconciler.SettleAccount:
+		return accountPrefix + teamKey(s.Settlement.Open.Team)
+	case reconciler.PutUnaccounted:
+		return stretchPrefix + number(s.Unaccounted.Token)
+	case reconciler.CompactAccount:
+		return pageKey(s.Compaction.Result.Team, s.Compaction.Result.First)
 	}
 	return ""
 }
 
 // Keys names the records that saves are about, for the log.
-func Keys(saves []reconciler.Save) []string {
+func Keys(saves []reconciler.Change) []string {
 	var out []string
 	for _, s := range saves {
 		out = append(out, saveKey(s))
--- a/internal/store/ledger.go
+++ b/internal/store/ledger.go
@@ -44,28 +44,28 @@
 
 // useTxn adds a save of the ledger to a transaction. Each goes under a condition of its
 // own, so that no copy of it is carried out twice: docs/safety.md, "Ledger".
-func useTxn(t *wire.Txn, s reconciler.Save) {
+func useTxn(t *wire.Txn, s reconciler.Change) {
 	switch s.Kind {
-	case reconciler.SaveUse:
-		o := &s.Use.Open
-		t.Conditions = append(t.Conditions, wire.Condition{Key: saveKey(s), Version: s.Use.Version})
+	case reconciler.SettleAccount:
+		o := &s.Settlement.Open
+		t.Conditions = append(t.Conditions, wire.Condition{Key: saveKey(s), Version: s.Settlement.Version})
 		t.Changes = append(t.Changes, wire.Change{Key: saveKey(s), Value: wire.AppendOpenSegment(nil, o)})
-		if p := s.Use.Closed; p != nil {
+		if p := s.Settlement.Closed; p != nil {
 			key := pageKey(p.Team, p.First)
 			t.Conditions = append(t.Conditions, wire.Condition{Key: key})
 			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendSegment(nil, p)})
 		}
-	case reconciler.SaveStretch:
-		t.Changes = append(t.Changes, wire.Change{Key: saveKey(s), Value: wire.AppendUnaccountedInterval(nil, *s.Stretch)})
-	case reconciler.FoldUse:
-		for i := range s.Fold.From {
-			p := &s.Fold.From[i]
+	case reconciler.PutUnaccounted:
+		t.Changes = append(t.Changes, wire.Change{Key: saveKey(s), Value: wire.AppendUnaccountedInterval(nil, *s.Unaccounted)})
+	case reconciler.CompactAccount:
+		for i := range s.Compaction.Sources {
+			p := &s.Compaction.Sources[i]
 			t.Conditions = append(t.Conditions, wire.Condition{Key: pageKey(p.Team, p.First), Version: p.Version})
 			if i > 0 {
 				t.Changes = append(t.Changes, wire.Change{Key: pageKey(p.Team, p.First)})
 			}
 		}
-		t.Changes = append(t.Changes, wire.Change{Key: saveKey(s), Value: wire.AppendSegment(nil, s.Fold.Into)})
+		t.Changes = append(t.Changes, wire.Change{Key: saveKey(s), Value: wire.AppendSegment(nil, s.Compaction.Result)})
 	}
 }
 
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -42,13 +42,13 @@
 	}
 	span := model.Chunk{StartsAtTask: true, Number: 98304}
 	machine := model.MachineInfo{Name: "n-" + long[:40], Addr: "100.100.100.100:10000", Type: long, Zone: long}
-	for name, saves := range map[string][]reconciler.Save{
-		"finished tasks": {{Kind: reconciler.SaveTasks, Job: id, Chunk: span, Bits: bits}, {Kind: reconciler.SaveTasks, Job: id, Bits: bits},
-			{Kind: reconciler.DropTasks, Job: id, Chunk: model.Chunk{Number: 6}}, {Kind: reconciler.DropTasks, Job: id, Chunk: span}},
-		"machines":            {{Kind: reconciler.SaveMachine, Machine: machine}, {Kind: reconciler.DropMachine, Machine: machine}},
-		"layout and requests": {{Kind: reconciler.SaveLayout, Tasks: 16384}, {Kind: reconciler.SaveNeed, Need: model.Resources{CPU: 1e8, GPU: 1e8, MemGB: 1e8}}},
-		"a part of a list":    {{Kind: reconciler.DropAwaits, Job: "wk-000001", Key: "job/w/wk-000001/ffffffffffffffff/13"}},
-		"the end of a job":    {{Kind: reconciler.EndJob, Job: id, Version: 3, Tasks: 100_000, At: time.Unix(4e9, 0)}},
+	for name, saves := range map[string][]reconciler.Change{
+		"finished tasks": {{Kind: reconciler.PutTasks, Job: id, Chunk: span, FinishedBits: bits}, {Kind: reconciler.PutTasks, Job: id, FinishedBits: bits},
+			{Kind: reconciler.DeleteTasks, Job: id, Chunk: model.Chunk{Number: 6}}, {Kind: reconciler.DeleteTasks, Job: id, Chunk: span}},
+		"machines":            {{Kind: reconciler.PutMachine, Machine: machine}, {Kind: reconciler.DeleteMachine, Machine: machine}},
+		"layout and requests": {{Kind: reconciler.PutChunkLayout, Tasks: 16384}, {Kind: reconciler.PutGPUDemand, GPUDemand: model.Resources{CPU: 1e8, GPU: 1e8, MemGB: 1e8}}},
+		"a part of a list":    {{Kind: reconciler.DeleteDependencies, Job: "wk-000001", Key: "job/w/wk-000001/ffffffffffffffff/13"}},
+		"the end of a job":    {{Kind: reconciler.CompleteJob, Job: id, Version: 3, Tasks: 100_000, At: time.Unix(4e9, 0)}},
 	} {
 		if _, ok, err := c.Save(context.Background(), token, saves); err != nil || !ok {
 			t.Errorf("%s: %v, %v", name, ok, err)
