--- a/cmd/glentiller/constraints.go
+++ b/cmd/glentiller/constraints.go
@@ -11,14 +11,14 @@
 )
 
 type explainCmd struct {
-	remote
+	adminFlags
 	JSON bool   `help:"Write JSON."`
 	Job  string `arg:"" help:"The job's id."`
 }
 
 // Run asks and writes.
 func (c *explainCmd) Run() error {
-	client, err := c.client()
+	client, err := c.connect()
 	if err != nil {
 		return err
 	}
--- a/cmd/glentiller/ledger.go
+++ b/cmd/glentiller/ledger.go
@@ -20,25 +20,25 @@
 	"github.com/glentiller/glentiller/internal/ledger"
 )
 
-// remote is where the operators' interface is that a command asks.
-type remote struct {
+// adminFlags is where the operators' interface is that a command asks.
+type adminFlags struct {
 	Admin     string `default:"127.0.0.1:18090" env:"GLENTILLER_ADMIN" placeholder:"ADDR" help:"The operators' interface of any controller."`
 	TokenFile string `required:"" env:"GLENTILLER_TOKEN_FILE" placeholder:"FILE" help:"File with its bearer token."`
 }
 
-func (r *remote) client() (*admin.Client, error) {
+func (r *adminFlags) connect() (*admin.Client, error) {
 	token, err := config.ReadSecret(r.TokenFile)
 	return &admin.Client{Addr: r.Admin, Token: token}, err
 }
 
-// format is how a table is written.
-type format struct {
+// outputFormat is how a table is written.
+type outputFormat struct {
 	JSON bool `xor:"format" help:"Write JSON, amounts in integers."`
 	CSV  bool `xor:"format" help:"Write CSV, amounts in integers."`
 }
 
-// write writes a table: for people, or its data for programs.
-func (f *format) write(to io.Writer, data any, head []string, rows, exact [][]string) error {
+// writeTable writes a table: for people, or its data for programs.
+func (f *outputFormat) writeTable(to io.Writer, data any, head []string, rows, exact [][]string) error {
 	switch {
 	case f.JSON:
 		e := json.NewEncoder(to)
@@ -64,8 +64,8 @@
 }
 
 type ledgerShowCmd struct {
-	remote
-	format
+	adminFlags
+	outputFormat
 	Team  string `placeholder:"T" help:"Only this team."`
 	Class string `placeholder:"C" help:"Only this class of jobs."`
 	From  string `placeholder:"TIME" help:"From here on: 2006-01-02 or 2006-01-02T15:04:05Z. Pages count by their beginning."`
@@ -73,8 +73,8 @@
 	By    string `enum:"team,class,day,hour" default:"team" help:"A row for each team, class, day or hour (${enum})."`
 }
 
-// group is a row of the table.
-type group struct {
+// ledgerGroup is a row of the table.
+type ledgerGroup struct {
 	Key string `json:"key"`
 	admin.Amounts
 }
@@ -87,7 +87,7 @@
 			q.Set(name, v)
 		}
 	}
-	client, err := c.client()
+	client, err := c.connect()
 	if err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	groups := sum(rows, c.By)
+	groups := groupRows(rows, c.By)
 	var people, exact [][]string
 	head := []string{c.By, "cpu", "gpu", "mem_gb", "lost_cpu", "starts", "taken_over"}
 	for w := range ledger.Causes {
@@ -103,9 +103,9 @@
 	}
 	for _, g := range groups {
 		u := g.Use()
-		p := []string{g.Key, hours(u.CPU), hours(u.GPU), hours(u.Mem), hours(u.Lost), fmt.Sprint(u.Starts), fmt.Sprint(u.TakenOver)}
+		p := []string{g.Key, formatHours(u.CPU), formatHours(u.GPU), formatHours(u.Mem), formatHours(u.Lost), fmt.Sprint(u.Starts), fmt.Sprint(u.TakenOver)}
 		for _, ms := range u.Wait {
-			p = append(p, hours(ms*1000))
+			p = append(p, formatHours(ms*1000))
 		}
 		e := []string{g.Key}
 		for _, n := range u.Numbers() {
@@ -113,15 +113,15 @@
 		}
 		people, exact = append(people, p), append(exact, e)
 	}
-	if err := c.write(os.Stdout, groups, head, people, exact); err != nil || c.JSON || c.CSV {
+	if err := c.writeTable(os.Stdout, groups, head, people, exact); err != nil || c.JSON || c.CSV {
 		return err
 	}
 	fmt.Println("\nHours of CPUs, GPUs and GB; hours that tasks waited, by cause.")
-	return c.unaccounted(client)
+	return c.printUnaccounted(client)
 }
 
-// unaccounted tells of the stretches that are in no row.
-func (c *ledgerShowCmd) unaccounted(client *admin.Client) error {
+// printUnaccounted tells of the stretches that are in no row.
+func (c *ledgerShowCmd) printUnaccounted(client *admin.Client) error {
 	list, err := client.Stretches()
 	if err != nil {
 		return err
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// sum adds rows up by team, class, day or hour.
-func sum(rows []admin.Row, by string) []group {
+// groupRows adds rows up by team, class, day or hour.
+func groupRows(rows []admin.Row, by string) []ledgerGroup {
 	sums := map[string]*ledger.Use{}
 	for _, r := range rows {
 		key := r.Team
@@ -166,30 +166,30 @@
 		}
 		sums[key].Add(r.Use())
 	}
-	out := []group{}
+	out := []ledgerGroup{}
 	for key, u := range sums {
-		out = append(out, group{key, admin.AmountsOf(*u)})
+		out = append(out, ledgerGroup{key, admin.AmountsOf(*u)})
 	}
-	slices.SortFunc(out, func(a, b group) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b ledgerGroup) int { return cmp.Compare(a.Key, b.Key) })
 	return out
 }
 
-// hours writes microseconds as hours.
-func hours(us uint64) string {
+// formatHours writes microseconds as hours.
+func formatHours(us uint64) string {
 	return fmt.Sprintf("%.2f", float64(us)/float64(time.Hour/time.Microsecond))
 }
 
 type ledgerVerifyCmd struct {
-	remote
+	adminFlags
 	JSON bool `help:"Write JSON."`
 }
 
-// errNotWhole is returned where pages are missing or changed.
-var errNotWhole = errors.New("the ledger is not whole")
+// errLedgerIncomplete is returned where pages are missing or changed.
+var errLedgerIncomplete = errors.New("the ledger is not whole")
 
 // Run has a controller check all pages.
 func (c *ledgerVerifyCmd) Run() error {
-	client, err := c.client()
+	client, err := c.connect()
 	if err != nil {
 		return err
 	}
@@ -201,22 +201,22 @@
 	for _, v := range list {
 		state := "whole"
 		if v.Problem != "" {
-			state, err = v.Problem, errNotWhole
+			state, err = v.Problem, errLedgerIncomplete
 		}
 		rows = append(rows, []string{v.Team, fmt.Sprint(v.Pages), fmt.Sprint(v.Through), state})
 	}
-	f := format{JSON: c.JSON}
-	return errors.Join(f.write(os.Stdout, list, []string{"team", "pages", "through", "state"}, rows, nil), err)
+	f := outputFormat{JSON: c.JSON}
+	return errors.Join(f.writeTable(os.Stdout, list, []string{"team", "pages", "through", "state"}, rows, nil), err)
 }
 
 type sharesCmd struct {
-	remote
-	format
+	adminFlags
+	outputFormat
 }
 
 // Run asks and writes.
 func (c *sharesCmd) Run() error {
-	client, err := c.client()
+	client, err := c.connect()
 	if err != nil {
 		return err
 	}
@@ -226,10 +226,10 @@
 	}
 	var people, exact [][]string
 	for _, t := range s.Teams {
-		people = append(people, []string{fmt.Sprint(t.Place), t.Team, fmt.Sprintf("%.3f", t.Weight), hours(t.Decayed), fmt.Sprintf("%.3f", t.Part), fmt.Sprintf("%.3f", t.Factor), fmt.Sprint(t.Band)})
+		people = append(people, []string{fmt.Sprint(t.Place), t.Team, fmt.Sprintf("%.3f", t.Weight), formatHours(t.Decayed), fmt.Sprintf("%.3f", t.Part), fmt.Sprintf("%.3f", t.Factor), fmt.Sprint(t.Band)})
 		exact = append(exact, []string{fmt.Sprint(t.Place), t.Team, fmt.Sprint(t.Weight), fmt.Sprint(t.Decayed), fmt.Sprint(t.Part), fmt.Sprint(t.Factor), fmt.Sprint(t.Band)})
 	}
-	if err := c.write(os.Stdout, s, []string{"place", "team", "weight", "decayed", "part", "factor", "band"}, people, exact); err != nil || c.JSON || c.CSV {
+	if err := c.writeTable(os.Stdout, s, []string{"place", "team", "weight", "decayed", "part", "factor", "band"}, people, exact); err != nil || c.JSON || c.CSV {
 		return err
 	}
 	orders := "Bands order what goes beyond guarantees: lower ones first."
--- a/cmd/glentiller/main.go
+++ b/cmd/glentiller/main.go
@@ -24,12 +24,12 @@
 // version is set when a release is built.
 var version = "dev"
 
-type files struct {
+type configFlags struct {
 	Config   string `required:"" placeholder:"FILE" help:"The platform's settings (TOML)."`
 	Operator string `placeholder:"FILE" help:"The operators' settings (XML). Without it the defaults hold."`
 }
 
-func (f *files) read() (*config.Platform, *config.Operator, error) {
+func (f *configFlags) load() (*config.Platform, *config.Operator, error) {
 	p, err := config.ReadPlatform(f.Config)
 	if err != nil {
 		return nil, nil, err
@@ -47,13 +47,13 @@
 }
 
 type serveCmd struct {
-	files
+	configFlags
 	Profile string `placeholder:"FILE" help:"Write a profile of the processor's time there, from the start to the end."`
 }
 
 // Run serves until the process is told to end.
 func (c *serveCmd) Run() error {
-	p, o, err := c.read()
+	p, o, err := c.load()
 	if err != nil {
 		return err
 	}
@@ -69,14 +69,14 @@
 	if mb := p.Deployment.Limits.MemMB; mb > 0 {
 		// The heap is small beside the memory there is, so it is collected rarely; the
 		// limit holds all the same.
-		debug.SetGCPercent(rareGC)
-		debug.SetMemoryLimit(int64(mb * memoryShare * (1 << 20)))
+		debug.SetGCPercent(gcPercent)
+		debug.SetMemoryLimit(int64(mb * heapShare * (1 << 20)))
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if c.Profile != "" {
-		done, err := profile(ctx, c.Profile)
+		done, err := startProfile(ctx, c.Profile)
 		if err != nil {
 			return err
 		}
@@ -85,9 +85,9 @@
 	return controller.New(p, o, version, log).Run(ctx)
 }
 
-// profile writes a profile of the processor's time to a file, until the context ends: what comes after that are
+// startProfile writes a profile of the processor's time to a file, until the context ends: what comes after that are
 // connections that are closed. done waits for the file to be whole.
-func profile(ctx context.Context, path string) (done func(), err error) {
+func startProfile(ctx context.Context, path string) (done func(), err error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, err
@@ -104,18 +104,18 @@
 	return func() { <-written }, nil
 }
 
-// rareGC lets the heap grow to four times what lives in it.
-const rareGC = 300
+// gcPercent lets the heap grow to four times what lives in it.
+const gcPercent = 300
 
-// memoryShare is the part of the machine's memory that the Go heap may fill
+// heapShare is the part of the machine's memory that the Go heap may fill
 // before it is collected harder; the rest is for stacks, code and buffers.
-const memoryShare = 0.6
+const heapShare = 0.6
 
-type checkCmd struct{ files }
+type checkCmd struct{ configFlags }
 
 // Run checks the settings and says so.
 func (c *checkCmd) Run() error {
-	if _, _, err := c.read(); err != nil {
+	if _, _, err := c.load(); err != nil {
 		return err
 	}
 	_, err := fmt.Println("the settings are good")
--- a/cmd/glentiller/member.go
+++ b/cmd/glentiller/member.go
@@ -9,13 +9,13 @@
 )
 
 type memberCmd struct {
-	remote
+	adminFlags
 	JSON bool `help:"Write JSON."`
 }
 
 // Run asks and writes.
 func (c *memberCmd) Run() error {
-	client, err := c.client()
+	client, err := c.connect()
 	if err != nil {
 		return err
 	}
--- a/cmd/glentiller/rollout.go
+++ b/cmd/glentiller/rollout.go
@@ -14,13 +14,13 @@
 }
 
 type rolloutStatusCmd struct {
-	remote
+	adminFlags
 	JSON bool `help:"Write JSON."`
 }
 
 // Run asks and writes.
 func (c *rolloutStatusCmd) Run() error {
-	client, err := c.client()
+	client, err := c.connect()
 	if err != nil {
 		return err
 	}
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -14,43 +14,46 @@
 
 // The leading core's effects, and the changes and answers that are handed back to it.
 
-// step hands an event to the core, if this controller may act.
-func (n *Node) step(now time.Time, ev reconciler.Event) []reconciler.Effect {
-	if n.core == nil {
+// stepReconciler hands an event to the core, if this controller may act.
+func (n *Controller) stepReconciler(now time.Time, ev reconciler.Event) []reconciler.Effect {
+	if n.reconciler == nil {
 		return nil
 	}
-	n.event = ev
-	effects := n.core.Step(now, ev)
+	n.lastEvent = ev
+	effects := n.reconciler.Step(now, ev)
 	for _, e := range effects {
 		n.perform(now, e)
 	}
 	return effects
 }
 
-// back hands the answer to an effect to the core of the same leadership.
-func (n *Node) back(term uint64, ev reconciler.Event) {
+// postCompletion hands the answer to an effect to the core of the same leadership.
+func (n *Controller) postCompletion(term uint64, ev reconciler.Event) {
 	n.post(func(now time.Time) {
 		if n.term == term {
-			n.step(now, ev)
+			n.stepReconciler(now, ev)
 		}
 	})
 }
 
 // perform carries out one effect. Whoever needs the right to act has it checked
 // right before the request leaves.
-func (n *Node) perform(now time.Time, e reconciler.Effect) {
-	term, r := n.term, n.right.Load()
+func (n *Controller) perform(now time.Time, e reconciler.Effect) {
+	term, r := n.term, n.lease.Load()
 	if r == nil {
 		return
 	}
-	may := func() bool { cur := n.right.Load(); return cur != nil && cur.token == r.token && cur.holds() }
+	may := func() bool {
+		cur := n.lease.Load()
+		return cur != nil && cur.fencingToken == r.fencingToken && cur.valid()
+	}
 	switch e := e.(type) {
 	case reconciler.SendCommands:
 		orders := append([]model.Command(nil), e.Commands...)
 		n.spawn(func() {
 			ev := reconciler.CommandCompleted{Machine: e.Machine, Epoch: e.Epoch, Commands: orders, Outcome: reconciler.NotSent}
 			if may() {
-				reply := n.workers.Send(e.Addr, r.token, e.Epoch, orders, e.Urgent)
+				reply := n.workers.Send(e.Addr, r.fencingToken, e.Epoch, orders, e.Urgent)
 				ev.Heartbeat = reply.Heartbeat
 				switch {
 				case reply.Executed:
@@ -63,12 +66,12 @@
 					ev.Outcome = reconciler.Unknown
 				}
 			}
-			n.back(term, ev)
+			n.postCompletion(term, ev)
 		})
 	case reconciler.Provision:
 		n.spawn(func() {
 			ev := reconciler.ProvisionCompleted{Provisioning: e.Provisioning, Outcome: reconciler.Unknown}
-			if n.cloud.Wait(n.ctx) == nil && may() && n.mayRent() {
+			if n.cloud.Wait(n.ctx) == nil && may() && n.mayProvision() {
 				names, full, err := n.cloud.Provision(e.Provisioning)
 				switch {
 				case full:
@@ -79,18 +82,18 @@
 					n.log.Debug("rental not answered", "request", e.Provisioning.Name, "err", err)
 				}
 			}
-			n.back(term, ev)
+			n.postCompletion(term, ev)
 		})
 	case reconciler.Release:
 		names := append([]string(nil), e.Machines...)
 		n.spawn(func() {
 			ev := reconciler.ReleaseCompleted{Machines: names, Outcome: reconciler.Unknown}
-			if n.cloud.Wait(n.ctx) == nil && may() && n.mayRent() {
+			if n.cloud.Wait(n.ctx) == nil && may() && n.mayProvision() {
 				if err := n.cloud.Release(names); err == nil {
 					ev.Outcome = reconciler.OK
 				}
 			}
-			n.back(term, ev)
+			n.postCompletion(term, ev)
 		})
 	case reconciler.ListMachines:
 		n.spawn(func() {
@@ -99,7 +102,7 @@
 			if err != nil {
 				n.log.Debug("machine list", "err", err)
 			}
-			n.back(term, reconciler.MachineListReceived{Machines: list, RequestedAt: asked})
+			n.postCompletion(term, reconciler.MachineListReceived{Machines: list, RequestedAt: asked})
 		})
 	case reconciler.FetchCatalog:
 		n.spawn(func() {
@@ -107,17 +110,17 @@
 			if err != nil {
 				n.log.Debug("catalogue", "err", err)
 			} else {
-				n.types.Store(&types)
+				n.machineTypes.Store(&types)
 			}
-			n.back(term, reconciler.CatalogReceived{Types: types})
+			n.postCompletion(term, reconciler.CatalogReceived{Types: types})
 		})
 	case reconciler.LookUpJobEnds:
-		n.spawn(func() { n.back(term, reconciler.JobEndsReceived{Ends: n.jobs.Ends(n.ctx, e.IDs)}) })
+		n.spawn(func() { n.postCompletion(term, reconciler.JobEndsReceived{Ends: n.jobs.Ends(n.ctx, e.IDs)}) })
 	case reconciler.Commit:
 		saves := append([]reconciler.Change(nil), e.Changes...)
 		n.spawn(func() {
 			ev := reconciler.CommitCompleted{Changes: saves, Outcome: reconciler.OK}
-			rev, ok, err := n.state.Save(n.ctx, r.version, saves)
+			rev, ok, err := n.store.Save(n.ctx, r.tokenVersion, saves)
 			ev.Version = rev
 			switch {
 			case errors.Is(err, store.ErrRejected):
@@ -129,31 +132,31 @@
 				ev.Outcome = reconciler.Unknown
 			case !ok:
 				ev.Outcome = reconciler.Refused
-				if last, err := n.state.StillLast(n.ctx, r.version); err != nil {
+				if last, err := n.store.StillLast(n.ctx, r.tokenVersion); err != nil {
 					ev.Outcome = reconciler.Unknown
 				} else if !last {
-					n.election(election.Fenced{Token: r.token})
+					n.postElectionEvent(election.Fenced{Token: r.fencingToken})
 				}
 			}
-			n.back(term, ev)
+			n.postCompletion(term, ev)
 		})
 	case reconciler.Fence:
 		n.spawn(func() {
-			v, ok, err := n.state.Rewrite(n.ctx, n.plat.Member, r.token, r.version)
+			v, ok, err := n.store.Rewrite(n.ctx, n.platform.Member, r.fencingToken, r.tokenVersion)
 			if err != nil {
 				n.log.Debug("fence", "err", err)
-				n.back(term, reconciler.FenceCompleted{Outcome: reconciler.Unknown})
+				n.postCompletion(term, reconciler.FenceCompleted{Outcome: reconciler.Unknown})
 				return
 			}
 			if !ok {
-				n.election(election.Fenced{Token: r.token})
+				n.postElectionEvent(election.Fenced{Token: r.fencingToken})
 				return
 			}
-			n.log.Info("transactions without an answer are void", "token", r.token, "version", v)
+			n.log.Info("transactions without an answer are void", "token", r.fencingToken, "version", v)
 			n.post(func(now time.Time) {
 				if n.term == term {
-					n.elected(now, n.elect.Step(now, election.Rewritten{Token: r.token, Version: v}))
-					n.step(now, reconciler.FenceCompleted{Outcome: reconciler.OK})
+					n.applyElectionEffects(now, n.election.Step(now, election.Rewritten{Token: r.fencingToken, Version: v}))
+					n.stepReconciler(now, reconciler.FenceCompleted{Outcome: reconciler.OK})
 				}
 			})
 		})
@@ -161,68 +164,68 @@
 		n.spawn(func() {
 			ev := reconciler.AccountsReceived{Accounts: map[string]ledger.OnRecord{}}
 			for _, team := range e.Teams {
-				if r, err := n.state.Account(n.ctx, team); err == nil {
+				if r, err := n.store.Account(n.ctx, team); err == nil {
 					ev.Accounts[team] = r
 				} else {
 					n.log.Debug("account in doubt", "team", team, "err", err)
 				}
 			}
-			n.back(term, ev)
+			n.postCompletion(term, ev)
 		})
 	case reconciler.ReadSegments:
 		n.spawn(func() {
-			pages, _, err := n.state.Pages(n.ctx, e.Team, 0, reconciler.MaxSegmentsRead)
+			pages, _, err := n.store.Pages(n.ctx, e.Team, 0, reconciler.MaxSegmentsRead)
 			if err != nil {
 				n.log.Debug("closed pages", "team", e.Team, "err", err)
 			}
-			n.back(term, reconciler.SegmentsReceived{Team: e.Team, Segments: pages})
+			n.postCompletion(term, reconciler.SegmentsReceived{Team: e.Team, Segments: pages})
 		})
 	}
 }
 
-// mayRent tells that the right rests on the lease: on promises alone nothing is rented or
+// mayProvision tells that the right rests on the lease: on promises alone nothing is rented or
 // given back, since nothing of it could be put on record.
-func (n *Node) mayRent() bool {
-	r := n.right.Load()
-	return r != nil && !r.onPromises(time.Now())
+func (n *Controller) mayProvision() bool {
+	r := n.lease.Load()
+	return r != nil && !r.restsOnVotes(time.Now())
 }
 
-// jobsChanged queues changes of the job records for the loop. The view is locked
+// enqueueJobChanges queues changes of the job records for the loop. The view is locked
 // while it tells of them, and the loop asks it: so nothing is waited for here.
-func (n *Node) jobsChanged(changes []store.JobChange) {
+func (n *Controller) enqueueJobChanges(changes []store.JobChange) {
 	if len(changes) == 0 {
 		return
 	}
-	n.changeMu.Lock()
-	n.changes = append(n.changes, changes...)
-	n.changeMu.Unlock()
+	n.jobChangesMu.Lock()
+	n.jobChanges = append(n.jobChanges, changes...)
+	n.jobChangesMu.Unlock()
 	select {
-	case n.changed <- struct{}{}:
+	case n.jobChangesReady <- struct{}{}:
 	default:
 	}
 }
 
-// applyChanges tells the core of changes of the job records.
-func (n *Node) applyChanges(now time.Time) {
-	n.changeMu.Lock()
-	changes := n.changes
-	n.changes = nil
-	n.changeMu.Unlock()
+// applyJobChanges tells the core of changes of the job records.
+func (n *Controller) applyJobChanges(now time.Time) {
+	n.jobChangesMu.Lock()
+	changes := n.jobChanges
+	n.jobChanges = nil
+	n.jobChangesMu.Unlock()
 	for _, ch := range changes {
-		n.step(now, n.jobs.Event(ch))
+		n.stepReconciler(now, n.jobs.Event(ch))
 	}
 }
 
-// fetchTypes keeps the machine types known, which users' requests are checked
+// refreshMachineTypes keeps the machine types known, which users' requests are checked
 // against.
-func (n *Node) fetchTypes() error {
+func (n *Controller) refreshMachineTypes() error {
 	for n.ctx.Err() == nil {
 		wait := time.Second
 		if len(n.Types()) > 0 {
 			wait = 5 * time.Minute
 		}
 		if types, err := n.cloud.Catalog(n.ctx); err == nil {
-			n.types.Store(&types)
+			n.machineTypes.Store(&types)
 			wait = 5 * time.Minute
 		} else {
 			n.log.Debug("catalogue", "err", err)
--- a/internal/controller/explain.go
+++ b/internal/controller/explain.go
@@ -14,15 +14,15 @@
 // errNoLeader says that nobody can answer what only the leader's picture knows.
 var errNoLeader = errors.New("no leader is within reach")
 
-// explainWait bounds how long an explanation may take.
-const explainWait = 3 * time.Second
+// explainTimeout bounds how long an explanation may take.
+const explainTimeout = 3 * time.Second
 
 // Explain says why a job's tasks wait, as JSON; empty: the job is not among the unfinished
 // ones. A controller that does not lead asks the one that does.
-func (n *Node) Explain(ctx context.Context, id string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, explainWait)
+func (n *Controller) Explain(ctx context.Context, id string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
-	if a := n.explain(ctx, id); a.GetAct() {
+	if a := n.explainLocally(ctx, id); a.GetAct() {
 		return a.GetBody(), nil
 	}
 	leader := n.leader.Load()
@@ -36,16 +36,16 @@
 	return a.GetBody(), err
 }
 
-// explain answers where this controller leads.
-func (n *Node) explain(ctx context.Context, id string) *peerpb.AskAnswer {
-	if !n.right.Load().holds() {
+// explainLocally answers where this controller leads.
+func (n *Controller) explainLocally(ctx context.Context, id string) *peerpb.AskAnswer {
+	if !n.lease.Load().valid() {
 		return nil
 	}
-	a, _ := inLoop(ctx, n.inbox, func(now time.Time) *peerpb.AskAnswer {
+	a, _ := runInLoop(ctx, n.inbox, func(now time.Time) *peerpb.AskAnswer {
 		a := &peerpb.AskAnswer{}
 		var e *reconciler.Explanation
-		if n.core != nil && ctx.Err() == nil {
-			a.Act, e = true, n.core.Explain(now, id)
+		if n.reconciler != nil && ctx.Err() == nil {
+			a.Act, e = true, n.reconciler.Explain(now, id)
 		}
 		if e != nil {
 			var err error
@@ -59,9 +59,9 @@
 	return a
 }
 
-// inLoop has the loop, which owns the cores, work something out; it is handed over through
+// runInLoop has the loop, which owns the cores, work something out; it is handed over through
 // one of the loop's inboxes.
-func inLoop[T any](ctx context.Context, inbox chan<- func(time.Time), f func(now time.Time) T) (out T, err error) {
+func runInLoop[T any](ctx context.Context, inbox chan<- func(time.Time), f func(now time.Time) T) (out T, err error) {
 	got := make(chan T, 1)
 	select {
 	case inbox <- func(now time.Time) { got <- f(now) }:
@@ -77,16 +77,16 @@
 }
 
 // State tells how a job stands by the state service's records.
-func (n *Node) State(ctx context.Context, id string) (wire.JobState, error) {
+func (n *Controller) State(ctx context.Context, id string) (wire.JobState, error) {
 	v, err := n.jobs.Lookup(ctx, id)
 	return v.State, err
 }
 
 // Ask answers an operator's question that another controller hands over.
-func (h relayed) Ask(ctx context.Context, q *peerpb.Ask) *peerpb.AskAnswer {
-	ctx, cancel := context.WithTimeout(ctx, explainWait)
+func (h peerHandler) Ask(ctx context.Context, q *peerpb.Ask) *peerpb.AskAnswer {
+	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
-	if a := h.n.explain(ctx, q.GetExplain()); a != nil {
+	if a := h.controller.explainLocally(ctx, q.GetExplain()); a != nil {
 		return a
 	}
 	return &peerpb.AskAnswer{}
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -14,8 +14,8 @@
 )
 
 // newRouter makes what decides where users' requests are answered; nil: where they come.
-func (n *Node) newRouter() *route.Router {
-	set := config.RoutingSettings(n.plat, n.oper)
+func (n *Controller) newRouter() *route.Router {
+	set := config.RoutingSettings(n.platform, n.operator)
 	if set == nil {
 		return nil
 	}
@@ -28,16 +28,16 @@
 	)
 }
 
-// ahead is by how much sooner than its user another member gives a request up.
-const ahead = 50 * time.Millisecond
+// forwardMargin is by how much sooner than its user another member gives a request up.
+const forwardMargin = 50 * time.Millisecond
 
 // Hand hands a user's request to another member, and says what became of it.
-func (n *Node) Hand(ctx context.Context, member string, q route.Request) route.Answer {
+func (n *Controller) Hand(ctx context.Context, member string, q route.Request) route.Answer {
 	h := &peerpb.Hand{Kind: uint32(q.Kind), Id: q.ID, Body: q.Body}
 	if until, ok := ctx.Deadline(); ok {
-		h.WaitMs = uint32(max(time.Until(until)-ahead, ahead).Milliseconds())
+		h.WaitMs = uint32(max(time.Until(until)-forwardMargin, forwardMargin).Milliseconds())
 	}
-	a, err := n.forwards[member].Hand(ctx, h)
+	a, err := n.forwardClients[member].Hand(ctx, h)
 	switch {
 	case errors.Is(err, peer.ErrDialing):
 		return route.Answer{Cause: route.Busy}
@@ -59,11 +59,11 @@
 }
 
 // Reached is when the state service has last answered anything.
-func (n *Node) Reached() time.Time { return n.state.Contact() }
+func (n *Controller) Reached() time.Time { return n.store.Contact() }
 
 // Hand answers a user's request that another member cannot take.
-func (h relayed) Hand(ctx context.Context, q *peerpb.Hand) *peerpb.HandAnswer {
-	a := h.n.front.Visit(
+func (h peerHandler) Hand(ctx context.Context, q *peerpb.Hand) *peerpb.HandAnswer {
+	a := h.controller.httpAPI.Visit(
 		ctx,
 		route.Request{Kind: route.Kind(min(q.GetKind(), 255)), ID: q.GetId(), Body: q.GetBody()},
 		time.Duration(q.GetWaitMs())*time.Millisecond,
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -10,74 +10,74 @@
 
 // The election's effects, and what a new leader reads before it acts.
 
-// elected carries out the election's effects.
-func (n *Node) elected(now time.Time, effects []election.Effect) {
+// applyElectionEffects carries out the election's effects.
+func (n *Controller) applyElectionEffects(now time.Time, effects []election.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case election.Look:
 			n.spawn(func() {
-				r, _, err := n.state.Look(n.ctx)
-				n.election(election.Looked{Record: r, Err: err})
+				r, _, err := n.store.Look(n.ctx)
+				n.postElectionEvent(election.Looked{Record: r, Err: err})
 			})
 		case election.Grant:
 			n.spawn(func() {
 				sent := time.Now()
-				lease, err := n.state.Grant(e.Life)
-				n.election(election.Granted{Lease: lease, Sent: sent, Err: err})
+				lease, err := n.store.Grant(e.Life)
+				n.postElectionEvent(election.Granted{Lease: lease, Sent: sent, Err: err})
 			})
 		case election.Claim:
 			n.spawn(func() {
-				v, ok, err := n.state.Claim(n.ctx, n.plat.Member, e)
-				n.election(election.Claimed{OK: ok, Version: v, Err: err})
+				v, ok, err := n.store.Claim(n.ctx, n.platform.Member, e)
+				n.postElectionEvent(election.Claimed{OK: ok, Version: v, Err: err})
 			})
 		case election.Touch:
-			token := n.elect.Token()
-			n.spawn(func() { n.touch(token, e.Lease) })
+			token := n.election.Token()
+			n.spawn(func() { n.renewLease(token, e.Lease) })
 		case election.Drop:
 			n.spawn(func() {
 				for range 3 {
-					if n.state.Drop(e.Lease) == nil {
+					if n.store.Drop(e.Lease) == nil {
 						return
 					}
 					store.Wait(n.ctx, 300*time.Millisecond)
 				}
 			})
 		case election.AskPromises:
-			n.askPromises(n.term, e)
+			n.requestVotes(n.term, e)
 		case election.AskUnbound:
-			n.askUnbound()
+			n.askWhoLeads()
 		case election.Release:
-			n.release(e.Token)
+			n.releaseVotes(e.Token)
 		case election.Elected:
 			n.term++
-			n.share(true)
+			n.allocateRates(true)
 			n.takeOver(n.term, e)
-			n.renew(e.Token, n.elect.Lease())
+			n.superviseRenewals(e.Token, n.election.Lease())
 		case election.Deposed:
-			n.right.Store(nil) // before anybody may hear of it
+			n.lease.Store(nil) // before anybody may hear of it
 			n.term++
-			n.core, n.book, n.behind = nil, nil, false
-			n.share(false)
+			n.reconciler, n.staleness, n.tooStale = nil, nil, false
+			n.allocateRates(false)
 		}
 	}
-	n.showRight(now)
-	n.level.Store(uint32(n.elect.Level()))
-	leader := n.elect.Leader()
+	n.publishLease(now)
+	n.featureLevel.Store(uint32(n.election.Level()))
+	leader := n.election.Leader()
 	if old := n.leader.Swap(&leader); old == nil || *old != leader {
 		n.leaderSince.Store(&now)
-		if n.mail != nil {
-			n.mail.changed(leader == "")
+		if n.storeRelay != nil {
+			n.storeRelay.leaderChanged(leader == "")
 		}
 	}
 }
 
-// election hands an event to the election, before everything else.
-func (n *Node) election(ev election.Event) {
-	n.postFirst(func(now time.Time) { n.elected(now, n.elect.Step(now, ev)) })
+// postElectionEvent hands an event to the election, before everything else.
+func (n *Controller) postElectionEvent(ev election.Event) {
+	n.postUrgent(func(now time.Time) { n.applyElectionEffects(now, n.election.Step(now, ev)) })
 }
 
-// postFirst hands a piece of work to the loop that goes before the inbox.
-func (n *Node) postFirst(f func(now time.Time)) {
+// postUrgent hands a piece of work to the loop that goes before the inbox.
+func (n *Controller) postUrgent(f func(now time.Time)) {
 	select {
 	case n.urgent <- f:
 	case <-n.ctx.Done():
@@ -85,19 +85,19 @@
 }
 
 // watchLeader tells the election when the leader's key is free.
-func (n *Node) watchLeader() error {
+func (n *Controller) watchLeader() error {
 	var rev uint64
 	for n.ctx.Err() == nil {
 		if rev == 0 {
-			r, at, err := n.state.Look(n.ctx)
+			r, at, err := n.store.Look(n.ctx)
 			if err != nil {
 				store.Wait(n.ctx, 500*time.Millisecond)
 				continue
 			}
 			rev = at
-			n.election(election.Looked{Record: r})
+			n.postElectionEvent(election.Looked{Record: r})
 		}
-		at, vacant, leader, err := n.state.WatchLeader(n.ctx, rev)
+		at, vacant, leader, err := n.store.WatchLeader(n.ctx, rev)
 		if err != nil {
 			rev = 0
 			store.Wait(n.ctx, 300*time.Millisecond)
@@ -105,22 +105,22 @@
 		}
 		rev = at
 		if vacant {
-			n.election(election.Vacant{})
+			n.postElectionEvent(election.Vacant{})
 		} else if leader != "" {
-			n.election(election.Looked{Record: election.Record{Held: true, Leader: leader}})
+			n.postElectionEvent(election.Looked{Record: election.Record{Held: true, Leader: leader}})
 		}
 	}
 	return nil
 }
 
 // takeOver reads what a new leader needs, and starts its core.
-func (n *Node) takeOver(term uint64, e election.Elected) {
+func (n *Controller) takeOver(term uint64, e election.Elected) {
 	n.spawn(func() {
 		for n.ctx.Err() == nil {
 			var snap *reconciler.Snapshot
 			err := n.jobs.Refresh(n.ctx)
 			if err == nil {
-				snap, err = n.state.Records(n.ctx, n.set.Ledger != nil)
+				snap, err = n.store.Records(n.ctx, n.settings.Ledger != nil)
 			}
 			if err == nil {
 				started := make(chan bool, 1)
@@ -128,8 +128,8 @@
 					if n.term == term {
 						// Read in the loop: no change of a job can come in between.
 						n.jobs.Snapshot(snap)
-						n.core = reconciler.New(now, n.set, e.Token, snap, n.Types(), n.log)
-						n.informed(now)
+						n.reconciler = reconciler.New(now, n.settings, e.Token, snap, n.Types(), n.log)
+						n.startStaleness(now)
 					}
 					started <- true
 				})
--- a/internal/controller/redirect_test.go
+++ b/internal/controller/redirect_test.go
@@ -10,17 +10,17 @@
 // it tries the next member a second later; where nobody answers it waits for 4 s first. One member is cut
 // off from the state service and the others and keeps naming whom it last knew, until that is too long ago
 // (Node.redirect). With any number of members every worker finds whoever leads, wherever it stands.
-func TestAWorkerFindsTheLeaderFromEveryMember(t *testing.T) {
+func TestWorkerFindsLeaderFromEveryMember(t *testing.T) {
 	const elected = 6 * time.Second // after the former leader has ended
 	for members := 3; members <= 5; members++ {
 		for from := range members {
 			for _, after := range []time.Duration{0, time.Second, 2500 * time.Millisecond, 5 * time.Second, 20 * time.Second} {
 				name := fmt.Sprint(members, " members, from ", from, " after ", after)
 				start := time.Unix(1000, 0) // 0 has ended, 1 is cut off, 2 will lead
-				cut := &Node{}
+				cut := &Controller{}
 				since := start.Add(-time.Hour)
 				cut.leaderSince.Store(&since)
-				cut.heard.Store(&heard{leader: "0", at: start})
+				cut.leaderContact.Store(&leaderContact{leader: "0", at: start})
 				at, now, asked := from, start.Add(after), 0
 				for ; asked < 50; asked++ {
 					led := now.Sub(start) >= elected
@@ -31,7 +31,7 @@
 					case at == 0: // no answer
 						now = now.Add(5 * time.Second)
 					case at == 1:
-						if cut.redirect("0", now) == "0" {
+						if cut.redirectTarget("0", now) == "0" {
 							at = 0
 							continue
 						}
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -13,68 +13,68 @@
 )
 
 const (
-	rolloutEvery = 5 * time.Second  // between looks at what the members tell
-	rolloutLife  = 30 * time.Second // of what a member tells of itself
-	giveWayEvery = time.Minute      // a leader gives way for a level no more often than this
+	rolloutInterval = 5 * time.Second  // between looks at what the members tell
+	announcementTTL = 30 * time.Second // of what a member tells of itself
+	resignInterval  = time.Minute      // a leader gives way for a level no more often than this
 )
 
-// standing is what this member knows of the way to the next level.
-type standing struct {
+// rolloutStatus is what this member knows of the way to the next level.
+type rolloutStatus struct {
 	state   featuregate.State
-	why     string
+	reason  string
 	members map[string]featuregate.Member
 }
 
-// rulesNow tells the front whether all members know the rules of jobs; nil: nobody watches over it,
+// rulesSupported tells the front whether all members know the rules of jobs; nil: nobody watches over it,
 // and the operators have seen to it.
-func (n *Node) rulesNow() func() bool {
-	if n.oper.Rollout == nil {
+func (n *Controller) rulesSupported() func() bool {
+	if n.operator.Rollout == nil {
 		return nil
 	}
-	return func() bool { return featuregate.Level(n.level.Load()) >= featuregate.Constraints }
+	return func() bool { return featuregate.Level(n.featureLevel.Load()) >= featuregate.Constraints }
 }
 
 // runRollout tells the others what this member's program knows, and watches over the way to the
 // next level.
-func (n *Node) runRollout() error {
-	me := featuregate.Member{Name: n.plat.Member, Release: n.version, Can: featuregate.Can, Life: rand.Uint64()}
-	listed := []string{n.plat.Member}
-	for _, m := range n.plat.Members {
+func (n *Controller) runRollout() error {
+	me := featuregate.Member{Name: n.platform.Member, Release: n.release, Can: featuregate.Can, Life: rand.Uint64()}
+	listed := []string{n.platform.Member}
+	for _, m := range n.platform.Members {
 		listed = append(listed, m.Member)
 	}
-	gate := featuregate.NewGate(listed, n.oper.Rollout.SettleTime.Std())
+	gate := featuregate.NewGate(listed, n.operator.Rollout.SettleTime.Std())
 	var lease uint64
 	var gaveWay time.Time
-	for ; n.ctx.Err() == nil; store.Wait(n.ctx, rolloutEvery) {
+	for ; n.ctx.Err() == nil; store.Wait(n.ctx, rolloutInterval) {
 		var err error
 		if lease, err = n.announce(lease, me); err != nil {
 			n.log.Debug("not announced", "err", err)
 			continue
 		}
-		known, err := n.state.Announced(n.ctx)
+		known, err := n.store.Announced(n.ctx)
 		if err != nil {
 			n.log.Debug("members are not known", "err", err)
 			continue
 		}
-		n.postFirst(func(now time.Time) {
-			inForce := n.elect.Level()
+		n.postUrgent(func(now time.Time) {
+			inForce := n.election.Level()
 			moved := gate.Step(now, inForce, known)
 			state, why := gate.State()
 			if moved {
 				n.log.Info("rollout", "state", state.String(), "level", inForce, "known", featuregate.Can, "why", why)
 			}
-			n.rollout.Store(&standing{state, why, known})
+			n.rollout.Store(&rolloutStatus{state, why, known})
 			next := gate.Next(inForce)
-			if n.oper.Rollout.Paused {
+			if n.operator.Rollout.Paused {
 				next = 0
 			}
 			ev := election.Raising{To: next}
 			// Not on promises: nobody could claim then.
-			if r := n.right.Load(); next > 0 && r.holds() && !r.onPromises(now) && now.Sub(gaveWay) > giveWayEvery {
-				n.log.Info("giving way, for the next level", "to", next, "token", r.token)
+			if r := n.lease.Load(); next > 0 && r.valid() && !r.restsOnVotes(now) && now.Sub(gaveWay) > resignInterval {
+				n.log.Info("giving way, for the next level", "to", next, "token", r.fencingToken)
 				gaveWay, ev.Again = now, true
 			}
-			n.elected(now, n.elect.Step(now, ev))
+			n.applyElectionEffects(now, n.election.Step(now, ev))
 		})
 	}
 	return nil
@@ -82,9 +82,9 @@
 
 // announce keeps what this member tells of itself alive. It returns the lease that it hangs on; 0:
 // it has to be told anew.
-func (n *Node) announce(lease uint64, me featuregate.Member) (uint64, error) {
+func (n *Controller) announce(lease uint64, me featuregate.Member) (uint64, error) {
 	if lease != 0 {
-		err := n.state.Touch(lease)
+		err := n.store.Touch(lease)
 		if err == nil {
 			return lease, nil
 		}
@@ -92,25 +92,25 @@
 			return lease, err
 		}
 	}
-	lease, err := n.state.Grant(rolloutLife)
+	lease, err := n.store.Grant(announcementTTL)
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(n.ctx, rolloutEvery)
+	ctx, cancel := context.WithTimeout(n.ctx, rolloutInterval)
 	defer cancel()
-	if err := n.state.Announce(ctx, lease, me); err != nil {
+	if err := n.store.Announce(ctx, lease, me); err != nil {
 		return 0, err
 	}
 	return lease, nil
 }
 
-// rolloutStanding tells operators how the rollout stands; nil: it is off.
-func (n *Node) rolloutStanding() *admin.Rollout {
+// describeRollout tells operators how the rollout stands; nil: it is off.
+func (n *Controller) describeRollout() *admin.Rollout {
 	s := n.rollout.Load()
-	if n.oper.Rollout == nil || s == nil {
+	if n.operator.Rollout == nil || s == nil {
 		return nil
 	}
-	out := &admin.Rollout{Level: uint32(n.level.Load()), Knows: uint32(featuregate.Can), State: s.state.String(), Why: s.why, Held: n.oper.Rollout.Paused}
+	out := &admin.Rollout{Level: uint32(n.featureLevel.Load()), Knows: uint32(featuregate.Can), State: s.state.String(), Why: s.reason, Held: n.operator.Rollout.Paused}
 	for l := featuregate.Level(1); l <= featuregate.Can; l++ {
 		out.Features = append(out.Features, admin.Feature{Name: featuregate.Features[l], Level: uint32(l), InForce: uint32(l) <= out.Level})
 	}
--- a/internal/controller/promises.go
+++ b/internal/controller/votes.go
@@ -10,36 +10,36 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// promiseWait bounds how long a promise may take to come.
-const promiseWait = time.Second
+// voteTimeout bounds how long a promise may take to come.
+const voteTimeout = time.Second
 
-// served is by how much longer than a leader this controller may have been answered by the
+// maxContactLead is by how much longer than a leader this controller may have been answered by the
 // state service and still promise it anything, as long as it is served. What lies between is a leader that alone is
 // out of reach: another had better lead. Where the state service is down for this one too, nobody
 // can take over, and what runs would die for it.
-const served = 2 * time.Second
+const maxContactLead = 2 * time.Second
 
-// askPromises asks all other members for their promise.
-func (n *Node) askPromises(term uint64, e election.AskPromises) {
+// requestVotes asks all other members for their promise.
+func (n *Controller) requestVotes(term uint64, e election.AskPromises) {
 	token := e.Token
 	now := time.Now()
 	var silent uint64
-	if at := n.state.Contact(); !at.IsZero() {
+	if at := n.store.Contact(); !at.IsZero() {
 		silent = uint64(now.Sub(at).Milliseconds())
 	}
 	for name, c := range n.peers {
-		told := n.toldBy[name]
-		q := &peerpb.PromiseAsk{Member: n.plat.Member, Token: token, Revision: n.jobs.Revision(), SilentMs: silent, Seq: e.Seq, ForMs: uint64(e.For.Milliseconds()), Instead: e.Instead,
+		told := n.acknowledged[name]
+		q := &peerpb.PromiseAsk{Member: n.platform.Member, Token: token, Revision: n.jobs.Revision(), SilentMs: silent, Seq: e.Seq, ForMs: uint64(e.For.Milliseconds()), Instead: e.Instead,
 			Words: true, ToldLife: told.Life, Told: told.Count}
 		n.spawn(func() {
-			ctx, cancel := context.WithTimeout(n.ctx, promiseWait)
+			ctx, cancel := context.WithTimeout(n.ctx, voteTimeout)
 			defer cancel()
 			sent := time.Now()
 			a, err := c.Promise(ctx, q)
 			if err != nil {
 				return
 			}
-			n.postFirst(func(time.Time) {
+			n.postUrgent(func(time.Time) {
 				if n.term != term {
 					return
 				}
@@ -47,9 +47,9 @@
 				// against a promise that is taken after the right has lapsed, since the
 				// process was held up in between.
 				now := time.Now()
-				n.hear(now, sent, name, a)
+				n.learnCancellations(now, sent, name, a)
 				if a.GetGranted() {
-					n.elected(now, n.elect.Step(now, election.PromiseBack{Member: a.GetMember(), Token: token, Sent: sent,
+					n.applyElectionEffects(now, n.election.Step(now, election.PromiseBack{Member: a.GetMember(), Token: token, Sent: sent,
 						Seq: e.Seq, For: time.Duration(a.GetForMs()) * time.Millisecond}))
 				}
 			})
@@ -57,39 +57,39 @@
 	}
 }
 
-// askUnbound asks the other members whether they lead, as one that has just started.
-func (n *Node) askUnbound() {
+// askWhoLeads asks the other members whether they lead, as one that has just started.
+func (n *Controller) askWhoLeads() {
 	for name, c := range n.peers {
 		n.spawn(func() {
-			ctx, cancel := context.WithTimeout(n.ctx, promiseWait)
+			ctx, cancel := context.WithTimeout(n.ctx, voteTimeout)
 			defer cancel()
 			sent := time.Now()
-			if a, err := c.Promise(ctx, &peerpb.PromiseAsk{Member: n.plat.Member}); err == nil && a != nil && !a.GetLeads() {
-				n.election(election.Unbound{Member: name, Sent: sent})
+			if a, err := c.Promise(ctx, &peerpb.PromiseAsk{Member: n.platform.Member}); err == nil && a != nil && !a.GetLeads() {
+				n.postElectionEvent(election.Unbound{Member: name, Sent: sent})
 			}
 		})
 	}
 }
 
 // Members tells where this controller stands in the election.
-func (n *Node) Members(ctx context.Context) (*admin.Member, error) {
-	var held holds
-	s, err := inLoop(ctx, n.urgent, func(time.Time) election.Standing {
-		held = n.held
-		return n.elect.Standing(time.Now())
+func (n *Controller) Members(ctx context.Context) (*admin.Member, error) {
+	var held loopHold
+	s, err := runInLoop(ctx, n.urgent, func(time.Time) election.Standing {
+		held = n.longestHold
+		return n.election.Standing(time.Now())
 	})
 	if err != nil {
 		return nil, err
 	}
-	m := &admin.Member{Member: n.plat.Member, State: s.State, Leader: s.Leader, Token: s.Token, Lease: s.Lease.Seconds(), Right: s.Right.Seconds(), Each: s.Each.Seconds(),
-		Promises: map[string]float64{}, Bound: s.Bound.Seconds(), StateDown: n.state.Down(time.Now()).Seconds(),
-		Load: admin.Load{Hold: held.most.Seconds(), By: held.what, Inbox: len(n.inbox)}}
-	sockets := n.sockets.Standing()
+	m := &admin.Member{Member: n.platform.Member, State: s.State, Leader: s.Leader, Token: s.Token, Lease: s.Lease.Seconds(), Right: s.Right.Seconds(), Each: s.Each.Seconds(),
+		Promises: map[string]float64{}, Bound: s.Bound.Seconds(), StateDown: n.store.Down(time.Now()).Seconds(),
+		Load: admin.Load{Hold: held.longest.Seconds(), By: held.work, Inbox: len(n.inbox)}}
+	sockets := n.connections.Standing()
 	m.Sockets = admin.Sockets{Level: sockets.Level.String(), Used: sockets.Used, Peak: sockets.Peak, Most: sockets.Most, Owners: map[string]admin.Socket{}}
 	for o, a := range sockets.Owners {
 		m.Sockets.Owners[o.String()] = admin.Socket{Used: a.Used, Share: a.Share, Turned: a.Turned}
 	}
-	m.Rollout = n.rolloutStanding()
+	m.Rollout = n.describeRollout()
 	if n.router != nil {
 		m.Requests = n.router.Standing(time.Now())
 	}
@@ -99,13 +99,13 @@
 	return m, nil
 }
 
-// release tells the other members that their promises are needed no more.
-func (n *Node) release(token uint64) {
+// releaseVotes tells the other members that their promises are needed no more.
+func (n *Controller) releaseVotes(token uint64) {
 	for _, c := range n.peers {
 		n.spawn(func() {
-			ctx, cancel := context.WithTimeout(n.ctx, promiseWait)
+			ctx, cancel := context.WithTimeout(n.ctx, voteTimeout)
 			defer cancel()
-			_, err := c.Promise(ctx, &peerpb.PromiseAsk{Member: n.plat.Member, Token: token, Release: true})
+			_, err := c.Promise(ctx, &peerpb.PromiseAsk{Member: n.platform.Member, Token: token, Release: true})
 			if err != nil {
 				n.log.Debug("release not told", "err", err)
 			}
@@ -115,18 +115,18 @@
 
 // Promise answers a leader that asks for this member's promise, or a member that asks who
 // leads.
-func (h relayed) Promise(ctx context.Context, q *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
-	n := h.n
-	a, err := inLoop(ctx, n.urgent, func(time.Time) *peerpb.PromiseAnswer {
+func (h peerHandler) Promise(ctx context.Context, q *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
+	n := h.controller
+	a, err := runInLoop(ctx, n.urgent, func(time.Time) *peerpb.PromiseAnswer {
 		// Read anew: the loop's moment may be from before the leader has asked, and a
 		// promise that is counted from there would end too early.
 		now := time.Now()
-		a := &peerpb.PromiseAnswer{Member: n.plat.Member}
+		a := &peerpb.PromiseAnswer{Member: n.platform.Member}
 		switch {
 		case q.GetToken() == 0:
-			a.Leads = n.elect.State() == election.Leading || n.elect.State() == election.Claiming
+			a.Leads = n.election.State() == election.Leading || n.election.State() == election.Claiming
 		case q.GetRelease():
-			n.elect.Released(q.GetToken())
+			n.election.Released(q.GetToken())
 		case ctx.Err() == nil:
 			w := n.jobs.Word(q.GetRevision(), store.Told{Life: q.GetToldLife(), Count: q.GetTold()})
 			a.Life, a.Told, a.Whole = w.Upto.Life, w.Upto.Count, w.Whole
@@ -134,7 +134,7 @@
 				a.Cancelled, a.Versions = append(a.Cancelled, c.ID), append(a.Versions, c.Version)
 			}
 			if w.Whole || q.GetWords() {
-				long := n.promise(now, q)
+				long := n.grantVote(now, q)
 				a.Granted, a.ForMs = long > 0, uint64(long.Milliseconds())
 			}
 		}
@@ -146,18 +146,18 @@
 	return a
 }
 
-// promise decides whether this member promises a leader not to claim, and for how long; 0: it
+// grantVote decides whether this member promises a leader not to claim, and for how long; 0: it
 // does not.
-func (n *Node) promise(now time.Time, q *peerpb.PromiseAsk) time.Duration {
+func (n *Controller) grantVote(now time.Time, q *peerpb.PromiseAsk) time.Duration {
 	// One that has not read the records since its start may have told users of
 	// cancellations, in an earlier life, that the leader does not know.
 	if n.jobs.Revision() == 0 {
 		return 0
 	}
 	silent := time.Duration(q.GetSilentMs()) * time.Millisecond
-	if at := n.state.Contact(); at.Sub(now.Add(-silent)) > served && n.state.Down(now) == 0 {
+	if at := n.store.Contact(); at.Sub(now.Add(-silent)) > maxContactLead && n.store.Down(now) == 0 {
 		return 0
 	}
-	return n.elect.Promise(now, election.Question{Leader: q.GetMember(), Token: q.GetToken(), Seq: q.GetSeq(), Instead: q.GetInstead(),
+	return n.election.Promise(now, election.Question{Leader: q.GetMember(), Token: q.GetToken(), Seq: q.GetSeq(), Instead: q.GetInstead(),
 		For: time.Duration(min(q.GetForMs(), uint64(time.Minute.Milliseconds()))) * time.Millisecond})
 }
