--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -51,7 +51,7 @@
 	return slices.Clone(b.accounts), b.read()
 }
 
-func (b *books) Pages(_ context.Context, team string, after uint64, most int) ([]ledger.Stored, bool, error) {
+func (b *books) Segments(_ context.Context, team string, after uint64, most int) ([]ledger.Stored, bool, error) {
 	if err := b.read(); err != nil {
 		return nil, false, err
 	}
@@ -64,7 +64,7 @@
 	return slices.Clone(list[:min(most, len(list))]), len(list) > most, nil
 }
 
-func (b *books) Stretches(context.Context, uint64, int) ([]ledger.Stretch, bool, error) {
+func (b *books) Intervals(context.Context, uint64, int) ([]ledger.Stretch, bool, error) {
 	return []ledger.Stretch{{From: noon, To: noon.Add(time.Minute), Token: 4, Without: 1}}, false, b.read()
 }
 
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -24,8 +24,8 @@
 // Records is what the interface reads of the state service.
 type Records interface {
 	Accounts(ctx context.Context) ([]ledger.OnRecord, error)
-	Pages(ctx context.Context, team string, after uint64, most int) (pages []ledger.Stored, more bool, err error)
-	Stretches(ctx context.Context, after uint64, most int) (list []ledger.Stretch, more bool, err error)
+	Segments(ctx context.Context, team string, after uint64, most int) (pages []ledger.Stored, more bool, err error)
+	Intervals(ctx context.Context, after uint64, most int) (list []ledger.Stretch, more bool, err error)
 }
 
 // Leader is what the interface asks of the leader's picture, and of the job records.
@@ -216,7 +216,7 @@
 	if err := s.wait(ctx); err != nil {
 		return nil, false, err
 	}
-	return s.records.Pages(ctx, team, after, pageRows)
+	return s.records.Segments(ctx, team, after, pageRows)
 }
 
 // cursor is where the next page of an answer begins: with a team, behind a page.
@@ -413,7 +413,7 @@
 	if err := s.wait(ctx); err != nil {
 		return nil, err
 	}
-	list, more, err := s.records.Stretches(ctx, after, 4*pageRows)
+	list, more, err := s.records.Intervals(ctx, after, 4*pageRows)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/clustersim/electionsim/play.go
+++ b/internal/clustersim/electionsim/play.go
@@ -65,7 +65,7 @@
 var begin = time.Unix(1000, 0)
 
 type member struct {
-	m    *election.Machine
+	m    *election.StateMachine
 	up   bool
 	cut  bool // from the state service
 	away bool // from the other members
@@ -80,7 +80,7 @@
 	life     int // of the receiver, which takes nothing that was meant for an earlier one
 	back     int // of the sender
 	sent     time.Time
-	q        election.Question
+	q        election.VoteRequest
 	long     time.Duration
 	claim    election.Claim
 }
@@ -117,15 +117,15 @@
 
 func (s *state) names() []string { return []string{"a", "b", "c", "d", "e"}[:len(s.members)] }
 
-func (s *state) birth(i int) *election.Machine {
-	set := election.Settings{Member: s.names()[i], Life: 4 * second, Margin: 200 * time.Millisecond, Look: 2 * second, Retry: second,
-		Promise: 3500 * time.Millisecond, Outage: 7 * second}
+func (s *state) birth(i int) *election.StateMachine {
+	set := election.Settings{Member: s.names()[i], LeaseDuration: 4 * second, SafetyMargin: 200 * time.Millisecond, PollInterval: 2 * second, RetryInterval: second,
+		VoteDuration: 3500 * time.Millisecond, OutageVoteDuration: 7 * second}
 	if s.set.Levels && !s.members[i].old {
-		set.Can = featuregate.Can
+		set.MaxLevel = featuregate.Can
 	}
 	for j, n := range s.names() {
 		if j != i {
-			set.Others = append(set.Others, n)
+			set.Peers = append(set.Peers, n)
 		}
 	}
 	return election.New(s.now, set, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -290,7 +290,7 @@
 		if s.set.Break == Forgotten {
 			for i, n := range s.names() {
 				if i != t.who {
-					k.m.Step(s.now, election.Unbound{Member: n, Sent: s.now})
+					k.m.Step(s.now, election.NotLeadingReceived{Member: n, Sent: s.now})
 				}
 			}
 		}
@@ -335,7 +335,7 @@
 	}
 	for i := range s.members {
 		if k := &s.members[i]; !k.old {
-			s.event(i, s.now, election.Raising{To: featuregate.Can, Again: i == leader})
+			s.event(i, s.now, election.ProposeLevel{Level: featuregate.Can, StepDown: i == leader})
 		}
 	}
 }
@@ -393,9 +393,9 @@
 	case 'a':
 		q := m.q
 		if s.set.Break == CutShort {
-			q.For /= 3
+			q.Duration /= 3
 		}
-		if answer.long = k.m.Promise(s.now, q); answer.long > 0 {
+		if answer.long = k.m.HandleVoteRequest(s.now, q); answer.long > 0 {
 			if s.set.Break == CutShort {
 				answer.long *= 3
 			}
@@ -407,15 +407,15 @@
 		if s.set.Break == Late {
 			now = begin
 		}
-		s.event(m.to, now, election.PromiseBack{Member: s.names()[m.from], Token: m.q.Token, Sent: m.sent, Seq: m.q.Seq, For: m.long})
+		s.event(m.to, now, election.VoteReceived{Member: s.names()[m.from], FencingToken: m.q.FencingToken, Sent: m.sent, Seq: m.q.Seq, Duration: m.long})
 	case 'u':
 		if st := k.m.State(); st != election.Leading && st != election.Claiming {
 			reply('n')
 		}
 	case 'n':
-		s.event(m.to, s.now, election.Unbound{Member: s.names()[m.from], Sent: m.sent})
+		s.event(m.to, s.now, election.NotLeadingReceived{Member: s.names()[m.from], Sent: m.sent})
 	case 'r':
-		k.m.Released(m.q.Token)
+		k.m.HandleVoteRelease(m.q.FencingToken)
 	}
 }
 
@@ -447,25 +447,25 @@
 		err = io.EOF
 	}
 	switch e := e.(type) {
-	case election.Look:
-		r := election.Record{Held: s.holder != 0, Leader: s.names()[s.owner], Lease: s.holder, Token: s.token, TokenVersion: s.version}
+	case election.ReadRecord:
+		r := election.Record{Held: s.holder != 0, Leader: s.names()[s.owner], LeaseID: s.holder, FencingToken: s.token, TokenVersion: s.version}
 		if s.members[i].old && s.level > 0 && s.set.Break != Readable {
 			err = errors.New("not a token's record")
 		} else if !s.members[i].old {
 			r.Level, r.LevelVersion = s.level, s.levelVersion
 		}
-		s.event(i, s.now, election.Looked{Record: r, Err: err})
-	case election.Grant:
+		s.event(i, s.now, election.RecordRead{Record: r, Err: err})
+	case election.GrantLease:
 		id := uint64(0)
 		if served {
 			s.next++
 			id = s.next
-			s.leases[id] = int(e.Life / second)
+			s.leases[id] = int(e.Duration / second)
 		}
 		if s.blink(i, "blink-granted") {
 			return
 		}
-		s.event(i, s.now, election.Granted{Lease: id, Sent: s.now, Err: err})
+		s.event(i, s.now, election.LeaseGranted{LeaseID: id, Sent: s.now, Err: err})
 	case election.Claim:
 		s.out.Claims++
 		ok := false
@@ -484,40 +484,40 @@
 		if s.blink(i, "blink-claimed") || s.blink(i, "blink-claiming") {
 			return
 		}
-		s.event(i, s.now, election.Claimed{OK: ok && answered, Version: s.version, Err: err})
-	case election.Touch:
-		_, lives := s.leases[e.Lease]
+		s.event(i, s.now, election.ClaimCompleted{OK: ok && answered, TokenVersion: s.version, Err: err})
+	case election.RenewLease:
+		_, lives := s.leases[e.LeaseID]
 		if served && lives {
-			s.leases[e.Lease] = 4
+			s.leases[e.LeaseID] = 4
 		}
-		s.event(i, s.now, election.Touched{Lease: e.Lease, Sent: s.now, Lost: answered && !lives, Err: err})
-	case election.Drop:
+		s.event(i, s.now, election.LeaseRenewed{LeaseID: e.LeaseID, Sent: s.now, Expired: answered && !lives, Err: err})
+	case election.RevokeLease:
 		if served {
-			s.end(e.Lease)
+			s.end(e.LeaseID)
 		}
-	case election.AskPromises:
-		s.tell(i, message{kind: 'a', q: election.Question{Leader: s.names()[i], Token: e.Token, Seq: e.Seq, For: e.For, Instead: e.Instead}})
-	case election.AskUnbound:
+	case election.RequestVotes:
+		s.tell(i, message{kind: 'a', q: election.VoteRequest{Leader: s.names()[i], FencingToken: e.FencingToken, Seq: e.Seq, Duration: e.Duration, Supersedes: e.Supersedes}})
+	case election.QueryLeadership:
 		s.tell(i, message{kind: 'u'})
-	case election.Release:
+	case election.ReleaseVotes:
 		if s.blink(i, "blink-releasing") {
 			return
 		}
-		s.tell(i, message{kind: 'r', q: election.Question{Token: e.Token}})
+		s.tell(i, message{kind: 'r', q: election.VoteRequest{FencingToken: e.FencingToken}})
 		s.blink(i, "blink-released")
 	}
 }
 
 func (s *state) claim(i int, c election.Claim) bool {
-	if _, lives := s.leases[c.Lease]; s.down || s.holder != 0 || s.version != c.TokenVersion || !lives {
+	if _, lives := s.leases[c.LeaseID]; s.down || s.holder != 0 || s.version != c.TokenVersion || !lives {
 		return false
 	}
 	if !s.members[i].old && s.levelVersion != c.LevelVersion {
 		return false
 	}
-	s.holder, s.owner, s.token = c.Lease, i, c.Token
-	if c.Raise > 0 {
-		s.level = c.Raise
+	s.holder, s.owner, s.token = c.LeaseID, i, c.FencingToken
+	if c.NewLevel > 0 {
+		s.level = c.NewLevel
 		s.levelVersion++
 	}
 	s.version++
@@ -541,7 +541,7 @@
 		now, n := s.now.Add(after), 0
 		for i := range s.members {
 			k := &s.members[i]
-			if !k.up || !k.m.Entitled(now) {
+			if !k.up || !k.m.LeadershipValid(now) {
 				continue
 			}
 			n++
@@ -552,11 +552,11 @@
 			case !k.old && k.m.Level() != s.level:
 				return true, false, fmt.Sprintf("%s may act by level %d, in force is %d", s.names()[i], k.m.Level(), s.level)
 			}
-			if k.m.Token() < s.highest {
-				return true, false, fmt.Sprintf("%s may act with token %d, after %d", s.names()[i], k.m.Token(), s.highest)
+			if k.m.FencingToken() < s.highest {
+				return true, false, fmt.Sprintf("%s may act with token %d, after %d", s.names()[i], k.m.FencingToken(), s.highest)
 			}
-			s.highest = k.m.Token()
-			byWord = byWord || !now.Before(k.m.LeaseUntil())
+			s.highest = k.m.FencingToken()
+			byWord = byWord || !now.Before(k.m.LeaseValidUntil())
 		}
 		if acting = acting || n > 0; n > 1 {
 			return true, byWord, fmt.Sprintf("%d members may act", n)
--- a/internal/clustersim/ledgersim/week.go
+++ b/internal/clustersim/ledgersim/week.go
@@ -426,7 +426,7 @@
 func (k *week) compare() {
 	r, ctx := k.res, context.Background()
 	c := store.NewOver(k.w.State, k.w.State, time.Second)
-	c.SetRates(1e9, 1e9)
+	c.SetRateLimits(1e9, 1e9)
 	r.Takeovers, r.Settled = len(k.audit.leaders)-1, k.audit.settled
 	elapsed := k.w.Now().Sub(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	r.Share = float64(k.audit.useOps) / (k.set.Deployment.State.WriteRPS * elapsed.Seconds())
@@ -445,7 +445,7 @@
 		var link string
 		for after, more := uint64(0), true; more; {
 			var pages []ledger.Stored
-			if pages, more, err = c.Pages(ctx, o.Team, after, 50); err != nil {
+			if pages, more, err = c.Segments(ctx, o.Team, after, 50); err != nil {
 				r.Broken = "the ledger cannot be read: " + err.Error()
 				return
 			}
@@ -469,7 +469,7 @@
 			k.team(t.Name, ledger.Use{})
 		}
 	}
-	stretches, _, err := c.Stretches(ctx, 0, 1000)
+	stretches, _, err := c.Intervals(ctx, 0, 1000)
 	if err != nil {
 		r.Broken = "the ledger cannot be read: " + err.Error()
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -99,8 +99,8 @@
 	if l.RPS <= 0 || l.WriteRPS <= 0 || l.ValueKB < minValueKB || l.TxnOps < minTxnOps || p.CloudRPS() <= 0 {
 		t.Errorf("limits %+v, cloud %v", l, p.CloudRPS())
 	}
-	if set := ReconcilerSettings(p, Defaults()); set.MaxTxnOps != l.TxnOps || set.NumberedChunkTasks < 64 || StoreLimits(p).Value < 1024 {
-		t.Errorf("a core's %d changes, old chunks of %d, values of %d", set.MaxTxnOps, set.NumberedChunkTasks, StoreLimits(p).Value)
+	if set := ReconcilerSettings(p, Defaults()); set.MaxTxnOps != l.TxnOps || set.NumberedChunkTasks < 64 || StoreLimits(p).MaxValueBytes < 1024 {
+		t.Errorf("a core's %d changes, old chunks of %d, values of %d", set.MaxTxnOps, set.NumberedChunkTasks, StoreLimits(p).MaxValueBytes)
 	}
 }
 
@@ -131,8 +131,8 @@
 	if got, want := p.StateLimits(), (StateLimits{RPS: 200, WriteRPS: 56, ValueKB: 2, TxnOps: 12}); got != want {
 		t.Errorf("limits %+v, want %+v", got, want)
 	}
-	if set := ReconcilerSettings(p, Defaults()); set.NumberedChunkTasks != 16384 || set.MaxTxnOps != 12 || StoreLimits(p).Value != 2048 {
-		t.Errorf("old chunks of %d tasks, %d changes, values of %d bytes", set.NumberedChunkTasks, set.MaxTxnOps, StoreLimits(p).Value)
+	if set := ReconcilerSettings(p, Defaults()); set.NumberedChunkTasks != 16384 || set.MaxTxnOps != 12 || StoreLimits(p).MaxValueBytes != 2048 {
+		t.Errorf("old chunks of %d tasks, %d changes, values of %d bytes", set.NumberedChunkTasks, set.MaxTxnOps, StoreLimits(p).MaxValueBytes)
 	}
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -125,23 +125,23 @@
 // StoreLimits puts together what the records are kept within.
 func StoreLimits(p *Platform) store.Limits {
 	l := p.StateLimits()
-	return store.Limits{Value: int(l.ValueKB * 1024), Ops: l.TxnOps}
+	return store.Limits{MaxValueBytes: int(l.ValueKB * 1024), MaxChanges: l.TxnOps}
 }
 
 // ElectionSettings puts together what the election works by.
 func ElectionSettings(p *Platform, o *Operator) election.Settings {
-	s := election.Settings{Member: p.Member, Life: o.Leadership.Lease.Std(), Margin: o.Leadership.Margin.Std(),
-		Look: o.Leadership.PollInterval.Std(), Retry: o.Leadership.RetryInterval.Std(), Can: featuregate.Can}
+	s := election.Settings{Member: p.Member, LeaseDuration: o.Leadership.Lease.Std(), SafetyMargin: o.Leadership.Margin.Std(),
+		PollInterval: o.Leadership.PollInterval.Std(), RetryInterval: o.Leadership.RetryInterval.Std(), MaxLevel: featuregate.Can}
 	for _, m := range p.Members {
-		s.Others = append(s.Others, m.Member)
+		s.Peers = append(s.Peers, m.Member)
 	}
 	// A cancellation that the leader learns of only when its right has ended: workers'
 	// leases, which it has kept alive until then, must run out in time.
-	if w := p.Deployment.Workers; o.Votes != nil && Seconds(w.Lease)+s.Life+voteSlack < Seconds(w.Cancel) {
-		s.Promise = s.Life * 7 / 8
+	if w := p.Deployment.Workers; o.Votes != nil && Seconds(w.Lease)+s.LeaseDuration+voteSlack < Seconds(w.Cancel) {
+		s.VoteDuration = s.LeaseDuration * 7 / 8
 		// The same for a cancellation that somebody tells of right after such a promise.
-		if s.Outage = min(o.Votes.Outage.Std(), Seconds(w.Cancel)-Seconds(w.Lease)-voteSlack); s.Outage <= s.Promise {
-			s.Outage = 0
+		if s.OutageVoteDuration = min(o.Votes.Outage.Std(), Seconds(w.Cancel)-Seconds(w.Lease)-voteSlack); s.OutageVoteDuration <= s.VoteDuration {
+			s.OutageVoteDuration = 0
 		}
 	}
 	return s
@@ -174,7 +174,7 @@
 	}
 	// A batch is one change, and its answers are another one.
 	every := Seconds(1 / (relayChangeShare * max(p.StateLimits().WriteRPS, 1e-3)))
-	return &courier.Settings{Every: min(max(every, 200*time.Millisecond), time.Second), Queue: 512, Bytes: 2 << 20, Out: 3, Patience: 3300 * time.Millisecond, Pause: 8 * time.Second}
+	return &courier.Settings{BatchInterval: min(max(every, 200*time.Millisecond), time.Second), MaxQueued: 512, MaxQueuedBytes: 2 << 20, MaxInFlight: 3, HeartbeatTimeout: 3300 * time.Millisecond, RetryAfter: 8 * time.Second}
 }
 
 // relayChangeShare is the part of the state service's changes that one member's reports take at most,
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -40,7 +40,7 @@
 	log      *slog.Logger
 
 	store          *store.Client
-	jobs           *store.Jobs
+	jobs           *store.JobCache
 	cloud          *cloud.Client
 	workers        *worker.Client
 	httpAPI        *httpapi.Server
@@ -62,7 +62,7 @@
 	jobChangesReady chan struct{}
 
 	// Owned by the loop.
-	election    *election.Machine
+	election    *election.StateMachine
 	reconciler  *reconciler.Core
 	term        uint64 // counts the leaderships of this process; effects of an earlier one are void
 	longestHold loopHold
@@ -70,8 +70,8 @@
 	// What it knows of cancellations as leader; nil: its core is not there yet.
 	staleness      *staleness.Tracker
 	stalenessBound staleness.Bound
-	tooStale       bool                  // it knows too little to act
-	acknowledged   map[string]store.Told // by member, how far this one was told
+	tooStale       bool                                // it knows too little to act
+	acknowledged   map[string]store.CancellationCursor // by member, how far this one was told
 	// While the right of the present leadership has lapsed: its token, and since when.
 	lapsedToken uint64
 	lapsedAt    time.Time
@@ -116,21 +116,21 @@
 		log.Warn("memory", "short", short, "held_mb", held>>20, "most_mb", most>>20)
 	})
 	n.store = store.New(p.Services.State, o.HTTPAPI.StateTimeout.Std(), n.connections.Dial(connquota.State))
-	n.jobs = store.NewJobs(n.store, rand.Uint64()|1, o.HTTPAPI.EndedJobsCached, config.StoreLimits(p), n.enqueueJobChanges, log)
+	n.jobs = store.NewJobCache(n.store, rand.Uint64()|1, o.HTTPAPI.EndedJobsCached, config.StoreLimits(p), n.enqueueJobChanges, log)
 	n.cloud = cloud.New(p.Services.Cloud, 1, cloudTimeout, n.connections.Dial(connquota.Cloud))
 	n.workers = worker.New(o.Workers.CommandTimeout.Std(), n.connections.Dial(connquota.Direct))
 	set := config.ElectionSettings(p, o)
 	n.election = election.New(time.Now(), set, log)
-	if o.Votes != nil && set.Promise == 0 {
+	if o.Votes != nil && set.VoteDuration == 0 {
 		log.Warn("promises stay off: workers' leases, the leader's lease and 3 s are not below cancel_s", "lease_s", p.Deployment.Workers.Lease,
-			"leader_lease", set.Life, "cancel_s", p.Deployment.Workers.Cancel)
+			"leader_lease", set.LeaseDuration, "cancel_s", p.Deployment.Workers.Cancel)
 	}
 	var ok bool
 	if n.stalenessBound, ok = config.StalenessBound(p); !ok {
 		log.Warn("workers' leases are too long for cancel_s: tasks of cancelled jobs on machines that can't be reached may outlast it", "lease_s", p.Deployment.Workers.Lease,
 			"cancel_s", p.Deployment.Workers.Cancel, "knows_of_cancellations_within", n.stalenessBound.KeepLeases)
 	}
-	n.acknowledged = map[string]store.Told{}
+	n.acknowledged = map[string]store.CancellationCursor{}
 	n.router = n.newRouter()
 	n.storeRelay = newStoreRelay(n)
 	n.httpAPI = httpapi.New(httpapi.Settings{RetryAfter: o.HTTPAPI.RetryAfter.Std(), Conns: conns, Sockets: n.connections, Rules: o.Constraints != nil, RulesNow: n.rulesSupported(), Router: n.router}, n.jobs, n, time.Now, log)
@@ -158,7 +158,7 @@
 		}
 	}
 	l := n.platform.StateLimits()
-	n.store.SetRates(part*l.RPS, part*l.WriteRPS)
+	n.store.SetRateLimits(part*l.RPS, part*l.WriteRPS)
 	c := 0.05
 	if leading {
 		c = 0.85
@@ -249,7 +249,7 @@
 	for n.ctx.Err() == nil {
 		metrics.Read(samples)
 		n.memory.Weigh(samples[0].Value.Uint64() + samples[1].Value.Uint64())
-		store.Wait(n.ctx, time.Second)
+		store.Sleep(n.ctx, time.Second)
 	}
 	return nil
 }
@@ -261,9 +261,9 @@
 // lease.
 func (n *Controller) stepDown(now time.Time) {
 	for _, e := range n.election.Step(now, election.Resign{}) {
-		if d, ok := e.(election.Drop); ok {
+		if d, ok := e.(election.RevokeLease); ok {
 			n.lease.Store(nil)
-			if err := n.store.Drop(d.Lease); err != nil {
+			if err := n.store.RevokeLease(d.LeaseID); err != nil {
 				n.log.Warn("the lease was not given up", "err", err)
 			}
 		}
@@ -359,7 +359,7 @@
 		return false
 	}
 	// A leader that acts on promises alone shows nothing of the kind.
-	alone := n.store.Down(now) > config.ElectionSettings(n.platform, n.operator).Life+leaderTimeout
+	alone := n.store.UnreachableFor(now) > config.ElectionSettings(n.platform, n.operator).LeaseDuration+leaderTimeout
 	h := n.leaderContact.Load()
 	return !alone || h == nil || h.onVotes || now.Sub(h.at) > leaderTimeout/2 || n.lease.Load().valid()
 }
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -115,47 +115,47 @@
 			n.postCompletion(term, reconciler.CatalogReceived{Types: types})
 		})
 	case reconciler.LookUpJobEnds:
-		n.spawn(func() { n.postCompletion(term, reconciler.JobEndsReceived{Ends: n.jobs.Ends(n.ctx, e.IDs)}) })
+		n.spawn(func() { n.postCompletion(term, reconciler.JobEndsReceived{Ends: n.jobs.ReadEnds(n.ctx, e.IDs)}) })
 	case reconciler.Commit:
 		saves := append([]reconciler.Change(nil), e.Changes...)
 		n.spawn(func() {
 			ev := reconciler.CommitCompleted{Changes: saves, Outcome: reconciler.OK}
-			rev, ok, err := n.store.Save(n.ctx, r.tokenVersion, saves)
+			rev, ok, err := n.store.CommitFenced(n.ctx, r.tokenVersion, saves)
 			ev.Version = rev
 			switch {
 			case errors.Is(err, store.ErrRejected):
 				ev.Outcome = reconciler.Rejected
-				n.log.Error("the state service rejects records", "keys", store.Keys(saves), "err", err)
+				n.log.Error("the state service rejects records", "keys", store.ChangeKeys(saves), "err", err)
 			case errors.Is(err, store.ErrNotExecuted):
 				ev.Outcome = reconciler.NotSent
 			case err != nil:
 				ev.Outcome = reconciler.Unknown
 			case !ok:
 				ev.Outcome = reconciler.Refused
-				if last, err := n.store.StillLast(n.ctx, r.tokenVersion); err != nil {
+				if last, err := n.store.TokenUnchanged(n.ctx, r.tokenVersion); err != nil {
 					ev.Outcome = reconciler.Unknown
 				} else if !last {
-					n.postElectionEvent(election.Fenced{Token: r.fencingToken})
+					n.postElectionEvent(election.Fenced{FencingToken: r.fencingToken})
 				}
 			}
 			n.postCompletion(term, ev)
 		})
 	case reconciler.Fence:
 		n.spawn(func() {
-			v, ok, err := n.store.Rewrite(n.ctx, n.platform.Member, r.fencingToken, r.tokenVersion)
+			v, ok, err := n.store.RewriteToken(n.ctx, n.platform.Member, r.fencingToken, r.tokenVersion)
 			if err != nil {
 				n.log.Debug("fence", "err", err)
 				n.postCompletion(term, reconciler.FenceCompleted{Outcome: reconciler.Unknown})
 				return
 			}
 			if !ok {
-				n.postElectionEvent(election.Fenced{Token: r.fencingToken})
+				n.postElectionEvent(election.Fenced{FencingToken: r.fencingToken})
 				return
 			}
 			n.log.Info("transactions without an answer are void", "token", r.fencingToken, "version", v)
 			n.post(func(now time.Time) {
 				if n.term == term {
-					n.applyElectionEffects(now, n.election.Step(now, election.Rewritten{Token: r.fencingToken, Version: v}))
+					n.applyElectionEffects(now, n.election.Step(now, election.TokenRewritten{FencingToken: r.fencingToken, TokenVersion: v}))
 					n.stepReconciler(now, reconciler.FenceCompleted{Outcome: reconciler.OK})
 				}
 			})
@@ -174,7 +174,7 @@
 		})
 	case reconciler.ReadSegments:
 		n.spawn(func() {
-			pages, _, err := n.store.Pages(n.ctx, e.Team, 0, reconciler.MaxSegmentsRead)
+			pages, _, err := n.store.Segments(n.ctx, e.Team, 0, reconciler.MaxSegmentsRead)
 			if err != nil {
 				n.log.Debug("closed pages", "team", e.Team, "err", err)
 			}
@@ -212,7 +212,7 @@
 	n.jobChanges = nil
 	n.jobChangesMu.Unlock()
 	for _, ch := range changes {
-		n.stepReconciler(now, n.jobs.Event(ch))
+		n.stepReconciler(now, n.jobs.EventFor(ch))
 	}
 }
 
@@ -230,7 +230,7 @@
 		} else {
 			n.log.Debug("catalogue", "err", err)
 		}
-		store.Wait(n.ctx, wait)
+		store.Sleep(n.ctx, wait)
 	}
 	return nil
 }
--- a/internal/controller/explain.go
+++ b/internal/controller/explain.go
@@ -29,7 +29,7 @@
 	if leader == nil || n.peers[*leader] == nil {
 		return nil, errNoLeader
 	}
-	a, err := n.peers[*leader].Ask(ctx, &peerpb.Ask{Explain: id})
+	a, err := n.peers[*leader].Explain(ctx, &peerpb.Ask{Explain: id})
 	if err == nil && !a.GetAct() {
 		err = errNoLeader
 	}
@@ -82,8 +82,8 @@
 	return v.State, err
 }
 
-// Ask answers an operator's question that another controller hands over.
-func (h peerHandler) Ask(ctx context.Context, q *peerpb.Ask) *peerpb.AskAnswer {
+// HandleExplain answers an operator's question that another controller hands over.
+func (h peerHandler) HandleExplain(ctx context.Context, q *peerpb.Ask) *peerpb.AskAnswer {
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
 	if a := h.controller.explainLocally(ctx, q.GetExplain()); a != nil {
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -37,7 +37,7 @@
 	if until, ok := ctx.Deadline(); ok {
 		h.WaitMs = uint32(max(time.Until(until)-forwardMargin, forwardMargin).Milliseconds())
 	}
-	a, err := n.forwardClients[member].Hand(ctx, h)
+	a, err := n.forwardClients[member].ForwardRequest(ctx, h)
 	switch {
 	case errors.Is(err, peer.ErrDialing):
 		return route.Answer{Cause: route.Busy}
@@ -59,10 +59,10 @@
 }
 
 // Reached is when the state service has last answered anything.
-func (n *Controller) Reached() time.Time { return n.store.Contact() }
+func (n *Controller) Reached() time.Time { return n.store.LastContact() }
 
-// Hand answers a user's request that another member cannot take.
-func (h peerHandler) Hand(ctx context.Context, q *peerpb.Hand) *peerpb.HandAnswer {
+// HandleForwardedRequest answers a user's request that another member cannot take.
+func (h peerHandler) HandleForwardedRequest(ctx context.Context, q *peerpb.Hand) *peerpb.HandAnswer {
 	a := h.controller.httpAPI.Visit(
 		ctx,
 		route.Request{Kind: route.Kind(min(q.GetKind(), 255)), ID: q.GetId(), Body: q.GetBody()},
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -14,45 +14,45 @@
 func (n *Controller) applyElectionEffects(now time.Time, effects []election.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case election.Look:
+		case election.ReadRecord:
 			n.spawn(func() {
-				r, _, err := n.store.Look(n.ctx)
-				n.postElectionEvent(election.Looked{Record: r, Err: err})
+				r, _, err := n.store.ReadLeaderRecord(n.ctx)
+				n.postElectionEvent(election.RecordRead{Record: r, Err: err})
 			})
-		case election.Grant:
+		case election.GrantLease:
 			n.spawn(func() {
 				sent := time.Now()
-				lease, err := n.store.Grant(e.Life)
-				n.postElectionEvent(election.Granted{Lease: lease, Sent: sent, Err: err})
+				lease, err := n.store.GrantLease(e.Duration)
+				n.postElectionEvent(election.LeaseGranted{LeaseID: lease, Sent: sent, Err: err})
 			})
 		case election.Claim:
 			n.spawn(func() {
-				v, ok, err := n.store.Claim(n.ctx, n.platform.Member, e)
-				n.postElectionEvent(election.Claimed{OK: ok, Version: v, Err: err})
+				v, ok, err := n.store.ClaimLeadership(n.ctx, n.platform.Member, e)
+				n.postElectionEvent(election.ClaimCompleted{OK: ok, TokenVersion: v, Err: err})
 			})
-		case election.Touch:
-			token := n.election.Token()
-			n.spawn(func() { n.renewLease(token, e.Lease) })
-		case election.Drop:
+		case election.RenewLease:
+			token := n.election.FencingToken()
+			n.spawn(func() { n.renewLease(token, e.LeaseID) })
+		case election.RevokeLease:
 			n.spawn(func() {
 				for range 3 {
-					if n.store.Drop(e.Lease) == nil {
+					if n.store.RevokeLease(e.LeaseID) == nil {
 						return
 					}
-					store.Wait(n.ctx, 300*time.Millisecond)
+					store.Sleep(n.ctx, 300*time.Millisecond)
 				}
 			})
-		case election.AskPromises:
+		case election.RequestVotes:
 			n.requestVotes(n.term, e)
-		case election.AskUnbound:
+		case election.QueryLeadership:
 			n.askWhoLeads()
-		case election.Release:
-			n.releaseVotes(e.Token)
+		case election.ReleaseVotes:
+			n.releaseVotes(e.FencingToken)
 		case election.Elected:
 			n.term++
 			n.allocateRates(true)
 			n.takeOver(n.term, e)
-			n.superviseRenewals(e.Token, n.election.Lease())
+			n.superviseRenewals(e.FencingToken, n.election.LeaseID())
 		case election.Deposed:
 			n.lease.Store(nil) // before anybody may hear of it
 			n.term++
@@ -89,25 +89,25 @@
 	var rev uint64
 	for n.ctx.Err() == nil {
 		if rev == 0 {
-			r, at, err := n.store.Look(n.ctx)
+			r, at, err := n.store.ReadLeaderRecord(n.ctx)
 			if err != nil {
-				store.Wait(n.ctx, 500*time.Millisecond)
+				store.Sleep(n.ctx, 500*time.Millisecond)
 				continue
 			}
 			rev = at
-			n.postElectionEvent(election.Looked{Record: r})
+			n.postElectionEvent(election.RecordRead{Record: r})
 		}
 		at, vacant, leader, err := n.store.WatchLeader(n.ctx, rev)
 		if err != nil {
 			rev = 0
-			store.Wait(n.ctx, 300*time.Millisecond)
+			store.Sleep(n.ctx, 300*time.Millisecond)
 			continue
 		}
 		rev = at
 		if vacant {
-			n.postElectionEvent(election.Vacant{})
+			n.postElectionEvent(election.LeaderKeyVacant{})
 		} else if leader != "" {
-			n.postElectionEvent(election.Looked{Record: election.Record{Held: true, Leader: leader}})
+			n.postElectionEvent(election.RecordRead{Record: election.Record{Held: true, Leader: leader}})
 		}
 	}
 	return nil
@@ -120,15 +120,15 @@
 			var snap *reconciler.Snapshot
 			err := n.jobs.Refresh(n.ctx)
 			if err == nil {
-				snap, err = n.store.Records(n.ctx, n.settings.Ledger != nil)
+				snap, err = n.store.ReadSnapshot(n.ctx, n.settings.Ledger != nil)
 			}
 			if err == nil {
 				started := make(chan bool, 1)
 				n.post(func(now time.Time) {
 					if n.term == term {
 						// Read in the loop: no change of a job can come in between.
-						n.jobs.Snapshot(snap)
-						n.reconciler = reconciler.New(now, n.settings, e.Token, snap, n.Types(), n.log)
+						n.jobs.AddToSnapshot(snap)
+						n.reconciler = reconciler.New(now, n.settings, e.FencingToken, snap, n.Types(), n.log)
 						n.startStaleness(now)
 					}
 					started <- true
@@ -145,7 +145,7 @@
 				}
 			case <-n.ctx.Done():
 			}
-			store.Wait(n.ctx, 200*time.Millisecond)
+			store.Sleep(n.ctx, 200*time.Millisecond)
 		}
 	})
 }
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -64,7 +64,7 @@
 	}
 	for {
 		old := n.lease.Load()
-		r := &leadershipLease{fencingToken: n.election.Token(), tokenVersion: n.election.Version(), leaseUntil: n.election.LeaseUntil(), votesUntil: n.election.RightUntil(), voteStartsUntil: n.election.StartsUntil()}
+		r := &leadershipLease{fencingToken: n.election.FencingToken(), tokenVersion: n.election.TokenVersion(), leaseUntil: n.election.LeaseValidUntil(), votesUntil: n.election.ValidUntil(), voteStartsUntil: n.election.StartsValidUntil()}
 		if old != nil && old.fencingToken == r.fencingToken {
 			// Of the lease a renewal beside the loop may have shown more. Of promises the
 			// election has the last word: it waives some.
@@ -98,9 +98,9 @@
 // the same count, from the sending (docs/safety.md, "The right to act").
 func (n *Controller) renewLease(token, lease uint64) {
 	sent := time.Now()
-	err := n.store.Touch(lease)
+	err := n.store.RenewLease(lease)
 	if err == nil {
-		until := n.election.Proves(sent)
+		until := n.election.RenewalValidUntil(sent)
 		for {
 			r := n.lease.Load()
 			if r == nil || r.fencingToken != token {
@@ -112,17 +112,17 @@
 		}
 		n.lastRenewalSent.Store(&sent)
 	}
-	n.postElectionEvent(election.Touched{Lease: lease, Sent: sent, Lost: errors.Is(err, store.ErrLeaseOver), Err: err})
+	n.postElectionEvent(election.LeaseRenewed{LeaseID: lease, Sent: sent, Expired: errors.Is(err, store.ErrLeaseExpired), Err: err})
 }
 
 // superviseRenewals watches over the renewals of one leadership beside the loop, which makes them: where
 // it is late, as it is held by a pass or by too much that comes in, they are made here.
 func (n *Controller) superviseRenewals(token, lease uint64) {
-	life, now := n.election.Life(), time.Now()
+	life, now := n.election.LeaseDuration(), time.Now()
 	n.lastRenewalSent.Store(&now)
 	n.spawn(func() {
 		for n.ctx.Err() == nil {
-			store.Wait(n.ctx, life/16)
+			store.Sleep(n.ctx, life/16)
 			if r := n.lease.Load(); r == nil || r.fencingToken != token {
 				return
 			}
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -39,7 +39,7 @@
 			n.log.Warn("the records cannot be read, stepping down")
 			n.applyElectionEffects(now, n.election.Step(now, election.Resign{}))
 		}
-		wake := n.election.Wake()
+		wake := n.election.NextTick()
 		if n.reconciler != nil && n.lease.Load().valid() {
 			n.reconciler.PauseStarts(!n.lease.Load().mayStartTasks(now))
 			n.measureHold("pass", func(now time.Time) {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -88,7 +88,7 @@
 func (n *Controller) Relay(ctx context.Context, machine string, report []byte) ([]byte, bool) {
 	leader := n.leader.Load()
 	mail := n.storeRelay
-	if n.store.Down(time.Now()) > storeDownLimit {
+	if n.store.UnreachableFor(time.Now()) > storeDownLimit {
 		// Guards against workers that spend their leases here: what this member cannot write nobody
 		// will answer, and they had better ask another one at once.
 		mail = nil
@@ -115,7 +115,7 @@
 	}
 	short, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	a, err := n.peers[*leader].Relay(short, append([]byte(nil), report...))
+	a, err := n.peers[*leader].RelayHeartbeat(short, append([]byte(nil), report...))
 	switch {
 	case err == nil && a.GetAct():
 		return a.GetBody(), true
@@ -131,8 +131,8 @@
 // leader tells of jobs.
 type peerHandler struct{ controller *Controller }
 
-// Relay answers a worker's report that another controller hands over.
-func (h peerHandler) Relay(ctx context.Context, report []byte) *peerpb.RelayAnswer {
+// HandleHeartbeat answers a worker's report that another controller hands over.
+func (h peerHandler) HandleHeartbeat(ctx context.Context, report []byte) *peerpb.RelayAnswer {
 	r, err := wire.DecodeHeartbeat(report)
 	if err != nil {
 		return &peerpb.RelayAnswer{}
@@ -146,9 +146,9 @@
 	return &peerpb.RelayAnswer{Act: true, Body: wire.AppendHeartbeatResponse(nil, v.Token, v.Orders)}
 }
 
-// Progress takes what the leader tells for display. It also shows that the
+// HandleProgress takes what the leader tells for display. It also shows that the
 // leader is within reach.
-func (h peerHandler) Progress(p *peerpb.Progress) {
+func (h peerHandler) HandleProgress(p *peerpb.Progress) {
 	h.controller.leaderContact.Store(&leaderContact{p.GetMember(), time.Now(), p.GetOnPromises()})
 	if h.controller.storeRelay != nil {
 		h.controller.storeRelay.leaderReached()
@@ -196,7 +196,7 @@
 // publishProgress keeps the display of progress current, here and at the others.
 func (n *Controller) publishProgress() error {
 	for n.ctx.Err() == nil {
-		store.Wait(n.ctx, progressInterval)
+		store.Sleep(n.ctx, progressInterval)
 		if !n.lease.Load().valid() {
 			continue
 		}
@@ -204,7 +204,7 @@
 		n.post(func(time.Time) {
 			p := &peerpb.Progress{}
 			if n.reconciler != nil {
-				p.Token, p.Member = n.election.Token(), n.platform.Member
+				p.Token, p.Member = n.election.FencingToken(), n.platform.Member
 				p.OnPromises = n.lease.Load() != nil && n.lease.Load().restsOnVotes(time.Now())
 				n.reconciler.EachProgress(func(id string, done, running int) {
 					p.Jobs = append(p.Jobs, &peerpb.JobProgress{Id: id, Done: uint32(done), Running: uint32(running)})
@@ -220,7 +220,7 @@
 			n.storeProgress(p)
 			for name, c := range n.peers {
 				n.spawn(func() {
-					if err := c.Progress(p); err != nil {
+					if err := c.SendProgress(p); err != nil {
 						n.log.Debug("progress not told", "to", name, "err", err)
 					}
 				})
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -17,8 +17,8 @@
 // probePeers asks the other members whether they are there, while the state service is out of reach.
 func (n *Controller) probePeers() error {
 	for n.ctx.Err() == nil {
-		store.Wait(n.ctx, peerProbeInterval)
-		down := n.store.Down(time.Now())
+		store.Sleep(n.ctx, peerProbeInterval)
+		down := n.store.UnreachableFor(time.Now())
 		ask, moved := n.peerReachability.Look(time.Now(), down)
 		if moved {
 			n.log.Info("company", "is", n.peerReachability.State().String(), "without_state", down)
@@ -30,7 +30,7 @@
 			n.spawn(func() {
 				ctx, cancel := context.WithTimeout(n.ctx, peerProbeTimeout)
 				defer cancel()
-				if a, err := c.Promise(ctx, &peerpb.PromiseAsk{Member: n.platform.Member}); err == nil && a != nil {
+				if a, err := c.RequestVote(ctx, &peerpb.PromiseAsk{Member: n.platform.Member}); err == nil && a != nil {
 					n.peerReachability.Met(time.Now())
 				}
 			})
--- a/internal/controller/relay_store.go
+++ b/internal/controller/relay_store.go
@@ -46,7 +46,7 @@
 	if set == nil || len(n.platform.Members) == 0 {
 		return nil
 	}
-	p := &storeRelay{controller: n, incarnation: rand.Uint64() | 1, batchCapacity: wire.MaxBatchPayload(config.StoreLimits(n.platform).Value), flushSignal: make(chan struct{}, 1), answerSignal: make(chan struct{}, 1), waiters: map[uint64]chan []byte{}}
+	p := &storeRelay{controller: n, incarnation: rand.Uint64() | 1, batchCapacity: wire.MaxBatchPayload(config.StoreLimits(n.platform).MaxValueBytes), flushSignal: make(chan struct{}, 1), answerSignal: make(chan struct{}, 1), waiters: map[uint64]chan []byte{}}
 	p.outbox = courier.New(*set, func(from, to courier.Path, why string) {
 		n.log.Info("way of reports", "from", from.String(), "to", to.String(), "why", why)
 	})
@@ -63,7 +63,7 @@
 		defer cancel()
 	}
 	p.mu.Lock()
-	p.outbox.Look(now, false)
+	p.outbox.ObserveContact(now, false)
 	id, ok := p.outbox.Add(now, append([]byte(nil), report...))
 	if !ok {
 		p.mu.Unlock()
@@ -84,7 +84,7 @@
 	case <-ctx.Done():
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.outbox.GiveUp(id)
+		p.outbox.Cancel(id)
 		delete(p.waiters, id)
 		return nil, false
 	}
@@ -94,14 +94,14 @@
 func (p *storeRelay) active() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.outbox.Path() == courier.Post
+	return p.outbox.Path() == courier.ViaStore
 }
 
 // leaderReached takes that the leader is within reach again: nobody waits any more, and workers are sent on.
 func (p *storeRelay) leaderReached() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.outbox.Look(time.Now(), true)
+	p.outbox.ObserveContact(time.Now(), true)
 	p.rejectWaiters()
 }
 
@@ -109,14 +109,14 @@
 func (p *storeRelay) leaderChanged(nobody bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.outbox.Changed(time.Now(), nobody)
+	p.outbox.LeaderChanged(time.Now(), nobody)
 }
 
 // rejectWaiters has all that wait ask again. The lock is held.
 func (p *storeRelay) rejectWaiters() {
 	for id, got := range p.waiters {
 		got <- nil
-		p.outbox.GiveUp(id)
+		p.outbox.Cancel(id)
 	}
 	clear(p.waiters)
 }
@@ -128,7 +128,7 @@
 		p.mu.Lock()
 		now := time.Now()
 		p.outbox.Tick(now)
-		due, idle := p.outbox.Due(now), p.outbox.Idle()
+		due, idle := p.outbox.NextBatchAt(now), p.outbox.Idle()
 		p.mu.Unlock()
 		switch {
 		case idle:
@@ -138,22 +138,22 @@
 			}
 			continue
 		case due.IsZero() || !p.answersWatched.Load():
-			store.Wait(n.ctx, 20*time.Millisecond)
+			store.Sleep(n.ctx, 20*time.Millisecond)
 			continue
 		case now.Before(due):
-			store.Wait(n.ctx, due.Sub(now))
+			store.Sleep(n.ctx, due.Sub(now))
 		}
 		p.mu.Lock()
-		seq, text, count := p.outbox.Take(time.Now(), p.batchCapacity)
+		seq, text, count := p.outbox.TakeBatch(time.Now(), p.batchCapacity)
 		p.mu.Unlock()
 		if count == 0 {
 			continue
 		}
-		err := n.store.PutReports(n.ctx, store.Batch{Member: n.platform.Member, RelayBatch: wire.RelayBatch{Incarnation: p.incarnation, Seq: seq, Payload: text}})
+		err := n.store.PutHeartbeats(n.ctx, store.RelayBatch{Member: n.platform.Member, RelayBatch: wire.RelayBatch{Incarnation: p.incarnation, Seq: seq, Payload: text}})
 		if err != nil {
 			n.log.Debug("reports not handed over", "count", count, "err", err)
 			p.mu.Lock()
-			p.outbox.Failed(seq)
+			p.outbox.WriteFailed(seq)
 			p.mu.Unlock()
 		}
 	}
@@ -175,7 +175,7 @@
 			p.answersWatched.Store(false)
 			rev = 0
 			if !used.IsZero() {
-				if err := n.store.DropRelay(n.ctx, n.platform.Member, n.settings.MaxTxnOps); err != nil {
+				if err := n.store.DeleteRelayRecords(n.ctx, n.platform.Member, n.settings.MaxTxnOps); err != nil {
 					n.log.Debug("what is left of reports by way of the state service stays", "err", err)
 				}
 			}
@@ -188,18 +188,18 @@
 		}
 		var err error
 		if rev == 0 {
-			if rev, err = n.store.RelayNow(n.ctx, n.platform.Member); err != nil {
+			if rev, err = n.store.RelayRevision(n.ctx, n.platform.Member); err != nil {
 				rev = 0
-				store.Wait(n.ctx, 200*time.Millisecond)
+				store.Sleep(n.ctx, 200*time.Millisecond)
 				continue
 			}
 			p.answersWatched.Store(true)
 		}
-		batches, at, err := n.store.Relayed(n.ctx, n.platform.Member, rev, answerWatchTimeout)
+		batches, at, err := n.store.WatchRelay(n.ctx, n.platform.Member, rev, answerWatchTimeout)
 		if err != nil {
 			rev = 0
 			p.answersWatched.Store(false)
-			store.Wait(n.ctx, 100*time.Millisecond)
+			store.Sleep(n.ctx, 100*time.Millisecond)
 			continue
 		}
 		rev = at
@@ -209,7 +209,7 @@
 				continue // for an earlier life of this process
 			}
 			p.mu.Lock()
-			for _, l := range p.outbox.Answered(time.Now(), b.Seq, letters) {
+			for _, l := range p.outbox.AcceptResponses(time.Now(), b.Seq, letters) {
 				if got := p.waiters[l.ID]; got != nil {
 					got <- l.Body
 					delete(p.waiters, l.ID)
@@ -228,7 +228,7 @@
 		r := n.lease.Load()
 		if !r.valid() {
 			rev = 0
-			store.Wait(n.ctx, 200*time.Millisecond)
+			store.Sleep(n.ctx, 200*time.Millisecond)
 			continue
 		}
 		if r.fencingToken != token {
@@ -236,17 +236,17 @@
 		}
 		var err error
 		if rev == 0 {
-			if rev, err = n.store.RelayNow(n.ctx, ""); err != nil {
+			if rev, err = n.store.RelayRevision(n.ctx, ""); err != nil {
 				rev = 0
-				store.Wait(n.ctx, 300*time.Millisecond)
+				store.Sleep(n.ctx, 300*time.Millisecond)
 				continue
 			}
 		}
-		batches, at, err := n.store.Relayed(n.ctx, "", rev, batchWatchTimeout)
+		batches, at, err := n.store.WatchRelay(n.ctx, "", rev, batchWatchTimeout)
 		if err != nil {
 			n.log.Debug("reports by way of the state service", "err", err)
 			rev = 0
-			store.Wait(n.ctx, 300*time.Millisecond)
+			store.Sleep(n.ctx, 300*time.Millisecond)
 			continue
 		}
 		rev = at
@@ -258,7 +258,7 @@
 }
 
 // answerBatch answers a batch of reports, each as if it had come by itself.
-func (n *Controller) answerBatch(b store.Batch) {
+func (n *Controller) answerBatch(b store.RelayBatch) {
 	letters, err := courier.Unpack(b.Payload)
 	if err != nil {
 		n.log.Warn("a batch of reports cannot be read", "member", b.Member, "err", err)
@@ -282,13 +282,13 @@
 		})
 	}
 	_ = group.Wait()
-	var out []courier.Letter
+	var out []courier.Envelope
 	for i, a := range answers {
 		if a != nil {
-			out = append(out, courier.Letter{ID: letters[i].ID, Body: a})
+			out = append(out, courier.Envelope{ID: letters[i].ID, Body: a})
 		}
 	}
-	room := wire.MaxBatchPayload(config.StoreLimits(n.platform).Value)
+	room := wire.MaxBatchPayload(config.StoreLimits(n.platform).MaxValueBytes)
 	for len(out) > 0 {
 		r := n.lease.Load()
 		text, k := courier.Pack(out, room)
@@ -299,7 +299,7 @@
 		if !r.valid() {
 			return
 		}
-		if _, err := n.store.PutAnswers(n.ctx, r.tokenVersion, store.Batch{Member: b.Member, RelayBatch: wire.RelayBatch{Incarnation: b.Incarnation, Seq: b.Seq, Payload: text}}); err != nil {
+		if _, err := n.store.PutHeartbeatResponses(n.ctx, r.tokenVersion, store.RelayBatch{Member: b.Member, RelayBatch: wire.RelayBatch{Incarnation: b.Incarnation, Seq: b.Seq, Payload: text}}); err != nil {
 			n.log.Debug("answers not handed over", "member", b.Member, "count", k, "err", err)
 			return
 		}
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -45,13 +45,13 @@
 	gate := featuregate.NewGate(listed, n.operator.Rollout.SettleTime.Std())
 	var lease uint64
 	var gaveWay time.Time
-	for ; n.ctx.Err() == nil; store.Wait(n.ctx, rolloutInterval) {
+	for ; n.ctx.Err() == nil; store.Sleep(n.ctx, rolloutInterval) {
 		var err error
 		if lease, err = n.announce(lease, me); err != nil {
 			n.log.Debug("not announced", "err", err)
 			continue
 		}
-		known, err := n.store.Announced(n.ctx)
+		known, err := n.store.ListMembers(n.ctx)
 		if err != nil {
 			n.log.Debug("members are not known", "err", err)
 			continue
@@ -68,11 +68,11 @@
 			if n.operator.Rollout.Paused {
 				next = 0
 			}
-			ev := election.Raising{To: next}
+			ev := election.ProposeLevel{Level: next}
 			// Not on promises: nobody could claim then.
 			if r := n.lease.Load(); next > 0 && r.valid() && !r.restsOnVotes(now) && now.Sub(gaveWay) > resignInterval {
 				n.log.Info("giving way, for the next level", "to", next, "token", r.fencingToken)
-				gaveWay, ev.Again = now, true
+				gaveWay, ev.StepDown = now, true
 			}
 			n.applyElectionEffects(now, n.election.Step(now, ev))
 		})
@@ -84,21 +84,21 @@
 // it has to be told anew.
 func (n *Controller) announce(lease uint64, me featuregate.Member) (uint64, error) {
 	if lease != 0 {
-		err := n.store.Touch(lease)
+		err := n.store.RenewLease(lease)
 		if err == nil {
 			return lease, nil
 		}
-		if !errors.Is(err, store.ErrLeaseOver) {
+		if !errors.Is(err, store.ErrLeaseExpired) {
 			return lease, err
 		}
 	}
-	lease, err := n.store.Grant(announcementTTL)
+	lease, err := n.store.GrantLease(announcementTTL)
 	if err != nil {
 		return 0, err
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, rolloutInterval)
 	defer cancel()
-	if err := n.store.Announce(ctx, lease, me); err != nil {
+	if err := n.store.PublishMember(ctx, lease, me); err != nil {
 		return 0, err
 	}
 	return lease, nil
--- a/internal/controller/staleness.go
+++ b/internal/controller/staleness.go
@@ -17,16 +17,16 @@
 // has them before the book says so.
 func (n *Controller) learnCancellations(now, sent time.Time, member string, a *peerpb.PromiseAnswer) {
 	ids, versions := a.GetCancelled(), a.GetVersions()
-	told := make([]store.Cancelled, len(ids))
+	told := make([]store.Cancellation, len(ids))
 	for i, id := range ids {
-		told[i] = store.Cancelled{ID: id, Version: math.MaxUint64} // an old version does not say it
+		told[i] = store.Cancellation{ID: id, Version: math.MaxUint64} // an old version does not say it
 		if len(versions) == len(ids) {
 			told[i].Version = versions[i]
 		}
 	}
-	n.jobs.Heard(told)
+	n.jobs.ApplyCancellations(told)
 	n.applyJobChanges(now)
-	n.acknowledged[member] = store.Told{Life: a.GetLife(), Count: a.GetTold()}
+	n.acknowledged[member] = store.CancellationCursor{Incarnation: a.GetLife(), Count: a.GetTold()}
 	if n.staleness != nil && a.GetWhole() {
 		n.staleness.Acknowledged(member, sent)
 	}
@@ -60,7 +60,7 @@
 // tooStaleToLead tells that this leader is served, but has not come to know of cancellations for so long that
 // it may act no more: another one may do better.
 func (n *Controller) tooStaleToLead(now time.Time) bool {
-	return n.tooStale && now.Before(n.election.LeaseUntil())
+	return n.tooStale && now.Before(n.election.LeaseValidUntil())
 }
 
 // pollJobRecords has a leader read the changes of the job records, where nothing else does: the
@@ -68,7 +68,7 @@
 func (n *Controller) pollJobRecords() error {
 	every := min(time.Second, n.stalenessBound.StartTasks/4)
 	for n.ctx.Err() == nil {
-		store.Wait(n.ctx, every)
+		store.Sleep(n.ctx, every)
 		if n.lease.Load() == nil || time.Since(n.jobs.AsOf()) < every || !n.jobs.Loaded() {
 			continue
 		}
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -20,22 +20,22 @@
 const maxContactLead = 2 * time.Second
 
 // requestVotes asks all other members for their promise.
-func (n *Controller) requestVotes(term uint64, e election.AskPromises) {
-	token := e.Token
+func (n *Controller) requestVotes(term uint64, e election.RequestVotes) {
+	token := e.FencingToken
 	now := time.Now()
 	var silent uint64
-	if at := n.store.Contact(); !at.IsZero() {
+	if at := n.store.LastContact(); !at.IsZero() {
 		silent = uint64(now.Sub(at).Milliseconds())
 	}
 	for name, c := range n.peers {
 		told := n.acknowledged[name]
-		q := &peerpb.PromiseAsk{Member: n.platform.Member, Token: token, Revision: n.jobs.Revision(), SilentMs: silent, Seq: e.Seq, ForMs: uint64(e.For.Milliseconds()), Instead: e.Instead,
-			Words: true, ToldLife: told.Life, Told: told.Count}
+		q := &peerpb.PromiseAsk{Member: n.platform.Member, Token: token, Revision: n.jobs.Revision(), SilentMs: silent, Seq: e.Seq, ForMs: uint64(e.Duration.Milliseconds()), Instead: e.Supersedes,
+			Words: true, ToldLife: told.Incarnation, Told: told.Count}
 		n.spawn(func() {
 			ctx, cancel := context.WithTimeout(n.ctx, voteTimeout)
 			defer cancel()
 			sent := time.Now()
-			a, err := c.Promise(ctx, q)
+			a, err := c.RequestVote(ctx, q)
 			if err != nil {
 				return
 			}
@@ -49,8 +49,8 @@
 				now := time.Now()
 				n.learnCancellations(now, sent, name, a)
 				if a.GetGranted() {
-					n.applyElectionEffects(now, n.election.Step(now, election.PromiseBack{Member: a.GetMember(), Token: token, Sent: sent,
-						Seq: e.Seq, For: time.Duration(a.GetForMs()) * time.Millisecond}))
+					n.applyElectionEffects(now, n.election.Step(now, election.VoteReceived{Member: a.GetMember(), FencingToken: token, Sent: sent,
+						Seq: e.Seq, Duration: time.Duration(a.GetForMs()) * time.Millisecond}))
 				}
 			})
 		})
@@ -64,8 +64,8 @@
 			ctx, cancel := context.WithTimeout(n.ctx, voteTimeout)
 			defer cancel()
 			sent := time.Now()
-			if a, err := c.Promise(ctx, &peerpb.PromiseAsk{Member: n.platform.Member}); err == nil && a != nil && !a.GetLeads() {
-				n.postElectionEvent(election.Unbound{Member: name, Sent: sent})
+			if a, err := c.RequestVote(ctx, &peerpb.PromiseAsk{Member: n.platform.Member}); err == nil && a != nil && !a.GetLeads() {
+				n.postElectionEvent(election.NotLeadingReceived{Member: name, Sent: sent})
 			}
 		})
 	}
@@ -74,15 +74,15 @@
 // Members tells where this controller stands in the election.
 func (n *Controller) Members(ctx context.Context) (*admin.Member, error) {
 	var held loopHold
-	s, err := runInLoop(ctx, n.urgent, func(time.Time) election.Standing {
+	s, err := runInLoop(ctx, n.urgent, func(time.Time) election.Status {
 		held = n.longestHold
-		return n.election.Standing(time.Now())
+		return n.election.Status(time.Now())
 	})
 	if err != nil {
 		return nil, err
 	}
-	m := &admin.Member{Member: n.platform.Member, State: s.State, Leader: s.Leader, Token: s.Token, Lease: s.Lease.Seconds(), Right: s.Right.Seconds(), Each: s.Each.Seconds(),
-		Promises: map[string]float64{}, Bound: s.Bound.Seconds(), StateDown: n.store.Down(time.Now()).Seconds(),
+	m := &admin.Member{Member: n.platform.Member, State: s.State, Leader: s.Leader, Token: s.FencingToken, Lease: s.LeaseRemaining.Seconds(), Right: s.ValidRemaining.Seconds(), Each: s.VoteDuration.Seconds(),
+		Promises: map[string]float64{}, Bound: s.ClaimBlockedFor.Seconds(), StateDown: n.store.UnreachableFor(time.Now()).Seconds(),
 		Load: admin.Load{Hold: held.longest.Seconds(), By: held.work, Inbox: len(n.inbox)}}
 	sockets := n.connections.Standing()
 	m.Sockets = admin.Sockets{Level: sockets.Level.String(), Used: sockets.Used, Peak: sockets.Peak, Most: sockets.Most, Owners: map[string]admin.Socket{}}
@@ -93,7 +93,7 @@
 	if n.router != nil {
 		m.Requests = n.router.Standing(time.Now())
 	}
-	for o, left := range s.Promises {
+	for o, left := range s.Votes {
 		m.Promises[o] = left.Seconds()
 	}
 	return m, nil
@@ -105,7 +105,7 @@
 		n.spawn(func() {
 			ctx, cancel := context.WithTimeout(n.ctx, voteTimeout)
 			defer cancel()
-			_, err := c.Promise(ctx, &peerpb.PromiseAsk{Member: n.platform.Member, Token: token, Release: true})
+			_, err := c.RequestVote(ctx, &peerpb.PromiseAsk{Member: n.platform.Member, Token: token, Release: true})
 			if err != nil {
 				n.log.Debug("release not told", "err", err)
 			}
@@ -113,9 +113,9 @@
 	}
 }
 
-// Promise answers a leader that asks for this member's promise, or a member that asks who
+// HandleVoteRequest answers a leader that asks for this member's promise, or a member that asks who
 // leads.
-func (h peerHandler) Promise(ctx context.Context, q *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
+func (h peerHandler) HandleVoteRequest(ctx context.Context, q *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
 	n := h.controller
 	a, err := runInLoop(ctx, n.urgent, func(time.Time) *peerpb.PromiseAnswer {
 		// Read anew: the loop's moment may be from before the leader has asked, and a
@@ -126,14 +126,14 @@
 		case q.GetToken() == 0:
 			a.Leads = n.election.State() == election.Leading || n.election.State() == election.Claiming
 		case q.GetRelease():
-			n.election.Released(q.GetToken())
+			n.election.HandleVoteRelease(q.GetToken())
 		case ctx.Err() == nil:
-			w := n.jobs.Word(q.GetRevision(), store.Told{Life: q.GetToldLife(), Count: q.GetTold()})
-			a.Life, a.Told, a.Whole = w.Upto.Life, w.Upto.Count, w.Whole
+			w := n.jobs.CancellationsAfter(q.GetRevision(), store.CancellationCursor{Incarnation: q.GetToldLife(), Count: q.GetTold()})
+			a.Life, a.Told, a.Whole = w.Cursor.Incarnation, w.Cursor.Count, w.Complete
 			for _, c := range w.Cancelled {
 				a.Cancelled, a.Versions = append(a.Cancelled, c.ID), append(a.Versions, c.Version)
 			}
-			if w.Whole || q.GetWords() {
+			if w.Complete || q.GetWords() {
 				long := n.grantVote(now, q)
 				a.Granted, a.ForMs = long > 0, uint64(long.Milliseconds())
 			}
@@ -155,9 +155,9 @@
 		return 0
 	}
 	silent := time.Duration(q.GetSilentMs()) * time.Millisecond
-	if at := n.store.Contact(); at.Sub(now.Add(-silent)) > maxContactLead && n.store.Down(now) == 0 {
+	if at := n.store.LastContact(); at.Sub(now.Add(-silent)) > maxContactLead && n.store.UnreachableFor(now) == 0 {
 		return 0
 	}
-	return n.election.Promise(now, election.Question{Leader: q.GetMember(), Token: q.GetToken(), Seq: q.GetSeq(), Instead: q.GetInstead(),
-		For: time.Duration(min(q.GetForMs(), uint64(time.Minute.Milliseconds()))) * time.Millisecond})
+	return n.election.HandleVoteRequest(now, election.VoteRequest{Leader: q.GetMember(), FencingToken: q.GetToken(), Seq: q.GetSeq(), Supersedes: q.GetInstead(),
+		Duration: time.Duration(min(q.GetForMs(), uint64(time.Minute.Milliseconds()))) * time.Millisecond})
 }
--- a/internal/courier/pack.go
+++ b/internal/courier/envelope.go
@@ -11,8 +11,8 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// writers are kept: each holds some hundred KB.
-var writers = sync.Pool{New: func() any {
+// compressors are kept: each holds some hundred KB.
+var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
 		panic(err) // of a level that does not exist
@@ -22,19 +22,19 @@
 
 // Pack makes one text of as many letters as fit into a size, the first ones; 0: not even one does.
 // Values at the state service hold nothing binary, so what is compressed is written as base64.
-func Pack(letters []Letter, size int) (text string, n int) {
+func Pack(letters []Envelope, size int) (text string, n int) {
 	for n = len(letters); n > 0; n /= 2 {
-		if text = pack(letters[:n]); len(text) <= size {
+		if text = encode(letters[:n]); len(text) <= size {
 			return text, n
 		}
 	}
 	return "", 0
 }
 
-func pack(letters []Letter) string {
+func encode(letters []Envelope) string {
 	var out bytes.Buffer
-	w := writers.Get().(*flate.Writer)
-	defer writers.Put(w)
+	w := compressors.Get().(*flate.Writer)
+	defer compressors.Put(w)
 	w.Reset(&out)
 	var head []byte
 	for _, l := range letters {
@@ -46,39 +46,39 @@
 	return base64.RawStdEncoding.EncodeToString(out.Bytes())
 }
 
-// maxUnpacked bounds what a batch may unfold to.
-const maxUnpacked = 4 << 20
+// maxUnpackedBytes bounds what a batch may unfold to.
+const maxUnpackedBytes = 4 << 20
 
 // Unpack reads letters back.
-func Unpack(text string) ([]Letter, error) {
+func Unpack(text string) ([]Envelope, error) {
 	b, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
 		return nil, err
 	}
 	r := flate.NewReader(bytes.NewReader(b))
 	defer r.Close()
-	all, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
+	all, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(all) > maxUnpacked {
+	if len(all) > maxUnpackedBytes {
 		return nil, errors.New("a batch of letters that unfolds to too much")
 	}
-	var out []Letter
+	var out []Envelope
 	for len(all) > 0 {
 		id, n := binary.Uvarint(all)
 		if n <= 0 {
-			return nil, errLetter
+			return nil, ErrMalformedBatch
 		}
 		size, k := binary.Uvarint(all[n:])
 		if k <= 0 || size > uint64(len(all)-n-k) {
-			return nil, errLetter
+			return nil, ErrMalformedBatch
 		}
 		all = all[n+k:]
-		out = append(out, Letter{id, all[:size:size]})
+		out = append(out, Envelope{id, all[:size:size]})
 		all = all[size:]
 	}
 	return out, nil
 }
 
-var errLetter = errors.New("not a batch of letters")
+var ErrMalformedBatch = errors.New("not a batch of letters")
--- a/internal/courier/golden_test.go
+++ b/internal/courier/golden_test.go
@@ -9,7 +9,7 @@
 
 // The text of a batch as it stands in its record.
 func TestPackedBatchKeepsItsBytes(t *testing.T) {
-	letters := []Letter{{1, []byte("abc")}, {1 << 63, nil}, {300, []byte{0, 0xff, 0, 0xff}}, {301, []byte(strings.Repeat("a heartbeat, ", 30))}}
+	letters := []Envelope{{1, []byte("abc")}, {1 << 63, nil}, {300, []byte{0, 0xff, 0, 0xff}}, {301, []byte(strings.Repeat("a heartbeat, ", 30))}}
 	text, n := Pack(letters, 1000)
 	if n != len(letters) {
 		t.Fatalf("packed %d, want %d", n, len(letters))
--- a/internal/election/copy.go
+++ b/internal/election/clone.go
@@ -8,15 +8,15 @@
 )
 
 // Clone is the same machine, which goes its own way from here on.
-func (m *Machine) Clone() *Machine {
+func (m *StateMachine) Clone() *StateMachine {
 	out := *m
-	out.promises.free, out.promises.given = maps.Clone(m.promises.free), maps.Clone(m.promises.given)
+	out.votes.notLeading, out.votes.received = maps.Clone(m.votes.notLeading), maps.Clone(m.votes.received)
 	return &out
 }
 
 // AppendKey appends what the machine's further course hangs on: two with the same key, in the
 // same surroundings, do the same. Times count as they are from now.
-func (m *Machine) AppendKey(b []byte, now time.Time) []byte {
+func (m *StateMachine) AppendKey(b []byte, now time.Time) []byte {
 	at := func(ts ...time.Time) {
 		for _, t := range ts {
 			// What lies a minute off has no say any more, and a zero time lies further.
@@ -36,22 +36,22 @@
 			b = append(b, 0)
 		}
 	}
-	p := &m.promises
-	b = append(b, byte(m.state), byte(p.to))
+	p := &m.votes
+	b = append(b, byte(m.state), byte(p.state))
 	text(m.leader)
-	text(p.name)
-	at(m.next, m.sent, m.holdOff, p.until, p.born, p.at, p.askAt)
-	num(m.lease, m.token, m.version, p.token, p.asked, p.seen, p.seq, p.waived)
-	num(uint64(m.level), uint64(m.levelRead), m.levelVersion, uint64(m.raise), uint64(m.writes))
-	flag(m.touching)
-	flag(p.outages)
-	for _, o := range slices.Sorted(maps.Keys(p.free)) {
+	text(p.castFor)
+	at(m.nextActionAt, m.renewalSentAt, m.noClaimBefore, p.blockedUntil, p.recoveryUntil, p.castAt, p.nextRequestAt)
+	num(m.leaseID, m.fencingToken, m.tokenVersion, p.castToken, p.castSeq, p.highestToken, p.requestSeq, p.waivedSeq)
+	num(uint64(m.level), uint64(m.recordedLevel), m.levelVersion, uint64(m.proposedLevel), uint64(m.claimedLevel))
+	flag(m.renewing)
+	flag(p.extended)
+	for _, o := range slices.Sorted(maps.Keys(p.notLeading)) {
 		text(o)
 	}
 	b = append(b, 0)
-	for _, o := range slices.Sorted(maps.Keys(p.given)) {
+	for _, o := range slices.Sorted(maps.Keys(p.received)) {
 		text(o)
-		at(p.given[o].until, p.given[o].starts)
+		at(p.received[o].validUntil, p.received[o].startsUntil)
 	}
 	return append(b, 0)
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -15,11 +15,11 @@
 
 // The states of a controller in the election.
 const (
-	Following State = iota // somebody else leads, or nobody
-	Looking                // reads who leads
-	Granting               // asks for a lease
-	Claiming               // tries to take the leader's key with that lease
-	Leading                // holds the key; whether it may act depends on the time, see Entitled
+	Following      State = iota // somebody else leads, or nobody
+	ReadingLeader               // reads who leads
+	AcquiringLease              // asks for a lease
+	Claiming                    // tries to take the leader's key with that lease
+	Leading                     // holds the key; whether it may act depends on the time, see Entitled
 )
 
 func (s State) String() string {
@@ -28,25 +28,25 @@
 
 // Settings are the election's times.
 type Settings struct {
-	Member string
-	Life   time.Duration // of the leader's lease
-	Margin time.Duration // by which the right to act ends before the lease can
-	Look   time.Duration // between looks at who leads
-	Retry  time.Duration // after a failed renewal
+	Member        string
+	LeaseDuration time.Duration // of the leader's lease
+	SafetyMargin  time.Duration // by which the right to act ends before the lease can
+	PollInterval  time.Duration // between looks at who leads
+	RetryInterval time.Duration // after a failed renewal
 
-	Promise time.Duration // how long members promise a leader not to claim; 0: they promise nothing
-	Outage  time.Duration // the same while the state service is silent; 0: no longer
-	Others  []string      // the other members
+	VoteDuration       time.Duration // how long members promise a leader not to claim; 0: they promise nothing
+	OutageVoteDuration time.Duration // the same while the state service is silent; 0: no longer
+	Peers              []string      // the other members
 
-	Can featuregate.Level // the highest level that this program knows
+	MaxLevel featuregate.Level // the highest level that this program knows
 }
 
 // Record is the content of the leader's keys.
 type Record struct {
 	Held         bool // somebody holds the leader's key
 	Leader       string
-	Lease        uint64
-	Token        uint64 // the last one given out
+	LeaseID      uint64
+	FencingToken uint64 // the last one given out
 	TokenVersion uint64
 	Level        featuregate.Level // in force; 0: there is no record of it
 	LevelVersion uint64
@@ -57,349 +57,349 @@
 
 // The events.
 type (
-	Tick   struct{}
-	Looked struct { // the leader's keys were read, or a watch has shown them
+	Tick       struct{}
+	RecordRead struct { // the leader's keys were read, or a watch has shown them
 		Record Record
 		Err    error
 	}
-	Vacant  struct{} // a watch has shown that nobody holds the leader's key
-	Granted struct {
-		Lease uint64
-		Sent  time.Time
-		Err   error
-	}
-	Claimed struct {
-		OK      bool
-		Version uint64 // of the token's key
+	LeaderKeyVacant struct{} // a watch has shown that nobody holds the leader's key
+	LeaseGranted    struct {
+		LeaseID uint64
+		Sent    time.Time
 		Err     error
 	}
-	Touched struct {
-		Lease uint64
-		Sent  time.Time
-		Lost  bool // the lease is over
-		Err   error
+	ClaimCompleted struct {
+		OK           bool
+		TokenVersion uint64 // of the token's key
+		Err          error
+	}
+	LeaseRenewed struct {
+		LeaseID uint64
+		Sent    time.Time
+		Expired bool // the lease is over
+		Err     error
 	}
 	// Fenced: a transaction of this leader failed on the token's version.
-	Fenced struct{ Token uint64 }
-	// Rewritten: this leader has written its token's record anew.
-	Rewritten struct{ Token, Version uint64 }
+	Fenced struct{ FencingToken uint64 }
+	// TokenRewritten: this leader has written its token's record anew.
+	TokenRewritten struct{ FencingToken, TokenVersion uint64 }
 	// Resign: step down in order.
 	Resign struct{}
-	// Raising: this member has seen that the level may be raised to this by the next claim; 0: no
+	// ProposeLevel: this member has seen that the level may be raised to this by the next claim; 0: no
 	// more. Again tells a leader to give up the leadership for it, and to stand again at once.
-	Raising struct {
-		To    featuregate.Level
-		Again bool
+	ProposeLevel struct {
+		Level    featuregate.Level
+		StepDown bool
 	}
-	// PromiseBack: a member has promised this leader not to claim, as asked at Sent.
-	PromiseBack struct {
-		Member string
-		Token  uint64
-		Sent   time.Time
-		Seq    uint64        // of the question
-		For    time.Duration // for how long; 0: an old version, for Promise
+	// VoteReceived: a member has promised this leader not to claim, as asked at Sent.
+	VoteReceived struct {
+		Member       string
+		FencingToken uint64
+		Sent         time.Time
+		Seq          uint64        // of the question
+		Duration     time.Duration // for how long; 0: an old version, for Promise
 	}
-	// Unbound: another member, as asked at Sent, has said that it does not lead, so that
+	// NotLeadingReceived: another member, as asked at Sent, has said that it does not lead, so that
 	// nothing that this member promised it before counts.
-	Unbound struct {
+	NotLeadingReceived struct {
 		Member string
 		Sent   time.Time
 	}
 )
 
-func (Tick) electionEvent()    {}
-func (Looked) electionEvent()  {}
-func (Vacant) electionEvent()  {}
-func (Granted) electionEvent() {}
-func (Claimed) electionEvent() {}
-func (Touched) electionEvent() {}
-func (Fenced) electionEvent()  {}
-func (Resign) electionEvent()  {}
-func (Raising) electionEvent() {}
+func (Tick) electionEvent()            {}
+func (RecordRead) electionEvent()      {}
+func (LeaderKeyVacant) electionEvent() {}
+func (LeaseGranted) electionEvent()    {}
+func (ClaimCompleted) electionEvent()  {}
+func (LeaseRenewed) electionEvent()    {}
+func (Fenced) electionEvent()          {}
+func (Resign) electionEvent()          {}
+func (ProposeLevel) electionEvent()    {}
 
-func (Rewritten) electionEvent()   {}
-func (PromiseBack) electionEvent() {}
-func (Unbound) electionEvent()     {}
+func (TokenRewritten) electionEvent()     {}
+func (VoteReceived) electionEvent()       {}
+func (NotLeadingReceived) electionEvent() {}
 
 // Effect is what the election wants done.
 type Effect interface{ electionEffect() }
 
 // The effects. Each of Look, Grant, Claim and Touch is answered by its event.
 type (
-	Look  struct{}
-	Grant struct{ Life time.Duration }
-	Claim struct {
-		Lease, Token, TokenVersion uint64
-		LevelVersion               uint64
-		Raise                      featuregate.Level // to be written as the level in force; 0: none is
+	ReadRecord struct{}
+	GrantLease struct{ Duration time.Duration }
+	Claim      struct {
+		LeaseID, FencingToken, TokenVersion uint64
+		LevelVersion                        uint64
+		NewLevel                            featuregate.Level // to be written as the level in force; 0: none is
 	}
-	Touch   struct{ Lease uint64 }
-	Drop    struct{ Lease uint64 }
-	Elected struct{ Token, TokenVersion uint64 }
-	Deposed struct{}
-	// AskPromises asks all other members for their promise to this leader.
-	AskPromises struct {
-		Token, Seq uint64
-		For        time.Duration
-		Instead    bool // nothing that was asked for longer before counts any more
+	RenewLease  struct{ LeaseID uint64 }
+	RevokeLease struct{ LeaseID uint64 }
+	Elected     struct{ FencingToken, TokenVersion uint64 }
+	Deposed     struct{}
+	// RequestVotes asks all other members for their promise to this leader.
+	RequestVotes struct {
+		FencingToken, Seq uint64
+		Duration          time.Duration
+		Supersedes        bool // nothing that was asked for longer before counts any more
 	}
-	// AskUnbound asks the other members whether they lead.
-	AskUnbound struct{}
-	// Release tells the others that this leader needs their promises no more.
-	Release struct{ Token uint64 }
+	// QueryLeadership asks the other members whether they lead.
+	QueryLeadership struct{}
+	// ReleaseVotes tells the others that this leader needs their promises no more.
+	ReleaseVotes struct{ FencingToken uint64 }
 )
 
-func (Look) electionEffect()    {}
-func (Grant) electionEffect()   {}
-func (Claim) electionEffect()   {}
-func (Touch) electionEffect()   {}
-func (Drop) electionEffect()    {}
-func (Elected) electionEffect() {}
-func (Deposed) electionEffect() {}
-
-func (AskPromises) electionEffect() {}
-func (AskUnbound) electionEffect()  {}
-func (Release) electionEffect()     {}
-
-// Machine is the state of the election at one controller.
-type Machine struct {
-	set   Settings
-	log   *slog.Logger
-	state State
-
-	leader   string
-	next     time.Time // of the next look or renewal
-	lease    uint64
-	sent     time.Time // when the lease was asked for, or its last successful renewal sent
-	token    uint64
-	version  uint64
-	touching bool
-	holdOff  time.Time // do not stand before this
-
-	level        featuregate.Level // in force, the highest that was ever read: it never falls
-	levelRead    featuregate.Level // what the record said last
-	levelVersion uint64
-	raise        featuregate.Level // what the next claim may raise it to
-	writes       featuregate.Level // what the claim that is out writes; 0: nothing
-
-	promises promises
+func (ReadRecord) electionEffect()  {}
+func (GrantLease) electionEffect()  {}
+func (Claim) electionEffect()       {}
+func (RenewLease) electionEffect()  {}
+func (RevokeLease) electionEffect() {}
+func (Elected) electionEffect()     {}
+func (Deposed) electionEffect()     {}
+
+func (RequestVotes) electionEffect()    {}
+func (QueryLeadership) electionEffect() {}
+func (ReleaseVotes) electionEffect()    {}
+
+// StateMachine is the state of the election at one controller.
+type StateMachine struct {
+	settings Settings
+	log      *slog.Logger
+	state    State
+
+	leader        string
+	nextActionAt  time.Time // of the next look or renewal
+	leaseID       uint64
+	renewalSentAt time.Time // when the lease was asked for, or its last successful renewal sent
+	fencingToken  uint64
+	tokenVersion  uint64
+	renewing      bool
+	noClaimBefore time.Time // do not stand before this
+
+	level         featuregate.Level // in force, the highest that was ever read: it never falls
+	recordedLevel featuregate.Level // what the record said last
+	levelVersion  uint64
+	proposedLevel featuregate.Level // what the next claim may raise it to
+	claimedLevel  featuregate.Level // what the claim that is out writes; 0: nothing
+
+	votes votes
 }
 
 // New makes the state machine. now is the moment from which an earlier life of the
 // process is certainly over.
-func New(now time.Time, s Settings, log *slog.Logger) *Machine {
-	m := &Machine{set: s, log: log}
-	m.promises.begin(now, &m.set)
+func New(now time.Time, s Settings, log *slog.Logger) *StateMachine {
+	m := &StateMachine{settings: s, log: log}
+	m.votes.recover(now, &m.settings)
 	return m
 }
 
 // State returns where this controller stands.
-func (m *Machine) State() State { return m.state }
+func (m *StateMachine) State() State { return m.state }
 
 // Leader returns who leads as far as this controller knows; empty: unknown.
-func (m *Machine) Leader() string { return m.leader }
+func (m *StateMachine) Leader() string { return m.leader }
 
-// Token is the token of this controller's leadership.
-func (m *Machine) Token() uint64 { return m.token }
+// FencingToken is the token of this controller's leadership.
+func (m *StateMachine) FencingToken() uint64 { return m.fencingToken }
 
-// Version is the version of that token's record.
-func (m *Machine) Version() uint64 { return m.version }
+// TokenVersion is the version of that token's record.
+func (m *StateMachine) TokenVersion() uint64 { return m.tokenVersion }
 
-// RightUntil is when the right to act ends unless a renewal succeeds before.
+// ValidUntil is when the right to act ends unless a renewal succeeds before.
 // It counts from the sending of the last renewal that succeeded, less the drift
 // of the clocks and a margin. Zero: no right.
 //
 // Promises of all other members may extend it: docs/safety.md, "Promises".
-func (m *Machine) RightUntil() time.Time {
-	until := m.LeaseUntil()
+func (m *StateMachine) ValidUntil() time.Time {
+	until := m.LeaseValidUntil()
 	if m.state == Leading {
-		if p, _ := m.promises.proven(&m.set); p.After(until) {
+		if p, _ := m.votes.unanimousUntil(&m.settings); p.After(until) {
 			return p
 		}
 	}
 	return until
 }
 
-// StartsUntil is until when tasks may be started by the right. It is no later than the right,
+// StartsValidUntil is until when tasks may be started by the right. It is no later than the right,
 // and earlier where that rests on a promise for longer than Promise: a member that
 // has answered nothing for so long may have told users of cancellations since.
-func (m *Machine) StartsUntil() time.Time {
-	until := m.LeaseUntil()
+func (m *StateMachine) StartsValidUntil() time.Time {
+	until := m.LeaseValidUntil()
 	if m.state == Leading {
-		if _, starts := m.promises.proven(&m.set); starts.After(until) {
+		if _, starts := m.votes.unanimousUntil(&m.settings); starts.After(until) {
 			return starts
 		}
 	}
 	return until
 }
 
-// LeaseUntil is when the part of the right ends that rests on the lease.
-func (m *Machine) LeaseUntil() time.Time {
+// LeaseValidUntil is when the part of the right ends that rests on the lease.
+func (m *StateMachine) LeaseValidUntil() time.Time {
 	if m.state != Leading {
 		return time.Time{}
 	}
-	return m.Proves(m.sent)
+	return m.RenewalValidUntil(m.renewalSentAt)
 }
 
-// Proves is until when a renewal that was sent at a moment, and succeeds, proves the right to
+// RenewalValidUntil is until when a renewal that was sent at a moment, and succeeds, proves the right to
 // act: the lease's length from the sending, less the drift of the clocks and a margin. It
 // reads nothing that changes.
-func (m *Machine) Proves(sent time.Time) time.Time {
-	return sent.Add(m.set.Life - m.set.Life/1000 - m.set.Margin)
+func (m *StateMachine) RenewalValidUntil(sent time.Time) time.Time {
+	return sent.Add(m.settings.LeaseDuration - m.settings.LeaseDuration/1000 - m.settings.SafetyMargin)
 }
 
-// Lease is the lease that this controller's leadership hangs on.
-func (m *Machine) Lease() uint64 { return m.lease }
+// LeaseID is the lease that this controller's leadership hangs on.
+func (m *StateMachine) LeaseID() uint64 { return m.leaseID }
 
-// Life is how long a leader's lease lasts.
-func (m *Machine) Life() time.Duration { return m.set.Life }
+// LeaseDuration is how long a leader's lease lasts.
+func (m *StateMachine) LeaseDuration() time.Duration { return m.settings.LeaseDuration }
 
-// Entitled tells whether this controller may act for all at the time.
-func (m *Machine) Entitled(now time.Time) bool {
-	return m.state == Leading && now.Before(m.RightUntil())
+// LeadershipValid tells whether this controller may act for all at the time.
+func (m *StateMachine) LeadershipValid(now time.Time) bool {
+	return m.state == Leading && now.Before(m.ValidUntil())
 }
 
-// Wake is when the next Tick is due.
-func (m *Machine) Wake() time.Time {
-	if m.promises.to == bondBorn && m.state <= Looking && m.promises.askAt.Before(m.next) {
-		return m.promises.askAt
+// NextTick is when the next Tick is due.
+func (m *StateMachine) NextTick() time.Time {
+	if m.votes.state == voteRecovering && m.state <= ReadingLeader && m.votes.nextRequestAt.Before(m.nextActionAt) {
+		return m.votes.nextRequestAt
 	}
-	return m.next
+	return m.nextActionAt
 }
 
-// to changes the state; it is the only place that does.
-func (m *Machine) to(s State, next time.Time) {
+// transition changes the state; it is the only place that does.
+func (m *StateMachine) transition(s State, next time.Time) {
 	if m.state != s && (s == Leading || m.state == Leading) {
-		m.log.Info("election", "from", m.state.String(), "to", s.String(), "token", m.token)
+		m.log.Info("election", "from", m.state.String(), "to", s.String(), "token", m.fencingToken)
 	}
-	m.state, m.next = s, next
+	m.state, m.nextActionAt = s, next
 }
 
 // Step takes an event.
-func (m *Machine) Step(now time.Time, ev Event) []Effect {
+func (m *StateMachine) Step(now time.Time, ev Event) []Effect {
 	switch ev := ev.(type) {
 	case Tick:
 		return m.tick(now)
-	case Vacant:
+	case LeaderKeyVacant:
 		if m.state == Following {
 			m.leader = ""
-			m.next = now
+			m.nextActionAt = now
 			return m.tick(now)
 		}
-	case Looked:
-		return m.looked(now, ev)
-	case Granted:
-		if m.state != Granting {
+	case RecordRead:
+		return m.recordRead(now, ev)
+	case LeaseGranted:
+		if m.state != AcquiringLease {
 			if ev.Err == nil {
-				return []Effect{Drop{ev.Lease}}
+				return []Effect{RevokeLease{ev.LeaseID}}
 			}
 			return nil
 		}
 		if ev.Err != nil {
-			m.to(Following, now.Add(m.set.Retry))
+			m.transition(Following, now.Add(m.settings.RetryInterval))
 			return nil
 		}
-		if m.promises.bound(now) {
-			m.to(Following, now.Add(m.set.Retry/2))
-			return []Effect{Drop{ev.Lease}}
+		if m.votes.blocksClaim(now) {
+			m.transition(Following, now.Add(m.settings.RetryInterval/2))
+			return []Effect{RevokeLease{ev.LeaseID}}
 		}
-		m.lease, m.sent = ev.Lease, ev.Sent
-		m.to(Claiming, now.Add(m.set.Life))
-		return []Effect{m.claim(ev.Lease)}
-	case Claimed:
-		return m.claimed(now, ev)
-	case Touched:
-		return m.touched(now, ev)
+		m.leaseID, m.renewalSentAt = ev.LeaseID, ev.Sent
+		m.transition(Claiming, now.Add(m.settings.LeaseDuration))
+		return []Effect{m.newClaim(ev.LeaseID)}
+	case ClaimCompleted:
+		return m.claimCompleted(now, ev)
+	case LeaseRenewed:
+		return m.leaseRenewed(now, ev)
 	case Fenced:
-		if m.state == Leading && ev.Token == m.token {
+		if m.state == Leading && ev.FencingToken == m.fencingToken {
 			m.log.Warn("another leader has taken over")
-			return m.depose(now)
+			return m.stepDown(now)
 		}
-	case Rewritten:
-		if m.state == Leading && ev.Token == m.token {
-			m.version = max(m.version, ev.Version)
+	case TokenRewritten:
+		if m.state == Leading && ev.FencingToken == m.fencingToken {
+			m.tokenVersion = max(m.tokenVersion, ev.TokenVersion)
 		}
 	case Resign:
 		if m.state == Leading {
-			m.holdOff = now.Add(2 * m.set.Life)
-			return m.depose(now)
+			m.noClaimBefore = now.Add(2 * m.settings.LeaseDuration)
+			return m.stepDown(now)
 		}
-	case Raising:
-		m.raise = ev.To
-		if ev.Again && m.state == Leading {
-			return m.depose(now)
+	case ProposeLevel:
+		m.proposedLevel = ev.Level
+		if ev.StepDown && m.state == Leading {
+			return m.stepDown(now)
 		}
-	case PromiseBack:
+	case VoteReceived:
 		// Only while the right has not lapsed: once it has, somebody else may have led
 		// since, and this leader's picture may be old. Its lease alone can tell.
-		if m.state == Leading && ev.Token == m.token && m.Entitled(now) {
-			m.promises.have(&m.set, ev)
+		if m.state == Leading && ev.FencingToken == m.fencingToken && m.LeadershipValid(now) {
+			m.votes.record(&m.settings, ev)
 		}
-	case Unbound:
-		m.promises.unbound(&m.set, ev.Member, ev.Sent)
+	case NotLeadingReceived:
+		m.votes.peerNotLeading(&m.settings, ev.Member, ev.Sent)
 	}
 	return nil
 }
 
-// claim asks for the leadership, and where that may be with the next level. A record of the level
+// newClaim asks for the leadership, and where that may be with the next level. A record of the level
 // that is lost, or that has been put back, is written again: docs/safety.md, "Levels".
-func (m *Machine) claim(lease uint64) Claim {
-	c := Claim{Lease: lease, Token: m.token + 1, TokenVersion: m.version, LevelVersion: m.levelVersion}
-	if to := max(m.level, min(m.raise, m.set.Can)); to > m.levelRead {
-		c.Raise = to
+func (m *StateMachine) newClaim(lease uint64) Claim {
+	c := Claim{LeaseID: lease, FencingToken: m.fencingToken + 1, TokenVersion: m.tokenVersion, LevelVersion: m.levelVersion}
+	if to := max(m.level, min(m.proposedLevel, m.settings.MaxLevel)); to > m.recordedLevel {
+		c.NewLevel = to
 	}
-	m.writes = c.Raise
+	m.claimedLevel = c.NewLevel
 	return c
 }
 
 // Level is the level in force as this member knows it: what it has read last, or has raised
 // itself. It never falls.
-func (m *Machine) Level() featuregate.Level { return m.level }
+func (m *StateMachine) Level() featuregate.Level { return m.level }
 
-func (m *Machine) tick(now time.Time) []Effect {
+func (m *StateMachine) tick(now time.Time) []Effect {
 	var out []Effect
-	if m.asks(now) && !now.Before(m.promises.askAt) {
+	if m.mustQueryLeadership(now) && !now.Before(m.votes.nextRequestAt) {
 		// Also between looks. Guards against members that start together, of which the
 		// first asks before the others answer, and then not for seconds.
-		m.promises.askAt = now.Add(m.set.Retry)
-		out = append(out, AskUnbound{})
+		m.votes.nextRequestAt = now.Add(m.settings.RetryInterval)
+		out = append(out, QueryLeadership{})
 	}
-	if now.Before(m.next) {
+	if now.Before(m.nextActionAt) {
 		return out
 	}
 	switch m.state {
 	case Following:
-		m.to(Looking, now.Add(m.set.Life))
-		return append(out, Look{})
+		m.transition(ReadingLeader, now.Add(m.settings.LeaseDuration))
+		return append(out, ReadRecord{})
 	case Leading:
-		if m.set.Promise > 0 && !now.Before(m.promises.askAt) {
-			out = append(out, m.promises.question(now, m.sent, &m.set, m.token))
+		if m.settings.VoteDuration > 0 && !now.Before(m.votes.nextRequestAt) {
+			out = append(out, m.votes.nextRequest(now, m.renewalSentAt, &m.settings, m.fencingToken))
 		}
-		if m.touching {
-			m.next = now.Add(m.set.Retry)
+		if m.renewing {
+			m.nextActionAt = now.Add(m.settings.RetryInterval)
 			return out
 		}
-		m.touching = true
-		m.next = now.Add(m.set.Life / 4)
-		return append(out, Touch{m.lease})
+		m.renewing = true
+		m.nextActionAt = now.Add(m.settings.LeaseDuration / 4)
+		return append(out, RenewLease{m.leaseID})
 	default: // an answer is overdue; every effect is answered, so only wait on
-		m.next = now.Add(m.set.Retry)
+		m.nextActionAt = now.Add(m.settings.RetryInterval)
 	}
 	return out
 }
 
-// asks tells whether a member without memory still has to ask the others whether they lead.
-func (m *Machine) asks(now time.Time) bool {
-	return (m.state == Following || m.state == Looking) && m.promises.open(now)
+// mustQueryLeadership tells whether a member without memory still has to ask the others whether they lead.
+func (m *StateMachine) mustQueryLeadership(now time.Time) bool {
+	return (m.state == Following || m.state == ReadingLeader) && m.votes.recovering(now)
 }
 
-func (m *Machine) looked(now time.Time, ev Looked) []Effect {
+func (m *StateMachine) recordRead(now time.Time, ev RecordRead) []Effect {
 	if m.state == Leading {
 		return nil
 	}
 	if ev.Err != nil {
-		if m.state == Looking {
-			m.to(Following, now.Add(m.set.Retry))
+		if m.state == ReadingLeader {
+			m.transition(Following, now.Add(m.settings.RetryInterval))
 		}
 		return nil
 	}
@@ -408,96 +408,96 @@
 	if r.Held {
 		m.leader = r.Leader
 	}
-	m.promises.seen = max(m.promises.seen, r.Token)
+	m.votes.highestToken = max(m.votes.highestToken, r.FencingToken)
 	if r.Level > m.level {
-		m.log.Info("level in force", "from", m.level, "to", r.Level, "known", m.set.Can)
+		m.log.Info("level in force", "from", m.level, "to", r.Level, "known", m.settings.MaxLevel)
 		m.level = r.Level
 	}
-	if m.state != Looking {
+	if m.state != ReadingLeader {
 		return nil
 	}
 	switch {
-	case r.Held && r.Leader == m.set.Member:
+	case r.Held && r.Leader == m.settings.Member:
 		// Guards against waiting for a lease that an earlier life of this very
 		// process has left behind: that process is dead, nobody acts on it.
 		m.leader = ""
-		m.to(Following, now.Add(m.set.Retry/4))
-		return []Effect{Drop{r.Lease}}
-	case r.Held, m.level > m.set.Can:
+		m.transition(Following, now.Add(m.settings.RetryInterval/4))
+		return []Effect{RevokeLease{r.LeaseID}}
+	case r.Held, m.level > m.settings.MaxLevel:
 		// Under a level that this program does not know it never leads.
-		m.to(Following, now.Add(m.set.Look))
-	case m.promises.bound(now):
-		m.to(Following, now.Add(m.set.Retry))
-		if m.set.Outage > 0 && m.promises.to == bondHeld && !now.Before(m.promises.askAt) {
+		m.transition(Following, now.Add(m.settings.PollInterval))
+	case m.votes.blocksClaim(now):
+		m.transition(Following, now.Add(m.settings.RetryInterval))
+		if m.settings.OutageVoteDuration > 0 && m.votes.state == voteCast && !now.Before(m.votes.nextRequestAt) {
 			// Nobody holds the key, and this member is bound to somebody: does that one still
 			// lead? Guards against a long wait after a leader that has crashed in an outage.
-			m.promises.askAt = now.Add(m.set.Retry)
-			return []Effect{AskUnbound{}}
+			m.votes.nextRequestAt = now.Add(m.settings.RetryInterval)
+			return []Effect{QueryLeadership{}}
 		}
-	case now.Before(m.holdOff):
-		m.to(Following, now.Add(m.set.Retry))
+	case now.Before(m.noClaimBefore):
+		m.transition(Following, now.Add(m.settings.RetryInterval))
 	default:
-		m.token, m.version = r.Token, r.TokenVersion
-		m.levelRead, m.levelVersion = r.Level, r.LevelVersion
-		m.to(Granting, now.Add(m.set.Life))
-		return []Effect{Grant{m.set.Life}}
+		m.fencingToken, m.tokenVersion = r.FencingToken, r.TokenVersion
+		m.recordedLevel, m.levelVersion = r.Level, r.LevelVersion
+		m.transition(AcquiringLease, now.Add(m.settings.LeaseDuration))
+		return []Effect{GrantLease{m.settings.LeaseDuration}}
 	}
 	return nil
 }
 
-func (m *Machine) claimed(now time.Time, ev Claimed) []Effect {
+func (m *StateMachine) claimCompleted(now time.Time, ev ClaimCompleted) []Effect {
 	if m.state != Claiming {
 		return nil
 	}
 	if !ev.OK {
 		// Lost the race, or the outcome is unknown. Dropping the lease undoes a
 		// claim that was carried out and kills one that comes late.
-		lease := m.lease
-		m.lease = 0
-		m.to(Following, now.Add(m.set.Retry/2))
-		return []Effect{Drop{lease}}
+		lease := m.leaseID
+		m.leaseID = 0
+		m.transition(Following, now.Add(m.settings.RetryInterval/2))
+		return []Effect{RevokeLease{lease}}
 	}
-	m.token, m.version = m.token+1, ev.Version
-	if m.writes > m.level {
-		m.log.Info("level raised", "from", m.level, "to", m.writes, "token", m.token)
-		m.level = m.writes
+	m.fencingToken, m.tokenVersion = m.fencingToken+1, ev.TokenVersion
+	if m.claimedLevel > m.level {
+		m.log.Info("level raised", "from", m.level, "to", m.claimedLevel, "token", m.fencingToken)
+		m.level = m.claimedLevel
 	}
-	m.promises.elected(m.token)
-	m.leader = m.set.Member
-	m.touching = false
-	m.to(Leading, m.sent.Add(m.set.Life/4))
-	return []Effect{Elected{Token: m.token, TokenVersion: m.version}}
+	m.votes.beginTerm(m.fencingToken)
+	m.leader = m.settings.Member
+	m.renewing = false
+	m.transition(Leading, m.renewalSentAt.Add(m.settings.LeaseDuration/4))
+	return []Effect{Elected{FencingToken: m.fencingToken, TokenVersion: m.tokenVersion}}
 }
 
-func (m *Machine) touched(now time.Time, ev Touched) []Effect {
-	if m.state != Leading || ev.Lease != m.lease {
+func (m *StateMachine) leaseRenewed(now time.Time, ev LeaseRenewed) []Effect {
+	if m.state != Leading || ev.LeaseID != m.leaseID {
 		return nil
 	}
-	m.touching = false
+	m.renewing = false
 	switch {
-	case ev.Lost:
+	case ev.Expired:
 		m.log.Warn("the leader's lease is over")
-		return m.depose(now)
+		return m.stepDown(now)
 	case ev.Err != nil:
-		m.next = now.Add(m.set.Retry)
+		m.nextActionAt = now.Add(m.settings.RetryInterval)
 	default:
-		if ev.Sent.After(m.sent) {
-			m.sent = ev.Sent
+		if ev.Sent.After(m.renewalSentAt) {
+			m.renewalSentAt = ev.Sent
 		}
-		if now.Before(m.LeaseUntil()) {
-			m.promises.waive()
+		if now.Before(m.LeaseValidUntil()) {
+			m.votes.waiveExtended()
 		}
-		m.next = ev.Sent.Add(m.set.Life / 4)
+		m.nextActionAt = ev.Sent.Add(m.settings.LeaseDuration / 4)
 	}
 	return nil
 }
 
-func (m *Machine) depose(now time.Time) []Effect {
-	lease := m.lease
-	m.leader, m.lease, m.touching = "", 0, false
-	m.to(Following, now.Add(m.set.Retry))
-	if m.set.Promise > 0 {
-		return []Effect{Deposed{}, Drop{lease}, Release{m.token}}
+func (m *StateMachine) stepDown(now time.Time) []Effect {
+	lease := m.leaseID
+	m.leader, m.leaseID, m.renewing = "", 0, false
+	m.transition(Following, now.Add(m.settings.RetryInterval))
+	if m.settings.VoteDuration > 0 {
+		return []Effect{Deposed{}, RevokeLease{lease}, ReleaseVotes{m.fencingToken}}
 	}
-	return []Effect{Deposed{}, Drop{lease}}
+	return []Effect{Deposed{}, RevokeLease{lease}}
 }
--- a/internal/fake/cancel_test.go
+++ b/internal/fake/cancel_test.go
@@ -23,7 +23,7 @@
 	w := worldOf(n, machines, 4)
 	w.Run = time.Hour
 	for _, c := range w.Controllers {
-		c.esets.Promise, c.esets.Outage = c.esets.Life*7/8, 10*second
+		c.esets.VoteDuration, c.esets.OutageVoteDuration = c.esets.LeaseDuration*7/8, 10*second
 		c.Crash()
 		c.Start()
 	}
@@ -287,7 +287,7 @@
 		t.Fatal(err)
 	}
 	tell(t, w, teller, s)
-	leader.Jobs.Heard(teller.Jobs.Word(leader.Jobs.Revision(), leader.toldBy[teller.Member]).Cancelled)
+	leader.Jobs.ApplyCancellations(teller.Jobs.CancellationsAfter(leader.Jobs.Revision(), leader.toldBy[teller.Member]).Cancelled)
 	leader.NoNet = false
 	if err := leader.Jobs.CatchUp(context.Background()); err != nil {
 		t.Fatal(err)
--- a/internal/fake/ledger_test.go
+++ b/internal/fake/ledger_test.go
@@ -41,7 +41,7 @@
 func account(t *testing.T, w *World, team string) ledger.Open {
 	t.Helper()
 	c := store.NewOver(w.State, w.State, second)
-	c.SetRates(1e9, 1e9)
+	c.SetRateLimits(1e9, 1e9)
 	r, err := c.Account(context.Background(), team)
 	if err != nil {
 		t.Fatal(err)
@@ -122,8 +122,8 @@
 	}
 	w.Pass(30 * second)
 	c := store.NewOver(w.State, w.State, second)
-	c.SetRates(1e9, 1e9)
-	list, _, err := c.Stretches(context.Background(), 0, 100)
+	c.SetRateLimits(1e9, 1e9)
+	list, _, err := c.Intervals(context.Background(), 0, 100)
 	if err != nil || len(list) != 1 || list[0].Without != 1 || list[0].To.Sub(list[0].From) < 60*second {
 		t.Errorf("not accounted: %+v, %v", list, err)
 	}
--- a/internal/fake/level_test.go
+++ b/internal/fake/level_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	for _, c := range w.Controllers {
 		if c.Up && !c.Before {
-			c.election(election.Raising{To: featuregate.Can, Again: c == l})
+			c.election(election.ProposeLevel{Level: featuregate.Can, StepDown: c == l})
 		}
 	}
 	until(t, w, 20*second, "the level is raised", func() bool { l := w.Leader(); return l != nil && l.Elect.Level() == featuregate.Can })
@@ -44,7 +44,7 @@
 
 func record(t *testing.T, w *World) election.Record {
 	t.Helper()
-	r, _, err := w.Controllers[1].State.Look(context.Background())
+	r, _, err := w.Controllers[1].State.ReadLeaderRecord(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 	starts := len(w.Starts)
 	old.Crash()
 	raise(t, w, l)
-	if r := record(t, w); r.Level != featuregate.Can || r.Token != stale.Token+1 {
+	if r := record(t, w); r.Level != featuregate.Can || r.FencingToken != stale.FencingToken+1 {
 		t.Errorf("raised by more than one claim: %+v, before %+v", r, stale)
 	}
 	w.Pass(5 * second)
@@ -79,11 +79,11 @@
 	}
 	w.Pass(10 * second)
 	old.Start()
-	lease, err := old.State.Grant(4 * second)
+	lease, err := old.State.GrantLease(4 * second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, ok, _ := old.claim(election.Claim{Lease: lease, Token: stale.Token + 1, TokenVersion: stale.TokenVersion}); ok {
+	if _, ok, _ := old.claim(election.Claim{LeaseID: lease, FencingToken: stale.FencingToken + 1, TokenVersion: stale.TokenVersion}); ok {
 		t.Fatal("a claim from before the raise came through")
 	}
 	w.Pass(60 * second)
@@ -104,7 +104,7 @@
 func TestAProgramThatKnowsLessNeverLeads(t *testing.T) {
 	w := deployment(t, 1)
 	less, others := w.Controllers[0], w.Controllers[1:]
-	less.esets.Can = 0
+	less.esets.MaxLevel = 0
 	less.Crash()
 	w.Pass(8 * second)
 	raise(t, w, leads(t, w, others...))
--- a/internal/fake/pipelines_test.go
+++ b/internal/fake/pipelines_test.go
@@ -62,7 +62,7 @@
 		c.Crash()
 	}
 	for _, c := range w.Controllers {
-		c.set.NumberedChunkTasks, c.set.MaxTxnOps = numbered, w.Limits.Ops
+		c.set.NumberedChunkTasks, c.set.MaxTxnOps = numbered, w.Limits.MaxChanges
 		c.Start()
 	}
 	until(t, w, 20*second, "somebody leads", func() bool { return w.Leader() != nil })
@@ -98,7 +98,7 @@
 
 func TestCancellationGoesDownWholePipelinesAndOutlivesLeaders(t *testing.T) {
 	w := deployment(t, 2)
-	w.State.MostOps, w.Limits.Ops = 4, 4
+	w.State.MostOps, w.Limits.MaxChanges = 4, 4
 	w.Run = 300 * second
 	restart(t, w, 0)
 	a := job(model.Array, 2, nil)
@@ -199,11 +199,11 @@
 	self := after()
 	self.Dependencies = []string{self.ID}
 	for name, s := range map[string]*model.Spec{"one never accepted": after(&model.Spec{ID: "wk-999999"}), "itself": self} {
-		if err := w.Submit(w.Controllers[1], s); !errors.Is(err, store.ErrNeverAccepted) {
+		if err := w.Submit(w.Controllers[1], s); !errors.Is(err, store.ErrUnknownDependency) {
 			t.Errorf("a job that awaits %s: %v", name, err)
 		}
 	}
-	if err := w.Submit(w.Controllers[1], after(service)); !errors.Is(err, store.ErrAwaitsService) {
+	if err := w.Submit(w.Controllers[1], after(service)); !errors.Is(err, store.ErrServiceDependency) {
 		t.Errorf("a job that awaits a service: %v", err)
 	}
 	below := after(ended, cancelled)
@@ -216,7 +216,7 @@
 	submitAll(t, w, free)
 	until(t, w, 30*second, "a job that awaits only what is done runs", done(t, w, free))
 	w.Controllers[0].NoNet = true
-	if err := w.Submit(w.Controllers[0], after(&model.Spec{ID: "wk-999998"})); err == nil || errors.Is(err, store.ErrNeverAccepted) {
+	if err := w.Submit(w.Controllers[0], after(&model.Spec{ID: "wk-999998"})); err == nil || errors.Is(err, store.ErrUnknownDependency) {
 		t.Errorf("without the state service nobody can know that a job was never accepted: %v", err)
 	}
 }
@@ -286,7 +286,7 @@
 	w.Pass(30 * second)
 	restart(t, w, 0)
 	w.Pass(5 * second)
-	for _, e := range w.Leader().Jobs.Ends(context.Background(), []string{a.ID}) {
+	for _, e := range w.Leader().Jobs.ReadEnds(context.Background(), []string{a.ID}) {
 		if d := freed.Sub(e.EndedAt); e.Outcome != model.OutcomeDone || d < 0 || d > second {
 			t.Errorf("the end on record is %v before the one that was seen", d)
 		}
@@ -295,8 +295,8 @@
 
 func TestManyAwaitedJobsUnderSmallValues(t *testing.T) {
 	w := grown(t, 30, 80)
-	w.State.MostValue, w.Limits.Value = 2048, 2048
-	w.State.MostOps, w.Limits.Ops = 4, 4
+	w.State.MostValue, w.Limits.MaxValueBytes = 2048, 2048
+	w.State.MostOps, w.Limits.MaxChanges = 4, 4
 	restart(t, w, 0)
 	w.Run = second
 	last := after()
@@ -320,7 +320,7 @@
 	for i := range 2000 {
 		last.Dependencies = append(last.Dependencies, fmt.Sprintf("wk-7%030d", i))
 	}
-	if err := w.Controllers[0].Jobs.Fits(last); !errors.Is(err, store.ErrTooLarge) {
+	if err := w.Controllers[0].Jobs.CheckSize(last); !errors.Is(err, store.ErrTooLarge) {
 		t.Errorf("a list that cannot be kept at all: %v", err)
 	}
 }
@@ -405,7 +405,7 @@
 // chunk after the first would stand for other tasks.
 func TestLargeArrayOfTheOldVersionThroughTheFallOfTheLimits(t *testing.T) {
 	w := deployment(t, 4)
-	w.Limits = store.Limits{Value: 2048, Ops: 4}
+	w.Limits = store.Limits{MaxValueBytes: 2048, MaxChanges: 4}
 	s := oldSpec("wk-700002", 100_000)
 	w.Specs[s.ID] = s
 	plant(t, w, "job/a/wk-700002", oldActive100k)
--- a/internal/fake/promises_test.go
+++ b/internal/fake/promises_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	w := deployment(t, machines)
 	for _, c := range w.Controllers {
-		c.esets.Promise, c.esets.Outage = c.esets.Life*7/8, outage
+		c.esets.VoteDuration, c.esets.OutageVoteDuration = c.esets.LeaseDuration*7/8, outage
 		c.Crash()
 		c.Start()
 	}
@@ -129,7 +129,7 @@
 	w := promising(t, 4)
 	for _, c := range w.Controllers {
 		if c != w.Leader() {
-			c.esets.Promise = 0 // of a version that knows no promises
+			c.esets.VoteDuration = 0 // of a version that knows no promises
 			c.Crash()
 			c.Start()
 			break
--- a/internal/fake/stories_test.go
+++ b/internal/fake/stories_test.go
@@ -275,7 +275,7 @@
 		t.Fatal(err)
 	}
 	v := old.Jobs.Peek(s.ID)
-	_, ok, err := old.State.Save(context.Background(), ver, []reconciler.Change{{Kind: reconciler.CompleteJob, Job: s.ID, Version: v.Version, Tasks: 1}})
+	_, ok, err := old.State.CommitFenced(context.Background(), ver, []reconciler.Change{{Kind: reconciler.CompleteJob, Job: s.ID, Version: v.Version, Tasks: 1}})
 	if err != nil || ok {
 		t.Errorf("a late transaction of a deposed leader was carried out (ok=%v, err=%v)", ok, err)
 	}
@@ -616,23 +616,23 @@
 }
 
 func TestElectionRightEndsBeforeTheLeaseCan(t *testing.T) {
-	set := election.Settings{Member: "m", Life: 4 * second, Margin: 200 * time.Millisecond, Look: second, Retry: 250 * time.Millisecond}
+	set := election.Settings{Member: "m", LeaseDuration: 4 * second, SafetyMargin: 200 * time.Millisecond, PollInterval: second, RetryInterval: 250 * time.Millisecond}
 	m := election.New(time.Unix(0, 0), set, quiet)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	m.Step(now, election.Tick{})
-	m.Step(now, election.Looked{})
+	m.Step(now, election.RecordRead{})
 	sent := now
 	now = now.Add(3 * second) // a slow answer: the right counts from the sending
-	m.Step(now, election.Granted{Lease: 7, Sent: sent})
-	m.Step(now, election.Claimed{OK: true, Version: 9})
-	if !m.Entitled(now) {
+	m.Step(now, election.LeaseGranted{LeaseID: 7, Sent: sent})
+	m.Step(now, election.ClaimCompleted{OK: true, TokenVersion: 9})
+	if !m.LeadershipValid(now) {
 		t.Fatal("not entitled 3 s into a lease of 4 s")
 	}
-	if late := sent.Add(3900 * time.Millisecond); m.Entitled(late) {
+	if late := sent.Add(3900 * time.Millisecond); m.LeadershipValid(late) {
 		t.Error("entitled within the margin of the lease's end")
 	}
-	m.Step(now, election.Touched{Lease: 7, Sent: now})
-	if !m.Entitled(now.Add(3500 * time.Millisecond)) {
+	m.Step(now, election.LeaseRenewed{LeaseID: 7, Sent: now})
+	if !m.LeadershipValid(now.Add(3500 * time.Millisecond)) {
 		t.Error("a renewal does not extend the right")
 	}
 }
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -115,11 +115,11 @@
 	DayOff time.Duration // how far its time of day is off
 	Seen   uint64        // the last revision of the job records that it has read
 	State  *store.Client
-	Jobs   *store.Jobs
-	Elect  *election.Machine
+	Jobs   *store.JobCache
+	Elect  *election.StateMachine
 	Core   *reconciler.Core
 	book   *staleness.Tracker // nil: it has no core
-	toldBy map[string]store.Told
+	toldBy map[string]store.CancellationCursor
 	token  uint64
 	ver    uint64
 	held   bool
@@ -222,10 +222,10 @@
 // Start starts a controller with nothing in memory.
 func (c *Controller) Start() {
 	c.Up, c.Core, c.book, c.held, c.Frozen = true, nil, nil, false, false
-	c.toldBy = map[string]store.Told{}
+	c.toldBy = map[string]store.CancellationCursor{}
 	c.w.lives++
 	c.State = store.NewOver(c, c, time.Second)
-	c.State.SetRates(1e9, 1e9)
+	c.State.SetRateLimits(1e9, 1e9)
 	c.changes, c.later, c.slow, c.readAt = nil, nil, nil, time.Time{}
 	if c.set.Ledger = c.w.ledger; c.Old {
 		c.set.Ledger = nil
@@ -235,12 +235,12 @@
 		own.TimeOfDay = func(now time.Time) time.Time { return now.Add(c.DayOff) }
 		c.set.Ledger = &own
 	}
-	c.Jobs = store.NewJobs(c.State, c.w.lives, c.w.Keep, c.w.Limits, func(ch []store.JobChange) { c.changes = append(c.changes, ch...) }, c.log)
+	c.Jobs = store.NewJobCache(c.State, c.w.lives, c.w.Keep, c.w.Limits, func(ch []store.JobChange) { c.changes = append(c.changes, ch...) }, c.log)
 	c.State.SetClock(func() time.Time { return c.w.now }, func(time.Duration) {})
-	c.esets.Others = nil
+	c.esets.Peers = nil
 	for _, o := range c.w.Controllers {
 		if o != c {
-			c.esets.Others = append(c.esets.Others, o.Member)
+			c.esets.Peers = append(c.esets.Peers, o.Member)
 		}
 	}
 	c.Elect = election.New(c.w.now, c.esets, c.log)
@@ -254,7 +254,9 @@
 	return c.entitled() && c.w.now.Before(c.book.KnownAsOf().Add(c.w.Bound.KeepLeases))
 }
 
-func (c *Controller) entitled() bool { return c.Up && c.Core != nil && c.Elect.Entitled(c.w.now) }
+func (c *Controller) entitled() bool {
+	return c.Up && c.Core != nil && c.Elect.LeadershipValid(c.w.now)
+}
 
 // Team is a team as the controller knows it; nil: it does not.
 func (c *Controller) Team(name string) *model.Team {
@@ -370,7 +372,7 @@
 	w.Specs[s.ID] = s
 	ctx := context.Background()
 	awaits := s.Dependencies
-	doomed, err := c.Jobs.Resolve(ctx, s)
+	doomed, err := c.Jobs.ResolveDependencies(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -385,7 +387,7 @@
 }
 
 // Cancel cancels a job through a controller.
-func (w *World) Cancel(c *Controller, id string) (store.JobView, error) {
+func (w *World) Cancel(c *Controller, id string) (store.JobRecord, error) {
 	if h := w.told[id]; h != nil {
 		h.askedTo = true
 	}
@@ -509,7 +511,7 @@
 	c.election(election.Tick{})
 	if c.Elect.State() == election.Following {
 		if r, err := c.look(); err == nil && !r.Held {
-			c.election(election.Vacant{})
+			c.election(election.LeaderKeyVacant{})
 		}
 	}
 	if c.Core == nil {
@@ -530,7 +532,7 @@
 		return // another leader has taken over
 	}
 	c.book.RecordsRead(at)
-	if !c.Leads() && c.w.now.Before(c.Elect.LeaseUntil()) {
+	if !c.Leads() && c.w.now.Before(c.Elect.LeaseValidUntil()) {
 		c.election(election.Resign{}) // it is served, and knows too little to act
 		return
 	}
@@ -538,7 +540,7 @@
 		if c.held {
 			c.Core.Resume(c.w.now)
 		}
-		c.Core.PauseStarts(!c.w.now.Before(c.Elect.StartsUntil()) || !c.w.now.Before(c.book.KnownAsOf().Add(c.w.Bound.StartTasks)))
+		c.Core.PauseStarts(!c.w.now.Before(c.Elect.StartsValidUntil()) || !c.w.now.Before(c.book.KnownAsOf().Add(c.w.Bound.StartTasks)))
 		c.act(reconciler.Tick{})
 		if c.Core.Isolated(c.w.now) {
 			c.election(election.Resign{})
@@ -552,13 +554,13 @@
 	changes := c.changes
 	c.changes = nil
 	for _, ch := range changes {
-		c.act(c.Jobs.Event(ch))
+		c.act(c.Jobs.EventFor(ch))
 	}
 }
 
 // look reads who leads. A program from before levels takes every record there for a token's.
 func (c *Controller) look() (election.Record, error) {
-	r, _, err := c.State.Look(context.Background())
+	r, _, err := c.State.ReadLeaderRecord(context.Background())
 	if !c.Before || err != nil {
 		return r, err
 	}
@@ -576,59 +578,59 @@
 // condition on one.
 func (c *Controller) claim(e election.Claim) (uint64, bool, error) {
 	if !c.Before {
-		return c.State.Claim(context.Background(), c.Member, e)
+		return c.State.ClaimLeadership(context.Background(), c.Member, e)
 	}
-	v := wire.AppendLeaderRecord(nil, e.Token, c.Member)
+	v := wire.AppendLeaderRecord(nil, e.FencingToken, c.Member)
 	return c.State.Commit(context.Background(), &wire.Txn{
 		Conditions: []wire.Condition{{Key: "leader/holder"}, {Key: "leader/token", Version: e.TokenVersion}},
-		Changes:    []wire.Change{{Key: "leader/holder", Value: v, Lease: e.Lease}, {Key: "leader/token", Value: v}}}, true)
+		Changes:    []wire.Change{{Key: "leader/holder", Value: v, Lease: e.LeaseID}, {Key: "leader/token", Value: v}}}, true)
 }
 
 func (c *Controller) election(ev election.Event) {
 	for _, e := range c.Elect.Step(c.w.now, ev) {
 		sent := c.w.now
 		switch e := e.(type) {
-		case election.Look:
+		case election.ReadRecord:
 			r, err := c.look()
-			c.replied(func() { c.election(election.Looked{Record: r, Err: err}) })
-		case election.Grant:
-			id, err := c.State.Grant(e.Life)
-			c.replied(func() { c.election(election.Granted{Lease: id, Sent: sent, Err: err}) })
+			c.replied(func() { c.election(election.RecordRead{Record: r, Err: err}) })
+		case election.GrantLease:
+			id, err := c.State.GrantLease(e.Duration)
+			c.replied(func() { c.election(election.LeaseGranted{LeaseID: id, Sent: sent, Err: err}) })
 		case election.Claim:
 			v, ok, err := c.claim(e)
-			c.replied(func() { c.election(election.Claimed{OK: ok, Version: v, Err: err}) })
-		case election.Touch:
-			err := c.State.Touch(e.Lease)
+			c.replied(func() { c.election(election.ClaimCompleted{OK: ok, TokenVersion: v, Err: err}) })
+		case election.RenewLease:
+			err := c.State.RenewLease(e.LeaseID)
 			c.replied(func() {
-				c.election(election.Touched{Lease: e.Lease, Sent: sent, Lost: err == store.ErrLeaseOver, Err: err})
+				c.election(election.LeaseRenewed{LeaseID: e.LeaseID, Sent: sent, Expired: err == store.ErrLeaseExpired, Err: err})
 			})
-		case election.AskPromises:
+		case election.RequestVotes:
 			for _, o := range c.w.Controllers {
 				if o == c {
 					continue
 				}
-				rev, silent, told := c.Jobs.Revision(), c.w.now.Sub(c.State.Contact()), c.toldBy[o.Member]
+				rev, silent, told := c.Jobs.Revision(), c.w.now.Sub(c.State.LastContact()), c.toldBy[o.Member]
 				c.w.between(c, o, func() {
-					q := election.Question{Leader: c.Member, Token: e.Token, Seq: e.Seq, For: e.For, Instead: e.Instead}
-					word := o.Jobs.Word(rev, told)
+					q := election.VoteRequest{Leader: c.Member, FencingToken: e.FencingToken, Seq: e.Seq, Duration: e.Duration, Supersedes: e.Supersedes}
+					word := o.Jobs.CancellationsAfter(rev, told)
 					long := o.promise(q, silent)
 					c.w.between(o, c, func() {
-						if c.token != e.Token || c.Core == nil {
+						if c.token != e.FencingToken || c.Core == nil {
 							return
 						}
-						c.Jobs.Heard(word.Cancelled)
+						c.Jobs.ApplyCancellations(word.Cancelled)
 						c.applyChanges()
-						c.toldBy[o.Member] = word.Upto
-						if word.Whole && c.book != nil {
+						c.toldBy[o.Member] = word.Cursor
+						if word.Complete && c.book != nil {
 							c.book.Acknowledged(o.Member, sent)
 						}
 						if long > 0 {
-							c.election(election.PromiseBack{Member: o.Member, Token: e.Token, Sent: sent, Seq: e.Seq, For: long})
+							c.election(election.VoteReceived{Member: o.Member, FencingToken: e.FencingToken, Sent: sent, Seq: e.Seq, Duration: long})
 						}
 					})
 				})
 			}
-		case election.AskUnbound:
+		case election.QueryLeadership:
 			for _, o := range c.w.Controllers {
 				if o != c {
 					life := c.Elect
@@ -636,23 +638,23 @@
 						if s := o.Elect.State(); s != election.Leading && s != election.Claiming {
 							c.w.between(o, c, func() {
 								if c.Elect == life {
-									c.election(election.Unbound{Member: o.Member, Sent: sent})
+									c.election(election.NotLeadingReceived{Member: o.Member, Sent: sent})
 								}
 							})
 						}
 					})
 				}
 			}
-		case election.Release:
+		case election.ReleaseVotes:
 			for _, o := range c.w.Controllers {
 				if o != c {
-					c.w.between(c, o, func() { o.Elect.Released(e.Token) })
+					c.w.between(c, o, func() { o.Elect.HandleVoteRelease(e.FencingToken) })
 				}
 			}
-		case election.Drop:
-			_ = c.State.Drop(e.Lease) // a lost drop only means waiting for the lease
+		case election.RevokeLease:
+			_ = c.State.RevokeLease(e.LeaseID) // a lost drop only means waiting for the lease
 		case election.Elected:
-			c.token, c.ver = e.Token, e.TokenVersion
+			c.token, c.ver = e.FencingToken, e.TokenVersion
 			c.takeOver()
 		case election.Deposed:
 			c.Core, c.book = nil, nil
@@ -661,11 +663,11 @@
 }
 
 // promise decides as package node does.
-func (c *Controller) promise(q election.Question, silent time.Duration) time.Duration {
-	if c.Jobs.Revision() == 0 || c.State.Contact().Sub(c.w.now.Add(-silent)) > 2*time.Second && c.State.Down(c.w.now) == 0 {
+func (c *Controller) promise(q election.VoteRequest, silent time.Duration) time.Duration {
+	if c.Jobs.Revision() == 0 || c.State.LastContact().Sub(c.w.now.Add(-silent)) > 2*time.Second && c.State.UnreachableFor(c.w.now) == 0 {
 		return 0
 	}
-	return c.Elect.Promise(c.w.now, q)
+	return c.Elect.HandleVoteRequest(c.w.now, q)
 }
 
 // between carries a message from one controller to another, unless one is down or they are
@@ -688,15 +690,15 @@
 		c.later = append(c.later, c.takeOver)
 		return
 	}
-	snap, err := c.State.Records(ctx, c.set.Ledger != nil)
+	snap, err := c.State.ReadSnapshot(ctx, c.set.Ledger != nil)
 	if err != nil {
 		c.later = append(c.later, c.takeOver)
 		return
 	}
-	c.Jobs.Snapshot(snap)
+	c.Jobs.AddToSnapshot(snap)
 	c.Core = reconciler.New(c.w.now, c.set, c.token, snap, c.w.Types, c.log)
 	c.changes = nil
-	c.book = staleness.NewTracker(c.esets.Others, c.Jobs.AsOf())
+	c.book = staleness.NewTracker(c.esets.Peers, c.Jobs.AsOf())
 }
 
 // act hands an event to the core and carries out the effects.
@@ -805,35 +807,35 @@
 	case reconciler.FetchCatalog:
 		back(reconciler.CatalogReceived{Types: w.Types})
 	case reconciler.LookUpJobEnds:
-		back(reconciler.JobEndsReceived{Ends: c.Jobs.Ends(context.Background(), e.IDs)})
+		back(reconciler.JobEndsReceived{Ends: c.Jobs.ReadEnds(context.Background(), e.IDs)})
 	case reconciler.Commit:
-		rev, ok, err := c.State.Save(context.Background(), c.ver, e.Changes)
+		rev, ok, err := c.State.CommitFenced(context.Background(), c.ver, e.Changes)
 		ev := reconciler.CommitCompleted{Changes: e.Changes, Outcome: reconciler.OK, Version: rev}
 		switch {
 		case errors.Is(err, store.ErrRejected):
 			ev.Outcome = reconciler.Rejected
-			w.Rejected = append(w.Rejected, store.Keys(e.Changes)...)
+			w.Rejected = append(w.Rejected, store.ChangeKeys(e.Changes)...)
 		case errors.Is(err, store.ErrNotExecuted):
 			ev.Outcome = reconciler.NotSent
 		case err != nil:
 			ev.Outcome = reconciler.Unknown
 		case !ok:
 			ev.Outcome = reconciler.Refused
-			if last, err := c.State.StillLast(context.Background(), c.ver); err == nil && !last {
-				c.election(election.Fenced{Token: token})
+			if last, err := c.State.TokenUnchanged(context.Background(), c.ver); err == nil && !last {
+				c.election(election.Fenced{FencingToken: token})
 			}
 		}
 		back(ev)
 	case reconciler.Fence:
-		v, ok, err := c.State.Rewrite(context.Background(), c.Member, token, c.ver)
+		v, ok, err := c.State.RewriteToken(context.Background(), c.Member, token, c.ver)
 		switch {
 		case err != nil:
 			back(reconciler.FenceCompleted{Outcome: reconciler.Unknown})
 		case !ok:
-			c.election(election.Fenced{Token: token})
+			c.election(election.Fenced{FencingToken: token})
 		default:
 			c.ver = v
-			c.election(election.Rewritten{Token: token, Version: v})
+			c.election(election.TokenRewritten{FencingToken: token, TokenVersion: v})
 			back(reconciler.FenceCompleted{Outcome: reconciler.OK})
 		}
 	case reconciler.ReadAccounts:
@@ -845,7 +847,7 @@
 		}
 		back(ev)
 	case reconciler.ReadSegments:
-		pages, _, _ := c.State.Pages(context.Background(), e.Team, 0, reconciler.MaxSegmentsRead) // none: looked for again later
+		pages, _, _ := c.State.Segments(context.Background(), e.Team, 0, reconciler.MaxSegmentsRead) // none: looked for again later
 		back(reconciler.SegmentsReceived{Team: e.Team, Segments: pages})
 	}
 }
--- a/internal/httpapi/away_test.go
+++ b/internal/httpapi/away_test.go
@@ -37,8 +37,8 @@
 }
 
 func TestWhatThisMemberCannotTakeAnotherOneDoes(t *testing.T) {
-	b := &records{known: map[string]store.JobView{"wk-000005": {State: wire.StateQueued, Tasks: 1}, "wk-000009": {State: wire.StateDone, Tasks: 7}}}
-	do := pair(t, &records{known: map[string]store.JobView{}, down: true}, b, &backend{types: eight}, 0)
+	b := &records{known: map[string]store.JobRecord{"wk-000005": {State: wire.StateQueued, Tasks: 1}, "wk-000009": {State: wire.StateDone, Tasks: 7}}}
+	do := pair(t, &records{known: map[string]store.JobRecord{}, down: true}, b, &backend{types: eight}, 0)
 	bad := submission("wk-000003")
 	bad["owner"] = "nobody"
 	for _, c := range []struct {
@@ -81,7 +81,7 @@
 		handed.Add(1)
 		return route.Answer{Cause: route.Silent}
 	}}
-	s := New(Settings{RetryAfter: time.Second, Conns: 10, Router: router(0)}, &records{known: map[string]store.JobView{}, down: true}, b, time.Now, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := New(Settings{RetryAfter: time.Second, Conns: 10, Router: router(0)}, &records{known: map[string]store.JobRecord{}, down: true}, b, time.Now, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for range 5 {
 		if a := s.Visit(t.Context(), route.Request{Kind: route.Poll, ID: "wk-000001"}, time.Second); a.Cause != route.Down {
 			t.Errorf("got %+v", a)
@@ -98,19 +98,19 @@
 	ended atomic.Bool
 }
 
-func (r *slowRecords) Peek(string) store.JobView {
+func (r *slowRecords) Peek(string) store.JobRecord {
 	if r.ended.Load() {
-		return store.JobView{State: wire.StateDone, Tasks: 3}
+		return store.JobRecord{State: wire.StateDone, Tasks: 3}
 	}
-	return store.JobView{}
+	return store.JobRecord{}
 }
 
-func (r *slowRecords) Lookup(ctx context.Context, id string) (store.JobView, error) {
+func (r *slowRecords) Lookup(ctx context.Context, id string) (store.JobRecord, error) {
 	if v := r.Peek(id); v.State.Ended() {
 		return v, nil
 	}
 	<-ctx.Done()
-	return store.JobView{}, ctx.Err()
+	return store.JobRecord{}, ctx.Err()
 }
 
 // While another member read the job as unfinished, or accepted it, its end has become known here, and others may
@@ -189,15 +189,15 @@
 	answer chan bool
 }
 
-func (r *answeringRecords) Lookup(context.Context, string) (store.JobView, error) {
+func (r *answeringRecords) Lookup(context.Context, string) (store.JobRecord, error) {
 	<-r.answer
-	return store.JobView{State: wire.StateDone, Tasks: 3}, nil
+	return store.JobRecord{State: wire.StateDone, Tasks: 3}, nil
 }
 
 // A mistake of ours in an attempt costs that answer, not the process.
 func TestAnAttemptThatPanicsIsAnswered(t *testing.T) {
 	b := &backend{types: []model.MachineType{{}}, hand: func(context.Context, string, route.Request) route.Answer { panic("a mistake") }}
-	do := serveWith(t, Settings{RetryAfter: time.Second, Conns: 10, Router: router(0)}, &records{known: map[string]store.JobView{}, down: true}, b)
+	do := serveWith(t, Settings{RetryAfter: time.Second, Conns: 10, Router: router(0)}, &records{known: map[string]store.JobRecord{}, down: true}, b)
 	if code, _, after := do("GET", "/api/jobs/wk-000001", nil); code != 503 || after == "" {
 		t.Errorf("got %d, Retry-After %q", code, after)
 	}
@@ -210,7 +210,7 @@
 	b := &backend{types: eight, hand: func(_ context.Context, _ string, q route.Request) route.Answer {
 		return route.Answer{Status: 201, Body: wire.AppendJobState(nil, q.ID, wire.StateQueued)}
 	}}
-	s := New(Settings{RetryAfter: time.Second, Conns: 200, Sockets: sockets, Router: router(0)}, &records{known: map[string]store.JobView{}}, b, time.Now, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := New(Settings{RetryAfter: time.Second, Conns: 200, Sockets: sockets, Router: router(0)}, &records{known: map[string]store.JobRecord{}}, b, time.Now, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for range sockets.Standing().Owners[connquota.Users].Share {
 		h, err := sockets.Enter(time.Now(), connquota.Newcomers, nil)
 		if err != nil || !h.Become(connquota.Users) {
--- a/internal/httpapi/front.go
+++ b/internal/httpapi/front.go
@@ -24,12 +24,12 @@
 
 // Jobs is what the front needs of the job records.
 type Jobs interface {
-	Peek(id string) store.JobView
-	Lookup(ctx context.Context, id string) (store.JobView, error)
-	Resolve(ctx context.Context, s *model.Spec) (doomed bool, err error)
-	Fits(s *model.Spec) error
-	Accept(ctx context.Context, s *model.Spec, doomed bool, now time.Time) (bool, store.JobView, error)
-	Cancel(ctx context.Context, id string, now time.Time) (store.JobView, error)
+	Peek(id string) store.JobRecord
+	Lookup(ctx context.Context, id string) (store.JobRecord, error)
+	ResolveDependencies(ctx context.Context, s *model.Spec) (doomed bool, err error)
+	CheckSize(s *model.Spec) error
+	Accept(ctx context.Context, s *model.Spec, doomed bool, now time.Time) (bool, store.JobRecord, error)
+	Cancel(ctx context.Context, id string, now time.Time) (store.JobRecord, error)
 }
 
 // Verdict is what became of a worker's report.
@@ -243,13 +243,13 @@
 	case route.Submit:
 		return s.submit(ctx, q)
 	case route.Poll:
-		return s.about(ctx, q.ID, s.jobs.Lookup, func(v store.JobView) []byte {
+		return s.about(ctx, q.ID, s.jobs.Lookup, func(v store.JobRecord) []byte {
 			st, done, running := s.state(q.ID, v)
 			return wire.AppendJobStatus(nil, q.ID, st, done, running)
 		})
 	default:
-		cancel := func(ctx context.Context, id string) (store.JobView, error) { return s.jobs.Cancel(ctx, id, s.now()) }
-		return s.about(ctx, q.ID, cancel, func(v store.JobView) []byte { return wire.AppendJobState(nil, q.ID, v.State) })
+		cancel := func(ctx context.Context, id string) (store.JobRecord, error) { return s.jobs.Cancel(ctx, id, s.now()) }
+		return s.about(ctx, q.ID, cancel, func(v store.JobRecord) []byte { return wire.AppendJobState(nil, q.ID, v.State) })
 	}
 }
 
@@ -268,7 +268,7 @@
 
 // failed is the answer where the state service could not be asked.
 func failed(err error) route.Answer {
-	if errors.Is(err, store.ErrBusy) {
+	if errors.Is(err, store.ErrRateLimited) {
 		return not(route.Busy, unanswered)
 	}
 	return not(route.Down, unanswered)
@@ -350,27 +350,27 @@
 // resolve finds out how the jobs stand that a submission awaits, and whether the
 // submission can be kept at all. Where it can't be taken it says why.
 func (s *Server) resolve(ctx context.Context, spec *model.Spec) (doomed bool, stop *route.Answer) {
-	doomed, err := s.jobs.Resolve(ctx, spec)
+	doomed, err := s.jobs.ResolveDependencies(ctx, spec)
 	switch {
-	case errors.Is(err, store.ErrNeverAccepted), errors.Is(err, store.ErrAwaitsService):
+	case errors.Is(err, store.ErrUnknownDependency), errors.Is(err, store.ErrServiceDependency):
 		return false, answer(refused(fasthttp.StatusUnprocessableEntity, err.Error()))
 	case err != nil:
 		return false, answer(failed(err))
 	}
-	if err := s.jobs.Fits(spec); err != nil {
+	if err := s.jobs.CheckSize(spec); err != nil {
 		return false, answer(refused(fasthttp.StatusUnprocessableEntity, err.Error()))
 	}
 	return doomed, nil
 }
 
 // known answers a repeated submission with the job's state.
-func (s *Server) known(id string, v store.JobView) route.Answer {
+func (s *Server) known(id string, v store.JobRecord) route.Answer {
 	st, _, _ := s.state(id, v)
 	return final(fasthttp.StatusOK, wire.AppendJobState(nil, id, st))
 }
 
 // state adds the progress to an unfinished job's state.
-func (s *Server) state(id string, v store.JobView) (st wire.JobState, done, running int) {
+func (s *Server) state(id string, v store.JobRecord) (st wire.JobState, done, running int) {
 	switch v.State {
 	case wire.StateDone:
 		return v.State, v.Tasks, 0
@@ -385,9 +385,9 @@
 
 // about answers a request about one job: ask finds its state out, text writes
 // the body for a job that is known.
-func (s *Server) about(ctx context.Context, id string, ask func(context.Context, string) (store.JobView, error),
-	text func(v store.JobView) []byte) route.Answer {
-	var v store.JobView
+func (s *Server) about(ctx context.Context, id string, ask func(context.Context, string) (store.JobRecord, error),
+	text func(v store.JobRecord) []byte) route.Answer {
+	var v store.JobRecord
 	if model.ValidJobID(id) {
 		var err error
 		if v, err = ask(ctx, id); err != nil {
--- a/internal/httpapi/front_test.go
+++ b/internal/httpapi/front_test.go
@@ -32,50 +32,50 @@
 
 // records stands in for the job records.
 type records struct {
-	known map[string]store.JobView
+	known map[string]store.JobRecord
 	down  bool
 }
 
 var errDown = errors.New("down")
 
-func (r *records) Peek(id string) store.JobView { return r.known[id] }
+func (r *records) Peek(id string) store.JobRecord { return r.known[id] }
 
-func (r *records) Lookup(_ context.Context, id string) (store.JobView, error) {
+func (r *records) Lookup(_ context.Context, id string) (store.JobRecord, error) {
 	if v := r.known[id]; v.State.Ended() || !r.down {
 		return v, nil
 	}
-	return store.JobView{}, errDown
+	return store.JobRecord{}, errDown
 }
 
-func (r *records) Accept(_ context.Context, s *model.Spec, _ bool, _ time.Time) (bool, store.JobView, error) {
+func (r *records) Accept(_ context.Context, s *model.Spec, _ bool, _ time.Time) (bool, store.JobRecord, error) {
 	if r.down {
-		return false, store.JobView{}, errDown
+		return false, store.JobRecord{}, errDown
 	}
 	v, ok := r.known[s.ID]
 	if !ok {
-		v = store.JobView{State: wire.StateQueued, Spec: s, Tasks: s.Tasks}
+		v = store.JobRecord{State: wire.StateQueued, Spec: s, Tasks: s.Tasks}
 		r.known[s.ID] = v
 	}
 	return !ok, v, nil
 }
 
-func (r *records) Resolve(_ context.Context, s *model.Spec) (bool, error) {
+func (r *records) ResolveDependencies(_ context.Context, s *model.Spec) (bool, error) {
 	for _, id := range s.Dependencies {
 		if r.down {
 			return false, errDown
 		}
 		if r.known[id].State == wire.StateUnknown {
-			return false, store.ErrNeverAccepted
+			return false, store.ErrUnknownDependency
 		}
 	}
 	return false, nil
 }
 
-func (r *records) Fits(*model.Spec) error { return nil }
+func (r *records) CheckSize(*model.Spec) error { return nil }
 
-func (r *records) Cancel(_ context.Context, id string, _ time.Time) (store.JobView, error) {
+func (r *records) Cancel(_ context.Context, id string, _ time.Time) (store.JobRecord, error) {
 	if r.down {
-		return store.JobView{}, errDown
+		return store.JobRecord{}, errDown
 	}
 	v := r.known[id]
 	if v.State == wire.StateQueued {
@@ -168,7 +168,7 @@
 var eight = []model.MachineType{{Name: "eight", Capacity: model.Resources{CPU: 8, MemGB: 64}, Zones: []string{"a"}}}
 
 func TestRulesOfSubmissions(t *testing.T) {
-	r := &records{known: map[string]store.JobView{"wk-000009": {State: wire.StateQueued, Spec: &model.Spec{Tasks: 1, Zone: "b"}}}}
+	r := &records{known: map[string]store.JobRecord{"wk-000009": {State: wire.StateQueued, Spec: &model.Spec{Tasks: 1, Zone: "b"}}}}
 	b := &backend{types: []model.MachineType{{Name: "eight", Capacity: model.Resources{CPU: 8, MemGB: 64}, Zones: []string{"a"}},
 		{Name: "gpu", Capacity: model.Resources{CPU: 8, GPU: 4, MemGB: 64}, Zones: []string{"b"}}}}
 	do := serveWith(t, Settings{RetryAfter: time.Second, Conns: 10, Rules: true}, r, b)
@@ -220,7 +220,7 @@
 }
 
 func TestWhatUsersAreAnswered(t *testing.T) {
-	r := &records{known: map[string]store.JobView{"wk-000009": {State: wire.StateDone, Tasks: 7}}}
+	r := &records{known: map[string]store.JobRecord{"wk-000009": {State: wire.StateDone, Tasks: 7}}}
 	do := serve(t, r, &backend{types: eight})
 	with := func(id string, change func(map[string]any)) map[string]any {
 		m := maps.Clone(submission(id))
@@ -278,7 +278,7 @@
 // the catalogue has changed meanwhile, a known job is answered as it stands, whatever its submission says by
 // now; nothing is kept of the others.
 func TestOddSubmissionsAreAnsweredAsThePageSays(t *testing.T) {
-	r := &records{known: map[string]store.JobView{}}
+	r := &records{known: map[string]store.JobRecord{}}
 	b := &backend{types: eight}
 	do := serve(t, r, b)
 	odd := map[string][]any{"ref": {nil, 7, "", "x", []any{"wk-000001"}}, "jobclass": {nil, 1, ""},
@@ -366,7 +366,7 @@
 }
 
 func TestWithoutTheStateServiceUsersAreToldWhenToComeBack(t *testing.T) {
-	r := &records{known: map[string]store.JobView{"wk-000001": {State: wire.StateQueued}, "wk-000009": {State: wire.StateCancelled}}, down: true}
+	r := &records{known: map[string]store.JobRecord{"wk-000001": {State: wire.StateQueued}, "wk-000009": {State: wire.StateCancelled}}, down: true}
 	do := serve(t, r, &backend{types: eight})
 	for _, c := range [][2]string{{"GET", "/api/jobs/wk-000001"}, {"GET", "/api/jobs/wk-777777"}, {"POST", "/api/jobs/wk-000001/withdraw"}} {
 		if code, _, after := do(c[0], c[1], nil); code != 503 || after == "" {
@@ -387,14 +387,14 @@
 }
 
 func TestWithoutMachineTypesNothingIsRefusedForGood(t *testing.T) {
-	do := serve(t, &records{known: map[string]store.JobView{}}, &backend{})
+	do := serve(t, &records{known: map[string]store.JobRecord{}}, &backend{})
 	if code, _, _ := do("POST", "/api/jobs", submission("wk-000001")); code != 503 {
 		t.Errorf("got %d", code)
 	}
 }
 
 func TestWithoutMemoryNewJobsWaitAndKnownOnesAreAnswered(t *testing.T) {
-	r := &records{known: map[string]store.JobView{"wk-000001": {State: wire.StateQueued}}}
+	r := &records{known: map[string]store.JobRecord{"wk-000001": {State: wire.StateQueued}}}
 	do := serve(t, r, &backend{types: eight, short: true})
 	if code, _, after := do("POST", "/api/jobs", submission("wk-000002")); code != 429 || after == "" {
 		t.Errorf("a new job: got %d, Retry-After %q", code, after)
@@ -413,7 +413,7 @@
 	var clock atomic.Int64
 	now := func() time.Time { return time.Unix(1e9+clock.Load(), 0) }
 	sockets := connquota.New(200, 1, nil)
-	s := New(Settings{RetryAfter: time.Second, Conns: 200, Sockets: sockets}, &records{known: map[string]store.JobView{"wk-000001": {State: wire.StateQueued}}},
+	s := New(Settings{RetryAfter: time.Second, Conns: 200, Sockets: sockets}, &records{known: map[string]store.JobRecord{"wk-000001": {State: wire.StateQueued}}},
 		&backend{verdict: Verdict{Act: true, Token: 41, Valid: func() bool { return true }}, types: eight}, now, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	l := fasthttputil.NewInmemoryListener()
 	go func() { _ = s.Serve(l) }()
@@ -511,7 +511,7 @@
 	}
 	_, text, _ = bytes.Cut(text, []byte("## A pipeline"))
 	text, _, _ = bytes.Cut(text, []byte("## Tests"))
-	do := serve(t, &records{known: map[string]store.JobView{}}, &backend{types: eight})
+	do := serve(t, &records{known: map[string]store.JobRecord{}}, &backend{types: eight})
 	posts := bytes.Split(text, []byte("POST /api/jobs\n"))
 	if len(posts) != 3 {
 		t.Fatalf("%d submissions", len(posts)-1)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -21,24 +21,24 @@
 
 // Handler is what a controller does with messages of the others.
 type Handler interface {
-	// Relay answers a worker's report that another controller hands over.
-	Relay(ctx context.Context, report []byte) *peerpb.RelayAnswer
-	// Ask answers an operator's question that another controller hands over.
-	Ask(ctx context.Context, q *peerpb.Ask) *peerpb.AskAnswer
-	// Promise answers a leader that asks for a promise, or a member that asks who leads.
-	Promise(ctx context.Context, q *peerpb.PromiseAsk) *peerpb.PromiseAnswer
-	// Hand answers a user's request that another controller cannot take.
-	Hand(ctx context.Context, q *peerpb.Hand) *peerpb.HandAnswer
-	// Progress takes what the leader tells for display.
-	Progress(p *peerpb.Progress)
+	// HandleHeartbeat answers a worker's report that another controller hands over.
+	HandleHeartbeat(ctx context.Context, report []byte) *peerpb.RelayAnswer
+	// HandleExplain answers an operator's question that another controller hands over.
+	HandleExplain(ctx context.Context, q *peerpb.Ask) *peerpb.AskAnswer
+	// HandleVoteRequest answers a leader that asks for a promise, or a member that asks who leads.
+	HandleVoteRequest(ctx context.Context, q *peerpb.PromiseAsk) *peerpb.PromiseAnswer
+	// HandleForwardedRequest answers a user's request that another controller cannot take.
+	HandleForwardedRequest(ctx context.Context, q *peerpb.Hand) *peerpb.HandAnswer
+	// HandleProgress takes what the leader tells for display.
+	HandleProgress(p *peerpb.Progress)
 }
 
 const (
-	dialTimeout  = time.Second
-	writeTimeout = 2 * time.Second
-	idleTimeout  = time.Minute
-	maxMessage   = 1 << 20
-	maxRelays    = 64 // at once, for each connection
+	dialTimeout           = time.Second
+	writeTimeout          = 2 * time.Second
+	idleTimeout           = time.Minute
+	maxMessageBytes       = 1 << 20
+	maxConcurrentRequests = 64 // at once, for each connection
 )
 
 // Serve answers the other controllers until the listener is closed.
@@ -61,29 +61,29 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			serve(ctx, c, h)
+			serveConn(ctx, c, h)
 		}()
 	}
 }
 
-func serve(ctx context.Context, c net.Conn, h Handler) {
+func serveConn(ctx context.Context, c net.Conn, h Handler) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	defer c.Close()
 	var mu sync.Mutex
-	room := make(chan struct{}, maxRelays)
+	room := make(chan struct{}, maxConcurrentRequests)
 	r := bufio.NewReader(c)
 	for {
 		_ = c.SetReadDeadline(time.Now().Add(idleTimeout))
 		e := &peerpb.Envelope{}
-		if err := (protodelim.UnmarshalOptions{MaxSize: maxMessage}).UnmarshalFrom(r, e); err != nil {
+		if err := (protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}).UnmarshalFrom(r, e); err != nil {
 			return
 		}
 		switch b := e.Body.(type) {
 		case *peerpb.Envelope_Progress:
-			h.Progress(b.Progress)
+			h.HandleProgress(b.Progress)
 		case *peerpb.Envelope_Relay, *peerpb.Envelope_Ask, *peerpb.Envelope_PromiseAsk, *peerpb.Envelope_Hand:
 			select {
 			case room <- struct{}{}:
@@ -93,7 +93,7 @@
 				}
 				// A user waits: the other side has it answered elsewhere, or sends the user away.
 				mu.Lock()
-				err := write(c, &peerpb.Envelope{Id: e.GetId(), Body: &peerpb.Envelope_HandAnswer{HandAnswer: &peerpb.HandAnswer{Cause: uint32(route.Busy)}}})
+				err := writeEnvelope(c, &peerpb.Envelope{Id: e.GetId(), Body: &peerpb.Envelope_HandAnswer{HandAnswer: &peerpb.HandAnswer{Cause: uint32(route.Busy)}}})
 				mu.Unlock()
 				if err != nil {
 					return
@@ -104,17 +104,17 @@
 				defer func() { <-room }()
 				a := &peerpb.Envelope{Id: e.GetId()}
 				if q := e.GetPromiseAsk(); q != nil {
-					a.Body = &peerpb.Envelope_PromiseAnswer{PromiseAnswer: h.Promise(ctx, q)}
+					a.Body = &peerpb.Envelope_PromiseAnswer{PromiseAnswer: h.HandleVoteRequest(ctx, q)}
 				} else if q := e.GetHand(); q != nil {
-					a.Body = &peerpb.Envelope_HandAnswer{HandAnswer: h.Hand(ctx, q)}
+					a.Body = &peerpb.Envelope_HandAnswer{HandAnswer: h.HandleForwardedRequest(ctx, q)}
 				} else if ask := e.GetAsk(); ask != nil {
-					a.Body = &peerpb.Envelope_AskAnswer{AskAnswer: h.Ask(ctx, ask)}
+					a.Body = &peerpb.Envelope_AskAnswer{AskAnswer: h.HandleExplain(ctx, ask)}
 				} else {
-					a.Body = &peerpb.Envelope_RelayAnswer{RelayAnswer: h.Relay(ctx, e.GetRelay().GetReport())}
+					a.Body = &peerpb.Envelope_RelayAnswer{RelayAnswer: h.HandleHeartbeat(ctx, e.GetRelay().GetReport())}
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				if write(c, a) != nil {
+				if writeEnvelope(c, a) != nil {
 					_ = c.Close()
 				}
 			}()
@@ -122,7 +122,7 @@
 	}
 }
 
-func write(c net.Conn, e *peerpb.Envelope) error {
+func writeEnvelope(c net.Conn, e *peerpb.Envelope) error {
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := protodelim.MarshalTo(c, e)
 	return err
@@ -131,27 +131,27 @@
 // Client talks to one other controller over one connection, which it makes when
 // it needs it.
 type Client struct {
-	addr  string
-	dial  rpc.DialFunc
-	heard atomic.Uint64 // answers that have come
+	addr      string
+	dial      rpc.DialFunc
+	responses atomic.Uint64 // answers that have come
 
 	mu      sync.Mutex
 	conn    net.Conn
 	dialing bool
-	next    uint64
-	waiting map[uint64]waiter
+	lastID  uint64
+	pending map[uint64]pendingRequest
 }
 
-// waiter is a request that waits for its answer.
-type waiter struct {
-	conn net.Conn // nil: it has not been sent yet
-	got  chan *peerpb.Envelope
+// pendingRequest is a request that waits for its answer.
+type pendingRequest struct {
+	conn     net.Conn // nil: it has not been sent yet
+	response chan *peerpb.Envelope
 }
 
 // NewClient makes a client; connections are made under a condition (rpc.New).
 func NewClient(addr string, under func(rpc.DialFunc) rpc.DialFunc) *Client {
 	c := &Client{addr: addr, dial: func(addr string) (net.Conn, error) { return net.DialTimeout("tcp4", addr, dialTimeout) },
-		waiting: map[uint64]waiter{}}
+		pending: map[uint64]pendingRequest{}}
 	if under != nil {
 		c.dial = under(c.dial)
 	}
@@ -182,42 +182,42 @@
 		return nil, err
 	}
 	c.conn = conn
-	go c.read(conn)
+	go c.readLoop(conn)
 	return conn, nil
 }
 
-func (c *Client) read(conn net.Conn) {
+func (c *Client) readLoop(conn net.Conn) {
 	r := bufio.NewReader(conn)
 	for {
 		e := &peerpb.Envelope{}
-		if err := (protodelim.UnmarshalOptions{MaxSize: maxMessage}).UnmarshalFrom(r, e); err != nil {
-			c.drop(conn)
+		if err := (protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}).UnmarshalFrom(r, e); err != nil {
+			c.closeAndFailPending(conn)
 			return
 		}
-		c.heard.Add(1)
+		c.responses.Add(1)
 		c.mu.Lock()
-		w, ok := c.waiting[e.GetId()]
-		delete(c.waiting, e.GetId())
+		w, ok := c.pending[e.GetId()]
+		delete(c.pending, e.GetId())
 		c.mu.Unlock()
 		if ok {
-			w.got <- e
+			w.response <- e
 		}
 	}
 }
 
-// drop closes a connection. What waits for an answer on it waits no longer: guards against a
+// closeAndFailPending closes a connection. What waits for an answer on it waits no longer: guards against a
 // request that is held up for all of its time by a member that has just crashed.
-func (c *Client) drop(conn net.Conn) {
+func (c *Client) closeAndFailPending(conn net.Conn) {
 	_ = conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn == conn {
 		c.conn = nil
 	}
-	for id, w := range c.waiting {
+	for id, w := range c.pending {
 		if w.conn == conn {
-			delete(c.waiting, id)
-			close(w.got)
+			delete(c.pending, id)
+			close(w.response)
 		}
 	}
 }
@@ -228,83 +228,83 @@
 		return err
 	}
 	c.mu.Lock()
-	if w, ok := c.waiting[e.GetId()]; ok && e.GetId() != 0 {
+	if w, ok := c.pending[e.GetId()]; ok && e.GetId() != 0 {
 		w.conn = conn
-		c.waiting[e.GetId()] = w
+		c.pending[e.GetId()] = w
 	}
-	err = write(conn, e)
+	err = writeEnvelope(conn, e)
 	c.mu.Unlock()
 	if err != nil {
-		c.drop(conn)
+		c.closeAndFailPending(conn)
 	}
 	return err
 }
 
-// Relay hands a worker's report to this controller and waits for its answer.
-func (c *Client) Relay(ctx context.Context, report []byte) (*peerpb.RelayAnswer, error) {
-	a, err := c.ask(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_Relay{Relay: &peerpb.Relay{Report: report}}})
+// RelayHeartbeat hands a worker's report to this controller and waits for its answer.
+func (c *Client) RelayHeartbeat(ctx context.Context, report []byte) (*peerpb.RelayAnswer, error) {
+	a, err := c.roundTrip(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_Relay{Relay: &peerpb.Relay{Report: report}}})
 	return a.GetRelayAnswer(), err
 }
 
-// Ask hands an operator's question to this controller and waits for its answer. An old
+// Explain hands an operator's question to this controller and waits for its answer. An old
 // version does not answer.
-func (c *Client) Ask(ctx context.Context, q *peerpb.Ask) (*peerpb.AskAnswer, error) {
-	a, err := c.ask(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_Ask{Ask: q}})
+func (c *Client) Explain(ctx context.Context, q *peerpb.Ask) (*peerpb.AskAnswer, error) {
+	a, err := c.roundTrip(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_Ask{Ask: q}})
 	return a.GetAskAnswer(), err
 }
 
-// Promise asks this member for its promise, or whether it leads. An old version does not
+// RequestVote asks this member for its promise, or whether it leads. An old version does not
 // answer.
-func (c *Client) Promise(ctx context.Context, q *peerpb.PromiseAsk) (*peerpb.PromiseAnswer, error) {
-	a, err := c.ask(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_PromiseAsk{PromiseAsk: q}})
+func (c *Client) RequestVote(ctx context.Context, q *peerpb.PromiseAsk) (*peerpb.PromiseAnswer, error) {
+	a, err := c.roundTrip(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_PromiseAsk{PromiseAsk: q}})
 	return a.GetPromiseAnswer(), err
 }
 
-// Hand hands a user's request to this controller and waits for its answer. An old version does
+// ForwardRequest hands a user's request to this controller and waits for its answer. An old version does
 // not answer. A connection on which nothing at all has come meanwhile may be dead without a word:
 // it is closed.
-func (c *Client) Hand(ctx context.Context, q *peerpb.Hand) (*peerpb.HandAnswer, error) {
-	heard := c.heard.Load()
+func (c *Client) ForwardRequest(ctx context.Context, q *peerpb.Hand) (*peerpb.HandAnswer, error) {
+	heard := c.responses.Load()
 	a, late, err := c.exchange(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_Hand{Hand: q}})
-	if late && c.heard.Load() == heard {
-		c.quit()
+	if late && c.responses.Load() == heard {
+		c.closeCurrent()
 	}
 	return a.GetHandAnswer(), err
 }
 
-// quit closes the connection.
-func (c *Client) quit() {
+// closeCurrent closes the connection.
+func (c *Client) closeCurrent() {
 	c.mu.Lock()
 	conn := c.conn
 	c.mu.Unlock()
 	if conn != nil {
-		c.drop(conn)
+		c.closeAndFailPending(conn)
 	}
 }
 
-// ask sends a request and waits for its answer. A connection that does not answer may be dead
+// roundTrip sends a request and waits for its answer. A connection that does not answer may be dead
 // without a word: it is closed.
-func (c *Client) ask(ctx context.Context, q *peerpb.Envelope) (*peerpb.Envelope, error) {
+func (c *Client) roundTrip(ctx context.Context, q *peerpb.Envelope) (*peerpb.Envelope, error) {
 	a, late, err := c.exchange(ctx, q)
 	if late {
-		c.quit()
+		c.closeCurrent()
 	}
 	return a, err
 }
 
-var errLost = errors.New("the connection was lost")
+var ErrConnectionLost = errors.New("the connection was lost")
 
 // exchange sends a request and waits for its answer; late tells that none came in time.
 func (c *Client) exchange(ctx context.Context, q *peerpb.Envelope) (a *peerpb.Envelope, late bool, err error) {
 	got := make(chan *peerpb.Envelope, 1)
 	c.mu.Lock()
-	c.next++
-	id := c.next
-	c.waiting[id] = waiter{got: got}
+	c.lastID++
+	id := c.lastID
+	c.pending[id] = pendingRequest{response: got}
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		delete(c.waiting, id)
+		delete(c.pending, id)
 		c.mu.Unlock()
 	}()
 	q.Id = id
@@ -314,7 +314,7 @@
 	select {
 	case a, ok := <-got:
 		if !ok {
-			return nil, false, errLost
+			return nil, false, ErrConnectionLost
 		}
 		return a, false, nil
 	case <-ctx.Done():
@@ -322,7 +322,7 @@
 	}
 }
 
-// Progress tells this controller how far jobs are.
-func (c *Client) Progress(p *peerpb.Progress) error {
+// SendProgress tells this controller how far jobs are.
+func (c *Client) SendProgress(p *peerpb.Progress) error {
 	return c.send(&peerpb.Envelope{Body: &peerpb.Envelope_Progress{Progress: p}})
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -45,7 +45,7 @@
 	return nil, &rpc.StatusError{Status: 404}
 }
 
-func record(t *testing.T) (*recorder, *store.Client) {
+func decodeLeaderRecord(t *testing.T) (*recorder, *store.Client) {
 	t.Helper()
 	number := func(key string) []byte {
 		return msgp.AppendUint64(msgp.AppendString(msgp.AppendMapHeader(nil, 1), key), 77)
@@ -53,7 +53,7 @@
 	r := &recorder{t: t, answers: map[string][]byte{"POST /commit": number("epoch"), "POST /grants": number("tenancy"),
 		"DELETE /grants": msgp.AppendMapHeader(nil, 0), "GET /keys?": number("epoch"), "GET /changes": number("epoch")}}
 	c := store.NewOver(r, r, time.Second)
-	c.SetRates(1e9, 1e9)
+	c.SetRateLimits(1e9, 1e9)
 	return r, c
 }
 
@@ -77,14 +77,14 @@
 		}
 		return s
 	}
-	batch := store.Batch{Member: "tiller-1", RelayBatch: wire.RelayBatch{Incarnation: 7, Seq: 12, Payload: "AQNhYmM"}}
-	jobs := func(c *store.Client) *store.Jobs {
-		return store.NewJobs(c, 7, 100, store.Limits{Value: 2048, Ops: 4}, func([]store.JobChange) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	batch := store.RelayBatch{Member: "tiller-1", RelayBatch: wire.RelayBatch{Incarnation: 7, Seq: 12, Payload: "AQNhYmM"}}
+	jobs := func(c *store.Client) *store.JobCache {
+		return store.NewJobCache(c, 7, 100, store.Limits{MaxValueBytes: 2048, MaxChanges: 4}, func([]store.JobChange) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}
 	ctx := context.Background()
 	commit := func(saves ...reconciler.Change) func(c *store.Client) error {
 		return func(c *store.Client) error {
-			_, _, err := c.Save(ctx, 12, saves)
+			_, _, err := c.CommitFenced(ctx, 12, saves)
 			return err
 		}
 	}
@@ -110,48 +110,48 @@
 		{"ledger-read", func(c *store.Client) error {
 			_, err := c.Accounts(ctx)
 			_, aerr := c.Account(ctx, strings.Repeat("long ", 60))
-			_, _, perr := c.Pages(ctx, "vision/a b", 7, 50)
-			_, _, serr := c.Stretches(ctx, 41, 50)
+			_, _, perr := c.Segments(ctx, "vision/a b", 7, 50)
+			_, _, serr := c.Intervals(ctx, 41, 50)
 			return errors.Join(err, aerr, perr, serr)
 		}},
 		{"leader-claimed", func(c *store.Client) error {
-			_, _, err := c.Claim(ctx, "tiller-1", election.Claim{Token: 41, TokenVersion: 12, LevelVersion: 3, Lease: 9, Raise: 1})
+			_, _, err := c.ClaimLeadership(ctx, "tiller-1", election.Claim{FencingToken: 41, TokenVersion: 12, LevelVersion: 3, LeaseID: 9, NewLevel: 1})
 			return err
 		}},
 		{"leader-claimed-first", func(c *store.Client) error {
-			_, _, err := c.Claim(ctx, "tiller-1", election.Claim{Token: 1, Lease: 9})
+			_, _, err := c.ClaimLeadership(ctx, "tiller-1", election.Claim{FencingToken: 1, LeaseID: 9})
 			return err
 		}},
 		{"leader-fenced", func(c *store.Client) error {
-			_, _, err := c.Rewrite(ctx, "tiller-1", 41, 12)
+			_, _, err := c.RewriteToken(ctx, "tiller-1", 41, 12)
 			return err
 		}},
 		{"leader-read", func(c *store.Client) error {
-			_, _, err := c.Look(ctx)
+			_, _, err := c.ReadLeaderRecord(ctx)
 			_, _, _, werr := c.WatchLeader(ctx, 5)
-			_, lerr := c.StillLast(ctx, 12)
+			_, lerr := c.TokenUnchanged(ctx, 12)
 			return errors.Join(err, werr, lerr)
 		}},
 		{"member-announced", func(c *store.Client) error {
-			err := c.Announce(ctx, 9, featuregate.Member{Name: "tiller-1", Release: "1.2.3", Can: 1, Life: 7})
-			_, rerr := c.Announced(ctx)
+			err := c.PublishMember(ctx, 9, featuregate.Member{Name: "tiller-1", Release: "1.2.3", Can: 1, Life: 7})
+			_, rerr := c.ListMembers(ctx)
 			return errors.Join(err, rerr)
 		}},
 		{"lease", func(c *store.Client) error {
-			id, err := c.Grant(4 * time.Second)
-			return errors.Join(err, c.Touch(id), c.Drop(id))
+			id, err := c.GrantLease(4 * time.Second)
+			return errors.Join(err, c.RenewLease(id), c.RevokeLease(id))
 		}},
 		{"relay", func(c *store.Client) error {
-			err := c.PutReports(ctx, batch)
-			_, aerr := c.PutAnswers(ctx, 12, batch)
-			_, rerr := c.RelayNow(ctx, "")
-			_, nerr := c.RelayNow(ctx, "tiller-1")
-			_, _, werr := c.Relayed(ctx, "", 5, time.Second)
-			_, _, merr := c.Relayed(ctx, "tiller-1", 5, time.Second)
-			return errors.Join(err, aerr, rerr, nerr, werr, merr, c.DropRelay(ctx, "tiller-1", 12))
+			err := c.PutHeartbeats(ctx, batch)
+			_, aerr := c.PutHeartbeatResponses(ctx, 12, batch)
+			_, rerr := c.RelayRevision(ctx, "")
+			_, nerr := c.RelayRevision(ctx, "tiller-1")
+			_, _, werr := c.WatchRelay(ctx, "", 5, time.Second)
+			_, _, merr := c.WatchRelay(ctx, "tiller-1", 5, time.Second)
+			return errors.Join(err, aerr, rerr, nerr, werr, merr, c.DeleteRelayRecords(ctx, "tiller-1", 12))
 		}},
 		{"takeover-read", func(c *store.Client) error {
-			_, err := c.Records(ctx, true)
+			_, err := c.ReadSnapshot(ctx, true)
 			return err
 		}},
 		{"job-accepted", func(c *store.Client) error {
@@ -168,7 +168,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, client := record(t)
+			r, client := decodeLeaderRecord(t)
 			if err := c.call(client); err != nil {
 				t.Error(err)
 			}
@@ -176,7 +176,7 @@
 		})
 	}
 	t.Run("job-cancelled", func(t *testing.T) {
-		r, client := record(t)
+		r, client := decodeLeaderRecord(t)
 		entry := msgp.AppendString(msgp.AppendString(msgp.AppendMapHeader(nil, 3), "k"), "job/a/wk-000412")
 		entry = append(msgp.AppendString(entry, "value"), wire.AppendActiveJob(nil, spec(0), at, nil, wire.DependencyParts{})...)
 		r.answers["GET /keys/job/a/wk-000412"] = msgp.AppendUint64(msgp.AppendString(entry, "stamp"), 3)
--- a/internal/store/jobs.go
+++ b/internal/store/jobs.go
@@ -21,39 +21,39 @@
 // The keys of the job records. A job moves from active to ended in one
 // transaction and never back.
 const (
-	jobPrefix    = "job/"
-	activePrefix = "job/a/"
-	endedPrefix  = "job/e/"
-	partPrefix   = "job/w/" // parts of lists of awaited jobs, written before the job's record
+	jobPrefix        = "job/"
+	activePrefix     = "job/a/"
+	endedPrefix      = "job/e/"
+	dependencyPrefix = "job/w/" // parts of lists of awaited jobs, written before the job's record
 )
 
 // Limits are what the state service takes: the smaller of what it takes now and of
 // what it will take, since that comes without notice.
 type Limits struct {
-	Value int // bytes of a value
-	Ops   int // changes of a transaction; it takes four times as many conditions
+	MaxValueBytes int // bytes of a value
+	MaxChanges    int // changes of a transaction; it takes four times as many conditions
 }
 
-// JobView is what is known of a job.
-type JobView struct {
-	State   wire.JobState // StateQueued for every unfinished job
-	Spec    *model.Spec   // of an unfinished job
-	At      time.Time     // when an unfinished job was submitted, or when an ended one ended
-	Version uint64
-	Tasks   int
-	Parts   []string // keys that hold the rest of what it awaits
+// JobRecord is what is known of a job.
+type JobRecord struct {
+	State          wire.JobState // StateQueued for every unfinished job
+	Spec           *model.Spec   // of an unfinished job
+	Timestamp      time.Time     // when an unfinished job was submitted, or when an ended one ended
+	Version        uint64
+	Tasks          int
+	DependencyKeys []string // keys that hold the rest of what it awaits
 }
 
-// Added tells the core of an unfinished job.
-func (v JobView) Added() reconciler.JobAdded {
-	return reconciler.JobAdded{Spec: v.Spec, SubmittedAt: v.At, Version: v.Version, DependencyKeys: v.Parts}
+// AddedEvent tells the core of an unfinished job.
+func (v JobRecord) AddedEvent() reconciler.JobAdded {
+	return reconciler.JobAdded{Spec: v.Spec, SubmittedAt: v.Timestamp, Version: v.Version, DependencyKeys: v.DependencyKeys}
 }
 
-// Ended tells the core of a job that is over.
-func (v JobView) Ended(id string) reconciler.JobEnded {
+// EndedEvent tells the core of a job that is over.
+func (v JobRecord) EndedEvent(id string) reconciler.JobEnded {
 	e := reconciler.JobEnded{ID: id, Outcome: v.State.Outcome()}
 	if e.Outcome != model.OutcomeUnknown {
-		e.EndedAt = v.At
+		e.EndedAt = v.Timestamp
 	}
 	return e
 }
@@ -61,36 +61,36 @@
 // JobChange tells of a job that was accepted, or that has ended.
 type JobChange struct {
 	ID string
-	JobView
+	JobRecord
 }
 
-// Jobs is this controller's view of the job records. It follows the changes,
+// JobCache is this controller's view of the job records. It follows the changes,
 // and can be brought up to the present for an answer that must not be older
 // than what any other controller has told.
-type Jobs struct {
-	c      *Client
-	log    *slog.Logger
-	limits Limits
-	keep   int
-	notify func([]JobChange)
-
-	life uint64 // names this life of the process
-
-	mu      sync.Mutex
-	rev     uint64 // the view holds all changes up to here
-	base    uint64 // and from here on, since its first reading, this life has learned of them; an earlier one may have told users of ends before
-	loaded  bool
-	asOf    time.Time // the view holds all that was on record then
-	active  map[string]JobView
-	ended   map[string]JobView
-	fifo    []string // ended jobs, in the order in which they were learned of
-	first   uint64   // the number of the first of them; they are numbered from 0 in a life
-	dropped uint64   // the highest version of those that were let go
-	graph   *model.DependencyGraph
-	parts   map[string][]string // of lists of awaited jobs, by key
-
-	batch *syncBatch
-	busy  bool
+type JobCache struct {
+	client   *Client
+	log      *slog.Logger
+	limits   Limits
+	maxEnded int
+	notify   func([]JobChange)
+
+	incarnation uint64 // names this life of the process
+
+	mu              sync.Mutex
+	revision        uint64 // the view holds all changes up to here
+	learnedSince    uint64 // and from here on, since its first reading, this life has learned of them; an earlier one may have told users of ends before
+	loaded          bool
+	asOf            time.Time // the view holds all that was on record then
+	active          map[string]JobRecord
+	ended           map[string]JobRecord
+	endedOrder      []string // ended jobs, in the order in which they were learned of
+	endedOffset     uint64   // the number of the first of them; they are numbered from 0 in a life
+	evictedVersion  uint64   // the highest version of those that were let go
+	graph           *model.DependencyGraph
+	dependencyParts map[string][]string // of lists of awaited jobs, by key
+
+	pendingSync *syncBatch
+	syncing     bool
 }
 
 // syncBatch is one read that many answers wait for.
@@ -99,45 +99,45 @@
 	err  error
 }
 
-// NewJobs makes an empty view. life is a number that no other life of the process has drawn.
+// NewJobCache makes an empty view. life is a number that no other life of the process has drawn.
 // notify is told of changes, in order, and must not call back.
-func NewJobs(c *Client, life uint64, keep int, limits Limits, notify func([]JobChange), log *slog.Logger) *Jobs {
-	limits.Value = min(limits.Value, mostTxn)
-	return &Jobs{c: c, log: log, limits: limits, life: life, keep: keep, notify: notify, active: map[string]JobView{}, ended: map[string]JobView{},
-		graph: model.NewDependencyGraph(), parts: map[string][]string{}}
+func NewJobCache(c *Client, life uint64, keep int, limits Limits, notify func([]JobChange), log *slog.Logger) *JobCache {
+	limits.MaxValueBytes = min(limits.MaxValueBytes, maxTxnValueBytes)
+	return &JobCache{client: c, log: log, limits: limits, incarnation: life, maxEnded: keep, notify: notify, active: map[string]JobRecord{}, ended: map[string]JobRecord{},
+		graph: model.NewDependencyGraph(), dependencyParts: map[string][]string{}}
 }
 
 // Run follows the changes until the context ends.
-func (j *Jobs) Run(ctx context.Context) error {
+func (j *JobCache) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if err := j.follow(ctx); err != nil && ctx.Err() == nil {
+		if err := j.followChanges(ctx); err != nil && ctx.Err() == nil {
 			j.log.Debug("job records", "err", err)
-			sleep(ctx, 300*time.Millisecond)
+			sleepContext(ctx, 300*time.Millisecond)
 		}
 	}
 	return nil
 }
 
-func sleep(ctx context.Context, d time.Duration) {
+func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-func (j *Jobs) follow(ctx context.Context) error {
+func (j *JobCache) followChanges(ctx context.Context) error {
 	if !j.Loaded() {
 		return j.load(ctx)
 	}
-	return j.read(ctx, watchTime)
+	return j.readChanges(ctx, watchTimeout)
 }
 
-// watchTime is how long one watch waits for a change.
-const watchTime = 10 * time.Second
+// watchTimeout is how long one watch waits for a change.
+const watchTimeout = 10 * time.Second
 
-// failed has the view read anew where its changes are not kept any more.
-func (j *Jobs) failed(err error) error {
-	if errors.Is(err, ErrTooOld) {
+// invalidateIfCompacted has the view read anew where its changes are not kept any more.
+func (j *JobCache) invalidateIfCompacted(err error) error {
+	if errors.Is(err, ErrCompacted) {
 		j.mu.Lock()
 		j.loaded = false
 		j.mu.Unlock()
@@ -146,15 +146,15 @@
 }
 
 // load reads all unfinished jobs. Ended ones are looked up when somebody asks.
-func (j *Jobs) load(ctx context.Context) error {
-	sent := j.c.now()
-	entries, rev, err := j.c.List(ctx, activePrefix)
+func (j *JobCache) load(ctx context.Context) error {
+	sent := j.client.now()
+	entries, rev, err := j.client.List(ctx, activePrefix)
 	if err != nil {
 		return err
 	}
 	// A job's parts are there before its record and go after it. So a record of the
 	// first list that lacks some here has ended since, and the changes will tell.
-	parts, _, err := j.c.List(ctx, partPrefix)
+	parts, _, err := j.client.List(ctx, dependencyPrefix)
 	if err != nil {
 		return err
 	}
@@ -162,8 +162,8 @@
 	// for a leader that has read a little less far.
 	from, recent := rev, []wire.Entry(nil)
 	if j.AsOf().IsZero() {
-		from = rev - min(rev, mostRecent)
-		if p, err := j.c.Changes(ctx, jobPrefix, from, 0); err == nil {
+		from = rev - min(rev, recentRevisions)
+		if p, err := j.client.Changes(ctx, jobPrefix, from, 0); err == nil {
 			recent = p.Entries
 		} else {
 			from = rev
@@ -174,24 +174,24 @@
 	for _, e := range recent {
 		if id, ok := strings.CutPrefix(e.Key, endedPrefix); ok && !e.Removed {
 			if v, err := decodeEnded(e); err == nil {
-				j.remember(id, v)
+				j.recordEnd(id, v)
 			} else {
 				j.log.Error("unreadable job record", "key", e.Key, "err", err)
 				from = rev
 			}
 		}
 	}
-	j.parts = map[string][]string{}
+	j.dependencyParts = map[string][]string{}
 	for _, e := range parts {
-		j.part(e)
+		j.applyDependencyPart(e)
 	}
 	var changes []JobChange
-	active := make(map[string]JobView, len(entries))
+	active := make(map[string]JobRecord, len(entries))
 	for _, e := range entries {
 		id := e.Key[len(activePrefix):]
 		v, ok := j.active[id]
 		if !ok {
-			if v, ok = j.decode(e); !ok {
+			if v, ok = j.decodeActive(e); !ok {
 				continue
 			}
 			changes = append(changes, JobChange{id, v})
@@ -200,41 +200,41 @@
 	}
 	for id := range j.active {
 		if _, ok := active[id]; !ok {
-			changes = append(changes, JobChange{id, JobView{State: wire.StateUnknown}})
+			changes = append(changes, JobChange{id, JobRecord{State: wire.StateUnknown}})
 		}
 	}
 	if j.asOf.IsZero() {
-		j.base = from
+		j.learnedSince = from
 	}
-	j.active, j.rev, j.loaded, j.asOf = active, rev, true, sent
+	j.active, j.revision, j.loaded, j.asOf = active, rev, true, sent
 	j.graph = model.NewDependencyGraph()
 	for id, v := range active {
-		j.enter(id, v)
+		j.addToGraph(id, v)
 	}
 	j.notify(changes)
 	return nil
 }
 
-// mostRecent is how many revisions before its first reading a member learns the ends of: some seconds' worth.
-const mostRecent = 2000
+// recentRevisions is how many revisions before its first reading a member learns the ends of: some seconds' worth.
+const recentRevisions = 2000
 
-// enter takes an unfinished job into the graph.
-func (j *Jobs) enter(id string, v JobView) {
+// addToGraph takes an unfinished job into the graph.
+func (j *JobCache) addToGraph(id string, v JobRecord) {
 	if _, over := j.ended[id]; over {
 		return
 	}
-	j.graph.Add(id, v.Spec.Dependencies, v.At)
+	j.graph.Add(id, v.Spec.Dependencies, v.Timestamp)
 	for _, n := range v.Spec.Dependencies {
 		if e, ok := j.ended[n]; ok {
-			j.graph.End(n, e.State.Outcome(), e.At)
+			j.graph.End(n, e.State.Outcome(), e.Timestamp)
 		}
 	}
 }
 
-// part keeps a part of a list of awaited jobs.
-func (j *Jobs) part(e wire.Entry) {
+// applyDependencyPart keeps a part of a list of awaited jobs.
+func (j *JobCache) applyDependencyPart(e wire.Entry) {
 	if e.Removed {
-		delete(j.parts, e.Key)
+		delete(j.dependencyParts, e.Key)
 		return
 	}
 	ids, err := wire.DecodeDependencies(e.Value)
@@ -242,52 +242,52 @@
 		j.log.Error("unreadable job record", "key", e.Key, "err", err)
 		return
 	}
-	j.parts[e.Key] = ids
+	j.dependencyParts[e.Key] = ids
 }
 
-// partKey names a part of a list of awaited jobs.
-func partKey(id, sum string, n int) string {
-	return partPrefix + id + "/" + sum + "/" + strconv.Itoa(n)
+// dependencyPartKey names a part of a list of awaited jobs.
+func dependencyPartKey(id, sum string, n int) string {
+	return dependencyPrefix + id + "/" + sum + "/" + strconv.Itoa(n)
 }
 
-// decode reads the record of an unfinished job. One whose parts are not all known is
+// decodeActive reads the record of an unfinished job. One whose parts are not all known is
 // not known either: it must not start before what it awaits is whole.
-func (j *Jobs) decode(e wire.Entry) (JobView, bool) {
+func (j *JobCache) decodeActive(e wire.Entry) (JobRecord, bool) {
 	s, at, p, err := wire.DecodeActiveJob(e.Value)
-	v := JobView{State: wire.StateQueued, Spec: s, At: at, Version: e.Version}
+	v := JobRecord{State: wire.StateQueued, Spec: s, Timestamp: at, Version: e.Version}
 	for n := 0; err == nil && n < p.Count; n++ {
-		key := partKey(s.ID, p.Sum, n)
-		ids, ok := j.parts[key]
+		key := dependencyPartKey(s.ID, p.Sum, n)
+		ids, ok := j.dependencyParts[key]
 		if !ok {
 			err = fmt.Errorf("%s is missing", key)
 		}
 		s.Dependencies = append(s.Dependencies, ids...)
-		v.Parts = append(v.Parts, key)
+		v.DependencyKeys = append(v.DependencyKeys, key)
 	}
 	if err != nil {
 		j.log.Error("unreadable job record", "key", e.Key, "err", err)
-		return JobView{}, false
+		return JobRecord{}, false
 	}
 	v.Tasks = s.Tasks
 	return v, true
 }
 
-// read reads and applies the changes since the view's revision, waiting for one up to the given time.
-func (j *Jobs) read(ctx context.Context, wait time.Duration) error {
+// readChanges reads and applies the changes since the view's revision, waiting for one up to the given time.
+func (j *JobCache) readChanges(ctx context.Context, wait time.Duration) error {
 	j.mu.Lock()
-	rev := j.rev
+	rev := j.revision
 	j.mu.Unlock()
-	sent := j.c.now()
-	p, err := j.c.Changes(ctx, jobPrefix, rev, wait)
+	sent := j.client.now()
+	p, err := j.client.Changes(ctx, jobPrefix, rev, wait)
 	if err == nil {
-		j.apply(p, sent)
+		j.applyChanges(p, sent)
 	}
-	return j.failed(err)
+	return j.invalidateIfCompacted(err)
 }
 
-// apply takes a batch of changes that was asked for at a moment. A batch that overlaps what is
+// applyChanges takes a batch of changes that was asked for at a moment. A batch that overlaps what is
 // known already does no harm: versions only grow, and an ended job stays ended.
-func (j *Jobs) apply(p wire.Page, sent time.Time) {
+func (j *JobCache) applyChanges(p wire.Page, sent time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	defer func() {
@@ -295,13 +295,13 @@
 			j.asOf = sent
 		}
 	}()
-	if p.Revision <= j.rev {
+	if p.Revision <= j.revision {
 		return
 	}
 	slices.SortStableFunc(p.Entries, func(a, b wire.Entry) int { return cmp.Compare(a.Version, b.Version) })
 	var changes []JobChange
 	for _, e := range p.Entries {
-		if e.Version <= j.rev {
+		if e.Version <= j.revision {
 			continue
 		}
 		switch {
@@ -309,13 +309,13 @@
 			id := e.Key[len(activePrefix):]
 			if e.Removed {
 				delete(j.active, id)
-			} else if v, ok := j.decode(e); ok {
+			} else if v, ok := j.decodeActive(e); ok {
 				j.active[id] = v
-				j.enter(id, v)
+				j.addToGraph(id, v)
 				changes = append(changes, JobChange{id, v})
 			}
-		case strings.HasPrefix(e.Key, partPrefix):
-			j.part(e)
+		case strings.HasPrefix(e.Key, dependencyPrefix):
+			j.applyDependencyPart(e)
 		case strings.HasPrefix(e.Key, endedPrefix) && !e.Removed:
 			id := e.Key[len(endedPrefix):]
 			v, err := decodeEnded(e)
@@ -323,42 +323,42 @@
 				j.log.Error("unreadable job record", "key", e.Key, "err", err)
 				continue
 			}
-			j.remember(id, v)
+			j.recordEnd(id, v)
 			changes = append(changes, JobChange{id, v})
 		}
 	}
-	j.rev = p.Revision
+	j.revision = p.Revision
 	j.notify(changes)
 }
 
-func decodeEnded(e wire.Entry) (JobView, error) {
+func decodeEnded(e wire.Entry) (JobRecord, error) {
 	state, n, at, err := wire.DecodeEndedJob(e.Value)
-	return JobView{State: state, Tasks: n, Version: e.Version, At: at}, err
+	return JobRecord{State: state, Tasks: n, Version: e.Version, Timestamp: at}, err
 }
 
-// remember keeps the final state of a job, and lets the oldest one go. The jobs
+// recordEnd keeps the final state of a job, and lets the oldest one go. The jobs
 // behind it have learned of it by then, so letting it go forgets nothing that a
 // waiting job needs.
-func (j *Jobs) remember(id string, v JobView) {
+func (j *JobCache) recordEnd(id string, v JobRecord) {
 	delete(j.active, id)
-	j.graph.End(id, v.State.Outcome(), v.At)
+	j.graph.End(id, v.State.Outcome(), v.Timestamp)
 	if _, ok := j.ended[id]; !ok {
-		j.fifo = append(j.fifo, id)
+		j.endedOrder = append(j.endedOrder, id)
 	}
 	j.ended[id] = v
-	for len(j.fifo) > j.keep {
-		j.dropped = max(j.dropped, j.ended[j.fifo[0]].Version)
-		delete(j.ended, j.fifo[0])
-		j.fifo, j.first = j.fifo[1:], j.first+1
+	for len(j.endedOrder) > j.maxEnded {
+		j.evictedVersion = max(j.evictedVersion, j.ended[j.endedOrder[0]].Version)
+		delete(j.ended, j.endedOrder[0])
+		j.endedOrder, j.endedOffset = j.endedOrder[1:], j.endedOffset+1
 	}
 }
 
-// learned is remember for an end that did not come with the changes. The core of a leader is told at
+// learnEnd is remember for an end that did not come with the changes. The core of a leader is told at
 // once. Guards against a leader whose own answer to its user is all that it hears of a
 // cancellation, since the state service is silent from then on.
-func (j *Jobs) learned(id string, v JobView) {
+func (j *JobCache) learnEnd(id string, v JobRecord) {
 	_, open := j.active[id]
-	j.remember(id, v)
+	j.recordEnd(id, v)
 	if open {
 		j.notify([]JobChange{{id, v}})
 	}
@@ -366,7 +366,7 @@
 
 // Refresh reads the view if it has not been read yet, and brings it up to the
 // present.
-func (j *Jobs) Refresh(ctx context.Context) error {
+func (j *JobCache) Refresh(ctx context.Context) error {
 	if !j.Loaded() {
 		if err := j.load(ctx); err != nil {
 			return err
@@ -376,91 +376,91 @@
 }
 
 // Loaded tells whether the view has been read.
-func (j *Jobs) Loaded() bool {
+func (j *JobCache) Loaded() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.loaded
 }
 
 // Revision is up to where the view holds all changes; 0: it has not been read.
-func (j *Jobs) Revision() uint64 {
+func (j *JobCache) Revision() uint64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.loaded {
 		return 0
 	}
-	return j.rev
+	return j.revision
 }
 
 // AsOf is a moment as of which the view holds all that was on record; zero: it has not been read.
-func (j *Jobs) AsOf() time.Time {
+func (j *JobCache) AsOf() time.Time {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.asOf
 }
 
-// Word is what a member tells a leader of cancellations, so that one that cannot read them itself
+// CancellationReport is what a member tells a leader of cancellations, so that one that cannot read them itself
 // knows what users were told.
-type Word struct {
-	Cancelled []Cancelled
-	Upto      Told // that the leader is told with it
-	// Whole: with what it was told before, and what it has read, the leader now knows of every
+type CancellationReport struct {
+	Cancelled []Cancellation
+	Cursor    CancellationCursor // that the leader is told with it
+	// Complete: with what it was told before, and what it has read, the leader now knows of every
 	// cancellation that this member has told anybody of, in this life or an earlier one.
-	Whole bool
+	Complete bool
 }
 
-// Cancelled is a job that was cancelled in a change.
-type Cancelled struct {
+// Cancellation is a job that was cancelled in a change.
+type Cancellation struct {
 	ID      string
 	Version uint64
 }
 
-// Told is how far a leader was told of what one life of a member has learned.
-type Told struct {
-	Life, Count uint64
+// CancellationCursor is how far a leader was told of what one life of a member has learned.
+type CancellationCursor struct {
+	Incarnation, Count uint64
 }
 
-// mostTold bounds the cancellations of one word; more follow with the next one.
-const mostTold = 256
+// maxReportedCancellations bounds the cancellations of one word; more follow with the next one.
+const maxReportedCancellations = 256
 
-// Word lists the jobs that this controller knows to be cancelled, for a leader that has
+// CancellationsAfter lists the jobs that this controller knows to be cancelled, for a leader that has
 // read the records up to a revision and was told some before. They go in the order in which
 // they were learned of, since a job that was cancelled long ago may be told of to a user only now.
-func (j *Jobs) Word(rev uint64, told Told) Word {
+func (j *JobCache) CancellationsAfter(rev uint64, told CancellationCursor) CancellationReport {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	from := j.first
-	if told.Life == j.life && told.Count <= j.first+uint64(len(j.fifo)) {
+	from := j.endedOffset
+	if told.Incarnation == j.incarnation && told.Count <= j.endedOffset+uint64(len(j.endedOrder)) {
 		from = max(from, told.Count)
 	}
-	w := Word{Upto: Told{j.life, from}}
-	for _, id := range j.fifo[from-j.first:] {
-		if len(w.Cancelled) == mostTold {
+	w := CancellationReport{Cursor: CancellationCursor{j.incarnation, from}}
+	for _, id := range j.endedOrder[from-j.endedOffset:] {
+		if len(w.Cancelled) == maxReportedCancellations {
 			return w
 		}
 		if v := j.ended[id]; v.State == wire.StateCancelled && v.Version > rev {
-			w.Cancelled = append(w.Cancelled, Cancelled{id, v.Version})
+			w.Cancelled = append(w.Cancelled, Cancellation{id, v.Version})
 		}
-		w.Upto.Count++
+		w.Cursor.Count++
 	}
-	w.Whole = !j.asOf.IsZero() && max(j.base, j.dropped) <= rev
+	w.Complete = !j.asOf.IsZero() && max(j.learnedSince, j.evictedVersion) <= rev
 	return w
 }
 
-// Heard takes another member's word.
-func (j *Jobs) Heard(cancelled []Cancelled) {
+// ApplyCancellations takes another member's word.
+func (j *JobCache) ApplyCancellations(cancelled []Cancellation) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, c := range cancelled {
 		if _, known := j.ended[c.ID]; !known {
 			v := j.active[c.ID]
-			j.learned(c.ID, JobView{State: wire.StateCancelled, Tasks: v.Tasks, Version: c.Version})
+			j.learnEnd(c.ID, JobRecord{State: wire.StateCancelled, Tasks: v.Tasks, Version: c.Version})
 		}
 	}
 }
 
 // Peek tells what is known of a job without asking anybody.
-func (j *Jobs) Peek(id string) JobView {
+func (j *JobCache) Peek(id string) JobRecord {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if v, ok := j.ended[id]; ok {
@@ -469,52 +469,52 @@
 	return j.active[id]
 }
 
-// Event tells the core of a change. What counts is the view as it is now: a job that
+// EventFor tells the core of a change. What counts is the view as it is now: a job that
 // has ended since must not come up again. One that the view has let go of meanwhile
 // had ended.
-func (j *Jobs) Event(ch JobChange) reconciler.Event {
+func (j *JobCache) EventFor(ch JobChange) reconciler.Event {
 	v := j.Peek(ch.ID)
 	switch {
 	case v.Spec != nil:
-		return v.Added()
+		return v.AddedEvent()
 	case v.State == wire.StateUnknown:
-		v = ch.JobView
+		v = ch.JobRecord
 	}
-	return v.Ended(ch.ID)
+	return v.EndedEvent(ch.ID)
 }
 
-// Snapshot adds to what a new leader reads all unfinished jobs, as of now.
-func (j *Jobs) Snapshot(snap *reconciler.Snapshot) {
+// AddToSnapshot adds to what a new leader reads all unfinished jobs, as of now.
+func (j *JobCache) AddToSnapshot(snap *reconciler.Snapshot) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	snap.Revision = j.rev
+	snap.Revision = j.revision
 	for id, v := range j.active {
 		if _, over := j.ended[id]; !over {
-			snap.Jobs = append(snap.Jobs, v.Added())
+			snap.Jobs = append(snap.Jobs, v.AddedEvent())
 		}
 	}
-	for key := range j.parts {
-		id, _, _ := strings.Cut(key[len(partPrefix):], "/")
+	for key := range j.dependencyParts {
+		id, _, _ := strings.Cut(key[len(dependencyPrefix):], "/")
 		if _, ok := j.active[id]; !ok {
 			snap.OrphanedDependencies = append(snap.OrphanedDependencies, reconciler.Change{Kind: reconciler.DeleteDependencies, Job: id, Key: key})
 		}
 	}
 }
 
-// Ends tells how jobs have ended, of those where that can be found out.
-func (j *Jobs) Ends(ctx context.Context, ids []string) []reconciler.JobEnded {
+// ReadEnds tells how jobs have ended, of those where that can be found out.
+func (j *JobCache) ReadEnds(ctx context.Context, ids []string) []reconciler.JobEnded {
 	var out []reconciler.JobEnded
 	for _, id := range ids {
 		v := j.Peek(id)
 		if !v.State.Ended() {
 			var err error
-			if v, err = j.get(ctx, id); err != nil {
+			if v, err = j.fetch(ctx, id); err != nil {
 				j.log.Debug("end of an awaited job", "id", id, "err", err)
 				break
 			}
 		}
 		if v.State.Ended() {
-			out = append(out, v.Ended(id))
+			out = append(out, v.EndedEvent(id))
 		} else {
 			j.log.Warn("the end of an awaited job is not on record", "id", id)
 		}
@@ -524,20 +524,20 @@
 
 // Sync brings the view up to the present: when it returns, the view holds every
 // change that was made before it was called. One read serves all who wait.
-func (j *Jobs) Sync(ctx context.Context) error {
+func (j *JobCache) Sync(ctx context.Context) error {
 	j.mu.Lock()
 	if !j.loaded {
 		j.mu.Unlock()
 		return errors.New("the job records have not been read yet")
 	}
-	if j.batch == nil {
+	if j.pendingSync == nil {
 		// The read of an older batch may have begun before this call, so it does
 		// not serve.
-		j.batch = &syncBatch{done: make(chan struct{})}
+		j.pendingSync = &syncBatch{done: make(chan struct{})}
 	}
-	b := j.batch
-	if !j.busy {
-		j.busy = true
+	b := j.pendingSync
+	if !j.syncing {
+		j.syncing = true
 		go j.syncLoop()
 	}
 	j.mu.Unlock()
@@ -549,16 +549,16 @@
 	}
 }
 
-// syncPause gathers answers for one read, at the least.
-const syncPause = 25 * time.Millisecond
+// minSyncInterval gathers answers for one read, at the least.
+const minSyncInterval = 25 * time.Millisecond
 
-func (j *Jobs) syncLoop() {
+func (j *JobCache) syncLoop() {
 	for {
 		j.mu.Lock()
-		b := j.batch
-		j.batch = nil
+		b := j.pendingSync
+		j.pendingSync = nil
 		if b == nil {
-			j.busy = false
+			j.syncing = false
 			j.mu.Unlock()
 			return
 		}
@@ -567,42 +567,42 @@
 		close(b.done)
 		// Guards against polls that use up the budget: submissions, and the watch that
 		// tells of the jobs that they await, then stood in line behind them.
-		j.c.pause(max(syncPause, j.c.Pace()))
+		j.client.sleep(max(minSyncInterval, j.client.MinReadInterval()))
 	}
 }
 
 // CatchUp reads and applies the changes since the view's revision.
-func (j *Jobs) CatchUp(ctx context.Context) error { return j.read(ctx, 0) }
+func (j *JobCache) CatchUp(ctx context.Context) error { return j.readChanges(ctx, 0) }
 
 // Lookup tells the present state of a job. A final state that is remembered is
 // answered at once; anything else is brought up to the present. A job behind a
 // cancelled one is cancelled, whether its own end is written yet or not: all
 // controllers derive that from the one record of the cancellation
 // (docs/safety.md, "Pipelines").
-func (j *Jobs) Lookup(ctx context.Context, id string) (JobView, error) {
+func (j *JobCache) Lookup(ctx context.Context, id string) (JobRecord, error) {
 	if v := j.Peek(id); v.State.Ended() {
 		return v, nil
 	}
 	for range 3 {
 		if err := j.Sync(ctx); err != nil {
-			return JobView{}, err
+			return JobRecord{}, err
 		}
-		if v, ok, err := j.derive(ctx, id); ok || err != nil {
+		if v, ok, err := j.deriveState(ctx, id); ok || err != nil {
 			return v, err
 		}
 		// Not among the unfinished ones: it has ended, or nobody has submitted it,
 		// or it was accepted since.
-		v, err := j.get(ctx, id)
+		v, err := j.fetch(ctx, id)
 		if err != nil || v.Spec == nil {
 			return v, err
 		}
 	}
-	return JobView{}, fmt.Errorf("job %s: the view does not hold it", id)
+	return JobRecord{}, fmt.Errorf("job %s: the view does not hold it", id)
 }
 
-// derive tells the state of a job that the view holds. It looks up how the jobs
+// deriveState tells the state of a job that the view holds. It looks up how the jobs
 // ended that it hangs on and of which the view knows only the name.
-func (j *Jobs) derive(ctx context.Context, id string) (JobView, bool, error) {
+func (j *JobCache) deriveState(ctx context.Context, id string) (JobRecord, bool, error) {
 	for settled := true; ; {
 		j.mu.Lock()
 		v, ended := j.ended[id]
@@ -612,7 +612,7 @@
 		var open []string
 		if v.Spec != nil {
 			if l := j.graph.Node(id); l != nil && l.State == model.DependencyFailed {
-				v = JobView{State: wire.StateCancelled, Tasks: v.Tasks}
+				v = JobRecord{State: wire.StateCancelled, Tasks: v.Tasks}
 			} else {
 				open = j.graph.ReferencedUpstream(id)
 			}
@@ -622,77 +622,77 @@
 			return v, v.State != wire.StateUnknown, nil
 		}
 		for _, n := range open {
-			ok, err := j.ending(ctx, n)
+			ok, err := j.resolveEnd(ctx, n)
 			if err != nil {
-				return JobView{}, false, err
+				return JobRecord{}, false, err
 			}
 			settled = settled && ok
 		}
 	}
 }
 
-// ending reads how an awaited job ended that is not among the unfinished ones, and
+// resolveEnd reads how an awaited job ended that is not among the unfinished ones, and
 // tells whether it has.
-func (j *Jobs) ending(ctx context.Context, id string) (bool, error) {
+func (j *JobCache) resolveEnd(ctx context.Context, id string) (bool, error) {
 	j.mu.Lock()
 	e, known := j.ended[id]
 	if known {
-		j.graph.End(id, e.State.Outcome(), e.At)
+		j.graph.End(id, e.State.Outcome(), e.Timestamp)
 	}
 	j.mu.Unlock()
 	if known {
 		return true, nil
 	}
-	v, err := j.get(ctx, id)
+	v, err := j.fetch(ctx, id)
 	return v.State.Ended(), err
 }
 
-// get looks a job up with the state service. It reads the active record first:
+// fetch looks a job up with the state service. It reads the active record first:
 // a job only ever moves from there to the ended ones.
-func (j *Jobs) get(ctx context.Context, id string) (JobView, error) {
-	e, ok, err := j.c.Get(ctx, activePrefix+id)
+func (j *JobCache) fetch(ctx context.Context, id string) (JobRecord, error) {
+	e, ok, err := j.client.Get(ctx, activePrefix+id)
 	if err != nil {
-		return JobView{}, err
+		return JobRecord{}, err
 	}
 	if ok {
 		j.mu.Lock()
-		v, ok := j.decode(e)
+		v, ok := j.decodeActive(e)
 		j.mu.Unlock()
 		if ok {
 			return v, nil
 		}
-		return JobView{}, errors.New("unreadable job record")
+		return JobRecord{}, errors.New("unreadable job record")
 	}
-	if e, ok, err = j.c.Get(ctx, endedPrefix+id); err != nil || !ok {
-		return JobView{}, err
+	if e, ok, err = j.client.Get(ctx, endedPrefix+id); err != nil || !ok {
+		return JobRecord{}, err
 	}
 	v, err := decodeEnded(e)
 	if err != nil {
-		return JobView{}, err
+		return JobRecord{}, err
 	}
 	j.mu.Lock()
-	j.learned(id, v)
+	j.learnEnd(id, v)
 	j.mu.Unlock()
 	return v, nil
 }
 
 // The errors of Resolve that are for good.
 var (
-	ErrNeverAccepted = errors.New("awaits a job that was never accepted")
-	ErrAwaitsService = errors.New("awaits a service, which is never done")
-	ErrTooLarge      = errors.New("too large to be kept")
+	ErrUnknownDependency = errors.New("awaits a job that was never accepted")
+	ErrServiceDependency = errors.New("awaits a service, which is never done")
+	ErrTooLarge          = errors.New("too large to be kept")
 )
 
-// Resolve finds out how the jobs stand that a submission awaits. Those that are done
+// ResolveDependencies finds out how the jobs stand that a submission awaits. Those that are done
 // are dropped from its list, since that is for good. doomed tells that one is
 // cancelled. A job that the view holds was accepted, however it stands by now: the
 // end that it may have had since reaches the new job like any other. Only of one that
 // the view does not hold the present state is read.
-func (j *Jobs) Resolve(ctx context.Context, s *model.Spec) (doomed bool, err error) {
+func (j *JobCache) ResolveDependencies(ctx context.Context, s *model.Spec) (doomed bool, err error) {
 	var open []string
 	for _, id := range s.Dependencies {
 		if id == s.ID {
-			return false, ErrNeverAccepted
+			return false, ErrUnknownDependency
 		}
 		v := j.Peek(id)
 		if v.State == wire.StateUnknown {
@@ -702,12 +702,12 @@
 		case err != nil:
 			return false, err
 		case v.State == wire.StateUnknown:
-			return false, ErrNeverAccepted
+			return false, ErrUnknownDependency
 		case v.State == wire.StateCancelled:
 			doomed = true
 		case v.State == wire.StateDone:
 		case v.Spec.Shape == model.Service:
-			return false, ErrAwaitsService
+			return false, ErrServiceDependency
 		default:
 			open = append(open, id)
 		}
@@ -716,11 +716,11 @@
 	return doomed, nil
 }
 
-// record lays out the records of a new job: the changes that are written first, and
+// encodeNewJob lays out the records of a new job: the changes that are written first, and
 // the last one, with which the job is accepted.
-func (j *Jobs) record(s *model.Spec, at time.Time) (parts []wire.Change, last wire.Change, err error) {
+func (j *JobCache) encodeNewJob(s *model.Spec, at time.Time) (parts []wire.Change, last wire.Change, err error) {
 	last = wire.Change{Key: activePrefix + s.ID, Value: wire.AppendActiveJob(nil, s, at, s.Dependencies, wire.DependencyParts{})}
-	if wire.StoredSize(last.Value) <= j.limits.Value {
+	if wire.StoredSize(last.Value) <= j.limits.MaxValueBytes {
 		return nil, last, nil
 	}
 	sum := fnv.New64a()
@@ -730,51 +730,51 @@
 	p := wire.DependencyParts{Sum: strconv.FormatUint(sum.Sum64(), 16)}
 	for rest := s.Dependencies; len(rest) > 0; {
 		n := 0
-		for size := partOverhead; n < len(rest) && size+len(rest[n])+idOverhead <= j.limits.Value; n++ {
-			size += len(rest[n]) + idOverhead
+		for size := partOverheadBytes; n < len(rest) && size+len(rest[n])+idOverheadBytes <= j.limits.MaxValueBytes; n++ {
+			size += len(rest[n]) + idOverheadBytes
 		}
 		if n == 0 {
 			return nil, last, ErrTooLarge
 		}
-		parts = append(parts, wire.Change{Key: partKey(s.ID, p.Sum, p.Count), Value: wire.AppendDependencies(nil, rest[:n])})
+		parts = append(parts, wire.Change{Key: dependencyPartKey(s.ID, p.Sum, p.Count), Value: wire.AppendDependencies(nil, rest[:n])})
 		p.Count++
 		rest = rest[n:]
 	}
 	last.Value = wire.AppendActiveJob(nil, s, at, nil, p)
-	if wire.StoredSize(last.Value) > j.limits.Value || len(parts)+2 > condsPerOp*j.limits.Ops {
+	if wire.StoredSize(last.Value) > j.limits.MaxValueBytes || len(parts)+2 > conditionsPerChange*j.limits.MaxChanges {
 		return nil, last, ErrTooLarge
 	}
 	return parts, last, nil
 }
 
 const (
-	partOverhead = 100      // of a part besides the ids
-	idOverhead   = 4        // of an id besides its letters
-	condsPerOp   = 4        // conditions that a transaction may have for each change
-	mostTxn      = 48 << 10 // of values in one transaction: the published bound of 64 KiB, less all else
+	partOverheadBytes   = 100      // of a part besides the ids
+	idOverheadBytes     = 4        // of an id besides its letters
+	conditionsPerChange = 4        // conditions that a transaction may have for each change
+	maxTxnValueBytes    = 48 << 10 // of values in one transaction: the published bound of 64 KiB, less all else
 )
 
-// Fits tells whether the records of a new job can be kept at all.
-func (j *Jobs) Fits(s *model.Spec) error {
-	_, _, err := j.record(s, time.UnixMilli(0).Add(1<<62))
+// CheckSize tells whether the records of a new job can be kept at all.
+func (j *JobCache) CheckSize(s *model.Spec) error {
+	_, _, err := j.encodeNewJob(s, time.UnixMilli(0).Add(1<<62))
 	return err
 }
 
 // Accept writes the record of a new job, unless the job is known. A doomed one, which
 // awaits a cancelled job, is accepted and over at once. It tells whether this call has
 // accepted the job, and the job's state.
-func (j *Jobs) Accept(ctx context.Context, s *model.Spec, doomed bool, now time.Time) (created bool, v JobView, err error) {
+func (j *JobCache) Accept(ctx context.Context, s *model.Spec, doomed bool, now time.Time) (created bool, v JobRecord, err error) {
 	t := &wire.Txn{Conditions: []wire.Condition{{Key: activePrefix + s.ID}, {Key: endedPrefix + s.ID}}}
 	if doomed {
 		t.Changes = []wire.Change{{Key: endedPrefix + s.ID, Value: wire.AppendEndedJob(nil, wire.StateCancelled, s.Tasks, now)}}
 	} else {
-		parts, last, err := j.record(s, now)
+		parts, last, err := j.encodeNewJob(s, now)
 		if err != nil {
 			return false, v, err
 		}
 		for len(parts) > 0 {
-			n := min(len(parts), j.limits.Ops, max(1, mostTxn/j.limits.Value))
-			rev, ok, err := j.c.Commit(ctx, &wire.Txn{Changes: parts[:n]}, false)
+			n := min(len(parts), j.limits.MaxChanges, max(1, maxTxnValueBytes/j.limits.MaxValueBytes))
+			rev, ok, err := j.client.Commit(ctx, &wire.Txn{Changes: parts[:n]}, false)
 			if err != nil || !ok {
 				return false, v, errors.Join(ErrNotExecuted, err)
 			}
@@ -787,12 +787,12 @@
 		}
 		t.Changes = []wire.Change{last}
 	}
-	rev, ok, err := j.c.Commit(ctx, t, false)
+	rev, ok, err := j.client.Commit(ctx, t, false)
 	if err == nil && ok {
-		return true, JobView{State: wire.StateQueued, Spec: s, At: now, Version: rev, Tasks: s.Tasks}, nil
+		return true, JobRecord{State: wire.StateQueued, Spec: s, Timestamp: now, Version: rev, Tasks: s.Tasks}, nil
 	}
 	if errors.Is(err, ErrNotExecuted) {
-		return false, JobView{}, err
+		return false, JobRecord{}, err
 	}
 	// Known already, or the outcome is open: the present state settles it.
 	v, rerr := j.Lookup(ctx, s.ID)
@@ -807,28 +807,28 @@
 
 // Cancel ends a job as cancelled, unless it is done. It tells the state in
 // which the job has ended, or StateUnknown where nobody has submitted it.
-func (j *Jobs) Cancel(ctx context.Context, id string, now time.Time) (JobView, error) {
+func (j *JobCache) Cancel(ctx context.Context, id string, now time.Time) (JobRecord, error) {
 	for range 4 {
 		if v := j.Peek(id); v.State.Ended() {
 			return v, nil
 		}
-		v, err := j.get(ctx, id)
+		v, err := j.fetch(ctx, id)
 		if err != nil || v.State.Ended() || v.State == wire.StateUnknown {
 			return v, err
 		}
 		t := &wire.Txn{Conditions: []wire.Condition{{Key: activePrefix + id, Version: v.Version}, {Key: endedPrefix + id}},
 			Changes: []wire.Change{{Key: activePrefix + id}, {Key: endedPrefix + id, Value: wire.AppendEndedJob(nil, wire.StateCancelled, v.Tasks, now)}}}
-		rev, ok, err := j.c.Commit(ctx, t, false)
+		rev, ok, err := j.client.Commit(ctx, t, false)
 		if err != nil && errors.Is(err, ErrNotExecuted) {
-			return JobView{}, err
+			return JobRecord{}, err
 		}
 		if err == nil && ok {
-			v := JobView{State: wire.StateCancelled, Tasks: v.Tasks, Version: rev, At: now}
+			v := JobRecord{State: wire.StateCancelled, Tasks: v.Tasks, Version: rev, Timestamp: now}
 			j.mu.Lock()
-			j.learned(id, v)
+			j.learnEnd(id, v)
 			j.mu.Unlock()
 			return v, nil
 		}
 	}
-	return JobView{}, fmt.Errorf("job %s: the cancellation did not get through", id)
+	return JobRecord{}, fmt.Errorf("job %s: the cancellation did not get through", id)
 }
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -17,20 +17,20 @@
 
 // The keys that only the leader writes.
 const (
-	leaderPrefix  = "leader/"
-	holderKey     = "leader/holder" // attached to the leader's lease
-	tokenKey      = "leader/token"  // lasts; every transaction of a leader depends on its version
-	levelKey      = "leader/level"  // lasts; programs before levels can't read it, and so never claim
-	rolloutPrefix = "rollout/"      // what members tell of themselves, each attached to a lease of its own
-	tasksPrefix   = "tasks/"        // finished tasks by the number of a chunk: the layout of the first version
-	spanPrefix    = "part/"         // finished tasks from a task on
-	layoutPrefix  = "layout/"
-	layoutKey     = "layout/numbered" // how many tasks a numbered chunk has
-	machinePrefix = "machine/"
-	needPrefix    = "need/"
+	leaderPrefix        = "leader/"
+	leaderKey           = "leader/holder" // attached to the leader's lease
+	tokenKey            = "leader/token"  // lasts; every transaction of a leader depends on its version
+	levelKey            = "leader/level"  // lasts; programs before levels can't read it, and so never claim
+	rolloutPrefix       = "rollout/"      // what members tell of themselves, each attached to a lease of its own
+	numberedTasksPrefix = "tasks/"        // finished tasks by the number of a chunk: the layout of the first version
+	taskSpanPrefix      = "part/"         // finished tasks from a task on
+	layoutPrefix        = "layout/"
+	layoutKey           = "layout/numbered" // how many tasks a numbered chunk has
+	machinePrefix       = "machine/"
+	needPrefix          = "need/"
 )
 
-func record(entries []wire.Entry) (election.Record, error) {
+func decodeLeaderRecord(entries []wire.Entry) (election.Record, error) {
 	var r election.Record
 	for _, e := range entries {
 		if e.Removed {
@@ -49,35 +49,35 @@
 			return r, fmt.Errorf("%s: %w", e.Key, err)
 		}
 		switch e.Key {
-		case holderKey:
-			r.Held, r.Leader, r.Lease = true, member, e.Lease
+		case leaderKey:
+			r.Held, r.Leader, r.LeaseID = true, member, e.Lease
 		case tokenKey:
-			r.Token, r.TokenVersion = token, e.Version
+			r.FencingToken, r.TokenVersion = token, e.Version
 		}
 	}
 	return r, nil
 }
 
-// Look reads who leads and the last token given out, in one read.
-func (c *Client) Look(ctx context.Context) (election.Record, uint64, error) {
+// ReadLeaderRecord reads who leads and the last token given out, in one read.
+func (c *Client) ReadLeaderRecord(ctx context.Context) (election.Record, uint64, error) {
 	entries, rev, err := c.List(ctx, leaderPrefix)
 	if err != nil {
 		return election.Record{}, 0, err
 	}
-	r, err := record(entries)
+	r, err := decodeLeaderRecord(entries)
 	return r, rev, err
 }
 
 // WatchLeader waits for a change of the leader's keys after a revision. vacant
 // tells that nobody leads now; leader is the new one's name, if there is one.
 func (c *Client) WatchLeader(ctx context.Context, after uint64) (rev uint64, vacant bool, leader string, err error) {
-	p, err := c.Changes(ctx, leaderPrefix, after, watchTime)
+	p, err := c.Changes(ctx, leaderPrefix, after, watchTimeout)
 	if err != nil {
 		return 0, false, "", err
 	}
 	var version uint64
 	for _, e := range p.Entries {
-		if e.Key != holderKey || e.Version < version {
+		if e.Key != leaderKey || e.Version < version {
 			continue
 		}
 		version, vacant, leader = e.Version, e.Removed, ""
@@ -90,29 +90,29 @@
 	return p.Revision, vacant, leader, nil
 }
 
-// Claim takes the leader's key and the next token in one transaction, under the condition that
+// ClaimLeadership takes the leader's key and the next token in one transaction, under the condition that
 // the level in force is still the one that was read; a higher one is written with it.
-func (c *Client) Claim(ctx context.Context, member string, cl election.Claim) (version uint64, ok bool, err error) {
-	v := wire.AppendLeaderRecord(nil, cl.Token, member)
+func (c *Client) ClaimLeadership(ctx context.Context, member string, cl election.Claim) (version uint64, ok bool, err error) {
+	v := wire.AppendLeaderRecord(nil, cl.FencingToken, member)
 	t := &wire.Txn{
-		Conditions: []wire.Condition{{Key: holderKey}, {Key: tokenKey, Version: cl.TokenVersion}, {Key: levelKey, Version: cl.LevelVersion}},
-		Changes:    []wire.Change{{Key: holderKey, Value: v, Lease: cl.Lease}, {Key: tokenKey, Value: v}},
+		Conditions: []wire.Condition{{Key: leaderKey}, {Key: tokenKey, Version: cl.TokenVersion}, {Key: levelKey, Version: cl.LevelVersion}},
+		Changes:    []wire.Change{{Key: leaderKey, Value: v, Lease: cl.LeaseID}, {Key: tokenKey, Value: v}},
 	}
-	if cl.Raise > 0 {
-		t.Changes = append(t.Changes, wire.Change{Key: levelKey, Value: wire.AppendFeatureLevel(nil, uint32(cl.Raise), member)})
+	if cl.NewLevel > 0 {
+		t.Changes = append(t.Changes, wire.Change{Key: levelKey, Value: wire.AppendFeatureLevel(nil, uint32(cl.NewLevel), member)})
 	}
 	return c.Commit(ctx, t, true)
 }
 
-// Announce writes what this member tells of itself, attached to a lease.
-func (c *Client) Announce(ctx context.Context, lease uint64, m featuregate.Member) error {
+// PublishMember writes what this member tells of itself, attached to a lease.
+func (c *Client) PublishMember(ctx context.Context, lease uint64, m featuregate.Member) error {
 	_, _, err := c.Commit(ctx, &wire.Txn{Changes: []wire.Change{{Key: rolloutPrefix + m.Name, Value: wire.AppendMember(nil, m), Lease: lease}}}, false)
 	return err
 }
 
-// Announced reads what the members tell of themselves; one that is gone, or that has a program
+// ListMembers reads what the members tell of themselves; one that is gone, or that has a program
 // without levels, is not among them.
-func (c *Client) Announced(ctx context.Context) (map[string]featuregate.Member, error) {
+func (c *Client) ListMembers(ctx context.Context) (map[string]featuregate.Member, error) {
 	entries, _, err := c.List(ctx, rolloutPrefix)
 	if err != nil {
 		return nil, err
@@ -128,9 +128,9 @@
 	return out, nil
 }
 
-// Records reads what a new leader needs besides the jobs; with the teams' accounts,
+// ReadSnapshot reads what a new leader needs besides the jobs; with the teams' accounts,
 // which are as many as the teams however old the ledger is.
-func (c *Client) Records(ctx context.Context, accounts bool) (snap *reconciler.Snapshot, err error) {
+func (c *Client) ReadSnapshot(ctx context.Context, accounts bool) (snap *reconciler.Snapshot, err error) {
 	snap = &reconciler.Snapshot{FinishedTasks: map[string]map[model.Chunk][]byte{}}
 	if accounts {
 		if snap.Accounts, err = c.Accounts(ctx); err != nil {
@@ -138,7 +138,7 @@
 		}
 	}
 	done := snap.FinishedTasks
-	for _, prefix := range []string{tasksPrefix, spanPrefix} {
+	for _, prefix := range []string{numberedTasksPrefix, taskSpanPrefix} {
 		entries, _, err := c.List(ctx, prefix)
 		if err != nil {
 			return nil, err
@@ -153,7 +153,7 @@
 			if done[id] == nil {
 				done[id] = map[model.Chunk][]byte{}
 			}
-			done[id][model.Chunk{StartsAtTask: prefix == spanPrefix, Number: chunk}] = bits
+			done[id][model.Chunk{StartsAtTask: prefix == taskSpanPrefix, Number: chunk}] = bits
 		}
 	}
 	entries, _, err := c.List(ctx, layoutPrefix)
@@ -190,13 +190,13 @@
 	return snap, nil
 }
 
-// Save carries out a leader's saves in one transaction under the condition that
+// CommitFenced carries out a leader's saves in one transaction under the condition that
 // its token is still the last one. Without an error and with ok false a
 // condition has failed. rev is the version of all that it has written.
-func (c *Client) Save(ctx context.Context, tokenVersion uint64, saves []reconciler.Change) (rev uint64, ok bool, err error) {
+func (c *Client) CommitFenced(ctx context.Context, tokenVersion uint64, saves []reconciler.Change) (rev uint64, ok bool, err error) {
 	t := &wire.Txn{Conditions: []wire.Condition{{Key: tokenKey, Version: tokenVersion}}}
 	for _, s := range saves {
-		key := saveKey(s)
+		key := changeKey(s)
 		switch s.Kind {
 		case reconciler.PutMachine:
 			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendMachine(nil, s.Machine)})
@@ -223,21 +223,21 @@
 			t.Conditions = append(t.Conditions, wire.Condition{Key: activePrefix + s.Job})
 			t.Changes = append(t.Changes, wire.Change{Key: key})
 		default:
-			useTxn(t, s)
+			addLedgerChange(t, s)
 		}
 	}
 	return c.Commit(ctx, t, false)
 }
 
-// saveKey names the record that a save is about.
-func saveKey(s reconciler.Change) string {
+// changeKey names the record that a save is about.
+func changeKey(s reconciler.Change) string {
 	switch s.Kind {
 	case reconciler.PutMachine, reconciler.DeleteMachine:
 		return machinePrefix + s.Machine.Name
 	case reconciler.PutTasks, reconciler.DeleteTasks:
-		prefix := tasksPrefix
+		prefix := numberedTasksPrefix
 		if s.Chunk.StartsAtTask {
-			prefix = spanPrefix
+			prefix = taskSpanPrefix
 		}
 		return prefix + s.Job + "/" + strconv.Itoa(s.Chunk.Number)
 	case reconciler.PutChunkLayout:
@@ -251,26 +251,26 @@
 	case reconciler.SettleAccount:
 		return accountPrefix + teamKey(s.Settlement.Open.Team)
 	case reconciler.PutUnaccounted:
-		return stretchPrefix + number(s.Unaccounted.Token)
+		return intervalPrefix + sortableNumber(s.Unaccounted.Token)
 	case reconciler.CompactAccount:
-		return pageKey(s.Compaction.Result.Team, s.Compaction.Result.First)
+		return segmentKey(s.Compaction.Result.Team, s.Compaction.Result.First)
 	}
 	return ""
 }
 
-// Keys names the records that saves are about, for the log.
-func Keys(saves []reconciler.Change) []string {
+// ChangeKeys names the records that saves are about, for the log.
+func ChangeKeys(saves []reconciler.Change) []string {
 	var out []string
 	for _, s := range saves {
-		out = append(out, saveKey(s))
+		out = append(out, changeKey(s))
 	}
 	return out
 }
 
-// Rewrite writes the record of a leader's token anew, under the version that it has: what was sent under
+// RewriteToken writes the record of a leader's token anew, under the version that it has: what was sent under
 // that version, and is carried out later, fails. It gives the version to go on with. Where the
 // outcome is open the record tells: only this leader writes it without another token.
-func (c *Client) Rewrite(ctx context.Context, member string, token, tokenVersion uint64) (version uint64, ok bool, err error) {
+func (c *Client) RewriteToken(ctx context.Context, member string, token, tokenVersion uint64) (version uint64, ok bool, err error) {
 	v, ok, err := c.Commit(ctx, &wire.Txn{Conditions: []wire.Condition{{Key: tokenKey, Version: tokenVersion}},
 		Changes: []wire.Change{{Key: tokenKey, Value: wire.AppendLeaderRecord(nil, token, member)}}}, false)
 	if err == nil && ok || errors.Is(err, ErrNotExecuted) {
@@ -295,11 +295,11 @@
 	return e.Version, true, nil
 }
 
-// StillLast tells whether a token's record is unchanged.
-func (c *Client) StillLast(ctx context.Context, tokenVersion uint64) (bool, error) {
+// TokenUnchanged tells whether a token's record is unchanged.
+func (c *Client) TokenUnchanged(ctx context.Context, tokenVersion uint64) (bool, error) {
 	e, ok, err := c.Get(ctx, tokenKey)
 	return ok && e.Version == tokenVersion, err
 }
 
-// Wait pauses, unless the context ends.
-func Wait(ctx context.Context, d time.Duration) { sleep(ctx, d) }
+// Sleep pauses, unless the context ends.
+func Sleep(ctx context.Context, d time.Duration) { sleepContext(ctx, d) }
--- a/internal/store/ledger.go
+++ b/internal/store/ledger.go
@@ -16,56 +16,56 @@
 
 // The keys of the ledger. Versions without one skip them.
 const (
-	accountPrefix = "use/o/" // a team's account, with the page that is being written
-	pagePrefix    = "use/p/" // closed pages, by team and the number of the first hour in them
-	stretchPrefix = "use/g/" // stretches that are not accounted, by the token that ended them
+	accountPrefix  = "use/o/" // a team's account, with the page that is being written
+	segmentPrefix  = "use/p/" // closed pages, by team and the number of the first hour in them
+	intervalPrefix = "use/g/" // stretches that are not accounted, by the token that ended them
 )
 
 // teamKey is a team's name as a part of a key: no spaces and slashes, and not too long.
 func teamKey(team string) string {
 	k := url.PathEscape(team)
-	if len(k) <= maxTeamKey {
+	if len(k) <= maxTeamKeyBytes {
 		return k
 	}
 	h := fnv.New128a()
 	_, _ = h.Write([]byte(team)) // a hash takes everything
-	return fmt.Sprintf("%s-%x", k[:maxTeamKey/2], h.Sum(nil))
+	return fmt.Sprintf("%s-%x", k[:maxTeamKeyBytes/2], h.Sum(nil))
 }
 
-// maxTeamKey keeps keys within 200 bytes.
-const maxTeamKey = 120
+// maxTeamKeyBytes keeps keys within 200 bytes.
+const maxTeamKeyBytes = 120
 
-// number writes a number so that keys are in its order.
-func number(n uint64) string { return fmt.Sprintf("%016d", n) }
+// sortableNumber writes a number so that keys are in its order.
+func sortableNumber(n uint64) string { return fmt.Sprintf("%016d", n) }
 
-func pageKey(team string, first uint64) string {
-	return pagePrefix + teamKey(team) + "/" + number(first)
+func segmentKey(team string, first uint64) string {
+	return segmentPrefix + teamKey(team) + "/" + sortableNumber(first)
 }
 
-// useTxn adds a save of the ledger to a transaction. Each goes under a condition of its
+// addLedgerChange adds a save of the ledger to a transaction. Each goes under a condition of its
 // own, so that no copy of it is carried out twice: docs/safety.md, "Ledger".
-func useTxn(t *wire.Txn, s reconciler.Change) {
+func addLedgerChange(t *wire.Txn, s reconciler.Change) {
 	switch s.Kind {
 	case reconciler.SettleAccount:
 		o := &s.Settlement.Open
-		t.Conditions = append(t.Conditions, wire.Condition{Key: saveKey(s), Version: s.Settlement.Version})
-		t.Changes = append(t.Changes, wire.Change{Key: saveKey(s), Value: wire.AppendOpenSegment(nil, o)})
+		t.Conditions = append(t.Conditions, wire.Condition{Key: changeKey(s), Version: s.Settlement.Version})
+		t.Changes = append(t.Changes, wire.Change{Key: changeKey(s), Value: wire.AppendOpenSegment(nil, o)})
 		if p := s.Settlement.Closed; p != nil {
-			key := pageKey(p.Team, p.First)
+			key := segmentKey(p.Team, p.First)
 			t.Conditions = append(t.Conditions, wire.Condition{Key: key})
 			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendSegment(nil, p)})
 		}
 	case reconciler.PutUnaccounted:
-		t.Changes = append(t.Changes, wire.Change{Key: saveKey(s), Value: wire.AppendUnaccountedInterval(nil, *s.Unaccounted)})
+		t.Changes = append(t.Changes, wire.Change{Key: changeKey(s), Value: wire.AppendUnaccountedInterval(nil, *s.Unaccounted)})
 	case reconciler.CompactAccount:
 		for i := range s.Compaction.Sources {
 			p := &s.Compaction.Sources[i]
-			t.Conditions = append(t.Conditions, wire.Condition{Key: pageKey(p.Team, p.First), Version: p.Version})
+			t.Conditions = append(t.Conditions, wire.Condition{Key: segmentKey(p.Team, p.First), Version: p.Version})
 			if i > 0 {
-				t.Changes = append(t.Changes, wire.Change{Key: pageKey(p.Team, p.First)})
+				t.Changes = append(t.Changes, wire.Change{Key: segmentKey(p.Team, p.First)})
 			}
 		}
-		t.Changes = append(t.Changes, wire.Change{Key: saveKey(s), Value: wire.AppendSegment(nil, s.Compaction.Result)})
+		t.Changes = append(t.Changes, wire.Change{Key: changeKey(s), Value: wire.AppendSegment(nil, s.Compaction.Result)})
 	}
 }
 
@@ -101,10 +101,10 @@
 	return ledger.OnRecord{Open: o, Version: e.Version}, err
 }
 
-// Pages reads some closed pages of a team behind the one that begins with a number, in
+// Segments reads some closed pages of a team behind the one that begins with a number, in
 // order, in one request. more tells that there are others behind them.
-func (c *Client) Pages(ctx context.Context, team string, after uint64, most int) (pages []ledger.Stored, more bool, err error) {
-	p, err := c.page(ctx, pagePrefix+teamKey(team)+"/", pageKey(team, after), most)
+func (c *Client) Segments(ctx context.Context, team string, after uint64, most int) (pages []ledger.Stored, more bool, err error) {
+	p, err := c.readPage(ctx, segmentPrefix+teamKey(team)+"/", segmentKey(team, after), most)
 	if err != nil {
 		return nil, false, err
 	}
@@ -118,9 +118,9 @@
 	return pages, p.More, nil
 }
 
-// Stretches reads some stretches that are not accounted, behind the one with a token.
-func (c *Client) Stretches(ctx context.Context, after uint64, most int) (list []ledger.Stretch, more bool, err error) {
-	p, err := c.page(ctx, stretchPrefix, stretchPrefix+number(after), most)
+// Intervals reads some stretches that are not accounted, behind the one with a token.
+func (c *Client) Intervals(ctx context.Context, after uint64, most int) (list []ledger.Stretch, more bool, err error) {
+	p, err := c.readPage(ctx, intervalPrefix, intervalPrefix+sortableNumber(after), most)
 	if err != nil {
 		return nil, false, err
 	}
@@ -134,9 +134,9 @@
 	return list, p.More, nil
 }
 
-// page reads one page of keys.
-func (c *Client) page(ctx context.Context, prefix, after string, most int) (wire.Page, error) {
-	if err := c.budget(ctx, 0); err != nil {
+// readPage reads one page of keys.
+func (c *Client) readPage(ctx context.Context, prefix, after string, most int) (wire.Page, error) {
+	if err := c.waitForBudget(ctx, 0); err != nil {
 		return wire.Page{}, err
 	}
 	uri := "/keys?prefix=" + url.QueryEscape(prefix) + "&page=" + strconv.Itoa(most)
