--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -17,20 +17,20 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// service is a state service with low limits, and a client of it.
-func service() (*fake.State, *store.Client) {
+// newTestStore is a state service with low limits, and a client of it.
+func newTestStore() (*fake.State, *store.Client) {
 	now := time.Unix(1000, 0)
 	s := fake.NewState(func() time.Time { return now })
 	s.MostValue, s.MostOps = 2048, 4
 	c := store.NewOver(s, s, time.Second)
-	c.SetRates(1e9, 1e9)
+	c.SetRateLimits(1e9, 1e9)
 	return s, c
 }
 
 // Every record that a leader writes is taken under the lowest limits, alone and as
 // many together as go into one transaction.
-func TestAllRecordsOfALeaderKeepWithinTheLimits(t *testing.T) {
-	s, c := service()
+func TestLeaderRecordsFitLowestLimits(t *testing.T) {
+	s, c := newTestStore()
 	long := strings.Repeat("x", 200)
 	id := "wk-" + strings.Repeat("9", 37)
 	s.Plant("leader/token", wire.AppendLeaderRecord(nil, 7, long))
@@ -50,20 +50,20 @@
 		"a part of a list":    {{Kind: reconciler.DeleteDependencies, Job: "wk-000001", Key: "job/w/wk-000001/ffffffffffffffff/13"}},
 		"the end of a job":    {{Kind: reconciler.CompleteJob, Job: id, Version: 3, Tasks: 100_000, At: time.Unix(4e9, 0)}},
 	} {
-		if _, ok, err := c.Save(context.Background(), token, saves); err != nil || !ok {
+		if _, ok, err := c.CommitFenced(context.Background(), token, saves); err != nil || !ok {
 			t.Errorf("%s: %v, %v", name, ok, err)
 		}
-		if len(store.Keys(saves)) != len(saves) || strings.Contains(fmt.Sprint(store.Keys(saves)), " ]") {
-			t.Errorf("%s: a record has no name: %q", name, store.Keys(saves))
+		if len(store.ChangeKeys(saves)) != len(saves) || strings.Contains(fmt.Sprint(store.ChangeKeys(saves)), " ]") {
+			t.Errorf("%s: a record has no name: %q", name, store.ChangeKeys(saves))
 		}
 	}
 }
 
 // The bound on a whole transaction holds too, where values may be large.
-func TestALongListKeepsWithinATransaction(t *testing.T) {
-	s, c := service()
+func TestLongDependencyListFitsTransaction(t *testing.T) {
+	s, c := newTestStore()
 	s.MostValue, s.MostOps = 16<<10, 12
-	jobs := store.NewJobs(c, 1, 10, store.Limits{Value: 16 << 10, Ops: 12}, func([]store.JobChange) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	jobs := store.NewJobCache(c, 1, 10, store.Limits{MaxValueBytes: 16 << 10, MaxChanges: 12}, func([]store.JobChange) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	spec := &model.Spec{ID: "wk-000001", Class: "c", Team: "t", Shape: model.Array, Priority: model.PriorityNormal, Tasks: 1, Demand: model.Resources{CPU: 1}}
 	for i := range 7000 { // as many short ids as a submission can hold
 		spec.Dependencies = append(spec.Dependencies, fmt.Sprintf("wk-%06d", i))
@@ -74,14 +74,14 @@
 }
 
 // A submission is taken under the limits, or refused before anything is written.
-func TestASubmissionIsKeptOrRefusedForGood(t *testing.T) {
-	limits := store.Limits{Value: 2048, Ops: 4}
+func TestSubmissionIsStoredOrRejectedAsTooLarge(t *testing.T) {
+	limits := store.Limits{MaxValueBytes: 2048, MaxChanges: 4}
 	kept, refused := 0, 0
 	for _, text := range []string{"x", "ü", "\x01", "世"} {
 		for _, types := range []int{0, 20, 64} {
 			for _, needs := range []int{0, 30, 300, 1400} {
-				s, c := service()
-				jobs := store.NewJobs(c, 1, 10, limits, func([]store.JobChange) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+				s, c := newTestStore()
+				jobs := store.NewJobCache(c, 1, 10, limits, func([]store.JobChange) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 				if err := jobs.Refresh(context.Background()); err != nil {
 					t.Fatal(err)
 				}
@@ -94,7 +94,7 @@
 				for i := range needs {
 					spec.Dependencies = append(spec.Dependencies, fmt.Sprintf("wk-%037d", i))
 				}
-				err := jobs.Fits(spec)
+				err := jobs.CheckSize(spec)
 				created, _, aerr := jobs.Accept(context.Background(), spec, false, time.Unix(4e9, 0))
 				switch {
 				case err == nil:
@@ -126,10 +126,10 @@
 
 // Guards against polls that spend the whole budget: reads at this pace leave half of
 // the requests to submissions and to the watch.
-func TestPolledReadsLeaveHalfOfTheRequests(t *testing.T) {
-	_, c := service()
-	c.SetRates(20, 5)
-	if reads := time.Second / c.Pace(); reads != 10 {
+func TestMinReadIntervalLeavesHalfOfRequests(t *testing.T) {
+	_, c := newTestStore()
+	c.SetRateLimits(20, 5)
+	if reads := time.Second / c.MinReadInterval(); reads != 10 {
 		t.Errorf("%d reads a second out of 20 requests", reads)
 	}
 }
--- a/internal/store/courier_test.go
+++ b/internal/store/relay_test.go
@@ -15,30 +15,30 @@
 // A member hands batches to a leader by way of the state service and has its answers, under the lowest
 // limits and however often its keys come round; a leader that is deposed meanwhile answers nothing, and
 // what is left behind is removed.
-func TestReportsAndAnswersGoByWayOfTheStateService(t *testing.T) {
-	s, c := service()
+func TestRelayBatchesReachLeaderAndMember(t *testing.T) {
+	s, c := newTestStore()
 	ctx := context.Background()
 	s.Plant("leader/token", wire.AppendLeaderRecord(nil, 7, "b"))
 	token := s.Revision()
 	room := wire.MaxBatchPayload(s.MostValue)
-	toLeader, err := c.RelayNow(ctx, "")
+	toLeader, err := c.RelayRevision(ctx, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	toMember, err := c.RelayNow(ctx, "a")
+	toMember, err := c.RelayRevision(ctx, "a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for seq := uint64(1); seq <= 20; seq++ {
-		text, n := courier.Pack([]courier.Letter{{ID: seq, Body: []byte("report " + strings.Repeat("x", 500))}}, room)
+		text, n := courier.Pack([]courier.Envelope{{ID: seq, Body: []byte("report " + strings.Repeat("x", 500))}}, room)
 		if n != 1 {
 			t.Fatal("it does not fit")
 		}
-		if err := c.PutReports(ctx, store.Batch{Member: "a", RelayBatch: wire.RelayBatch{Incarnation: 5, Seq: seq, Payload: text}}); err != nil {
+		if err := c.PutHeartbeats(ctx, store.RelayBatch{Member: "a", RelayBatch: wire.RelayBatch{Incarnation: 5, Seq: seq, Payload: text}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	batches, at, err := c.Relayed(ctx, "", toLeader, time.Second)
+	batches, at, err := c.WatchRelay(ctx, "", toLeader, time.Second)
 	if err != nil || len(batches) != 20 || at <= toLeader {
 		t.Fatalf("the leader sees %d batches up to %d: %v", len(batches), at, err)
 	}
@@ -46,16 +46,16 @@
 		if b.Member != "a" || b.Incarnation != 5 || b.Seq != uint64(i+1) {
 			t.Errorf("batch %d: %+v", i, b)
 		}
-		b.Payload, _ = courier.Pack([]courier.Letter{{ID: b.Seq, Body: fmt.Append(nil, "answer ", b.Seq)}}, room)
-		if ok, err := c.PutAnswers(ctx, token, b); err != nil || !ok {
+		b.Payload, _ = courier.Pack([]courier.Envelope{{ID: b.Seq, Body: fmt.Append(nil, "answer ", b.Seq)}}, room)
+		if ok, err := c.PutHeartbeatResponses(ctx, token, b); err != nil || !ok {
 			t.Fatal(ok, err)
 		}
 	}
-	answers, _, err := c.Relayed(ctx, "a", toMember, time.Second)
+	answers, _, err := c.WatchRelay(ctx, "a", toMember, time.Second)
 	if err != nil || len(answers) != 20 {
 		t.Fatalf("the member sees %d answers: %v", len(answers), err)
 	}
-	if other, _, err := c.Relayed(ctx, "ab", toMember, time.Second); err != nil || len(other) != 0 {
+	if other, _, err := c.WatchRelay(ctx, "ab", toMember, time.Second); err != nil || len(other) != 0 {
 		t.Errorf("another one sees %d: %v", len(other), err)
 	}
 	letters, err := courier.Unpack(answers[19].Payload)
@@ -63,10 +63,10 @@
 		t.Error(letters, err)
 	}
 	s.Plant("leader/token", wire.AppendLeaderRecord(nil, 8, "c"))
-	if ok, err := c.PutAnswers(ctx, token, batches[0]); ok || err != nil {
+	if ok, err := c.PutHeartbeatResponses(ctx, token, batches[0]); ok || err != nil {
 		t.Errorf("a deposed leader answers: %v, %v", ok, err)
 	}
-	if err := c.DropRelay(ctx, "a", s.MostOps); err != nil || len(s.Keys("relay/")) != 0 {
+	if err := c.DeleteRelayRecords(ctx, "a", s.MostOps); err != nil || len(s.Keys("relay/")) != 0 {
 		t.Errorf("left behind: %v, %v", s.Keys("relay/"), err)
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -20,11 +20,11 @@
 // The errors that callers tell apart. Any other error of Commit means that the
 // outcome is unknown.
 var (
-	ErrNotExecuted = errors.New("not executed")
-	ErrRejected    = errors.New("rejected for good") // comes with ErrNotExecuted: too large, or malformed
-	ErrTooOld      = errors.New("the changes since that revision are not kept any more")
-	ErrLeaseOver   = errors.New("the lease is over")
-	ErrBusy        = errors.New("the budget for requests is spent")
+	ErrNotExecuted  = errors.New("not executed")
+	ErrRejected     = errors.New("rejected for good") // comes with ErrNotExecuted: too large, or malformed
+	ErrCompacted    = errors.New("the changes since that revision are not kept any more")
+	ErrLeaseExpired = errors.New("the lease is over")
+	ErrRateLimited  = errors.New("the budget for requests is spent")
 )
 
 // Transport carries one request to the state service: the network, or a
@@ -36,13 +36,13 @@
 
 // Client talks to the state service within a budget of requests and of changes.
 type Client struct {
-	calls, watches Transport
-	reads, writes  *rate.Limiter
-	now            func() time.Time
-	pause          func(time.Duration)
-	timeout        time.Duration
-	goodAt         atomic.Pointer[time.Time] // when a request was answered last, by the steady clock; nil: never
-	badSince       atomic.Int64              // when requests began to fail, in nanoseconds; 0: the last one was answered
+	requests, watches             Transport
+	requestLimiter, changeLimiter *rate.Limiter
+	now                           func() time.Time
+	sleep                         func(time.Duration)
+	timeout                       time.Duration
+	lastAnsweredAt                atomic.Pointer[time.Time] // when a request was answered last, by the steady clock; nil: never
+	failingSince                  atomic.Int64              // when requests began to fail, in nanoseconds; 0: the last one was answered
 }
 
 // New makes a client; connections are made under a condition (rpc.New).
@@ -52,66 +52,66 @@
 
 // NewOver makes a client over given transports, one of them for watches.
 func NewOver(calls, watches Transport, timeout time.Duration) *Client {
-	return &Client{calls: calls, watches: watches, timeout: timeout, now: time.Now, pause: time.Sleep,
-		reads: rate.NewLimiter(10, 10), writes: rate.NewLimiter(5, 5)}
+	return &Client{requests: calls, watches: watches, timeout: timeout, now: time.Now, sleep: time.Sleep,
+		requestLimiter: rate.NewLimiter(10, 10), changeLimiter: rate.NewLimiter(5, 5)}
 }
 
 // SetClock has the client go by another clock than the machine's, and pause as that says.
 func (c *Client) SetClock(now func() time.Time, pause func(time.Duration)) {
-	c.now, c.pause = now, pause
+	c.now, c.sleep = now, pause
 }
 
-// SetRates sets this controller's share of the published limits.
-func (c *Client) SetRates(requests, changes float64) {
-	c.reads.SetLimit(rate.Limit(requests))
-	c.reads.SetBurst(max(4, int(requests/2)))
-	c.writes.SetLimit(rate.Limit(changes))
-	c.writes.SetBurst(max(12, int(changes/2)))
+// SetRateLimits sets this controller's share of the published limits.
+func (c *Client) SetRateLimits(requests, changes float64) {
+	c.requestLimiter.SetLimit(rate.Limit(requests))
+	c.requestLimiter.SetBurst(max(4, int(requests/2)))
+	c.changeLimiter.SetLimit(rate.Limit(changes))
+	c.changeLimiter.SetBurst(max(12, int(changes/2)))
 }
 
-// Pace is how far apart reads that could be made all the time have to be, so that
+// MinReadInterval is how far apart reads that could be made all the time have to be, so that
 // they take no more than half of the requests.
-func (c *Client) Pace() time.Duration {
-	return time.Duration(2 / float64(c.reads.Limit()) * float64(time.Second))
+func (c *Client) MinReadInterval() time.Duration {
+	return time.Duration(2 / float64(c.requestLimiter.Limit()) * float64(time.Second))
 }
 
-// budget waits until a request with n changes is within the budget.
-func (c *Client) budget(ctx context.Context, n int) error {
+// waitForBudget waits until a request with n changes is within the budget.
+func (c *Client) waitForBudget(ctx context.Context, n int) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	err := c.reads.Wait(ctx)
+	err := c.requestLimiter.Wait(ctx)
 	if err == nil && n > 0 {
-		err = c.writes.WaitN(ctx, min(n, c.writes.Burst()))
+		err = c.changeLimiter.WaitN(ctx, min(n, c.changeLimiter.Burst()))
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrNotExecuted, ErrBusy)
+		return fmt.Errorf("%w: %w", ErrNotExecuted, ErrRateLimited)
 	}
 	return nil
 }
 
 func (c *Client) call(method, uri string, body []byte) ([]byte, error) {
-	out, err := c.calls.Call(method, uri, body, c.timeout)
+	out, err := c.requests.Call(method, uri, body, c.timeout)
 	if err == nil || rpc.StatusCode(err) != 0 && rpc.StatusCode(err) != fasthttp.StatusServiceUnavailable {
-		c.badSince.Store(0)
+		c.failingSince.Store(0)
 		now := c.now()
-		c.goodAt.Store(&now)
+		c.lastAnsweredAt.Store(&now)
 	} else {
-		c.badSince.CompareAndSwap(0, c.now().UnixNano())
+		c.failingSince.CompareAndSwap(0, c.now().UnixNano())
 	}
 	return out, err
 }
 
-// Contact is when a request was answered last; zero: never.
-func (c *Client) Contact() time.Time {
-	if at := c.goodAt.Load(); at != nil {
+// LastContact is when a request was answered last; zero: never.
+func (c *Client) LastContact() time.Time {
+	if at := c.lastAnsweredAt.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
-// Down tells for how long requests have failed; 0: the last one was answered.
-func (c *Client) Down(now time.Time) time.Duration {
-	if at := c.badSince.Load(); at != 0 {
+// UnreachableFor tells for how long requests have failed; 0: the last one was answered.
+func (c *Client) UnreachableFor(now time.Time) time.Duration {
+	if at := c.failingSince.Load(); at != 0 {
 		return now.Sub(time.Unix(0, at))
 	}
 	return 0
@@ -119,7 +119,7 @@
 
 // Get reads one key; ok tells whether it exists.
 func (c *Client) Get(ctx context.Context, key string) (e wire.Entry, ok bool, err error) {
-	if err := c.budget(ctx, 0); err != nil {
+	if err := c.waitForBudget(ctx, 0); err != nil {
 		return e, false, err
 	}
 	out, err := c.call(fasthttp.MethodGet, "/keys/"+key, nil)
@@ -140,7 +140,7 @@
 	var rev uint64
 	after := ""
 	for {
-		p, err := c.page(ctx, prefix, after, 1000)
+		p, err := c.readPage(ctx, prefix, after, 1000)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -158,18 +158,18 @@
 // Changes returns the changes of keys with a prefix after a revision, waiting
 // for one up to the given time.
 func (c *Client) Changes(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.Page, error) {
-	if err := c.budget(ctx, 0); err != nil {
+	if err := c.waitForBudget(ctx, 0); err != nil {
 		return wire.Page{}, err
 	}
 	uri := "/changes?prefix=" + url.QueryEscape(prefix) + "&after=" + strconv.FormatUint(after, 10) +
 		"&waitMs=" + strconv.FormatInt(wait.Milliseconds(), 10)
-	cl := c.calls
+	cl := c.requests
 	if wait > 0 {
 		cl = c.watches
 	}
 	out, err := cl.Call(fasthttp.MethodGet, uri, nil, wait+c.timeout)
 	if rpc.StatusCode(err) == fasthttp.StatusGone {
-		return wire.Page{}, ErrTooOld
+		return wire.Page{}, ErrCompacted
 	}
 	if err != nil {
 		return wire.Page{}, err
@@ -182,8 +182,8 @@
 // carried out.
 func (c *Client) Commit(ctx context.Context, t *wire.Txn, urgent bool) (rev uint64, ok bool, err error) {
 	if urgent {
-		c.reads.Allow()
-	} else if err := c.budget(ctx, len(t.Changes)); err != nil {
+		c.requestLimiter.Allow()
+	} else if err := c.waitForBudget(ctx, len(t.Changes)); err != nil {
 		return 0, false, err
 	}
 	out, err := c.call(fasthttp.MethodPost, "/commit", t.Append(nil))
@@ -201,9 +201,9 @@
 	return 0, false, err
 }
 
-// Grant asks for a lease.
-func (c *Client) Grant(life time.Duration) (uint64, error) {
-	c.reads.Allow()
+// GrantLease asks for a lease.
+func (c *Client) GrantLease(life time.Duration) (uint64, error) {
+	c.requestLimiter.Allow()
 	out, err := c.call(fasthttp.MethodPost, "/grants", wire.AppendLeaseRequest(nil, uint64(life.Milliseconds())))
 	if err != nil {
 		return 0, err
@@ -211,20 +211,20 @@
 	return wire.DecodeLeaseID(out)
 }
 
-// Touch renews a lease. It never waits for the budget: the leader's right to
+// RenewLease renews a lease. It never waits for the budget: the leader's right to
 // act hangs on it.
-func (c *Client) Touch(id uint64) error {
-	c.reads.Allow()
+func (c *Client) RenewLease(id uint64) error {
+	c.requestLimiter.Allow()
 	_, err := c.call(fasthttp.MethodPost, "/grants/"+strconv.FormatUint(id, 10)+"/touch", nil)
 	if rpc.StatusCode(err) == fasthttp.StatusNotFound {
-		return ErrLeaseOver
+		return ErrLeaseExpired
 	}
 	return err
 }
 
-// Drop ends a lease.
-func (c *Client) Drop(id uint64) error {
-	c.reads.Allow()
+// RevokeLease ends a lease.
+func (c *Client) RevokeLease(id uint64) error {
+	c.requestLimiter.Allow()
 	_, err := c.call(fasthttp.MethodDelete, "/grants/"+strconv.FormatUint(id, 10), nil)
 	if rpc.StatusCode(err) == fasthttp.StatusNotFound {
 		return nil
