--- a/internal/reconciler/preemption.go
+++ b/internal/reconciler/preemption.go
@@ -31,46 +31,46 @@
 	}
 	return func(nd *scheduler.Node) {
 		held := nd.Machine.ActiveAttempts()
-		nd.Victims = make([]scheduler.Running, 0, len(held))
+		nd.Candidates = make([]scheduler.PreemptionCandidate, 0, len(held))
 		for _, a := range held {
 			switch {
 			case a.Job == nil:
 			case a.State == model.AttemptStopping:
-				nd.Freeing = nd.Freeing.Add(a.Demand)
+				nd.Releasing = nd.Releasing.Add(a.Demand)
 			case a.Job.State == model.JobActive:
-				nd.Victims = append(nd.Victims, c.preemptionCandidate(now, a, facts(a.Job)))
+				nd.Candidates = append(nd.Candidates, c.preemptionCandidate(now, a, facts(a.Job)))
 			}
 		}
 	}
 }
 
 // preemptionCandidate describes an attempt that might be stopped to make room.
-func (c *Core) preemptionCandidate(now time.Time, a *model.Attempt, f *preemptionFacts) scheduler.Running {
+func (c *Core) preemptionCandidate(now time.Time, a *model.Attempt, f *preemptionFacts) scheduler.PreemptionCandidate {
 	s := a.Job.Spec
-	v := scheduler.Running{
-		Attempt: a,
-		Rank:    a.Job.EffectivePriority,
-		Over:    !f.guaranteed,
-		Gang:    s.Shape == model.Gang,
-		Band:    f.fairShareClass,
-		Slack:   f.slack,
-		Due:     f.hasDeadline,
+	v := scheduler.PreemptionCandidate{
+		Attempt:         a,
+		Priority:        a.Job.EffectivePriority,
+		BeyondGuarantee: !f.guaranteed,
+		Gang:            s.Shape == model.Gang,
+		FairShareBand:   f.fairShareClass,
+		Slack:           f.slack,
+		HasDeadline:     f.hasDeadline,
 	}
 	if s.CheckpointInterval > 0 {
-		v.Save = gracePeriod(a)
+		v.CheckpointTime = gracePeriod(a)
 	}
 	ran := time.Duration(0)
 	if !a.RunningAt.IsZero() {
 		ran = now.Sub(a.RunningAt)
-		if v.Loss = ran; s.CheckpointInterval > 0 {
+		if v.LostWork = ran; s.CheckpointInterval > 0 {
 			// It saves by itself at each checkpoint. Where between two of them it
 			// is depends on its machine's speed and on what it had done before.
-			v.Loss = min(ran, s.CheckpointInterval/2)
+			v.LostWork = min(ran, s.CheckpointInterval/2)
 		}
 	}
-	v.Young = ran < c.settings.Scheduler.MinRun
-	if v.Loss < ran {
-		v.Slack, v.Due = c.slack(now, a.Job, true, ran-v.Loss)
+	v.RecentlyStarted = ran < c.settings.Scheduler.MinRuntime
+	if v.LostWork < ran {
+		v.Slack, v.HasDeadline = c.slack(now, a.Job, true, ran-v.LostWork)
 	}
 	return v
 }
--- a/internal/reconciler/provisioning.go
+++ b/internal/reconciler/provisioning.go
@@ -27,7 +27,7 @@
 	delete(c.provisionRetryAt, r.Name)
 	offer := autoscaler.Offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	if len(ev.Machines) < r.Count {
-		c.refusedOffers[offer] = now.Add(c.settings.Autoscaler.Refused)
+		c.refusedOffers[offer] = now.Add(c.settings.Autoscaler.RefusalBackoff)
 	}
 	c.log.Info("rented", "request", r.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(ev.Machines))
 	for _, name := range ev.Machines {
--- a/internal/route/breaker.go
+++ b/internal/route/breaker.go
@@ -7,77 +7,77 @@
 
 // The states of a breaker.
 const (
-	Closed  BreakerState = iota // requests go
-	Open                        // none goes until a pause is over
-	Probing                     // one goes, and shows whether others may
+	Closed   BreakerState = iota // requests go
+	Open                         // none goes until a pause is over
+	HalfOpen                     // one goes, and shows whether others may
 )
 
 func (s BreakerState) String() string { return [...]string{"closed", "open", "probing"}[s] }
 
 const (
-	tripAfter  = 3 // failures in a row
-	leastPause = 500 * time.Millisecond
-	mostPause  = 8 * time.Second
+	failureThreshold = 3 // failures in a row
+	minPause         = 500 * time.Millisecond
+	maxPause         = 8 * time.Second
 )
 
 // breaker keeps requests off a way that has failed.
 type breaker struct {
-	name   string
-	state  BreakerState
-	since  time.Time
-	failed int           // in a row
-	pause  time.Duration // of this opening; the next one's is twice as long
-	told   func(string, BreakerState, BreakerState)
+	name     string
+	state    BreakerState
+	since    time.Time
+	failures int           // in a row
+	pause    time.Duration // of this opening; the next one's is twice as long
+	onChange func(string, BreakerState, BreakerState)
 }
 
-// to changes the state; it is the only place that does.
-func (b *breaker) to(s BreakerState, now time.Time) {
-	if b.told != nil && b.state != s && (b.state == Closed || s == Closed) {
-		b.told(b.name, b.state, s)
+// transition changes the state; it is the only place that does.
+func (b *breaker) transition(s BreakerState, now time.Time) {
+	if b.onChange != nil && b.state != s && (b.state == Closed || s == Closed) {
+		b.onChange(b.name, b.state, s)
 	}
 	b.state, b.since = s, now
 }
 
-// due tells that an open way may be tried.
-func (b *breaker) due(now time.Time) bool { return b.state == Open && now.Sub(b.since) >= b.pause }
+// probeDue tells that an open way may be tried.
+func (b *breaker) probeDue(now time.Time) bool { return b.state == Open && now.Sub(b.since) >= b.pause }
 
-// allows tells whether a request may go now. reached is when the other end has last answered
+// allow tells whether a request may go now. reached is when the other end has last answered
 // anything at all: once it has since the opening, there is nothing to wait for.
-func (b *breaker) allows(now, reached time.Time) bool {
+func (b *breaker) allow(now, reached time.Time) bool {
 	switch b.state {
 	case Closed:
 		return true
 	case Open:
-		if b.due(now) || reached.After(b.since) {
-			b.to(Probing, now)
+		if b.probeDue(now) || reached.After(b.since) {
+			b.transition(HalfOpen, now)
 			return true
 		}
 	}
 	return false
 }
 
-// took takes what became of a request.
-func (b *breaker) took(now time.Time, ok bool) {
+// record takes what became of a request.
+func (b *breaker) record(now time.Time, ok bool) {
 	switch {
 	case ok:
-		b.failed, b.pause = 0, 0
+		b.failures, b.pause = 0, 0
 		if b.state != Closed {
-			b.to(Closed, now)
+			b.transition(Closed, now)
 		}
 		return
 	case b.state == Open:
 		return // one that was on its way when it opened
 	}
-	if b.failed++; b.failed >= tripAfter || b.state == Probing {
-		b.pause = min(max(2*b.pause, leastPause), mostPause)
-		b.to(Open, now)
+	if b.failures++; b.failures >= failureThreshold || b.state == HalfOpen {
+		b.pause = min(max(2*b.pause, minPause), maxPause)
+		b.transition(Open, now)
 	}
 }
 
-// cancel takes back a request that says nothing of the way: if it was the probe, another may be
+// discard takes back a request that says nothing of the way: if it was the probe, another may be
 // sent.
-func (b *breaker) cancel() {
-	if b.state == Probing {
-		b.to(Open, b.since.Add(-b.pause)) // it is due
+func (b *breaker) discard() {
+	if b.state == HalfOpen {
+		b.transition(Open, b.since.Add(-b.pause)) // it is due
 	}
 }
--- a/internal/route/golden_test.go
+++ b/internal/route/golden_test.go
@@ -13,14 +13,14 @@
 			t.Errorf("kind %d: got %s, want %s", i, got, want)
 		}
 	}
-	numbers := []Cause{Taken, Down, Busy, Short, Unready, Silent, Refused}
+	numbers := []Outcome{Answered, StateUnavailable, Overloaded, OutOfMemory, NotReady, TimedOut, Unreachable}
 	for i, want := range []string{"taken", "down", "busy", "short", "unready", "silent", "refused"} {
-		if got := Cause(i); got.String() != want || numbers[i] != got {
+		if got := Outcome(i); got.String() != want || numbers[i] != got {
 			t.Errorf("cause %d: got %v, want %s, which the code has as %d", i, got, want, numbers[i])
 		}
 	}
 }
 
 func TestStatusOfRoutesKeepsItsJSON(t *testing.T) {
-	golden.CheckJSON[Standing](t, "status")
+	golden.CheckJSON[Status](t, "status")
 }
--- a/internal/scheduler/vacate.go
+++ b/internal/scheduler/drain.go
@@ -8,12 +8,12 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Vacate finds a replica whose machine could be emptied altogether: it holds nothing but replicas
+// Drain finds a replica whose machine could be emptied altogether: it holds nothing but replicas
 // that may move, and all of them fit on busier machines that are no dearer and hold their images.
 // It is the paper's consolidation for machines with several replicas, one move at a time. A move
 // only ever goes to a busier machine, so that no two machines hand replicas to and fro. It
 // returns nil if there is none.
-func Vacate(s *Settings, now time.Time, p *Picture) *model.Attempt {
+func Drain(s *Settings, now time.Time, p *Snapshot) *model.Attempt {
 	var may []*Node
 	for _, nd := range p.Nodes {
 		if m := nd.Machine; m.ActiveCount > 0 && movable(s, now, m) {
@@ -22,18 +22,18 @@
 	}
 	// What empties with the fewest moves goes first; the dearer of two alike.
 	slices.SortFunc(may, func(a, b *Node) int {
-		return cmp.Or(cmp.Compare(a.Machine.ActiveCount, b.Machine.ActiveCount), cmp.Compare(rate(b.Machine), rate(a.Machine)), cmp.Compare(a.Machine.Name, b.Machine.Name))
+		return cmp.Or(cmp.Compare(a.Machine.ActiveCount, b.Machine.ActiveCount), cmp.Compare(pricePerCPU(b.Machine), pricePerCPU(a.Machine)), cmp.Compare(a.Machine.Name, b.Machine.Name))
 	})
-	for _, nd := range may[:min(len(may), mostVacated)] {
-		if a := p.vacate(nd); a != nil {
+	for _, nd := range may[:min(len(may), maxDrainCandidates)] {
+		if a := p.drainNode(nd); a != nil {
 			return a
 		}
 	}
 	return nil
 }
 
-// mostVacated bounds how many machines are thought through at a time.
-const mostVacated = 4
+// maxDrainCandidates bounds how many machines are thought through at a time.
+const maxDrainCandidates = 4
 
 // movable tells whether all that is on a machine are replicas of services that run whole and have
 // run for long enough.
@@ -41,16 +41,16 @@
 	for _, a := range m.ActiveAttempts() {
 		j := a.Job
 		if j == nil || j.Spec.Shape != model.Service || len(j.ActiveAttempts) < j.Spec.Tasks || j.Spec.SingleZone && j.Spec.Tasks > 1 ||
-			a.State != model.AttemptPresent || a.Phase != model.PhaseRunning || now.Sub(a.RunningAt) < s.MinRun {
+			a.State != model.AttemptPresent || a.Phase != model.PhaseRunning || now.Sub(a.RunningAt) < s.MinRuntime {
 			return false
 		}
 	}
 	return true
 }
 
-// vacate finds room for all that is on a machine, and tells which replica goes first; nil: there
+// drainNode finds room for all that is on a machine, and tells which replica goes first; nil: there
 // is not room for all.
-func (p *Picture) vacate(from *Node) *model.Attempt {
+func (p *Snapshot) drainNode(from *Node) *model.Attempt {
 	list := slices.Clone(from.Machine.ActiveAttempts())
 	slices.SortFunc(list, func(a, b *model.Attempt) int {
 		return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index))
@@ -70,7 +70,7 @@
 		}
 		zones := put[a.Job]
 		zones[from.Machine.Zone]--
-		to := p.target(from, a, rules, zones, taken)
+		to := p.drainTarget(from, a, rules, zones, taken)
 		if to == nil {
 			return nil
 		}
@@ -80,17 +80,17 @@
 	return list[0]
 }
 
-// target is the busiest machine that takes a replica.
-func (p *Picture) target(from *Node, a *model.Attempt, rules *Rules, zones map[string]int, taken map[*Node]model.Resources) *Node {
+// drainTarget is the busiest machine that takes a replica.
+func (p *Snapshot) drainTarget(from *Node, a *model.Attempt, rules *Rules, zones map[string]int, taken map[*Node]model.Resources) *Node {
 	var best *Node
-	for _, nd := range p.withImage(a.Job.Spec.Image) {
-		if nd == from || !a.Demand.Fits(nd.Free.Sub(taken[nd])) || rate(nd.Machine) > rate(from.Machine) || nd.never(a.Job, rules, "") != Fits {
+	for _, nd := range p.nodesWithImage(a.Job.Spec.Image) {
+		if nd == from || !a.Demand.Fits(nd.Free.Sub(taken[nd])) || pricePerCPU(nd.Machine) > pricePerCPU(from.Machine) || nd.checkStatic(a.Job, rules, "") != Feasible {
 			continue
 		}
-		if share(nd.Machine, nd.Machine.Used) <= share(from.Machine, from.Machine.Used) || zones[nd.Machine.Zone] >= zoneCap(a.Job.Spec, rules) || rules.machineFull(nd.Machine) {
+		if utilization(nd.Machine, nd.Machine.Used) <= utilization(from.Machine, from.Machine.Used) || zones[nd.Machine.Zone] >= maxPerZone(a.Job.Spec, rules) || rules.machineFull(nd.Machine) {
 			continue
 		}
-		if best == nil || share(nd.Machine, nd.Machine.Used) > share(best.Machine, best.Machine.Used) {
+		if best == nil || utilization(nd.Machine, nd.Machine.Used) > utilization(best.Machine, best.Machine.Used) {
 			best = nd
 		}
 	}
--- a/internal/scheduler/begin.go
+++ b/internal/scheduler/starvation.go
@@ -14,44 +14,44 @@
 // begin: wide gangs beside narrow ones, which take each machine as it becomes free, and jobs that can meet no
 // date any more behind a stream of such as can.
 
-// begins tells whether a want is that beginning. One task soon finds a place; what has to start whole
+// isStarving tells whether a want is that beginning. One task soon finds a place; what has to start whole
 // needs time to gather its machines.
-func (w *Want) begins(s *Settings) bool {
-	after := s.BeginWithin / 2
+func (w *Request) isStarving(s *Settings) bool {
+	after := s.StarvationBound / 2
 	if w.Job.Spec.Shape != model.Array {
-		after = s.BeginWithin * 3 / 8
+		after = s.StarvationBound * 3 / 8
 	}
-	return s.BeginWithin > 0 && !w.Job.Started() && w.Waited >= after
+	return s.StarvationBound > 0 && !w.Job.Started() && w.Waited >= after
 }
 
-// split has the beginnings of arrays wait by themselves.
-func split(s *Settings, wants []*Want) []*Want {
+// splitStarving has the beginnings of arrays wait by themselves.
+func splitStarving(s *Settings, wants []*Request) []*Request {
 	out := wants
 	for _, w := range wants {
-		if !w.begins(s) {
+		if !w.isStarving(s) {
 			continue
 		}
-		w.Begins = true
-		if w.Job.Spec.Shape == model.Array && w.Count > 1 && w.Cap > 0 {
+		w.Starving = true
+		if w.Job.Spec.Shape == model.Array && w.Count > 1 && w.MaxTasks > 0 {
 			rest := *w
-			rest.Begins, rest.Count, rest.Cap = false, w.Count-1, w.Cap-1
-			w.Count, w.Cap = 1, 1
+			rest.Starving, rest.Count, rest.MaxTasks = false, w.Count-1, w.MaxTasks-1
+			w.Count, w.MaxTasks = 1, 1
 			out = append(out, &rest)
 		}
 	}
 	return out
 }
 
-// mostHolds bounds for how many beginnings a pass keeps machines.
-const mostHolds = 3
+// maxReservations bounds for how many beginnings a pass keeps machines.
+const maxReservations = 3
 
-// hold keeps machines for the tasks of a beginning that found no room: those with the most room
+// reserveNodes keeps machines for the tasks of a beginning that found no room: those with the most room
 // already, in the zone with the most where it has to be one. It tells whether it kept any.
-func (p *Picture) hold(w *Want, n int) bool {
+func (p *Snapshot) reserveNodes(w *Request, n int) bool {
 	spec := w.Job.Spec
 	byZone := map[string][]*Node{}
 	for _, nd := range p.Nodes {
-		if nd.never(w.Job, w.Rules, "") != Fits {
+		if nd.checkStatic(w.Job, w.Rules, "") != Feasible {
 			continue
 		}
 		zone := ""
@@ -60,7 +60,7 @@
 		}
 		byZone[zone] = append(byZone[zone], nd)
 	}
-	room := func(nd *Node) float64 { return share(nd.Machine, nd.Free) }
+	room := func(nd *Node) float64 { return utilization(nd.Machine, nd.Free) }
 	var best []*Node
 	most := -1.0
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) { // of zones alike the first by name: a pass decides the same each time
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -60,14 +60,14 @@
 // Every request to the state service: its path, the keys and conditions of its transaction, and the records in it.
 func TestStateServiceRequestsKeepTheirBytes(t *testing.T) {
 	at := time.UnixMilli(1_790_000_000_123)
-	cell := []ledger.Cell{{Class: "train", Use: ledger.FromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})}}
-	open := ledger.Open{Team: "vision/a b", Number: 4, Settled: 9, Token: 41, From: at, At: at, Cells: cell, Prev: "00ff", Decayed: 5}
-	page := ledger.Page{Team: "vision/a b", First: 3, Last: 3, Unit: ledger.Hour, From: at, Cells: cell, Prev: "00ff", Sum: "22dd"}
+	cell := []ledger.ClassUsage{{Class: "train", Usage: ledger.FromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})}}
+	open := ledger.OpenSegment{Team: "vision/a b", Number: 4, Settlements: 9, FencingToken: 41, Start: at, SettledAt: at, Usage: cell, Prev: "00ff", DecayedUsage: 5}
+	page := ledger.Segment{Team: "vision/a b", First: 3, Last: 3, Unit: ledger.Hour, Start: at, Usage: cell, Prev: "00ff", Sum: "22dd"}
 	next := page
 	next.First, next.Last = 4, 4
 	into := page
 	into.Last, into.Unit, into.Head = 4, ledger.Day, "11ee"
-	interval := ledger.Stretch{From: at, To: at.Add(time.Minute), Token: 41, Without: 2}
+	interval := ledger.Interval{Start: at, End: at.Add(time.Minute), FencingToken: 41, UnsettledLeaders: 2}
 	machine := model.MachineInfo{Name: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true}
 	spec := func(awaits int) *model.Spec {
 		s := &model.Spec{ID: "wk-000412", Class: "train", Team: "vision", Shape: model.Gang, Priority: model.PriorityHigh, Tasks: 16,
@@ -106,7 +106,7 @@
 		{"ledger-settled", commit(reconciler.Change{Kind: reconciler.SettleAccount, Settlement: &ledger.Settlement{Version: 5, Open: open, Closed: &page}})},
 		{"ledger-unaccounted", commit(reconciler.Change{Kind: reconciler.PutUnaccounted, Unaccounted: &interval})},
 		{"ledger-folded", commit(reconciler.Change{Kind: reconciler.CompactAccount, Compaction: &reconciler.Compaction{
-			Sources: []ledger.Stored{{Page: page, Version: 5}, {Page: next, Version: 6}}, Result: &into}})},
+			Sources: []ledger.StoredSegment{{Segment: page, Version: 5}, {Segment: next, Version: 6}}, Result: &into}})},
 		{"ledger-read", func(c *store.Client) error {
 			_, err := c.Accounts(ctx)
 			_, aerr := c.Account(ctx, strings.Repeat("long ", 60))
@@ -133,7 +133,7 @@
 			return errors.Join(err, werr, lerr)
 		}},
 		{"member-announced", func(c *store.Client) error {
-			err := c.PublishMember(ctx, 9, featuregate.Member{Name: "tiller-1", Release: "1.2.3", Can: 1, Life: 7})
+			err := c.PublishMember(ctx, 9, featuregate.Member{Name: "tiller-1", Release: "1.2.3", Supported: 1, Incarnation: 7})
 			_, rerr := c.ListMembers(ctx)
 			return errors.Join(err, rerr)
 		}},
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -251,7 +251,7 @@
 	case reconciler.SettleAccount:
 		return accountPrefix + teamKey(s.Settlement.Open.Team)
 	case reconciler.PutUnaccounted:
-		return intervalPrefix + sortableNumber(s.Unaccounted.Token)
+		return intervalPrefix + sortableNumber(s.Unaccounted.FencingToken)
 	case reconciler.CompactAccount:
 		return segmentKey(s.Compaction.Result.Team, s.Compaction.Result.First)
 	}
--- a/internal/store/ledger.go
+++ b/internal/store/ledger.go
@@ -70,12 +70,12 @@
 }
 
 // Accounts reads the accounts of all teams.
-func (c *Client) Accounts(ctx context.Context) ([]ledger.OnRecord, error) {
+func (c *Client) Accounts(ctx context.Context) ([]ledger.StoredAccount, error) {
 	entries, _, err := c.List(ctx, accountPrefix)
 	if err != nil {
 		return nil, err
 	}
-	out := make([]ledger.OnRecord, 0, len(entries))
+	out := make([]ledger.StoredAccount, 0, len(entries))
 	for _, e := range entries {
 		// Guards against one record that keeps everybody from leading: it is told, and
 		// the others are kept.
@@ -84,26 +84,26 @@
 			if o.Team, _ = url.PathUnescape(e.Key[len(accountPrefix):]); o.Team == "" {
 				o.Team = e.Key
 			}
-			o = ledger.Open{Team: o.Team}
+			o = ledger.OpenSegment{Team: o.Team}
 		}
-		out = append(out, ledger.OnRecord{Open: o, Version: e.Version, Err: err})
+		out = append(out, ledger.StoredAccount{Open: o, Version: e.Version, Err: err})
 	}
 	return out, nil
 }
 
 // Account reads a team's account; without one its version is 0.
-func (c *Client) Account(ctx context.Context, team string) (ledger.OnRecord, error) {
+func (c *Client) Account(ctx context.Context, team string) (ledger.StoredAccount, error) {
 	e, ok, err := c.Get(ctx, accountPrefix+teamKey(team))
 	if err != nil || !ok {
-		return ledger.OnRecord{}, err
+		return ledger.StoredAccount{}, err
 	}
 	o, err := wire.DecodeOpenSegment(e.Value)
-	return ledger.OnRecord{Open: o, Version: e.Version}, err
+	return ledger.StoredAccount{Open: o, Version: e.Version}, err
 }
 
 // Segments reads some closed pages of a team behind the one that begins with a number, in
 // order, in one request. more tells that there are others behind them.
-func (c *Client) Segments(ctx context.Context, team string, after uint64, most int) (pages []ledger.Stored, more bool, err error) {
+func (c *Client) Segments(ctx context.Context, team string, after uint64, most int) (pages []ledger.StoredSegment, more bool, err error) {
 	p, err := c.readPage(ctx, segmentPrefix+teamKey(team)+"/", segmentKey(team, after), most)
 	if err != nil {
 		return nil, false, err
@@ -113,13 +113,13 @@
 		if err != nil {
 			return nil, false, fmt.Errorf("unreadable record %s: %w", e.Key, err)
 		}
-		pages = append(pages, ledger.Stored{Page: page, Version: e.Version})
+		pages = append(pages, ledger.StoredSegment{Segment: page, Version: e.Version})
 	}
 	return pages, p.More, nil
 }
 
 // Intervals reads some stretches that are not accounted, behind the one with a token.
-func (c *Client) Intervals(ctx context.Context, after uint64, most int) (list []ledger.Stretch, more bool, err error) {
+func (c *Client) Intervals(ctx context.Context, after uint64, most int) (list []ledger.Interval, more bool, err error) {
 	p, err := c.readPage(ctx, intervalPrefix, intervalPrefix+sortableNumber(after), most)
 	if err != nil {
 		return nil, false, err
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -34,7 +34,7 @@
 	return s
 }
 
-func goldenUse(first uint64) ledger.Use {
+func goldenUse(first uint64) ledger.Usage {
 	var list []uint64
 	for i := range uint64(13) {
 		list = append(list, first+i)
@@ -42,8 +42,8 @@
 	return ledger.FromNumbers(list)
 }
 
-func goldenCells() []ledger.Cell {
-	return []ledger.Cell{{Class: "serve", Use: goldenUse(1)}, {Class: "train", Use: goldenUse(1 << 40)}}
+func goldenCells() []ledger.ClassUsage {
+	return []ledger.ClassUsage{{Class: "serve", Usage: goldenUse(1)}, {Class: "train", Usage: goldenUse(1 << 40)}}
 }
 
 // pairs is a map of MessagePack with its fields in order.
@@ -97,14 +97,14 @@
 		Token  uint64
 		Member string
 	}
-	open := ledger.Open{Team: "vision", Number: 7, Settled: 99, Token: 41, From: time.Unix(1_790_000_000, 0).UTC(),
-		At: goldenTime.UTC(), Cells: goldenCells(), Prev: "00ff", Decayed: 1 << 50}
-	closed := ledger.Page{Team: "vision", First: 3, Last: 6, Unit: ledger.Day, From: time.Unix(1_789_948_800, 0).UTC(),
-		Cells: goldenCells(), Prev: "00ff", Head: "11ee", Sum: "22dd"}
-	interval := ledger.Stretch{From: goldenTime.UTC(), To: goldenTime.Add(time.Minute).UTC(), Token: 41, Without: 2}
+	open := ledger.OpenSegment{Team: "vision", Number: 7, Settlements: 99, FencingToken: 41, Start: time.Unix(1_790_000_000, 0).UTC(),
+		SettledAt: goldenTime.UTC(), Usage: goldenCells(), Prev: "00ff", DecayedUsage: 1 << 50}
+	closed := ledger.Segment{Team: "vision", First: 3, Last: 6, Unit: ledger.Day, Start: time.Unix(1_789_948_800, 0).UTC(),
+		Usage: goldenCells(), Prev: "00ff", Head: "11ee", Sum: "22dd"}
+	interval := ledger.Interval{Start: goldenTime.UTC(), End: goldenTime.Add(time.Minute).UTC(), FencingToken: 41, UnsettledLeaders: 2}
 	machine := model.MachineInfo{Name: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true}
 	need := model.Resources{CPU: 8, GPU: 1, MemGB: 64.5}
-	member := featuregate.Member{Name: "tiller-1", Release: "1.2.3", Can: 1, Life: 1 << 63}
+	member := featuregate.Member{Name: "tiller-1", Release: "1.2.3", Supported: 1, Incarnation: 1 << 63}
 	batch := RelayBatch{Incarnation: 1 << 63, Seq: 12, Payload: "AQNhYmM"}
 	awaits := []string{"wk-000007", "wk-000008"}
 
--- a/internal/wire/ledger.go
+++ b/internal/wire/ledger.go
@@ -12,7 +12,7 @@
 // The records of the ledger. Amounts stand in lists, in the order of
 // ledger.Use.Numbers: what a later version puts behind is skipped.
 
-func appendUsage(b []byte, cells []ledger.Cell) []byte {
+func appendUsage(b []byte, cells []ledger.ClassUsage) []byte {
 	b = msgp.AppendMapHeader(msgp.AppendString(b, "use"), uint32(len(cells)))
 	for _, c := range cells {
 		numbers := c.Numbers()
@@ -24,7 +24,7 @@
 	return b
 }
 
-func readUsage(b []byte, to *[]ledger.Cell) ([]byte, bool, error) {
+func readUsage(b []byte, to *[]ledger.ClassUsage) ([]byte, bool, error) {
 	rest, err := eachField(b, func(class string, b []byte) ([]byte, bool, error) {
 		var list []uint64
 		rest, err := eachItem(b, func(b []byte) ([]byte, error) {
@@ -33,29 +33,29 @@
 			list = append(list, n)
 			return rest, err
 		})
-		*to = ledger.AddTo(*to, class, ledger.FromNumbers(list))
+		*to = ledger.AddUsage(*to, class, ledger.FromNumbers(list))
 		return rest, true, err
 	})
 	return rest, true, err
 }
 
 // AppendOpenSegment writes the record of a team's account.
-func AppendOpenSegment(b []byte, o *ledger.Open) []byte {
+func AppendOpenSegment(b []byte, o *ledger.OpenSegment) []byte {
 	b = msgp.AppendMapHeader(b, 9)
 	b = appendString(b, "team", o.Team)
 	b = appendUint(b, "n", o.Number)
-	b = appendUint(b, "settled", o.Settled)
-	b = appendUint(b, "token", o.Token)
-	b = appendUint(b, "from", uint64(o.From.Unix()))
-	b = appendUint(b, "at", uint64(o.At.UnixMilli()))
-	b = appendUsage(b, o.Cells)
+	b = appendUint(b, "settled", o.Settlements)
+	b = appendUint(b, "token", o.FencingToken)
+	b = appendUint(b, "from", uint64(o.Start.Unix()))
+	b = appendUint(b, "at", uint64(o.SettledAt.UnixMilli()))
+	b = appendUsage(b, o.Usage)
 	b = appendString(b, "prev", o.Prev)
-	return appendUint(b, "decayed", o.Decayed)
+	return appendUint(b, "decayed", o.DecayedUsage)
 }
 
 // DecodeOpenSegment reads the record of a team's account.
-func DecodeOpenSegment(b []byte) (ledger.Open, error) {
-	var o ledger.Open
+func DecodeOpenSegment(b []byte) (ledger.OpenSegment, error) {
+	var o ledger.OpenSegment
 	var from, at uint64
 	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
@@ -64,46 +64,46 @@
 		case "n":
 			return readUint(b, &o.Number)
 		case "settled":
-			return readUint(b, &o.Settled)
+			return readUint(b, &o.Settlements)
 		case "token":
-			return readUint(b, &o.Token)
+			return readUint(b, &o.FencingToken)
 		case "from":
 			return readUint(b, &from)
 		case "at":
 			return readUint(b, &at)
 		case "use":
-			return readUsage(b, &o.Cells)
+			return readUsage(b, &o.Usage)
 		case "prev":
 			return readString(b, &o.Prev)
 		case "decayed":
-			return readUint(b, &o.Decayed)
+			return readUint(b, &o.DecayedUsage)
 		}
 		return b, false, nil
 	})
-	if err == nil && (o.Number == 0 || o.Settled == 0) {
+	if err == nil && (o.Number == 0 || o.Settlements == 0) {
 		err = errors.New("not a team's account")
 	}
-	o.From, o.At = time.Unix(int64(from), 0).UTC(), time.UnixMilli(int64(at)).UTC()
+	o.Start, o.SettledAt = time.Unix(int64(from), 0).UTC(), time.UnixMilli(int64(at)).UTC()
 	return o, err
 }
 
 // AppendSegment writes the record of a closed page.
-func AppendSegment(b []byte, p *ledger.Page) []byte {
+func AppendSegment(b []byte, p *ledger.Segment) []byte {
 	b = msgp.AppendMapHeader(b, 9)
 	b = appendString(b, "team", p.Team)
 	b = appendUint(b, "first", p.First)
 	b = appendUint(b, "last", p.Last)
 	b = appendUint(b, "unit", uint64(p.Unit))
-	b = appendUint(b, "from", uint64(p.From.Unix()))
-	b = appendUsage(b, p.Cells)
+	b = appendUint(b, "from", uint64(p.Start.Unix()))
+	b = appendUsage(b, p.Usage)
 	b = appendString(b, "prev", p.Prev)
 	b = appendString(b, "head", p.Head)
 	return appendString(b, "sum", p.Sum)
 }
 
 // DecodeSegment reads the record of a closed page.
-func DecodeSegment(b []byte) (ledger.Page, error) {
-	var p ledger.Page
+func DecodeSegment(b []byte) (ledger.Segment, error) {
+	var p ledger.Segment
 	var unit, from uint64
 	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
@@ -118,7 +118,7 @@
 		case "from":
 			return readUint(b, &from)
 		case "use":
-			return readUsage(b, &p.Cells)
+			return readUsage(b, &p.Usage)
 		case "prev":
 			return readString(b, &p.Prev)
 		case "head":
@@ -128,7 +128,7 @@
 		}
 		return b, false, nil
 	})
-	p.Unit, p.From = ledger.Unit(unit), time.Unix(int64(from), 0).UTC()
+	p.Unit, p.Start = ledger.Unit(unit), time.Unix(int64(from), 0).UTC()
 	if err == nil && (p.First == 0 || p.Unit < ledger.Hour || p.Unit > ledger.Month || p.Sum == "") {
 		err = errors.New("not a page of the ledger")
 	}
@@ -136,15 +136,15 @@
 }
 
 // AppendUnaccountedInterval writes the record of a stretch of time that is not accounted.
-func AppendUnaccountedInterval(b []byte, s ledger.Stretch) []byte {
-	b = appendUint(msgp.AppendMapHeader(b, 4), "from", uint64(s.From.UnixMilli()))
-	b = appendUint(b, "to", uint64(s.To.UnixMilli()))
-	b = appendUint(b, "token", s.Token)
-	return appendUint(b, "without", s.Without)
+func AppendUnaccountedInterval(b []byte, s ledger.Interval) []byte {
+	b = appendUint(msgp.AppendMapHeader(b, 4), "from", uint64(s.Start.UnixMilli()))
+	b = appendUint(b, "to", uint64(s.End.UnixMilli()))
+	b = appendUint(b, "token", s.FencingToken)
+	return appendUint(b, "without", s.UnsettledLeaders)
 }
 
 // DecodeUnaccountedInterval reads the record of a stretch of time that is not accounted.
-func DecodeUnaccountedInterval(b []byte) (s ledger.Stretch, err error) {
+func DecodeUnaccountedInterval(b []byte) (s ledger.Interval, err error) {
 	var from, to uint64
 	err = decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
 		switch key {
@@ -153,12 +153,12 @@
 		case "to":
 			return readUint(b, &to)
 		case "token":
-			return readUint(b, &s.Token)
+			return readUint(b, &s.FencingToken)
 		case "without":
-			return readUint(b, &s.Without)
+			return readUint(b, &s.UnsettledLeaders)
 		}
 		return b, false, nil
 	})
-	s.From, s.To = time.UnixMilli(int64(from)).UTC(), time.UnixMilli(int64(to)).UTC()
+	s.Start, s.End = time.UnixMilli(int64(from)).UTC(), time.UnixMilli(int64(to)).UTC()
 	return s, err
 }
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -294,8 +294,8 @@
 // AppendMember writes what a member tells of itself.
 func AppendMember(b []byte, m featuregate.Member) []byte {
 	b = appendString(msgp.AppendMapHeader(b, 3), "release", m.Release)
-	b = appendUint(b, "can", uint64(m.Can))
-	return appendUint(b, "life", m.Life)
+	b = appendUint(b, "can", uint64(m.Supported))
+	return appendUint(b, "life", m.Incarnation)
 }
 
 // DecodeMember reads what a member tells of itself.
@@ -309,13 +309,13 @@
 		case "can":
 			return readUint(b, &can)
 		case "life":
-			return readUint(b, &m.Life)
+			return readUint(b, &m.Incarnation)
 		}
 		return b, false, nil
 	})
 	if err == nil && can > math.MaxUint32 {
 		err = errors.New("not a member's record")
 	}
-	m.Can = featuregate.Level(can)
+	m.Supported = featuregate.Level(can)
 	return m, err
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -33,7 +33,7 @@
 func TestUrgentCommandEvictsRecentlyUsedIdleConnection(t *testing.T) {
 	open := make(chan struct{})
 	close(open)
-	c := New(5*time.Second, connquota.New(16, 0, nil).Dial(connquota.Direct))
+	c := New(5*time.Second, connquota.New(16, 0, nil).Dialer(connquota.DirectCommands))
 	for i := range 4 * maxDirectConnections {
 		if r := c.Send(startWorker(t, open), 1, 1, nil, true); !r.Executed {
 			t.Fatalf("worker %d: %v", i, r.Err)
@@ -46,7 +46,7 @@
 
 func TestConnectionInUseIsNotEvicted(t *testing.T) {
 	gate := make(chan struct{})
-	c := New(5*time.Second, connquota.New(16, 0, nil).Dial(connquota.Direct))
+	c := New(5*time.Second, connquota.New(16, 0, nil).Dialer(connquota.DirectCommands))
 	replies := make([]Reply, maxDirectConnections)
 	var all sync.WaitGroup
 	for i := range replies {
