--- a/cmd/clustersim/main.go
+++ b/cmd/clustersim/main.go
@@ -21,15 +21,15 @@
 	JSON bool   `help:"Only the result, as one JSON object."`
 }
 
-// errDiffers is returned where the ledger is not what it has to be.
-var errDiffers = errors.New("the ledger differs from what the stand-ins saw, or something else is broken")
+// errLedgerDiffers is returned where the ledger is not what it has to be.
+var errLedgerDiffers = errors.New("the ledger differs from what the stand-ins saw, or something else is broken")
 
 // Run plays and compares.
 func (c *ledgerCmd) Run() error {
 	if c.Days < 1 || c.Days > 366 {
 		return errors.New("--days: from 1 to 366")
 	}
-	r := ledgersim.Play(c.Days, c.Seed, func(day int) {
+	r := ledgersim.Run(c.Days, c.Seed, func(day int) {
 		if !c.JSON {
 			fmt.Fprintf(os.Stderr, "day %d of %d\n", day, c.Days)
 		}
@@ -44,7 +44,7 @@
 		return err
 	}
 	if !r.Good() {
-		return errDiffers
+		return errLedgerDiffers
 	}
 	return nil
 }
@@ -59,24 +59,24 @@
 	Blink   bool   `help:"Members end at any step of an election and are back at once."`
 }
 
-var errTwo = errors.New("more than one may act, or one with a token of old")
+var errSplitBrain = errors.New("more than one may act, or one with a token of old")
 
 // Run plays every course and tells what was found.
 func (c *electionCmd) Run() error {
-	r, err := electionsim.Play(electionsim.Settings{Members: c.Members, Seconds: c.Seconds, Faults: c.Faults, Most: c.Most, Break: electionsim.Break(c.Break), Levels: c.Levels, Blink: c.Blink})
+	r, err := electionsim.Run(electionsim.Settings{Members: c.Members, Seconds: c.Seconds, MaxFaults: c.Faults, MaxStates: c.Most, Mutation: electionsim.Mutation(c.Break), FeatureGates: c.Levels, InstantRestarts: c.Blink})
 	if err != nil {
 		return err
 	}
 	if err := json.NewEncoder(os.Stdout).Encode(r); err != nil {
 		return err
 	}
-	if r.Broken != "" {
-		return errTwo
+	if r.Violation != "" {
+		return errSplitBrain
 	}
 	return nil
 }
 
-type troublesCmd struct {
+type faultsCmd struct {
 	Machines int    `default:"100" help:"Machines at the start, from 10 to 2000."`
 	Runs     int    `default:"20" help:"Runs, each with a seed of its own."`
 	Seed     uint64 `default:"1" help:"Of the first run."`
@@ -84,50 +84,50 @@
 	JSON     bool   `help:"Only the result, as one JSON object."`
 }
 
-var errTroubles = errors.New("a rule was broken, or a job forgotten")
+var errInvariantBroken = errors.New("a rule was broken, or a job forgotten")
 
 // Run plays and tells what was found.
-func (c *troublesCmd) Run() error {
-	return c.play("runs", func() *faults.Result { return faults.Play(c.Machines, c.Runs, c.Seed, c.AtOnce) })
+func (c *faultsCmd) Run() error {
+	return c.runAndPrint("runs", func() *faults.Result { return faults.Run(c.Machines, c.Runs, c.Seed, c.AtOnce) })
 }
 
-func (c *troublesCmd) play(what string, play func() *faults.Result) error {
+func (c *faultsCmd) runAndPrint(what string, play func() *faults.Result) error {
 	if c.Machines < 10 || c.Machines > 2000 || c.Runs < 1 || c.AtOnce < 1 {
 		return errors.New("--machines: from 10 to 2000; --runs, --at-once: from 1 on")
 	}
 	r := play()
 	if !c.JSON {
-		fmt.Printf("%d %s with %d machines: %d rules broken, %d jobs forgotten, %d tasks killed by their lease\n", r.Runs, what, c.Machines, r.Broken, r.Forgotten, r.Killed)
+		fmt.Printf("%d %s with %d machines: %d rules broken, %d jobs forgotten, %d tasks killed by their lease\n", r.Runs, what, c.Machines, r.Violations, r.ForgottenJobs, r.KilledTasks)
 	}
 	if err := json.NewEncoder(os.Stdout).Encode(r); err != nil {
 		return err
 	}
 	if !r.Good() {
-		return errTroubles
+		return errInvariantBroken
 	}
 	return nil
 }
 
-type meetingsCmd struct {
-	troublesCmd
+type overlappingFaultsCmd struct {
+	faultsCmd
 	Break string `default:"" enum:",knows,tokens,leases,synced" help:"A part to leave out; docs/rehearse.md."`
 }
 
 // Run plays and tells what was found.
-func (c *meetingsCmd) Run() error {
-	return c.play("runs", func() *faults.Result {
-		return faults.Meet(c.Machines, c.Runs, c.Seed, c.AtOnce, faults.Break(c.Break))
+func (c *overlappingFaultsCmd) Run() error {
+	return c.runAndPrint("runs", func() *faults.Result {
+		return faults.RunOverlapping(c.Machines, c.Runs, c.Seed, c.AtOnce, faults.Mutation(c.Break))
 	})
 }
 
 func main() {
 	var cli struct {
-		Capacity capacityCmd `cmd:"" help:"Fit what runs of scale have measured, and print the table of docs/CAPACITY.md."`
-		Scale    scaleCmd    `cmd:"" help:"Play real controllers with thousands of hollow workers, and measure what they take."`
-		Meetings meetingsCmd `cmd:"" help:"Play two or three troubles at a time that meet, with cancellations and tasks that outlast them."`
-		Troubles troublesCmd `cmd:"" help:"Play machines that do not hear, late copies, members cut off and lives a blink apart."`
-		Election electionCmd `cmd:"" help:"Play the election through every course that some faults can take."`
-		Ledger   ledgerCmd   `cmd:"" help:"Play a week and compare the ledger with what the stand-ins saw."`
+		Capacity capacityCmd          `cmd:"" help:"Fit what runs of scale have measured, and print the table of docs/CAPACITY.md."`
+		Scale    scaleCmd             `cmd:"" help:"Play real controllers with thousands of hollow workers, and measure what they take."`
+		Meetings overlappingFaultsCmd `cmd:"" help:"Play two or three troubles at a time that meet, with cancellations and tasks that outlast them."`
+		Troubles faultsCmd            `cmd:"" help:"Play machines that do not hear, late copies, members cut off and lives a blink apart."`
+		Election electionCmd          `cmd:"" help:"Play the election through every course that some faults can take."`
+		Ledger   ledgerCmd            `cmd:"" help:"Play a week and compare the ledger with what the stand-ins saw."`
 	}
 	ctx := kong.Parse(&cli, kong.Name("rehearse"), kong.Description("glentiller's rehearsal kit."), kong.UsageOnError())
 	if err := ctx.Run(); err != nil {
--- a/cmd/clustersim/scale.go
+++ b/cmd/clustersim/scale.go
@@ -32,7 +32,7 @@
 	JSON        bool     `                           help:"Only the result, as one JSON object."`
 }
 
-var errScale = errors.New("a rule was broken, a controller ended by itself, or nothing was started")
+var errScaleFailed = errors.New("a rule was broken, a controller ended by itself, or nothing was started")
 
 // Help tells what a run is.
 func (*scaleCmd) Help() string {
@@ -45,8 +45,8 @@
 The last line is one JSON object; docs/rehearse.md tells what its fields mean. All that it starts ends with it.`
 }
 
-// plan puts the defaults, the plan's file and the flags together.
-func (c *scaleCmd) plan() (scale.Plan, error) {
+// buildPlan puts the defaults, the plan's file and the flags together.
+func (c *scaleCmd) buildPlan() (scale.Plan, error) {
 	p := scale.DefaultPlan()
 	if c.Plan != "" {
 		var err error
@@ -54,21 +54,21 @@
 			return p, err
 		}
 	}
-	given(&p.Workers, c.Workers)
-	given(&p.Regions, c.Regions)
-	given(&p.Zones, c.Zones)
-	given(&p.Controllers, c.Controllers)
-	given(&p.Seconds, c.Seconds)
-	given(&p.Starts, c.Starts)
-	given(&p.Teams, c.Teams)
-	given(&p.Seed, c.Seed)
-	given(&p.Churn, c.Churn)
-	given(&p.Program, c.Program)
-	given(&p.Operator, c.Operator)
-	given(&p.Profile, c.Profile)
-	given(&p.Logs, c.Logs)
+	override(&p.Workers, c.Workers)
+	override(&p.Regions, c.Regions)
+	override(&p.Zones, c.Zones)
+	override(&p.Controllers, c.Controllers)
+	override(&p.Seconds, c.Seconds)
+	override(&p.Starts, c.Starts)
+	override(&p.Teams, c.Teams)
+	override(&p.Seed, c.Seed)
+	override(&p.Churn, c.Churn)
+	override(&p.Program, c.Program)
+	override(&p.Operator, c.Operator)
+	override(&p.Profile, c.Profile)
+	override(&p.Logs, c.Logs)
 	if c.Break != nil {
-		p.Break = scale.Break(*c.Break)
+		p.Mutation = scale.Mutation(*c.Break)
 	}
 	for _, text := range c.Fault {
 		f, err := scale.ParseFault(text)
@@ -80,7 +80,7 @@
 	return p, nil
 }
 
-func given[T any](to *T, flag *T) {
+func override[T any](to *T, flag *T) {
 	if flag != nil {
 		*to = *flag
 	}
@@ -88,14 +88,14 @@
 
 // Run plays the plan and prints what was measured.
 func (c *scaleCmd) Run() error {
-	p, err := c.plan()
+	p, err := c.buildPlan()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	say := func(format string, args ...any) { fmt.Fprintf(os.Stderr, "scale: "+format+"\n", args...) }
-	if c.JSON && !terminal(os.Stderr) {
+	if c.JSON && !isTerminal(os.Stderr) {
 		say = func(string, ...any) {}
 	}
 	r, err := scale.Run(ctx, p, say)
@@ -109,13 +109,13 @@
 		return err
 	}
 	if !r.Good() {
-		return errScale
+		return errScaleFailed
 	}
 	return nil
 }
 
-// terminal tells whether somebody looks on.
-func terminal(f *os.File) bool {
+// isTerminal tells whether somebody looks on.
+func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
@@ -126,7 +126,7 @@
 	fmt.Printf(
 		"  starts       %.1f/s of %.1f/s asked for; urgent tasks start after %d ms (p50), %d ms (p99); other jobs %d, %d ms\n",
 		r.Starts,
-		r.StartsAskedFor,
+		r.RequestedStarts,
 		r.UrgentP50,
 		r.UrgentP99,
 		r.OthersP50,
@@ -134,11 +134,11 @@
 	)
 	fmt.Printf(
 		"  reports      %.1f/s; round trip %.1f ms (p50), %.1f ms (p99); %.3f%% later than 4 s; %d leases ran out\n",
-		r.Reports,
-		r.ReportP50,
-		r.ReportP99,
-		100*r.ReportLate,
-		r.LeasesLost,
+		r.Heartbeats,
+		r.HeartbeatP50,
+		r.HeartbeatP99,
+		100*r.LateHeartbeatShare,
+		r.LeaseExpiries,
 	)
 	fmt.Printf(
 		"  leader       %.2f of a core, %.0f MB, %d open files; its loop was held for %.0f ms at the longest (%s)\n",
@@ -156,10 +156,10 @@
 		r.StandInCores,
 		r.StandInMB,
 	)
-	fmt.Printf("  rules        %d broken; %d controllers ended by themselves\n", len(r.Broken), r.EndedProcesses)
-	for i, b := range r.Broken {
+	fmt.Printf("  rules        %d broken; %d controllers ended by themselves\n", len(r.Violations), r.EndedProcesses)
+	for i, b := range r.Violations {
 		if i == 10 {
-			fmt.Printf("               and %d more\n", len(r.Broken)-i)
+			fmt.Printf("               and %d more\n", len(r.Violations)-i)
 			break
 		}
 		fmt.Printf("               %s\n", b)
--- a/internal/clustersim/capacity/capacity.go
+++ b/internal/clustersim/capacity/capacity.go
@@ -30,8 +30,8 @@
 
 func (l Load) String() string { return [...]string{"worker", "start/s", "job/s", "team"}[l] }
 
-// of is the load of a run, in one region.
-func (l Load) of(r *scale.Result) float64 {
+// value is the load of a run, in one region.
+func (l Load) value(r *scale.Result) float64 {
 	regions := float64(r.Regions)
 	switch l {
 	case Workers:
@@ -52,11 +52,11 @@
 
 // What the target means for one region. Jobs a second follow from the starts by an assumed mix of jobs.
 const (
-	targetWorkers  = 21_000
-	targetStarts   = 11_000
-	targetTeams    = 140
-	targetRegions  = 5
-	startsOfOneJob = 120
+	targetWorkers = 21_000
+	targetStarts  = 11_000
+	targetTeams   = 140
+	targetRegions = 5
+	startsPerJob  = 120
 )
 
 // Sizes are a region of the mean size, one of twice that, and all in one.
@@ -67,7 +67,7 @@
 			map[Load]float64{
 				Workers: part * targetWorkers,
 				Starts:  part * targetStarts,
-				Jobs:    part * targetStarts / startsOfOneJob,
+				Jobs:    part * targetStarts / startsPerJob,
 				Teams:   targetTeams,
 			},
 		}
@@ -78,8 +78,8 @@
 // Quantity is something that runs measure.
 type Quantity struct {
 	Role, Name string
-	By         []Load // what it grows with
-	Of         func(r *scale.Result) float64
+	Loads      []Load // what it grows with
+	Measure    func(r *scale.Result) float64
 	Digits     int
 	Budget     string
 	Mechanism  string
@@ -88,31 +88,31 @@
 // Line is a quantity as a straight line in its loads.
 type Line struct {
 	Quantity
-	Intercept float64
-	Slopes    []float64 // in the order of By
-	Points    int
-	Residual  float64          // standard deviation of the runs about the line
-	Spread    float64          // the farthest that a run lies off it
-	Largest   map[Load]float64 // that was measured
+	Intercept   float64
+	Slopes      []float64 // in the order of By
+	Points      int
+	Residual    float64          // standard deviation of the runs about the line
+	MaxResidual float64          // the farthest that a run lies off it
+	MaxMeasured map[Load]float64 // that was measured
 }
 
-var errFew = errors.New("fewer runs than the line has numbers")
+var errTooFewRuns = errors.New("fewer runs than the line has numbers")
 
 // Fit puts a line through what runs have measured.
 func Fit(q Quantity, runs []scale.Result) (Line, error) {
-	line := Line{Quantity: q, Points: len(runs), Largest: map[Load]float64{}}
-	numbers := len(q.By) + 1
+	line := Line{Quantity: q, Points: len(runs), MaxMeasured: map[Load]float64{}}
+	numbers := len(q.Loads) + 1
 	if len(runs) <= numbers {
-		return line, fmt.Errorf("%s: %w: %d, %d", q.Name, errFew, len(runs), numbers)
+		return line, fmt.Errorf("%s: %w: %d, %d", q.Name, errTooFewRuns, len(runs), numbers)
 	}
 	loads, values := mat.NewDense(len(runs), numbers, nil), mat.NewVecDense(len(runs), nil)
 	for i := range runs {
 		loads.Set(i, 0, 1)
-		for k, l := range q.By {
-			loads.Set(i, k+1, l.of(&runs[i]))
-			line.Largest[l] = max(line.Largest[l], l.of(&runs[i]))
+		for k, l := range q.Loads {
+			loads.Set(i, k+1, l.value(&runs[i]))
+			line.MaxMeasured[l] = max(line.MaxMeasured[l], l.value(&runs[i]))
 		}
-		values.SetVec(i, q.Of(&runs[i]))
+		values.SetVec(i, q.Measure(&runs[i]))
 	}
 	var solution mat.VecDense
 	var qr mat.QR
@@ -121,22 +121,22 @@
 		return line, fmt.Errorf("%s: the runs do not tell its loads apart: %w", q.Name, err)
 	}
 	line.Intercept = solution.AtVec(0)
-	for k := range q.By {
+	for k := range q.Loads {
 		line.Slopes = append(line.Slopes, solution.AtVec(k+1))
 	}
 	var squares float64
 	for i := range runs {
-		off := q.Of(&runs[i]) - line.at(func(l Load) float64 { return l.of(&runs[i]) })
+		off := q.Measure(&runs[i]) - line.evaluate(func(l Load) float64 { return l.value(&runs[i]) })
 		squares += off * off
-		line.Spread = max(line.Spread, math.Abs(off))
+		line.MaxResidual = max(line.MaxResidual, math.Abs(off))
 	}
 	line.Residual = math.Sqrt(squares / float64(len(runs)-numbers))
 	return line, nil
 }
 
-func (l *Line) at(load func(Load) float64) float64 {
+func (l *Line) evaluate(load func(Load) float64) float64 {
 	v := l.Intercept
-	for k, by := range l.By {
+	for k, by := range l.Loads {
 		v += l.Slopes[k] * load(by)
 	}
 	return v
@@ -144,10 +144,10 @@
 
 // At reads the line at a size, and tells whether that lies beyond what ran.
 func (l *Line) At(s Size) (value float64, beyond bool) {
-	for _, by := range l.By {
-		beyond = beyond || s.Loads[by] > l.Largest[by]
+	for _, by := range l.Loads {
+		beyond = beyond || s.Loads[by] > l.MaxMeasured[by]
 	}
-	return max(l.at(func(by Load) float64 { return s.Loads[by] }), 0), beyond
+	return max(l.evaluate(func(by Load) float64 { return s.Loads[by] }), 0), beyond
 }
 
 // Read reads the runs of all files of a folder whose names begin with "runs", one JSON object a line.
@@ -170,7 +170,7 @@
 	return all, nil
 }
 
-const longestLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 func readFile(path string) ([]scale.Result, error) {
 	f, err := os.Open(path)
@@ -180,7 +180,7 @@
 	defer f.Close()
 	var runs []scale.Result
 	lines := bufio.NewScanner(f)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for n := 1; lines.Scan(); n++ {
 		var r scale.Result
 		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
@@ -213,12 +213,12 @@
 			"| %s | %s | %s | %s | %s | %s | %s | %s |",
 			q.Role,
 			q.Name,
-			number(line.Intercept),
+			formatNumber(line.Intercept),
 			line.slope(Workers),
 			line.slope(Starts),
 			line.slope(Jobs),
-			number(line.Residual),
-			number(line.Spread),
+			formatNumber(line.Residual),
+			formatNumber(line.MaxResidual),
 		)
 		for _, s := range sizes {
 			value, beyond := line.At(s)
@@ -232,7 +232,7 @@
 	}
 	least, most := math.Inf(1), 0.0
 	for i := range runs {
-		least, most = min(least, Workers.of(&runs[i])), max(most, Workers.of(&runs[i]))
+		least, most = min(least, Workers.value(&runs[i])), max(most, Workers.value(&runs[i]))
 	}
 	fmt.Fprintf(
 		&b,
@@ -245,13 +245,13 @@
 }
 
 func (l *Line) slope(by Load) string {
-	for k, of := range l.By {
+	for k, of := range l.Loads {
 		if of == by {
-			return number(l.Slopes[k])
+			return formatNumber(l.Slopes[k])
 		}
 	}
 	return ""
 }
 
-// number writes a number with three digits that count.
-func number(v float64) string { return fmt.Sprintf("%.3g", v) }
+// formatNumber writes a number with three digits that count.
+func formatNumber(v float64) string { return fmt.Sprintf("%.3g", v) }
--- a/internal/clustersim/capacity/capacity_test.go
+++ b/internal/clustersim/capacity/capacity_test.go
@@ -11,8 +11,8 @@
 	"github.com/glentiller/glentiller/internal/clustersim/scale"
 )
 
-func TestALineIsFoundAgain(t *testing.T) {
-	q := Quantity{Name: "x", By: []Load{Workers, Starts}, Of: func(r *scale.Result) float64 { return r.LeaderCores }}
+func TestFitRecoversKnownLine(t *testing.T) {
+	q := Quantity{Name: "x", Loads: []Load{Workers, Starts}, Measure: func(r *scale.Result) float64 { return r.LeaderCores }}
 	var runs []scale.Result
 	for i, workers := range []int{1000, 2000, 4000, 8000, 8000} {
 		starts := float64(100 * (i*i + 1))
@@ -29,7 +29,7 @@
 	line, err := Fit(q, runs)
 	if err != nil || math.Abs(line.Intercept-0.5) > 1e-9 || math.Abs(line.Slopes[0]-0.001) > 1e-9 ||
 		math.Abs(line.Slopes[1]-0.01) > 1e-9 ||
-		line.Spread > 1e-9 {
+		line.MaxResidual > 1e-9 {
 		t.Errorf("found %+v, %v", line, err)
 	}
 	if v, beyond := line.At(Size{Loads: map[Load]float64{Workers: 4000, Starts: 100}}); math.Abs(v-5.5) > 1e-9 || beyond {
@@ -39,10 +39,10 @@
 		t.Error("what is extrapolated does not say so")
 	}
 	runs[2].LeaderCores++
-	if line, err = Fit(q, runs); err != nil || line.Residual < 0.1 || line.Spread < 0.1 {
+	if line, err = Fit(q, runs); err != nil || line.Residual < 0.1 || line.MaxResidual < 0.1 {
 		t.Errorf("a run off the line leaves a residual of %v, %v", line.Residual, err)
 	}
-	if _, err := Fit(q, runs[:3]); !errors.Is(err, errFew) {
+	if _, err := Fit(q, runs[:3]); !errors.Is(err, errTooFewRuns) {
 		t.Errorf("three runs for three numbers: %v", err)
 	}
 	for i := range runs {
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestWhatIsNoRunIsRefused(t *testing.T) {
+func TestReadRejectsMalformedRuns(t *testing.T) {
 	for want, text := range map[string]string{
 		"no runs":        "",
 		"runs.jsonl:2:":  "{\"workers\":10,\"regions\":1,\"seconds\":1}\n{",
@@ -72,7 +72,7 @@
 }
 
 // The page's table is what the committed runs say, to the letter.
-func TestThePageHoldsWhatTheRunsSay(t *testing.T) {
+func TestCapacityPageMatchesCommittedRuns(t *testing.T) {
 	docs := filepath.Join("..", "..", "..", "docs")
 	runs, err := Read(filepath.Join(docs, "capacity"))
 	if err != nil {
--- a/internal/clustersim/ledgersim/audit.go
+++ b/internal/clustersim/ledgersim/audit.go
@@ -9,10 +9,10 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Sum is an amount of run time: CPU-, GPU- and GB-microseconds.
-type Sum struct{ CPU, GPU, Mem uint64 }
+// Amount is an amount of run time: CPU-, GPU- and GB-microseconds.
+type Amount struct{ CPU, GPU, Mem uint64 }
 
-func (s *Sum) add(o Sum) { s.CPU, s.GPU, s.Mem = s.CPU+o.CPU, s.GPU+o.GPU, s.Mem+o.Mem }
+func (s *Amount) add(o Amount) { s.CPU, s.GPU, s.Mem = s.CPU+o.CPU, s.GPU+o.GPU, s.Mem+o.Mem }
 
 // audit is the account that the stand-ins keep by themselves. It knows the definition of
 // run time in docs/ledger.md and nothing of package ledger: it hears which messages of
@@ -20,28 +20,28 @@
 // for the state service and when that carries it out. It never looks at an amount in
 // one.
 type audit struct {
-	w       *fake.World
-	leaders map[uint64]*heard  // by token
-	sent    map[settlement]Sum // not carried out (yet)
-	known   map[settlement]bool
-	total   map[string]Sum // by team: what has to be in the ledger
-	ended   map[string]uint64
-	settled int // settlements that were carried out
-	useOps  int // changes of the ledger's records
-	allOps  int
+	world           *fake.World
+	leaders         map[uint64]*leaderView // by token
+	inFlight        map[settlement]Amount  // not carried out (yet)
+	seen            map[settlement]bool
+	settledByTeam   map[string]Amount // by team: what has to be in the ledger
+	endRevisions    map[string]uint64
+	settlementCount int // settlements that were carried out
+	ledgerOps       int // changes of the ledger's records
+	allOps          int
 }
 
-// heard is what one leader has heard of workers.
-type heard struct {
-	machines map[string]*message
-	pending  map[string]Sum // by team, since its last settlement
+// leaderView is what one leader has heard of workers.
+type leaderView struct {
+	machines map[string]*observation
+	pending  map[string]Amount // by team, since its last settlement
 }
 
-// message is the newest one of a machine that a leader has taken.
-type message struct {
-	session, seq uint64
-	at           time.Time
-	running      map[model.AttemptKey]bool
+// observation is the newest one of a machine that a leader has taken.
+type observation struct {
+	epoch, seq uint64
+	receivedAt time.Time
+	running    map[model.AttemptKey]bool
 }
 
 type settlement struct {
@@ -50,35 +50,35 @@
 }
 
 func newAudit(w *fake.World) *audit {
-	a := &audit{w: w, leaders: map[uint64]*heard{}, sent: map[settlement]Sum{}, known: map[settlement]bool{}, total: map[string]Sum{}, ended: map[string]uint64{}}
-	w.Observer, w.State.Carried = a, a.carried
+	a := &audit{world: w, leaders: map[uint64]*leaderView{}, inFlight: map[settlement]Amount{}, seen: map[settlement]bool{}, settledByTeam: map[string]Amount{}, endRevisions: map[string]uint64{}}
+	w.Observer, w.State.OnCommit = a, a.committed
 	return a
 }
 
-// triesOf is the token under which an attempt was launched: the upper part of its number.
-func triesOf(try uint64) uint64 { return try >> 24 }
+// launchToken is the token under which an attempt was launched: the upper part of its number.
+func launchToken(try uint64) uint64 { return try >> 24 }
 
-// Taken: a leader takes a message. What the message before showed running, and this one
+// HeartbeatAccepted: a leader takes a message. What the message before showed running, and this one
 // still shows, has run in between.
-func (a *audit) Taken(c *fake.Controller, token uint64, r *model.Heartbeat) {
+func (a *audit) HeartbeatAccepted(c *fake.Controller, token uint64, r *model.Heartbeat) {
 	l := a.leaders[token]
 	if l == nil {
-		l = &heard{machines: map[string]*message{}, pending: map[string]Sum{}}
+		l = &leaderView{machines: map[string]*observation{}, pending: map[string]Amount{}}
 		a.leaders[token] = l
 	}
 	last := l.machines[r.Machine]
-	if last != nil && (r.Epoch < last.session || r.Epoch == last.session && r.Seq <= last.seq) {
+	if last != nil && (r.Epoch < last.epoch || r.Epoch == last.epoch && r.Seq <= last.seq) {
 		return // overtaken on the way
 	}
-	next := &message{session: r.Epoch, seq: r.Seq, at: a.w.Now(), running: map[model.AttemptKey]bool{}}
+	next := &observation{epoch: r.Epoch, seq: r.Seq, receivedAt: a.world.Now(), running: map[model.AttemptKey]bool{}}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		key := model.AttemptKey{Task: t.Task, Number: t.Attempt}
-		before := last != nil && last.session == r.Epoch && last.running[key]
+		before := last != nil && last.epoch == r.Epoch && last.running[key]
 		if before {
-			s := a.w.Specs[t.Task.Job]
+			s := a.world.Specs[t.Task.Job]
 			p := l.pending[s.Team]
-			p.add(during(s.Demand, next.at.Sub(last.at)))
+			p.add(usageOver(s.Demand, next.receivedAt.Sub(last.receivedAt)))
 			l.pending[s.Team] = p
 		}
 		if t.Phase != model.PhaseRunning && t.Phase != model.PhaseCheckpointing {
@@ -86,18 +86,18 @@
 		}
 		// Of a job whose end a leader has read before it sees the attempt, it knows
 		// neither team nor request; that is not run time.
-		end, over := a.ended[t.Task.Job]
-		if before || triesOf(t.Attempt) == token || !over || end > c.Seen {
+		end, over := a.endRevisions[t.Task.Job]
+		if before || launchToken(t.Attempt) == token || !over || end > c.ReadRevision {
 			next.running[key] = true
 		}
 	}
 	l.machines[r.Machine] = next
 }
 
-// during is what a request uses in some time.
-func during(need model.Resources, d time.Duration) Sum {
+// usageOver is what a request uses in some time.
+func usageOver(need model.Resources, d time.Duration) Amount {
 	of := func(v float64) uint64 { return uint64(math.Round(v*1000)) * uint64(d.Milliseconds()) }
-	return Sum{of(need.CPU), of(need.GPU), of(need.MemGB)}
+	return Amount{of(need.CPU), of(need.GPU), of(need.MemGB)}
 }
 
 // settlements finds the settlements among the changes of a transaction.
@@ -107,46 +107,46 @@
 		key, _ := m["write"].(string)
 		if v, ok := m["value"].(map[string]any); ok && strings.HasPrefix(key, "use/o/") {
 			team, _ := v["team"].(string)
-			out = append(out, settlement{team, fake.Number(v["token"]), fake.Number(v["settled"])})
+			out = append(out, settlement{team, fake.DecodeUint(v["token"]), fake.DecodeUint(v["settled"])})
 		}
 	}
 	return out
 }
 
-// Sent: a transaction leaves a controller. The first time that a settlement does, it is
+// TransactionSent: a transaction leaves a controller. The first time that a settlement does, it is
 // about all that its leader has heard by now.
-func (a *audit) Sent(ops []any) {
+func (a *audit) TransactionSent(ops []any) {
 	for _, s := range settlements(ops) {
-		if a.known[s] {
+		if a.seen[s] {
 			continue
 		}
-		a.known[s] = true
+		a.seen[s] = true
 		if l := a.leaders[s.token]; l != nil {
-			a.sent[s] = l.pending[s.team]
+			a.inFlight[s] = l.pending[s.team]
 			delete(l.pending, s.team)
 		}
 	}
 }
 
-// carried: the state service carries a transaction out. What its settlements are about
+// committed: the state service carries a transaction out. What its settlements are about
 // is on record from now on.
-func (a *audit) carried(ops []any) {
+func (a *audit) committed(ops []any) {
 	a.allOps += len(ops)
 	for _, s := range settlements(ops) {
-		t := a.total[s.team]
-		t.add(a.sent[s])
-		a.total[s.team] = t
-		delete(a.sent, s)
-		a.settled++
+		t := a.settledByTeam[s.team]
+		t.add(a.inFlight[s])
+		a.settledByTeam[s.team] = t
+		delete(a.inFlight, s)
+		a.settlementCount++
 	}
 	for _, o := range ops {
 		key, _ := o.(map[string]any)["write"].(string)
 		gone, _ := o.(map[string]any)["remove"].(string)
 		if strings.HasPrefix(key, "use/") || strings.HasPrefix(gone, "use/") {
-			a.useOps++
+			a.ledgerOps++
 		}
 		if id, ok := strings.CutPrefix(key, "job/e/"); ok {
-			a.ended[id] = a.w.State.Revision()
+			a.endRevisions[id] = a.world.State.Revision()
 		}
 	}
 }
--- a/internal/clustersim/scale/codec.go
+++ b/internal/clustersim/scale/codec.go
@@ -34,92 +34,92 @@
 
 var verbs = map[string]model.Op{"launch": model.OpLaunch, "stop": model.OpStop, "forget": model.OpForget}
 
-// appendReport writes a worker's report.
-func appendReport(b []byte, r *model.Heartbeat) []byte {
+// appendHeartbeat writes a worker's report.
+func appendHeartbeat(b []byte, r *model.Heartbeat) []byte {
 	b = msgp.AppendMapHeader(b, 9)
-	b = text(b, "tiller", r.Machine)
-	b = text(b, "addr", r.Addr)
-	b = text(b, "breed", r.Type)
-	b = text(b, "field", r.Zone)
+	b = appendStringField(b, "tiller", r.Machine)
+	b = appendStringField(b, "addr", r.Addr)
+	b = appendStringField(b, "breed", r.Type)
+	b = appendStringField(b, "field", r.Zone)
 	b = msgp.AppendBool(msgp.AppendString(b, "loaners"), r.Spot)
-	b = number(b, "shift", r.Epoch)
-	b = number(b, "tick", r.Seq)
-	b = number(b, "baton", r.FencingToken)
+	b = appendUintField(b, "shift", r.Epoch)
+	b = appendUintField(b, "tick", r.Seq)
+	b = appendUintField(b, "baton", r.FencingToken)
 	b = msgp.AppendArrayHeader(msgp.AppendString(b, "rows"), uint32(len(r.Tasks)))
 	for _, t := range r.Tasks {
-		b = appendTask(b, &t)
+		b = appendTaskStatus(b, &t)
 	}
 	return b
 }
 
-func appendTask(b []byte, t *model.TaskStatus) []byte {
+func appendTaskStatus(b []byte, t *model.TaskStatus) []byte {
 	fields := uint32(3)
 	if t.Phase == model.PhaseExited {
 		fields = 5
 	}
 	b = msgp.AppendMapHeader(b, fields)
-	b = text(b, "row", wire.TaskName(t.Task))
-	b = number(b, "try", t.Attempt)
-	b = text(b, "status", phaseNames[t.Phase])
+	b = appendStringField(b, "row", wire.TaskName(t.Task))
+	b = appendUintField(b, "try", t.Attempt)
+	b = appendStringField(b, "status", phaseNames[t.Phase])
 	if t.Phase == model.PhaseExited {
-		b = text(b, "cause", causeNames[t.Cause])
+		b = appendStringField(b, "cause", causeNames[t.Cause])
 		b = msgp.AppendBool(msgp.AppendString(b, "saved"), t.Checkpointed)
 	}
 	return b
 }
 
-func text(b []byte, key, value string) []byte {
+func appendStringField(b []byte, key, value string) []byte {
 	return msgp.AppendString(msgp.AppendString(b, key), value)
 }
 
-func number(b []byte, key string, value uint64) []byte {
+func appendUintField(b []byte, key string, value uint64) []byte {
 	return msgp.AppendUint64(msgp.AppendString(b, key), value)
 }
 
-func decimal(b []byte, key string, value float64) []byte {
+func appendFloatField(b []byte, key string, value float64) []byte {
 	return msgp.AppendFloat64(msgp.AppendString(b, key), value)
 }
 
-// message is an answer to a report, or direct commands.
-type message struct {
-	token, session uint64
-	orders         []model.Command
+// commandMessage is an answer to a report, or direct commands.
+type commandMessage struct {
+	token, epoch uint64
+	commands     []model.Command
 }
 
-var errForm = errors.New("not of the published form")
+var errMalformed = errors.New("not of the published form")
 
 // decodeMessage reads an answer to a report, or direct commands.
-func decodeMessage(b []byte) (*message, error) {
+func decodeMessage(b []byte) (*commandMessage, error) {
 	v, _, err := msgp.ReadIntfBytes(b)
 	m, ok := v.(map[string]any)
 	if err != nil || !ok {
-		return nil, errForm
+		return nil, errMalformed
 	}
-	out := &message{token: fake.Number(m["baton"]), session: fake.Number(m["shift"])}
+	out := &commandMessage{token: fake.DecodeUint(m["baton"]), epoch: fake.DecodeUint(m["shift"])}
 	orders, _ := m["orders"].([]any)
 	for _, o := range orders {
-		order, err := decodeOrder(o)
+		order, err := decodeCommand(o)
 		if err != nil {
 			return nil, err
 		}
-		out.orders = append(out.orders, order)
+		out.commands = append(out.commands, order)
 	}
 	return out, nil
 }
 
-func decodeOrder(v any) (model.Command, error) {
+func decodeCommand(v any) (model.Command, error) {
 	m, _ := v.(map[string]any)
 	verb, _ := m["verb"].(string)
 	row, _ := m["row"].(string)
 	task, err := wire.ParseTaskName(row)
 	if verbs[verb] == 0 || err != nil {
-		return model.Command{}, errForm
+		return model.Command{}, errMalformed
 	}
 	grace, _ := m["windDownS"].(float64)
 	return model.Command{
 		Op:          verbs[verb],
 		Task:        task,
-		Attempt:     fake.Number(m["try"]),
+		Attempt:     fake.DecodeUint(m["try"]),
 		GracePeriod: time.Duration(grace * float64(time.Second)),
 	}, nil
 }
@@ -135,8 +135,8 @@
 	return name
 }
 
-// decodeState reads a job's state as a user is told of it.
-func decodeState(b []byte) wire.JobState {
+// decodeJobState reads a job's state as a user is told of it.
+func decodeJobState(b []byte) wire.JobState {
 	v, _, err := msgp.ReadIntfBytes(b)
 	m, _ := v.(map[string]any)
 	if err != nil {
@@ -155,15 +155,15 @@
 	b = msgp.AppendArrayHeader(msgp.AppendString(msgp.AppendMapHeader(b, 1), "breeds"), uint32(len(types)))
 	for _, t := range types {
 		b = msgp.AppendMapHeader(b, 10)
-		b = text(b, "label", t.Name)
-		b = decimal(b, "cores", t.Capacity.CPU)
-		b = decimal(b, "cards", t.Capacity.GPU)
-		b = decimal(b, "memoryGb", t.Capacity.MemGB)
-		b = decimal(b, "localGb", t.CacheGB)
-		b = decimal(b, "fetchGbPerS", t.FetchGBPerS)
-		b = decimal(b, "price", t.PricePerHour)
-		b = decimal(b, "lowPrice", t.SpotPricePerHour)
-		b = decimal(b, "startupS", t.BootTime.Seconds())
+		b = appendStringField(b, "label", t.Name)
+		b = appendFloatField(b, "cores", t.Capacity.CPU)
+		b = appendFloatField(b, "cards", t.Capacity.GPU)
+		b = appendFloatField(b, "memoryGb", t.Capacity.MemGB)
+		b = appendFloatField(b, "localGb", t.CacheGB)
+		b = appendFloatField(b, "fetchGbPerS", t.FetchGBPerS)
+		b = appendFloatField(b, "price", t.PricePerHour)
+		b = appendFloatField(b, "lowPrice", t.SpotPricePerHour)
+		b = appendFloatField(b, "startupS", t.BootTime.Seconds())
 		b = msgp.AppendArrayHeader(msgp.AppendString(b, "fields"), uint32(len(t.Zones)))
 		for _, z := range t.Zones {
 			b = msgp.AppendString(b, z)
@@ -186,31 +186,31 @@
 			status = "failed"
 		}
 		b = msgp.AppendMapHeader(b, 7)
-		b = text(b, "ref", l.Name)
-		b = text(b, "addr", l.Addr)
-		b = text(b, "breed", l.Type)
-		b = text(b, "field", l.Zone)
+		b = appendStringField(b, "ref", l.Name)
+		b = appendStringField(b, "addr", l.Addr)
+		b = appendStringField(b, "breed", l.Type)
+		b = appendStringField(b, "field", l.Zone)
 		b = msgp.AppendBool(msgp.AppendString(b, "loaners"), l.Spot)
-		b = text(b, "status", status)
-		b = decimal(b, "heldS", l.Age.Seconds())
+		b = appendStringField(b, "status", status)
+		b = appendFloatField(b, "heldS", l.Age.Seconds())
 	}
 	return b
 }
 
-// decodeRental reads a request for machines.
-func decodeRental(b []byte) (model.Provisioning, error) {
+// decodeProvisioning reads a request for machines.
+func decodeProvisioning(b []byte) (model.Provisioning, error) {
 	v, _, err := msgp.ReadIntfBytes(b)
 	m, ok := v.(map[string]any)
 	if err != nil || !ok {
-		return model.Provisioning{}, errForm
+		return model.Provisioning{}, errMalformed
 	}
-	r := model.Provisioning{Count: int(fake.Number(m["number"]))}
+	r := model.Provisioning{Count: int(fake.DecodeUint(m["number"]))}
 	r.Name, _ = m["hire"].(string)
 	r.Type, _ = m["breed"].(string)
 	r.Zone, _ = m["field"].(string)
 	r.Spot, _ = m["loaners"].(bool)
 	if r.Name == "" || r.Count < 1 || r.Count > 50 {
-		return r, errForm
+		return r, errMalformed
 	}
 	return r, nil
 }
--- a/internal/clustersim/scale/codec_test.go
+++ b/internal/clustersim/scale/codec_test.go
@@ -29,7 +29,7 @@
 		read func(b []byte) (any, error)
 		want any
 	}{
-		{"stand-in-heartbeat", appendReport(nil, beat), func(b []byte) (any, error) { return wire.DecodeHeartbeat(b) }, beat},
+		{"stand-in-heartbeat", appendHeartbeat(nil, beat), func(b []byte) (any, error) { return wire.DecodeHeartbeat(b) }, beat},
 		{"stand-in-catalog", appendCatalog(nil, types), func(b []byte) (any, error) { return wire.DecodeCatalog(b) }, types},
 		{"stand-in-machines", appendList(nil, machines, true), func(b []byte) (any, error) {
 			list, _, err := wire.DecodeMachineList(b)
@@ -55,9 +55,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "commands", got, &message{token: 41, session: 1 << 63, orders: commands})
+	golden.Equal(t, "commands", got, &commandMessage{token: 41, epoch: 1 << 63, commands: commands})
 	request := model.Provisioning{Name: "h-1", Type: "g8", Zone: "a", Spot: true, Count: 50}
-	read, err := decodeRental(wire.AppendProvisioning(nil, request))
+	read, err := decodeProvisioning(wire.AppendProvisioning(nil, request))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 		t.Errorf("the leader of a 421: got %q, want tiller-1", got)
 	}
 	for state := wire.StateQueued; state <= wire.StateCancelled; state++ {
-		if got := decodeState(wire.AppendJobState(nil, "wk-000412", state)); got != state {
+		if got := decodeJobState(wire.AppendJobState(nil, "wk-000412", state)); got != state {
 			t.Errorf("a job's state: got %v, want %v", got, state)
 		}
 	}
--- a/internal/clustersim/scale/faults.go
+++ b/internal/clustersim/scale/faults.go
@@ -22,13 +22,13 @@
 
 const (
 	rackMachines = 40
-	rackHangs    = 20 * time.Second // less than a lease
-	zoneHangs    = 45 * time.Second // longer than a lease
-	backAfter    = 5 * time.Second  // a machine that is replaced, and a controller that ended
+	rackHangTime = 20 * time.Second // less than a lease
+	zoneHangTime = 45 * time.Second // longer than a lease
+	restartDelay = 5 * time.Second  // a machine that is replaced, and a controller that ended
 )
 
-// faults plays failures.
-type faults struct {
+// faultInjector plays failures.
+type faultInjector struct {
 	plan    *Plan
 	regions []*region
 	workers *workers
@@ -36,7 +36,7 @@
 }
 
 // run plays the plan's failures until the context ends; what is measured begins now.
-func (f *faults) run(ctx context.Context) {
+func (f *faultInjector) run(ctx context.Context) {
 	began := time.Now()
 	schedule := slices.SortedFunc(
 		slices.Values(f.plan.Faults),
@@ -49,18 +49,18 @@
 		}
 		r := f.regions[f.random.IntN(len(f.regions))]
 		switch fault.Kind {
-		case LeaderEnds:
-			f.endController(ctx, r.leader())
-		case RackHangs:
-			f.hang(ctx, f.rack(r), rackHangs)
-		case ZoneHangs:
-			f.loseZone(ctx, r, r.zones[f.random.IntN(len(r.zones))])
+		case LeaderCrash:
+			f.crashController(ctx, r.leader())
+		case RackHang:
+			f.hang(ctx, f.rack(r), rackHangTime)
+		case ZoneOutage:
+			f.failZone(ctx, r, r.zones[f.random.IntN(len(r.zones))])
 		}
 	}
 }
 
 // churn ends and replaces machines one by one, as the target's rate and the plan's factor say.
-func (f *faults) churn(ctx context.Context) {
+func (f *faultInjector) churn(ctx context.Context) {
 	if f.plan.Churn == 0 {
 		return
 	}
@@ -74,7 +74,7 @@
 }
 
 // replace ends a machine; it is back after a while with nothing on it, by the same name.
-func (f *faults) replace(ctx context.Context, r *region) {
+func (f *faultInjector) replace(ctx context.Context, r *region) {
 	w := f.workers
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -82,7 +82,7 @@
 		l := h.listed()
 		w.remove(h)
 		go func() {
-			sleep(ctx, backAfter)
+			sleep(ctx, restartDelay)
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if ctx.Err() == nil && w.byName[l.Name] == nil {
@@ -94,12 +94,12 @@
 }
 
 // rack chooses the machines of a rack: neighbours by name in one zone.
-func (f *faults) rack(r *region) []*hollow {
+func (f *faultInjector) rack(r *region) []*hollowWorker {
 	w := f.workers
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	zone := r.zones[f.random.IntN(len(r.zones))]
-	var out []*hollow
+	var out []*hollowWorker
 	for _, name := range slices.Sorted(maps.Keys(w.byRegion[r])) {
 		if h := w.byRegion[r][name]; h.worker.Zone == zone && len(out) < rackMachines {
 			out = append(out, h)
@@ -109,7 +109,7 @@
 }
 
 // hang has machines stand still for some time.
-func (f *faults) hang(ctx context.Context, machines []*hollow, d time.Duration) {
+func (f *faultInjector) hang(ctx context.Context, machines []*hollowWorker, d time.Duration) {
 	set := func(hung bool) {
 		f.workers.mu.Lock()
 		defer f.workers.mu.Unlock()
@@ -124,46 +124,46 @@
 	}()
 }
 
-// loseZone has all machines of a zone stand still and ends its controllers.
-func (f *faults) loseZone(ctx context.Context, r *region, zone string) {
+// failZone has all machines of a zone stand still and ends its controllers.
+func (f *faultInjector) failZone(ctx context.Context, r *region, zone string) {
 	f.workers.mu.Lock()
-	var machines []*hollow
+	var machines []*hollowWorker
 	for _, h := range f.workers.byRegion[r] {
 		if h.worker.Zone == zone {
 			machines = append(machines, h)
 		}
 	}
 	f.workers.mu.Unlock()
-	f.hang(ctx, machines, zoneHangs)
+	f.hang(ctx, machines, zoneHangTime)
 	for _, c := range r.controllers {
 		if c.zone == zone {
-			f.endController(ctx, c)
+			f.crashController(ctx, c)
 		}
 	}
 }
 
-// endController ends a controller without a word and starts it again after a while.
-func (f *faults) endController(ctx context.Context, c *controller) {
+// crashController ends a controller without a word and starts it again after a while.
+func (f *faultInjector) crashController(ctx context.Context, c *controller) {
 	if c == nil {
 		return
 	}
 	c.stop(syscall.SIGKILL)
 	go func() {
-		sleep(ctx, backAfter)
+		sleep(ctx, restartDelay)
 		if ctx.Err() == nil {
 			_ = c.start() // one that does not start again counts as ended
 		}
 	}()
 }
 
-// machinesOf makes the machines that a region has at the start.
-func machinesOf(r *region, w *workers, count int) []model.MachineInfo {
+// initialMachines makes the machines that a region has at the start.
+func initialMachines(r *region, w *workers, count int) []model.MachineInfo {
 	out := make([]model.MachineInfo, count)
 	for i := range out {
 		out[i] = model.MachineInfo{
-			Name: r.cloud.cloud.Name(),
+			Name: r.cloud.cloud.NextName(),
 			Addr: w.nextAddress(),
-			Type: typeAt(i),
+			Type: machineTypeAt(i),
 			Zone: r.zones[(i/gpuShare+i)%len(r.zones)],
 		}
 	}
--- a/internal/clustersim/scale/needs.go
+++ b/internal/clustersim/scale/needs.go
@@ -9,8 +9,8 @@
 	"syscall"
 )
 
-// Needs is what a run takes of the machine, worked out before anything is started.
-type Needs struct {
+// Requirements is what a run takes of the machine, worked out before anything is started.
+type Requirements struct {
 	MemoryMB  int // of all processes, with the kernel's part of their sockets
 	Files     int // of this process
 	Processes int
@@ -26,18 +26,18 @@
 	controllerFree = 64  // a controller's files that are no connections
 )
 
-// needs works out what a plan takes.
-func (p *Plan) needs() Needs {
+// requirements works out what a plan takes.
+func (p *Plan) requirements() Requirements {
 	controllers := p.Regions * p.Controllers
 	memory := baseMB + controllers*controllerMB + p.Workers*(workerKB+leaderKB)/1024
 	// A worker has one connection to a controller. Controllers' direct commands come in on others, of which a
 	// leader's budget allows a sixth of its connections.
-	files := ownFiles + p.Workers + p.Regions*p.connections()/6 + 64*controllers
-	return Needs{MemoryMB: memory, Files: files, Processes: controllers + 1}
+	files := ownFiles + p.Workers + p.Regions*p.maxConnections()/6 + 64*controllers
+	return Requirements{MemoryMB: memory, Files: files, Processes: controllers + 1}
 }
 
-// connections is how many a controller may hold by its settings.
-func (p *Plan) connections() int {
+// maxConnections is how many a controller may hold by its settings.
+func (p *Plan) maxConnections() int {
 	want := p.Workers/p.Regions*3/2 + 400
 	if limit, err := fileLimit(); err == nil {
 		want = min(want, limit-controllerFree)
@@ -58,7 +58,7 @@
 const maxProcesses = 200
 
 // Check refuses what the machine does not have.
-func (n Needs) Check() error {
+func (n Requirements) Check() error {
 	var errs []error
 	total, available, err := memory()
 	if err != nil {
--- a/internal/clustersim/scale/plan.go
+++ b/internal/clustersim/scale/plan.go
@@ -19,21 +19,21 @@
 // Plan is what a run plays. Regions are deployments of their own, each with its state service, cloud, users and
 // controllers; zones and controllers are counted in each region, workers over all.
 type Plan struct {
-	Workers     int     `toml:"workers"`
-	Regions     int     `toml:"regions"`
-	Zones       int     `toml:"zones"`
-	Controllers int     `toml:"controllers"`
-	Seconds     int     `toml:"seconds"`           // that are measured, after the fleet has come up
-	Starts      float64 `toml:"starts_per_second"` // of tasks that are asked for; 0: a fortieth of the workers
-	Teams       int     `toml:"teams"`
-	Seed        uint64  `toml:"seed"`
-	Churn       float64 `toml:"churn"`    // machines that fail or are replaced, as a multiple of the target's daily rate
-	Faults      []Fault `toml:"fault"`    // on a schedule
-	Break       Break   `toml:"break"`    // a fault of the stand-ins on purpose, to show that the checks can fail
-	Program     string  `toml:"program"`  // the built controller; "": it is built
-	Operator    string  `toml:"operator"` // the operators' settings of all controllers
-	Profile     string  `toml:"profile"`  // a folder for the controllers' processor profiles; "": none
-	Logs        string  `toml:"logs"`     // a folder for the controllers' logs; "": they are not kept
+	Workers     int      `toml:"workers"`
+	Regions     int      `toml:"regions"`
+	Zones       int      `toml:"zones"`
+	Controllers int      `toml:"controllers"`
+	Seconds     int      `toml:"seconds"`           // that are measured, after the fleet has come up
+	Starts      float64  `toml:"starts_per_second"` // of tasks that are asked for; 0: a fortieth of the workers
+	Teams       int      `toml:"teams"`
+	Seed        uint64   `toml:"seed"`
+	Churn       float64  `toml:"churn"`    // machines that fail or are replaced, as a multiple of the target's daily rate
+	Faults      []Fault  `toml:"fault"`    // on a schedule
+	Mutation    Mutation `toml:"break"`    // a fault of the stand-ins on purpose, to show that the checks can fail
+	Program     string   `toml:"program"`  // the built controller; "": it is built
+	Operator    string   `toml:"operator"` // the operators' settings of all controllers
+	Profile     string   `toml:"profile"`  // a folder for the controllers' processor profiles; "": none
+	Logs        string   `toml:"logs"`     // a folder for the controllers' logs; "": they are not kept
 }
 
 // Fault is one failure on a schedule.
@@ -47,18 +47,18 @@
 
 // The kinds of failures: the leader ends, or machines hang, those of a rack or of a zone with its controllers.
 const (
-	LeaderEnds FaultKind = "leader"
-	RackHangs  FaultKind = "rack"
-	ZoneHangs  FaultKind = "zone"
+	LeaderCrash FaultKind = "leader"
+	RackHang    FaultKind = "rack"
+	ZoneOutage  FaultKind = "zone"
 )
 
-// Break is a fault of the stand-ins on purpose.
-type Break string
+// Mutation is a fault of the stand-ins on purpose.
+type Mutation string
 
 // The faults on purpose.
 const (
-	BreakNothing Break = ""
-	BreakTwice   Break = "twice" // a launch is carried out by another worker too
+	NoMutation  Mutation = ""
+	LaunchTwice Mutation = "twice" // a launch is carried out by another worker too
 )
 
 // DefaultPlan is what a run plays where nothing else is said.
@@ -134,49 +134,49 @@
 		errs = append(errs, fmt.Errorf("workers: %d are fewer than ten for each of %d regions", p.Workers, p.Regions))
 	}
 	for _, f := range p.Faults {
-		if f.Kind != LeaderEnds && f.Kind != RackHangs && f.Kind != ZoneHangs {
+		if f.Kind != LeaderCrash && f.Kind != RackHang && f.Kind != ZoneOutage {
 			errs = append(errs, fmt.Errorf("fault: there is no kind %q", f.Kind))
 		}
 		within("fault", f.At, 0, float64(p.Seconds))
 	}
-	if p.Break != BreakNothing && p.Break != BreakTwice {
-		errs = append(errs, fmt.Errorf("break: there is no %q", p.Break))
+	if p.Mutation != NoMutation && p.Mutation != LaunchTwice {
+		errs = append(errs, fmt.Errorf("break: there is no %q", p.Mutation))
 	}
 	return errors.Join(errs...)
 }
 
-// starts is how many task starts a second are asked for.
-func (p *Plan) starts() float64 {
+// startRate is how many task starts a second are asked for.
+func (p *Plan) startRate() float64 {
 	if p.Starts > 0 {
 		return p.Starts
 	}
-	return float64(p.Workers) / startsShare
+	return float64(p.Workers) / workersPerStart
 }
 
-// startsShare is how many workers there are for each start a second where the plan says nothing.
-const startsShare = 40
+// workersPerStart is how many workers there are for each start a second where the plan says nothing.
+const workersPerStart = 40
 
 // What the published settings of a run's deployments say.
 const (
-	reportEvery = 6 * time.Second
-	leaseTime   = 30 * time.Second
-	gangWait    = 60 * time.Second
-	gangPeer    = 10 * time.Second
-	cancelIn    = 60 * time.Second
-	listLag     = 5 * time.Second
-	stateRPS    = 1000
-	writeRPS    = 400
-	valueKB     = 16
-	txnOps      = 48
-	cloudRPS    = 10
+	heartbeatInterval = 6 * time.Second
+	leaseTime         = 30 * time.Second
+	gangWait          = 60 * time.Second
+	gangPeer          = 10 * time.Second
+	cancelDeadline    = 60 * time.Second
+	listLag           = 5 * time.Second
+	stateRPS          = 1000
+	writeRPS          = 400
+	valueKB           = 16
+	txnOps            = 48
+	cloudRPS          = 10
 )
 
 // How long things take on hollow workers.
 const (
-	fetchTime   = 200 * time.Millisecond
-	shortTask   = 6 * time.Second // run time of an array's or a gang's task in the mean
-	bootTime    = 10 * time.Second
-	serviceRate = 0.5 // service replicas for each worker
+	fetchTime         = 200 * time.Millisecond
+	meanTaskTime      = 6 * time.Second // run time of an array's or a gang's task in the mean
+	bootTime          = 10 * time.Second
+	replicasPerWorker = 0.5 // service replicas for each worker
 )
 
 // The two types of machines: one in gpuShare has accelerators.
@@ -213,8 +213,8 @@
 	}
 }
 
-// typeAt is the type of the machine with a number.
-func typeAt(i int) string {
+// machineTypeAt is the type of the machine with a number.
+func machineTypeAt(i int) string {
 	if i%gpuShare == 0 {
 		return gpuType
 	}
--- a/internal/clustersim/scale/process.go
+++ b/internal/clustersim/scale/process.go
@@ -16,17 +16,17 @@
 
 // controller is one process of the built program.
 type controller struct {
-	name, zone  string
-	front, back string // addresses
-	program     string
-	args        []string
-	logPath     string
+	name, zone         string
+	httpAddr, peerAddr string // addresses
+	program            string
+	args               []string
+	logPath            string
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	asked   bool // to end, by this run
-	crashed bool // an end that this run did not ask for was told
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	ended         chan struct{}
+	stopRequested bool // to end, by this run
+	crashReported bool // an end that this run did not ask for was told
 }
 
 // start starts the process.
@@ -48,7 +48,7 @@
 	}()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cmd, c.ended, c.asked = cmd, ended, false
+	c.cmd, c.ended, c.stopRequested = cmd, ended, false
 	return nil
 }
 
@@ -56,7 +56,7 @@
 func (c *controller) stop(signal syscall.Signal) {
 	c.mu.Lock()
 	cmd, ended := c.cmd, c.ended
-	c.asked = true
+	c.stopRequested = true
 	c.mu.Unlock()
 	if cmd == nil {
 		return
@@ -64,13 +64,13 @@
 	_ = cmd.Process.Signal(signal) // it may have ended by itself
 	select {
 	case <-ended:
-	case <-time.After(stopWait):
+	case <-time.After(stopTimeout):
 		_ = cmd.Process.Kill() // as above
 		<-ended
 	}
 }
 
-const stopWait = 5 * time.Second
+const stopTimeout = 5 * time.Second
 
 // process is the running process's number, and whether the process has ended without being asked to.
 func (c *controller) process() (pid int, crashed bool) {
@@ -78,18 +78,18 @@
 	defer c.mu.Unlock()
 	select {
 	case <-c.ended:
-		return c.cmd.Process.Pid, !c.asked
+		return c.cmd.Process.Pid, !c.stopRequested
 	default:
 		return c.cmd.Process.Pid, false
 	}
 }
 
-// tellCrash is true once, for an end that nobody asked for.
-func (c *controller) tellCrash() bool {
+// reportCrash is true once, for an end that nobody asked for.
+func (c *controller) reportCrash() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	first := !c.crashed
-	c.crashed = true
+	first := !c.crashReported
+	c.crashReported = true
 	return first
 }
 
--- a/internal/clustersim/scale/region.go
+++ b/internal/clustersim/scale/region.go
@@ -61,7 +61,7 @@
 func (r *region) writeSettings(p *Plan, dir, program string) error {
 	for i := range p.Controllers {
 		c := &controller{name: fmt.Sprintf("%s-%d", r.name, i), zone: r.zones[i%len(r.zones)], program: program}
-		for _, to := range []*string{&c.front, &c.back} {
+		for _, to := range []*string{&c.httpAddr, &c.peerAddr} {
 			addr, err := freePort(r.address(10 + i))
 			if err != nil {
 				return err
@@ -89,10 +89,10 @@
 func (r *region) settings(p *Plan, c *controller) string {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	line("member = %q\ndomain = %q\nfront = %q\nback = %q", c.name, c.zone, c.front, c.back)
+	line("member = %q\ndomain = %q\nfront = %q\nback = %q", c.name, c.zone, c.httpAddr, c.peerAddr)
 	for _, o := range r.controllers {
 		if o != c {
-			line("[[members]]\nmember = %q\ndomain = %q\npeer_addr = %q", o.name, o.zone, o.back)
+			line("[[members]]\nmember = %q\ndomain = %q\npeer_addr = %q", o.name, o.zone, o.peerAddr)
 		}
 	}
 	line("[outside]\ncloud = %q\nstate = %q", r.cloud.addr, r.state.addr)
@@ -108,7 +108,7 @@
 	}
 	line("[[deployment.objectives]]\nkind = \"wait\"\nclass = \"urgent\"\nwithin_s = 1.0\nshare = 0.99")
 	line("[deployment.workers]\nreport_s = %f\nlease_s = %f\ngang_wait_s = %f\ngang_peer_s = %f\ncancel_s = %f",
-		reportEvery.Seconds(), leaseTime.Seconds(), gangWait.Seconds(), gangPeer.Seconds(), cancelIn.Seconds())
+		heartbeatInterval.Seconds(), leaseTime.Seconds(), gangWait.Seconds(), gangPeer.Seconds(), cancelDeadline.Seconds())
 	line(
 		"[deployment.state]\nrps = %d.0\nwrite_rps = %d.0\nvalue_kb = %d.0\ntxn_ops = %d",
 		stateRPS,
@@ -120,7 +120,7 @@
 	line(
 		"[deployment.machine_limits]\ncores = 1.0\nmem_mb = %d.0\nmax_connections = %d",
 		p.controllerMemory(),
-		p.connections(),
+		p.maxConnections(),
 	)
 	return b.String()
 }
@@ -166,10 +166,10 @@
 	all.Wait()
 }
 
-// plant puts the region's machines on record with the state service, as a leader before would have.
-func (r *region) plant(machines []model.MachineInfo) {
+// preload puts the region's machines on record with the state service, as a leader before would have.
+func (r *region) preload(machines []model.MachineInfo) {
 	for _, l := range machines {
-		r.state.plant(l)
+		r.state.preload(l)
 	}
 }
 
@@ -181,7 +181,7 @@
 		teams[i].Quota = model.NewQuota(cpus*float64(p.Regions), 0)
 	}
 	f := fake.NewFleet(time.Now(), teams)
-	f.Tick, f.Fetch, f.Run, f.Lease = pollEvery, fetchTime, shortTask, leaseTime
-	f.ReportEvery, f.GangWait, f.CancelIn = reportEvery, gangWait, cancelIn
+	f.Tick, f.FetchTime, f.RunTime, f.Lease = pollWorkersInterval, fetchTime, meanTaskTime, leaseTime
+	f.HeartbeatInterval, f.GangWait, f.CancelDeadline = heartbeatInterval, gangWait, cancelDeadline
 	return f
 }
--- a/internal/clustersim/scale/run.go
+++ b/internal/clustersim/scale/run.go
@@ -16,22 +16,22 @@
 
 // run is a run under way.
 type run struct {
-	plan    Plan
-	say     func(format string, args ...any)
-	dir     string
-	regions []*region
-	workers *workers
-	users   *users
-	began   time.Time
-	result  *Result
-	peak    peaks
+	plan      Plan
+	logf      func(format string, args ...any)
+	dir       string
+	regions   []*region
+	workers   *workers
+	users     *users
+	startedAt time.Time
+	result    *Result
+	peak      peaks
 }
 
 // peaks are the most that processes were seen to hold while it was measured.
 type peaks struct {
-	all, leader, member, own     float64 // MB
-	leaderSockets, memberSockets int
-	leaderCPU, memberCPU, ownCPU time.Duration
+	total, leader, member, standIns  float64 // MB
+	leaderSockets, memberSockets     int
+	leaderCPU, memberCPU, standInCPU time.Duration
 }
 
 // Run plays a plan. say tells how it goes on. What it starts ends with it, also where the context ends.
@@ -39,7 +39,7 @@
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	need := p.needs()
+	need := p.requirements()
 	if err := need.Check(); err != nil {
 		return nil, err
 	}
@@ -58,9 +58,9 @@
 	defer os.RemoveAll(dir)
 	r := &run{
 		plan: p,
-		say:  say,
+		logf: say,
 		dir:  dir,
-		result: &Result{Workers: p.Workers, Hollow: true, Broken: []string{}, Regions: p.Regions, Zones: p.Zones,
+		result: &Result{Workers: p.Workers, Hollow: true, Violations: []string{}, Regions: p.Regions, Zones: p.Zones,
 			Controllers: p.Controllers, Teams: p.Teams, Seed: p.Seed, MachineCores: runtime.NumCPU(), Processes: need.Processes},
 	}
 	if err := r.prepare(ctx); err != nil {
@@ -79,7 +79,7 @@
 	program := r.plan.Program
 	if program == "" {
 		program = filepath.Join(r.dir, "glentiller")
-		r.say("building the controller")
+		r.logf("building the controller")
 		build := exec.CommandContext(ctx, "go", "build", "-ldflags=-linkmode=external", "-o", program, "./cmd/glentiller")
 		if out, err := build.CombinedOutput(); err != nil {
 			return fmt.Errorf("building the controller: %w: %s", err, out)
@@ -136,16 +136,16 @@
 	var group sync.WaitGroup
 	defer func() {
 		cancel() // users and workers first: controllers answer what is under way as they end
-		r.users.open.Wait()
-		r.workers.hangUpAll()
+		r.users.pending.Wait()
+		r.workers.closeIdleConns()
 		for _, region := range r.regions {
 			group.Go(region.stop)
 		}
 		group.Wait()
 		_ = r.close() // everything has ended
 	}()
-	r.began = time.Now()
-	r.machines()
+	r.startedAt = time.Now()
+	r.startMachines()
 	for _, region := range r.regions {
 		if err := region.start(); err != nil {
 			return err
@@ -155,15 +155,15 @@
 	if err := r.warmUp(ctx); err != nil {
 		return err
 	}
-	failures := &faults{
+	failures := &faultInjector{
 		plan:    &r.plan,
 		regions: r.regions,
 		workers: r.workers,
 		random:  rand.New(rand.NewPCG(r.plan.Seed, 4)),
 	}
-	go r.users.load(ctx)
+	go r.users.generateLoad(ctx)
 	sleep(ctx, rampUp)
-	before := r.mark()
+	before := r.takeBaseline()
 	go failures.run(ctx)
 	go failures.churn(ctx)
 	r.watch(ctx, time.Duration(r.plan.Seconds)*time.Second)
@@ -172,15 +172,15 @@
 }
 
 const (
-	rampUp       = 5 * time.Second // of the load, before it is measured
-	mostWarmUp   = 3 * time.Minute
-	almost       = 0.9 // of the services' replicas run before the load begins
-	sampleEvery  = time.Second
-	progressTime = 10 * time.Second
+	rampUp           = 5 * time.Second // of the load, before it is measured
+	maxWarmUp        = 3 * time.Minute
+	warmUpShare      = 0.9 // of the services' replicas run before the load begins
+	sampleInterval   = time.Second
+	progressInterval = 10 * time.Second
 )
 
-// machines brings all machines up, on record as if a leader before had rented them.
-func (r *run) machines() {
+// startMachines brings all machines up, on record as if a leader before had rented them.
+func (r *run) startMachines() {
 	r.workers.mu.Lock()
 	defer r.workers.mu.Unlock()
 	for i, region := range r.regions {
@@ -188,8 +188,8 @@
 		if i < r.plan.Workers%r.plan.Regions {
 			count++
 		}
-		listed := machinesOf(region, r.workers, count)
-		region.plant(listed)
+		listed := initialMachines(region, r.workers, count)
+		region.preload(listed)
 		for _, l := range listed {
 			r.workers.add(region, l)
 		}
@@ -198,35 +198,35 @@
 
 // warmUp waits until every worker was answered, and then until the services run.
 func (r *run) warmUp(ctx context.Context) error {
-	until := time.Now().Add(mostWarmUp)
+	until := time.Now().Add(maxWarmUp)
 	answered := func() bool {
 		r.workers.mu.Lock()
 		defer r.workers.mu.Unlock()
 		for _, h := range r.workers.byName {
-			if h.worker.Token == 0 {
+			if h.worker.FencingToken == 0 {
 				return false
 			}
 		}
 		return true
 	}
-	if err := r.await(ctx, until, answered); err != nil {
+	if err := r.waitFor(ctx, until, answered); err != nil {
 		return err
 	}
-	r.result.SettledS = time.Since(r.began).Seconds()
-	r.say("every worker was answered after %.1f s", r.result.SettledS)
-	r.users.services(ctx)
-	replicas := int(almost * serviceRate * float64(r.plan.Workers))
-	runs := func() bool { return r.on() >= replicas }
-	if err := r.await(ctx, until, runs); err != nil {
+	r.result.SettledS = time.Since(r.startedAt).Seconds()
+	r.logf("every worker was answered after %.1f s", r.result.SettledS)
+	r.users.submitServices(ctx)
+	replicas := int(warmUpShare * replicasPerWorker * float64(r.plan.Workers))
+	runs := func() bool { return r.activeTasks() >= replicas }
+	if err := r.waitFor(ctx, until, runs); err != nil {
 		return err
 	}
 	r.result.CompletedWarmUp = answered() && runs()
-	r.say("%d tasks of services run", r.on())
+	r.logf("%d tasks of services run", r.activeTasks())
 	return nil
 }
 
-// await waits until something holds or a moment has come. It fails where a controller has ended.
-func (r *run) await(ctx context.Context, until time.Time, holds func() bool) error {
+// waitFor waits until something holds or a moment has come. It fails where a controller has ended.
+func (r *run) waitFor(ctx context.Context, until time.Time, holds func() bool) error {
 	for !holds() && time.Now().Before(until) && ctx.Err() == nil {
 		sleep(ctx, 200*time.Millisecond)
 		for _, region := range r.regions {
@@ -249,35 +249,35 @@
 	return lines[len(lines)-1]
 }
 
-// on tells how many tasks are on machines.
-func (r *run) on() int {
+// activeTasks tells how many tasks are on machines.
+func (r *run) activeTasks() int {
 	r.workers.mu.Lock()
 	defer r.workers.mu.Unlock()
-	return r.workers.fleet.On()
+	return r.workers.fleet.ActiveTasks()
 }
 
-// mark notes all counts, and empties the histograms.
-func (r *run) mark() *marks {
-	m := &marks{
-		at:      time.Now(),
+// takeBaseline notes all counts, and empties the histograms.
+func (r *run) takeBaseline() *baseline {
+	m := &baseline{
+		takenAt: time.Now(),
 		logs:    map[*controller]int64{},
 		writes:  map[*region]int{},
 		calls:   map[*region]int{},
 		traffic: r.traffic(),
 	}
 	for _, region := range r.regions {
-		m.writes[region], m.calls[region] = region.state.counted(), calls(region.state.traffic.snapshot())
+		m.writes[region], m.calls[region] = region.state.changeCount(), messageCount(region.state.traffic.snapshot())
 		for _, c := range region.controllers {
 			m.logs[c] = c.logSize()
 		}
 	}
 	r.workers.mu.Lock()
-	m.reports, m.lapsed = r.workers.counts, r.workers.fleet.Lapsed
-	r.workers.trips.Reset()
+	m.workers, m.leaseExpiries = r.workers.counts, r.workers.fleet.LeaseExpiries
+	r.workers.roundTrips.Reset()
 	r.workers.mu.Unlock()
 	r.users.mu.Lock()
 	m.users = r.users.counts
-	for _, h := range []interface{ Reset() }{r.users.urgent, r.users.others, r.users.accepts} {
+	for _, h := range []interface{ Reset() }{r.users.urgentWaits, r.users.otherWaits, r.users.acceptTimes} {
 		h.Reset()
 	}
 	r.users.mu.Unlock()
@@ -300,7 +300,7 @@
 	return out
 }
 
-func calls(flows map[string]Flow) int {
+func messageCount(flows map[string]Flow) int {
 	n := 0
 	for _, f := range flows {
 		n += f.Messages
@@ -314,11 +314,11 @@
 	r.sample(last, true)
 	told := time.Now()
 	for end := time.Now().Add(d); time.Now().Before(end) && ctx.Err() == nil; {
-		sleep(ctx, min(sampleEvery, time.Until(end)))
+		sleep(ctx, min(sampleInterval, time.Until(end)))
 		r.sample(last, false)
-		if time.Since(told) > progressTime {
+		if time.Since(told) > progressInterval {
 			told = time.Now()
-			r.say("%.0f s left, %d tasks run, %.0f MB", time.Until(end).Seconds(), r.on(), r.peak.all)
+			r.logf("%.0f s left, %d tasks run, %.0f MB", time.Until(end).Seconds(), r.activeTasks(), r.peak.total)
 		}
 	}
 }
@@ -347,7 +347,7 @@
 			pid, crashed := c.process()
 			switch {
 			case crashed:
-				r.ended(c)
+				r.countCrash(c)
 			case c == leader:
 				look(pid, &p.leaderCPU, &p.leader, &p.leaderSockets)
 			default:
@@ -356,63 +356,63 @@
 		}
 	}
 	own := 0
-	look(os.Getpid(), &p.ownCPU, &p.own, &own)
-	p.all = max(p.all, total)
+	look(os.Getpid(), &p.standInCPU, &p.standIns, &own)
+	p.total = max(p.total, total)
 }
 
-// ended counts a controller that has ended by itself, once.
-func (r *run) ended(c *controller) {
-	if c.tellCrash() {
+// countCrash counts a controller that has ended by itself, once.
+func (r *run) countCrash(c *controller) {
+	if c.reportCrash() {
 		r.result.EndedProcesses++
-		r.say("controller %s has ended: %s", c.name, lastLine(c.logPath))
+		r.logf("controller %s has ended: %s", c.name, lastLine(c.logPath))
 	}
 }
 
 // measure works out the result.
-func (r *run) measure(before *marks) {
+func (r *run) measure(before *baseline) {
 	out, p := r.result, &r.peak
-	took := time.Since(before.at).Seconds()
+	took := time.Since(before.takenAt).Seconds()
 	out.Seconds = took
 	r.workers.mu.Lock()
-	out.Answers = r.workers.counts.less(before.reports)
-	out.LeasesLost = r.workers.fleet.Lapsed - before.lapsed
-	out.ReportP50, out.ReportP99 = quantile(r.workers.trips, 50, 1000), quantile(r.workers.trips, 99, 1000)
-	out.Broken = append(out.Broken, r.workers.fleet.Broken...)
-	out.Machines, out.Running = len(r.workers.byName), r.workers.fleet.On()
+	out.Answers = r.workers.counts.since(before.workers)
+	out.LeaseExpiries = r.workers.fleet.LeaseExpiries - before.leaseExpiries
+	out.HeartbeatP50, out.HeartbeatP99 = quantile(r.workers.roundTrips, 50, 1000), quantile(r.workers.roundTrips, 99, 1000)
+	out.Violations = append(out.Violations, r.workers.fleet.Violations...)
+	out.Machines, out.Running = len(r.workers.byName), r.workers.fleet.ActiveTasks()
 	r.workers.mu.Unlock()
 	r.users.mu.Lock()
-	out.Users = r.users.counts.less(before.users)
-	out.UrgentP50, out.UrgentP99 = int64(quantile(r.users.urgent, 50, 1)), int64(quantile(r.users.urgent, 99, 1))
-	out.OthersP50, out.OthersP99 = int64(quantile(r.users.others, 50, 1)), int64(quantile(r.users.others, 99, 1))
-	out.AcceptP99 = int64(quantile(r.users.accepts, 99, 1))
+	out.Users = r.users.counts.since(before.users)
+	out.UrgentP50, out.UrgentP99 = int64(quantile(r.users.urgentWaits, 50, 1)), int64(quantile(r.users.urgentWaits, 99, 1))
+	out.OthersP50, out.OthersP99 = int64(quantile(r.users.otherWaits, 50, 1)), int64(quantile(r.users.otherWaits, 99, 1))
+	out.AcceptP99 = int64(quantile(r.users.acceptTimes, 99, 1))
 	r.users.mu.Unlock()
-	out.Starts, out.StartsAskedFor, out.JobsPerS = float64(
+	out.Starts, out.RequestedStarts, out.JobsPerS = float64(
 		out.Users.Starts,
 	)/took, float64(
-		out.Users.AskedFor,
+		out.Users.RequestedStarts,
 	)/took, float64(
 		out.Users.Submitted,
 	)/took
-	out.Reports = float64(out.Answers.Reports) / took
-	if all := out.Answers.Reports + out.Answers.Failed + out.Answers.Refused + out.Answers.Redirects; all > 0 {
-		out.ReportLate = float64(out.Answers.Late) / float64(all)
+	out.Heartbeats = float64(out.Answers.Heartbeats) / took
+	if all := out.Answers.Heartbeats + out.Answers.Failed + out.Answers.Refused + out.Answers.Redirects; all > 0 {
+		out.LateHeartbeatShare = float64(out.Answers.Late) / float64(all)
 	}
 	regions := float64(len(r.regions))
-	out.LeaderCores, out.StandInCores = p.leaderCPU.Seconds()/took/regions, p.ownCPU.Seconds()/took
+	out.LeaderCores, out.StandInCores = p.leaderCPU.Seconds()/took/regions, p.standInCPU.Seconds()/took
 	if members := regions * float64(r.plan.Controllers-1); members > 0 {
 		out.MemberCores = p.memberCPU.Seconds() / took / members
 	}
-	out.LeaderMB, out.MemberMB, out.StandInMB, out.PeakMB = p.leader, p.member, p.own, p.all
+	out.LeaderMB, out.MemberMB, out.StandInMB, out.PeakMB = p.leader, p.member, p.standIns, p.total
 	out.LeaderSockets, out.MemberSockets = p.leaderSockets, p.memberSockets
-	out.Traffic = less(r.traffic(), before.traffic)
+	out.Traffic = trafficSince(r.traffic(), before.traffic)
 	bytes := 0
 	for _, kind := range []string{"report", "commands", "inspect"} {
 		bytes += out.Traffic[kind].BytesIn + out.Traffic[kind].BytesOut
 	}
 	out.WorkerBytes = float64(bytes) / took / float64(max(out.Machines, 1))
 	for _, region := range r.regions {
-		out.StateRPS = max(out.StateRPS, float64(calls(region.state.traffic.snapshot())-before.calls[region])/took)
-		out.StateWrites = max(out.StateWrites, float64(region.state.counted()-before.writes[region])/took)
+		out.StateRPS = max(out.StateRPS, float64(messageCount(region.state.traffic.snapshot())-before.calls[region])/took)
+		out.StateWrites = max(out.StateWrites, float64(region.state.changeCount()-before.writes[region])/took)
 		for _, c := range region.controllers {
 			if h, err := c.longestHold(before.logs[c]); err == nil && h.took.Seconds()*1000 > out.LongestHoldMs {
 				out.LongestHoldMs, out.LongestHoldBy = h.took.Seconds()*1000, h.by
@@ -430,7 +430,7 @@
 		for _, c := range region.controllers {
 			if b, err := os.ReadFile(c.logPath); err == nil {
 				if err := os.WriteFile(filepath.Join(r.plan.Logs, c.name+".log"), b, 0o644); err != nil {
-					r.say("log of %s: %v", c.name, err)
+					r.logf("log of %s: %v", c.name, err)
 				}
 			}
 		}
--- a/internal/clustersim/scale/scale_test.go
+++ b/internal/clustersim/scale/scale_test.go
@@ -12,7 +12,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-func TestPlansOutOfRangeAreRefusedBeforeAnythingIsStarted(t *testing.T) {
+func TestPlanOutOfRangeIsRejectedBeforeStart(t *testing.T) {
 	for want, change := range map[string]func(p *Plan){
 		"workers":            func(p *Plan) { p.Workers = 3 },
 		"regions":            func(p *Plan) { p.Regions = 0 },
@@ -20,7 +20,7 @@
 		"seconds":            func(p *Plan) { p.Seconds = -1 },
 		"starts-per-second":  func(p *Plan) { p.Starts = -1 },
 		"no kind \"meteor\"": func(p *Plan) { p.Faults = []Fault{{"meteor", 1}} },
-		"no \"everything\"":  func(p *Plan) { p.Break = "everything" },
+		"no \"everything\"":  func(p *Plan) { p.Mutation = "everything" },
 		"fewer than ten":     func(p *Plan) { p.Workers, p.Regions = 20, 10 },
 	} {
 		p := DefaultPlan()
@@ -31,8 +31,8 @@
 	}
 }
 
-func TestWhatTheMachineDoesNotHaveIsRefused(t *testing.T) {
-	for want, n := range map[string]Needs{
+func TestRequirementsBeyondMachineAreRejected(t *testing.T) {
+	for want, n := range map[string]Requirements{
 		"memory: 999999999 MB are needed":   {MemoryMB: 999_999_999},
 		"open files: 1999999999 are needed": {Files: 1_999_999_999},
 		"processes: 5000 are needed":        {Processes: 5000},
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestPlansAreReadFromFiles(t *testing.T) {
+func TestReadPlanParsesFileAndRejectsUnknownNames(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.toml")
 	text := "workers = 500\nstarts_per_second = 20.5\n[[fault]]\nkind = \"zone\"\nat_s = 4.0\n"
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
@@ -53,7 +53,7 @@
 	}
 	p, err := ReadPlan(path, DefaultPlan())
 	if err != nil || p.Workers != 500 || p.Starts != 20.5 || p.Teams != 140 || len(p.Faults) != 1 ||
-		p.Faults[0].Kind != ZoneHangs {
+		p.Faults[0].Kind != ZoneOutage {
 		t.Errorf("read as %+v, %v", p, err)
 	}
 	if err := os.WriteFile(path, []byte("wrokers = 500"), 0o644); err != nil {
@@ -68,7 +68,7 @@
 }
 
 // The two ends of the worker protocol understand each other.
-func TestMessagesAreReadAsTheyWereWritten(t *testing.T) {
+func TestCodecRoundTripsWithWire(t *testing.T) {
 	report := &model.Heartbeat{
 		Machine:      "n-1",
 		Addr:         "127.64.0.1:9000",
@@ -82,7 +82,7 @@
 			{Task: model.TaskID{Job: "wk-000002"}, Attempt: 1, Phase: model.PhaseWaiting},
 		},
 	}
-	got, err := wire.DecodeHeartbeat(appendReport(nil, report))
+	got, err := wire.DecodeHeartbeat(appendHeartbeat(nil, report))
 	if err != nil || got.Addr != report.Addr || got.Epoch != 2 || got.Seq != 7 || got.FencingToken != 41 ||
 		len(got.Tasks) != 2 ||
 		got.Tasks[0] != report.Tasks[0] ||
@@ -94,14 +94,14 @@
 		{Op: model.OpStop, Task: model.TaskID{Job: "wk-000001"}, Attempt: 6, GracePeriod: 10 * time.Second},
 	}
 	m, err := decodeMessage(wire.AppendCommands(nil, 41, 2, orders))
-	if err != nil || m.token != 41 || m.session != 2 || len(m.orders) != 2 || m.orders[0] != orders[0] ||
-		m.orders[1] != orders[1] {
+	if err != nil || m.token != 41 || m.epoch != 2 || len(m.commands) != 2 || m.commands[0] != orders[0] ||
+		m.commands[1] != orders[1] {
 		t.Errorf("read as %+v, %v", m, err)
 	}
 	if decodeLeader(wire.AppendLeader(nil, "tiller-2")) != "tiller-2" || decodeLeader(wire.AppendLeader(nil, "")) != "" {
 		t.Error("whom a 421 names is not read")
 	}
-	if decodeState(wire.AppendJobState(nil, "wk-000001", wire.StateCancelled)) != wire.StateCancelled {
+	if decodeJobState(wire.AppendJobState(nil, "wk-000001", wire.StateCancelled)) != wire.StateCancelled {
 		t.Error("a job's state is not read")
 	}
 	types := machineTypes([]string{"a", "b"})
@@ -111,14 +111,14 @@
 		t.Errorf("the catalogue is read as %+v, %v", read, err)
 	}
 	rental := model.Provisioning{Name: "r-1", Type: gpuType, Zone: "a", Spot: true, Count: 3}
-	if read, err := decodeRental(wire.AppendProvisioning(nil, rental)); err != nil || read != rental {
+	if read, err := decodeProvisioning(wire.AppendProvisioning(nil, rental)); err != nil || read != rental {
 		t.Errorf("a rental is read as %+v, %v", read, err)
 	}
 }
 
 // Guards against machines of two regions by one name: the workers of all but one were gone, and their leaders heard
 // nobody.
-func TestMachinesHaveNamesOfTheirOwnOverAllRegions(t *testing.T) {
+func TestMachineNamesAreUniqueAcrossRegions(t *testing.T) {
 	p := DefaultPlan()
 	w, err := newWorkers(&p)
 	if err != nil {
@@ -132,7 +132,7 @@
 			t.Fatal(err)
 		}
 		defer r.close()
-		for _, l := range machinesOf(r, w, 20) {
+		for _, l := range initialMachines(r, w, 20) {
 			if names[l.Name] {
 				t.Errorf("%s is in two regions", l.Name)
 			}
@@ -142,7 +142,7 @@
 }
 
 // Each region has its part of every limit, so that all together stay within it.
-func TestRegionsShareLimits(t *testing.T) {
+func TestRegionsShareQuota(t *testing.T) {
 	p := DefaultPlan()
 	p.Workers, p.Regions = 10_000, 5
 	one, _ := p.teams()[0].Quota.CPU.Max()
--- a/internal/clustersim/scale/standins.go
+++ b/internal/clustersim/scale/standins.go
@@ -71,17 +71,17 @@
 		NoDefaultServerHeader: true,
 		NoDefaultDate:         true,
 		CloseOnShutdown:       true,
-		Logger:                quiet{},
+		Logger:                discardLogger{},
 		ReadTimeout:           2 * time.Minute,
 	}
 	go func() { _ = s.Serve(l) }() // it ends as the listener is closed
 	return s, l, nil
 }
 
-// quiet drops the HTTP library's own log: broken connections are everyday where processes are ended.
-type quiet struct{}
+// discardLogger drops the HTTP library's own log: broken connections are everyday where processes are ended.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // stateServer is the stand-in of the state service behind a socket.
 type stateServer struct {
@@ -103,8 +103,8 @@
 		changed: make(chan struct{}),
 		done:    make(chan struct{}),
 	}
-	s.state.MostOps, s.state.MostValue = txnOps, valueKB<<10
-	s.state.Carried = func(ops []any) { s.changes += len(ops) }
+	s.state.MaxOps, s.state.MaxValueBytes = txnOps, valueKB<<10
+	s.state.OnCommit = func(ops []any) { s.changes += len(ops) }
 	var l net.Listener
 	var err error
 	if s.http, l, err = serveLoopback(address, s.handle); err != nil {
@@ -120,12 +120,12 @@
 	return s.http.Shutdown()
 }
 
-// expireEvery is how late a lease may end.
-const expireEvery = 50 * time.Millisecond
+// expireInterval is how late a lease may end.
+const expireInterval = 50 * time.Millisecond
 
 // expire ends leases as their time comes, so that watches learn of it.
 func (s *stateServer) expire() {
-	every := time.NewTicker(expireEvery)
+	every := time.NewTicker(expireInterval)
 	defer every.Stop()
 	for {
 		select {
@@ -149,11 +149,11 @@
 	}
 }
 
-// plant puts a machine on record.
-func (s *stateServer) plant(l model.MachineInfo) {
+// preload puts a machine on record.
+func (s *stateServer) preload(l model.MachineInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state.Plant("machine/"+l.Name, wire.AppendMachine(nil, l))
+	s.state.Preload("machine/"+l.Name, wire.AppendMachine(nil, l))
 }
 
 // leader is the name of the controller that leads; "": none does.
@@ -165,17 +165,17 @@
 	return name
 }
 
-// counted tells how many changes were carried out.
-func (s *stateServer) counted() int {
+// changeCount tells how many changes were carried out.
+func (s *stateServer) changeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changes
 }
 
 func (s *stateServer) handle(c *fasthttp.RequestCtx) {
-	kind := "state " + strings.ToLower(string(c.Method())) + " " + firstPart(string(c.Path()))
+	kind := "state " + strings.ToLower(string(c.Method())) + " " + firstPathElement(string(c.Path()))
 	if string(c.Path()) == "/changes" {
-		s.await(c)
+		s.awaitChange(c)
 	}
 	s.mu.Lock()
 	before := s.state.Revision()
@@ -195,8 +195,8 @@
 	s.traffic.count(kind, len(c.PostBody()), len(body))
 }
 
-// await waits as long as a watch asks for until something has changed.
-func (s *stateServer) await(c *fasthttp.RequestCtx) {
+// awaitChange waits as long as a watch asks for until something has changed.
+func (s *stateServer) awaitChange(c *fasthttp.RequestCtx) {
 	args := c.QueryArgs()
 	after, _ := strconv.ParseUint(string(args.Peek("after")), 10, 64)
 	wait, _ := strconv.Atoi(string(args.Peek("waitMs")))
@@ -219,8 +219,8 @@
 	}
 }
 
-// firstPart is a path up to its second slash.
-func firstPart(path string) string {
+// firstPathElement is a path up to its second slash.
+func firstPathElement(path string) string {
 	if i := strings.IndexByte(path[1:], '/'); i >= 0 {
 		return path[:i+1]
 	}
@@ -239,9 +239,9 @@
 
 func newCloudServer(address string, r *region, f *workers) (*cloudServer, error) {
 	s := &cloudServer{traffic: newTraffic(), region: r, workers: f}
-	s.cloud = fake.NewCloud(func() int { return f.in(r) })
-	s.cloud.Boot = bootTime
-	s.cloud.Prefix = fmt.Sprintf("n-%d-", r.number) // names are told apart over all regions
+	s.cloud = fake.NewCloud(func() int { return f.count(r) })
+	s.cloud.BootTime = bootTime
+	s.cloud.NamePrefix = fmt.Sprintf("n-%d-", r.number) // names are told apart over all regions
 	var l net.Listener
 	var err error
 	if s.http, l, err = serveLoopback(address, s.handle); err != nil {
@@ -262,23 +262,23 @@
 	case path == "/rentals" && c.IsGet():
 		s.list(c)
 	case path == "/rentals":
-		s.rent(c)
+		s.provision(c)
 	case path == "/rentals/return":
-		s.giveBack(c)
+		s.release(c)
 	default:
 		c.SetStatusCode(fasthttp.StatusNotFound)
 	}
 	s.traffic.count("cloud "+strings.ToLower(string(c.Method()))+" "+path, len(c.PostBody()), len(c.Response.Body()))
 }
 
-func (s *cloudServer) rent(c *fasthttp.RequestCtx) {
-	r, err := decodeRental(c.PostBody())
+func (s *cloudServer) provision(c *fasthttp.RequestCtx) {
+	r, err := decodeProvisioning(c.PostBody())
 	if err != nil {
 		c.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
 	s.workers.mu.Lock()
-	names, ok := s.cloud.Rent(time.Now(), r)
+	names, ok := s.cloud.Provision(time.Now(), r)
 	s.workers.mu.Unlock()
 	if !ok {
 		c.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -288,22 +288,22 @@
 	c.SetBody(wire.AppendMachineNames(nil, names))
 }
 
-func (s *cloudServer) giveBack(c *fasthttp.RequestCtx) {
+func (s *cloudServer) release(c *fasthttp.RequestCtx) {
 	names, err := wire.DecodeMachineNames(c.PostBody())
 	if err != nil {
 		c.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
-	s.workers.giveBack(s.region, s.cloud, names)
+	s.workers.release(s.region, s.cloud, names)
 	c.SetBody([]byte{0x80})
 }
 
-const mostListed = 500 // machines in a page
+const maxListPage = 500 // machines in a page
 
 func (s *cloudServer) list(c *fasthttp.RequestCtx) {
 	page, err := strconv.Atoi(string(c.QueryArgs().Peek("page")))
-	if err != nil || page < 1 || page > mostListed {
-		page = mostListed
+	if err != nil || page < 1 || page > maxListPage {
+		page = maxListPage
 	}
 	all := s.workers.list(s.region, s.cloud)
 	from, _ := slices.BinarySearchFunc(
--- a/internal/clustersim/scale/workers.go
+++ b/internal/clustersim/scale/workers.go
@@ -25,44 +25,44 @@
 	listener net.Listener
 	http     *fasthttp.Server
 	port     int
-	broken   Break
+	mutation Mutation
 	traffic  *traffic
 
-	mu       sync.Mutex
-	fleet    *fake.Fleet
-	random   *rand.Rand
-	byName   map[string]*hollow
-	byIP     map[string]*hollow
-	byRegion map[*region]map[string]*hollow
-	hosts    int // addresses given out
-	counts   workerCounts
-	trips    *hdrhistogram.Histogram // of reports, in microseconds
+	mu         sync.Mutex
+	fleet      *fake.Fleet
+	random     *rand.Rand
+	byName     map[string]*hollowWorker
+	byIP       map[string]*hollowWorker
+	byRegion   map[*region]map[string]*hollowWorker
+	hosts      int // addresses given out
+	counts     workerCounts
+	roundTrips *hdrhistogram.Histogram // of reports, in microseconds
 }
 
 // workerCounts are what reports have led to.
 type workerCounts struct {
-	Reports   int `json:"reports"`   // that were answered with 200
-	Redirects int `json:"redirects"` // answered with 421
-	Refused   int `json:"refused"`   // answered otherwise
-	Failed    int `json:"failed"`    // not answered, or not connected
-	Late      int `json:"late"`      // not answered within what a worker waits
-	Commands  int `json:"commands"`  // direct ones
-	Refusals  int `json:"refusals"`  // direct ones that were refused
-	Dials     int `json:"dials"`
+	Heartbeats      int `json:"reports"`   // that were answered with 200
+	Redirects       int `json:"redirects"` // answered with 421
+	Refused         int `json:"refused"`   // answered otherwise
+	Failed          int `json:"failed"`    // not answered, or not connected
+	Late            int `json:"late"`      // not answered within what a worker waits
+	Commands        int `json:"commands"`  // direct ones
+	CommandsRefused int `json:"refusals"`  // direct ones that were refused
+	Dials           int `json:"dials"`
 }
 
-// hollow is one worker with its socket.
-type hollow struct {
-	worker *fake.Worker
-	region *region
-	ip     string
-	conn   net.Conn // the exchange that is under way owns it
-	busy   bool     // an exchange is under way
-	gone   bool
-	target int // of the region's controllers
+// hollowWorker is one worker with its socket.
+type hollowWorker struct {
+	worker          *fake.Worker
+	region          *region
+	ip              string
+	conn            net.Conn // the exchange that is under way owns it
+	busy            bool     // an exchange is under way
+	removed         bool
+	controllerIndex int // of the region's controllers
 }
 
-func (h *hollow) listed() model.MachineInfo {
+func (h *hollowWorker) listed() model.MachineInfo {
 	return model.MachineInfo{
 		Name: h.worker.Name,
 		Addr: h.worker.Addr,
@@ -73,20 +73,20 @@
 }
 
 const (
-	pollEvery  = 50 * time.Millisecond // between looks at what is due on a worker
-	pollAtOnce = 512                   // workers for which the lock is held at once
-	answerWait = 4 * time.Second       // a worker's for the answer to a report
-	hostsFrom  = 64                    // workers have the addresses from 127.64.0.1 on
-	mostTrip   = int64(10 * time.Second / time.Microsecond)
+	pollWorkersInterval = 50 * time.Millisecond // between looks at what is due on a worker
+	pollBatchSize       = 512                   // workers for which the lock is held at once
+	heartbeatTimeout    = 4 * time.Second       // a worker's for the answer to a report
+	firstHostOctet      = 64                    // workers have the addresses from 127.64.0.1 on
+	maxRoundTrip        = int64(10 * time.Second / time.Microsecond)
 )
 
 // newWorkers opens the workers' listener: one for all of them, told apart by the address that is connected to.
 func newWorkers(p *Plan) (*workers, error) {
-	w := &workers{broken: p.Break, traffic: newTraffic(), fleet: newFleet(p), random: rand.New(rand.NewPCG(p.Seed, 1)),
-		byName: map[string]*hollow{}, byIP: map[string]*hollow{}, byRegion: map[*region]map[string]*hollow{}, trips: newTrips()}
-	w.fleet.Jitter = func() float64 { return 0.75 + 0.5*w.random.Float64() }
-	w.fleet.Runs = func(id model.TaskID) time.Duration {
-		return time.Duration((0.5 + w.random.Float64()) * float64(shortTask))
+	w := &workers{mutation: p.Mutation, traffic: newTraffic(), fleet: newFleet(p), random: rand.New(rand.NewPCG(p.Seed, 1)),
+		byName: map[string]*hollowWorker{}, byIP: map[string]*hollowWorker{}, byRegion: map[*region]map[string]*hollowWorker{}, roundTrips: newRoundTripHistogram()}
+	w.fleet.HeartbeatJitter = func() float64 { return 0.75 + 0.5*w.random.Float64() }
+	w.fleet.RunTimeOf = func(id model.TaskID) time.Duration {
+		return time.Duration((0.5 + w.random.Float64()) * float64(meanTaskTime))
 	}
 	var err error
 	if w.http, w.listener, err = serveLoopback("0.0.0.0:0", w.handle); err != nil {
@@ -96,21 +96,21 @@
 	return w, nil
 }
 
-func newTrips() *hdrhistogram.Histogram { return hdrhistogram.New(1, mostTrip, 3) }
+func newRoundTripHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRoundTrip, 3) }
 
 func (w *workers) close() error { return w.http.Shutdown() }
 
 // add brings a machine up. The lock is held.
-func (w *workers) add(r *region, l model.MachineInfo) *hollow {
+func (w *workers) add(r *region, l model.MachineInfo) *hollowWorker {
 	if l.Addr == "" {
 		l.Addr = w.nextAddress()
 	}
 	host, _, _ := net.SplitHostPort(l.Addr)
-	h := &hollow{worker: w.fleet.Add(l), region: r, ip: host, target: w.random.IntN(len(r.controllers))}
-	h.worker.Retry(time.Duration(w.random.Float64() * float64(reportEvery)))
+	h := &hollowWorker{worker: w.fleet.Add(l), region: r, ip: host, controllerIndex: w.random.IntN(len(r.controllers))}
+	h.worker.Retry(time.Duration(w.random.Float64() * float64(heartbeatInterval)))
 	w.byName[l.Name], w.byIP[host] = h, h
 	if w.byRegion[r] == nil {
-		w.byRegion[r] = map[string]*hollow{}
+		w.byRegion[r] = map[string]*hollowWorker{}
 	}
 	w.byRegion[r][l.Name] = h
 	return h
@@ -119,12 +119,12 @@
 // nextAddress gives the next worker's address.
 func (w *workers) nextAddress() string {
 	w.hosts++
-	return fmt.Sprintf("127.%d.%d.%d:%d", hostsFrom+w.hosts>>16, w.hosts>>8&255, w.hosts&255, w.port)
+	return fmt.Sprintf("127.%d.%d.%d:%d", firstHostOctet+w.hosts>>16, w.hosts>>8&255, w.hosts&255, w.port)
 }
 
 // remove ends a machine. The lock is held.
-func (w *workers) remove(h *hollow) {
-	h.gone = true
+func (w *workers) remove(h *hollowWorker) {
+	h.removed = true
 	w.fleet.Remove(h.worker.Name)
 	delete(w.byName, h.worker.Name)
 	delete(w.byIP, h.ip)
@@ -134,11 +134,11 @@
 	}
 }
 
-// in counts a region's machines that are up. The lock is held.
-func (w *workers) in(r *region) int { return len(w.byRegion[r]) }
+// count counts a region's machines that are up. The lock is held.
+func (w *workers) count(r *region) int { return len(w.byRegion[r]) }
 
-// giveBack ends machines that their region gives back.
-func (w *workers) giveBack(r *region, c *fake.Cloud, names []string) {
+// release ends machines that their region gives back.
+func (w *workers) release(r *region, c *fake.Cloud, names []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range names {
@@ -151,10 +151,10 @@
 
 // run lets time pass on the workers until the context ends.
 func (w *workers) run(ctx context.Context, regions []*region) {
-	every := time.NewTicker(pollEvery)
+	every := time.NewTicker(pollWorkersInterval)
 	defer every.Stop()
 	for ctx.Err() == nil {
-		w.poll(ctx, regions)
+		w.sendDueHeartbeats(ctx, regions)
 		select {
 		case <-every.C:
 		case <-ctx.Done():
@@ -162,12 +162,12 @@
 	}
 }
 
-// poll sends the reports that are due.
-func (w *workers) poll(ctx context.Context, regions []*region) {
+// sendDueHeartbeats sends the reports that are due.
+func (w *workers) sendDueHeartbeats(ctx context.Context, regions []*region) {
 	w.mu.Lock()
-	all := make([]*hollow, 0, len(w.byName))
+	all := make([]*hollowWorker, 0, len(w.byName))
 	for _, r := range regions {
-		for _, l := range r.cloud.cloud.Up(time.Now()) {
+		for _, l := range r.cloud.cloud.TakeBooted(time.Now()) {
 			l.Addr = ""
 			w.add(r, l)
 		}
@@ -177,12 +177,12 @@
 	}
 	w.mu.Unlock()
 	for len(all) > 0 {
-		n := min(pollAtOnce, len(all))
+		n := min(pollBatchSize, len(all))
 		w.mu.Lock()
 		w.fleet.SetNow(time.Now())
 		for _, h := range all[:n] {
-			if !h.gone && h.worker.Advance() && !h.busy {
-				w.start(ctx, h)
+			if !h.removed && h.worker.Advance() && !h.busy {
+				w.startHeartbeat(ctx, h)
 			}
 		}
 		w.mu.Unlock()
@@ -193,21 +193,21 @@
 	w.mu.Unlock()
 }
 
-// start has a worker send its report. The lock is held.
-func (w *workers) start(ctx context.Context, h *hollow) {
-	r := h.worker.Report()
+// startHeartbeat has a worker send its report. The lock is held.
+func (w *workers) startHeartbeat(ctx context.Context, h *hollowWorker) {
+	r := h.worker.NextHeartbeat()
 	h.busy = true
-	body := appendReport(nil, r)
-	to := h.region.controllers[h.target].front
+	body := appendHeartbeat(nil, r)
+	to := h.region.controllers[h.controllerIndex].httpAddr
 	go func() {
 		sent := time.Now()
 		a := w.exchange(ctx, h, to, body)
-		w.answered(h, r, sent, a)
+		w.handleAnswer(h, r, sent, a)
 	}()
 }
 
-// answer is what a report has led to.
-type answer struct {
+// heartbeatResult is what a report has led to.
+type heartbeatResult struct {
 	status int // 0: none
 	body   []byte
 	err    error
@@ -215,12 +215,12 @@
 	dialed bool
 }
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 2048) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 2048) }}
 
 // exchange sends a report and reads its answer.
-func (w *workers) exchange(ctx context.Context, h *hollow, to string, body []byte) answer {
-	var a answer
-	deadline := time.Now().Add(answerWait)
+func (w *workers) exchange(ctx context.Context, h *hollowWorker, to string, body []byte) heartbeatResult {
+	var a heartbeatResult
+	deadline := time.Now().Add(heartbeatTimeout)
 	if h.conn == nil {
 		a.dialed = true
 		d := net.Dialer{Deadline: deadline, LocalAddr: &net.TCPAddr{IP: net.ParseIP(h.ip)}}
@@ -242,9 +242,9 @@
 	if _, a.err = h.conn.Write(request); a.err != nil {
 		return a
 	}
-	counted := &countedReader{from: h.conn}
-	reader := readers.Get().(*bufio.Reader)
-	defer readers.Put(reader)
+	counted := &countedReader{source: h.conn}
+	reader := readerPool.Get().(*bufio.Reader)
+	defer readerPool.Put(reader)
 	reader.Reset(counted)
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(response)
@@ -272,20 +272,20 @@
 
 // countedReader counts what is read.
 type countedReader struct {
-	from  io.Reader
-	bytes int
+	source io.Reader
+	bytes  int
 }
 
 func (r *countedReader) Read(b []byte) (int, error) {
-	n, err := r.from.Read(b)
+	n, err := r.source.Read(b)
 	r.bytes += n
 	return n, err
 }
 
-// answered has a worker take what its report has led to, as the protocol says.
-func (w *workers) answered(h *hollow, r *model.Heartbeat, sent time.Time, a answer) {
+// handleAnswer has a worker take what its report has led to, as the protocol says.
+func (w *workers) handleAnswer(h *hollowWorker, r *model.Heartbeat, sent time.Time, a heartbeatResult) {
 	took := time.Since(sent)
-	var m *message
+	var m *commandMessage
 	if a.status == fasthttp.StatusOK {
 		if m, a.err = decodeMessage(a.body); a.err != nil {
 			a.status = 0
@@ -294,33 +294,33 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	h.busy = false
-	if h.gone {
+	if h.removed {
 		if h.conn != nil {
 			_ = h.conn.Close()
 		}
 		return
 	}
-	w.tally(a, took)
+	w.recordOutcome(a, took)
 	w.fleet.SetNow(time.Now())
 	switch a.status {
 	case fasthttp.StatusOK:
-		h.worker.Take(r.Epoch, sent, m.token, w.carried(h, m.orders))
+		h.worker.HandleAnswer(r.Epoch, sent, m.token, w.executedCommands(h, m.commands))
 	case fasthttp.StatusMisdirectedRequest:
 		w.redirect(h, decodeLeader(a.body))
 	default:
-		w.next(h)
+		w.tryNextController(h)
 	}
 }
 
-// tally counts what a report has led to. The lock is held.
-func (w *workers) tally(a answer, took time.Duration) {
+// recordOutcome counts what a report has led to. The lock is held.
+func (w *workers) recordOutcome(a heartbeatResult, took time.Duration) {
 	if a.dialed {
 		w.counts.Dials++
 	}
 	switch a.status {
 	case fasthttp.StatusOK:
-		w.counts.Reports++
-		_ = w.trips.RecordValue(min(took.Microseconds(), mostTrip)) // it is within the bounds
+		w.counts.Heartbeats++
+		_ = w.roundTrips.RecordValue(min(took.Microseconds(), maxRoundTrip)) // it is within the bounds
 	case fasthttp.StatusMisdirectedRequest:
 		w.counts.Redirects++
 	case 0:
@@ -335,63 +335,63 @@
 }
 
 // redirect sends a worker to the controller that a 421 names. The lock is held.
-func (w *workers) redirect(h *hollow, leader string) {
+func (w *workers) redirect(h *hollowWorker, leader string) {
 	for i, c := range h.region.controllers {
-		if c.name == leader && i != h.target {
-			w.hangUp(h)
-			h.target = i
-			h.worker.Retry(time.Duration(w.random.Float64() * float64(redirectWait)))
+		if c.name == leader && i != h.controllerIndex {
+			w.closeConn(h)
+			h.controllerIndex = i
+			h.worker.Retry(time.Duration(w.random.Float64() * float64(maxRedirectDelay)))
 			return
 		}
 	}
-	w.next(h)
+	w.tryNextController(h)
 }
 
 const (
-	redirectWait = 500 * time.Millisecond // at the most, until a worker reports where it was sent
-	nextWait     = time.Second            // until it tries the next controller
+	maxRedirectDelay    = 500 * time.Millisecond // at the most, until a worker reports where it was sent
+	nextControllerDelay = time.Second            // until it tries the next controller
 )
 
-// next has a worker try the next controller. The lock is held.
-func (w *workers) next(h *hollow) {
-	w.hangUp(h)
-	h.target = (h.target + 1) % len(h.region.controllers)
-	h.worker.Retry(nextWait)
+// tryNextController has a worker try the next controller. The lock is held.
+func (w *workers) tryNextController(h *hollowWorker) {
+	w.closeConn(h)
+	h.controllerIndex = (h.controllerIndex + 1) % len(h.region.controllers)
+	h.worker.Retry(nextControllerDelay)
 }
 
-func (w *workers) hangUp(h *hollow) {
+func (w *workers) closeConn(h *hollowWorker) {
 	if h.conn != nil {
 		_ = h.conn.Close()
 		h.conn = nil
 	}
 }
 
-// hangUpAll closes all connections that no exchange owns, once nothing more is sent.
-func (w *workers) hangUpAll() {
+// closeIdleConns closes all connections that no exchange owns, once nothing more is sent.
+func (w *workers) closeIdleConns() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, h := range w.byName {
 		if !h.busy {
-			w.hangUp(h)
+			w.closeConn(h)
 		}
 	}
 }
 
-// carried are the orders that a worker carries out: all of them, unless it is at fault on purpose. The lock is held.
-func (w *workers) carried(h *hollow, orders []model.Command) []model.Command {
-	if w.broken != BreakTwice {
+// executedCommands are the orders that a worker carries out: all of them, unless it is at fault on purpose. The lock is held.
+func (w *workers) executedCommands(h *hollowWorker, orders []model.Command) []model.Command {
+	if w.mutation != LaunchTwice {
 		return orders
 	}
 	for _, other := range w.byRegion[h.region] {
 		if other != h {
-			other.worker.Execute(launches(orders))
+			other.worker.Execute(launchesOf(orders))
 			break
 		}
 	}
 	return orders
 }
 
-func launches(orders []model.Command) (out []model.Command) {
+func launchesOf(orders []model.Command) (out []model.Command) {
 	for _, o := range orders {
 		if o.Op == model.OpLaunch {
 			out = append(out, o)
@@ -408,10 +408,10 @@
 	}
 	host, _, _ := net.SplitHostPort(c.LocalAddr().String())
 	c.SetContentType("application/msgpack")
-	var m *message
+	var m *commandMessage
 	if string(c.Path()) == "/commands" {
 		var err error
-		if m, err = decodeMessage(c.PostBody()); err != nil || m.session == 0 {
+		if m, err = decodeMessage(c.PostBody()); err != nil || m.epoch == 0 {
 			c.SetStatusCode(fasthttp.StatusBadRequest)
 			return
 		}
@@ -427,12 +427,12 @@
 	w.fleet.SetNow(time.Now())
 	if m != nil {
 		w.counts.Commands++
-		if !h.worker.Command(m.token, m.session, w.carried(h, m.orders)) {
-			w.counts.Refusals++
+		if !h.worker.HandleCommands(m.token, m.epoch, w.executedCommands(h, m.commands)) {
+			w.counts.CommandsRefused++
 			c.SetStatusCode(fasthttp.StatusConflict)
 		}
 	}
-	body := appendReport(nil, h.worker.Inspect())
+	body := appendHeartbeat(nil, h.worker.Inspect())
 	w.mu.Unlock()
 	c.SetBody(body)
 	w.traffic.count(string(c.Path())[1:], len(c.PostBody()), len(body))
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -10,71 +10,71 @@
 // Cloud is a stand-in for the cloud's side of rentals: which machines were rented under which request, and which
 // of them still boot. Machines that are up belong to whoever plays the workers.
 type Cloud struct {
-	Boot     time.Duration        // how long a machine takes to come up
-	Boots    func() time.Duration // the same, drawn anew for each machine; nil: Boot
-	Capacity int                  // machines that the cloud has at once; 0: any number
-	Prefix   string               // of machines' names
+	BootTime     time.Duration        // how long a machine takes to come up
+	DrawBootTime func() time.Duration // the same, drawn anew for each machine; nil: Boot
+	Capacity     int                  // machines that the cloud has at once; 0: any number
+	NamePrefix   string               // of machines' names
 
-	up       func() int // machines that are up
-	rented   map[string][]string
-	booting  map[string]bootingMachine
-	machines int
+	runningCount  func() int // machines that are up
+	provisioned   map[string][]string
+	booting       map[string]bootingMachine
+	namedMachines int
 }
 
 type bootingMachine struct {
 	model.MachineInfo
-	at time.Time
+	readyAt time.Time
 }
 
 // NewCloud makes a cloud without machines; up counts those that have come up and were not given back.
 func NewCloud(up func() int) *Cloud {
 	return &Cloud{
-		Boot:    5 * time.Second,
-		Prefix:  "n-",
-		up:      up,
-		rented:  map[string][]string{},
-		booting: map[string]bootingMachine{},
+		BootTime:     5 * time.Second,
+		NamePrefix:   "n-",
+		runningCount: up,
+		provisioned:  map[string][]string{},
+		booting:      map[string]bootingMachine{},
 	}
 }
 
-// Rent carries a request out, or tells what it has led to before. It is false where there is no machine left.
-func (c *Cloud) Rent(now time.Time, r model.Provisioning) (names []string, ok bool) {
-	if names = c.rented[r.Name]; names != nil {
+// Provision carries a request out, or tells what it has led to before. It is false where there is no machine left.
+func (c *Cloud) Provision(now time.Time, r model.Provisioning) (names []string, ok bool) {
+	if names = c.provisioned[r.Name]; names != nil {
 		return names, true
 	}
 	have := r.Count
 	if c.Capacity > 0 {
-		have = min(have, c.Capacity-c.up()-len(c.booting))
+		have = min(have, c.Capacity-c.runningCount()-len(c.booting))
 	}
 	if have <= 0 {
 		return nil, false
 	}
 	for range have {
-		boot := c.Boot
-		if c.Boots != nil {
-			boot = c.Boots()
+		boot := c.BootTime
+		if c.DrawBootTime != nil {
+			boot = c.DrawBootTime()
 		}
-		n := c.Name()
+		n := c.NextName()
 		names = append(names, n)
 		c.booting[n] = bootingMachine{
 			model.MachineInfo{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Booting: true},
 			now.Add(boot),
 		}
 	}
-	c.rented[r.Name] = names
+	c.provisioned[r.Name] = names
 	return names, true
 }
 
-// Name gives the next machine's name.
-func (c *Cloud) Name() string {
-	c.machines++
-	return fmt.Sprintf("%s%06d", c.Prefix, c.machines)
+// NextName gives the next machine's name.
+func (c *Cloud) NextName() string {
+	c.namedMachines++
+	return fmt.Sprintf("%s%06d", c.NamePrefix, c.namedMachines)
 }
 
-// Up takes the machines whose boot has ended off the list of those that boot.
-func (c *Cloud) Up(now time.Time) (up []model.MachineInfo) {
+// TakeBooted takes the machines whose boot has ended off the list of those that boot.
+func (c *Cloud) TakeBooted(now time.Time) (up []model.MachineInfo) {
 	for n, b := range c.booting {
-		if !now.Before(b.at) {
+		if !now.Before(b.readyAt) {
 			delete(c.booting, n)
 			b.Booting = false
 			up = append(up, b.MachineInfo)
@@ -86,8 +86,8 @@
 // Forget takes a machine that is given back off the list of those that boot.
 func (c *Cloud) Forget(name string) { delete(c.booting, name) }
 
-// Rented tells how many machines were ever rented.
-func (c *Cloud) Rented() int { return c.machines }
+// ProvisionedTotal tells how many machines were ever rented.
+func (c *Cloud) ProvisionedTotal() int { return c.namedMachines }
 
 // Booting lists the machines that boot, by name.
 func (c *Cloud) Booting() map[string]model.MachineInfo {
--- a/internal/fake/copies_test.go
+++ b/internal/fake/duplicates_test.go
@@ -11,10 +11,10 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// fixed has a random play draw the same every time, unless a seed is asked for on the command line:
+// fixRandomSeed has a random play draw the same every time, unless a seed is asked for on the command line:
 //
 //	go test ./internal/fake -run Copies -rapid.seed 7 -rapid.checks 3000
-func fixed(t *testing.T, checks int) {
+func fixRandomSeed(t *testing.T, checks int) {
 	set := map[string]string{"rapid.seed": "20261201", "rapid.checks": fmt.Sprint(checks), "rapid.steps": "40", "rapid.nofailfile": "true"}
 	if flag.Lookup("rapid.seed").Value.String() != "0" {
 		set = map[string]string{"rapid.steps": "40", "rapid.nofailfile": "true"}
@@ -31,15 +31,15 @@
 // The network does to direct commands, to answers and to transactions whatever the
 // protocol allows, while jobs come, are cancelled and make way for each other, and while
 // leaders change. Held commands arrive in any order, however late.
-func TestCopiesOnTheirWayBreakNoRule(t *testing.T) {
-	fixed(t, 400)
+func TestDuplicateAndDelayedMessagesKeepInvariants(t *testing.T) {
+	fixRandomSeed(t, 400)
 	rapid.Check(t, func(r *rapid.T) {
-		w := world(2, 1)
-		w.Run, w.Fetch, w.Tick = 6*second, 100*time.Millisecond, 100*time.Millisecond
-		w.full = true // what makes way on one machine starts on another
-		w.Copies = 200
+		w := newTestWorld(2, 1)
+		w.RunTime, w.FetchTime, w.Tick = 6*second, 100*time.Millisecond, 100*time.Millisecond
+		w.cloudExhausted = true // what makes way on one machine starts on another
+		w.MaxRetainedHeartbeats = 200
 		worker := func(r *rapid.T) *Worker {
-			if names := w.Names(); len(names) > 0 {
+			if names := w.WorkerNames(); len(names) > 0 {
 				return w.Workers[rapid.SampledFrom(names).Draw(r, "worker")]
 			}
 			return &Worker{} // all were given back
@@ -48,31 +48,31 @@
 			return w.Controllers[rapid.IntRange(0, len(w.Controllers)-1).Draw(r, "controller")]
 		}
 		for _, c := range w.Controllers {
-			c.set.CommandHoldOff = 300 * time.Millisecond // the next copy follows soon
+			c.settings.CommandHoldOff = 300 * time.Millisecond // the next copy follows soon
 		}
-		way := func() Fate { return Answered }
-		w.Way = func() Fate { return way() }
-		w.Pass(6 * second)
+		way := func() Delivery { return Delivered }
+		w.NextDelivery = func() Delivery { return way() }
+		w.Advance(6 * second)
 		var ids []string
 		look := func(r *rapid.T) {
 			if c := controller(r); c.Up && len(ids) > 0 {
-				_, _ = w.Ask(c, rapid.SampledFrom(ids).Draw(r, "job")) // the world holds answers against each other
+				_, _ = w.Poll(c, rapid.SampledFrom(ids).Draw(r, "job")) // the world holds answers against each other
 			}
 		}
 		r.Repeat(map[string]func(*rapid.T){
 			"time passes": func(r *rapid.T) {
-				way = func() Fate {
-					return rapid.SampledFrom([]Fate{Answered, Answered, Unanswered, Held, Lost}).Draw(r, "way")
+				way = func() Delivery {
+					return rapid.SampledFrom([]Delivery{Delivered, Delivered, AnswerLost, Delayed, Dropped}).Draw(r, "way")
 				}
-				w.Pass(time.Duration(rapid.IntRange(1, 40).Draw(r, "tenths")) * 100 * time.Millisecond)
+				w.Advance(time.Duration(rapid.IntRange(1, 40).Draw(r, "tenths")) * 100 * time.Millisecond)
 				for len(w.Workers) < 2 {
-					w.machines++
-					w.AddMachine(model.MachineInfo{Name: fmt.Sprintf("n-%06d", w.machines), Type: "eight", Zone: "a"})
+					w.namedMachines++
+					w.AddMachine(model.MachineInfo{Name: fmt.Sprintf("n-%06d", w.namedMachines), Type: "eight", Zone: "a"})
 				}
 			},
 			"a job comes": func(r *rapid.T) {
 				c := controller(r)
-				s := job(rapid.SampledFrom([]model.Shape{model.Array, model.Array, model.Service}).Draw(r, "shape"), rapid.IntRange(1, 3).Draw(r, "tasks"), func(s *model.Spec) {
+				s := newJob(rapid.SampledFrom([]model.Shape{model.Array, model.Array, model.Service}).Draw(r, "shape"), rapid.IntRange(1, 3).Draw(r, "tasks"), func(s *model.Spec) {
 					s.Priority = rapid.SampledFrom([]model.Priority{model.PriorityLow, model.PriorityNormal, model.PriorityProduction}).Draw(r, "rank")
 					s.Demand.CPU = float64(rapid.SampledFrom([]int{2, 4, 8}).Draw(r, "cpus"))
 					if rapid.Bool().Draw(r, "saves") {
@@ -91,43 +91,43 @@
 			"somebody asks": look,
 			"held commands arrive": func(r *rapid.T) {
 				for range rapid.IntRange(0, 3).Draw(r, "how many") {
-					if len(w.Held) == 0 {
+					if len(w.HeldCommands) == 0 {
 						return
 					}
-					i := rapid.IntRange(0, len(w.Held)-1).Draw(r, "which")
-					f := w.Held[i]
-					w.Held = append(w.Held[:i:i], w.Held[i+1:]...)
+					i := rapid.IntRange(0, len(w.HeldCommands)-1).Draw(r, "which")
+					f := w.HeldCommands[i]
+					w.HeldCommands = append(w.HeldCommands[:i:i], w.HeldCommands[i+1:]...)
 					f()
-					w.Check()
+					w.CheckInvariants()
 				}
 			},
 			"answers are lost or not": func(r *rapid.T) {
 				lost := rapid.Bool().Draw(r, "lost")
 				for _, k := range w.Workers {
-					k.Deaf = lost
+					k.InboundBlocked = lost
 				}
 			},
 			"a machine is deaf or not": func(r *rapid.T) {
 				k := worker(r)
-				k.Deaf = !k.Deaf
+				k.InboundBlocked = !k.InboundBlocked
 			},
 			"a machine reaches no controller or does": func(r *rapid.T) {
 				k := worker(r)
-				k.Mute = !k.Mute
+				k.OutboundBlocked = !k.OutboundBlocked
 			},
 			"copies of reports come late": func(r *rapid.T) {
 				for range rapid.IntRange(0, 4).Draw(r, "how many") {
-					if len(w.Copied) > 0 {
-						w.Late(controller(r), w.Copied[rapid.IntRange(0, len(w.Copied)-1).Draw(r, "which")])
+					if len(w.RetainedHeartbeats) > 0 {
+						w.ReplayHeartbeat(controller(r), w.RetainedHeartbeats[rapid.IntRange(0, len(w.RetainedHeartbeats)-1).Draw(r, "which")])
 					}
 				}
 			},
 			"answered commands are repeated": func(r *rapid.T) {
 				for range rapid.IntRange(0, 3).Draw(r, "how many") {
-					if n := len(w.Again); n > 0 {
-						if a := w.Again[rapid.IntRange(0, n-1).Draw(r, "which")]; w.Now().Sub(a.At) < 3*w.Lease {
-							a.Do()
-							w.Check()
+					if n := len(w.RepeatableCommands); n > 0 {
+						if a := w.RepeatableCommands[rapid.IntRange(0, n-1).Draw(r, "which")]; w.Now().Sub(a.DeliveredAt) < 3*w.Lease {
+							a.Repeat()
+							w.CheckInvariants()
 						}
 					}
 				}
@@ -137,18 +137,18 @@
 				if k.site == nil {
 					return
 				}
-				w.Blink(k)
+				w.RestartWorker(k)
 				// What its former life has sent comes in between, while leaders change or not.
 				crash := rapid.IntRange(0, 20).Draw(r, "crash")
 				for i := range rapid.IntRange(0, 60).Draw(r, "then") {
-					w.Pass(100 * time.Millisecond)
+					w.Advance(100 * time.Millisecond)
 					if l := w.Leader(); l != nil && i == crash {
 						l.Crash()
 						l.Start()
 					}
-					if n := len(w.Copied); n > 0 && rapid.IntRange(0, 2).Draw(r, "copy") == 0 {
-						if c := w.Copied[n-1-rapid.IntRange(0, min(n-1, 40)).Draw(r, "which")]; c.Machine == k.Name {
-							w.Late(controller(r), c)
+					if n := len(w.RetainedHeartbeats); n > 0 && rapid.IntRange(0, 2).Draw(r, "copy") == 0 {
+						if c := w.RetainedHeartbeats[n-1-rapid.IntRange(0, min(n-1, 40)).Draw(r, "which")]; c.Machine == k.Name {
+							w.ReplayHeartbeat(controller(r), c)
 						}
 					}
 				}
@@ -161,12 +161,12 @@
 						c.Start()
 					}
 				case 6:
-					c.NoNet, c.Alone = !c.NoNet, !c.NoNet
+					c.StateUnreachable, c.PeersUnreachable = !c.StateUnreachable, !c.StateUnreachable
 				case 0:
 					k := worker(r)
-					k.Cut = !k.Cut
+					k.Partitioned = !k.Partitioned
 				case 1:
-					c.NoNet = !c.NoNet
+					c.StateUnreachable = !c.StateUnreachable
 				case 2:
 					if c.Up {
 						c.Crash()
@@ -178,29 +178,29 @@
 				}
 			},
 			"": func(r *rapid.T) {
-				for _, b := range w.Broken {
+				for _, b := range w.Violations {
 					r.Fatalf("broken: %s", b)
 				}
 			},
 		})
 		// Everything comes back, and what is still held arrives when all else is long over.
-		way = func() Fate { return Answered }
+		way = func() Delivery { return Delivered }
 		for _, c := range w.Controllers {
-			if c.NoNet, c.Alone = false, false; !c.Up {
+			if c.StateUnreachable, c.PeersUnreachable = false, false; !c.Up {
 				c.Start()
 			}
 		}
 		for _, k := range w.Workers {
-			k.Deaf, k.Cut, k.Mute = false, false, false
+			k.InboundBlocked, k.Partitioned, k.OutboundBlocked = false, false, false
 		}
-		w.Pass(w.CancelIn + 10*second)
-		for _, f := range w.Held {
+		w.Advance(w.CancelDeadline + 10*second)
+		for _, f := range w.HeldCommands {
 			f()
-			w.Check()
+			w.CheckInvariants()
 		}
-		w.Calm()
-		w.Pass(mostWait + 5*second)
-		for _, b := range w.Broken {
+		w.MarkFaultsEnded()
+		w.Advance(maxWaitWithRoom + 5*second)
+		for _, b := range w.Violations {
 			r.Fatalf("broken: %s", b)
 		}
 	})
--- a/internal/fake/fleet_rules_test.go
+++ b/internal/fake/fleet_invariants_test.go
@@ -10,7 +10,7 @@
 )
 
 // What a fleet has to find as it happens: each fault alone.
-func TestAFleetFindsBrokenRules(t *testing.T) {
+func TestFleetDetectsEachViolation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	launch := func(k *Worker, job string, index int) {
 		k.Execute([]model.Command{{Op: model.OpLaunch, Task: model.TaskID{Job: job, Index: index}, Attempt: uint64(index + 1)}})
@@ -24,15 +24,15 @@
 		},
 		"wrong_place": func(f *Fleet, a, _ *Worker) { f.Specs["wk-000001"].Zone = "b"; launch(a, "wk-000001", 0) },
 		"ran_cancelled": func(f *Fleet, a, _ *Worker) {
-			f.ToldCancelled("wk-000001")
+			f.RecordCancelled("wk-000001")
 			f.SetNow(now.Add(time.Hour))
 			launch(a, "wk-000001", 0)
 		},
 		"went_back": func(f *Fleet, _, _ *Worker) {
-			f.Told("x", "wk-000001", wire.StateQueued)
-			f.AskedToCancel("wk-000001")
-			f.Told("x", "wk-000001", wire.StateCancelled)
-			f.Told("y", "wk-000001", wire.StateRunning)
+			f.RecordAnswer("x", "wk-000001", wire.StateQueued)
+			f.RecordCancelRequest("wk-000001")
+			f.RecordAnswer("x", "wk-000001", wire.StateCancelled)
+			f.RecordAnswer("y", "wk-000001", wire.StateRunning)
 		},
 		"": func(_ *Fleet, a, b *Worker) { launch(a, "wk-000001", 0); launch(b, "wk-000001", 1) },
 	} {
@@ -54,17 +54,17 @@
 			b.Advance()
 		}
 		f.CheckCancelled()
-		if found := strings.Join(f.Broken, "; "); rule == "" && found != "" || !strings.Contains(found, rule) {
+		if found := strings.Join(f.Violations, "; "); rule == "" && found != "" || !strings.Contains(found, rule) {
 			t.Errorf("%q: found %q", rule, found)
 		}
 	}
 }
 
 // A gang runs once all its tasks are there, and ends where one of them goes.
-func TestAFleetsGangsRunTogether(t *testing.T) {
+func TestFleetGangTasksStartAndEndTogether(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := NewFleet(now, []model.Team{{Name: "red"}})
-	f.Lease, f.GangWait, f.Run = time.Hour, time.Hour, time.Hour
+	f.Lease, f.GangWait, f.RunTime = time.Hour, time.Hour, time.Hour
 	f.Specs["wk-000001"] = &model.Spec{
 		ID:     "wk-000001",
 		Team:   "red",
@@ -96,7 +96,7 @@
 		t.Error("a whole gang does not run")
 	}
 	f.Remove(machines[1].Name)
-	machines[0].Tasks[model.AttemptKey{Task: model.TaskID{Job: "wk-000001"}, Number: 7}].until = f.Now()
+	machines[0].Tasks[model.AttemptKey{Task: model.TaskID{Job: "wk-000001"}, Number: 7}].phaseEnd = f.Now()
 	if phase(0); phase(0) != model.PhaseExited {
 		t.Error("a gang that has lost a task goes on")
 	}
--- a/internal/fake/fleet_test.go
+++ b/internal/fake/fleet_test.go
@@ -9,33 +9,33 @@
 	"github.com/glentiller/glentiller/internal/reconciler"
 )
 
-// fleet is a deployment of many machines whose leader knows them all, each with four tasks.
-func fleet(b *testing.B, machines int) (*World, *Controller) {
+// newBenchmarkFleet is a deployment of many machines whose leader knows them all, each with four tasks.
+func newBenchmarkFleet(b *testing.B, machines int) (*World, *Controller) {
 	b.Helper()
-	w := world(machines, float64(machines))
-	w.Tick, w.Run, w.full = 250*time.Millisecond, time.Hour, true
-	w.Pass(8 * second)
-	s := job(model.Service, 4*machines, func(s *model.Spec) { s.Demand.CPU, s.Priority = 2, model.PriorityProduction })
+	w := newTestWorld(machines, float64(machines))
+	w.Tick, w.RunTime, w.cloudExhausted = 250*time.Millisecond, time.Hour, true
+	w.Advance(8 * second)
+	s := newJob(model.Service, 4*machines, func(s *model.Spec) { s.Demand.CPU, s.Priority = 2, model.PriorityProduction })
 	if err := w.Submit(w.Controllers[0], s); err != nil {
 		b.Fatal(err)
 	}
-	w.Pass(time.Duration(machines) * 30 * time.Millisecond) // records of machines take a while to write
+	w.Advance(time.Duration(machines) * 30 * time.Millisecond) // records of machines take a while to write
 	l := w.Leader()
-	if l == nil || on(w, s) != 4*machines {
-		b.Fatalf("%d of %d tasks run", on(w, s), 4*machines)
+	if l == nil || activeTasks(w, s) != 4*machines {
+		b.Fatalf("%d of %d tasks run", activeTasks(w, s), 4*machines)
 	}
 	return w, l
 }
 
 // What one report without news costs the leader's core, at different sizes.
-func BenchmarkReport(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, machines := range []int{500, 2000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			w, l := fleet(b, machines)
+			w, l := newBenchmarkFleet(b, machines)
 			k := w.Workers["n-000001"]
 			b.ReportAllocs()
 			for b.Loop() {
-				l.Core.Step(w.now, reconciler.HeartbeatReceived{Heartbeat: k.report()})
+				l.Reconciler.Step(w.now, reconciler.HeartbeatReceived{Heartbeat: k.heartbeat()})
 			}
 		})
 	}
@@ -43,8 +43,8 @@
 
 // What 2,000 reports in one second cost a new leader that knows nothing yet, with the passes
 // of that second.
-func BenchmarkTwoThousandReportsInASecond(b *testing.B) {
-	w, l := fleet(b, 2000)
+func BenchmarkTwoThousandHeartbeatsInASecond(b *testing.B) {
+	w, l := newBenchmarkFleet(b, 2000)
 	for b.Loop() {
 		b.StopTimer()
 		l.Crash()
@@ -56,11 +56,11 @@
 			w.now = w.now.Add(w.Tick)
 		}
 		b.StartTimer()
-		for i, name := range w.Names() {
-			l.Core.Step(w.now, reconciler.HeartbeatReceived{Heartbeat: w.Workers[name].report()})
+		for i, name := range w.WorkerNames() {
+			l.Reconciler.Step(w.now, reconciler.HeartbeatReceived{Heartbeat: w.Workers[name].heartbeat()})
 			if i%200 == 199 {
 				w.now = w.now.Add(100 * time.Millisecond)
-				l.Core.Step(w.now, reconciler.Tick{})
+				l.Reconciler.Step(w.now, reconciler.Tick{})
 			}
 		}
 	}
@@ -68,12 +68,12 @@
 
 // What the operators' fleets go through, on forty machines: afterwards all replicas run again, and
 // no rule was broken meanwhile.
-func TestTheFleetsHardCases(t *testing.T) {
+func TestFleetRecoversFromEachFault(t *testing.T) {
 	crash := func(w *World, back time.Duration) {
 		for _, c := range w.Controllers {
 			c.Crash()
 		}
-		w.Pass(back)
+		w.Advance(back)
 		for _, c := range w.Controllers {
 			c.Start()
 		}
@@ -81,13 +81,13 @@
 	outage := func(w *World, d time.Duration, during func()) {
 		w.State.SetDown(true)
 		during()
-		w.Pass(d)
+		w.Advance(d)
 		w.State.SetDown(false)
 	}
 	cut := func(w *World, one int, cut bool) {
-		for i, n := range w.Names() {
+		for i, n := range w.WorkerNames() {
 			if i%one == 0 {
-				w.Workers[n].Cut = cut
+				w.Workers[n].Partitioned = cut
 			}
 		}
 	}
@@ -98,14 +98,14 @@
 	}{
 		{"all controllers crash, twice", 10 * second, func(w *World) {
 			crash(w, 3*second)
-			w.Pass(4 * second)
+			w.Advance(4 * second)
 			crash(w, 3*second)
 		}},
 		{"a roll during an outage", 12 * second, func(w *World) {
 			outage(w, 2*second, func() {
 				for _, c := range w.Controllers {
 					c.Crash()
-					w.Pass(3 * second)
+					w.Advance(3 * second)
 					c.Start()
 				}
 			})
@@ -116,56 +116,56 @@
 		}},
 		{"half of all machines go and return in one moment", 5 * second, func(w *World) {
 			cut(w, 2, true)
-			w.Pass(9 * second)
+			w.Advance(9 * second)
 			cut(w, 2, false)
 		}},
 		{"half of all machines are gone for longer than their leases", 20 * second, func(w *World) {
 			cut(w, 2, true)
-			w.Pass(w.Lease + 3*second)
+			w.Advance(w.Lease + 3*second)
 			cut(w, 2, false)
 		}},
 		{"machines go, and then all controllers crash", 20 * second, func(w *World) {
 			cut(w, 4, true)
-			w.Pass(2 * second)
+			w.Advance(2 * second)
 			crash(w, 3*second)
-			w.Pass(10 * second)
+			w.Advance(10 * second)
 			cut(w, 4, false)
 		}},
 		{"members that do not reach each other", 10 * second, func(w *World) {
-			w.Apart = true
+			w.ControllersPartitioned = true
 			w.Leader().Crash()
-			w.Pass(20 * second)
-			w.Apart = false
+			w.Advance(20 * second)
+			w.ControllersPartitioned = false
 		}},
 		{"the leader stands still and goes on", 10 * second, func(w *World) {
 			old := w.Leader()
 			old.Up = false
-			w.Pass(20 * second)
+			w.Advance(20 * second)
 			old.Up = true
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := grown(t, 40, 40)
-			w.full, w.Run = true, 20*second
+			w := newScaledDeployment(t, 40, 40)
+			w.cloudExhausted, w.RunTime = true, 20*second
 			var services []*model.Spec
 			for range 10 {
-				s := job(model.Service, 6, func(s *model.Spec) { s.Priority = model.PriorityProduction })
+				s := newJob(model.Service, 6, func(s *model.Spec) { s.Priority = model.PriorityProduction })
 				services = append(services, s)
-				submit(t, w, s)
-				submit(t, w, job(model.Array, 3, func(s *model.Spec) { s.Priority = model.PriorityLow }))
+				submitJob(t, w, s)
+				submitJob(t, w, newJob(model.Array, 3, func(s *model.Spec) { s.Priority = model.PriorityLow }))
 			}
 			all := func() bool {
 				for _, s := range services {
-					if on(w, s) != s.Tasks {
+					if activeTasks(w, s) != s.Tasks {
 						return false
 					}
 				}
 				return true
 			}
-			until(t, w, 30*second, "all replicas run", all)
+			waitUntil(t, w, 30*second, "all replicas run", all)
 			c.do(w)
-			until(t, w, c.within, "somebody leads and all replicas run", func() bool { return w.Leader() != nil && all() })
-			w.Pass(5 * second)
+			waitUntil(t, w, c.within, "somebody leads and all replicas run", func() bool { return w.Leader() != nil && all() })
+			w.Advance(5 * second)
 		})
 	}
 }
--- a/internal/fake/ledger_test.go
+++ b/internal/fake/ledger_test.go
@@ -16,10 +16,10 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// accounted is the small deployment with a ledger; change adapts its settings.
-func accounted(t *testing.T, machines int, change func(*reconciler.LedgerSettings)) *World {
+// newAccountedDeployment is the small deployment with a ledger; change adapts its settings.
+func newAccountedDeployment(t *testing.T, machines int, change func(*reconciler.LedgerSettings)) *World {
 	t.Helper()
-	w := deployment(t, machines)
+	w := newDeployment(t, machines)
 	p := &config.Platform{Member: "tiller-0"}
 	p.Deployment.State.ValueKB, p.Deployment.State.TxnOps, p.Deployment.State.WriteRPS = 2, 4, 80
 	o := config.Defaults()
@@ -33,12 +33,12 @@
 		c.Crash()
 		c.Start()
 	}
-	until(t, w, 10*second, "another leads", func() bool { return w.Leader() != nil })
+	waitUntil(t, w, 10*second, "another leads", func() bool { return w.Leader() != nil })
 	return w
 }
 
-// account is a team's open page as it is on record.
-func account(t *testing.T, w *World, team string) ledger.OpenSegment {
+// openAccount is a team's open page as it is on record.
+func openAccount(t *testing.T, w *World, team string) ledger.OpenSegment {
 	t.Helper()
 	c := store.NewOver(w.State, w.State, second)
 	c.SetRateLimits(1e9, 1e9)
@@ -49,10 +49,10 @@
 	return r.Open
 }
 
-func TestAJobEndsInTheTransactionThatSettlesWhatItUsed(t *testing.T) {
-	w := accounted(t, 2, func(l *reconciler.LedgerSettings) { l.SettleInterval = time.Hour })
+func TestJobEndIsCommittedWithItsSettlement(t *testing.T) {
+	w := newAccountedDeployment(t, 2, func(l *reconciler.LedgerSettings) { l.SettleInterval = time.Hour })
 	var together, alone int
-	w.State.Carried = func(ops []any) {
+	w.State.OnCommit = func(ops []any) {
 		text := fmt.Sprint(ops)
 		if strings.Contains(text, "job/e/") && strings.Contains(text, "use/o/red") {
 			together++
@@ -60,10 +60,10 @@
 			alone++
 		}
 	}
-	s := job(model.Array, 2, nil)
-	submit(t, w, s)
-	until(t, w, 60*second, "done", done(t, w, s))
-	use := ledger.Total(account(t, w, "red").Usage)
+	s := newJob(model.Array, 2, nil)
+	submitJob(t, w, s)
+	waitUntil(t, w, 60*second, "done", jobDone(t, w, s))
+	use := ledger.Total(openAccount(t, w, "red").Usage)
 	// Both tasks of 4 CPUs ran for 10 s; messages show that to half a second each.
 	if use.Starts != 2 || math.Abs(float64(use.CPU)-80e6) > 8e6 || use.Mem != 2*use.CPU {
 		t.Errorf("used %+v", use)
@@ -73,21 +73,21 @@
 	}
 }
 
-func TestWaitingHasItsCause(t *testing.T) {
-	w := accounted(t, 8, nil)
-	w.Run = 20 * second
-	limit := job(model.Array, 12, nil) // 8 of its tasks fill the team's 32 CPUs
-	behind := job(model.Array, 1, func(s *model.Spec) { s.Dependencies, s.Class = []string{limit.ID}, "behind" })
-	bad := job(model.Array, 1, func(s *model.Spec) { s.Team, s.Class = "blue", "bad" })
-	huge := job(model.Array, 1, func(s *model.Spec) { s.Team, s.Class, s.MachineTypes = "blue", "huge", []string{"none"} })
-	w.Bad[bad.ID] = true
+func TestWaitTimeIsChargedToItsCause(t *testing.T) {
+	w := newAccountedDeployment(t, 8, nil)
+	w.RunTime = 20 * second
+	limit := newJob(model.Array, 12, nil) // 8 of its tasks fill the team's 32 CPUs
+	behind := newJob(model.Array, 1, func(s *model.Spec) { s.Dependencies, s.Class = []string{limit.ID}, "behind" })
+	bad := newJob(model.Array, 1, func(s *model.Spec) { s.Team, s.Class = "blue", "bad" })
+	huge := newJob(model.Array, 1, func(s *model.Spec) { s.Team, s.Class, s.MachineTypes = "blue", "huge", []string{"none"} })
+	w.FailingJobs[bad.ID] = true
 	for _, s := range []*model.Spec{limit, behind, bad, huge} {
-		submit(t, w, s)
+		submitJob(t, w, s)
 	}
-	w.Pass(15 * second)
+	w.Advance(15 * second)
 	got := map[string][ledger.NumWaitCauses]uint64{}
 	for _, team := range []string{"red", "blue"} {
-		for _, c := range account(t, w, team).Usage {
+		for _, c := range openAccount(t, w, team).Usage {
 			got[c.Class] = c.Wait
 		}
 	}
@@ -100,72 +100,72 @@
 	}
 }
 
-func TestALeaderWithoutALedgerLeavesAStretchNotAccounted(t *testing.T) {
-	w := accounted(t, 2, nil)
-	s := job(model.Service, 1, nil)
-	submit(t, w, s)
-	w.Pass(20 * second)
-	before := ledger.Total(account(t, w, "red").Usage).CPU
+func TestLeaderWithoutLedgerLeavesUnaccountedInterval(t *testing.T) {
+	w := newAccountedDeployment(t, 2, nil)
+	s := newJob(model.Service, 1, nil)
+	submitJob(t, w, s)
+	w.Advance(20 * second)
+	before := ledger.Total(openAccount(t, w, "red").Usage).CPU
 	for _, c := range w.Controllers {
-		c.Old = true
+		c.WithoutLedger = true
 		c.Crash()
 		c.Start()
 	}
-	w.Pass(60 * second)
-	if now := ledger.Total(account(t, w, "red").Usage).CPU; now != before {
+	w.Advance(60 * second)
+	if now := ledger.Total(openAccount(t, w, "red").Usage).CPU; now != before {
 		t.Errorf("a version without a ledger has charged %d", now-before)
 	}
 	for _, c := range w.Controllers {
-		c.Old = false
+		c.WithoutLedger = false
 		c.Crash()
 		c.Start()
 	}
-	w.Pass(30 * second)
+	w.Advance(30 * second)
 	c := store.NewOver(w.State, w.State, second)
 	c.SetRateLimits(1e9, 1e9)
 	list, _, err := c.Intervals(context.Background(), 0, 100)
 	if err != nil || len(list) != 1 || list[0].UnsettledLeaders != 1 || list[0].End.Sub(list[0].Start) < 60*second {
 		t.Errorf("not accounted: %+v, %v", list, err)
 	}
-	use := ledger.Total(account(t, w, "red").Usage)
+	use := ledger.Total(openAccount(t, w, "red").Usage)
 	if gained := use.CPU - before; use.TakenOver != 1 || gained < 4*15e6 || gained > 4*30e6 {
 		t.Errorf("from its takeover on the new leader has charged %d, taken over %d", gained, use.TakenOver)
 	}
 }
 
 // The ledger starts and stops nothing: jobs end whatever has become of their team's account.
-func TestABrokenAccountKeepsNoJobFromEnding(t *testing.T) {
+func TestJobsCompleteWithCorruptAccount(t *testing.T) {
 	for what, value := range map[string][]byte{
 		"of a version to come":   []byte("\x81\xa1v\x02"),
 		"changed by hand":        wire.AppendOpenSegment(nil, &ledger.OpenSegment{Team: "red", Number: 1, Settlements: 900, FencingToken: 77, Start: time.Unix(0, 0), SettledAt: time.Unix(0, 0)}),
 		"unreadable, by a write": []byte("\x81\xa1n\xa1x"),
 	} {
-		w := accounted(t, 2, nil)
-		first := job(model.Array, 2, nil)
-		submit(t, w, first)
-		until(t, w, 60*second, "done", done(t, w, first))
-		w.State.Plant("use/o/red", value)
-		s := job(model.Array, 2, nil)
-		submit(t, w, s)
-		until(t, w, 60*second, what+": done under the leader that had settled it", done(t, w, s))
+		w := newAccountedDeployment(t, 2, nil)
+		first := newJob(model.Array, 2, nil)
+		submitJob(t, w, first)
+		waitUntil(t, w, 60*second, "done", jobDone(t, w, first))
+		w.State.Preload("use/o/red", value)
+		s := newJob(model.Array, 2, nil)
+		submitJob(t, w, s)
+		waitUntil(t, w, 60*second, what+": done under the leader that had settled it", jobDone(t, w, s))
 		w.Leader().Crash()
-		until(t, w, 20*second, what+": another leads", func() bool { return w.Leader() != nil })
-		s = job(model.Array, 2, nil)
+		waitUntil(t, w, 20*second, what+": another leads", func() bool { return w.Leader() != nil })
+		s = newJob(model.Array, 2, nil)
 		if err := w.Submit(w.Leader(), s); err != nil {
 			t.Fatal(err)
 		}
-		until(t, w, 60*second, what+": done under the next leader", func() bool { return poll(t, w.Leader(), s.ID) == wire.StateDone })
+		waitUntil(t, w, 60*second, what+": done under the next leader", func() bool { return polledState(t, w.Leader(), s.ID) == wire.StateDone })
 	}
 }
 
 // The design's crack: a team without much of a guarantee submits many tight jobs, which
 // go first in the slack order whatever others wait. The bands of fair share let a team
 // that has had less go first in what goes beyond guarantees.
-func TestASwarmOfTightJobsWithAndWithoutFairShare(t *testing.T) {
+func TestFairShareBoundsWaitBehindUrgentJobSwarm(t *testing.T) {
 	wait := func(share bool) (patient, swarm time.Duration) {
-		w := accounted(t, 4, func(l *reconciler.LedgerSettings) { l.FairShare = share })
-		w.CloudFull = true
-		w.full = true // the cloud has no more machines: 32 CPUs for all
+		w := newAccountedDeployment(t, 4, func(l *reconciler.LedgerSettings) { l.FairShare = share })
+		w.ReleasesBlocked = true
+		w.cloudExhausted = true // the cloud has no more machines: 32 CPUs for all
 		team := func(name string, cpus float64) {
 			w.Teams[name] = model.Team{Name: name, Quota: model.NewQuota(cpus, 0)}
 			w.ledger.Weights[name] = 1
@@ -177,33 +177,33 @@
 			set = append(set, tm)
 		}
 		for _, c := range w.Controllers {
-			c.set.Teams = set
+			c.settings.Teams = set
 			c.Crash()
 			c.Start()
 		}
-		until(t, w, 10*second, "another leads", func() bool { return w.Leader() != nil })
-		w.Run = 20 * second
+		waitUntil(t, w, 10*second, "another leads", func() bool { return w.Leader() != nil })
+		w.RunTime = 20 * second
 		add := func(team string, tasks int, deadline time.Duration) *model.Spec {
-			s := job(model.Array, tasks, func(s *model.Spec) { s.Team, s.Deadline, s.EstimatedRunTime, s.Class = team, deadline, 20*second, team })
-			submit(t, w, s)
+			s := newJob(model.Array, tasks, func(s *model.Spec) { s.Team, s.Deadline, s.EstimatedRunTime, s.Class = team, deadline, 20*second, team })
+			submitJob(t, w, s)
 			return s
 		}
 		// The swarm keeps the machines busy for some minutes, always with jobs due soon.
 		for range 20 {
 			add("guest", 8, 2*time.Minute)
-			w.Pass(15 * second)
+			w.Advance(15 * second)
 		}
 		first := add("steady", 8, 30*time.Minute)
 		at := w.Now()
 		for started := false; !started && w.Now().Sub(at) < 20*time.Minute; {
 			add("guest", 8, 2*time.Minute)
 			for range 15 {
-				w.Pass(second)
-				started = started || on(w, first) > 0
+				w.Advance(second)
+				started = started || activeTasks(w, first) > 0
 			}
 		}
 		patient = w.Now().Sub(at)
-		for _, c := range account(t, w, "guest").Usage {
+		for _, c := range openAccount(t, w, "guest").Usage {
 			swarm += time.Duration(c.Wait[ledger.WaitFairShare]) * time.Millisecond
 		}
 		return patient, swarm
--- a/internal/fake/settings_test.go
+++ b/internal/fake/settings_test.go
@@ -17,8 +17,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// platform reads settings as a platform hands them over.
-func platform(t interface{ Fatal(...any) }, dir, text string) *config.Platform {
+// readPlatform reads settings as a platform hands them over.
+func readPlatform(t interface{ Fatal(...any) }, dir, text string) *config.Platform {
 	path := filepath.Join(dir, "platform.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -32,40 +32,40 @@
 
 // A team without limit and guarantee has its work run beside one with both, as much as fits; it is
 // never said to be at a limit, nor are its waits charged to one.
-func TestTeamsWithoutLimits(t *testing.T) {
-	w := accounted(t, 8, nil)
-	w.Run, w.full = 20*second, true
+func TestTeamWithoutQuotaIsNeverAtLimit(t *testing.T) {
+	w := newAccountedDeployment(t, 8, nil)
+	w.RunTime, w.cloudExhausted = 20*second, true
 	for _, c := range w.Controllers {
-		if c.Core != nil {
+		if c.Reconciler != nil {
 			c.Crash()
 		}
-		c.set.Teams = append([]model.Team{{Name: "free"}}, c.set.Teams...)
+		c.settings.Teams = append([]model.Team{{Name: "free"}}, c.settings.Teams...)
 		c.Start()
 	}
 	w.Teams["free"] = model.Team{Name: "free"}
-	w.Pass(10 * second)
-	free := job(model.Array, 40, func(s *model.Spec) { s.Team, s.Class = "free", "free" })
-	submit(t, w, free)
-	until(t, w, 10*second, "all machines are filled", func() bool { return on(w, free) == 16 })
-	w.Pass(3 * second)
-	e := w.Leader().Core.Explain(w.Now(), free.ID)
+	w.Advance(10 * second)
+	free := newJob(model.Array, 40, func(s *model.Spec) { s.Team, s.Class = "free", "free" })
+	submitJob(t, w, free)
+	waitUntil(t, w, 10*second, "all machines are filled", func() bool { return activeTasks(w, free) == 16 })
+	w.Advance(3 * second)
+	e := w.Leader().Reconciler.Explain(w.Now(), free.ID)
 	if text := strings.Join(append(e.Reasons, e.Remedies...), "; "); strings.Contains(text, "limit") || !strings.Contains(text, "no machine that fits has room") {
 		t.Errorf("why it waits: %s", text)
 	}
-	red := job(model.Array, 2, nil)
-	submit(t, w, red)
-	until(t, w, 30*second, "another team has its guarantee", func() bool { return on(w, red) == 2 })
-	for _, c := range account(t, w, "free").Usage {
+	red := newJob(model.Array, 2, nil)
+	submitJob(t, w, red)
+	waitUntil(t, w, 30*second, "another team has its guarantee", func() bool { return activeTasks(w, red) == 2 })
+	for _, c := range openAccount(t, w, "free").Usage {
 		if c.Wait[ledger.WaitQuota] != 0 || c.Wait[ledger.WaitCapacity] == 0 {
 			t.Errorf("%s waited %v", c.Class, c.Wait)
 		}
 	}
-	until(t, w, 200*second, "done", done(t, w, free))
+	waitUntil(t, w, 200*second, "done", jobDone(t, w, free))
 }
 
-// deploymentOf draws settings over their whole range, as a platform may hand them over, and the
+// drawDeployment draws settings over their whole range, as a platform may hand them over, and the
 // deployment that they describe.
-func deploymentOf(r *rapid.T, dir string) (*World, []model.Team, []string) {
+func drawDeployment(r *rapid.T, dir string) (*World, []model.Team, []string) {
 	f := func(name string, values ...float64) float64 { return rapid.SampledFrom(values).Draw(r, name) }
 	maybe := func(line string) string {
 		if rapid.Bool().Draw(r, "states "+strings.Fields(line)[0]) {
@@ -103,27 +103,27 @@
 	say("[deployment.state]\n%s%s%s%s", maybe(fmt.Sprintf("rps = %g", f("rps", 5, 200, 1e6))), maybe(fmt.Sprintf("write_rps = %g", f("write_rps", 2, 80, 1e6))),
 		maybe(fmt.Sprintf("value_kb = %g", f("value_kb", 1, 16, 64))), maybe(fmt.Sprintf("txn_ops = %g", f("txn_ops", 2, 24, 1000))))
 	say("[deployment.cloud]\n%s%s", maybe(fmt.Sprintf("rps = %g", f("cloud rps", 0.2, 3, 1e5))), maybe("list_lag_s = 6.0"))
-	p := platform(r, dir, b.String())
+	p := readPlatform(r, dir, b.String())
 	o := config.Defaults()
 	if rapid.Bool().Draw(r, "promises") {
 		o.Votes = &config.Votes{Outage: config.Duration(10 * time.Second)}
 	}
-	w := NewWorld(members, config.ReconcilerSettings(p, o), config.ElectionSettings(p, o), config.StoreLimits(p), quiet)
-	w.Tick, w.Run, w.Fetch = 100*time.Millisecond, 3*second, 200*time.Millisecond
+	w := NewWorld(members, config.ReconcilerSettings(p, o), config.ElectionSettings(p, o), config.StoreLimits(p), testLogger)
+	w.Tick, w.RunTime, w.FetchTime = 100*time.Millisecond, 3*second, 200*time.Millisecond
 	w.Types = []model.MachineType{{Name: "plain", Capacity: model.Resources{CPU: 8, MemGB: 64}, PricePerHour: 1, SpotPricePerHour: f("spot price", 0, 0.3), BootTime: time.Duration(f("boot", 0, 5) * 1e9), Zones: zones}}
 	if rapid.Bool().Draw(r, "GPUs") {
 		w.Types = append(w.Types, model.MachineType{Name: "cards", Capacity: model.Resources{CPU: 32, GPU: 4, MemGB: 128}, PricePerHour: 9, SpotPricePerHour: 2, BootTime: 5 * second, Zones: zones[:1]})
 	}
-	w.Capacity = rapid.SampledFrom([]int{0, few, 40}).Draw(r, "machines that the cloud has")
+	w.Capacity = rapid.SampledFrom([]int{0, minimalCapacity, 40}).Draw(r, "machines that the cloud has")
 	return w, teams, zones
 }
 
-// few machines are just enough for the largest job of the draws.
-const few = 6
+// minimalCapacity machines are just enough for the largest job of the draws.
+const minimalCapacity = 6
 
 // Whatever a platform's settings say: what its protocol lets run is accepted, and runs to its end,
 // also when the leader crashes meanwhile; what cannot is refused with a reason; no rule breaks.
-func TestWhatMayRunRunsUnderAnySettings(t *testing.T) {
+func TestAdmissibleJobsRunUnderRandomSettings(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "300", "rapid.nofailfile": "true"} {
 		old := flag.Lookup(name).Value.String()
 		if err := flag.Set(name, value); err != nil {
@@ -133,15 +133,15 @@
 	}
 	dir := t.TempDir()
 	rapid.Check(t, func(r *rapid.T) {
-		w, teams, zones := deploymentOf(r, dir)
-		w.Pass(8 * second)
+		w, teams, zones := drawDeployment(r, dir)
+		w.Advance(8 * second)
 		if w.Leader() == nil {
 			r.Fatal("nobody leads after 8 s")
 		}
 		var runs []*model.Spec
 		for range rapid.IntRange(1, 4).Draw(r, "jobs") {
 			team := rapid.SampledFrom(teams).Draw(r, "team")
-			s := job(rapid.SampledFrom([]model.Shape{model.Array, model.Gang, model.Service}).Draw(r, "shape"), rapid.IntRange(1, 5).Draw(r, "tasks"), func(s *model.Spec) {
+			s := newJob(rapid.SampledFrom([]model.Shape{model.Array, model.Gang, model.Service}).Draw(r, "shape"), rapid.IntRange(1, 5).Draw(r, "tasks"), func(s *model.Spec) {
 				s.Team = team.Name
 				s.Demand = model.Resources{CPU: float64(rapid.SampledFrom([]int{1, 8, 24}).Draw(r, "cpus")), GPU: float64(rapid.SampledFrom([]int{0, 0, 1, 4}).Draw(r, "cards")), MemGB: 4}
 				s.AllowSpot = rapid.Bool().Draw(r, "spot")
@@ -172,21 +172,21 @@
 			}
 			runs = append(runs, s)
 		}
-		w.Pass(time.Duration(rapid.IntRange(0, 20).Draw(r, "until the crash")) * second)
+		w.Advance(time.Duration(rapid.IntRange(0, 20).Draw(r, "until the crash")) * second)
 		if l := w.Leader(); l != nil {
 			l.Crash()
-			w.Pass(2 * second)
+			w.Advance(2 * second)
 			l.Start()
 		}
 		// Where the cloud has too little for all, a service that has a part of its replicas makes
 		// room for the others.
-		for end := w.Now().Add(600 * second); len(runs) > 0 && w.Now().Before(end); w.Pass(second) {
+		for end := w.Now().Add(600 * second); len(runs) > 0 && w.Now().Before(end); w.Advance(second) {
 			runs = slices.DeleteFunc(runs, func(s *model.Spec) bool {
 				if s.Shape != model.Service {
-					return w.AllDone(s.ID)
+					return w.AllCompleted(s.ID)
 				}
-				n := on(w, s)
-				if n < s.Tasks && (n == 0 || w.Capacity != few) {
+				n := activeTasks(w, s)
+				if n < s.Tasks && (n == 0 || w.Capacity != minimalCapacity) {
 					return false
 				}
 				_, err := w.Cancel(w.Controllers[0], s.ID)
@@ -196,12 +196,12 @@
 		for _, s := range runs {
 			text := "nobody leads"
 			if l := w.Leader(); l != nil {
-				text = fmt.Sprintf("%+v", l.Core.Explain(w.Now(), s.ID))
+				text = fmt.Sprintf("%+v", l.Reconciler.Explain(w.Now(), s.ID))
 			}
-			r.Fatalf("%d of %d tasks of %+v are on machines, and it does not get done: %s", on(w, s), s.Tasks, s, text)
+			r.Fatalf("%d of %d tasks of %+v are on machines, and it does not get done: %s", activeTasks(w, s), s.Tasks, s, text)
 		}
-		if len(w.Broken) > 0 {
-			r.Fatal(w.Broken)
+		if len(w.Violations) > 0 {
+			r.Fatal(w.Violations)
 		}
 	})
 }
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -22,27 +22,27 @@
 // State is a stand-in for the state service. It speaks the published protocol,
 // without the network.
 type State struct {
-	now    func() time.Time
-	Down   bool // answers 503 to all
-	rev    uint64
-	keys   *btree.Map[string, *stateKey]
-	log    []stateKey // of the last changes, in their order
-	oldest uint64     // changes up to this revision are not kept any more
-	leases map[uint64]*stateLease
-	next   uint64
-	Txns   int // transactions that were carried out
+	now               func() time.Time
+	Down              bool // answers 503 to all
+	revision          uint64
+	keys              *btree.Map[string, *stateEntry]
+	log               []stateEntry // of the last changes, in their order
+	compactedRevision uint64       // changes up to this revision are not kept any more
+	leases            map[uint64]*stateLease
+	lastLease         uint64
+	Transactions      int // transactions that were carried out
 
-	MostValue int // bytes of a value, in JSON; 0: any
-	MostOps   int // changes of a transaction; 0: any
-	Largest   int // the largest value that was ever taken
+	MaxValueBytes int // bytes of a value, in JSON; 0: any
+	MaxOps        int // changes of a transaction; 0: any
+	LargestValue  int // the largest value that was ever taken
 
-	Carried func(ops []any) // told of every transaction that is carried out
+	OnCommit func(ops []any) // told of every transaction that is carried out
 }
 
-// mostLog is how many changes are kept.
-const mostLog = 10_000
+// maxLogEntries is how many changes are kept.
+const maxLogEntries = 10_000
 
-type stateKey struct {
+type stateEntry struct {
 	key     string
 	value   any
 	version uint64
@@ -51,48 +51,48 @@
 }
 
 type stateLease struct {
-	life  time.Duration
-	since time.Time
+	duration  time.Duration
+	renewedAt time.Time
 }
 
 // NewState makes an empty state service.
 func NewState(now func() time.Time) *State {
-	return &State{now: now, rev: 1, keys: &btree.Map[string, *stateKey]{}, leases: map[uint64]*stateLease{}}
+	return &State{now: now, revision: 1, keys: &btree.Map[string, *stateEntry]{}, leases: map[uint64]*stateLease{}}
 }
 
-// Plant sets a key to a value that stands there from before.
-func (s *State) Plant(key string, value []byte) {
+// Preload sets a key to a value that stands there from before.
+func (s *State) Preload(key string, value []byte) {
 	v, _, err := msgp.ReadIntfBytes(value)
 	if err != nil {
 		panic(err)
 	}
-	s.rev++
-	s.put(stateKey{key: key, value: v, version: s.rev})
+	s.revision++
+	s.put(stateEntry{key: key, value: v, version: s.revision})
 }
 
 // put sets a key.
-func (s *State) put(e stateKey) {
+func (s *State) put(e stateEntry) {
 	s.keys.Set(e.key, &e)
-	s.note(e)
+	s.appendLog(e)
 }
 
-// note takes down a change, and lets the oldest ones go.
-func (s *State) note(e stateKey) {
-	if s.log = append(s.log, e); len(s.log) >= 2*mostLog {
-		s.oldest = s.log[len(s.log)-mostLog-1].version
-		s.log = append([]stateKey(nil), s.log[len(s.log)-mostLog:]...)
+// appendLog takes down a change, and lets the oldest ones go.
+func (s *State) appendLog(e stateEntry) {
+	if s.log = append(s.log, e); len(s.log) >= 2*maxLogEntries {
+		s.compactedRevision = s.log[len(s.log)-maxLogEntries-1].version
+		s.log = append([]stateEntry(nil), s.log[len(s.log)-maxLogEntries:]...)
 	}
 }
 
-// at finds a key; nil: it does not exist.
-func (s *State) at(key string) *stateKey {
+// entry finds a key; nil: it does not exist.
+func (s *State) entry(key string) *stateEntry {
 	e, _ := s.keys.Get(key)
 	return e
 }
 
 // Value is what a key holds; nil: it does not exist.
 func (s *State) Value(key string) any {
-	if e := s.at(key); e != nil {
+	if e := s.entry(key); e != nil {
 		return e.value
 	}
 	return nil
@@ -101,7 +101,7 @@
 // Keys lists the keys with a prefix.
 func (s *State) Keys(prefix string) []string {
 	var names []string
-	s.keys.Ascend(prefix, func(k string, _ *stateKey) bool {
+	s.keys.Ascend(prefix, func(k string, _ *stateEntry) bool {
 		if strings.HasPrefix(k, prefix) {
 			names = append(names, k)
 			return true
@@ -111,28 +111,28 @@
 	return names
 }
 
-// takes tells whether a transaction keeps within the limits.
-func (s *State) takes(conds, ops []any) bool {
-	if s.MostOps > 0 && (len(ops) > s.MostOps || len(conds) > 4*s.MostOps) {
+// withinLimits tells whether a transaction keeps within the limits.
+func (s *State) withinLimits(conds, ops []any) bool {
+	if s.MaxOps > 0 && (len(ops) > s.MaxOps || len(conds) > 4*s.MaxOps) {
 		return false
 	}
 	all := 0
 	for _, o := range ops {
 		b, err := json.Marshal(o.(map[string]any)["value"])
-		if all += len(b); err != nil || s.MostValue > 0 && len(b) > s.MostValue || all > 64<<10 {
+		if all += len(b); err != nil || s.MaxValueBytes > 0 && len(b) > s.MaxValueBytes || all > 64<<10 {
 			return false
 		}
-		s.Largest = max(s.Largest, len(b))
+		s.LargestValue = max(s.LargestValue, len(b))
 	}
 	return true
 }
 
 // Expire ends the leases whose time is over, and removes their keys.
-func (s *State) Expire() { s.expire() }
+func (s *State) Expire() { s.expireLeases() }
 
 // Changed tells whether a key with a prefix has changed after a revision, or whether that is not known any more.
 func (s *State) Changed(prefix string, after uint64) bool {
-	if after < s.oldest {
+	if after < s.compactedRevision {
 		return true
 	}
 	first := sort.Search(len(s.log), func(i int) bool { return s.log[i].version > after })
@@ -146,47 +146,47 @@
 
 // SetDown starts or ends an outage. After one, every lease has its full time.
 func (s *State) SetDown(down bool) {
-	s.expire()
+	s.expireLeases()
 	s.Down = down
 	for _, l := range s.leases {
-		l.since = s.now()
+		l.renewedAt = s.now()
 	}
 }
 
-func (s *State) expire() {
+func (s *State) expireLeases() {
 	if s.Down {
 		return
 	}
 	for id, l := range s.leases {
-		if s.now().Sub(l.since) > l.life {
-			s.end(id)
+		if s.now().Sub(l.renewedAt) > l.duration {
+			s.revokeLease(id)
 		}
 	}
 }
 
-func (s *State) end(id uint64) {
+func (s *State) revokeLease(id uint64) {
 	delete(s.leases, id)
 	var gone []string
-	s.keys.Scan(func(k string, e *stateKey) bool {
+	s.keys.Scan(func(k string, e *stateEntry) bool {
 		if e.lease == id {
 			gone = append(gone, k)
 		}
 		return true
 	})
 	if len(gone) > 0 {
-		s.rev++
+		s.revision++
 	}
 	for _, k := range gone {
-		s.remove(k)
+		s.removeKey(k)
 	}
 }
 
-func (s *State) remove(k string) {
+func (s *State) removeKey(k string) {
 	s.keys.Delete(k)
-	s.note(stateKey{key: k, version: s.rev, removed: true})
+	s.appendLog(stateEntry{key: k, version: s.revision, removed: true})
 }
 
-func status(code int, body any) ([]byte, error) {
+func response(code int, body any) ([]byte, error) {
 	b, err := msgp.AppendIntf(nil, body)
 	if err != nil {
 		return nil, err
@@ -199,20 +199,20 @@
 
 // Call answers one request.
 func (s *State) Call(method, uri string, body []byte, _ time.Duration) ([]byte, error) {
-	s.expire()
+	s.expireLeases()
 	if s.Down {
-		return status(http.StatusServiceUnavailable, map[string]any{})
+		return response(http.StatusServiceUnavailable, map[string]any{})
 	}
 	u, err := url.Parse(uri)
 	if err != nil {
-		return status(http.StatusBadRequest, map[string]any{})
+		return response(http.StatusBadRequest, map[string]any{})
 	}
 	var in map[string]any
 	if len(body) > 0 {
 		v, _, err := msgp.ReadIntfBytes(body)
 		m, ok := v.(map[string]any)
 		if err != nil || !ok {
-			return status(http.StatusBadRequest, map[string]any{})
+			return response(http.StatusBadRequest, map[string]any{})
 		}
 		in = m
 	}
@@ -221,36 +221,36 @@
 	case path == "/keys":
 		return s.list(q.Get("prefix"), q.Get("after"), q.Get("page"))
 	case strings.HasPrefix(path, "/keys/"):
-		e := s.at(path[len("/keys/"):])
+		e := s.entry(path[len("/keys/"):])
 		if e == nil {
-			return status(http.StatusNotFound, map[string]any{"epoch": s.rev})
+			return response(http.StatusNotFound, map[string]any{"epoch": s.revision})
 		}
-		return status(http.StatusOK, e.intf())
+		return response(http.StatusOK, e.asMap())
 	case path == "/changes":
 		return s.changes(q.Get("prefix"), q.Get("after"))
 	case path == "/commit":
 		return s.commit(in)
 	case path == "/grants":
-		s.next++
-		s.leases[s.next] = &stateLease{life: time.Duration(Number(in["lifeMs"])) * time.Millisecond, since: s.now()}
-		return status(http.StatusOK, map[string]any{"tenancy": s.next})
+		s.lastLease++
+		s.leases[s.lastLease] = &stateLease{duration: time.Duration(DecodeUint(in["lifeMs"])) * time.Millisecond, renewedAt: s.now()}
+		return response(http.StatusOK, map[string]any{"tenancy": s.lastLease})
 	case strings.HasPrefix(path, "/grants/"):
 		id, _ := strconv.ParseUint(strings.TrimSuffix(path[len("/grants/"):], "/touch"), 10, 64)
 		l := s.leases[id]
 		if l == nil {
-			return status(http.StatusNotFound, map[string]any{})
+			return response(http.StatusNotFound, map[string]any{})
 		}
 		if method == http.MethodDelete {
-			s.end(id)
+			s.revokeLease(id)
 		} else {
-			l.since = s.now()
+			l.renewedAt = s.now()
 		}
-		return status(http.StatusOK, map[string]any{})
+		return response(http.StatusOK, map[string]any{})
 	}
 	return nil, errors.New("no such path: " + uri)
 }
 
-func (e *stateKey) intf() map[string]any {
+func (e *stateEntry) asMap() map[string]any {
 	m := map[string]any{"k": e.key, "value": e.value, "stamp": e.version}
 	if e.lease != 0 {
 		m["tenancy"] = e.lease
@@ -258,8 +258,8 @@
 	return m
 }
 
-// Number reads an integer as the wire may hold it.
-func Number(v any) uint64 {
+// DecodeUint reads an integer as the wire may hold it.
+func DecodeUint(v any) uint64 {
 	switch n := v.(type) {
 	case uint64:
 		return n
@@ -275,7 +275,7 @@
 		most = 1000
 	}
 	var names []string
-	s.keys.Ascend(max(prefix, after), func(k string, _ *stateKey) bool {
+	s.keys.Ascend(max(prefix, after), func(k string, _ *stateEntry) bool {
 		if k > after && strings.HasPrefix(k, prefix) {
 			names = append(names, k)
 		}
@@ -284,15 +284,15 @@
 	more := len(names) > most
 	entries := []any{}
 	for _, k := range names[:min(most, len(names))] {
-		entries = append(entries, s.at(k).intf())
+		entries = append(entries, s.entry(k).asMap())
 	}
-	return status(http.StatusOK, map[string]any{"entries": entries, "more": more, "epoch": s.rev})
+	return response(http.StatusOK, map[string]any{"entries": entries, "more": more, "epoch": s.revision})
 }
 
 func (s *State) changes(prefix, after string) ([]byte, error) {
 	from, _ := strconv.ParseUint(after, 10, 64)
-	if from < s.oldest {
-		return status(http.StatusGone, map[string]any{})
+	if from < s.compactedRevision {
+		return response(http.StatusGone, map[string]any{})
 	}
 	log := []any{}
 	first := sort.Search(len(s.log), func(i int) bool { return s.log[i].version > from })
@@ -306,52 +306,52 @@
 			log = append(log, map[string]any{"write": e.key, "value": e.value, "stamp": e.version})
 		}
 	}
-	return status(http.StatusOK, map[string]any{"epoch": s.rev, "log": log})
+	return response(http.StatusOK, map[string]any{"epoch": s.revision, "log": log})
 }
 
 func (s *State) commit(in map[string]any) ([]byte, error) {
 	conds, _ := in["if"].([]any)
 	ops, _ := in["apply"].([]any)
-	if !s.takes(conds, ops) {
-		return status(http.StatusBadRequest, map[string]any{"error": "too large"})
+	if !s.withinLimits(conds, ops) {
+		return response(http.StatusBadRequest, map[string]any{"error": "too large"})
 	}
 	failed := []any{}
 	for _, c := range conds {
 		m := c.(map[string]any)
 		var have uint64
-		if e := s.at(m["k"].(string)); e != nil {
+		if e := s.entry(m["k"].(string)); e != nil {
 			have = e.version
 		}
-		if have != Number(m["stamp"]) {
+		if have != DecodeUint(m["stamp"]) {
 			failed = append(failed, m["k"])
 		}
 	}
 	if len(failed) > 0 {
-		return status(http.StatusConflict, map[string]any{"failed": failed, "epoch": s.rev})
+		return response(http.StatusConflict, map[string]any{"failed": failed, "epoch": s.revision})
 	}
 	for _, o := range ops {
 		m := o.(map[string]any)
-		if lease := Number(m["tenancy"]); lease != 0 && s.leases[lease] == nil {
-			return status(http.StatusBadRequest, map[string]any{"error": "no such lease"})
+		if lease := DecodeUint(m["tenancy"]); lease != 0 && s.leases[lease] == nil {
+			return response(http.StatusBadRequest, map[string]any{"error": "no such lease"})
 		}
 	}
-	s.rev++
-	s.Txns++
+	s.revision++
+	s.Transactions++
 	for _, o := range ops {
 		m := o.(map[string]any)
 		if k, ok := m["remove"].(string); ok {
-			if s.at(k) != nil {
-				s.remove(k)
+			if s.entry(k) != nil {
+				s.removeKey(k)
 			}
 			continue
 		}
-		s.put(stateKey{key: m["write"].(string), value: m["value"], version: s.rev, lease: Number(m["tenancy"])})
+		s.put(stateEntry{key: m["write"].(string), value: m["value"], version: s.revision, lease: DecodeUint(m["tenancy"])})
 	}
-	if s.Carried != nil {
-		s.Carried(ops)
+	if s.OnCommit != nil {
+		s.OnCommit(ops)
 	}
-	return status(http.StatusOK, map[string]any{"epoch": s.rev})
+	return response(http.StatusOK, map[string]any{"epoch": s.revision})
 }
 
 // Revision counts the changes.
-func (s *State) Revision() uint64 { return s.rev }
+func (s *State) Revision() uint64 { return s.revision }
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -21,7 +21,7 @@
 func newTestStore() (*fake.State, *store.Client) {
 	now := time.Unix(1000, 0)
 	s := fake.NewState(func() time.Time { return now })
-	s.MostValue, s.MostOps = 2048, 4
+	s.MaxValueBytes, s.MaxOps = 2048, 4
 	c := store.NewOver(s, s, time.Second)
 	c.SetRateLimits(1e9, 1e9)
 	return s, c
@@ -33,9 +33,9 @@
 	s, c := newTestStore()
 	long := strings.Repeat("x", 200)
 	id := "wk-" + strings.Repeat("9", 37)
-	s.Plant("leader/token", wire.AppendLeaderRecord(nil, 7, long))
+	s.Preload("leader/token", wire.AppendLeaderRecord(nil, 7, long))
 	token := uint64(2)
-	s.Plant("job/a/"+id, wire.AppendEndedJob(nil, wire.StateDone, 1, time.Unix(0, 0)))
+	s.Preload("job/a/"+id, wire.AppendEndedJob(nil, wire.StateDone, 1, time.Unix(0, 0)))
 	bits := make([]byte, model.ChunkTasks/8)
 	for i := range bits {
 		bits[i] = 0xff
@@ -62,7 +62,7 @@
 // The bound on a whole transaction holds too, where values may be large.
 func TestLongDependencyListFitsTransaction(t *testing.T) {
 	s, c := newTestStore()
-	s.MostValue, s.MostOps = 16<<10, 12
+	s.MaxValueBytes, s.MaxOps = 16<<10, 12
 	jobs := store.NewJobCache(c, 1, 10, store.Limits{MaxValueBytes: 16 << 10, MaxChanges: 12}, func([]store.JobChange) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	spec := &model.Spec{ID: "wk-000001", Class: "c", Team: "t", Shape: model.Array, Priority: model.PriorityNormal, Tasks: 1, Demand: model.Resources{CPU: 1}}
 	for i := range 7000 { // as many short ids as a submission can hold
--- a/internal/store/relay_test.go
+++ b/internal/store/relay_test.go
@@ -18,9 +18,9 @@
 func TestRelayBatchesReachLeaderAndMember(t *testing.T) {
 	s, c := newTestStore()
 	ctx := context.Background()
-	s.Plant("leader/token", wire.AppendLeaderRecord(nil, 7, "b"))
+	s.Preload("leader/token", wire.AppendLeaderRecord(nil, 7, "b"))
 	token := s.Revision()
-	room := wire.MaxBatchPayload(s.MostValue)
+	room := wire.MaxBatchPayload(s.MaxValueBytes)
 	toLeader, err := c.RelayRevision(ctx, "")
 	if err != nil {
 		t.Fatal(err)
@@ -62,11 +62,11 @@
 	if err != nil || string(letters[0].Body) != "answer 20" {
 		t.Error(letters, err)
 	}
-	s.Plant("leader/token", wire.AppendLeaderRecord(nil, 8, "c"))
+	s.Preload("leader/token", wire.AppendLeaderRecord(nil, 8, "c"))
 	if ok, err := c.PutHeartbeatResponses(ctx, token, batches[0]); ok || err != nil {
 		t.Errorf("a deposed leader answers: %v, %v", ok, err)
 	}
-	if err := c.DeleteRelayRecords(ctx, "a", s.MostOps); err != nil || len(s.Keys("relay/")) != 0 {
+	if err := c.DeleteRelayRecords(ctx, "a", s.MaxOps); err != nil || len(s.Keys("relay/")) != 0 {
 		t.Errorf("left behind: %v, %v", s.Keys("relay/"), err)
 	}
 }
