--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,11 +7,11 @@
 
 	"github.com/glentiller/glentiller/internal/admin"
 	"github.com/glentiller/glentiller/internal/autoscaler"
-	"github.com/glentiller/glentiller/internal/courier"
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/featuregate"
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/relay"
 	"github.com/glentiller/glentiller/internal/route"
 	"github.com/glentiller/glentiller/internal/scheduler"
 	"github.com/glentiller/glentiller/internal/staleness"
@@ -168,13 +168,13 @@
 }
 
 // RelaySettings puts together what reports by way of the state service go by; nil: they don't go that way.
-func RelaySettings(p *Platform, o *Operator) *courier.Settings {
+func RelaySettings(p *Platform, o *Operator) *relay.Settings {
 	if o.Relay == nil {
 		return nil
 	}
 	// A batch is one change, and its answers are another one.
 	every := Seconds(1 / (relayChangeShare * max(p.StateLimits().WriteRPS, 1e-3)))
-	return &courier.Settings{BatchInterval: min(max(every, 200*time.Millisecond), time.Second), MaxQueued: 512, MaxQueuedBytes: 2 << 20, MaxInFlight: 3, HeartbeatTimeout: 3300 * time.Millisecond, RetryAfter: 8 * time.Second}
+	return &relay.Settings{BatchInterval: min(max(every, 200*time.Millisecond), time.Second), MaxQueued: 512, MaxQueuedBytes: 2 << 20, MaxInFlight: 3, HeartbeatTimeout: 3300 * time.Millisecond, RetryAfter: 8 * time.Second}
 }
 
 // relayChangeShare is the part of the state service's changes that one member's reports take at most,
--- a/internal/controller/relay_store.go
+++ b/internal/controller/relay_store.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/glentiller/glentiller/internal/config"
-	"github.com/glentiller/glentiller/internal/courier"
 	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/relay"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/wire"
 )
@@ -27,7 +27,7 @@
 	answersWatched atomic.Bool   // answers are watched for
 
 	mu      sync.Mutex
-	outbox  *courier.Outbox
+	outbox  *relay.Outbox
 	waiters map[uint64]chan []byte
 }
 
@@ -47,7 +47,7 @@
 		return nil
 	}
 	p := &storeRelay{controller: n, incarnation: rand.Uint64() | 1, batchCapacity: wire.MaxBatchPayload(config.StoreLimits(n.platform).MaxValueBytes), flushSignal: make(chan struct{}, 1), answerSignal: make(chan struct{}, 1), waiters: map[uint64]chan []byte{}}
-	p.outbox = courier.New(*set, func(from, to courier.Path, why string) {
+	p.outbox = relay.New(*set, func(from, to relay.Path, why string) {
 		n.log.Info("way of reports", "from", from.String(), "to", to.String(), "why", why)
 	})
 	return p
@@ -94,7 +94,7 @@
 func (p *storeRelay) active() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.outbox.Path() == courier.ViaStore
+	return p.outbox.Path() == relay.ViaStore
 }
 
 // leaderReached takes that the leader is within reach again: nobody waits any more, and workers are sent on.
@@ -204,7 +204,7 @@
 		}
 		rev = at
 		for _, b := range batches {
-			letters, err := courier.Unpack(b.Payload)
+			letters, err := relay.Unpack(b.Payload)
 			if err != nil || b.Incarnation != p.incarnation {
 				continue // for an earlier life of this process
 			}
@@ -259,7 +259,7 @@
 
 // answerBatch answers a batch of reports, each as if it had come by itself.
 func (n *Controller) answerBatch(b store.RelayBatch) {
-	letters, err := courier.Unpack(b.Payload)
+	letters, err := relay.Unpack(b.Payload)
 	if err != nil {
 		n.log.Warn("a batch of reports cannot be read", "member", b.Member, "err", err)
 		return
@@ -282,16 +282,16 @@
 		})
 	}
 	_ = group.Wait()
-	var out []courier.Envelope
+	var out []relay.Envelope
 	for i, a := range answers {
 		if a != nil {
-			out = append(out, courier.Envelope{ID: letters[i].ID, Body: a})
+			out = append(out, relay.Envelope{ID: letters[i].ID, Body: a})
 		}
 	}
 	room := wire.MaxBatchPayload(config.StoreLimits(n.platform).MaxValueBytes)
 	for len(out) > 0 {
 		r := n.lease.Load()
-		text, k := courier.Pack(out, room)
+		text, k := relay.Pack(out, room)
 		if k == 0 {
 			out = out[1:] // more orders than a value holds: told again, fewer at a time
 			continue
--- a/internal/courier/envelope.go
+++ b/internal/relay/envelope.go
@@ -1,4 +1,4 @@
-package courier
+package relay
 
 import (
 	"bytes"
--- a/internal/courier/outbox.go
+++ b/internal/relay/outbox.go
@@ -1,7 +1,7 @@
-// Package courier decides how workers' reports reach a leader that this member cannot reach: by way
+// Package relay decides how workers' reports reach a leader that this member cannot reach: by way
 // of the state service, in batches. It is pure: reports and the time go in, batches come out. Why
 // a report may take any way is in docs/safety.md, "Reports that are handed on".
-package courier
+package relay
 
 import (
 	"cmp"
--- a/internal/store/relay_test.go
+++ b/internal/store/relay_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/glentiller/glentiller/internal/courier"
+	"github.com/glentiller/glentiller/internal/relay"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/wire"
 )
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	for seq := uint64(1); seq <= 20; seq++ {
-		text, n := courier.Pack([]courier.Envelope{{ID: seq, Body: []byte("report " + strings.Repeat("x", 500))}}, room)
+		text, n := relay.Pack([]relay.Envelope{{ID: seq, Body: []byte("report " + strings.Repeat("x", 500))}}, room)
 		if n != 1 {
 			t.Fatal("it does not fit")
 		}
@@ -46,7 +46,7 @@
 		if b.Member != "a" || b.Incarnation != 5 || b.Seq != uint64(i+1) {
 			t.Errorf("batch %d: %+v", i, b)
 		}
-		b.Payload, _ = courier.Pack([]courier.Envelope{{ID: b.Seq, Body: fmt.Append(nil, "answer ", b.Seq)}}, room)
+		b.Payload, _ = relay.Pack([]relay.Envelope{{ID: b.Seq, Body: fmt.Append(nil, "answer ", b.Seq)}}, room)
 		if ok, err := c.PutHeartbeatResponses(ctx, token, b); err != nil || !ok {
 			t.Fatal(ok, err)
 		}
@@ -58,7 +58,7 @@
 	if other, _, err := c.WatchRelay(ctx, "ab", toMember, time.Second); err != nil || len(other) != 0 {
 		t.Errorf("another one sees %d: %v", len(other), err)
 	}
-	letters, err := courier.Unpack(answers[19].Payload)
+	letters, err := relay.Unpack(answers[19].Payload)
 	if err != nil || string(letters[0].Body) != "answer 20" {
 		t.Error(letters, err)
 	}
