--- a/cmd/glentiller/main.go
+++ b/cmd/glentiller/main.go
@@ -16,7 +16,6 @@
 
 	"github.com/alecthomas/kong"
 
-	_ "github.com/glentiller/glentiller/internal/cgo"
 	"github.com/glentiller/glentiller/internal/config"
 	"github.com/glentiller/glentiller/internal/controller"
 )
--- a/internal/clustersim/capacity/capacity_test.go
+++ b/internal/clustersim/capacity/capacity_test.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, rest, ok := strings.Cut(string(page), "<!-- table: go run ./cmd/rehearse capacity -->\n")
+	_, rest, ok := strings.Cut(string(page), "<!-- table: go run ./cmd/clustersim capacity -->\n")
 	got, _, end := strings.Cut(rest, "<!-- end of the table -->")
 	if !ok || !end || strings.TrimSpace(got) != strings.TrimSpace(table) {
 		t.Errorf("docs/CAPACITY.md does not hold the table that the runs give:\n%s", table)
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -103,7 +103,7 @@
 	if took := time.Since(now); took > n.longestHold.longest {
 		n.longestHold.longest, n.longestHold.work, n.longestHold.event = took, what, ""
 		if n.lastEvent != nil {
-			n.longestHold.event = strings.TrimPrefix(fmt.Sprintf("%T", n.lastEvent), "control.")
+			n.longestHold.event = strings.TrimPrefix(fmt.Sprintf("%T", n.lastEvent), "reconciler.")
 		}
 	}
 }
