--- a/internal/httpapi/connections.go
+++ b/internal/httpapi/connections.go
@@ -11,28 +11,32 @@
 	"github.com/glentiller/glentiller/internal/connquota"
 )
 
-// trackConnState tells the budget when a connection waits for its next request.
+// rejectWriteTimeout bounds the write of a response to a connection beyond the quotas.
+const rejectWriteTimeout = 100 * time.Millisecond
+
+// trackConnState returns a hook that tells the quotas when a connection becomes busy
+// or idle.
 func trackConnState(now func() time.Time) func(net.Conn, fasthttp.ConnState) {
 	return func(c net.Conn, state fasthttp.ConnState) {
-		held, ok := c.(*connquota.Conn)
+		conn, ok := c.(*connquota.Conn)
 		if !ok {
 			return
 		}
 		switch state {
 		case fasthttp.StateActive:
-			held.MarkBusy()
+			conn.MarkBusy()
 		case fasthttp.StateIdle:
-			held.MarkIdle(now())
+			conn.MarkIdle(now())
 		}
 	}
 }
 
-// connClassOf tells what a request's connection is for.
+// connClassOf returns the class of a connection with a request to path.
 func connClassOf(path string) connquota.Class {
 	switch {
-	case path == "/v1/report":
+	case path == heartbeatPath:
 		return connquota.Heartbeats
-	case path == "/healthz":
+	case path == healthPath:
 		return connquota.HealthChecks
 	case path == jobsPath, strings.HasPrefix(path, jobsPath+"/"):
 		return connquota.Users
@@ -40,34 +44,42 @@
 	return connquota.Unclassified
 }
 
-// classifyConnection enters what a connection is for, and tells whether it may be held for that. A request
-// on one that may not is answered at once, with when to come back, or by another member.
-func (s *Server) classifyConnection(c *fasthttp.RequestCtx, path string) bool {
-	held, ok := c.Conn().(*connquota.Conn)
+// classifyConnection assigns a request's connection to the class of its path, and
+// reports whether it is within the class's quota. A connection beyond the quota, or
+// one that is not to be kept alive, is closed after the response.
+func (s *Server) classifyConnection(ctx *fasthttp.RequestCtx, path string) bool {
+	conn, ok := ctx.Conn().(*connquota.Conn)
 	if !ok {
 		return true
 	}
-	if !held.Classify(connClassOf(path)) {
-		c.SetConnectionClose()
+	if !conn.Classify(connClassOf(path)) {
+		ctx.SetConnectionClose()
 		return false
 	}
-	if !held.KeepAlive() {
-		c.SetConnectionClose()
+	if !conn.KeepAlive() {
+		ctx.SetConnectionClose()
 	}
 	return true
 }
 
-// setRetryAfter says when to come back: spread in time where sockets are what is short.
-func (s *Server) setRetryAfter(c *fasthttp.RequestCtx, after time.Duration) {
+// setRetryAfter sets Retry-After, spread in time when connections are exhausted.
+func (s *Server) setRetryAfter(ctx *fasthttp.RequestCtx, after time.Duration) {
 	if s.settings.ConnQuotas != nil && s.settings.ConnQuotas.Occupancy() == connquota.Full {
 		after = s.settings.ConnQuotas.RetryAfter(after)
 	}
-	c.Response.Header.Set("Retry-After", strconv.Itoa(max(1, int(after.Round(time.Second)/time.Second))))
+	ctx.Response.Header.Set("Retry-After", strconv.Itoa(max(1, roundToSeconds(after))))
 }
 
-// rejectConnection answers a connection that there is no socket for, without waiting for what it asks.
-func (s *Server) rejectConnection(c net.Conn) {
-	_ = c.SetWriteDeadline(s.now().Add(100 * time.Millisecond))
-	after := int(s.settings.ConnQuotas.RetryAfter(max(s.settings.RetryAfter, time.Second)).Round(time.Second) / time.Second)
-	_, _ = c.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nRetry-After: " + strconv.Itoa(after) + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"))
+// rejectConnection answers a connection beyond the quotas without reading from it.
+func (s *Server) rejectConnection(conn net.Conn) {
+	_ = conn.SetWriteDeadline(s.now().Add(rejectWriteTimeout)) // on failure the write fails too
+	after := roundToSeconds(s.settings.ConnQuotas.RetryAfter(max(s.settings.RetryAfter, time.Second)))
+	// Best effort: the connection is closed next.
+	_, _ = conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\n" +
+		"Retry-After: " + strconv.Itoa(after) + "\r\n" +
+		"Content-Length: 0\r\n" +
+		"Connection: close\r\n\r\n"))
 }
+
+// roundToSeconds returns a duration in whole seconds.
+func roundToSeconds(d time.Duration) int { return int(d.Round(time.Second) / time.Second) }
--- a/internal/httpapi/forwarding.go
+++ b/internal/httpapi/forwarding.go
@@ -11,124 +11,159 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-func requestTimeout(k route.Kind) time.Duration {
-	if k == route.Poll {
+// Timeouts of users' requests. Users themselves give up after 5 s, polls after 2 s.
+const (
+	userTimeout = 3 * time.Second
+	pollTimeout = 1500 * time.Millisecond
+)
+
+func requestTimeout(kind route.Kind) time.Duration {
+	if kind == route.Poll {
 		return pollTimeout
 	}
 	return userTimeout
 }
 
-// routeRequest answers a user's request here or by way of another member, as the router decides. elsewhere
-// has it answered by another member in any case.
-func (s *Server) routeRequest(q route.Request, elsewhere bool) route.Response {
-	wait := requestTimeout(q.Kind)
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
-	if s.settings.Router == nil || s.jobs.Peek(q.ID).State.Ended() {
+// routeRequest answers a user's request here or through other members, as the router
+// decides. With forwardOnly this member does not answer it itself.
+func (s *Server) routeRequest(request route.Request, forwardOnly bool) route.Response {
+	timeout := requestTimeout(request.Kind)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	if s.settings.Router == nil || s.jobs.Peek(request.ID).State.Ended() {
 		defer cancel()
-		return s.answerLocally(ctx, q) // an end that is known needs nobody
-	}
-	// Attempts may go on when the user has an answer: what becomes of them tells how the ways
-	// stand. So the body is theirs, and the time ends by itself.
-	time.AfterFunc(wait, cancel)
-	q.Body = append([]byte(nil), q.Body...)
-	type back struct {
-		from string
-		a    route.Response
+		return s.answerLocally(ctx, request) // a known end needs no other member
 	}
+	// Attempts may outlive the response, since the router learns from each outcome. So
+	// they have a copy of the body, and their context ends with the timeout alone.
+	time.AfterFunc(timeout, cancel)
+	request.Body = append([]byte(nil), request.Body...)
+
 	now := s.now()
-	t, m := s.settings.Router.Begin(now, now.Add(wait), s.backend.LastStateResponse(), q, elsewhere)
-	backs := make(chan back) // unbuffered: what is not taken here is told by its own goroutine
-	over := make(chan struct{})
-	defer close(over)
-	attempt := func(from string, do func() route.Response) {
-		go func() {
-			b := back{from, s.recoverPanic(do)}
-			select {
-			case backs <- b:
-			case <-over:
-				t.Completed(s.now(), b.from, b.a)
-			}
-		}()
+	requestAttempts, action := s.settings.Router.Begin(
+		now, now.Add(timeout), s.backend.LastStateResponse(), request, forwardOnly)
+	attempts := attemptRunner{
+		server:   s,
+		attempts: requestAttempts,
+		results:  make(chan attemptResult),
+		answered: make(chan struct{}),
 	}
-	timer := time.NewTimer(wait)
+	defer close(attempts.answered)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		switch {
-		case m.Local:
-			attempt("", func() route.Response { return s.answerLocally(ctx, q) })
-		case m.ForwardTo != "":
-			// A name of its own: guards against an attempt that begins only when the next move is
-			// known already, and goes to that one's member, or to none.
-			member := m.ForwardTo
-			s.log.Debug("request handed over", "kind", q.Kind.String(), "id", q.ID, "to", member, "state", t.State().String())
-			attempt(member, func() route.Response { return s.backend.Forward(ctx, member, q) })
-		case m.Response != nil:
-			return s.completeResponse(q, *m.Response)
+		case action.Local:
+			attempts.start("", func() route.Response { return s.answerLocally(ctx, request) })
+		case action.ForwardTo != "":
+			// A copy: action may have changed by the time the attempt's goroutine runs.
+			member := action.ForwardTo
+			s.log.Debug("request forwarded", "kind", request.Kind.String(), "id", request.ID,
+				"member", member, "state", requestAttempts.State().String())
+			attempts.start(member, func() route.Response { return s.backend.Forward(ctx, member, request) })
+		case action.Response != nil:
+			return s.completeResponse(request, *action.Response)
 		}
-		timer.Reset(max(t.NextTick().Sub(s.now()), time.Millisecond))
+		timer.Reset(max(requestAttempts.NextTick().Sub(s.now()), time.Millisecond))
 		select {
-		case b := <-backs:
-			m = t.Completed(s.now(), b.from, b.a)
+		case result := <-attempts.results:
+			action = requestAttempts.Completed(s.now(), result.member, result.response)
 		case <-timer.C:
-			m = t.Tick(s.now())
+			action = requestAttempts.Tick(s.now())
 		}
 	}
 }
 
-// recoverPanic has an attempt that trips over a mistake of ours answer, rather than end the process.
-func (s *Server) recoverPanic(do func() route.Response) (a route.Response) {
+// attemptRunner runs the attempts at one request.
+type attemptRunner struct {
+	server   *Server
+	attempts *route.RequestAttempts
+	results  chan attemptResult // unbuffered: none is lost in it once answered is closed
+	answered chan struct{}      // closed when the user has a response
+}
+
+// attemptResult is the response of one attempt.
+type attemptResult struct {
+	member   string // "": this one
+	response route.Response
+}
+
+// start runs an attempt in a goroutine of its own. Its result goes to results or, when
+// the user has a response already, directly to the router.
+func (a *attemptRunner) start(member string, attempt func() route.Response) {
+	go func() {
+		result := attemptResult{member, a.server.recoverPanic(attempt)}
+		select {
+		case a.results <- result:
+		case <-a.answered:
+			a.attempts.Completed(a.server.now(), result.member, result.response)
+		}
+	}()
+}
+
+// recoverPanic calls attempt and turns a panic into a response.
+func (s *Server) recoverPanic(attempt func() route.Response) (response route.Response) {
 	defer func() {
 		if r := recover(); r != nil {
 			s.log.Error("request failed", "panic", r, "stack", string(debug.Stack()))
-			a = notTaken(route.NotReady, "internal error")
+			response = notTaken(route.NotReady, "internal error")
 		}
 	}()
-	return do()
+	return attempt()
 }
 
-// completeResponse makes what a user is told of what became of a request.
-func (s *Server) completeResponse(q route.Request, a route.Response) route.Response {
-	if a.Outcome == route.Answered {
-		// An end that has become known here meanwhile is newer than whatever another member
-		// read, and than that the job was accepted: docs/safety.md, "Answers that never go back".
-		if v := s.jobs.Peek(q.ID); v.State.Ended() && (a.Status == fasthttp.StatusOK || a.Status == fasthttp.StatusCreated) {
-			ctx, cancel := context.WithTimeout(context.Background(), requestTimeout(q.Kind))
-			defer cancel()
-			return s.answerLocally(ctx, q)
-		}
-		return a
+// completeResponse turns the response of an attempt into the one that the user gets.
+func (s *Server) completeResponse(request route.Request, response route.Response) route.Response {
+	if response.Outcome == route.Answered {
+		return s.replaceStale(request, response)
 	}
-	if a.Status == 0 {
-		a.Status, a.Body = fasthttp.StatusServiceUnavailable, wire.AppendError(nil, "no controller can take it now")
+	if response.Status == 0 {
+		response.Status = fasthttp.StatusServiceUnavailable
+		response.Body = wire.AppendError(nil, "no controller can take it now")
 	}
-	a.RetryAfter = s.settings.Router.RetryAfter(max(a.RetryAfter, s.settings.RetryAfter), a.Outcome)
-	return a
+	least := max(response.RetryAfter, s.settings.RetryAfter)
+	response.RetryAfter = s.settings.Router.RetryAfter(least, response.Outcome)
+	return response
+}
+
+// replaceStale answers anew if the job's end has become known here while the request
+// was under way: the end is newer than what another member may have read, and users
+// may have been told of it (docs/safety.md, "Forwarded requests").
+func (s *Server) replaceStale(request route.Request, response route.Response) route.Response {
+	ended := s.jobs.Peek(request.ID).State.Ended()
+	if !ended || response.Status != fasthttp.StatusOK && response.Status != fasthttp.StatusCreated {
+		return response
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout(request.Kind))
+	defer cancel()
+	return s.answerLocally(ctx, request)
 }
 
-// HandleForwarded answers a request that another member hands over. It is never handed on.
-func (s *Server) HandleForwarded(ctx context.Context, q route.Request, wait time.Duration) route.Response {
-	if q.Kind > route.Cancel {
+// HandleForwarded answers a request that another member forwards. It is never
+// forwarded again, so requests cannot go in circles.
+func (s *Server) HandleForwarded(ctx context.Context, request route.Request, timeout time.Duration) route.Response {
+	if request.Kind > route.Cancel {
 		return route.Response{Outcome: route.NotReady}
 	}
-	if q.Kind == route.Submit {
-		id, why := validateBody(q.Body)
-		if why != "" {
-			// Where it came it was well formed: the versions differ. Guards against a job that
-			// another version has accepted, and that is called malformed here.
-			return notTaken(route.NotReady, why)
+	if request.Kind == route.Submit {
+		id, err := validateSubmission(request.Body)
+		if err != nil {
+			// The member that forwards it found it well-formed: the versions differ. A
+			// final response could call a job malformed that the other has accepted.
+			return notTaken(route.NotReady, err.Error())
 		}
-		q.ID = id
+		request.ID = id
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(wait, requestTimeout(q.Kind)))
+	ctx, cancel := context.WithTimeout(ctx, min(timeout, requestTimeout(request.Kind)))
 	defer cancel()
-	if s.settings.Router == nil || s.jobs.Peek(q.ID).State.Ended() {
-		return s.recoverPanic(func() route.Response { return s.answerLocally(ctx, q) })
+	answer := func() route.Response { return s.answerLocally(ctx, request) }
+	if s.settings.Router == nil || s.jobs.Peek(request.ID).State.Ended() {
+		return s.recoverPanic(answer)
 	}
-	ended, c := s.settings.Router.AdmitForwarded(s.now(), s.backend.LastStateResponse(), q.Kind)
-	if ended == nil {
-		return route.Response{Outcome: c}
+	completed, outcome := s.settings.Router.AdmitForwarded(s.now(), s.backend.LastStateResponse(), request.Kind)
+	if completed == nil {
+		return route.Response{Outcome: outcome}
 	}
-	a := s.recoverPanic(func() route.Response { return s.answerLocally(ctx, q) })
-	ended(s.now(), a.Outcome)
-	return a
+	response := s.recoverPanic(answer)
+	completed(s.now(), response.Outcome)
+	return response
 }
--- a/internal/httpapi/forwarding_test.go
+++ b/internal/httpapi/forwarding_test.go
@@ -168,7 +168,7 @@
 			return route.Response{Outcome: route.Overloaded}
 		}}
 		log := slog.New(logHook{slog.NewTextHandler(io.Discard, nil), func(msg string) {
-			if msg == "request handed over" {
+			if msg == "request forwarded" {
 				close(views.release)
 				time.Sleep(time.Millisecond) // the answer stands ready when the attempt begins
 			}
