--- a/internal/httpapi/forwarding_test.go
+++ b/internal/httpapi/forwarding_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"io"
 	"log/slog"
-	"math/rand/v2"
 	"net"
 	"runtime"
 	"sync/atomic"
@@ -13,7 +12,6 @@
 
 	"github.com/tinylib/msgp/msgp"
 	"github.com/valyala/fasthttp"
-	"github.com/valyala/fasthttp/fasthttputil"
 
 	"github.com/glentiller/glentiller/internal/connquota"
 	"github.com/glentiller/glentiller/internal/model"
@@ -22,215 +20,240 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-func newRouter(hedge time.Duration) *route.Router {
-	return route.New(route.Settings{OtherMembers: []string{"b"}, RetryRatio: 0.2, MinHedgeDelay: hedge, MaxConcurrent: 64}, rand.New(rand.NewPCG(1, 2)), nil)
-}
-
-// serveForwardingPair has two fronts, with records of their own, of which the first hands over to the second.
-func serveForwardingPair(t *testing.T, a, b *fakeJobs, back *fakeBackend, hedge time.Duration) func(method, path string, body any) (int, map[string]any, string) {
+// serveForwardingPair runs two servers with records of their own, of which the first
+// forwards to the second, and returns the first one's client.
+func serveForwardingPair(t *testing.T, first, second *fakeJobs) testClient {
 	t.Helper()
-	other := New(Settings{RetryAfter: time.Second, MaxConns: 10, Router: newRouter(hedge)}, b, &fakeBackend{machineTypes: eightCPUTypes}, time.Now, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	back.forward = func(ctx context.Context, member string, q route.Request) route.Response {
-		return other.HandleForwarded(ctx, q, time.Second)
+	machineTypes := eightCPUTypes
+	other := New(routedSettings(0), second, &fakeBackend{machineTypes: machineTypes}, time.Now, discardLog())
+	forward := func(ctx context.Context, _ string, request route.Request) route.Response {
+		return other.HandleForwarded(ctx, request, time.Second)
 	}
-	return serveHTTPWith(t, Settings{RetryAfter: time.Second, MaxConns: 10, Router: newRouter(hedge)}, a, back)
+	return serveHTTPWith(t, routedSettings(0), first, &fakeBackend{machineTypes: machineTypes, forward: forward})
 }
 
 func TestForwardedRequestIsAnsweredByOtherMember(t *testing.T) {
-	b := &fakeJobs{known: map[string]store.JobRecord{"wk-000005": {State: wire.StateQueued, Tasks: 1}, "wk-000009": {State: wire.StateDone, Tasks: 7}}}
-	do := serveForwardingPair(t, &fakeJobs{known: map[string]store.JobRecord{}, stateServiceDown: true}, b, &fakeBackend{machineTypes: eightCPUTypes}, 0)
-	bad := submissionFields("wk-000003")
-	bad["owner"] = "nobody"
+	jobs := &fakeJobs{known: map[string]store.JobRecord{
+		"wk-000005": {State: wire.StateQueued, Tasks: 1},
+		"wk-000009": {State: wire.StateDone, Tasks: 7},
+	}}
+	do := serveForwardingPair(t, unreachableJobs(), jobs)
+	infeasible := submissionFields("wk-000003")
+	infeasible["owner"] = "nobody"
 	for _, c := range []struct {
 		name, method, path string
 		body               any
-		want               int
-		status             string
+		status             int
+		jobStatus          string
 	}{
 		{"new job", "POST", "/api/jobs", submissionFields("wk-000001"), 201, "queued"},
-		{"again", "POST", "/api/jobs", submissionFields("wk-000001"), 200, "running"},
-		{"can never run", "POST", "/api/jobs", bad, 422, ""},
+		{"repeated", "POST", "/api/jobs", submissionFields("wk-000001"), 200, "running"},
+		{"infeasible", "POST", "/api/jobs", infeasible, 422, ""},
 		{"malformed", "POST", "/api/jobs", []byte("hello"), 400, ""},
 		{"poll", "GET", "/api/jobs/wk-000009", nil, 200, "done"},
-		{"poll, unheard of", "GET", "/api/jobs/wk-777777", nil, 404, ""},
+		{"poll, unknown", "GET", "/api/jobs/wk-777777", nil, 404, ""},
 		{"cancel", "POST", "/api/jobs/wk-000005/withdraw", nil, 200, "withdrawn"},
-		{"cancel what is done", "POST", "/api/jobs/wk-000009/withdraw", nil, 200, "done"},
+		{"cancel, done", "POST", "/api/jobs/wk-000009/withdraw", nil, 200, "done"},
 	} {
-		code, body, after := do(c.method, c.path, c.body)
-		if code != c.want || c.status != "" && body["status"] != c.status || after != "" {
-			t.Errorf("%s: got %d %v, Retry-After %q, want %d %s", c.name, code, body, after, c.want, c.status)
+		got := do(c.method, c.path, c.body)
+		if got.status != c.status || c.jobStatus != "" && got.fields["status"] != c.jobStatus || got.retryAfter != "" {
+			t.Errorf("%s: got %d %v, Retry-After %q, want %d %s without Retry-After",
+				c.name, got.status, got.fields, got.retryAfter, c.status, c.jobStatus)
 		}
 	}
-	if b.known["wk-000001"].Spec == nil {
-		t.Error("the job is on nobody's record")
+	if jobs.known["wk-000001"].Spec == nil {
+		t.Error("record of the new job: got none, want one at the other member")
 	}
-	b.stateServiceDown = true
+	jobs.stateServiceDown = true
 	for range 8 {
-		code, _, after := do("POST", "/api/jobs", submissionFields("wk-000002"))
-		if code != 503 || after == "" {
-			t.Errorf("with everybody cut off: %d, Retry-After %q", code, after)
+		got := do("POST", "/api/jobs", submissionFields("wk-000002"))
+		if got.status != 503 || got.retryAfter == "" {
+			t.Errorf("both without the state service: got %d, Retry-After %q, want 503 with Retry-After",
+				got.status, got.retryAfter)
 		}
 	}
 }
 
-// A request that was handed over is not handed on: two members that are both cut off would
-// pass it to and fro.
 func TestForwardedRequestIsNotForwardedAgain(t *testing.T) {
-	var handed atomic.Int32
-	b := &fakeBackend{machineTypes: eightCPUTypes, forward: func(context.Context, string, route.Request) route.Response {
-		handed.Add(1)
-		return route.Response{Outcome: route.TimedOut}
-	}}
-	s := New(Settings{RetryAfter: time.Second, MaxConns: 10, Router: newRouter(0)}, &fakeJobs{known: map[string]store.JobRecord{}, stateServiceDown: true}, b, time.Now, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	var forwarded atomic.Int32
+	backend := &fakeBackend{
+		machineTypes: eightCPUTypes,
+		forward: func(context.Context, string, route.Request) route.Response {
+			forwarded.Add(1)
+			return route.Response{Outcome: route.TimedOut}
+		},
+	}
+	s := New(routedSettings(0), unreachableJobs(), backend, time.Now, discardLog())
 	for range 5 {
-		if a := s.HandleForwarded(t.Context(), route.Request{Kind: route.Poll, ID: "wk-000001"}, time.Second); a.Outcome != route.StateUnavailable {
-			t.Errorf("got %+v", a)
+		got := s.HandleForwarded(t.Context(), route.Request{Kind: route.Poll, ID: "wk-000001"}, time.Second)
+		if got.Outcome != route.StateUnavailable {
+			t.Errorf("got %+v, want outcome %v", got, route.StateUnavailable)
 		}
 	}
-	if n := handed.Load(); n != 0 {
-		t.Errorf("handed on %d times", n)
+	if n := forwarded.Load(); n != 0 {
+		t.Errorf("forwarded again: got %d times, want 0", n)
 	}
 }
 
-// slowJobs know of ends, and otherwise do not answer in time.
+// slowJobs knows the ends of jobs; everything else does not answer in time.
 type slowJobs struct {
 	fakeJobs
 	ended atomic.Bool
 }
 
-func (r *slowJobs) Peek(string) store.JobRecord {
-	if r.ended.Load() {
+func (j *slowJobs) Peek(string) store.JobRecord {
+	if j.ended.Load() {
 		return store.JobRecord{State: wire.StateDone, Tasks: 3}
 	}
 	return store.JobRecord{}
 }
 
-func (r *slowJobs) Lookup(ctx context.Context, id string) (store.JobRecord, error) {
-	if v := r.Peek(id); v.State.Ended() {
-		return v, nil
+func (j *slowJobs) Lookup(ctx context.Context, id string) (store.JobRecord, error) {
+	if record := j.Peek(id); record.State.Ended() {
+		return record, nil
 	}
 	<-ctx.Done()
 	return store.JobRecord{}, ctx.Err()
 }
 
-// While another member read the job as unfinished, or accepted it, its end has become known here, and others may
-// have been told: the older answer must not go out.
+// While another member read the job as unfinished, or accepted it, its end became known
+// here, and users may have been told of it: the older response must not go out.
 func TestKnownJobEndOverridesOlderForwardedResponse(t *testing.T) {
+	const id = "wk-000001"
 	body := msgp.AppendMapHeader(nil, 1)
-	body = msgp.AppendString(msgp.AppendString(body, "ref"), "wk-000001")
+	body = msgp.AppendString(msgp.AppendString(body, "ref"), id)
 	for _, c := range []struct {
-		q          route.Request
-		older, end route.Response
+		request     route.Request
+		older, want route.Response
 	}{
-		{route.Request{Kind: route.Poll, ID: "wk-000001"},
-			route.Response{Status: 200, Body: wire.AppendJobStatus(nil, "wk-000001", wire.StateRunning, 1, 1)},
-			route.Response{Status: 200, Body: wire.AppendJobStatus(nil, "wk-000001", wire.StateDone, 3, 0)}},
-		{route.Request{Kind: route.Submit, ID: "wk-000001", Body: body},
-			route.Response{Status: 201, Body: wire.AppendJobState(nil, "wk-000001", wire.StateQueued)},
-			route.Response{Status: 200, Body: wire.AppendJobState(nil, "wk-000001", wire.StateDone)}},
+		{
+			request: route.Request{Kind: route.Poll, ID: id},
+			older:   route.Response{Status: 200, Body: wire.AppendJobStatus(nil, id, wire.StateRunning, 1, 1)},
+			want:    route.Response{Status: 200, Body: wire.AppendJobStatus(nil, id, wire.StateDone, 3, 0)},
+		},
+		{
+			request: route.Request{Kind: route.Submit, ID: id, Body: body},
+			older:   route.Response{Status: 201, Body: wire.AppendJobState(nil, id, wire.StateQueued)},
+			want:    route.Response{Status: 200, Body: wire.AppendJobState(nil, id, wire.StateDone)},
+		},
 	} {
-		views := &slowJobs{}
-		b := &fakeBackend{machineTypes: eightCPUTypes}
-		set := Settings{RetryAfter: time.Second, MaxConns: 10, Router: newRouter(time.Millisecond)}
-		s := New(set, views, b, time.Now, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		b.forward = func(context.Context, string, route.Request) route.Response {
-			views.ended.Store(true)
-			return c.older
+		jobs := &slowJobs{}
+		backend := &fakeBackend{
+			machineTypes: eightCPUTypes,
+			forward: func(context.Context, string, route.Request) route.Response {
+				jobs.ended.Store(true)
+				return c.older
+			},
 		}
-		if a := s.routeRequest(c.q, c.q.Kind == route.Submit); a.Status != c.end.Status || string(a.Body) != string(c.end.Body) {
-			t.Errorf("%v: got %d %q", c.q.Kind, a.Status, a.Body)
+		s := New(routedSettings(time.Millisecond), jobs, backend, time.Now, discardLog())
+		got := s.routeRequest(c.request, c.request.Kind == route.Submit)
+		if got.Status != c.want.Status || string(got.Body) != string(c.want.Body) {
+			t.Errorf("%v: got %d %q, want %d %q", c.request.Kind, got.Status, got.Body, c.want.Status, c.want.Body)
 		}
 	}
 }
 
-// logHook has a word in the log set something off, before what the word is about begins.
+// logHook calls a function with the message of each log record, before the logging
+// call returns.
 type logHook struct {
 	slog.Handler
-	onMessage func(msg string)
+	onMessage func(message string)
 }
 
 func (h logHook) Enabled(context.Context, slog.Level) bool { return true }
 
-func (h logHook) Handle(_ context.Context, r slog.Record) error {
-	h.onMessage(r.Message)
+func (h logHook) Handle(_ context.Context, record slog.Record) error {
+	h.onMessage(record.Message)
 	return nil
 }
 
-// A poll is handed to another member too, and answered here at that very moment, before the attempt
-// there has begun: it still goes to that member.
+// blockingJobs answers lookups once release is closed.
+type blockingJobs struct {
+	fakeJobs
+	release chan bool
+}
+
+func (j *blockingJobs) Lookup(context.Context, string) (store.JobRecord, error) {
+	<-j.release
+	return store.JobRecord{State: wire.StateDone, Tasks: 3}, nil
+}
+
+// A poll is hedged, and answered here at that very moment, before the goroutine of the
+// forwarded attempt has run: the attempt still goes to the member that was chosen.
 func TestDelayedForwardGoesToChosenMember(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for range 20 {
-		views := &blockingJobs{release: make(chan bool)}
+		jobs := &blockingJobs{release: make(chan bool)}
 		members := make(chan string, 1)
-		b := &fakeBackend{machineTypes: eightCPUTypes, forward: func(_ context.Context, member string, _ route.Request) route.Response {
-			members <- member
-			return route.Response{Outcome: route.Overloaded}
-		}}
-		log := slog.New(logHook{slog.NewTextHandler(io.Discard, nil), func(msg string) {
-			if msg == "request forwarded" {
-				close(views.release)
-				time.Sleep(time.Millisecond) // the answer stands ready when the attempt begins
+		backend := &fakeBackend{
+			machineTypes: eightCPUTypes,
+			forward: func(_ context.Context, member string, _ route.Request) route.Response {
+				members <- member
+				return route.Response{Outcome: route.Overloaded}
+			},
+		}
+		onMessage := func(message string) {
+			if message == "request forwarded" {
+				close(jobs.release)
+				time.Sleep(time.Millisecond) // lets the local attempt finish first
 			}
-		}})
-		s := New(Settings{RetryAfter: time.Second, MaxConns: 10, Router: newRouter(time.Millisecond)}, views, b, time.Now, log)
-		if a := s.routeRequest(route.Request{Kind: route.Poll, ID: "wk-000001"}, false); a.Status != 200 {
-			t.Fatalf("got %+v", a)
+		}
+		log := slog.New(logHook{slog.NewTextHandler(io.Discard, nil), onMessage})
+		s := New(routedSettings(time.Millisecond), jobs, backend, time.Now, log)
+		if got := s.routeRequest(route.Request{Kind: route.Poll, ID: "wk-000001"}, false); got.Status != 200 {
+			t.Fatalf("got %+v, want status 200", got)
 		}
 		if member := <-members; member != "b" {
-			t.Fatalf("handed to %q", member)
+			t.Fatalf("forwarded to %q, want %q", member, "b")
 		}
 	}
 }
 
-// blockingJobs answer once they are told to.
-type blockingJobs struct {
-	fakeJobs
-	release chan bool
-}
-
-func (r *blockingJobs) Lookup(context.Context, string) (store.JobRecord, error) {
-	<-r.release
-	return store.JobRecord{State: wire.StateDone, Tasks: 3}, nil
-}
-
-// A mistake of ours in an attempt costs that answer, not the process.
 func TestPanickingAttemptReturnsUnavailable(t *testing.T) {
-	b := &fakeBackend{machineTypes: []model.MachineType{{}}, forward: func(context.Context, string, route.Request) route.Response { panic("a mistake") }}
-	do := serveHTTPWith(t, Settings{RetryAfter: time.Second, MaxConns: 10, Router: newRouter(0)}, &fakeJobs{known: map[string]store.JobRecord{}, stateServiceDown: true}, b)
-	if code, _, after := do("GET", "/api/jobs/wk-000001", nil); code != 503 || after == "" {
-		t.Errorf("got %d, Retry-After %q", code, after)
+	backend := &fakeBackend{
+		machineTypes: []model.MachineType{{}},
+		forward:      func(context.Context, string, route.Request) route.Response { panic("test") },
+	}
+	do := serveHTTPWith(t, routedSettings(0), unreachableJobs(), backend)
+	if got := do("GET", "/api/jobs/wk-000001", nil); got.status != 503 || got.retryAfter == "" {
+		t.Errorf("got %d, Retry-After %q, want 503 with Retry-After", got.status, got.retryAfter)
 	}
 }
 
-// At its last users' socket a member takes requests on a newcomer's and has another member answer
-// them; what asks for nothing of the sort is told when to come back.
+// With the quota of users' connections used up, a member takes the request on a new
+// connection and has another member answer it.
 func TestRequestIsForwardedWhenUserQuotaIsFull(t *testing.T) {
-	sockets := connquota.New(200, 1, nil)
-	b := &fakeBackend{machineTypes: eightCPUTypes, forward: func(_ context.Context, _ string, q route.Request) route.Response {
-		return route.Response{Status: 201, Body: wire.AppendJobState(nil, q.ID, wire.StateQueued)}
-	}}
-	s := New(Settings{RetryAfter: time.Second, MaxConns: 200, ConnQuotas: sockets, Router: newRouter(0)}, &fakeJobs{known: map[string]store.JobRecord{}}, b, time.Now, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	for range sockets.Status().Classes[connquota.Users].Quota {
-		h, err := sockets.Acquire(time.Now(), connquota.Unclassified, nil)
-		if err != nil || !h.Classify(connquota.Users) {
-			t.Fatal("no socket for a user")
+	quotas := connquota.New(200, 1, nil)
+	backend := &fakeBackend{
+		machineTypes: eightCPUTypes,
+		forward: func(_ context.Context, _ string, request route.Request) route.Response {
+			return route.Response{Status: 201, Body: wire.AppendJobState(nil, request.ID, wire.StateQueued)}
+		},
+	}
+	settings := Settings{RetryAfter: time.Second, MaxConns: 200, ConnQuotas: quotas, Router: newRouter(0)}
+	s := New(settings, noJobs(), backend, time.Now, discardLog())
+	for range quotas.Status().Classes[connquota.Users].Quota {
+		slot, err := quotas.Acquire(time.Now(), connquota.Unclassified, nil)
+		if err != nil || !slot.Classify(connquota.Users) {
+			t.Fatalf("user's connection within the quota: got %v, want none rejected", err)
 		}
 	}
-	l := fasthttputil.NewInmemoryListener()
-	go func() { _ = s.Serve(l) }()
-	t.Cleanup(func() { _ = l.Close() })
-	c := &fasthttp.HostClient{Addr: "front", Dial: func(string) (net.Conn, error) { return l.Dial() }}
-	var req fasthttp.Request
-	var res fasthttp.Response
-	req.Header.SetMethod("POST")
-	req.SetRequestURI("http://front/api/jobs")
+	listener := listen(t, s)
+	client := &fasthttp.HostClient{
+		Addr: "controller",
+		Dial: func(string) (net.Conn, error) { return listener.Dial() },
+	}
+	var request fasthttp.Request
+	var response fasthttp.Response
+	request.Header.SetMethod("POST")
+	request.SetRequestURI("http://controller/api/jobs")
 	body, err := msgp.AppendIntf(nil, submissionFields("wk-000001"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	req.SetBody(body)
-	if err := c.Do(&req, &res); err != nil || res.StatusCode() != 201 || !res.ConnectionClose() {
-		t.Errorf("a submission: %d, %v, kept open: %v", res.StatusCode(), err, !res.ConnectionClose())
+	request.SetBody(body)
+	if err := client.Do(&request, &response); err != nil || response.StatusCode() != 201 || !response.ConnectionClose() {
+		t.Errorf("submission: got %d, %v, close %v, want 201 and the connection closed",
+			response.StatusCode(), err, response.ConnectionClose())
 	}
 }
