--- a/internal/connquota/conn.go
+++ b/internal/connquota/conn.go
@@ -7,65 +7,66 @@
 	"github.com/glentiller/glentiller/internal/rpc"
 )
 
-// Conn is a connection whose socket the budget knows.
+// Conn is a connection with a slot in the quotas.
 type Conn struct {
 	net.Conn
 	*Slot
 }
 
-// Close closes the connection and gives its socket back.
+// Close closes the connection and releases its slot.
 func (c *Conn) Close() error {
 	c.Release()
 	return c.Conn.Close()
 }
 
-// Listener takes connections in under the budget.
+// Listener accepts connections within the quotas.
 type Listener struct {
 	net.Listener
 	Quotas *Quotas
-	Class  Class
+	Class  Class // of connections when they are accepted
 	Now    func() time.Time
-	Reject func(net.Conn) // answers a connection that there is no socket for; it is closed then
+	Reject func(net.Conn) // if not nil, answers a connection beyond the quotas before it is closed
 }
 
 // Accept waits for the next connection that there is a socket for.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		h, err := l.Quotas.Acquire(l.Now(), l.Class, func() { _ = c.Close() })
+		closeConn := func() { _ = conn.Close() } // its reader gets the error
+		slot, err := l.Quotas.Acquire(l.Now(), l.Class, closeConn)
 		if err == nil {
-			return &Conn{c, h}, nil
+			return &Conn{conn, slot}, nil
 		}
 		if l.Reject != nil {
-			l.Reject(c)
+			l.Reject(conn)
 		}
-		_ = c.Close()
+		closeConn()
 	}
 }
 
-// Dialer puts the making of connections for an owner under the budget: the socket is asked for
-// first. A nil budget bounds nothing.
-func (b *Quotas) Dialer(o Class) func(rpc.DialFunc) rpc.DialFunc {
-	if b == nil {
+// Dialer returns a wrapper of dial functions that acquires a slot of a class before
+// each connection is made. On nil quotas it returns nil: no limit.
+func (q *Quotas) Dialer(class Class) func(rpc.DialFunc) rpc.DialFunc {
+	if q == nil {
 		return nil
 	}
-	return func(dial rpc.DialFunc) rpc.DialFunc { return b.dial(o, dial) }
+	return func(dial rpc.DialFunc) rpc.DialFunc { return q.limitDial(class, dial) }
 }
 
-func (b *Quotas) dial(o Class, dial rpc.DialFunc) rpc.DialFunc {
+func (q *Quotas) limitDial(class Class, dial rpc.DialFunc) rpc.DialFunc {
 	return func(addr string) (net.Conn, error) {
-		h, err := b.Acquire(time.Time{}, o, nil)
+		slot, err := q.Acquire(time.Time{}, class, nil)
 		if err != nil {
 			return nil, err
 		}
-		c, err := dial(addr)
+		conn, err := dial(addr)
 		if err != nil {
-			h.Release()
+			slot.Release()
 			return nil, err
 		}
-		return &Conn{c, h}, nil
+		return &Conn{conn, slot}, nil
 	}
 }
