--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -13,127 +13,142 @@
 	"github.com/glentiller/glentiller/internal/reconciler"
 )
 
-// Client asks a controller's operators' interface.
+// Client sends requests to a controller's operators' interface. It must not be used
+// concurrently.
 type Client struct {
 	Addr       string
 	Token      []byte
-	Dial       fasthttp.DialFunc // nil: the network
+	Dial       fasthttp.DialFunc // nil: the network's
 	httpClient fasthttp.Client
 }
 
-// maxAttempts is how often a controller that cannot answer now is asked again.
-const maxAttempts = 5
+const (
+	maxAttempts   = 5
+	retryPause    = time.Second
+	clientTimeout = 3 * requestTimeout // of one attempt
+)
+
+// ResponseError is a response of a controller whose status is not 200.
+type ResponseError struct {
+	Status  int    // of HTTP
+	Message string // of the controller
+}
+
+// Error returns the controller's message.
+func (e *ResponseError) Error() string { return e.Message }
 
-// get asks for one answer. It waits and asks again while the controller says so.
-func (c *Client) get(path string, q url.Values, to any) error {
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI("http://" + c.Addr + path + "?" + q.Encode())
-	req.Header.Set("Authorization", "Bearer "+string(c.Token))
+// get sends one request and decodes the response into body. While the controller asks
+// to retry, it does, up to maxAttempts times.
+func (c *Client) get(path string, query url.Values, body any) error {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.SetRequestURI("http://" + c.Addr + path + "?" + query.Encode())
+	request.Header.Set("Authorization", "Bearer "+string(c.Token))
 	c.httpClient.Dial = c.Dial
-	for try := 1; ; try++ {
-		if err := c.httpClient.DoTimeout(req, resp, 3*requestTimeout); err != nil {
+	for attempt := 1; ; attempt++ {
+		if err := c.httpClient.DoTimeout(request, response, clientTimeout); err != nil {
 			return fmt.Errorf("%s: %w", c.Addr, err)
 		}
-		status := resp.StatusCode()
-		if status == fasthttp.StatusOK {
-			return json.Unmarshal(resp.Body(), to)
-		}
-		var p ErrorResponse
-		if json.Unmarshal(resp.Body(), &p) != nil || p.Error == "" {
-			p.Error = strconv.Itoa(status)
-		}
-		switch {
-		case status == fasthttp.StatusServiceUnavailable && try < maxAttempts:
-			time.Sleep(time.Second)
+		switch status := response.StatusCode(); {
+		case status == fasthttp.StatusOK:
+			return json.Unmarshal(response.Body(), body)
+		case status == fasthttp.StatusServiceUnavailable && attempt < maxAttempts:
+			time.Sleep(retryPause)
 		case status == fasthttp.StatusConflict:
 			return errSegmentsFolded
 		default:
-			return errors.New(p.Error)
+			return responseError(response)
 		}
 	}
 }
 
-// Ledger reads all that was used, page by page. Where pages are folded while it reads,
-// it begins anew.
-func (c *Client) Ledger(q url.Values) ([]Entry, error) {
+func responseError(response *fasthttp.Response) error {
+	var body ErrorResponse
+	if json.Unmarshal(response.Body(), &body) != nil || body.Error == "" {
+		body.Error = strconv.Itoa(response.StatusCode())
+	}
+	return &ResponseError{Status: response.StatusCode(), Message: body.Error}
+}
+
+// Ledger returns all entries that match a query. If segments are folded while it reads,
+// it starts over.
+func (c *Client) Ledger(query url.Values) ([]Entry, error) {
 	for range maxAttempts {
-		var rows []Entry
-		cursor := ""
-		for {
-			if cursor != "" {
-				q.Set("cursor", cursor)
-			} else {
-				q.Del("cursor")
-			}
-			var p Entries
-			err := c.get(LedgerPath, q, &p)
-			if errors.Is(err, errSegmentsFolded) {
-				break
-			}
-			if err != nil {
-				return nil, err
-			}
-			rows = append(rows, p.Entries...)
-			if cursor = p.NextCursor; cursor == "" {
-				return rows, nil
-			}
+		entries, err := c.ledgerOnce(query)
+		if !errors.Is(err, errSegmentsFolded) {
+			return entries, err
 		}
 	}
 	return nil, errSegmentsFolded
 }
 
-// Explain has the leader say why a job's tasks wait.
+func (c *Client) ledgerOnce(query url.Values) ([]Entry, error) {
+	var entries []Entry
+	query.Del(cursorParameter)
+	for {
+		var page Entries
+		if err := c.get(LedgerPath, query, &page); err != nil {
+			return nil, err
+		}
+		entries = append(entries, page.Entries...)
+		if page.NextCursor == "" {
+			return entries, nil
+		}
+		query.Set(cursorParameter, page.NextCursor)
+	}
+}
+
+// Explain returns why the leader starts no tasks of a job.
 func (c *Client) Explain(id string) (*reconciler.Explanation, error) {
-	e := &reconciler.Explanation{}
-	return e, c.get(JobsPath+id+explainSuffix, nil, e)
+	explanation := &reconciler.Explanation{}
+	return explanation, c.get(JobsPath+id+explainSuffix, nil, explanation)
 }
 
-// MemberStatus tells where the controller stands in the election.
+// MemberStatus returns the controller's status.
 func (c *Client) MemberStatus() (*MemberStatus, error) {
-	m := &MemberStatus{}
-	return m, c.get(MemberPath, nil, m)
+	status := &MemberStatus{}
+	return status, c.get(MemberPath, nil, status)
 }
 
-// Verify checks all teams' pages.
+// Verify verifies the segments of all teams.
 func (c *Client) Verify() ([]Verification, error) {
-	var out []Verification
-	q := url.Values{}
+	var verifications []Verification
+	query := url.Values{}
 	for {
-		var v Verification
-		if err := c.get(VerifyPath, q, &v); err != nil {
-			return out, err
+		var verification Verification
+		if err := c.get(VerifyPath, query, &verification); err != nil {
+			return verifications, err
 		}
-		if v.Team != "" {
-			out = append(out, v)
+		if verification.Team != "" {
+			verifications = append(verifications, verification)
 		}
-		if v.NextCursor == "" {
-			return out, nil
+		if verification.NextCursor == "" {
+			return verifications, nil
 		}
-		q.Set("cursor", v.NextCursor)
+		query.Set(cursorParameter, verification.NextCursor)
 	}
 }
 
-// Intervals lists what is not accounted.
+// Intervals returns all intervals that no leader accounted for.
 func (c *Client) Intervals() ([]Interval, error) {
-	var out []Interval
-	q := url.Values{}
+	var intervals []Interval
+	query := url.Values{}
 	for {
-		var p Intervals
-		if err := c.get(IntervalsPath, q, &p); err != nil {
-			return out, err
+		var page Intervals
+		if err := c.get(IntervalsPath, query, &page); err != nil {
+			return intervals, err
 		}
-		out = append(out, p.Intervals...)
-		if p.NextCursor == "" {
-			return out, nil
+		intervals = append(intervals, page.Intervals...)
+		if page.NextCursor == "" {
+			return intervals, nil
 		}
-		q.Set("cursor", p.NextCursor)
+		query.Set(cursorParameter, page.NextCursor)
 	}
 }
 
-// FairShares tells the teams' standings.
+// FairShares returns the positions of all teams by fair share.
 func (c *Client) FairShares() (*FairShares, error) {
-	s := &FairShares{}
-	return s, c.get(FairSharesPath, nil, s)
+	shares := &FairShares{}
+	return shares, c.get(FairSharesPath, nil, shares)
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -14,8 +14,13 @@
 	golden.CheckJSON[Verification](t, "verify")
 	golden.CheckJSON[ErrorResponse](t, "error")
 	for got, want := range map[string]string{
-		LedgerPath: "/v1/ledger", VerifyPath: "/v1/ledger/verify", IntervalsPath: "/v1/ledger/stretches", FairSharesPath: "/v1/shares",
-		MemberPath: "/v1/member", JobsPath + "wk-000412" + explainSuffix: "/v1/jobs/wk-000412/explain",
+		LedgerPath:     "/v1/ledger",
+		VerifyPath:     "/v1/ledger/verify",
+		IntervalsPath:  "/v1/ledger/stretches",
+		FairSharesPath: "/v1/shares",
+		MemberPath:     "/v1/member",
+
+		JobsPath + "wk-000412" + explainSuffix: "/v1/jobs/wk-000412/explain",
 	} {
 		if got != want {
 			t.Errorf("path: got %s, want %s", got, want)
--- /dev/null
+++ b/internal/admin/ledger.go
@@ -0,0 +1,171 @@
+package admin
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/glentiller/glentiller/internal/ledger"
+)
+
+// maxVerifyAttempts is how often a team's segments are read before a problem is
+// reported: segments that are folded or closed meanwhile look like a gap.
+const maxVerifyAttempts = 3
+
+// throttle waits until the interface may read from the state service once more.
+func (s *Server) throttle(ctx context.Context) error { return s.limiter.Wait(ctx) }
+
+// accounts returns the accounts of all teams, sorted by team.
+func (s *Server) accounts(ctx context.Context) ([]ledger.StoredAccount, error) {
+	if err := s.throttle(ctx); err != nil {
+		return nil, err
+	}
+	accounts, err := s.records.Accounts(ctx)
+	for _, account := range accounts {
+		if account.Err != nil && err == nil {
+			err = fmt.Errorf("the account of team %q: %w", account.Open.Team, account.Err)
+		}
+	}
+	slices.SortFunc(accounts, func(a, b ledger.StoredAccount) int {
+		return strings.Compare(a.Open.Team, b.Open.Team)
+	})
+	return accounts, err
+}
+
+// teamAfter returns the first team after another one; "": there is none.
+func teamAfter(accounts []ledger.StoredAccount, team string) string {
+	for _, account := range accounts {
+		if account.Open.Team > team {
+			return account.Open.Team
+		}
+	}
+	return ""
+}
+
+func (s *Server) segments(ctx context.Context, team string, after uint64) ([]ledger.StoredSegment, bool, error) {
+	if err := s.throttle(ctx); err != nil {
+		return nil, false, err
+	}
+	return s.records.Segments(ctx, team, after, segmentsPerRead)
+}
+
+// verifyNextTeam verifies the segments of one team, "" for the first, and names the
+// next one.
+func (s *Server) verifyNextTeam(ctx context.Context, team string) (*Verification, error) {
+	accounts, err := s.accounts(ctx)
+	if err != nil {
+		return nil, err
+	}
+	if team == "" && len(accounts) > 0 {
+		team = accounts[0].Open.Team
+	}
+	verification := &Verification{Team: team, NextCursor: teamAfter(accounts, team)}
+	for range maxVerifyAttempts {
+		verification.Problem, err = s.verifyTeam(ctx, verification)
+		if err != nil || verification.Problem == "" {
+			break
+		}
+	}
+	return verification, err
+}
+
+// verifyTeam reads a team's segments and account once and returns the problem that it
+// finds, or "".
+func (s *Server) verifyTeam(ctx context.Context, verification *Verification) (problem string, err error) {
+	verification.Segments, verification.VerifiedThrough = 0, 0
+	var link string
+	var first uint64
+	for more := true; more; {
+		var segments []ledger.StoredSegment
+		if segments, more, err = s.segments(ctx, verification.Team, first); err != nil {
+			return "", err
+		}
+		for _, segment := range segments {
+			verification.VerifiedThrough, link, err = s.settings.Seal.Verify(
+				[]ledger.Segment{segment.Segment}, verification.VerifiedThrough, link)
+			if err != nil {
+				return err.Error(), nil
+			}
+			first = segment.First
+			verification.Segments++
+		}
+	}
+	accounts, err := s.accounts(ctx)
+	if err != nil {
+		return "", err
+	}
+	for _, account := range accounts {
+		if account.Open.Team != verification.Team {
+			continue
+		}
+		if err := account.Open.VerifyOpen(verification.VerifiedThrough, link); err != nil {
+			return err.Error(), nil
+		}
+		return "", nil
+	}
+	if verification.Segments > 0 {
+		return "the account that stands behind the pages is missing", nil
+	}
+	return "", nil
+}
+
+// intervals answers one page of the intervals that no leader accounted for. Its cursor
+// is the fencing token of the last one.
+func (s *Server) intervals(ctx context.Context, cursorText string) (*Intervals, error) {
+	var after uint64
+	if cursorText != "" {
+		var err error
+		if after, err = strconv.ParseUint(cursorText, 10, 64); err != nil {
+			return nil, errMalformedCursor
+		}
+	}
+	if err := s.throttle(ctx); err != nil {
+		return nil, err
+	}
+	intervals, more, err := s.records.Intervals(ctx, after, intervalsPerRead)
+	if err != nil {
+		return nil, err
+	}
+	page := &Intervals{Intervals: []Interval{}}
+	for _, interval := range intervals {
+		page.Intervals = append(page.Intervals, Interval(interval))
+		after = interval.FencingToken
+	}
+	if more {
+		page.NextCursor = strconv.FormatUint(after, 10)
+	}
+	return page, nil
+}
+
+// fairShares answers the positions of all teams by fair share.
+func (s *Server) fairShares(ctx context.Context) (*FairShares, error) {
+	accounts, err := s.accounts(ctx)
+	if err != nil {
+		return nil, err
+	}
+	open := map[string]ledger.OpenSegment{}
+	for _, account := range accounts {
+		open[account.Open.Team] = account.Open
+	}
+	response := &FairShares{
+		Enabled:  s.settings.FairShareEnabled,
+		HalfLife: s.settings.HalfLife.Seconds(),
+		Teams:    []FairShare{},
+	}
+	decayedUsage := func(team string) uint64 { return open[team].DecayedUsage }
+	for _, share := range ledger.FairShares(s.settings.Weights, decayedUsage) {
+		response.Teams = append(response.Teams, FairShare{
+			Rank:          share.Rank,
+			Team:          share.Team,
+			Weight:        share.Weight,
+			DecayedUsage:  share.DecayedUsage,
+			UsageFraction: share.UsageFraction,
+			Factor:        share.Factor,
+			Band:          share.Band,
+			SettledAt:     open[share.Team].SettledAt,
+		})
+	}
+	return response, nil
+}
