--- a/internal/httpapi/connections_test.go
+++ b/internal/httpapi/connections_test.go
@@ -16,6 +16,21 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
+// requestOn sends a request on an open connection.
+func requestOn(t *testing.T, conn net.Conn, method, path string, body []byte) (status int, retryAfter string) {
+	t.Helper()
+	var request fasthttp.Request
+	var response fasthttp.Response
+	request.Header.SetMethod(method)
+	request.SetRequestURI("http://controller" + path)
+	request.SetBody(body)
+	_, _ = request.WriteTo(conn) // a rejected connection may be closed before the request is written
+	if err := response.Read(bufio.NewReader(conn)); err != nil {
+		t.Fatalf("%s: %v", path, err)
+	}
+	return response.StatusCode(), string(response.Header.Peek("Retry-After"))
+}
+
 // Some connections are held open without a request, others use up the quota of users.
 // Workers and health checks connect all the same, and a new user is told when to retry.
 func TestWorkersConnectWhileUsersHoldConnections(t *testing.T) {
@@ -29,19 +44,6 @@
 		machineTypes:    eightCPUTypes,
 	}
 	listener := listen(t, New(settings, jobs, backend, now, discardLog()))
-	do := func(conn net.Conn, method, path string, body []byte) (status int, retryAfter string) {
-		t.Helper()
-		var request fasthttp.Request
-		var response fasthttp.Response
-		request.Header.SetMethod(method)
-		request.SetRequestURI("http://controller" + path)
-		request.SetBody(body)
-		_, _ = request.WriteTo(conn) // a rejected connection may be closed before the request is written
-		if err := response.Read(bufio.NewReader(conn)); err != nil {
-			t.Fatalf("%s: %v", path, err)
-		}
-		return response.StatusCode(), string(response.Header.Peek("Retry-After"))
-	}
 	dial := func() net.Conn {
 		t.Helper()
 		conn, err := listener.Dial()
@@ -58,7 +60,7 @@
 	for quotas.Status().Classes[connquota.Unclassified].Used < classes[connquota.Unclassified].Quota {
 		runtime.Gosched()
 	}
-	if status, after := do(dial(), "GET", "/healthz", nil); status != 503 || after == "" {
+	if status, after := requestOn(t, dial(), "GET", "/healthz", nil); status != 503 || after == "" {
 		t.Errorf("beyond the quota of new connections: got %d, Retry-After %q, want 503 with Retry-After", status, after)
 	}
 	seconds.Add(6) // new connections without a request may be closed now
@@ -66,11 +68,11 @@
 	for range classes[connquota.Users].Quota {
 		conn := dial()
 		users = append(users, conn)
-		if status, _ := do(conn, "GET", "/api/jobs/wk-000001", nil); status != 200 {
+		if status, _ := requestOn(t, conn, "GET", "/api/jobs/wk-000001", nil); status != 200 {
 			t.Fatalf("user %d: got %d, want 200", len(users), status)
 		}
 	}
-	if status, after := do(dial(), "GET", "/api/jobs/wk-000001", nil); status != 503 || after == "" {
+	if status, after := requestOn(t, dial(), "GET", "/api/jobs/wk-000001", nil); status != 503 || after == "" {
 		t.Errorf("beyond the quota of users: got %d, Retry-After %q, want 503 with Retry-After", status, after)
 	}
 	heartbeat, err := msgp.AppendIntf(nil, heartbeatFields())
@@ -78,11 +80,11 @@
 		t.Fatal(err)
 	}
 	for i := range 30 {
-		if status, _ := do(dial(), "POST", "/v1/report", heartbeat); status != 200 {
+		if status, _ := requestOn(t, dial(), "POST", "/v1/report", heartbeat); status != 200 {
 			t.Errorf("worker %d: got %d, want 200", i, status)
 		}
 	}
-	if status, _ := do(dial(), "GET", "/healthz", nil); status != 200 {
+	if status, _ := requestOn(t, dial(), "GET", "/healthz", nil); status != 200 {
 		t.Errorf("health check: got %d, want 200", status)
 	}
 }
--- a/internal/httpapi/handler.go
+++ b/internal/httpapi/handler.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// handleJobRequest answers a user's request about a job. Without a quota for its
-// connection, another member has to answer it.
+// handleJobRequest answers a user's request about a job. If its connection is beyond
+// the quota of users, another member has to answer it.
 func (s *Server) handleJobRequest(ctx *fasthttp.RequestCtx, request route.Request, withinQuota bool) {
 	response := s.routeRequest(request, !withinQuota)
 	if response.RetryAfter > 0 || response.Status == fasthttp.StatusServiceUnavailable {
--- a/internal/httpapi/heartbeat.go
+++ b/internal/httpapi/heartbeat.go
@@ -18,7 +18,7 @@
 type HeartbeatResult struct {
 	Leading bool   // this controller leads; FencingToken, Commands and LeaseValid are set
 	Leader  string // the leader's name as far as it is known, if this controller does not lead
-	// FencingToken is the leader's; workers ignore responses with an older one.
+	// FencingToken is the leader's; workers refuse a lower one than they have seen.
 	FencingToken uint64
 	Commands     []model.Command
 	// LeaseValid reports whether the leadership lease holds at the time of the call.
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -126,7 +126,7 @@
 		NoDefaultServerHeader:         true,
 		NoDefaultDate:                 true,
 		DisableHeaderNamesNormalizing: false,
-		MaxRequestBodySize:            wire.MaxBodyBytes + 1, // so that a body that is too large is told apart
+		MaxRequestBodySize:            wire.MaxBodyBytes + 1, // one more than validateSubmission accepts
 		ReadBufferSize:                readBufferBytes,
 		WriteBufferSize:               writeBufferBytes,
 		Concurrency:                   settings.MaxConns,
@@ -141,8 +141,7 @@
 	return s
 }
 
-// discardLogger drops the HTTP library's own log, which is about broken
-// connections and nothing else.
+// discardLogger drops the HTTP library's own log: broken connections are routine.
 type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
--- a/internal/httpapi/submission_test.go
+++ b/internal/httpapi/submission_test.go
@@ -57,10 +57,9 @@
 	"spread, and in one zone":     {"shape": "ensemble", "rows": 2, "scatter": true, "oneZone": true},
 }
 
-func TestInvalidSubmissionsAreRejectedUnlessJobIsKnown(t *testing.T) {
-	jobs := noJobs()
-	backend := &fakeBackend{machineTypes: eightCPUTypes}
-	do := serveHTTP(t, jobs, backend)
+// checkInvalidFieldsAreRejected submits wk-000001 with each field missing or invalid.
+func checkInvalidFieldsAreRejected(t *testing.T, do testClient) {
+	t.Helper()
 	for field := range submissionFields("wk-000001") {
 		if len(invalidValues[field]) == 0 {
 			t.Errorf("no invalid values of %s", field)
@@ -86,6 +85,13 @@
 			}
 		}
 	}
+}
+
+func TestInvalidSubmissionsAreRejectedUnlessJobIsKnown(t *testing.T) {
+	jobs := noJobs()
+	backend := &fakeBackend{machineTypes: eightCPUTypes}
+	do := serveHTTP(t, jobs, backend)
+	checkInvalidFieldsAreRejected(t, do)
 	for name, changes := range infeasibleFields {
 		fields := submissionFields("wk-000001")
 		maps.Copy(fields, changes)
