--- a/internal/golden/json.go
+++ b/internal/golden/json.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// CheckJSON fills a value, compares its JSON with the golden file of a name, and reads that back. Fill tells which values
-// it is filled with.
+// CheckJSON fills a value, compares its JSON with the golden file of a name, and reads that back. Fill says which
+// values it is filled with.
 func CheckJSON[T any](t *testing.T, name string) {
 	t.Helper()
 	var want, got T
