--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -244,6 +244,42 @@
 	}
 }
 
+var layerPackage = regexp.MustCompile("`internal/(\\w+)`")
+
+// A package imports only what the table of layers has behind it: to its right, or in a lower row.
+func TestPackagesImportOnlyLowerLayers(t *testing.T) {
+	_, table, _ := strings.Cut(read(t, "architecture.md"), "## Packages by layer\n")
+	table, _, _ = strings.Cut(table, "\n## ")
+	place := map[string]int{}
+	for i, m := range layerPackage.FindAllStringSubmatch(table, -1) {
+		place[m[1]] = i + 1
+	}
+	for _, path := range files(t, ".go") {
+		rest, ok := strings.CutPrefix(filepath.ToSlash(path), root+"/internal/")
+		if own, _, _ := strings.Cut(rest, "/"); ok && own != "golden" && !strings.HasSuffix(path, "_test.go") {
+			checkImports(t, path, own, place)
+		}
+	}
+}
+
+func checkImports(t *testing.T, path, own string, place map[string]int) {
+	t.Helper()
+	if place[own] == 0 {
+		t.Errorf("%s: got package %s, want it in the table of layers", path, own)
+	}
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, i := range file.Imports {
+		_, imported, ok := strings.Cut(strings.Trim(i.Path.Value, `"`), "glentiller/internal/")
+		imported, _, _ = strings.Cut(imported, "/")
+		if ok && imported != own && place[imported] <= place[own] {
+			t.Errorf("%s: got an import of %s, want only packages behind %s in the table of layers", path, imported, own)
+		}
+	}
+}
+
 // The second column of the glossary's first table holds names of the code.
 func TestGlossaryNamesExistInTheCode(t *testing.T) {
 	c := readCode(t)
