--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -2,22 +2,23 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 
 	"github.com/glentiller/glentiller/internal/liveness"
 )
 
-// AttemptState is where one start of a task stands, as the leader knows it.
+// AttemptState is the state of one start of a task, as the leader knows it.
 type AttemptState uint8
 
-// The states of an attempt. From Launching to Stopping it counts as being on
-// its machine; see docs/safety.md, "What is on a machine".
+// The states of an attempt. It is active, which means that it counts as being
+// on its machine, from AttemptLaunching to AttemptStopping: docs/safety.md.
 const (
-	AttemptLaunching AttemptState = iota + 1 // its launch may have been sent; no report has shown it yet
-	AttemptPresent                           // a report has shown it on its machine
-	AttemptStopping                          // it was told to stop, or is about to be
-	AttemptEnded                             // a report has shown its exit; its row is still on the machine
-	AttemptDropped                           // it is certainly not on the machine, or its row was forgotten
+	AttemptLaunching AttemptState = iota + 1 // the launch may have been sent; no heartbeat has shown it yet
+	AttemptPresent                           // a heartbeat has shown it on its machine
+	AttemptStopping                          // its stop was sent, or is about to be
+	AttemptEnded                             // a heartbeat has shown its exit; the worker still lists it
+	AttemptDropped                           // it is certainly not on the machine, or the worker was told to forget it
 )
 
 func (s AttemptState) String() string {
@@ -32,8 +33,14 @@
 	AttemptEnded:     {AttemptDropped},
 }
 
-// Attempt is one start of a task on one machine. Its (Task, Try) never comes
-// again.
+// AttemptKey identifies an attempt among those of a machine.
+type AttemptKey struct {
+	Task   TaskID
+	Number uint64
+}
+
+// Attempt is one start of a task on one machine. Its (Task, Number) is never
+// used again.
 type Attempt struct {
 	Task    TaskID
 	Number  uint64
@@ -45,90 +52,101 @@
 	Cause   ExitCause
 	Demand  Resources
 	Team    string
-	Usage   *Usage // the account of its team, or of what is on machines and nobody knows
-
-	LaunchedAt       time.Time
-	RunningAt        time.Time // first seen running
-	StopRequestedAt  time.Time // when it was told to stop
-	GracePeriod      time.Duration
-	Preempted        bool                   // was stopped to make room
-	CommandedState   AttemptState           // the state that a direct command has told the worker of
-	LaunchedDirectly bool                   // its launch went straight to the worker
-	EndedAt          time.Time              // when a report showed its exit
-	SentInReplyTo    liveness.MessageNumber // the straight report whose answer first told the worker of the present state; zero: none
+	Usage   *Usage // of its team, or of attempts whose job is unknown
+
+	LaunchedAt      time.Time
+	RunningAt       time.Time // when it was first seen running
+	StopRequestedAt time.Time
+	EndedAt         time.Time // when a heartbeat showed its exit
+	GracePeriod     time.Duration
+	Preempted       bool // it was stopped to make room for other work
+
+	AttemptDelivery
+	AttemptCharge
 
 	Choice Choice // why it is on its machine; zero where another leader chose
 
-	activeIndex int // its place among the attempts that count as being on its machine
+	activeIndex int // its index in Machine.activeAttempts
+}
+
+// AttemptDelivery is what the leader knows of how far the worker has heard of
+// the attempt's state.
+type AttemptDelivery struct {
+	CommandedState   AttemptState // the state that the last direct command has conveyed
+	LaunchedDirectly bool         // its launch was sent as a direct command
+	// SentInReplyTo is the direct heartbeat whose answer first conveyed the
+	// present state; zero: none.
+	SentInReplyTo liveness.MessageNumber
+}
 
-	// For the ledger; zero while no message has shown it running.
+// AttemptCharge is the time for which an attempt is charged in the ledger. It is
+// zero while no message to this leader has shown the attempt running.
+type AttemptCharge struct {
 	ChargedFrom  time.Time // the first message to this leader that showed it running
-	ChargedUntil time.Time // up to here its run time is charged
+	ChargedUntil time.Time
 }
 
-// Choice is what decided where an attempt was placed.
+// Choice explains where the scheduler placed an attempt.
 type Choice struct {
-	FeasibleNodes int     // machines that fitted, this one among them
+	FeasibleNodes int     // machines that fitted, the chosen one included
 	Efficiency    float64 // of the machine with the task on it
-	Preference    float64 // what the job's wishes added to it
-	ImageCached   bool    // the machine is known to have held the image
+	Preference    float64 // score of the job's own preferences for the machine
+	ImageCached   bool    // the machine was known to hold the image
 }
 
-// Usage is the account of what a team's attempts hold. It is kept as attempts
-// change, so that nobody has to count them.
+// Usage sums up what active attempts of one team hold. Transitions of the
+// attempts keep it up to date, so that it never has to be counted.
 type Usage struct {
-	Allocated   Resources // of all attempts that count as being on machines
-	Stopping    Resources // the part of that which was told to stop
+	Allocated   Resources // of all active attempts
+	Stopping    Resources // the part of Allocated that belongs to stopping attempts
 	activeCount int
 }
 
-// Active tells whether the attempt counts as being on its machine.
+func (u *Usage) allocate(demand Resources) {
+	u.Allocated = u.Allocated.Add(demand)
+	u.activeCount++
+}
+
+func (u *Usage) free(demand Resources) {
+	u.Allocated = u.Allocated.Sub(demand)
+	if u.activeCount--; u.activeCount == 0 {
+		u.Allocated, u.Stopping = Resources{}, Resources{} // drop accumulated rounding errors
+	}
+}
+
+// Active reports whether the attempt counts as being on its machine.
 func (a *Attempt) Active() bool { return a.State >= AttemptLaunching && a.State <= AttemptStopping }
 
-// Transition changes the attempt's state; it is the only place that does. The
-// machine's and the job's accounts follow.
-func (a *Attempt) Transition(s AttemptState) {
-	if a.State == s {
+// Transition changes the attempt's state and the sums of its team and machine
+// that depend on it; nothing else changes the state. A transition that is not
+// allowed is a programming error and panics.
+func (a *Attempt) Transition(to AttemptState) {
+	if a.State == to {
 		return
 	}
-	ok := a.State == 0
-	for _, to := range attemptTransitions[a.State] {
-		ok = ok || to == s
+	if a.State != 0 && !slices.Contains(attemptTransitions[a.State], to) {
+		panic(fmt.Sprintf("attempt %v/%d: %v -> %v", a.Task, a.Number, a.State, to))
 	}
-	if !ok {
-		panic(fmt.Sprintf("attempt %v/%d: %v -> %v", a.Task, a.Number, a.State, s))
-	}
-	held, leaving := a.Active(), a.State == AttemptStopping
-	a.State, a.SentInReplyTo = s, liveness.MessageNumber{}
-	if s == AttemptStopping {
+	wasActive, wasStopping := a.Active(), a.State == AttemptStopping
+	a.State, a.SentInReplyTo = to, liveness.MessageNumber{}
+	if to == AttemptStopping {
 		a.Usage.Stopping = a.Usage.Stopping.Add(a.Demand)
 	}
-	if leaving {
+	if wasStopping {
 		a.Usage.Stopping = a.Usage.Stopping.Sub(a.Demand)
 	}
-	if held == a.Active() {
-		return
-	}
-	if a.Active() {
-		a.Usage.Allocated = a.Usage.Allocated.Add(a.Demand)
-		a.Usage.activeCount++
-		a.Machine.Used = a.Machine.Used.Add(a.Demand)
+	switch isActive := a.Active(); {
+	case isActive && !wasActive:
+		a.Usage.allocate(a.Demand)
 		a.Machine.addActive(a)
-	} else {
-		a.Usage.Allocated = a.Usage.Allocated.Sub(a.Demand)
-		if a.Usage.activeCount--; a.Usage.activeCount == 0 {
-			a.Usage.Allocated, a.Usage.Stopping = Resources{}, Resources{} // no rounding is left behind
-		}
-		a.Machine.Used = a.Machine.Used.Sub(a.Demand)
+	case wasActive && !isActive:
+		a.Usage.free(a.Demand)
 		a.Machine.removeActive(a)
-		if a.Machine.ActiveCount == 0 {
-			a.Machine.Used = Resources{}
-		}
 	}
 }
 
-// RequestStop marks the attempt as told to stop, and tells whether that is news. A
-// later stop may shorten the grace, never extend it.
+// RequestStop marks the attempt as stopping, and reports whether that changes
+// anything. A later request may shorten the grace period, never extend it.
 func (a *Attempt) RequestStop(now time.Time, grace time.Duration) bool {
 	if !a.Active() || a.State == AttemptStopping && a.GracePeriod <= grace {
 		return false
@@ -140,112 +158,3 @@
 	a.Transition(AttemptStopping)
 	return true
 }
-
-// MachineState is where a machine stands, as the leader knows it.
-type MachineState uint8
-
-// The states of a machine.
-const (
-	MachineBooting   MachineState = iota + 1 // rented; its worker has not reported
-	MachineInherited                         // from before the takeover; may hold tasks that nobody here knows
-	MachineReady                             // what is on it is known
-	MachineDraining                          // nothing more is placed on it
-	MachineReleasing                         // the cloud was asked to take it back
-	MachineReleased                          // the cloud has taken it back
-)
-
-func (s MachineState) String() string {
-	return [...]string{"none", "booting", "unsettled", "ready", "draining", "returning", "gone"}[s]
-}
-
-var machineTransitions = map[MachineState][]MachineState{
-	MachineBooting:   {MachineReady, MachineDraining, MachineReleasing},
-	MachineInherited: {MachineReady, MachineDraining, MachineReleasing},
-	MachineReady:     {MachineDraining, MachineReleasing},
-	MachineDraining:  {MachineReleasing},
-	MachineReleasing: {MachineReleased},
-}
-
-// AttemptKey names an attempt on a machine.
-type AttemptKey struct {
-	Task   TaskID
-	Number uint64
-}
-
-// Machine is a rented machine.
-type Machine struct {
-	Name, Addr, Zone string
-	Type             *MachineType
-	Spot             bool
-	State            MachineState
-	StateSince       time.Time // when this state began
-	StateReason      string    // why it drains
-	Registered       bool      // its record is durable
-
-	// Unreconciled: it is from before the takeover, and neither a report with this
-	// leader's token has come nor has its lease certainly run out.
-	Unreconciled bool
-	Record       MachineInfo // where it is unsure: what its record says of it
-
-	liveness.Incarnation                   // the numbers of its messages
-	Detector             liveness.Detector // whether it hears this leader
-	LeaseExpiry          time.Time         // by then its worker's lease has certainly run out unless a report is answered
-	LastHeartbeat        time.Time         // the last report; an answer to a command is none
-	LastSeen             time.Time         // its last message of any kind
-
-	Used           Resources
-	ActiveCount    int // attempts that count as being on it
-	Attempts       map[AttemptKey]*Attempt
-	activeAttempts []*Attempt // those of the rows that count as being on it
-
-	EmptySince     time.Time
-	RequestedAt    time.Time // when it was asked for, as far as is known
-	InterruptionAt time.Time // when the cloud takes it; zero: no notice
-	CachedImages   map[string]time.Time
-
-	UnansweredLaunches    UnansweredLaunches // of launches that were sent straight to it
-	ErrorsByJob           map[string]int     // errors by job
-	LastFailure           time.Time          // when a task failed there last
-	QuarantinedSince      time.Time          // since when it is left alone: jobs fail on it, nobody knows why; zero: it is not
-	CommandInFlight       bool               // a direct command is in flight
-	ProbedAt              time.Time          // when a new leader last asked it whether it is there
-	ProbeUnanswered       bool               // it did not answer that
-	NoDirectCommandBefore time.Time          // no direct command before this
-}
-
-// Transition changes the machine's state; it is the only place that does. It tells
-// whether the change is allowed and new.
-func (m *Machine) Transition(now time.Time, s MachineState, why string) bool {
-	ok := m.State == 0
-	for _, to := range machineTransitions[m.State] {
-		ok = ok || to == s
-	}
-	if !ok {
-		return false
-	}
-	m.State, m.StateSince, m.StateReason = s, now, why
-	return true
-}
-
-// ActiveAttempts lists the attempts that count as being on the machine, in no order. It is kept as attempts change, and is
-// not to be changed by others. Guards against looks at all that runs that go through the rows of ended attempts
-// too, which stay for leases.
-func (m *Machine) ActiveAttempts() []*Attempt { return m.activeAttempts }
-
-func (m *Machine) addActive(a *Attempt) {
-	a.activeIndex = len(m.activeAttempts)
-	m.activeAttempts = append(m.activeAttempts, a)
-	m.ActiveCount++
-}
-
-func (m *Machine) removeActive(a *Attempt) {
-	last := len(m.activeAttempts) - 1
-	m.activeAttempts[a.activeIndex] = m.activeAttempts[last]
-	m.activeAttempts[a.activeIndex].activeIndex = a.activeIndex
-	m.activeAttempts[last] = nil
-	m.activeAttempts = m.activeAttempts[:last]
-	m.ActiveCount--
-}
-
-// Free is what is not taken.
-func (m *Machine) Free() Resources { return m.Type.Capacity.Sub(m.Used) }
--- a/internal/model/attempt_test.go
+++ b/internal/model/attempt_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// The index of held attempts is what the rows say, whatever becomes of them in whatever order.
+// The list of active attempts and its sums agree with all attempts of a machine
+// after any transitions, in any order.
 func TestActiveAttemptsMatchMachineAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines := []*Machine{{Attempts: map[AttemptKey]*Attempt{}}, {Attempts: map[AttemptKey]*Attempt{}}}
@@ -15,7 +16,12 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"start": func(t *rapid.T) {
 				m := rapid.SampledFrom(machines).Draw(t, "machine")
-				a := &Attempt{Task: TaskID{Job: "wk-000001", Index: len(all)}, Machine: m, Usage: &Usage{}, Demand: Resources{CPU: 1}}
+				a := &Attempt{
+					Task:    TaskID{Job: "wk-000001", Index: len(all)},
+					Machine: m,
+					Usage:   &Usage{},
+					Demand:  Resources{CPU: 1},
+				}
 				a.Transition(rapid.SampledFrom([]AttemptState{AttemptLaunching, AttemptPresent}).Draw(t, "state"))
 				m.Attempts[AttemptKey{Task: a.Task}] = a
 				all = append(all, a)
@@ -25,8 +31,8 @@
 					t.Skip("nothing was started")
 				}
 				a := rapid.SampledFrom(all).Draw(t, "attempt")
-				if moves := attemptTransitions[a.State]; len(moves) > 0 {
-					a.Transition(rapid.SampledFrom(moves).Draw(t, "state"))
+				if allowed := attemptTransitions[a.State]; len(allowed) > 0 {
+					a.Transition(rapid.SampledFrom(allowed).Draw(t, "state"))
 				}
 				if a.State == AttemptDropped {
 					delete(a.Machine.Attempts, AttemptKey{Task: a.Task})
@@ -39,12 +45,13 @@
 						if a.Active() {
 							n++
 							if !slices.Contains(m.ActiveAttempts(), a) {
-								t.Fatalf("%v is held and not listed", a.Task)
+								t.Fatalf("attempt %v is active, but not in ActiveAttempts", a.Task)
 							}
 						}
 					}
 					if len(m.ActiveAttempts()) != n || m.ActiveCount != n || m.Used.CPU != float64(n) {
-						t.Fatalf("%d are listed, %d counted, %v used by %d", len(m.ActiveAttempts()), m.ActiveCount, m.Used, n)
+						t.Fatalf("got %d active attempts, a count of %d and %v CPUs used, want %d of each",
+							len(m.ActiveAttempts()), m.ActiveCount, m.Used.CPU, n)
 					}
 				}
 			},
--- a/internal/model/dependency_graph.go
+++ b/internal/model/dependency_graph.go
@@ -1,34 +1,38 @@
 package model
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
 // Outcome is how a job has ended.
 type Outcome uint8
 
-// The ends of a job.
+// The outcomes of a job.
 const (
 	OutcomeUnknown Outcome = iota // not ended, or not known
 	OutcomeDone
 	OutcomeCancelled
 )
 
-// DependencyState is where a job stands among the jobs that it needs and that need it.
+// DependencyState is the state of a job in the dependency graph.
 type DependencyState uint8
 
-// The states of a job in the graph. Only the durable end of a job moves the jobs
-// behind it: docs/safety.md, "Pipelines".
+// The states of a job in the graph. Only the durable end of a job changes the
+// states of the jobs downstream of it: docs/safety.md.
 const (
-	DependencyReferenced DependencyState = iota + 1 // named by a job that needs it; nothing else is known of it
-	DependencyWaiting                               // needs jobs that are not known to be done
-	DependencySatisfied                             // all that it needs is done
-	DependencyFailed                                // a job that it needs, directly or through others, is cancelled
-	DependencyEnded                                 // has ended
+	DependencyReferenced DependencyState = iota + 1 // a job depends on it; nothing else is known of it
+	DependencyWaiting                               // depends on jobs that are not known to be done
+	DependencySatisfied                             // all jobs that it depends on are done
+	DependencyFailed                                // a job upstream of it, at any distance, is cancelled
+	DependencyEnded
 )
 
 func (s DependencyState) String() string {
 	return [...]string{"none", "named", "waiting", "free", "doomed", "over"}[s]
 }
 
+// dependencyTransitions holds the allowed changes of a job's state in the graph.
 var dependencyTransitions = map[DependencyState][]DependencyState{
 	0:                    {DependencyReferenced, DependencyWaiting},
 	DependencyReferenced: {DependencyWaiting, DependencyEnded},
@@ -37,205 +41,205 @@
 	DependencyFailed:     {DependencyEnded},
 }
 
-// DependencyNode is a job's place in the graph.
+// DependencyNode is a job in the dependency graph.
 type DependencyNode struct {
 	ID          string
 	State       DependencyState
-	SatisfiedAt time.Time                  // when the last of what it needs was done, or it was submitted
-	Upstream    map[string]*DependencyNode // what it needs and is not known to be done
-	Downstream  map[string]*DependencyNode // the unfinished jobs that need it
-	DecidedBy   string                     // doomed: the cancelled job; free: the job that was done last
+	SatisfiedAt time.Time                  // when its last dependency was done, or it was submitted
+	Upstream    map[string]*DependencyNode // the jobs that it depends on and that are not known to be done
+	Downstream  map[string]*DependencyNode // the unfinished jobs that depend on it
+	DecidedBy   string                     // failed: the cancelled job; satisfied: the job that was done last
 }
 
-// transition changes the link's state; it is the only place that does. It tells whether
-// the change is allowed.
-func (l *DependencyNode) transition(s DependencyState) bool {
-	for _, to := range dependencyTransitions[l.State] {
-		if to == s {
-			l.State = s
-			return true
-		}
+// transition changes the node's state; nothing else does. It reports whether the
+// change is allowed.
+func (n *DependencyNode) transition(to DependencyState) bool {
+	if !slices.Contains(dependencyTransitions[n.State], to) {
+		return false
 	}
-	return false
+	n.State = to
+	return true
 }
 
-// DependencyGraph holds which unfinished jobs need which. It knows nothing of jobs that have
-// ended: their end has been passed on to the jobs behind them, so its size and the
-// cost of a change do not grow with history.
+// DependencyGraph holds which unfinished jobs depend on which. It forgets jobs
+// that have ended, once their end is propagated downstream, so that its size and
+// the cost of a change do not grow with history.
 type DependencyGraph struct {
 	nodes      map[string]*DependencyNode
-	referenced int // links of which nothing but the name is known
+	referenced int // nodes in the state DependencyReferenced
 }
 
-// NewDependencyGraph makes an empty graph.
+// NewDependencyGraph returns an empty graph.
 func NewDependencyGraph() *DependencyGraph {
 	return &DependencyGraph{nodes: map[string]*DependencyNode{}}
 }
 
-// Node finds an unfinished job, or one that is only named; nil: it is neither.
+// Node returns the node of a job that is unfinished or referenced, or nil.
 func (g *DependencyGraph) Node(id string) *DependencyNode { return g.nodes[id] }
 
+// nodeFor returns the node of a job, and creates it if need be.
 func (g *DependencyGraph) nodeFor(id string) *DependencyNode {
-	l := g.nodes[id]
-	if l == nil {
-		l = &DependencyNode{ID: id}
-		g.nodes[id] = l
+	n := g.nodes[id]
+	if n == nil {
+		n = &DependencyNode{ID: id}
+		g.nodes[id] = n
 	}
-	return l
+	return n
 }
 
-// Add enters an unfinished job. It is free at once if it needs nothing.
-func (g *DependencyGraph) Add(id string, needs []string, at time.Time) *DependencyNode {
-	l := g.nodeFor(id)
-	if l.State == DependencyReferenced {
+// Add enters an unfinished job. It is satisfied at once if it depends on nothing.
+func (g *DependencyGraph) Add(id string, dependencies []string, submitted time.Time) *DependencyNode {
+	n := g.nodeFor(id)
+	if n.State == DependencyReferenced {
 		g.referenced--
 	}
-	if !l.transition(DependencyWaiting) {
-		return l // known already
+	if !n.transition(DependencyWaiting) {
+		return n // known already
 	}
-	l.SatisfiedAt = at
-	for _, n := range needs {
-		need := g.nodeFor(n)
-		if need.transition(DependencyReferenced) {
+	n.SatisfiedAt = submitted
+	for _, dependency := range dependencies {
+		upstream := g.nodeFor(dependency)
+		if upstream.transition(DependencyReferenced) {
 			g.referenced++
 		}
-		connect(need, l)
-		if need.State == DependencyFailed {
-			g.failDownstream(l, need.DecidedBy, nil)
+		connect(upstream, n)
+		if upstream.State == DependencyFailed {
+			g.failDownstream(n, upstream.DecidedBy, nil)
 		}
 	}
-	if len(l.Upstream) == 0 {
-		l.transition(DependencySatisfied)
+	if len(n.Upstream) == 0 {
+		n.transition(DependencySatisfied)
 	}
-	return l
+	return n
 }
 
-func connect(need, l *DependencyNode) {
-	if l.Upstream == nil {
-		l.Upstream = map[string]*DependencyNode{}
+// connect makes one node depend on another.
+func connect(upstream, downstream *DependencyNode) {
+	if downstream.Upstream == nil {
+		downstream.Upstream = map[string]*DependencyNode{}
 	}
-	if need.Downstream == nil {
-		need.Downstream = map[string]*DependencyNode{}
+	if upstream.Downstream == nil {
+		upstream.Downstream = map[string]*DependencyNode{}
 	}
-	l.Upstream[need.ID], need.Downstream[l.ID] = need, l
+	downstream.Upstream[upstream.ID], upstream.Downstream[downstream.ID] = upstream, downstream
 }
 
-// End takes the durable end of a job out of the graph and passes it on: it returns
-// the jobs that it has freed, or the ones that it has doomed, directly or through
-// others.
-func (g *DependencyGraph) End(id string, end Outcome, at time.Time) (freed, doomed []*DependencyNode) {
-	l := g.nodes[id]
-	if l == nil || end == OutcomeUnknown {
+// End removes a job whose end is durable, and propagates the end. It returns the
+// jobs whose dependencies it has satisfied, or those that it has failed, at any
+// distance downstream.
+func (g *DependencyGraph) End(id string, outcome Outcome, at time.Time) (satisfied, failed []*DependencyNode) {
+	n := g.nodes[id]
+	if n == nil || outcome == OutcomeUnknown {
 		return nil, nil
 	}
-	if l.State == DependencyReferenced {
+	if n.State == DependencyReferenced {
 		g.referenced--
 	}
-	l.transition(DependencyEnded)
+	n.transition(DependencyEnded)
 	delete(g.nodes, id)
-	for _, need := range l.Upstream {
-		g.disconnect(need, l)
+	for _, upstream := range n.Upstream {
+		g.disconnect(upstream, n)
 	}
-	for _, next := range l.Downstream {
-		delete(next.Upstream, id)
-		if end == OutcomeCancelled {
-			doomed = g.failDownstream(next, id, doomed)
+	for _, downstream := range n.Downstream {
+		delete(downstream.Upstream, id)
+		if outcome == OutcomeCancelled {
+			failed = g.failDownstream(downstream, id, failed)
 			continue
 		}
-		if at.After(next.SatisfiedAt) {
-			next.SatisfiedAt = at
+		if at.After(downstream.SatisfiedAt) {
+			downstream.SatisfiedAt = at
 		}
-		if len(next.Upstream) == 0 && next.transition(DependencySatisfied) {
-			next.DecidedBy = id
-			freed = append(freed, next)
+		if len(downstream.Upstream) == 0 && downstream.transition(DependencySatisfied) {
+			downstream.DecidedBy = id
+			satisfied = append(satisfied, downstream)
 		}
 	}
-	return freed, doomed
+	return satisfied, failed
 }
 
-// disconnect lets go of a job that was needed. Of one that is only named, the name goes
-// with the last job that needs it.
-func (g *DependencyGraph) disconnect(need, l *DependencyNode) {
-	delete(need.Downstream, l.ID)
-	if need.State == DependencyReferenced && len(need.Downstream) == 0 {
+// disconnect removes the edge from a node to one downstream of it. A node that is
+// only referenced goes with its last edge.
+func (g *DependencyGraph) disconnect(upstream, downstream *DependencyNode) {
+	delete(upstream.Downstream, downstream.ID)
+	if upstream.State == DependencyReferenced && len(upstream.Downstream) == 0 {
 		g.referenced--
-		delete(g.nodes, need.ID)
+		delete(g.nodes, upstream.ID)
 	}
 }
 
-// failDownstream marks a job and all behind it. It goes by a list of its own: pipelines may be
-// deep.
-func (g *DependencyGraph) failDownstream(l *DependencyNode, by string, doomed []*DependencyNode) []*DependencyNode {
-	for todo := []*DependencyNode{l}; len(todo) > 0; {
-		l, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		if !l.transition(DependencyFailed) {
+// failDownstream fails a node and all that are downstream of it, and appends them
+// to failed. It does not recurse, since chains of jobs may be long.
+func (g *DependencyGraph) failDownstream(n *DependencyNode, cause string, failed []*DependencyNode) []*DependencyNode {
+	for stack := []*DependencyNode{n}; len(stack) > 0; {
+		n, stack = stack[len(stack)-1], stack[:len(stack)-1]
+		if !n.transition(DependencyFailed) {
 			continue
 		}
-		l.DecidedBy = by
-		doomed = append(doomed, l)
-		for _, next := range l.Downstream {
-			todo = append(todo, next)
+		n.DecidedBy = cause
+		failed = append(failed, n)
+		for _, downstream := range n.Downstream {
+			stack = append(stack, downstream)
 		}
 	}
-	return doomed
+	return failed
 }
 
 // Forget takes back that a job is known to be unfinished: a view that has missed
-// changes cannot tell how it ended. What needs it waits.
+// changes cannot tell how it ended. Jobs that depend on it wait.
 func (g *DependencyGraph) Forget(id string) {
-	l := g.nodes[id]
-	if l == nil || l.State == DependencyReferenced {
+	n := g.nodes[id]
+	if n == nil || n.State == DependencyReferenced {
 		return
 	}
 	delete(g.nodes, id)
-	for _, need := range l.Upstream {
-		g.disconnect(need, l)
+	for _, upstream := range n.Upstream {
+		g.disconnect(upstream, n)
 	}
-	if len(l.Downstream) == 0 {
+	if len(n.Downstream) == 0 {
 		return
 	}
-	named := g.nodeFor(id)
-	named.transition(DependencyReferenced)
+	replacement := g.nodeFor(id)
+	replacement.transition(DependencyReferenced)
 	g.referenced++
-	for _, next := range l.Downstream {
-		connect(named, next)
+	for _, downstream := range n.Downstream {
+		connect(replacement, downstream)
 	}
 }
 
-// Referenced lists jobs of which nothing but the name is known.
+// Referenced lists the jobs in the state DependencyReferenced.
 func (g *DependencyGraph) Referenced() []string {
 	if g.referenced == 0 {
 		return nil
 	}
-	var out []string
-	for id, l := range g.nodes {
-		if l.State == DependencyReferenced {
-			out = append(out, id)
+	var ids []string
+	for id, n := range g.nodes {
+		if n.State == DependencyReferenced {
+			ids = append(ids, id)
 		}
 	}
-	return out
+	return ids
 }
 
-// ReferencedUpstream lists the jobs of which nothing but the name is known and on whose end
-// a job hangs, directly or through others.
+// ReferencedUpstream lists the jobs in the state DependencyReferenced that are
+// upstream of a job, at any distance.
 func (g *DependencyGraph) ReferencedUpstream(id string) []string {
-	l := g.nodes[id]
-	if g.referenced == 0 || l == nil {
+	n := g.nodes[id]
+	if g.referenced == 0 || n == nil {
 		return nil
 	}
-	var out []string
-	seen := map[*DependencyNode]bool{l: true}
-	for todo := []*DependencyNode{l}; len(todo) > 0; {
-		l, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		if l.State == DependencyReferenced {
-			out = append(out, l.ID)
+	var ids []string
+	seen := map[*DependencyNode]bool{n: true}
+	for stack := []*DependencyNode{n}; len(stack) > 0; {
+		n, stack = stack[len(stack)-1], stack[:len(stack)-1]
+		if n.State == DependencyReferenced {
+			ids = append(ids, n.ID)
 		}
-		for _, need := range l.Upstream {
-			if !seen[need] {
-				seen[need] = true
-				todo = append(todo, need)
+		for _, upstream := range n.Upstream {
+			if !seen[upstream] {
+				seen[upstream] = true
+				stack = append(stack, upstream)
 			}
 		}
 	}
-	return out
+	return ids
 }
--- a/internal/model/dependency_graph_test.go
+++ b/internal/model/dependency_graph_test.go
@@ -7,62 +7,80 @@
 	"time"
 )
 
-// What the graph says of a job is what follows from all ends, in whatever order jobs
-// and ends become known.
-func TestDependencyGraphMatchesStatesDerivedFromOutcomes(t *testing.T) {
-	for seed := range int64(300) {
-		r := rand.New(rand.NewSource(seed))
-		n := 2 + r.Intn(12)
-		needs := make([][]string, n)
-		end := make([]Outcome, n) // what is known in the end
-		for i := range n {
-			for k := range i {
-				if r.Intn(3) == 0 {
-					needs[i] = append(needs[i], strconv.Itoa(k))
-				}
+// derivedGraph holds jobs with their dependencies and outcomes, from which the
+// states in a graph can be derived anew.
+type derivedGraph struct {
+	dependencies [][]string // by job; ids are indices
+	outcomes     []Outcome
+	added        []bool
+}
+
+func newDerivedGraph(r *rand.Rand) *derivedGraph {
+	n := 2 + r.Intn(12)
+	d := &derivedGraph{dependencies: make([][]string, n), outcomes: make([]Outcome, n)}
+	for i := range n {
+		for k := range i {
+			if r.Intn(3) == 0 {
+				d.dependencies[i] = append(d.dependencies[i], strconv.Itoa(k))
 			}
 		}
-		added := make([]bool, n)
-		state := func(i int) DependencyState { // from scratch
-			var of func(i int) DependencyState
-			of = func(i int) DependencyState {
-				s := DependencySatisfied
-				for _, id := range needs[i] {
-					k, _ := strconv.Atoi(id)
-					switch {
-					case end[k] == OutcomeCancelled, end[k] == OutcomeUnknown && added[k] && of(k) == DependencyFailed:
-						return DependencyFailed
-					case end[k] == OutcomeUnknown:
-						s = DependencyWaiting
-					}
-				}
-				return s
-			}
-			return of(i)
+	}
+	d.added = make([]bool, n)
+	return d
+}
+
+func (d *derivedGraph) state(i int) DependencyState {
+	s := DependencySatisfied
+	for _, id := range d.dependencies[i] {
+		k, _ := strconv.Atoi(id) // ids are made by strconv.Itoa
+		switch {
+		case d.outcomes[k] == OutcomeCancelled,
+			d.outcomes[k] == OutcomeUnknown && d.added[k] && d.state(k) == DependencyFailed:
+			return DependencyFailed
+		case d.outcomes[k] == OutcomeUnknown:
+			s = DependencyWaiting
 		}
+	}
+	return s
+}
+
+// step adds a random job to the graph, or ends it.
+func (d *derivedGraph) step(r *rand.Rand, g *DependencyGraph, at time.Time) {
+	i := r.Intn(len(d.added))
+	id := strconv.Itoa(i)
+	switch {
+	case !d.added[i]:
+		d.added[i] = true
+		g.Add(id, d.dependencies[i], at)
+		for _, dependency := range d.dependencies[i] { // outcomes that were known before
+			k, _ := strconv.Atoi(dependency)
+			g.End(dependency, d.outcomes[k], at)
+		}
+	case d.outcomes[i] == OutcomeUnknown && r.Intn(4) == 0:
+		d.outcomes[i] = OutcomeCancelled
+		g.End(id, d.outcomes[i], at)
+	case d.outcomes[i] == OutcomeUnknown && d.state(i) == DependencySatisfied:
+		d.outcomes[i] = OutcomeDone
+		g.End(id, d.outcomes[i], at)
+	}
+}
+
+// The states in the graph are those that follow from all outcomes, in whatever
+// order jobs and outcomes become known.
+func TestDependencyGraphMatchesStatesDerivedFromOutcomes(t *testing.T) {
+	for seed := range int64(300) {
+		r := rand.New(rand.NewSource(seed))
+		d := newDerivedGraph(r)
 		g, at := NewDependencyGraph(), time.Unix(0, 0)
-		for range 4 * n {
+		for range 4 * len(d.added) {
 			at = at.Add(time.Second)
-			i := r.Intn(n)
-			id := strconv.Itoa(i)
-			switch {
-			case !added[i]:
-				added[i] = true
-				g.Add(id, needs[i], at)
-				for _, need := range needs[i] { // ends that were known before
-					k, _ := strconv.Atoi(need)
-					g.End(need, end[k], at)
+			d.step(r, g, at)
+			for k := range d.added {
+				if !d.added[k] || d.outcomes[k] != OutcomeUnknown {
+					continue
 				}
-			case end[i] == OutcomeUnknown && r.Intn(4) == 0:
-				end[i] = OutcomeCancelled
-				g.End(id, end[i], at)
-			case end[i] == OutcomeUnknown && state(i) == DependencySatisfied:
-				end[i] = OutcomeDone
-				g.End(id, end[i], at)
-			}
-			for k := range n {
-				if l := g.Node(strconv.Itoa(k)); added[k] && end[k] == OutcomeUnknown && l.State != state(k) {
-					t.Fatalf("seed %d: job %d is %v, but follows to be %v", seed, k, l.State, state(k))
+				if got, want := g.Node(strconv.Itoa(k)).State, d.state(k); got != want {
+					t.Fatalf("seed %d: state of job %d: got %v, want %v", seed, k, got, want)
 				}
 			}
 		}
--- a/internal/model/heartbeat.go
+++ b/internal/model/heartbeat.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// TaskID names a task of a job.
+// TaskID identifies a task of a job.
 type TaskID struct {
 	Job   string
 	Index int
 }
 
-// Phase is where an attempt is on its machine, as the worker reports it.
+// Phase is how far an attempt is on its machine, as the worker reports it.
 type Phase uint8
 
 // The phases that a worker reports.
 const (
-	PhaseFetching Phase = iota + 1 // waits for its image
-	PhaseWaiting                   // gang task, waits for the others
+	PhaseFetching Phase = iota + 1 // fetches its image
+	PhaseWaiting                   // a gang's task, waits for the others
 	PhaseRunning
-	PhaseCheckpointing // was told to stop and saves
+	PhaseCheckpointing // saves a checkpoint before it stops
 	PhaseExited
 )
 
@@ -24,7 +24,7 @@
 	return [...]string{"none", "fetching", "waiting", "running", "saving", "exited"}[p]
 }
 
-// ExitCause says why an attempt exited.
+// ExitCause is why an attempt exited.
 type ExitCause uint8
 
 // The causes of an exit.
@@ -34,16 +34,16 @@
 	CauseGangMemberLost           // another task of the gang is gone
 	CauseGangIncomplete           // the gang was not complete in time
 	CauseError
-	CauseNoCapacity      // start refused
-	CauseAttemptConflict // start refused: another attempt is there
-	CauseUnknownJob      // start refused: the worker does not know the job
+	CauseNoCapacity      // the worker refused the launch for want of resources
+	CauseAttemptConflict // the worker refused the launch: it runs another attempt
+	CauseUnknownJob      // the worker refused the launch: it does not know the job
 )
 
 func (c ExitCause) String() string {
 	return [...]string{"none", "done", "stopped", "peers", "alone", "error", "no_room", "busy", "unknown"}[c]
 }
 
-// TaskStatus is one task of a worker's report.
+// TaskStatus is the status of one attempt in a worker's heartbeat.
 type TaskStatus struct {
 	Task         TaskID
 	Attempt      uint64
@@ -52,13 +52,13 @@
 	Checkpointed bool
 }
 
-// Heartbeat is what a worker says of itself.
+// Heartbeat is a worker's heartbeat, with the status of its machine and attempts.
 type Heartbeat struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
 	Epoch, Seq, FencingToken  uint64
 	InterruptionNotice        bool          // the cloud takes the machine away
-	InterruptionIn            time.Duration // in this time
+	InterruptionIn            time.Duration // after this time
 	Tasks                     []TaskStatus
 }
 
@@ -77,21 +77,5 @@
 	Op          Op
 	Task        TaskID
 	Attempt     uint64
-	GracePeriod time.Duration // of a stop
-}
-
-// MachineInfo is a machine as the cloud lists it and as its record keeps it.
-type MachineInfo struct {
-	Name, Addr, Type, Zone string
-	Spot                   bool
-	Booting, Failed        bool
-	Age                    time.Duration
-}
-
-// Provisioning is a request for machines.
-type Provisioning struct {
-	Name       string
-	Type, Zone string
-	Spot       bool
-	Count      int
+	GracePeriod time.Duration // of OpStop
 }
--- a/internal/model/spec.go
+++ b/internal/model/spec.go
@@ -1,10 +1,14 @@
 // Package model holds the vocabulary of the scheduler: jobs, tasks, attempts,
-// machines and teams, with the state machines that they go through. It does no
-// input or output and reads no clock.
+// machines and teams, with the state machines that they go through.
+//
+// It does no input or output and reads no clock. Jobs, machines and attempts
+// belong to the leader's reconciler, which uses them from one goroutine at a time.
+// Their states change only through the Transition methods and Job.SetTask, which
+// keep all sums that depend on a state up to date.
 package model
 
 import (
-	"math"
+	"slices"
 	"strings"
 	"time"
 )
@@ -15,7 +19,7 @@
 // The shapes of a job.
 const (
 	Array   Shape = iota + 1 // independent tasks, each runs to completion
-	Gang                     // all tasks run at the same time or none does
+	Gang                     // all tasks run at the same time, or none does
 	Service                  // replicas run until the job is cancelled
 )
 
@@ -31,10 +35,10 @@
 	return "unknown"
 }
 
-// Priority is a job's priority; the larger goes first.
+// Priority is a job's priority class; the larger goes first.
 type Priority uint8
 
-// The ranks, lowest first.
+// The priority classes, lowest first.
 const (
 	PriorityLow Priority = iota + 1
 	PriorityNormal
@@ -42,8 +46,8 @@
 	PriorityProduction
 )
 
-func (r Priority) String() string {
-	switch r {
+func (p Priority) String() string {
+	switch p {
 	case PriorityLow:
 		return "low"
 	case PriorityNormal:
@@ -56,55 +60,6 @@
 	return "unknown"
 }
 
-// Resources is an amount of what a machine offers and a task takes.
-type Resources struct {
-	CPU, GPU, MemGB float64
-}
-
-// roundingTolerance absorbs the rounding of decimal amounts that are added and removed many
-// times. It is far below any amount that a job may ask for.
-const roundingTolerance = 1e-6
-
-// Add returns r + o.
-func (r Resources) Add(o Resources) Resources {
-	return Resources{r.CPU + o.CPU, r.GPU + o.GPU, r.MemGB + o.MemGB}
-}
-
-// Sub returns r - o.
-func (r Resources) Sub(o Resources) Resources {
-	return Resources{r.CPU - o.CPU, r.GPU - o.GPU, r.MemGB - o.MemGB}
-}
-
-// Times returns r taken n times.
-func (r Resources) Times(n int) Resources {
-	f := float64(n)
-	return Resources{r.CPU * f, r.GPU * f, r.MemGB * f}
-}
-
-// AtLeastZero returns r with nothing below zero.
-func (r Resources) AtLeastZero() Resources {
-	return Resources{max(r.CPU, 0), max(r.GPU, 0), max(r.MemGB, 0)}
-}
-
-// Fits tells whether r can be taken from free.
-func (r Resources) Fits(free Resources) bool {
-	return r.CPU <= free.CPU+roundingTolerance && r.GPU <= free.GPU+roundingTolerance && r.MemGB <= free.MemGB+roundingTolerance
-}
-
-// FitCount tells how many times r can be taken from free, of which any amount may be infinite.
-func (r Resources) FitCount(free Resources) int {
-	n := math.MaxInt32
-	for _, d := range [3][2]float64{{r.CPU, free.CPU}, {r.GPU, free.GPU}, {r.MemGB, free.MemGB}} {
-		if d[0] > roundingTolerance {
-			// Compared before it becomes a whole number: what is infinite has none.
-			if times := (d[1] + roundingTolerance) / d[0]; times < float64(n) {
-				n = int(times)
-			}
-		}
-	}
-	return max(n, 0)
-}
-
 // Spec is what a user submitted.
 type Spec struct {
 	ID, Class, Team    string
@@ -112,41 +67,39 @@
 	Priority           Priority
 	Tasks              int
 	Demand             Resources // of each task
-	MachineTypes       []string  // allowed machine types; empty: any
+	MachineTypes       []string  // the allowed machine types; empty: any
 	Zone               string    // the only allowed zone; empty: any
-	SingleZone         bool      // all tasks in the same zone
-	Spread             bool      // at most half of the tasks, rounded up, in one zone
+	SingleZone         bool      // all tasks run in the same zone
+	Spread             bool      // at most half of the tasks, rounded up, run in one zone
 	AllowSpot          bool      // may use spot machines
 	Image              string
 	ImageGB            float64
 	EstimatedRunTime   time.Duration // the owner's estimate of a task's run time
-	CheckpointInterval time.Duration // progress between checkpoints; 0: never saves
-	CheckpointTime     time.Duration // time to save when stopped
+	CheckpointInterval time.Duration // of run time between checkpoints; 0: tasks save no checkpoints
+	CheckpointTime     time.Duration // to save a checkpoint when stopped
 	Deadline           time.Duration // from submission; 0: none
-	Dependencies       []string      // jobs that have to be done before any task starts
-	Rules              string        // where it may run and would like to, in the language of package constraint
+	Dependencies       []string      // ids of jobs that must be done before any task starts
+	Rules              string        // constraints and preferences, in the language of package constraint
 }
 
-// ValidJobID tells whether an id has the form that users' ids always have.
+const (
+	jobIDPrefix    = "wk-"
+	minJobIDDigits = 6
+	maxJobIDLength = 40
+)
+
+// ValidJobID reports whether an id has the form that all ids of users have.
 func ValidJobID(id string) bool {
-	digits, ok := strings.CutPrefix(id, "wk-")
-	return ok && len(digits) >= 6 && len(id) <= 40 && strings.Trim(digits, "0123456789") == ""
+	digits, ok := strings.CutPrefix(id, jobIDPrefix)
+	return ok && len(digits) >= minJobIDDigits && len(id) <= maxJobIDLength && strings.Trim(digits, "0123456789") == ""
 }
 
-// AllowsType tells whether the job may use machines of the type.
+// AllowsType reports whether the job may use machines of the type.
 func (s *Spec) AllowsType(name string) bool {
-	if len(s.MachineTypes) == 0 {
-		return true
-	}
-	for _, t := range s.MachineTypes {
-		if t == name {
-			return true
-		}
-	}
-	return false
+	return len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, name)
 }
 
-// MaxTasksPerZone is how many tasks of the job may be in one zone.
+// MaxTasksPerZone returns how many tasks of the job may run in one zone.
 func (s *Spec) MaxTasksPerZone() int {
 	if s.Spread {
 		return (s.Tasks + 1) / 2
@@ -154,65 +107,5 @@
 	return s.Tasks
 }
 
-// TotalDemand is what all tasks of the job take together.
+// TotalDemand returns what all tasks of the job demand together.
 func (s *Spec) TotalDemand() Resources { return s.Demand.Times(s.Tasks) }
-
-// MachineType is one entry of the cloud's catalogue.
-type MachineType struct {
-	Name             string
-	Capacity         Resources
-	CacheGB          float64
-	FetchGBPerS      float64
-	PricePerHour     float64 // per hour
-	SpotPricePerHour float64
-	BootTime         time.Duration
-	Zones            []string
-}
-
-// OfferedIn tells whether the type is offered in the zone.
-func (t *MachineType) OfferedIn(zone string) bool {
-	for _, z := range t.Zones {
-		if z == zone {
-			return true
-		}
-	}
-	return false
-}
-
-// CheckFeasibility tells whether a task of the job fits some machine type that the
-// job allows, and all that has to run at once the team's limit and the zones; and if not, why.
-func CheckFeasibility(s *Spec, team *Team, types []MachineType) (bool, string) {
-	if team == nil {
-		return false, "unknown team"
-	}
-	need := s.Demand
-	if s.Shape != Array {
-		need = s.TotalDemand()
-	}
-	if !team.Quota.Allows(need) {
-		return false, "more than the team's limit"
-	}
-	if s.Shape != Array && s.Spread && s.Tasks > 1 && (s.SingleZone || s.Zone != "") {
-		// Guards against a job that is accepted, and of which a part waits for ever.
-		return false, "its tasks are to be spread and in one zone"
-	}
-	zones := map[string]bool{}
-	for i := range types {
-		t := &types[i]
-		if !s.AllowsType(t.Name) || !s.Demand.Fits(t.Capacity) || s.Zone != "" && !t.OfferedIn(s.Zone) {
-			continue
-		}
-		if s.Shape != Gang || !s.Spread || s.Tasks == 1 {
-			return true, ""
-		}
-		for _, z := range t.Zones {
-			if zones[z] = true; len(zones) > 1 {
-				return true, ""
-			}
-		}
-	}
-	if len(zones) > 0 {
-		return false, "a gang that is to be spread fits in one zone only"
-	}
-	return false, "fits no allowed machine type"
-}
--- a/internal/model/unanswered_launches.go
+++ b/internal/model/unanswered_launches.go
@@ -1,42 +1,42 @@
 package model
 
-// UnansweredLaunches counts, by attempt, the launches that were sent straight to a worker and were
-// not answered: each may still arrive, however late, as long as the worker's session and
-// its token are what they were. Each copy counts by itself. Guards against an answer to
-// one copy that is taken for the end of all: the row was forgotten, and the first copy,
-// which the network had held, started the task a second time (docs/safety.md, "Late
-// launches").
+// UnansweredLaunches counts, by attempt, the launches that were sent directly to
+// a worker and not answered. Each may still arrive, however late, as long as the
+// worker's epoch and its fencing token are the same. Every copy counts by itself:
+// an answer to one says nothing of another that the network delays, and which
+// would start the task a second time once the attempt is forgotten
+// (docs/safety.md).
 //
-// They belong to the worker's session and not to the attempt, so that they outlive an
-// attempt that the leader has lost sight of.
+// They belong to the worker's epoch and not to the attempt, so they outlive an
+// attempt that the leader no longer knows.
 type UnansweredLaunches struct {
 	counts map[AttemptKey]int
 }
 
-// Add notes that a copy of an attempt's launch leaves.
-func (c *UnansweredLaunches) Add(k AttemptKey) {
-	if c.counts == nil {
-		c.counts = map[AttemptKey]int{}
+// Add counts a copy of an attempt's launch that is about to be sent.
+func (u *UnansweredLaunches) Add(key AttemptKey) {
+	if u.counts == nil {
+		u.counts = map[AttemptKey]int{}
 	}
-	c.counts[k]++
+	u.counts[key]++
 }
 
-// Remove notes that a copy was answered, or will certainly never arrive.
-func (c *UnansweredLaunches) Remove(k AttemptKey) {
-	switch n := c.counts[k]; {
+// Remove takes off a copy that was answered, or certainly never arrives.
+func (u *UnansweredLaunches) Remove(key AttemptKey) {
+	switch n := u.counts[key]; {
 	case n > 1:
-		c.counts[k] = n - 1
+		u.counts[key] = n - 1
 	case n == 1:
-		delete(c.counts, k)
+		delete(u.counts, key)
 	}
 }
 
-// MayArrive tells whether a copy of an attempt's launch may still arrive.
-func (c *UnansweredLaunches) MayArrive(k AttemptKey) bool { return c.counts[k] > 0 }
+// MayArrive reports whether a copy of an attempt's launch may still arrive.
+func (u *UnansweredLaunches) MayArrive(key AttemptKey) bool { return u.counts[key] > 0 }
 
-// Len is of how many attempts copies may still arrive. The worker keeps the rows of
-// these in its reports until its session ends.
-func (c *UnansweredLaunches) Len() int { return len(c.counts) }
+// Len is the number of attempts of which copies may still arrive. The worker
+// lists these in its heartbeats until its epoch ends.
+func (u *UnansweredLaunches) Len() int { return len(u.counts) }
 
-// Clear notes that no copy can be carried out any more: the worker's session is over.
-func (c *UnansweredLaunches) Clear() { c.counts = nil }
+// Clear removes all copies: the worker's epoch is over, and none can be executed.
+func (u *UnansweredLaunches) Clear() { u.counts = nil }
