--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -9,128 +9,126 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// DecodeCatalog reads the machine types. One without a name or CPUs is left out: nothing can be
-// placed there, and it must not keep the others from being known.
+// DecodeCatalog reads the machine types. It leaves out types without a name or CPUs:
+// nothing can be placed there, and they must not hide the others.
 func DecodeCatalog(b []byte) ([]model.MachineType, error) {
-	var out []model.MachineType
-	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
-		if key != "breeds" {
+	var types []model.MachineType
+	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
+		if name != cloudCatalog {
 			return b, false, nil
 		}
 		rest, err := eachItem(b, func(b []byte) ([]byte, error) {
-			var t model.MachineType
-			var boot float64
-			rest, err := eachField(b, func(key string, b []byte) ([]byte, bool, error) {
-				switch key {
-				case "label":
-					return readString(b, &t.Name)
-				case "cores":
-					return readFloat(b, &t.Capacity.CPU)
-				case "cards":
-					return readFloat(b, &t.Capacity.GPU)
-				case "memoryGb":
-					return readFloat(b, &t.Capacity.MemGB)
-				case "localGb":
-					return readFloat(b, &t.CacheGB)
-				case "fetchGbPerS":
-					return readFloat(b, &t.FetchGBPerS)
-				case "price":
-					return readFloat(b, &t.PricePerHour)
-				case "lowPrice":
-					return readFloat(b, &t.SpotPricePerHour)
-				case "startupS":
-					return readFloat(b, &boot)
-				case "fields":
-					return readStrings(b, &t.Zones)
-				}
-				return b, false, nil
-			})
-			t.BootTime = seconds(min(max(boot, 0), maxAmount))
+			t, rest, err := decodeMachineType(b)
 			if t.Name != "" && t.Capacity.CPU > 0 {
-				out = append(out, t)
+				types = append(types, t)
 			}
 			return rest, err
 		})
 		return rest, true, err
 	})
-	if err == nil && len(out) == 0 {
+	if err == nil && len(types) == 0 {
 		err = errors.New("a catalogue without a type that has a name and CPUs")
 	}
-	return out, err
+	return types, err
 }
 
-// AppendProvisioning writes a rental request.
-func AppendProvisioning(b []byte, r model.Provisioning) []byte {
+func decodeMachineType(b []byte) (model.MachineType, []byte, error) {
+	var t model.MachineType
+	var bootSeconds float64
+	rest, err := eachField(b, func(name string, b []byte) ([]byte, bool, error) {
+		switch name {
+		case cloudTypeName:
+			return readString(b, &t.Name)
+		case cloudTypeCPU:
+			return readFloat(b, &t.Capacity.CPU)
+		case cloudTypeGPU:
+			return readFloat(b, &t.Capacity.GPU)
+		case cloudTypeMemory:
+			return readFloat(b, &t.Capacity.MemGB)
+		case cloudTypeCache:
+			return readFloat(b, &t.CacheGB)
+		case cloudTypeFetchRate:
+			return readFloat(b, &t.FetchGBPerS)
+		case cloudTypePrice:
+			return readFloat(b, &t.PricePerHour)
+		case cloudTypeSpotPrice:
+			return readFloat(b, &t.SpotPricePerHour)
+		case cloudTypeBootTime:
+			return readFloat(b, &bootSeconds)
+		case cloudTypeZones:
+			return readStrings(b, &t.Zones)
+		}
+		return b, false, nil
+	})
+	t.BootTime = seconds(min(max(bootSeconds, 0), maxAmount))
+	return t, rest, err
+}
+
+// AppendProvisioning appends a request for machines.
+func AppendProvisioning(b []byte, p model.Provisioning) []byte {
 	b = msgp.AppendMapHeader(b, 5)
-	b = appendString(b, "hire", r.Name)
-	b = appendString(b, "breed", r.Type)
-	b = appendString(b, "field", r.Zone)
-	b = appendBool(b, "loaners", r.Spot)
-	return appendUint(b, "number", uint64(r.Count))
+	b = appendString(b, cloudProvisioningName, p.Name)
+	b = appendString(b, cloudMachineType, p.Type)
+	b = appendString(b, cloudZone, p.Zone)
+	b = appendBool(b, cloudSpot, p.Spot)
+	return appendUint(b, cloudCount, uint64(p.Count))
 }
 
-// AppendMachineNames writes the names of machines to return.
+// AppendMachineNames appends the names of machines to release.
 func AppendMachineNames(b []byte, names []string) []byte {
-	b = msgp.AppendString(msgp.AppendMapHeader(b, 1), "tillers")
-	b = msgp.AppendArrayHeader(b, uint32(len(names)))
-	for _, n := range names {
-		b = msgp.AppendString(b, n)
-	}
-	return b
+	return appendStrings(msgp.AppendMapHeader(b, 1), cloudMachines, names)
 }
 
-// DecodeMachineNames reads the names of rented machines.
-func DecodeMachineNames(b []byte) ([]string, error) {
-	var out []string
-	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
-		if key == "tillers" {
-			return readStrings(b, &out)
-		}
-		return b, false, nil
-	})
-	return out, err
-}
+// DecodeMachineNames reads the names of provisioned machines.
+func DecodeMachineNames(b []byte) ([]string, error) { return decodeStrings(b, cloudMachines) }
 
-// DecodeMachineList reads one page of the machine list.
-func DecodeMachineList(b []byte) (out []model.MachineInfo, more bool, err error) {
-	err = decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
-		switch key {
-		case "more":
+// DecodeMachineList reads one page of the list of machines.
+func DecodeMachineList(b []byte) (machines []model.MachineInfo, more bool, err error) {
+	err = decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
+		switch name {
+		case cloudMore:
 			return readBool(b, &more)
-		case "tillers":
+		case cloudMachines:
 			rest, err := eachItem(b, func(b []byte) ([]byte, error) {
-				var m model.MachineInfo
-				var status string
-				var held float64
-				rest, err := eachField(b, func(key string, b []byte) ([]byte, bool, error) {
-					switch key {
-					case "ref":
-						return readString(b, &m.Name)
-					case "addr":
-						return readString(b, &m.Addr)
-					case "breed":
-						return readString(b, &m.Type)
-					case "field":
-						return readString(b, &m.Zone)
-					case "loaners":
-						return readBool(b, &m.Spot)
-					case "status":
-						return readString(b, &status)
-					case "heldS":
-						return readFloat(b, &held)
-					}
-					return b, false, nil
-				})
-				if err == nil && m.Name == "" {
-					err = errors.New("a machine without name")
-				}
-				m.Failed, m.Booting, m.Age = status == "failed", status == "starting", time.Duration(max(held, 0)*float64(time.Second))
-				out = append(out, m)
+				m, rest, err := decodeListedMachine(b)
+				machines = append(machines, m)
 				return rest, err
 			})
 			return rest, true, err
 		}
 		return b, false, nil
 	})
-	return out, more, err
+	return machines, more, err
+}
+
+func decodeListedMachine(b []byte) (model.MachineInfo, []byte, error) {
+	var m model.MachineInfo
+	var status string
+	var ageSeconds float64
+	rest, err := eachField(b, func(name string, b []byte) ([]byte, bool, error) {
+		switch name {
+		case cloudMachineName:
+			return readString(b, &m.Name)
+		case cloudMachineAddr:
+			return readString(b, &m.Addr)
+		case cloudMachineType:
+			return readString(b, &m.Type)
+		case cloudZone:
+			return readString(b, &m.Zone)
+		case cloudSpot:
+			return readBool(b, &m.Spot)
+		case cloudMachineStatus:
+			return readString(b, &status)
+		case cloudMachineAge:
+			return readFloat(b, &ageSeconds)
+		}
+		return b, false, nil
+	})
+	if err == nil && m.Name == "" {
+		err = errors.New("a machine without name")
+	}
+	m.Failed = status == cloudStatusFailed
+	m.Booting = status == cloudStatusBooting
+	m.Age = time.Duration(max(ageSeconds, 0) * float64(time.Second))
+	return m, rest, err
 }
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,27 +1,41 @@
-// Package wire holds the messages of the outside interfaces: their field names,
-// their MessagePack forms and the checks on what comes in. The names that only
-// the wire uses (baton, tiller, shift, ...) stay in here.
+// Package wire holds the messages of the outside interfaces and the records at the
+// state service: their field names, their MessagePack forms and the checks on what
+// comes in.
+//
+// An Append function appends the encoded form of a message or record to a slice; the
+// Decode function of the same name reads it back. Decoders skip fields that they do
+// not know, so that later versions may add some. The names that only the outside
+// protocols use are mapped to the usual terms in names.go and nowhere else.
 package wire
 
 import (
 	"errors"
 	"fmt"
 	"math"
+	"time"
 
 	"github.com/tinylib/msgp/msgp"
 )
 
-// errWrongType is returned for a field of a wrong type.
-var errWrongType = errors.New("wrong type")
+// The reasons for which a message is malformed. Users see the texts.
+var (
+	errWrongType     = errors.New("wrong type")
+	errTrailingBytes = errors.New("bytes behind the message")
+	errOutOfRange    = errors.New("out of range")
+	errUnknownValue  = errors.New("unknown")
+	errEmptyValue    = errors.New("empty")
+)
+
+// maxAmount bounds amounts and durations, so that no sum of them overflows.
+const maxAmount = 1e8
 
-// maxNesting bounds how deep a message may nest: skipping an unknown field
-// recurses.
-const maxNesting = 16
+// A fieldFunc consumes the value of a field at the start of b and returns what is
+// left, or returns handled=false to have the value skipped.
+type fieldFunc func(name string, b []byte) (rest []byte, handled bool, err error)
 
-// eachField walks a map with text keys. For every field that is not null it
-// calls f, which consumes the value, or returns handled=false to have it
-// skipped. Null stands for an absent field.
-func eachField(b []byte, f func(key string, b []byte) (rest []byte, handled bool, err error)) ([]byte, error) {
+// eachField reads a map with text keys and calls decode for every field that is not
+// null. Null stands for an absent field.
+func eachField(b []byte, decode fieldFunc) ([]byte, error) {
 	if msgp.NextType(b) != msgp.MapType {
 		return b, errWrongType
 	}
@@ -33,8 +47,8 @@
 		if msgp.NextType(b) != msgp.StrType {
 			return b, errWrongType
 		}
-		var key []byte
-		if key, b, err = msgp.ReadStringZC(b); err != nil {
+		var name []byte
+		if name, b, err = msgp.ReadStringZC(b); err != nil {
 			return b, err
 		}
 		if len(b) == 0 {
@@ -44,9 +58,9 @@
 			b = b[1:]
 			continue
 		}
-		rest, handled, err := f(string(key), b)
+		rest, handled, err := decode(string(name), b)
 		if err != nil {
-			return b, fmt.Errorf("%.40q: %w", key, err)
+			return b, fmt.Errorf("%.40q: %w", name, err)
 		}
 		if !handled {
 			if rest, err = msgp.Skip(b); err != nil {
@@ -59,19 +73,19 @@
 }
 
 // decodeMap decodes a message that is one map with nothing behind it.
-func decodeMap(b []byte, f func(key string, b []byte) ([]byte, bool, error)) error {
-	rest, err := eachField(b, f)
+func decodeMap(b []byte, decode fieldFunc) error {
+	rest, err := eachField(b, decode)
 	if err != nil {
 		return err
 	}
 	if len(rest) != 0 {
-		return errors.New("bytes behind the message")
+		return errTrailingBytes
 	}
 	return nil
 }
 
-// eachItem walks a list.
-func eachItem(b []byte, f func(b []byte) ([]byte, error)) ([]byte, error) {
+// eachItem reads a list and calls decode for every item.
+func eachItem(b []byte, decode func(b []byte) (rest []byte, err error)) ([]byte, error) {
 	if msgp.NextType(b) != msgp.ArrayType {
 		return b, errWrongType
 	}
@@ -80,53 +94,54 @@
 		return b, err
 	}
 	for ; n > 0; n-- {
-		if b, err = f(b); err != nil {
+		if b, err = decode(b); err != nil {
 			return b, err
 		}
 	}
 	return b, nil
 }
 
-// readString reads a text.
-func readString(b []byte, to *string) ([]byte, bool, error) {
+// The read functions below read the value of a field into dst and return what a
+// fieldFunc returns.
+
+func readString(b []byte, dst *string) ([]byte, bool, error) {
 	if msgp.NextType(b) != msgp.StrType {
 		return b, true, errWrongType
 	}
 	s, rest, err := msgp.ReadStringBytes(b)
-	*to = s
+	*dst = s
 	return rest, true, err
 }
 
-// readBool reads a boolean.
-func readBool(b []byte, to *bool) ([]byte, bool, error) {
+func readBool(b []byte, dst *bool) ([]byte, bool, error) {
 	if msgp.NextType(b) != msgp.BoolType {
 		return b, true, errWrongType
 	}
 	v, rest, err := msgp.ReadBoolBytes(b)
-	*to = v
+	*dst = v
 	return rest, true, err
 }
 
 // readUint reads an integer of zero or more.
-func readUint(b []byte, to *uint64) ([]byte, bool, error) {
+func readUint(b []byte, dst *uint64) ([]byte, bool, error) {
 	switch msgp.NextType(b) {
 	case msgp.UintType:
 		v, rest, err := msgp.ReadUint64Bytes(b)
-		*to = v
+		*dst = v
 		return rest, true, err
 	case msgp.IntType:
 		v, rest, err := msgp.ReadInt64Bytes(b)
 		if err == nil && v < 0 {
 			err = errors.New("negative")
 		}
-		*to = uint64(v)
+		*dst = uint64(v)
 		return rest, true, err
 	}
 	return b, true, errWrongType
 }
 
-// readFloat reads a decimal; an integer is a good decimal. It must be finite.
-func readFloat(b []byte, to *float64) ([]byte, bool, error) {
+// readFloat reads a finite decimal or integer.
+func readFloat(b []byte, dst *float64) ([]byte, bool, error) {
 	var v float64
 	var rest []byte
 	var err error
@@ -151,79 +166,82 @@
 	if err == nil && (math.IsNaN(v) || math.IsInf(v, 0)) {
 		err = errors.New("not a finite number")
 	}
-	*to = v
+	*dst = v
 	return rest, true, err
 }
 
-// readStrings reads a list of texts.
-func readStrings(b []byte, to *[]string) ([]byte, bool, error) {
+// readStrings appends a list of texts to dst.
+func readStrings(b []byte, dst *[]string) ([]byte, bool, error) {
 	rest, err := eachItem(b, func(b []byte) ([]byte, error) {
 		var s string
 		rest, _, err := readString(b, &s)
-		*to = append(*to, s)
+		*dst = append(*dst, s)
 		return rest, err
 	})
 	return rest, true, err
 }
 
-// Validate tells whether b is exactly one well-formed MessagePack value. Decoders
-// below stop at what they need, so a body from outside passes this first.
-func Validate(b []byte) error {
-	rest, err := validateValue(b, maxNesting)
-	if err == nil && len(rest) != 0 {
-		err = errors.New("bytes behind the message")
+// readRaw copies a value in its encoded form.
+func readRaw(b []byte, dst *[]byte) ([]byte, bool, error) {
+	rest, err := msgp.Skip(b)
+	if err == nil {
+		*dst = append([]byte(nil), b[:len(b)-len(rest)]...)
 	}
-	return err
+	return rest, true, err
 }
 
-func validateValue(b []byte, depth int) ([]byte, error) {
-	if depth == 0 {
-		return b, errors.New("nested too deep")
-	}
-	switch msgp.NextType(b) {
-	case msgp.MapType:
-		n, b, err := msgp.ReadMapHeaderBytes(b)
-		for ; err == nil && n > 0; n-- {
-			if msgp.NextType(b) != msgp.StrType {
-				return b, errWrongType
-			}
-			if b, err = msgp.Skip(b); err == nil {
-				b, err = validateValue(b, depth-1)
-			}
+// decodeStrings decodes a message of which one field matters, a list of texts.
+func decodeStrings(b []byte, field string) ([]string, error) {
+	var list []string
+	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
+		if name == field {
+			return readStrings(b, &list)
 		}
-		return b, err
-	case msgp.ArrayType:
-		n, b, err := msgp.ReadArrayHeaderBytes(b)
-		for ; err == nil && n > 0; n-- {
-			b, err = validateValue(b, depth-1)
+		return b, false, nil
+	})
+	return list, err
+}
+
+// decodeUint decodes a message of which one field matters, an integer above zero.
+func decodeUint(b []byte, field string) (uint64, error) {
+	var v uint64
+	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
+		if name == field {
+			return readUint(b, &v)
 		}
-		return b, err
-	case msgp.InvalidType:
-		return b, errors.New("not MessagePack")
+		return b, false, nil
+	})
+	if err == nil && v == 0 {
+		err = errors.New(field + " is missing")
 	}
-	return msgp.Skip(b)
+	return v, err
 }
 
-func appendString(b []byte, key, v string) []byte {
-	return msgp.AppendString(msgp.AppendString(b, key), v)
+// seconds converts a duration on the wire, in seconds.
+func seconds(s float64) time.Duration { return time.Duration(math.Round(s * float64(time.Second))) }
+
+// The append functions below append a field's name and value.
+
+func appendString(b []byte, name, v string) []byte {
+	return msgp.AppendString(msgp.AppendString(b, name), v)
 }
 
-func appendStrings(b []byte, key string, list []string) []byte {
-	b = msgp.AppendArrayHeader(msgp.AppendString(b, key), uint32(len(list)))
+func appendStrings(b []byte, name string, list []string) []byte {
+	b = msgp.AppendArrayHeader(msgp.AppendString(b, name), uint32(len(list)))
 	for _, s := range list {
 		b = msgp.AppendString(b, s)
 	}
 	return b
 }
 
-func appendUint(b []byte, key string, v uint64) []byte {
-	return msgp.AppendUint64(msgp.AppendString(b, key), v)
+func appendUint(b []byte, name string, v uint64) []byte {
+	return msgp.AppendUint64(msgp.AppendString(b, name), v)
 }
 
-func appendFloat(b []byte, key string, v float64) []byte {
-	return msgp.AppendFloat64(msgp.AppendString(b, key), v)
+func appendFloat(b []byte, name string, v float64) []byte {
+	return msgp.AppendFloat64(msgp.AppendString(b, name), v)
 }
 
-func appendBool(b []byte, key string, v bool) []byte {
-	return msgp.AppendBool(msgp.AppendString(b, key), v)
+func appendBool(b []byte, name string, v bool) []byte {
+	return msgp.AppendBool(msgp.AppendString(b, name), v)
 }
--- a/internal/wire/ledger.go
+++ b/internal/wire/ledger.go
@@ -9,14 +9,13 @@
 	"github.com/glentiller/glentiller/internal/ledger"
 )
 
-// The records of the ledger. Amounts stand in lists, in the order of
-// ledger.Use.Numbers: what a later version puts behind is skipped.
-
-func appendUsage(b []byte, cells []ledger.ClassUsage) []byte {
-	b = msgp.AppendMapHeader(msgp.AppendString(b, "use"), uint32(len(cells)))
-	for _, c := range cells {
-		numbers := c.Numbers()
-		b = msgp.AppendArrayHeader(msgp.AppendString(b, c.Class), uint32(len(numbers)))
+// appendUsage appends usage by class. The amounts are lists in the order of
+// ledger.Usage.Numbers, so that a later version can append some.
+func appendUsage(b []byte, usage []ledger.ClassUsage) []byte {
+	b = msgp.AppendMapHeader(msgp.AppendString(b, ledgerUsage), uint32(len(usage)))
+	for _, u := range usage {
+		numbers := u.Numbers()
+		b = msgp.AppendArrayHeader(msgp.AppendString(b, u.Class), uint32(len(numbers)))
 		for _, n := range numbers {
 			b = msgp.AppendUint64(b, n)
 		}
@@ -24,141 +23,146 @@
 	return b
 }
 
-func readUsage(b []byte, to *[]ledger.ClassUsage) ([]byte, bool, error) {
+// readUsage adds usage by class to dst.
+func readUsage(b []byte, dst *[]ledger.ClassUsage) ([]byte, bool, error) {
 	rest, err := eachField(b, func(class string, b []byte) ([]byte, bool, error) {
-		var list []uint64
+		var numbers []uint64
 		rest, err := eachItem(b, func(b []byte) ([]byte, error) {
 			var n uint64
 			rest, _, err := readUint(b, &n)
-			list = append(list, n)
+			numbers = append(numbers, n)
 			return rest, err
 		})
-		*to = ledger.AddUsage(*to, class, ledger.FromNumbers(list))
+		*dst = ledger.AddUsage(*dst, class, ledger.FromNumbers(numbers))
 		return rest, true, err
 	})
 	return rest, true, err
 }
 
-// AppendOpenSegment writes the record of a team's account.
-func AppendOpenSegment(b []byte, o *ledger.OpenSegment) []byte {
+// AppendOpenSegment appends the record of a team's account: its open segment.
+func AppendOpenSegment(b []byte, s *ledger.OpenSegment) []byte {
 	b = msgp.AppendMapHeader(b, 9)
-	b = appendString(b, "team", o.Team)
-	b = appendUint(b, "n", o.Number)
-	b = appendUint(b, "settled", o.Settlements)
-	b = appendUint(b, "token", o.FencingToken)
-	b = appendUint(b, "from", uint64(o.Start.Unix()))
-	b = appendUint(b, "at", uint64(o.SettledAt.UnixMilli()))
-	b = appendUsage(b, o.Usage)
-	b = appendString(b, "prev", o.Prev)
-	return appendUint(b, "decayed", o.DecayedUsage)
+	b = appendString(b, ledgerTeam, s.Team)
+	b = appendUint(b, ledgerNumber, s.Number)
+	b = appendUint(b, ledgerSettlements, s.Settlements)
+	b = appendUint(b, ledgerFencingToken, s.FencingToken)
+	b = appendUint(b, ledgerStart, uint64(s.Start.Unix()))
+	b = appendUint(b, ledgerSettledAt, uint64(s.SettledAt.UnixMilli()))
+	b = appendUsage(b, s.Usage)
+	b = appendString(b, ledgerPrev, s.Prev)
+	return appendUint(b, ledgerDecayedUsage, s.DecayedUsage)
 }
 
 // DecodeOpenSegment reads the record of a team's account.
 func DecodeOpenSegment(b []byte) (ledger.OpenSegment, error) {
-	var o ledger.OpenSegment
-	var from, at uint64
-	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
-		switch key {
-		case "team":
-			return readString(b, &o.Team)
-		case "n":
-			return readUint(b, &o.Number)
-		case "settled":
-			return readUint(b, &o.Settlements)
-		case "token":
-			return readUint(b, &o.FencingToken)
-		case "from":
-			return readUint(b, &from)
-		case "at":
-			return readUint(b, &at)
-		case "use":
-			return readUsage(b, &o.Usage)
-		case "prev":
-			return readString(b, &o.Prev)
-		case "decayed":
-			return readUint(b, &o.DecayedUsage)
+	var s ledger.OpenSegment
+	var start, settledAt uint64
+	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
+		switch name {
+		case ledgerTeam:
+			return readString(b, &s.Team)
+		case ledgerNumber:
+			return readUint(b, &s.Number)
+		case ledgerSettlements:
+			return readUint(b, &s.Settlements)
+		case ledgerFencingToken:
+			return readUint(b, &s.FencingToken)
+		case ledgerStart:
+			return readUint(b, &start)
+		case ledgerSettledAt:
+			return readUint(b, &settledAt)
+		case ledgerUsage:
+			return readUsage(b, &s.Usage)
+		case ledgerPrev:
+			return readString(b, &s.Prev)
+		case ledgerDecayedUsage:
+			return readUint(b, &s.DecayedUsage)
 		}
 		return b, false, nil
 	})
-	if err == nil && (o.Number == 0 || o.Settlements == 0) {
+	if err == nil && (s.Number == 0 || s.Settlements == 0) {
 		err = errors.New("not a team's account")
 	}
-	o.Start, o.SettledAt = time.Unix(int64(from), 0).UTC(), time.UnixMilli(int64(at)).UTC()
-	return o, err
+	s.Start = time.Unix(int64(start), 0).UTC()
+	s.SettledAt = time.UnixMilli(int64(settledAt)).UTC()
+	return s, err
 }
 
-// AppendSegment writes the record of a closed page.
-func AppendSegment(b []byte, p *ledger.Segment) []byte {
+// AppendSegment appends the record of a closed segment.
+func AppendSegment(b []byte, s *ledger.Segment) []byte {
 	b = msgp.AppendMapHeader(b, 9)
-	b = appendString(b, "team", p.Team)
-	b = appendUint(b, "first", p.First)
-	b = appendUint(b, "last", p.Last)
-	b = appendUint(b, "unit", uint64(p.Unit))
-	b = appendUint(b, "from", uint64(p.Start.Unix()))
-	b = appendUsage(b, p.Usage)
-	b = appendString(b, "prev", p.Prev)
-	b = appendString(b, "head", p.Head)
-	return appendString(b, "sum", p.Sum)
+	b = appendString(b, ledgerTeam, s.Team)
+	b = appendUint(b, ledgerFirst, s.First)
+	b = appendUint(b, ledgerLast, s.Last)
+	b = appendUint(b, ledgerUnit, uint64(s.Unit))
+	b = appendUint(b, ledgerStart, uint64(s.Start.Unix()))
+	b = appendUsage(b, s.Usage)
+	b = appendString(b, ledgerPrev, s.Prev)
+	b = appendString(b, ledgerHead, s.Head)
+	return appendString(b, ledgerSum, s.Sum)
 }
 
-// DecodeSegment reads the record of a closed page.
+// DecodeSegment reads the record of a closed segment.
 func DecodeSegment(b []byte) (ledger.Segment, error) {
-	var p ledger.Segment
-	var unit, from uint64
-	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
-		switch key {
-		case "team":
-			return readString(b, &p.Team)
-		case "first":
-			return readUint(b, &p.First)
-		case "last":
-			return readUint(b, &p.Last)
-		case "unit":
+	var s ledger.Segment
+	var unit, start uint64
+	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
+		switch name {
+		case ledgerTeam:
+			return readString(b, &s.Team)
+		case ledgerFirst:
+			return readUint(b, &s.First)
+		case ledgerLast:
+			return readUint(b, &s.Last)
+		case ledgerUnit:
 			return readUint(b, &unit)
-		case "from":
-			return readUint(b, &from)
-		case "use":
-			return readUsage(b, &p.Usage)
-		case "prev":
-			return readString(b, &p.Prev)
-		case "head":
-			return readString(b, &p.Head)
-		case "sum":
-			return readString(b, &p.Sum)
+		case ledgerStart:
+			return readUint(b, &start)
+		case ledgerUsage:
+			return readUsage(b, &s.Usage)
+		case ledgerPrev:
+			return readString(b, &s.Prev)
+		case ledgerHead:
+			return readString(b, &s.Head)
+		case ledgerSum:
+			return readString(b, &s.Sum)
 		}
 		return b, false, nil
 	})
-	p.Unit, p.Start = ledger.Unit(unit), time.Unix(int64(from), 0).UTC()
-	if err == nil && (p.First == 0 || p.Unit < ledger.Hour || p.Unit > ledger.Month || p.Sum == "") {
+	s.Unit = ledger.Unit(unit)
+	s.Start = time.Unix(int64(start), 0).UTC()
+	if err == nil && (s.First == 0 || s.Unit < ledger.Hour || s.Unit > ledger.Month || s.Sum == "") {
 		err = errors.New("not a page of the ledger")
 	}
-	return p, err
+	return s, err
 }
 
-// AppendUnaccountedInterval writes the record of a stretch of time that is not accounted.
-func AppendUnaccountedInterval(b []byte, s ledger.Interval) []byte {
-	b = appendUint(msgp.AppendMapHeader(b, 4), "from", uint64(s.Start.UnixMilli()))
-	b = appendUint(b, "to", uint64(s.End.UnixMilli()))
-	b = appendUint(b, "token", s.FencingToken)
-	return appendUint(b, "without", s.UnsettledLeaders)
+// AppendUnaccountedInterval appends the record of an interval without accounting.
+func AppendUnaccountedInterval(b []byte, i ledger.Interval) []byte {
+	b = msgp.AppendMapHeader(b, 4)
+	b = appendUint(b, ledgerStart, uint64(i.Start.UnixMilli()))
+	b = appendUint(b, ledgerEnd, uint64(i.End.UnixMilli()))
+	b = appendUint(b, ledgerFencingToken, i.FencingToken)
+	return appendUint(b, ledgerUnsettledLeaders, i.UnsettledLeaders)
 }
 
-// DecodeUnaccountedInterval reads the record of a stretch of time that is not accounted.
-func DecodeUnaccountedInterval(b []byte) (s ledger.Interval, err error) {
-	var from, to uint64
-	err = decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
-		switch key {
-		case "from":
-			return readUint(b, &from)
-		case "to":
-			return readUint(b, &to)
-		case "token":
-			return readUint(b, &s.FencingToken)
-		case "without":
-			return readUint(b, &s.UnsettledLeaders)
+// DecodeUnaccountedInterval reads the record of an interval without accounting.
+func DecodeUnaccountedInterval(b []byte) (i ledger.Interval, err error) {
+	var start, end uint64
+	err = decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
+		switch name {
+		case ledgerStart:
+			return readUint(b, &start)
+		case ledgerEnd:
+			return readUint(b, &end)
+		case ledgerFencingToken:
+			return readUint(b, &i.FencingToken)
+		case ledgerUnsettledLeaders:
+			return readUint(b, &i.UnsettledLeaders)
 		}
 		return b, false, nil
 	})
-	s.Start, s.End = time.UnixMilli(int64(from)).UTC(), time.UnixMilli(int64(to)).UTC()
-	return s, err
+	i.Start = time.UnixMilli(int64(start)).UTC()
+	i.End = time.UnixMilli(int64(end)).UTC()
+	return i, err
 }
--- a/internal/wire/relay.go
+++ b/internal/wire/relay.go
@@ -6,39 +6,44 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// RelayBatch is a batch of reports that a member hands over by way of the state service, or of the
-// answers to one.
+// batchOverhead is how much of a value is no payload, at the most.
+const batchOverhead = 100
+
+// RelayBatch is a batch of heartbeats that a member relays through the state service,
+// or of the answers to one.
 type RelayBatch struct {
-	Incarnation uint64 // drawn at the start of the member's process
-	Seq         uint64 // numbers that life's batches
-	Payload     string // letters, as package courier packs them
+	Incarnation uint64 // of the member's process, drawn at its start
+	Seq         uint64 // numbers the batches of the incarnation
+	Payload     string // envelopes, as package relay packs them
 }
 
-// AppendRelayBatch writes a batch.
-func AppendRelayBatch(b []byte, v RelayBatch) []byte {
-	b = appendUint(msgp.AppendMapHeader(b, 3), "life", v.Incarnation)
-	b = appendUint(b, "seq", v.Seq)
-	return appendString(b, "text", v.Payload)
+// AppendRelayBatch appends the record of a batch.
+func AppendRelayBatch(b []byte, batch RelayBatch) []byte {
+	b = msgp.AppendMapHeader(b, 3)
+	b = appendUint(b, recordBatchIncarnation, batch.Incarnation)
+	b = appendUint(b, recordBatchSeq, batch.Seq)
+	return appendString(b, recordBatchPayload, batch.Payload)
 }
 
-// DecodeRelayBatch reads a batch.
-func DecodeRelayBatch(b []byte) (v RelayBatch, err error) {
-	err = decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
-		switch key {
-		case "life":
-			return readUint(b, &v.Incarnation)
-		case "seq":
-			return readUint(b, &v.Seq)
-		case "text":
-			return readString(b, &v.Payload)
+// DecodeRelayBatch reads the record of a batch.
+func DecodeRelayBatch(b []byte) (batch RelayBatch, err error) {
+	err = decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
+		switch name {
+		case recordBatchIncarnation:
+			return readUint(b, &batch.Incarnation)
+		case recordBatchSeq:
+			return readUint(b, &batch.Seq)
+		case recordBatchPayload:
+			return readString(b, &batch.Payload)
 		}
 		return b, false, nil
 	})
-	if err == nil && (v.Seq == 0 || v.Payload == "") {
+	if err == nil && (batch.Seq == 0 || batch.Payload == "") {
 		err = errors.New("not a batch")
 	}
-	return v, err
+	return batch, err
 }
 
-// MaxBatchPayload is how much text a batch may have where values are bounded.
-func MaxBatchPayload(value int) int { return value - 100 }
+// MaxBatchPayload returns how long the payload of a batch may be where a value may
+// have maxValueBytes.
+func MaxBatchPayload(maxValueBytes int) int { return maxValueBytes - batchOverhead }
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -6,7 +6,7 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Entry is a key of the state service with its value. A removal has no value.
+// Entry is a key of the state service with its value. A deletion has no value.
 type Entry struct {
 	Key     string
 	Value   []byte // MessagePack
@@ -22,65 +22,63 @@
 	Version uint64
 }
 
-// Change is one change of a transaction: a value, or without one a removal.
+// Change is one change of a transaction: it puts a value, or deletes the key where
+// the value is nil.
 type Change struct {
 	Key   string
-	Value []byte
-	Lease uint64
+	Value []byte // MessagePack
+	Lease uint64 // that the key is attached to; 0: none
 }
 
-// Txn is a transaction.
+// Txn is a transaction: a compare-and-swap of several keys.
 type Txn struct {
 	Conditions []Condition
 	Changes    []Change
 }
 
-// Append writes the transaction's request.
+// Append appends the request for the transaction.
 func (t *Txn) Append(b []byte) []byte {
 	b = msgp.AppendMapHeader(b, 2)
-	b = msgp.AppendArrayHeader(msgp.AppendString(b, "if"), uint32(len(t.Conditions)))
+	b = msgp.AppendArrayHeader(msgp.AppendString(b, stateConditions), uint32(len(t.Conditions)))
 	for _, c := range t.Conditions {
-		b = appendString(msgp.AppendMapHeader(b, 2), "k", c.Key)
-		b = appendUint(b, "stamp", c.Version)
+		b = appendString(msgp.AppendMapHeader(b, 2), stateKey, c.Key)
+		b = appendUint(b, stateVersion, c.Version)
 	}
-	b = msgp.AppendArrayHeader(msgp.AppendString(b, "apply"), uint32(len(t.Changes)))
+	b = msgp.AppendArrayHeader(msgp.AppendString(b, stateChanges), uint32(len(t.Changes)))
 	for _, c := range t.Changes {
-		switch {
-		case c.Value == nil:
-			b = appendString(msgp.AppendMapHeader(b, 1), "remove", c.Key)
-		case c.Lease != 0:
-			b = appendString(msgp.AppendMapHeader(b, 3), "write", c.Key)
-			b = append(msgp.AppendString(b, "value"), c.Value...)
-			b = appendUint(b, "tenancy", c.Lease)
-		default:
-			b = appendString(msgp.AppendMapHeader(b, 2), "write", c.Key)
-			b = append(msgp.AppendString(b, "value"), c.Value...)
-		}
+		b = c.append(b)
 	}
 	return b
 }
 
-// readRaw keeps a value as it stands.
-func readRaw(b []byte, to *[]byte) ([]byte, bool, error) {
-	rest, err := msgp.Skip(b)
-	if err == nil {
-		*to = append([]byte(nil), b[:len(b)-len(rest)]...)
+func (c *Change) append(b []byte) []byte {
+	if c.Value == nil {
+		return appendString(msgp.AppendMapHeader(b, 1), stateDelete, c.Key)
 	}
-	return rest, true, err
+	fields := uint32(2)
+	if c.Lease != 0 {
+		fields = 3
+	}
+	b = appendString(msgp.AppendMapHeader(b, fields), statePut, c.Key)
+	b = append(msgp.AppendString(b, stateValue), c.Value...)
+	if c.Lease != 0 {
+		b = appendUint(b, stateLease, c.Lease)
+	}
+	return b
 }
 
-func decodeEntryField(e *Entry, key string, b []byte) ([]byte, bool, error) {
-	switch key {
-	case "k", "write":
+func decodeEntryField(e *Entry, name string, b []byte) ([]byte, bool, error) {
+	switch name {
+	case stateKey, statePut:
 		return readString(b, &e.Key)
-	case "remove":
+	case stateDelete:
 		e.Removed = true
 		return readString(b, &e.Key)
-	case "value":
+	case stateValue:
 		return readRaw(b, &e.Value)
-	case "stamp":
+	case stateVersion:
 		return readUint(b, &e.Version)
-	case "tenancy":
+	case stateLease:
 		return readUint(b, &e.Lease)
 	}
 	return b, false, nil
@@ -89,7 +87,9 @@
 // DecodeEntry reads the answer to a read of one key.
 func DecodeEntry(b []byte) (Entry, error) {
 	var e Entry
-	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) { return decodeEntryField(&e, key, b) })
+	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
+		return decodeEntryField(&e, name, b)
+	})
 	if err == nil && (e.Key == "" || e.Version == 0) {
 		err = errors.New("an entry without key or version")
 	}
@@ -106,48 +106,39 @@
 // DecodePage reads the answer to a read by prefix or to a watch.
 func DecodePage(b []byte) (Page, error) {
 	var p Page
-	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
-		switch key {
-		case "epoch":
+	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
+		switch name {
+		case stateRevision:
 			return readUint(b, &p.Revision)
-		case "more":
+		case stateMore:
 			return readBool(b, &p.More)
-		case "entries", "log":
-			rest, err := eachItem(b, func(b []byte) ([]byte, error) {
-				var e Entry
-				rest, err := eachField(b, func(key string, b []byte) ([]byte, bool, error) { return decodeEntryField(&e, key, b) })
-				p.Entries = append(p.Entries, e)
-				return rest, err
-			})
-			return rest, true, err
+		case stateEntries, stateLog:
+			return readEntries(b, &p.Entries)
 		}
 		return b, false, nil
 	})
 	return p, err
 }
 
-// DecodeUintField reads one integer of a small answer.
-func DecodeUintField(b []byte, field string) (uint64, error) {
-	var v uint64
-	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
-		if key == field {
-			return readUint(b, &v)
-		}
-		return b, false, nil
+func readEntries(b []byte, dst *[]Entry) ([]byte, bool, error) {
+	rest, err := eachItem(b, func(b []byte) ([]byte, error) {
+		var e Entry
+		rest, err := eachField(b, func(name string, b []byte) ([]byte, bool, error) {
+			return decodeEntryField(&e, name, b)
+		})
+		*dst = append(*dst, e)
+		return rest, err
 	})
-	if err == nil && v == 0 {
-		err = errors.New(field + " is missing")
-	}
-	return v, err
+	return rest, true, err
 }
 
-// DecodeRevision reads the revision of a transaction's answer.
-func DecodeRevision(b []byte) (uint64, error) { return DecodeUintField(b, "epoch") }
+// DecodeRevision reads the revision of the answer to a transaction.
+func DecodeRevision(b []byte) (uint64, error) { return decodeUint(b, stateRevision) }
 
-// DecodeLeaseID reads the name of a new lease.
-func DecodeLeaseID(b []byte) (uint64, error) { return DecodeUintField(b, "tenancy") }
+// DecodeLeaseID reads the id of a new lease.
+func DecodeLeaseID(b []byte) (uint64, error) { return decodeUint(b, stateLease) }
 
-// AppendLeaseRequest writes the request for a lease.
-func AppendLeaseRequest(b []byte, ms uint64) []byte {
-	return appendUint(msgp.AppendMapHeader(b, 1), "lifeMs", ms)
+// AppendLeaseRequest appends the request for a lease.
+func AppendLeaseRequest(b []byte, ttlMilliseconds uint64) []byte {
+	return appendUint(msgp.AppendMapHeader(b, 1), stateLeaseTTL, ttlMilliseconds)
 }
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -10,141 +10,178 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-var phases = map[string]model.Phase{"pulling": model.PhaseFetching, "gathering": model.PhaseWaiting, "running": model.PhaseRunning,
-	"saving": model.PhaseCheckpointing, "exited": model.PhaseExited}
+// maxMachineName bounds the length of a machine's name.
+const maxMachineName = 100
 
-var causes = map[string]model.ExitCause{"done": model.CauseDone, "halted": model.CauseStopped, "mates_gone": model.CauseGangMemberLost,
-	"incomplete": model.CauseGangIncomplete, "error": model.CauseError, "no_room": model.CauseNoCapacity, "busy": model.CauseAttemptConflict,
-	"no_such": model.CauseUnknownJob}
+// phases maps the published names to phases.
+var phases = map[string]model.Phase{
+	"pulling":   model.PhaseFetching,
+	"gathering": model.PhaseWaiting,
+	"running":   model.PhaseRunning,
+	"saving":    model.PhaseCheckpointing,
+	"exited":    model.PhaseExited,
+}
+
+// exitCauses maps the published names to the causes of an exit.
+var exitCauses = map[string]model.ExitCause{
+	"done":       model.CauseDone,
+	"halted":     model.CauseStopped,
+	"mates_gone": model.CauseGangMemberLost,
+	"incomplete": model.CauseGangIncomplete,
+	"error":      model.CauseError,
+	"no_room":    model.CauseNoCapacity,
+	"busy":       model.CauseAttemptConflict,
+	"no_such":    model.CauseUnknownJob,
+}
 
-// TaskName writes a task's name on the wire.
+// TaskName returns a task's name on the wire.
 func TaskName(t model.TaskID) string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
 // ParseTaskName reads a task's name.
 func ParseTaskName(s string) (model.TaskID, error) {
-	job, idx, ok := strings.Cut(s, "/")
-	n, err := strconv.Atoi(idx)
-	if !ok || err != nil || n < 0 || n >= maxTasks || !model.ValidJobID(job) {
+	job, number, ok := strings.Cut(s, "/")
+	index, err := strconv.Atoi(number)
+	if !ok || err != nil || index < 0 || index >= maxTasks || !model.ValidJobID(job) {
 		return model.TaskID{}, errors.New("not a task")
 	}
-	return model.TaskID{Job: job, Index: n}, nil
+	return model.TaskID{Job: job, Index: index}, nil
 }
 
-// DecodeHeartbeat reads a worker's report. Tasks whose names no controller gives
-// are left out: they cannot be commanded.
+// DecodeHeartbeat reads a worker's heartbeat. It leaves out tasks with names that no
+// controller gives: no command could name them. The heartbeat is not nil, even with
+// an error.
 func DecodeHeartbeat(b []byte) (*model.Heartbeat, error) {
-	r := &model.Heartbeat{}
-	err := decodeMap(b, func(key string, b []byte) ([]byte, bool, error) {
-		switch key {
-		case "tiller":
-			return readString(b, &r.Machine)
-		case "addr":
-			return readString(b, &r.Addr)
-		case "breed":
-			return readString(b, &r.Type)
-		case "field":
-			return readString(b, &r.Zone)
-		case "loaners":
-			return readBool(b, &r.Spot)
-		case "shift":
-			return readUint(b, &r.Epoch)
-		case "tick":
-			return readUint(b, &r.Seq)
-		case "baton":
-			return readUint(b, &r.FencingToken)
-		case "recallS":
-			var v float64
-			rest, ok, err := readFloat(b, &v)
-			r.InterruptionNotice, r.InterruptionIn = true, seconds(min(max(v, 0), maxAmount))
-			return rest, ok, err
-		case "rows":
-			rest, err := eachItem(b, func(b []byte) ([]byte, error) {
-				t, rest, err := decodeTaskStatus(b)
-				if err == nil && t.Phase != 0 {
-					r.Tasks = append(r.Tasks, t)
-				}
-				return rest, err
-			})
-			return rest, true, err
+	h := &model.Heartbeat{}
+	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
+		switch name {
+		case workerName:
+			return readString(b, &h.Machine)
+		case workerAddr:
+			return readString(b, &h.Addr)
+		case workerMachineType:
+			return readString(b, &h.Type)
+		case workerZone:
+			return readString(b, &h.Zone)
+		case workerSpot:
+			return readBool(b, &h.Spot)
+		case workerEpoch:
+			return readUint(b, &h.Epoch)
+		case workerSeq:
+			return readUint(b, &h.Seq)
+		case workerFencingToken:
+			return readUint(b, &h.FencingToken)
+		case workerInterruption:
+			return readInterruption(b, h)
+		case workerTasks:
+			return readTasks(b, &h.Tasks)
 		}
 		return b, false, nil
 	})
-	if err == nil && (r.Machine == "" || len(r.Machine) > 100 || r.Epoch == 0) {
+	if err == nil && (h.Machine == "" || len(h.Machine) > maxMachineName || h.Epoch == 0) {
 		err = errors.New("no machine or session")
 	}
-	return r, err
+	return h, err
+}
+
+func readInterruption(b []byte, h *model.Heartbeat) ([]byte, bool, error) {
+	var s float64
+	rest, handled, err := readFloat(b, &s)
+	h.InterruptionNotice = true
+	h.InterruptionIn = seconds(min(max(s, 0), maxAmount))
+	return rest, handled, err
+}
+
+func readTasks(b []byte, dst *[]model.TaskStatus) ([]byte, bool, error) {
+	rest, err := eachItem(b, func(b []byte) ([]byte, error) {
+		t, valid, rest, err := decodeTaskStatus(b)
+		if err == nil && valid {
+			*dst = append(*dst, t)
+		}
+		return rest, err
+	})
+	return rest, true, err
 }
 
-func decodeTaskStatus(b []byte) (model.TaskStatus, []byte, error) {
-	var t model.TaskStatus
+// decodeTaskStatus reads the status of one task. It is valid if it has a phase and
+// no name that ParseTaskName refuses.
+func decodeTaskStatus(b []byte) (t model.TaskStatus, valid bool, rest []byte, err error) {
 	var badName bool
-	rest, err := eachField(b, func(key string, b []byte) ([]byte, bool, error) {
-		var s string
-		switch key {
-		case "row":
-			rest, ok, err := readString(b, &s)
+	rest, err = eachField(b, func(name string, b []byte) ([]byte, bool, error) {
+		switch name {
+		case workerTask:
+			var s string
+			rest, handled, err := readString(b, &s)
 			if err == nil {
 				var nameErr error
 				t.Task, nameErr = ParseTaskName(s)
 				badName = nameErr != nil
 			}
-			return rest, ok, err
-		case "try":
+			return rest, handled, err
+		case workerAttempt:
 			return readUint(b, &t.Attempt)
-		case "status":
-			rest, ok, err := readString(b, &s)
-			if t.Phase = phases[s]; err == nil && t.Phase == 0 {
-				err = errors.New("unknown")
-			}
-			return rest, ok, err
-		case "cause":
-			rest, ok, err := readString(b, &s)
-			if t.Cause = causes[s]; t.Cause == 0 {
-				t.Cause = model.CauseError
-			}
-			return rest, ok, err
-		case "saved":
+		case workerPhase:
+			return readName(b, phases, &t.Phase)
+		case workerExitCause:
+			return readExitCause(b, &t.Cause)
+		case workerCheckpointed:
 			return readBool(b, &t.Checkpointed)
 		}
 		return b, false, nil
 	})
-	if badName {
-		t.Phase = 0
-	}
-	return t, rest, err
+	return t, t.Phase != 0 && !badName, rest, err
 }
 
-// appendCommandList writes a list of commands.
-func appendCommandList(b []byte, orders []model.Command) []byte {
-	b = msgp.AppendArrayHeader(msgp.AppendString(b, "orders"), uint32(len(orders)))
-	for _, o := range orders {
-		verb, n := "", uint32(3)
-		switch o.Op {
-		case model.OpLaunch:
-			verb = "launch"
-		case model.OpStop:
-			verb, n = "stop", 4
-		case model.OpForget:
-			verb = "forget"
-		}
-		b = msgp.AppendMapHeader(b, n)
-		b = appendString(b, "verb", verb)
-		b = appendString(b, "row", TaskName(o.Task))
-		b = appendUint(b, "try", o.Attempt)
-		if o.Op == model.OpStop {
-			b = appendFloat(b, "windDownS", o.GracePeriod.Seconds())
-		}
+// readExitCause reads the cause of an exit. Causes of later versions are errors.
+func readExitCause(b []byte, dst *model.ExitCause) ([]byte, bool, error) {
+	var s string
+	rest, handled, err := readString(b, &s)
+	cause, known := exitCauses[s]
+	if !known {
+		cause = model.CauseError
 	}
-	return b
+	*dst = cause
+	return rest, handled, err
+}
+
+// AppendHeartbeatResponse appends the answer to a heartbeat.
+func AppendHeartbeatResponse(b []byte, fencingToken uint64, commands []model.Command) []byte {
+	b = msgp.AppendMapHeader(b, 2)
+	b = appendUint(b, workerFencingToken, fencingToken)
+	return appendCommandList(b, commands)
+}
+
+// AppendCommands appends the body of a request with direct commands.
+func AppendCommands(b []byte, fencingToken, epoch uint64, commands []model.Command) []byte {
+	b = msgp.AppendMapHeader(b, 3)
+	b = appendUint(b, workerFencingToken, fencingToken)
+	b = appendUint(b, workerEpoch, epoch)
+	return appendCommandList(b, commands)
 }
 
-// AppendHeartbeatResponse writes the answer to a report.
-func AppendHeartbeatResponse(b []byte, token uint64, orders []model.Command) []byte {
-	return appendCommandList(appendUint(msgp.AppendMapHeader(b, 2), "baton", token), orders)
+func appendCommandList(b []byte, commands []model.Command) []byte {
+	b = msgp.AppendArrayHeader(msgp.AppendString(b, workerCommands), uint32(len(commands)))
+	for _, c := range commands {
+		b = appendCommand(b, c)
+	}
+	return b
 }
 
-// AppendCommands writes the body of direct commands.
-func AppendCommands(b []byte, token, session uint64, orders []model.Command) []byte {
-	b = appendUint(msgp.AppendMapHeader(b, 3), "baton", token)
-	return appendCommandList(appendUint(b, "shift", session), orders)
+func appendCommand(b []byte, c model.Command) []byte {
+	op, fields := "", uint32(3)
+	switch c.Op {
+	case model.OpLaunch:
+		op = commandLaunch
+	case model.OpStop:
+		op, fields = commandStop, 4
+	case model.OpForget:
+		op = commandForget
+	}
+	b = msgp.AppendMapHeader(b, fields)
+	b = appendString(b, workerCommandOp, op)
+	b = appendString(b, workerTask, TaskName(c.Task))
+	b = appendUint(b, workerAttempt, c.Attempt)
+	if c.Op == model.OpStop {
+		b = appendFloat(b, workerStopGracePeriod, c.GracePeriod.Seconds())
+	}
+	return b
 }
