--- a/internal/clustersim/faults/simulation.go
+++ b/internal/clustersim/faults/simulation.go
@@ -137,7 +137,7 @@
 	p := &config.Platform{Member: "tiller-0"}
 	d := &p.Deployment
 	d.Zones = []string{"a", "b"}
-	d.Workers.Report, d.Workers.Lease, d.Workers.GangWait, d.Workers.GangPeer, d.Workers.Cancel = 2.5, 14, 35, 5, 34
+	d.Workers.Heartbeat, d.Workers.Lease, d.Workers.GangWait, d.Workers.GangPeer, d.Workers.Cancel = 2.5, 14, 35, 5, 34
 	d.State.ValueKB, d.State.TxnOps, d.Cloud.ListLag = 8, 12, 6
 	o := config.Defaults()
 	o.Scheduler.StarvationBound = config.Duration(240 * second)
--- a/internal/clustersim/ledgersim/simulation.go
+++ b/internal/clustersim/ledgersim/simulation.go
@@ -111,7 +111,7 @@
 	p := &config.Platform{Member: "tiller-0"}
 	d := &p.Deployment
 	d.Zones = []string{"a", "b"}
-	d.Workers.Report, d.Workers.Lease, d.Workers.GangWait, d.Workers.GangPeer, d.Workers.Cancel = heartbeatSeconds, leaseSeconds, 120, 30, 240
+	d.Workers.Heartbeat, d.Workers.Lease, d.Workers.GangWait, d.Workers.GangPeer, d.Workers.Cancel = heartbeatSeconds, leaseSeconds, 120, 30, 240
 	d.State.RPS, d.State.WriteRPS, d.State.ValueKB, d.State.TxnOps = 150, 42, 2, 4
 	d.Cloud.ListLag = 5
 	return p
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -57,38 +57,60 @@
 	}
 }
 
-// A limit of 0 is none, for each amount by itself, and so is a guarantee of 0. A guarantee above
-// a limit is refused only where there is one (docs/incidents/exams-limits.md).
+// A quota of 0 is none, for each resource by itself, and so is a guarantee of 0. A guarantee above
+// a quota is refused only where there is one (docs/incidents/exams-limits.md).
 func TestZeroQuotaIsUnlimited(t *testing.T) {
-	team := func(amounts string) model.Team {
+	const stated = "cpus = 64.0\ncpus_max = 256.0\ngpus = 0.0\ngpus_max = 8.0"
+	readTeam := func(amounts string) model.Team {
 		t.Helper()
-		p, err := ReadPlatform(writeFile(t, "team.toml", strings.Replace(readSample(t, "example.toml"), "cpus = 64.0\ncpus_max = 256.0\ngpus = 0.0\ngpus_max = 8.0", amounts, 1)))
+		text := strings.Replace(readSample(t, "example.toml"), stated, amounts, 1)
+		p, err := ReadPlatform(writeFile(t, "team.toml", text))
 		if err != nil {
 			t.Fatalf("%s: %v", amounts, err)
 		}
 		return p.Teams()[0]
 	}
 	uses := func(cpu, gpu float64) model.Resources { return model.Resources{CPU: cpu, GPU: gpu} }
-	for amounts, want := range map[string]struct{ allowed, refused, guaranteed, not model.Resources }{
-		"cpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0": {allowed: uses(1e6, 1e6), refused: uses(-1, 0), not: uses(0, 0)},
-		"cpus = 64.0\ncpus_max = 0.0":                            {allowed: uses(1e6, 1e6), guaranteed: uses(64, 0), not: uses(1, 1)},
-		"cpus_max = 8.0\ngpus_max = 0.0":                         {allowed: uses(8, 1e6), refused: uses(9, 0), not: uses(1, 0)},
-		"cpus = 4.0\ngpus = 2.0\ngpus_max = 2.0":                 {allowed: uses(1e6, 2), refused: uses(1, 3), guaranteed: uses(4, 2), not: uses(5, 0)},
+	for amounts, want := range map[string]struct{ allowed, refused, guaranteed, notGuaranteed model.Resources }{
+		"cpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0": {
+			allowed: uses(1e6, 1e6), refused: uses(-1, 0), notGuaranteed: uses(0, 0),
+		},
+		"cpus = 64.0\ncpus_max = 0.0": {
+			allowed: uses(1e6, 1e6), guaranteed: uses(64, 0), notGuaranteed: uses(1, 1),
+		},
+		"cpus_max = 8.0\ngpus_max = 0.0": {
+			allowed: uses(8, 1e6), refused: uses(9, 0), notGuaranteed: uses(1, 0),
+		},
+		"cpus = 4.0\ngpus = 2.0\ngpus_max = 2.0": {
+			allowed: uses(1e6, 2), refused: uses(1, 3), guaranteed: uses(4, 2), notGuaranteed: uses(5, 0),
+		},
 	} {
-		got := team(amounts)
+		got := readTeam(amounts)
 		if !got.Quota.Allows(want.allowed) || want.refused.CPU > 0 && got.Quota.Allows(want.refused) {
-			t.Errorf("%q is read as a limit of %v", amounts, got.Quota)
+			t.Errorf("%q: got the quota %v, want one that allows %v and not %v",
+				amounts, got.Quota, want.allowed, want.refused)
 		}
-		if got.WithinGuarantee(want.not) || want.guaranteed.CPU > 0 && !got.WithinGuarantee(want.guaranteed) {
-			t.Errorf("%q is read as a guarantee of %v", amounts, got.Guarantee)
+		if got.WithinGuarantee(want.notGuaranteed) ||
+			want.guaranteed.CPU > 0 && !got.WithinGuarantee(want.guaranteed) {
+			t.Errorf("%q: got the guarantee %v, want one that covers %v and not %v",
+				amounts, got.Guarantee, want.guaranteed, want.notGuaranteed)
 		}
 	}
 }
 
-// What the platform does not limit is kept within modest limits, and keeps nobody from starting.
+// Limits that the platform does not state have modest defaults, and keep no controller from starting.
 func TestMissingStateLimitsUseDefaults(t *testing.T) {
 	text := readSample(t, "example.toml")
-	for _, line := range []string{"rps = 200.0\n", "write_rps = 80.0\n", "value_kb = 8.0\n", "txn_ops = 12\n", "rps = 2.0\n", "max_connections = 1200", "mem_mb = 125.0\n", "list_lag_s = 6.0\n"} {
+	for _, line := range []string{
+		"rps = 200.0\n",
+		"write_rps = 80.0\n",
+		"value_kb = 8.0\n",
+		"txn_ops = 12\n",
+		"rps = 2.0\n",
+		"max_connections = 1200",
+		"mem_mb = 125.0\n",
+		"list_lag_s = 6.0\n",
+	} {
 		text = strings.Replace(text, line, "", 1)
 	}
 	p, err := ReadPlatform(writeFile(t, "bare.toml", text))
@@ -97,42 +119,47 @@
 	}
 	l := p.StateLimits()
 	if l.RPS <= 0 || l.WriteRPS <= 0 || l.ValueKB < minValueKB || l.TxnOps < minTxnOps || p.CloudRPS() <= 0 {
-		t.Errorf("limits %+v, cloud %v", l, p.CloudRPS())
+		t.Errorf("got limits %+v and %v of the cloud, want defaults above the least", l, p.CloudRPS())
 	}
-	if set := ReconcilerSettings(p, Defaults()); set.MaxTxnOps != l.TxnOps || set.NumberedChunkTasks < 64 || StoreLimits(p).MaxValueBytes < 1024 {
-		t.Errorf("a core's %d changes, old chunks of %d, values of %d", set.MaxTxnOps, set.NumberedChunkTasks, StoreLimits(p).MaxValueBytes)
+	set, limits := ReconcilerSettings(p, Defaults()), StoreLimits(p)
+	if set.MaxTxnOps != l.TxnOps || set.NumberedChunkTasks < 64 || limits.MaxValueBytes < 1024 {
+		t.Errorf("got %d changes, chunks of %d tasks, values of %d bytes, want %d, 64 or more, 1024 or more",
+			set.MaxTxnOps, set.NumberedChunkTasks, limits.MaxValueBytes, l.TxnOps)
 	}
 }
 
-// Without a weight of its own a team shares by what it is guaranteed; where it is guaranteed
-// nothing, like the least of those that are, and where nobody is, all alike.
+// Without a weight of its own a team has its guarantee for one; without a guarantee, the least
+// of those that there are, and where no team has one all have the same.
 func TestFairShareWeightsDefaultToGuarantees(t *testing.T) {
 	p, o := &Platform{}, Defaults()
 	o.Ledger = &Ledger{SettleInterval: Duration(time.Second)}
 	p.Deployment.State.WriteRPS = 10
 	p.Deployment.Teams = []team{{Name: "a"}, {Name: "b"}}
 	if w := LedgerSettings(p, o).Weights; w["a"] != w["b"] || w["a"] <= 0 {
-		t.Errorf("nobody is guaranteed anything: %v", w)
+		t.Errorf("no team has a guarantee: got weights %v, want equal ones above 0", w)
 	}
 	p.Deployment.Teams = []team{{Name: "a", CPUs: 400}, {Name: "b", CPUs: 100}, {Name: "guest"}}
 	if w := LedgerSettings(p, o).Weights; w["a"] != 400 || w["b"] != 100 || w["guest"] != 100 {
-		t.Errorf("a guest among guaranteed teams: %v", w)
+		t.Errorf("one team has no guarantee: got weights %v, want a: 400, b: 100, guest: 100", w)
 	}
 }
 
-// The smaller of the present limits and of those to come holds from the start; one
-// that is not named stays. The layout of old records goes by the present one.
+// The smaller of the present and the upcoming limits holds from the start; one that has no
+// successor stays. The layout of old records is derived from the present one.
 func TestUpcomingStateLimitsApplyFromTheStart(t *testing.T) {
 	next := "[deployment.state.next]\nvalue_kb = 2.0\nwrite_rps = 56.0\nrps = 900.0\n\n[deployment.cloud]"
-	p, err := ReadPlatform(writeFile(t, "next.toml", strings.Replace(readSample(t, "example.toml"), "[deployment.cloud]", next, 1)))
+	text := strings.Replace(readSample(t, "example.toml"), "[deployment.cloud]", next, 1)
+	p, err := ReadPlatform(writeFile(t, "next.toml", text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, want := p.StateLimits(), (StateLimits{RPS: 200, WriteRPS: 56, ValueKB: 2, TxnOps: 12}); got != want {
-		t.Errorf("limits %+v, want %+v", got, want)
+		t.Errorf("got limits %+v, want %+v", got, want)
 	}
-	if set := ReconcilerSettings(p, Defaults()); set.NumberedChunkTasks != 16384 || set.MaxTxnOps != 12 || StoreLimits(p).MaxValueBytes != 2048 {
-		t.Errorf("old chunks of %d tasks, %d changes, values of %d bytes", set.NumberedChunkTasks, set.MaxTxnOps, StoreLimits(p).MaxValueBytes)
+	set, limits := ReconcilerSettings(p, Defaults()), StoreLimits(p)
+	if set.NumberedChunkTasks != 16384 || set.MaxTxnOps != 12 || limits.MaxValueBytes != 2048 {
+		t.Errorf("got chunks of %d tasks, %d changes, values of %d bytes, want 16384, 12, 2048",
+			set.NumberedChunkTasks, set.MaxTxnOps, limits.MaxValueBytes)
 	}
 }
 
@@ -147,7 +174,7 @@
 	want := Defaults()
 	o.XMLName = want.XMLName
 	if !reflect.DeepEqual(o, want) {
-		t.Errorf("the sample says\n%+v\nthe defaults are\n%+v", o, want)
+		t.Errorf("sample of the operators' file: got\n%+v\nwant the defaults\n%+v", o, want)
 	}
 	var check func(v reflect.Type)
 	check = func(v reflect.Type) {
@@ -179,7 +206,8 @@
 		"<ledger/><fair-share><gpu-weight>-1</gpu-weight></fair-share>":                            "fair-share/gpu-weight",
 		`<ledger/><fair-share><weight team="a">1</weight><weight team="a">2</weight></fair-share>`: "none or several",
 	} {
-		if _, err := parseOperator([]byte("<glentiller>" + text + "</glentiller>")); err == nil || !strings.Contains(err.Error(), want) {
+		_, err := parseOperator([]byte("<glentiller>" + text + "</glentiller>"))
+		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v, want %q", text, err, want)
 		}
 	}
@@ -187,13 +215,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for team, good := range map[string]bool{"vision": true, "visoin": false} {
-		o, err := parseOperator([]byte(`<glentiller><ledger/><fair-share><weight team="` + team + `">3</weight></fair-share></glentiller>`))
-		if err != nil || (CheckConsistency(p, o) == nil) != good {
-			t.Errorf("a weight of %s: %v, %v", team, err, CheckConsistency(p, o))
+	for team, known := range map[string]bool{"vision": true, "visoin": false} {
+		text := `<ledger/><fair-share><weight team="` + team + `">3</weight></fair-share>`
+		o, err := parseOperator([]byte("<glentiller>" + text + "</glentiller>"))
+		if err != nil || (CheckConsistency(p, o) == nil) != known {
+			t.Errorf("weight of team %s: got %v, %v, want consistent: %v", team, err, CheckConsistency(p, o), known)
 		}
-		if good && (LedgerSettings(p, o).Weights[team] != 3 || LedgerSettings(p, o).HalfLife != 24*time.Hour) {
-			t.Errorf("%+v", LedgerSettings(p, o))
+		if l := LedgerSettings(p, o); known && (l.Weights[team] != 3 || l.HalfLife != 24*time.Hour) {
+			t.Errorf("weight of team %s: got %v and a half-life of %v, want 3 and 24 h", team, l.Weights[team], l.HalfLife)
 		}
 	}
 }
@@ -214,7 +243,13 @@
 		}
 	}
 	o, err := parseOperator([]byte("<glentiller><fleet><keep-idle>90s</keep-idle></fleet></glentiller>\n"))
-	if err != nil || o.Autoscaler.IdleTimeout.Std() != 90*time.Second || o.Scheduler.PromoteAfter != Defaults().Scheduler.PromoteAfter {
-		t.Errorf("one setting alone: %+v, %v", o, err)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := o.Autoscaler.IdleTimeout.Std(); got != 90*time.Second {
+		t.Errorf("fleet/keep-idle: got %v, want 90s", got)
+	}
+	if got, want := o.Scheduler.PromoteAfter, Defaults().Scheduler.PromoteAfter; got != want {
+		t.Errorf("a setting that is left out: got %v, want the default %v", got.Std(), want.Std())
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -94,12 +94,20 @@
 func TestSettingsReachTheirParts(t *testing.T) {
 	p := &Platform{}
 	golden.Fill(p)
-	p.Deployment.Workers.Report, p.Deployment.Workers.Lease, p.Deployment.Workers.Cancel = 2, 12, 32
+	p.Deployment.Workers.Heartbeat, p.Deployment.Workers.Lease, p.Deployment.Workers.Cancel = 2, 12, 32
 	p.Deployment.State.StateLimits = StateLimits{RPS: 201, WriteRPS: 81, ValueKB: 9, TxnOps: 13}
 	p.Deployment.State.Next = StateLimits{RPS: 101, WriteRPS: 41, ValueKB: 7, TxnOps: 11}
-	p.Deployment.Teams = append(p.Deployment.Teams, team{Name: "vision", CPUs: 64, CPUsMax: 256, GPUs: 1, GPUsMax: 8}, team{Name: "none"})
-	p.Deployment.Objectives = []Objective{{Kind: "wait", Class: "a", Within: 30}, {Kind: "finished", Class: "b", Within: 600},
-		{Kind: "deadline", Class: "a", Times: 1.5}, {Kind: "other", Class: "c", Within: 1}}
+	p.Deployment.Teams = append(
+		p.Deployment.Teams,
+		team{Name: "vision", CPUs: 64, CPUsMax: 256, GPUs: 1, GPUsMax: 8},
+		team{Name: "none"},
+	)
+	p.Deployment.Objectives = []Objective{
+		{Kind: "wait", Class: "a", Within: 30},
+		{Kind: "finished", Class: "b", Within: 600},
+		{Kind: "deadline", Class: "a", Times: 1.5},
+		{Kind: "other", Class: "c", Within: 1},
+	}
 	filled := &Operator{}
 	golden.Fill(filled)
 	filled.Votes.Outage = filled.Leadership.Lease * 3
@@ -136,8 +144,10 @@
 			name string
 			at   *bool
 		}{
-			{"scheduler/preempt-for-guarantees", &filled.Scheduler.PreemptForGuarantees}, {"scheduler/production-image-first", &filled.Scheduler.ImageFirst},
-			{"scheduler/fetch-in-time", &filled.Scheduler.FetchByDeadline}, {"scheduler/vacate", &filled.Scheduler.Drain},
+			{"scheduler/preempt-for-guarantees", &filled.Scheduler.PreemptForGuarantees},
+			{"scheduler/production-image-first", &filled.Scheduler.ImageFirst},
+			{"scheduler/fetch-in-time", &filled.Scheduler.FetchByDeadline},
+			{"scheduler/vacate", &filled.Scheduler.Drain},
 		} {
 			*s.at = false
 			for i, off := range settings(p, filled) {
--- a/internal/fake/scenarios_test.go
+++ b/internal/fake/scenarios_test.go
@@ -58,7 +58,7 @@
 	p := &config.Platform{Member: "tiller-0"}
 	d := &p.Deployment
 	d.Zones = []string{"a", "b"}
-	d.Workers.Report, d.Workers.Lease, d.Workers.GangWait, d.Workers.GangPeer, d.Workers.Cancel = 2, 12, 20, 5, 30
+	d.Workers.Heartbeat, d.Workers.Lease, d.Workers.GangWait, d.Workers.GangPeer, d.Workers.Cancel = 2, 12, 20, 5, 30
 	d.State.ValueKB, d.State.TxnOps = 8, 12
 	d.Cloud.ListLag = 5
 	o := config.Defaults()
