--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -8,91 +8,128 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Drain finds a replica whose machine could be emptied altogether: it holds nothing but replicas
-// that may move, and all of them fit on busier machines that are no dearer and hold their images.
-// It is the paper's consolidation for machines with several replicas, one move at a time. A move
-// only ever goes to a busier machine, so that no two machines hand replicas to and fro. It
-// returns nil if there is none.
-func Drain(s *Settings, now time.Time, p *Snapshot) *model.Attempt {
-	var may []*Node
-	for _, nd := range p.Nodes {
-		if m := nd.Machine; m.ActiveCount > 0 && movable(s, now, m) {
-			may = append(may, nd)
+// maxDrainCandidates bounds the machines that a call of Drain examines.
+const maxDrainCandidates = 4
+
+// Drain finds a replica to move off a machine that could be emptied altogether: the machine holds nothing but replicas
+// that may move, and all of them fit on busier machines that cost no more and hold their images. It returns nil if
+// there is none. Replicas move one at a time and only ever to a busier machine, so that no two machines exchange them
+// over and over.
+func Drain(settings *Settings, now time.Time, snapshot *Snapshot) *model.Attempt {
+	var nodes []*Node
+	for _, node := range snapshot.Nodes {
+		if node.Machine.ActiveCount > 0 && drainable(settings, now, node.Machine) {
+			nodes = append(nodes, node)
 		}
 	}
-	// What empties with the fewest moves goes first; the dearer of two alike.
-	slices.SortFunc(may, func(a, b *Node) int {
-		return cmp.Or(cmp.Compare(a.Machine.ActiveCount, b.Machine.ActiveCount), cmp.Compare(pricePerCPU(b.Machine), pricePerCPU(a.Machine)), cmp.Compare(a.Machine.Name, b.Machine.Name))
+	// First what empties with the fewest moves, then the more expensive ones.
+	slices.SortFunc(nodes, func(a, b *Node) int {
+		return cmp.Or(
+			cmp.Compare(a.Machine.ActiveCount, b.Machine.ActiveCount),
+			cmp.Compare(pricePerCPU(b.Machine), pricePerCPU(a.Machine)),
+			cmp.Compare(a.Machine.Name, b.Machine.Name),
+		)
 	})
-	for _, nd := range may[:min(len(may), maxDrainCandidates)] {
-		if a := p.drainNode(nd); a != nil {
-			return a
+	for _, node := range nodes[:min(len(nodes), maxDrainCandidates)] {
+		if attempt := snapshot.drainNode(node); attempt != nil {
+			return attempt
 		}
 	}
 	return nil
 }
 
-// maxDrainCandidates bounds how many machines are thought through at a time.
-const maxDrainCandidates = 4
-
-// movable tells whether all that is on a machine are replicas of services that run whole and have
-// run for long enough.
-func movable(s *Settings, now time.Time, m *model.Machine) bool {
-	for _, a := range m.ActiveAttempts() {
-		j := a.Job
-		if j == nil || j.Spec.Shape != model.Service || len(j.ActiveAttempts) < j.Spec.Tasks || j.Spec.SingleZone && j.Spec.Tasks > 1 ||
-			a.State != model.AttemptPresent || a.Phase != model.PhaseRunning || now.Sub(a.RunningAt) < s.MinRuntime {
+// drainable reports whether a machine holds nothing but replicas that may be moved.
+func drainable(settings *Settings, now time.Time, machine *model.Machine) bool {
+	for _, attempt := range machine.ActiveAttempts() {
+		if attempt.Job == nil || !mayMoveReplicas(attempt.Job) || !settings.isSettled(now, attempt) {
 			return false
 		}
 	}
 	return true
 }
 
-// drainNode finds room for all that is on a machine, and tells which replica goes first; nil: there
-// is not room for all.
-func (p *Snapshot) drainNode(from *Node) *model.Attempt {
-	list := slices.Clone(from.Machine.ActiveAttempts())
-	slices.SortFunc(list, func(a, b *model.Attempt) int {
+// drainNode finds room elsewhere for all that is on a node, and returns the replica to move first; nil: there is not
+// room for all.
+func (s *Snapshot) drainNode(source *Node) *model.Attempt {
+	attempts := slices.Clone(source.Machine.ActiveAttempts())
+	slices.SortFunc(attempts, func(a, b *model.Attempt) int {
 		return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index))
 	})
-	taken := map[*Node]model.Resources{}
-	put := map[*model.Job]map[string]int{} // how many more of a job's tasks a zone has
-	for _, a := range list {
-		var rules *Rules
-		if p.RulesOf != nil {
-			rules = p.RulesOf(a.Job)
-		}
-		if put[a.Job] == nil {
-			put[a.Job] = map[string]int{}
-			for _, o := range a.Job.ActiveAttempts {
-				put[a.Job][o.Machine.Zone]++
-			}
-		}
-		zones := put[a.Job]
-		zones[from.Machine.Zone]--
-		to := p.drainTarget(from, a, rules, zones, taken)
-		if to == nil {
+	d := &drainSearch{
+		snapshot:    s,
+		source:      source,
+		claimed:     map[*Node]model.Resources{},
+		tasksByZone: map[*model.Job]map[string]int{},
+	}
+	for _, attempt := range attempts {
+		if !d.move(attempt) {
 			return nil
 		}
-		zones[to.Machine.Zone]++
-		taken[to] = taken[to].Add(a.Demand)
 	}
-	return list[0]
+	return attempts[0]
+}
+
+// drainSearch looks for room for the replicas of one node.
+type drainSearch struct {
+	snapshot    *Snapshot
+	source      *Node
+	claimed     map[*Node]model.Resources     // by the replicas that have a target
+	tasksByZone map[*model.Job]map[string]int // after those moves
+}
+
+// move chooses the target of a replica and reports whether there is one.
+func (d *drainSearch) move(attempt *model.Attempt) bool {
+	rules := d.snapshot.rulesOf(attempt.Job)
+	tasksByZone := d.zonesOf(attempt.Job)
+	tasksByZone[d.source.Machine.Zone]--
+	target := d.target(attempt, rules, tasksByZone)
+	if target == nil {
+		return false
+	}
+	tasksByZone[target.Machine.Zone]++
+	d.claimed[target] = d.claimed[target].Add(attempt.Demand)
+	return true
+}
+
+// zonesOf counts the tasks of a job by zone.
+func (d *drainSearch) zonesOf(job *model.Job) map[string]int {
+	if d.tasksByZone[job] == nil {
+		d.tasksByZone[job] = map[string]int{}
+		for _, attempt := range job.ActiveAttempts {
+			d.tasksByZone[job][attempt.Machine.Zone]++
+		}
+	}
+	return d.tasksByZone[job]
 }
 
-// drainTarget is the busiest machine that takes a replica.
-func (p *Snapshot) drainTarget(from *Node, a *model.Attempt, rules *Rules, zones map[string]int, taken map[*Node]model.Resources) *Node {
+// target is the busiest node that takes a replica; nil: there is none.
+func (d *drainSearch) target(attempt *model.Attempt, rules *Rules, tasksByZone map[string]int) *Node {
 	var best *Node
-	for _, nd := range p.nodesWithImage(a.Job.Spec.Image) {
-		if nd == from || !a.Demand.Fits(nd.Free.Sub(taken[nd])) || pricePerCPU(nd.Machine) > pricePerCPU(from.Machine) || nd.checkStatic(a.Job, rules, "") != Feasible {
+	for _, node := range d.snapshot.nodesWithImage(attempt.Job.Spec.Image) {
+		if !d.hasRoom(node, attempt, rules) || !d.busier(node) {
 			continue
 		}
-		if utilization(nd.Machine, nd.Machine.Used) <= utilization(from.Machine, from.Machine.Used) || zones[nd.Machine.Zone] >= maxPerZone(a.Job.Spec, rules) || rules.machineFull(nd.Machine) {
+		if tasksByZone[node.Machine.Zone] >= maxPerZone(attempt.Job.Spec, rules) || rules.machineFull(node.Machine) {
 			continue
 		}
-		if best == nil || utilization(nd.Machine, nd.Machine.Used) > utilization(best.Machine, best.Machine.Used) {
-			best = nd
+		if best == nil || busyFraction(node.Machine) > busyFraction(best.Machine) {
+			best = node
 		}
 	}
 	return best
 }
+
+// hasRoom reports whether a node could take a replica besides those that have it as their target.
+func (d *drainSearch) hasRoom(node *Node, attempt *model.Attempt, rules *Rules) bool {
+	return node != d.source && attempt.Demand.Fits(node.Free.Sub(d.claimed[node])) &&
+		node.checkStatic(attempt.Job, rules, "") == Feasible
+}
+
+// busier reports whether a node is busier than the source and costs no more.
+func (d *drainSearch) busier(node *Node) bool {
+	if pricePerCPU(node.Machine) > pricePerCPU(d.source.Machine) {
+		return false
+	}
+	asBusyAtMost := busyFraction(node.Machine) <= busyFraction(d.source.Machine)
+	return !asBusyAtMost
+}
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -8,77 +8,84 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// A job of which nothing has begun for long is served first with as much as makes it begin: one
-// task of an array, all of a gang or a service. What it waits for is kept: the free room under its
-// team's limit, and machines as they become free, until it fits. Guards against jobs that never
-// begin: wide gangs beside narrow ones, which take each machine as it becomes free, and jobs that can meet no
-// date any more behind a stream of such as can.
+// A job that has waited for long without starting is starving. Its first tasks are served before anything else in
+// their QoS class: one task of an array, all of a gang or a service. What they wait for is reserved until they fit: the
+// quota that is left, and nodes as they become free. Otherwise wide gangs would never start beside narrow ones, which
+// take each node as it becomes free, nor jobs that can no longer meet a deadline behind a stream of those that can.
 
-// isStarving tells whether a want is that beginning. One task soon finds a place; what has to start whole
-// needs time to gather its machines.
-func (w *Request) isStarving(s *Settings) bool {
-	after := s.StarvationBound / 2
-	if w.Job.Spec.Shape != model.Array {
-		after = s.StarvationBound * 3 / 8
+// maxReservations bounds the starving requests that a pass reserves nodes for.
+const maxReservations = 3
+
+// isStarving reports whether the request's job has waited without starting for so long that its first tasks go first.
+// A single task soon finds a node; what has to start whole needs time to gather its nodes.
+func (r *Request) isStarving(settings *Settings) bool {
+	after := settings.StarvationBound / 2
+	if r.Job.Spec.Shape != model.Array {
+		after = settings.StarvationBound * 3 / 8
 	}
-	return s.StarvationBound > 0 && !w.Job.Started() && w.Waited >= after
+	return settings.StarvationBound > 0 && !r.Job.Started() && r.Waited >= after
 }
 
-// splitStarving has the beginnings of arrays wait by themselves.
-func splitStarving(s *Settings, wants []*Request) []*Request {
-	out := wants
-	for _, w := range wants {
-		if !w.isStarving(s) {
+// splitStarving marks starving requests, and splits the first task of a starving array off the rest, which waits its
+// turn as a request of its own.
+func splitStarving(settings *Settings, requests []*Request) []*Request {
+	split := requests
+	for _, r := range requests {
+		if !r.isStarving(settings) {
 			continue
 		}
-		w.Starving = true
-		if w.Job.Spec.Shape == model.Array && w.Count > 1 && w.MaxTasks > 0 {
-			rest := *w
-			rest.Starving, rest.Count, rest.MaxTasks = false, w.Count-1, w.MaxTasks-1
-			w.Count, w.MaxTasks = 1, 1
-			out = append(out, &rest)
+		r.Starving = true
+		if r.Job.Spec.Shape == model.Array && r.Count > 1 && r.MaxTasks > 0 {
+			rest := *r
+			rest.Starving, rest.Count, rest.MaxTasks = false, r.Count-1, r.MaxTasks-1
+			r.Count, r.MaxTasks = 1, 1
+			split = append(split, &rest)
 		}
 	}
-	return out
+	return split
 }
 
-// maxReservations bounds for how many beginnings a pass keeps machines.
-const maxReservations = 3
-
-// reserveNodes keeps machines for the tasks of a beginning that found no room: those with the most room
-// already, in the zone with the most where it has to be one. It tells whether it kept any.
-func (p *Snapshot) reserveNodes(w *Request, n int) bool {
-	spec := w.Job.Spec
-	byZone := map[string][]*Node{}
-	for _, nd := range p.Nodes {
-		if nd.checkStatic(w.Job, w.Rules, "") != Feasible {
-			continue
-		}
-		zone := ""
-		if spec.SingleZone {
-			zone = nd.Machine.Zone
-		}
-		byZone[zone] = append(byZone[zone], nd)
-	}
-	room := func(nd *Node) float64 { return utilization(nd.Machine, nd.Free) }
+// reserveNodes reserves up to n nodes for the tasks of a starving request that found no room: those that are the most
+// free already, in one zone where the tasks have to be in one. It reports whether it reserved any.
+func (s *Snapshot) reserveNodes(request *Request, n int) bool {
+	byZone := s.reservableNodes(request)
 	var best []*Node
-	most := -1.0
-	for _, zone := range slices.Sorted(maps.Keys(byZone)) { // of zones alike the first by name: a pass decides the same each time
+	bestFree := -1.0
+	for _, zone := range slices.Sorted(maps.Keys(byZone)) { // sorted, so that each run decides the same
 		nodes := byZone[zone]
 		slices.SortFunc(nodes, func(a, b *Node) int {
-			return cmp.Or(cmp.Compare(room(b), room(a)), cmp.Compare(a.Machine.Name, b.Machine.Name))
+			return cmp.Or(cmp.Compare(b.freeFraction(), a.freeFraction()), cmp.Compare(a.Machine.Name, b.Machine.Name))
 		})
 		nodes = nodes[:min(n, len(nodes))]
-		sum := 0.0
-		for _, nd := range nodes {
-			sum += room(nd)
+		free := 0.0
+		for _, node := range nodes {
+			free += node.freeFraction()
 		}
-		if sum > most {
-			best, most = nodes, sum
+		if free > bestFree {
+			best, bestFree = nodes, free
 		}
 	}
-	for _, nd := range best {
-		nd.Free = model.Resources{}
+	for _, node := range best {
+		node.Free = model.Resources{}
 	}
 	return len(best) > 0
 }
+
+// reservableNodes lists the nodes that a request may use, by zone where its tasks have to be in one, else under "".
+func (s *Snapshot) reservableNodes(request *Request) map[string][]*Node {
+	byZone := map[string][]*Node{}
+	for _, node := range s.Nodes {
+		if node.checkStatic(request.Job, request.Rules, "") != Feasible {
+			continue
+		}
+		zone := ""
+		if request.Job.Spec.SingleZone {
+			zone = node.Machine.Zone
+		}
+		byZone[zone] = append(byZone[zone], node)
+	}
+	return byZone
+}
+
+// freeFraction is the free fraction of a node, of its CPUs or of its GPUs, whichever is larger.
+func (n *Node) freeFraction() float64 { return utilization(n.Machine, n.Free) }
