--- a/internal/scheduler/feasible.go
+++ b/internal/scheduler/feasible.go
@@ -1,202 +1,147 @@
 package scheduler
 
-import (
-	"math"
+import "github.com/glentiller/glentiller/internal/model"
 
-	"github.com/glentiller/glentiller/internal/model"
-)
-
-// Infeasibility says why a machine does not take a task. The code that refuses is the code
-// that explains: explanations count what these functions answer.
+// Infeasibility says why a node does not take a task. The functions that decide are the ones that explain: an
+// explanation counts what they return.
 type Infeasibility uint8
 
-// The refusals, in the order in which they are looked for.
+// The reasons why a node does not take a task, in the order in which they are checked.
 const (
 	Feasible              Infeasibility = iota
 	OtherZone                           // not in the zone that the job's other tasks are in
 	WrongZone                           // not in the job's zone
 	SpotNotAllowed                      // a spot machine, which the job may not use
-	TypeNotAllowed                      // not of the job's types
-	TooSmall                            // no task fits it even when it is empty
-	RulesNotMet                         // a required clause does not hold on its class
-	AffinityNotMet                      // not in a zone of the job that it has to be near
+	TypeNotAllowed                      // not one of the job's machine types
+	TooSmall                            // no task fits, even when the machine is empty
+	RulesNotMet                         // a required clause does not hold on its machine class
+	AffinityNotMet                      // not in a zone of a job that it has to be near
 	AntiAffinityViolated                // in a zone or on a machine of a job that it has to be apart from
-	ReservedForGPU                      // kept for GPU work
+	ReservedForGPU                      // reserved for GPU work
 	FailedBefore                        // a task of the job has failed there
 	InsufficientResources               // not enough is free
-	ZoneFull                            // as many of the job's tasks as may be are in its zone
-	MachineFull                         // and on the machine
+	ZoneFull                            // its zone has as many of the job's tasks as it may have
+	MachineFull                         // it has as many of the job's tasks as it may have
 )
 
-func (r Infeasibility) String() string {
-	return [...]string{"fits", "another zone than the job's other tasks", "not in the job's zone", "spot, which the job may not use", "not of the job's machine types",
-		"too small for a task", "refused by the job's rules", "not in a zone of the job that it has to be near", "too near to a job that it has to be apart from",
-		"kept for GPU work", "a task of the job has failed there", "not enough is free", "as many of the job's tasks as may be are in the zone", "as many of the job's tasks as may be are on the machine"}[r]
-}
-
-// Rules are what a job's rules say of the machines of a pass. They are made once a class
-// of machines, and looked up by class here. A nil *Rules says nothing.
-type Rules struct {
-	FeasibleByClass      []bool                            // by class
-	PreferenceByClass    [2][]float64                      // by class, without the image and with it: what it adds to the efficiency
-	MaxPerMachine        int                               // of the job's tasks; 0: any number
-	MaxPerZone           int                               // and in a zone
-	TasksByMachine       map[*model.Machine]int            // tasks of the job on machines; nil where no rule asks
-	AffinityZones        []map[string]bool                 // zones of the jobs that it has to be near
-	AntiAffinityZones    map[string]bool                   // zones that it has to keep off
-	AntiAffinityMachines map[*model.Machine]bool           // machines that it has to keep off
-	JobPreferences       []JobPreference                   // wishes that hang on other jobs
-	OfferFeasible        func(o MachineOffer) (allow bool) // whether machines that could be rented are of any use
-}
-
-// MachineOffer is a kind of machine that could be rented.
-type MachineOffer struct {
-	Type *model.MachineType
-	Zone string
-	Spot bool
-}
-
-// JobPreference is a wish that hangs on another job: to be in its zones, or off its zones or machines.
-type JobPreference struct {
-	Zones    map[string]bool
-	Machines map[*model.Machine]bool
-	Weight   float64 // where the machine is in the zones or among the machines
-}
-
-// AcceptsOffer tells whether a rented machine of a kind could take the job's tasks.
-func (r *Rules) AcceptsOffer(t *model.MachineType, zone string, spot bool) bool {
-	return r == nil || r.OfferFeasible(MachineOffer{t, zone, spot}) && r.checkZone(zone) == Feasible
-}
-
-// StillMet tells whether a machine still meets what the rules say of other jobs.
-func (r *Rules) StillMet(m *model.Machine) bool {
-	return !r.AntiAffinityMachines[m] && r.checkZone(m.Zone) == Feasible
-}
-
-// checkZone judges a zone by where other jobs are.
-func (r *Rules) checkZone(zone string) Infeasibility {
-	for _, near := range r.AffinityZones {
-		if !near[zone] {
-			return AffinityNotMet
-		}
-	}
-	if r.AntiAffinityZones[zone] {
-		return AntiAffinityViolated
-	}
-	return Feasible
-}
-
-// machineFull tells whether as many of the job's tasks as may be are on a machine.
-func (r *Rules) machineFull(m *model.Machine) bool {
-	return r != nil && r.MaxPerMachine > 0 && r.TasksByMachine[m] >= r.MaxPerMachine
-}
-
-// addTasks counts tasks of the job on a machine.
-func (r *Rules) addTasks(m *model.Machine, n int) {
-	if r != nil && r.TasksByMachine != nil {
-		r.TasksByMachine[m] += n
-	}
-}
-
-// preference is what the job's wishes add to a machine's efficiency.
-func (r *Rules) preference(nd *Node, image bool) float64 {
-	k := 0
-	if image {
-		k = 1
-	}
-	sum := r.PreferenceByClass[k][nd.MachineClass]
-	for i := range r.JobPreferences {
-		if t := &r.JobPreferences[i]; t.Zones[nd.Machine.Zone] || t.Machines[nd.Machine] {
-			sum += t.Weight
-		}
-	}
-	return sum
-}
-
-// maxPerZone is how many tasks of a job may be in one zone.
-func maxPerZone(spec *model.Spec, r *Rules) int {
-	most := math.MaxInt
-	if spec.Spread {
-		most = spec.MaxTasksPerZone()
-	}
-	if r != nil && r.MaxPerZone > 0 {
-		most = min(most, r.MaxPerZone)
-	}
-	return most
-}
-
-// ZoneFull tells whether as many of the want's tasks as may be are in a zone, by the given
-// count. Most jobs bound nothing, and cost no look at the count.
-func (w *Request) ZoneFull(zones map[string]int, zone string) bool {
-	if !w.Job.Spec.Spread && w.Rules == nil {
-		return false
-	}
-	return zones[zone] >= maxPerZone(w.Job.Spec, w.Rules)
-}
-
-// MaxPerMachine is how many tasks of the want's job may be on one machine.
-func (w *Request) MaxPerMachine() int {
-	if w.Rules == nil || w.Rules.MaxPerMachine == 0 {
-		return math.MaxInt
-	}
-	return w.Rules.MaxPerMachine
-}
-
-// checkMachine judges whether a job may use a machine at all, in a zone unless that is empty.
-func (nd *Node) checkMachine(spec *model.Spec, rules *Rules, zone string) Infeasibility {
-	m := nd.Machine
+// infeasibilityTexts are the reasons as users read them.
+var infeasibilityTexts = [...]string{
+	Feasible:              "fits",
+	OtherZone:             "another zone than the job's other tasks",
+	WrongZone:             "not in the job's zone",
+	SpotNotAllowed:        "spot, which the job may not use",
+	TypeNotAllowed:        "not of the job's machine types",
+	TooSmall:              "too small for a task",
+	RulesNotMet:           "refused by the job's rules",
+	AffinityNotMet:        "not in a zone of the job that it has to be near",
+	AntiAffinityViolated:  "too near to a job that it has to be apart from",
+	ReservedForGPU:        "kept for GPU work",
+	FailedBefore:          "a task of the job has failed there",
+	InsufficientResources: "not enough is free",
+	ZoneFull:              "as many of the job's tasks as may be are in the zone",
+	MachineFull:           "as many of the job's tasks as may be are on the machine",
+}
+
+func (i Infeasibility) String() string { return infeasibilityTexts[i] }
+
+// checkMachine checks whether a job may use a machine at all, in a zone ("": any).
+func (n *Node) checkMachine(spec *model.Spec, rules *Rules, zone string) Infeasibility {
+	machine := n.Machine
 	switch {
-	case zone != "" && m.Zone != zone:
+	case zone != "" && machine.Zone != zone:
 		return OtherZone
-	case spec.Zone != "" && m.Zone != spec.Zone:
+	case spec.Zone != "" && machine.Zone != spec.Zone:
 		return WrongZone
-	case m.Spot && !spec.AllowSpot:
+	case machine.Spot && !spec.AllowSpot:
 		return SpotNotAllowed
-	case !spec.AllowsType(m.Type.Name):
+	case !spec.AllowsType(machine.Type.Name):
 		return TypeNotAllowed
-	case !spec.Demand.Fits(m.Type.Capacity):
+	case !spec.Demand.Fits(machine.Type.Capacity):
 		return TooSmall
 	case rules == nil:
 		return Feasible
-	case !rules.FeasibleByClass[nd.MachineClass]:
+	case !rules.FeasibleByClass[n.MachineClass]:
 		return RulesNotMet
-	case rules.AntiAffinityMachines[m]:
+	case rules.AntiAffinityMachines[machine]:
 		return AntiAffinityViolated
 	}
-	return rules.checkZone(m.Zone)
+	return rules.checkZone(machine.Zone)
 }
 
-// checkStatic judges what does not change while a want is served.
-func (nd *Node) checkStatic(j *model.Job, rules *Rules, zone string) Infeasibility {
-	if r := nd.checkMachine(j.Spec, rules, zone); r != Feasible {
-		return r
+// checkStatic checks what does not change while a request is served, in a zone ("": any).
+func (n *Node) checkStatic(job *model.Job, rules *Rules, zone string) Infeasibility {
+	if reason := n.checkMachine(job.Spec, rules, zone); reason != Feasible {
+		return reason
 	}
 	switch {
-	case nd.reservedAgainst(j):
+	case n.reservedAgainst(job):
 		return ReservedForGPU
-	case j.ErrorsByMachine[nd.Machine.Name] > 0:
+	case job.ErrorsByMachine[n.Machine.Name] > 0:
 		return FailedBefore
 	}
 	return Feasible
 }
 
-// checkCapacity judges what is left for one more task of a want.
-func (nd *Node) checkCapacity(w *Request) Infeasibility {
+// checkCapacity checks whether there is room for one more task of a request.
+func (n *Node) checkCapacity(request *Request) Infeasibility {
 	switch {
-	case !w.Job.Spec.Demand.Fits(nd.Free):
+	case !request.Job.Spec.Demand.Fits(n.Free):
 		return InsufficientResources
-	case w.ZoneFull(w.TasksByZone, nd.Machine.Zone):
+	case request.ZoneFull(request.TasksByZone, n.Machine.Zone):
 		return ZoneFull
-	case w.Rules.machineFull(nd.Machine):
+	case request.Rules.machineFull(n.Machine):
 		return MachineFull
 	}
 	return Feasible
 }
 
-// Feasibility tells why a machine does not take one more task of a want, as the pass sees it.
-func (nd *Node) Feasibility(w *Request, zone string) Infeasibility {
-	if r := nd.checkStatic(w.Job, w.Rules, zone); r != Feasible {
-		return r
+// Feasibility tells why a node, as the pass sees it, does not take one more task of a request, in a zone ("": any).
+func (n *Node) Feasibility(request *Request, zone string) Infeasibility {
+	if reason := n.checkStatic(request.Job, request.Rules, zone); reason != Feasible {
+		return reason
+	}
+	return n.checkCapacity(request)
+}
+
+// reservedAgainst reports whether a node is reserved for GPU work, which a job is not. It keeps a few small tasks from
+// holding the most expensive machines for hours, and excludes no work that no other machine takes.
+func (n *Node) reservedAgainst(job *model.Job) bool {
+	return n.ReservedForGPU && job.Spec.Demand.GPU == 0 && !job.MayUseGPUMachines
+}
+
+// hasImage reports whether a machine is known to hold the job's image.
+func (n *Node) hasImage(spec *model.Spec) bool {
+	_, ok := n.Machine.CachedImages[spec.Image]
+	return ok
+}
+
+// nodeFilter narrows down the nodes that a request is placed on. The zero value accepts all nodes.
+type nodeFilter struct {
+	requireImage bool    // only nodes that hold the image
+	maxPrice     float64 // of a CPU for an hour; 0: any
+	minFetchRate float64 // GB a second at which the machine fetches images; 0: any
+}
+
+// accepts reports whether the filter lets a node through.
+func (f nodeFilter) accepts(node *Node, spec *model.Spec) bool {
+	return (!f.requireImage || node.hasImage(spec)) && f.acceptsKind(node)
+}
+
+// acceptsKind judges what machines of one kind have in common.
+func (f nodeFilter) acceptsKind(node *Node) bool {
+	affordable := f.maxPrice == 0 || pricePerCPU(node.Machine) <= f.maxPrice
+	return affordable && node.Machine.Type.FetchGBPerS >= f.minFetchRate
+}
+
+// fetchSafetyFactor is how many times slower than its type says a machine may fetch.
+const fetchSafetyFactor = 4.0 / 3
+
+// minFetchRate is the rate, in GB a second, at which a machine without the image has to fetch it for the request to
+// start by its deadline; 0: there is no deadline, or no time is left. Without it, replicas would go to the most
+// efficient machine even where that fetches too slowly to ever be in time.
+func (r *Request) minFetchRate() float64 {
+	if !r.HasDeadline || r.Slack <= 0 {
+		return 0
 	}
-	return nd.checkCapacity(w)
+	return r.Job.Spec.ImageGB * fetchSafetyFactor / r.Slack.Seconds()
 }
--- a/internal/scheduler/index.go
+++ b/internal/scheduler/index.go
@@ -2,76 +2,84 @@
 
 import "github.com/glentiller/glentiller/internal/model"
 
-// What a pass finds out once about all its machines, where it is asked for.
+// A pass collects what is below once from all its nodes, when it is first needed.
 
-// expensivePrice is the rate above which a machine counts as dear for a job: a factor
-// over the cheapest one that it may use.
-func (p *Snapshot) expensivePrice(spec *model.Spec, rules *Rules, factor float64) float64 {
-	nodes := p.Nodes
-	if rules == nil {
-		nodes = p.machineKinds() // without rules nothing else tells machines of a kind apart
+// machineKind is what decides which jobs without rules may use a machine, and what it costs them.
+type machineKind struct {
+	machineType          *model.MachineType
+	zone                 string
+	spot, reservedForGPU bool
+}
+
+// machineKinds lists one node of each machine kind, and sets Node.kindIndex of all nodes. It saves a look at all nodes
+// for each service and each replica.
+func (s *Snapshot) machineKinds() []*Node {
+	if s.kindNodes != nil {
+		return s.kindNodes
 	}
-	least := 0.0
-	for _, nd := range nodes {
-		if r := pricePerCPU(nd.Machine); nd.checkMachine(spec, rules, "") == Feasible && (least == 0 || r < least) {
-			least = r
+	indices := map[machineKind]int{}
+	for _, node := range s.Nodes {
+		machine := node.Machine
+		kind := machineKind{machine.Type, machine.Zone, machine.Spot, node.ReservedForGPU}
+		index, known := indices[kind]
+		if !known {
+			index = len(s.kindNodes)
+			indices[kind] = index
+			s.kindNodes = append(s.kindNodes, node)
 		}
+		node.kindIndex = index
 	}
-	return least * factor
+	return s.kindNodes
 }
 
-// machineKinds finds one node of each kind of machine, and numbers the kinds in all nodes: what is of one type, zone
-// and price, and kept for the same work, is one kind. Guards against a look at all machines for each service and each
-// replica.
-func (p *Snapshot) machineKinds() []*Node {
-	if p.kindNodes != nil {
-		return p.kindNodes
-	}
-	type kind struct {
-		of           *model.MachineType
-		zone         string
-		spot, forGPU bool
+// expensivePrice is the price of a CPU above which a machine is too expensive for a job: a factor over that of the
+// cheapest machine that the job may use.
+func (s *Snapshot) expensivePrice(spec *model.Spec, rules *Rules, factor float64) float64 {
+	nodes := s.Nodes
+	if rules == nil {
+		nodes = s.machineKinds() // without rules machines of one kind do not differ
 	}
-	numbers := map[kind]int{}
-	for _, nd := range p.Nodes {
-		k := kind{nd.Machine.Type, nd.Machine.Zone, nd.Machine.Spot, nd.ReservedForGPU}
-		number, known := numbers[k]
-		if !known {
-			number = len(p.kindNodes)
-			numbers[k] = number
-			p.kindNodes = append(p.kindNodes, nd)
+	lowest := 0.0
+	for _, node := range nodes {
+		price := pricePerCPU(node.Machine)
+		if node.checkMachine(spec, rules, "") == Feasible && (lowest == 0 || price < lowest) {
+			lowest = price
 		}
-		nd.kindIndex = number
 	}
-	return p.kindNodes
+	return lowest * factor
 }
 
-// feasibilityFilter judges for a want what does not change while it is served, in a zone unless that is empty: by kind of machine
-// first, which leaves out most of thousands of machines at once.
-func (p *Snapshot) feasibilityFilter(w *Request, zone string, st nodeFilter) func(nd *Node) bool {
-	spec := w.Job.Spec
-	if w.Rules != nil {
-		return func(nd *Node) bool { return nd.checkStatic(w.Job, w.Rules, zone) == Feasible && st.accepts(nd, spec) }
+// feasibilityFilter returns a function that checks what does not change while a request is served, in a zone ("": any).
+// Where the job has no rules it decides by machine kind, which excludes most of thousands of nodes at once.
+func (s *Snapshot) feasibilityFilter(request *Request, zone string, filter nodeFilter) func(node *Node) bool {
+	spec := request.Job.Spec
+	if request.Rules != nil {
+		return func(node *Node) bool {
+			return node.checkStatic(request.Job, request.Rules, zone) == Feasible && filter.accepts(node, spec)
+		}
 	}
-	kinds, failed := p.machineKinds(), w.Job.ErrorsByMachine
-	may := make([]bool, len(kinds))
-	for i, nd := range kinds {
-		may[i] = nd.checkMachine(spec, nil, zone) == Feasible && !nd.reservedAgainst(w.Job) && st.acceptsKind(nd)
+	kinds := s.machineKinds()
+	feasible := make([]bool, len(kinds))
+	for i, node := range kinds {
+		feasible[i] = node.checkMachine(spec, nil, zone) == Feasible &&
+			!node.reservedAgainst(request.Job) && filter.acceptsKind(node)
 	}
-	return func(nd *Node) bool {
-		return may[nd.kindIndex] && (len(failed) == 0 || failed[nd.Machine.Name] == 0) && (!st.requireImage || nd.hasImage(spec))
+	errors := request.Job.ErrorsByMachine
+	return func(node *Node) bool {
+		return feasible[node.kindIndex] && (len(errors) == 0 || errors[node.Machine.Name] == 0) &&
+			(!filter.requireImage || node.hasImage(spec))
 	}
 }
 
-// nodesWithImage lists the nodes that are known to hold an image, in the order of all nodes.
-func (p *Snapshot) nodesWithImage(image string) []*Node {
-	if p.nodesByImage == nil {
-		p.nodesByImage = map[string][]*Node{}
-		for _, nd := range p.Nodes {
-			for held := range nd.Machine.CachedImages {
-				p.nodesByImage[held] = append(p.nodesByImage[held], nd)
+// nodesWithImage lists the nodes that are known to hold an image, in the order of Nodes.
+func (s *Snapshot) nodesWithImage(image string) []*Node {
+	if s.nodesByImage == nil {
+		s.nodesByImage = map[string][]*Node{}
+		for _, node := range s.Nodes {
+			for cached := range node.Machine.CachedImages {
+				s.nodesByImage[cached] = append(s.nodesByImage[cached], node)
 			}
 		}
 	}
-	return p.nodesByImage[image]
+	return s.nodesByImage[image]
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -2,282 +2,309 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// mayPreempt tells whether an attempt may be stopped for a want: it has a lower
-// rank, or runs beyond another team's guarantee that the want is inside of. It must
-// also stand behind the want in the order. Guards against two kinds of work that
-// stop each other in turns: one that goes first would take its place back at once.
-func (w *Request) mayPreempt(v *PreemptionCandidate) bool {
-	if v.Priority == model.PriorityProduction {
+// The parts of the cost of a preemption, besides the work that is lost.
+const (
+	basePreemptionCost   = 5 * time.Second
+	costPerPriority      = 5 * time.Second
+	missedDeadlineCost   = 30 * time.Second // of an attempt that would likely miss its deadline
+	recentlyStartedCost  = 30 * time.Second
+	gangPreemptionCost   = time.Minute      // all of the gang starts again
+	imageFetchPenalty    = 30 * time.Second // of a node that has to fetch the image
+	likelyMissedDeadline = 30 * time.Second // an attempt with less slack likely misses its deadline if it is stopped
+)
+
+// mayPreempt reports whether an attempt may be stopped for the request: it has a lower priority, or runs beyond another
+// team's guarantee while the request is within its own. It must also come after the request in the order: otherwise it
+// would take its place back at once, and the two would preempt each other in turns.
+func (r *Request) mayPreempt(candidate *PreemptionCandidate) bool {
+	if candidate.Priority == model.PriorityProduction {
 		return false // its users would miss it at once
 	}
-	rank := w.Job.EffectivePriority
-	if !v.BeyondGuarantee && v.Attempt.Team != w.Job.Spec.Team {
-		rank = w.Job.Spec.Priority // one that was handed on does not reach into others' guarantees
+	otherTeam := candidate.Attempt.Team != r.Job.Spec.Team
+	priority := r.Job.EffectivePriority
+	if !candidate.BeyondGuarantee && otherTeam {
+		priority = r.Job.Spec.Priority // a priority inherited from dependent jobs does not reach into others' guarantees
 	}
-	if v.Priority >= rank && !(w.Guaranteed && v.BeyondGuarantee && v.Attempt.Team != w.Job.Spec.Team) {
+	reclaims := r.Guaranteed && candidate.BeyondGuarantee && otherTeam
+	if candidate.Priority >= priority && !reclaims {
 		return false
 	}
-	return w.position.compare(v.position) < 0
+	return r.position.compare(candidate.position) < 0
 }
 
-// preemptibleSummary is what the attempts on a node have in common that might be stopped at all. It only ever says that none of
-// them may be stopped for a want: attempts that are stopped stay counted.
-type preemptibleSummary struct {
-	nonEmpty           bool
-	lowestPriority     model.Priority // the lowest
-	anyBeyondGuarantee bool           // one runs beyond its team's guarantee
-	lastPosition       position       // of the one that stands last
+// minLoss is the least that stopping the attempt loses: its work, or the time for which its machine is busy saving it.
+func (c *PreemptionCandidate) minLoss() time.Duration {
+	if c.CheckpointTime > 0 {
+		return min(c.LostWork, c.CheckpointTime)
+	}
+	return c.LostWork
 }
 
-func (s *preemptibleSummary) add(v *PreemptionCandidate) {
-	if v.Priority == model.PriorityProduction {
-		return
+// preemptionCost is what stopping an attempt for a request costs, with what its users lose weighed in.
+func preemptionCost(candidate *PreemptionCandidate, request *Request) time.Duration {
+	cost := candidate.minLoss()
+	if request.Urgent() {
+		cost = candidate.LostWork
+	}
+	cost += basePreemptionCost + time.Duration(candidate.Priority)*costPerPriority
+	if candidate.HasDeadline && candidate.Slack >= 0 && candidate.Slack < likelyMissedDeadline {
+		cost += missedDeadlineCost
 	}
-	if !s.nonEmpty || v.Priority < s.lowestPriority {
-		s.lowestPriority = v.Priority
+	if candidate.RecentlyStarted {
+		cost += recentlyStartedCost
 	}
-	if !s.nonEmpty || s.lastPosition.compare(v.position) < 0 {
-		s.lastPosition = v.position
+	if candidate.Gang {
+		cost += gangPreemptionCost
 	}
-	s.nonEmpty, s.anyBeyondGuarantee = true, s.anyBeyondGuarantee || v.BeyondGuarantee
+	return cost
 }
 
-// mayPreemptFor tells whether any of the attempts might be stopped for a want; mayStop decides on each. Guards against a look at
-// all that runs on thousands of machines for each of the wants in whose favour nothing may be stopped.
-func (s *preemptibleSummary) mayPreemptFor(w *Request) bool {
-	return s.nonEmpty && (s.lowestPriority < w.Job.EffectivePriority || w.Guaranteed && s.anyBeyondGuarantee) && w.position.compare(s.lastPosition) < 0
+// preemptibleSummary is what the candidates of a node have in common. It can only rule out that any of them may be
+// stopped for a request; candidates that are stopped stay counted.
+type preemptibleSummary struct {
+	nonEmpty           bool
+	lowestPriority     model.Priority
+	anyBeyondGuarantee bool
+	lastPosition       position
 }
 
-// preempt makes room for tasks that fit nowhere: first it claims what is being
-// freed already, then it stops what loses least among the attempts that may be
-// stopped for this want. It tells for how many tasks it has found room.
-func (p *Snapshot) preempt(plan *Plan, w *Request, lack int, stops *int, st nodeFilter) int {
-	spec := w.Job.Spec
-	if lack <= 0 || spec.Shape == model.Gang && spec.Tasks > 1 {
-		return 0
+// add counts a candidate in.
+func (s *preemptibleSummary) add(candidate *PreemptionCandidate) {
+	if candidate.Priority == model.PriorityProduction {
+		return
 	}
-	zones := map[string]int{}
-	for z, n := range w.TasksByZone {
-		zones[z] = n
+	if !s.nonEmpty || candidate.Priority < s.lowestPriority {
+		s.lowestPriority = candidate.Priority
 	}
-	lock := ""
-	if spec.SingleZone {
-		if h := occupiedZones(zones); len(h) > 0 {
-			lock = h[0]
-		}
+	if !s.nonEmpty || s.lastPosition.compare(candidate.position) < 0 {
+		s.lastPosition = candidate.position
 	}
-	key := noFitKeyOf(w, lock, st)
-	key.priority, key.ownPriority, key.guaranteed, key.promoted, key.preemptions = w.Job.EffectivePriority, spec.Priority, w.Guaranteed, w.position.queue == queuePromoted, len(plan.Preemptions)
-	if w.Guaranteed || w.Job.EffectivePriority != spec.Priority {
-		key.team = spec.Team // what makes way is not the same for all teams
+	s.nonEmpty = true
+	s.anyBeyondGuarantee = s.anyBeyondGuarantee || candidate.BeyondGuarantee
+}
+
+// mayPreemptFor reports whether any of the candidates might be stopped for a request; Request.mayPreempt decides on
+// each. It saves a look at all candidates of thousands of nodes for requests that nothing may be stopped for.
+func (s *preemptibleSummary) mayPreemptFor(request *Request) bool {
+	if !s.nonEmpty || request.position.compare(s.lastPosition) >= 0 {
+		return false
 	}
-	if p.noFit.maxFitting(key, spec.Demand) == 0 {
+	return s.lowestPriority < request.Job.EffectivePriority || request.Guaranteed && s.anyBeyondGuarantee
+}
+
+// makeRoom preempts for tasks that fit nowhere, and tells for how many it has found room. What they will start with
+// counts towards their team's quota from now on. Otherwise lower-priority work of the team would take the quota
+// meanwhile and be preempted in the next pass, and the request would find the node's room taken in the one after.
+func (p *pass) makeRoom(request *Request, missing int, filter nodeFilter) int {
+	found := p.preempt(request, missing, filter)
+	spec := request.Job.Spec
+	p.snapshot.addUsage(spec.Team, spec.Demand.Times(found))
+	return found
+}
+
+// preempt makes room for tasks that fit nowhere: it first claims what is being released already, then stops what costs
+// least among the attempts that may be stopped for this request. It tells for how many tasks it has found room.
+func (p *pass) preempt(request *Request, missing int, filter nodeFilter) int {
+	spec := request.Job.Spec
+	if missing <= 0 || spec.Shape == model.Gang && spec.Tasks > 1 {
 		return 0
 	}
-	// What could make way is worked out once a machine, and anew where it changes.
-	may, usable := p.nodeOptions[:0], p.feasibilityFilter(w, lock, st)
-	for _, nd := range p.Nodes {
-		if usable(nd) {
-			may = append(may, nodeOption{node: nd})
-		}
+	search := newRoomSearch(p, request)
+	key := noFitKeyOf(request, search.lockedZone, filter)
+	key.preemption = preemptionKeyOf(request, len(p.plan.Preemptions))
+	if p.snapshot.noFit.maxFitting(key, spec.Demand) == 0 {
+		return 0
 	}
-	p.nodeOptions = may
-	found := 0
-	for ; lack > 0; lack-- {
-		var best *nodeOption
-		for i := range may {
-			c := &may[i]
-			if zone := c.node.Machine.Zone; lock != "" && zone != lock || w.ZoneFull(zones, zone) || w.Rules.machineFull(c.node.Machine) {
-				continue
-			}
-			if !c.evaluated || len(c.chosen) > *stops {
-				p.loadCandidates(c.node)
-				c.evaluate(w, *stops)
-			}
-			if c.fitsWithout {
-				best = c
-				break
-			}
-			if c.feasible && (best == nil || c.loss < best.loss) {
-				best = c
-			}
-		}
+	search.collectOptions(filter)
+	defer search.close()
+	for found := range missing {
+		best := search.cheapestOption()
 		if best == nil {
-			if found == 0 && lock == "" && !w.needsFullScan() {
-				p.noFit.add(key, spec.Demand, 0)
+			if found == 0 && search.lockedZone == "" && !request.needsFullScan() {
+				p.snapshot.noFit.add(key, spec.Demand, 0)
 			}
 			return found
 		}
-		found++
-		nd := best.node
-		for _, i := range best.chosen {
-			v := nd.Candidates[i]
-			plan.preempt(v, w)
-			nd.Releasing = nd.Releasing.Add(v.Attempt.Demand)
-			*stops--
-		}
-		nd.removeCandidates(best.chosen)
-		// What is free now is claimed too, so that nobody behind takes it.
-		take := model.Resources{CPU: min(spec.Demand.CPU, max(nd.Free.CPU, 0)), GPU: min(spec.Demand.GPU, max(nd.Free.GPU, 0)),
-			MemGB: min(spec.Demand.MemGB, max(nd.Free.MemGB, 0))}
-		nd.Free = nd.Free.Sub(take)
-		nd.claimed = nd.claimed.Add(spec.Demand.Sub(take))
-		zones[nd.Machine.Zone]++
-		w.Rules.addTasks(nd.Machine, 1)
-		defer w.Rules.addTasks(nd.Machine, -1)
-		if spec.SingleZone {
-			lock = nd.Machine.Zone
-		}
-		best.evaluated = false
+		search.take(best)
 	}
-	return found
+	return missing
 }
 
-// nodeOption is a machine on which something could make way for a want.
+// nodeOption is a node on which something could be preempted for a request. What it would cost is evaluated when it is
+// first asked for, and again after it changes.
 type nodeOption struct {
-	node        *Node
-	evaluated   bool // the rest holds
-	fitsWithout bool // what is being freed is enough
-	feasible    bool // the end of the set makes room
-	chosen      []int
-	loss        time.Duration
+	node           *Node
+	evaluated      bool  // the fields below hold
+	fitsWithout    bool  // what is being released is enough
+	feasible       bool  // stopping what is chosen makes room
+	chosen         []int // of Node.Candidates
+	preemptionCost time.Duration
 }
 
-// evaluate works out what could make way.
-func (c *nodeOption) evaluate(w *Request, stops int) {
-	nd, spec := c.node, w.Job.Spec
-	free := nd.Free.Add(nd.Releasing).Sub(nd.claimed)
-	c.evaluated, c.fitsWithout, c.feasible, c.chosen = true, spec.Demand.Fits(free), false, nil
-	if c.fitsWithout || !nd.preemptible.mayPreemptFor(w) {
+// evaluate works out what would have to be stopped on the node.
+func (o *nodeOption) evaluate(request *Request, preemptionsLeft int) {
+	node, spec := o.node, request.Job.Spec
+	free := node.Free.Add(node.Releasing).Sub(node.claimed)
+	o.evaluated, o.fitsWithout, o.feasible, o.chosen = true, spec.Demand.Fits(free), false, nil
+	if o.fitsWithout || !node.preemptible.mayPreemptFor(request) {
 		return
 	}
-	if c.chosen, c.loss, c.feasible = chooseCandidates(nd, w, free, stops); !c.feasible {
-		c.chosen = nil
-	} else if !nd.hasImage(spec) {
-		c.loss += imageFetchPenalty
+	o.chosen, o.preemptionCost, o.feasible = node.chooseCandidates(request, free, preemptionsLeft)
+	if !o.feasible {
+		o.chosen = nil
+	} else if !node.hasImage(spec) {
+		o.preemptionCost += imageFetchPenalty
 	}
 }
 
-// preemptWithinTeam makes way inside a team's limit: it stops lower work of the same team,
-// what loses least first, and none that has only just begun.
-func (p *Snapshot) preemptWithinTeam(plan *Plan, w *Request, tasks, room int, stops *int) {
-	spec := w.Job.Spec
-	claim := spec.Demand.Times(tasks - room)
-	spare := p.Teams[spec.Team].Quota.Remaining(p.Used[spec.Team].Add(spec.Demand.Times(room))).AtLeastZero()
-	missing := claim.Sub(p.Releasing[spec.Team]).Sub(spare)
-	type at struct {
-		nd *Node
-		i  int
-	}
-	var may []at
-	short := func() bool { return (missing.CPU > 1e-6 || missing.GPU > 1e-6) && *stops > 0 }
-	for _, nd := range p.Nodes {
-		if !short() {
-			break // enough is on its way out
-		}
-		p.loadCandidates(nd)
-		for i, v := range nd.Candidates {
-			if v.Attempt.Team == spec.Team && v.Priority < w.Job.EffectivePriority && w.mayPreempt(&v) && !v.Gang && (!v.RecentlyStarted || v.Priority == model.PriorityLow && w.qosClass() == 0) &&
-				(v.CheckpointTime > 0 || w.qosClass() == 0) {
-				may = append(may, at{nd, i})
-			}
+// roomSearch looks for room for the tasks of one request, one after the other.
+type roomSearch struct {
+	pass        *pass
+	request     *Request
+	lockedZone  string         // the only zone that tasks may go to; "": any
+	tasksByZone map[string]int // with the tasks that room was found for
+	options     []nodeOption
+	taken       []*Node // on which room was found
+}
+
+func newRoomSearch(p *pass, request *Request) *roomSearch {
+	search := &roomSearch{pass: p, request: request, tasksByZone: map[string]int{}}
+	maps.Copy(search.tasksByZone, request.TasksByZone)
+	if request.Job.Spec.SingleZone {
+		if zones := occupiedZones(search.tasksByZone); len(zones) > 0 {
+			search.lockedZone = zones[0]
 		}
 	}
-	slices.SortStableFunc(may, func(a, b at) int {
-		return cmp.Compare(preemptionCost(&a.nd.Candidates[a.i], w), preemptionCost(&b.nd.Candidates[b.i], w))
-	})
-	taken := map[*Node][]int{}
-	for _, v := range may {
-		if !short() {
-			break
+	return search
+}
+
+// collectOptions lists the nodes that come into question.
+func (s *roomSearch) collectOptions(filter nodeFilter) {
+	s.options = s.pass.nodeOptions[:0]
+	feasible := s.pass.snapshot.feasibilityFilter(s.request, s.lockedZone, filter)
+	for _, node := range s.pass.snapshot.Nodes {
+		if feasible(node) {
+			s.options = append(s.options, nodeOption{node: node})
 		}
-		r := v.nd.Candidates[v.i]
-		plan.preempt(r, w)
-		*stops--
-		missing = missing.Sub(r.Attempt.Demand)
-		p.Releasing[spec.Team] = p.Releasing[spec.Team].Add(r.Attempt.Demand)
-		v.nd.Releasing = v.nd.Releasing.Add(r.Attempt.Demand)
-		taken[v.nd] = append(taken[v.nd], v.i)
 	}
-	// What is on its way out is spoken for, and so is the room that is free under
-	// the limit but too small as yet. Guards against lower work that takes the
-	// first part of what was made free, and is stopped again in the next pass, over
-	// and over.
-	left := p.Releasing[spec.Team]
-	p.Releasing[spec.Team] = left.Sub(claim).AtLeastZero()
-	p.Used[spec.Team] = p.Used[spec.Team].Add(claim.Sub(left).AtLeastZero())
-	for nd, list := range taken {
-		nd.removeCandidates(list)
+	s.pass.nodeOptions = s.options
+}
+
+// admits reports whether the zone and the number of the job's tasks there allow one more of them on a machine.
+func (s *roomSearch) admits(machine *model.Machine) bool {
+	if s.lockedZone != "" && machine.Zone != s.lockedZone {
+		return false
 	}
+	return !s.request.ZoneFull(s.tasksByZone, machine.Zone) && !s.request.Rules.machineFull(machine)
 }
 
-// removeCandidates takes victims off a node's list.
-func (nd *Node) removeCandidates(list []int) {
-	slices.Sort(list)
-	for k := len(list) - 1; k >= 0; k-- {
-		nd.Candidates = slices.Delete(nd.Candidates, list[k], list[k]+1)
+// cheapestOption is the first node where nothing has to be stopped for one more task, or else the one where stopping
+// costs least; nil: there is none.
+func (s *roomSearch) cheapestOption() *nodeOption {
+	var best *nodeOption
+	for i := range s.options {
+		option := &s.options[i]
+		if !s.admits(option.node.Machine) {
+			continue
+		}
+		if !option.evaluated || len(option.chosen) > s.pass.preemptionsLeft {
+			s.pass.snapshot.loadCandidates(option.node)
+			option.evaluate(s.request, s.pass.preemptionsLeft)
+		}
+		if option.fitsWithout {
+			return option
+		}
+		if option.feasible && (best == nil || option.preemptionCost < best.preemptionCost) {
+			best = option
+		}
 	}
+	return best
 }
 
-// imageFetchPenalty is what the fetch of an image weighs against work that is lost.
-const imageFetchPenalty = 30 * time.Second
+// take stops what an option has chosen, and claims the room for one task.
+func (s *roomSearch) take(option *nodeOption) {
+	node := option.node
+	for _, i := range option.chosen {
+		candidate := node.Candidates[i]
+		s.pass.plan.addPreemption(candidate, s.request)
+		node.Releasing = node.Releasing.Add(candidate.Attempt.Demand)
+		s.pass.preemptionsLeft--
+	}
+	node.removeCandidates(option.chosen)
+	node.claim(s.request.Job.Spec.Demand)
+	s.tasksByZone[node.Machine.Zone]++
+	s.request.Rules.addTasks(node.Machine, 1)
+	s.taken = append(s.taken, node)
+	if s.request.Job.Spec.SingleZone {
+		s.lockedZone = node.Machine.Zone
+	}
+	option.evaluated = false
+}
 
-// chooseCandidates chooses attempts on a node whose end makes room for one task.
-func chooseCandidates(nd *Node, w *Request, free model.Resources, most int) ([]int, time.Duration, bool) {
-	spec := w.Job.Spec
-	if most <= 0 {
-		return nil, 0, false
+// close forgets the tasks that room was found for: they do not start in this pass.
+func (s *roomSearch) close() {
+	for _, node := range s.taken {
+		s.request.Rules.addTasks(node.Machine, -1)
 	}
-	var may []int
-	for i := range nd.Candidates {
-		if w.mayPreempt(&nd.Candidates[i]) {
-			may = append(may, i)
-		}
+}
+
+// claim takes a demand off the free resources as far as there are any, so that no request behind gets them, and the
+// rest off what is being released.
+func (n *Node) claim(demand model.Resources) {
+	taken := model.Resources{
+		CPU:   min(demand.CPU, max(n.Free.CPU, 0)),
+		GPU:   min(demand.GPU, max(n.Free.GPU, 0)),
+		MemGB: min(demand.MemGB, max(n.Free.MemGB, 0)),
+	}
+	n.Free = n.Free.Sub(taken)
+	n.claimed = n.claimed.Add(demand.Sub(taken))
+}
+
+// removeCandidates removes candidates, by their indices, from the node's list.
+func (n *Node) removeCandidates(indices []int) {
+	slices.Sort(indices)
+	for _, i := range slices.Backward(indices) {
+		n.Candidates = slices.Delete(n.Candidates, i, i+1)
 	}
-	if len(may) == 0 {
+}
+
+// chooseCandidates chooses attempts, at most a number of them, whose end makes room for one task: what costs least
+// first. ok tells that there is enough room then.
+func (n *Node) chooseCandidates(
+	request *Request, free model.Resources, most int,
+) (chosen []int, cost time.Duration, ok bool) {
+	if most <= 0 {
 		return nil, 0, false
 	}
-	slices.SortStableFunc(may, func(a, b int) int {
-		return cmp.Compare(preemptionCost(&nd.Candidates[a], w), preemptionCost(&nd.Candidates[b], w))
-	})
-	var set []int
-	var loss time.Duration
-	for _, i := range may {
-		if spec.Demand.Fits(free) || len(set) >= most {
+	demand := request.Job.Spec.Demand
+	for _, i := range n.candidatesByCost(request) {
+		if demand.Fits(free) || len(chosen) >= most {
 			break
 		}
-		set = append(set, i)
-		free = free.Add(nd.Candidates[i].Attempt.Demand)
-		loss += preemptionCost(&nd.Candidates[i], w)
+		chosen = append(chosen, i)
+		free = free.Add(n.Candidates[i].Attempt.Demand)
+		cost += preemptionCost(&n.Candidates[i], request)
 	}
-	return set, loss, spec.Demand.Fits(free) && len(set) > 0
+	return chosen, cost, demand.Fits(free) && len(chosen) > 0
 }
 
-// tightSlack is the slack of an attempt that would likely miss its date if stopped.
-const tightSlack = 30 * time.Second
-
-// preemptionCost is what stopping an attempt for a want loses, with what its users lose
-// weighed in.
-func preemptionCost(v *PreemptionCandidate, w *Request) time.Duration {
-	c := v.minLoss()
-	if w.Urgent() {
-		c = v.LostWork
-	}
-	c += 5*time.Second + time.Duration(v.Priority)*5*time.Second
-	if v.HasDeadline && v.Slack >= 0 && v.Slack < tightSlack {
-		c += 30 * time.Second
-	}
-	if v.RecentlyStarted {
-		c += 30 * time.Second
-	}
-	if v.Gang {
-		c += time.Minute
+// candidatesByCost lists the indices of the attempts that may be stopped for a request, by what that costs.
+func (n *Node) candidatesByCost(request *Request) []int {
+	var indices []int
+	for i := range n.Candidates {
+		if request.mayPreempt(&n.Candidates[i]) {
+			indices = append(indices, i)
+		}
 	}
-	return c
+	slices.SortStableFunc(indices, func(a, b int) int {
+		return cmp.Compare(preemptionCost(&n.Candidates[a], request), preemptionCost(&n.Candidates[b], request))
+	})
+	return indices
 }
--- /dev/null
+++ b/internal/scheduler/quota.go
@@ -0,0 +1,135 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/glentiller/glentiller/internal/model"
+)
+
+// admit tells how many tasks of a request its team's quota allows to start, and notes the shortage where it allows
+// none. Gangs and services start whole or not at all.
+func (p *pass) admit(request *Request) int {
+	spec := request.Job.Spec
+	tasks := min(request.Count, request.MaxTasks)
+	quota := p.snapshot.Teams[spec.Team].Quota
+	allowed := spec.Demand.FitCount(quota.Remaining(p.snapshot.Used[spec.Team]))
+	overQuota := allowed < tasks
+	preempts := overQuota && p.preemptsWithinTeam(request)
+	if preempts {
+		p.preemptWithinTeam(request, tasks, allowed)
+	}
+	if spec.Shape != model.Array && overQuota && request.Count == spec.Tasks {
+		if preempts || request.Starving {
+			// It waits to start whole: the quota that is left is reserved for it.
+			p.snapshot.addUsage(spec.Team, spec.Demand.Times(allowed))
+		}
+		p.addShortage(Shortage{Request: request, Count: tasks, OverQuota: true, Reason: WaitQuota})
+		return 0
+	}
+	tasks = min(tasks, allowed)
+	if tasks > 0 {
+		return tasks
+	}
+	if request.Starving && overQuota {
+		// So that smaller tasks of its team do not take the quota bit by bit.
+		p.snapshot.addUsage(spec.Team, spec.Demand)
+	}
+	p.addShortage(Shortage{Request: request, Count: request.Count, OverQuota: overQuota, Reason: WaitQuota})
+	return 0
+}
+
+// preemptsWithinTeam reports whether a request over quota preempts lower-priority work of its own team.
+func (p *pass) preemptsWithinTeam(request *Request) bool {
+	if request.qosClass() == qosProduction {
+		return true
+	}
+	return request.queue(p.settings) == queueDeadline && request.Slack < p.settings.TightSlack
+}
+
+// quotaTolerance is the amount of CPUs or GPUs below which quota does not count as missing.
+const quotaTolerance = 1e-6
+
+// teamCandidate is an attempt that may be preempted for its own team.
+type teamCandidate struct {
+	node  *Node
+	index int // in Node.Candidates
+}
+
+func (c teamCandidate) candidate() *PreemptionCandidate { return &c.node.Candidates[c.index] }
+
+// preemptWithinTeam frees quota for a request, of whose tasks only some are allowed by it: it preempts lower-priority
+// work of the same team, what loses least first, and nothing that has only just started.
+func (p *pass) preemptWithinTeam(request *Request, tasks, allowed int) {
+	spec, snapshot := request.Job.Spec, p.snapshot
+	claim := spec.Demand.Times(tasks - allowed)
+	used := snapshot.Used[spec.Team].Add(spec.Demand.Times(allowed))
+	spare := snapshot.Teams[spec.Team].Quota.Remaining(used).AtLeastZero()
+	missing := claim.Sub(snapshot.Releasing[spec.Team]).Sub(spare)
+	isShort := func() bool {
+		return (missing.CPU > quotaTolerance || missing.GPU > quotaTolerance) && p.preemptionsLeft > 0
+	}
+	var candidates []teamCandidate
+	if isShort() { // else enough is being released
+		candidates = p.teamCandidates(request)
+	}
+	preempted := map[*Node][]int{}
+	for _, c := range candidates {
+		if !isShort() {
+			break
+		}
+		candidate := *c.candidate()
+		demand := candidate.Attempt.Demand
+		p.plan.addPreemption(candidate, request)
+		p.preemptionsLeft--
+		missing = missing.Sub(demand)
+		snapshot.Releasing[spec.Team] = snapshot.Releasing[spec.Team].Add(demand)
+		c.node.Releasing = c.node.Releasing.Add(demand)
+		preempted[c.node] = append(preempted[c.node], c.index)
+	}
+	p.reserveQuota(spec.Team, claim)
+	for node, indices := range preempted {
+		node.removeCandidates(indices)
+	}
+}
+
+// reserveQuota claims, for a request over quota, what its team is releasing and the free quota that is too small as
+// yet. Otherwise lower-priority work would take the first part of what was freed and be preempted again in the next
+// pass, over and over.
+func (p *pass) reserveQuota(team string, claim model.Resources) {
+	releasing := p.snapshot.Releasing[team]
+	p.snapshot.Releasing[team] = releasing.Sub(claim).AtLeastZero()
+	p.snapshot.addUsage(team, claim.Sub(releasing).AtLeastZero())
+}
+
+// teamCandidates lists the attempts of the request's team that may be preempted for it, by what they lose.
+func (p *pass) teamCandidates(request *Request) []teamCandidate {
+	var candidates []teamCandidate
+	for _, node := range p.snapshot.Nodes {
+		p.snapshot.loadCandidates(node)
+		for i := range node.Candidates {
+			if request.mayPreemptWithinTeam(&node.Candidates[i]) {
+				candidates = append(candidates, teamCandidate{node: node, index: i})
+			}
+		}
+	}
+	slices.SortStableFunc(candidates, func(a, b teamCandidate) int {
+		return cmp.Compare(preemptionCost(a.candidate(), request), preemptionCost(b.candidate(), request))
+	})
+	return candidates
+}
+
+// mayPreemptWithinTeam reports whether an attempt may be stopped to free quota for a request. Only production stops
+// attempts that cannot save a checkpoint, and low-priority attempts that have only just started.
+func (r *Request) mayPreemptWithinTeam(candidate *PreemptionCandidate) bool {
+	production := r.qosClass() == qosProduction
+	switch {
+	case candidate.Attempt.Team != r.Job.Spec.Team || candidate.Priority >= r.Job.EffectivePriority:
+		return false
+	case candidate.Gang || !r.mayPreempt(candidate):
+		return false
+	case candidate.RecentlyStarted && !(candidate.Priority == model.PriorityLow && production):
+		return false
+	}
+	return candidate.CheckpointTime > 0 || production
+}
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -2,207 +2,230 @@
 
 import (
 	"container/heap"
-	"strings"
 
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// pickNodes chooses machines for up to n tasks, one by one: of those that fit, the
-// one whose power efficiency after placement, with what the job wishes added, is
-// highest; where that is equal, one that has the image. kept tells that what it
-// chooses stays taken.
-func (p *Snapshot) pickNodes(s *Settings, w *Request, n int, zone string, st nodeFilter, kept bool) []Placement {
-	spec := w.Job.Spec
-	key := noFitKeyOf(w, zone, st)
-	if most := p.noFit.maxFitting(key, spec.Demand); most == 0 || spec.Shape == model.Gang && most > 0 && most < n {
-		return nil
+const (
+	// efficiencyTolerance is the difference below which two efficiencies count as equal.
+	efficiencyTolerance = 1e-9
+
+	// cheaperFactor is the part of another price below which a price counts as lower.
+	cheaperFactor = 0.999
+)
+
+// Efficiency is the power efficiency of a machine at a utilization from 0 to 1: work per power, where an idle machine
+// draws the fraction idlePower of a busy one's power.
+func Efficiency(utilization, idlePower float64) float64 {
+	if utilization <= 0 {
+		return 0
 	}
-	var fits []*Node
-	usable := p.feasibilityFilter(w, zone, st)
-	for _, nd := range p.Nodes {
-		if spec.Demand.Fits(nd.Free) && usable(nd) {
-			fits = append(fits, nd)
-		}
+	return utilization / (idlePower + (1-idlePower)*utilization)
+}
+
+// utilization is the used fraction of a machine, of its CPUs or of its GPUs, whichever is larger.
+func utilization(machine *model.Machine, used model.Resources) float64 {
+	capacity := machine.Type.Capacity
+	u := used.CPU / capacity.CPU
+	if capacity.GPU > 0 {
+		u = max(u, used.GPU/capacity.GPU)
+	}
+	return u
+}
+
+// pricePerCPU is the price of one CPU of a machine for an hour.
+func pricePerCPU(machine *model.Machine) float64 {
+	if machine.Spot {
+		return machine.Type.SpotPricePerHour / machine.Type.Capacity.CPU
 	}
-	if w.needsFullScan() {
-		return p.pickNodesByScan(s, w, n, fits)
+	return machine.Type.PricePerHour / machine.Type.Capacity.CPU
+}
+
+// efficiencyWith is the power efficiency of a node with one more task of a job.
+func (s *Settings) efficiencyWith(node *Node, spec *model.Spec) float64 {
+	used := node.Machine.Type.Capacity.Sub(node.Free).Add(spec.Demand)
+	return Efficiency(utilization(node.Machine, used), s.IdlePowerFraction)
+}
+
+// pickNodes chooses nodes in a zone ("": any) for up to n tasks, one by one: of the feasible ones the one whose power
+// efficiency with the task, plus what the job's preferences add, is highest; of equal ones one that holds the image.
+// The resources are taken. permanent tells that the caller does not give them back.
+func (s *Snapshot) pickNodes(
+	settings *Settings, request *Request, n int, zone string, filter nodeFilter, permanent bool,
+) []Placement {
+	spec := request.Job.Spec
+	key := noFitKeyOf(request, zone, filter)
+	maxFitting := s.noFit.maxFitting(key, spec.Demand)
+	if maxFitting == 0 || spec.Shape == model.Gang && maxFitting > 0 && maxFitting < n {
+		return nil
 	}
-	q := &nodeHeap{spec: spec, nodes: make([]rankedNode, len(fits))}
-	for i, nd := range fits {
-		q.nodes[i] = rankedNode{node: nd, index: i, efficiency: s.efficiencyWith(nd, spec), hasImage: nd.hasImage(spec), price: pricePerCPU(nd.Machine)}
+	nodes := s.feasibleNodes(request, zone, filter)
+	if request.needsFullScan() {
+		return s.pickNodesByScan(settings, request, n, nodes)
 	}
-	heap.Init(q)
-	var got []Placement
-	for len(got) < n && len(q.nodes) > 0 {
-		best := &q.nodes[0]
-		p.assign(w, best.node)
-		got = append(got, Placement{w, best.node, model.Choice{FeasibleNodes: len(fits), Efficiency: best.efficiency, ImageCached: best.hasImage}})
-		// A machine only becomes better by what is placed on it, until it is full.
-		if spec.Demand.Fits(best.node.Free) {
-			best.efficiency = s.efficiencyWith(best.node, spec)
-			heap.Fix(q, 0)
-		} else {
-			heap.Pop(q)
+	placements := s.pickNodesByHeap(settings, request, n, nodes)
+	if len(placements) < n {
+		fitting := len(placements)
+		if permanent {
+			fitting = 0 // none of the room is left
 		}
+		s.noFit.add(key, spec.Demand, fitting)
 	}
-	if len(got) < n {
-		most := len(got)
-		if kept {
-			most = 0
+	return placements
+}
+
+// feasibleNodes lists the nodes in a zone ("": any) that have room for a task.
+func (s *Snapshot) feasibleNodes(request *Request, zone string, filter nodeFilter) []*Node {
+	var nodes []*Node
+	feasible := s.feasibilityFilter(request, zone, filter)
+	for _, node := range s.Nodes {
+		if request.Job.Spec.Demand.Fits(node.Free) && feasible(node) {
+			nodes = append(nodes, node)
 		}
-		p.noFit.add(key, spec.Demand, most)
 	}
-	return got
+	return nodes
 }
 
-// efficiencyWith is the power efficiency of a machine with one more task of a job.
-func (s *Settings) efficiencyWith(nd *Node, spec *model.Spec) float64 {
-	return Efficiency(utilization(nd.Machine, nd.Machine.Type.Capacity.Sub(nd.Free).Add(spec.Demand)), s.IdlePowerFraction)
+// needsFullScan reports whether more than free resources limits how many tasks of the request a node or a zone takes,
+// or nodes are ranked by more than efficiency.
+func (r *Request) needsFullScan() bool {
+	return r.Job.Spec.Spread || r.Rules != nil || len(r.Job.ErrorsByMachine) > 0
 }
 
-// rankedNode is a machine that fits, with what it is compared by.
+// pickNodesByHeap is pickNodes for requests that need no full scan: a node's rank only rises by what is placed on it,
+// until it is full.
+func (s *Snapshot) pickNodesByHeap(settings *Settings, request *Request, n int, nodes []*Node) []Placement {
+	spec := request.Job.Spec
+	ranked := make(nodeHeap, len(nodes))
+	for i, node := range nodes {
+		ranked[i] = rankedNode{
+			node:       node,
+			index:      i,
+			efficiency: settings.efficiencyWith(node, spec),
+			hasImage:   node.hasImage(spec),
+			price:      pricePerCPU(node.Machine),
+		}
+	}
+	heap.Init(&ranked)
+	var placements []Placement
+	for len(placements) < n && len(ranked) > 0 {
+		best := &ranked[0]
+		s.assign(request, best.node)
+		choice := model.Choice{FeasibleNodes: len(nodes), Efficiency: best.efficiency, ImageCached: best.hasImage}
+		placements = append(placements, Placement{Request: request, Node: best.node, Choice: choice})
+		if spec.Demand.Fits(best.node.Free) {
+			best.efficiency = settings.efficiencyWith(best.node, spec)
+			heap.Fix(&ranked, 0)
+		} else {
+			heap.Pop(&ranked)
+		}
+	}
+	return placements
+}
+
+// rankedNode is a feasible node with what it is ranked by.
 type rankedNode struct {
 	node       *Node
-	index      int // among those that fit
+	index      int // among the feasible nodes
 	efficiency float64
 	hasImage   bool
-	price      float64
+	price      float64 // of a CPU for an hour
 }
 
-// nodeHeap holds the machines that fit, the best one on top.
-type nodeHeap struct {
-	spec  *model.Spec
-	nodes []rankedNode
-}
+// nodeHeap is a heap of feasible nodes, the best one on top.
+type nodeHeap []rankedNode
+
+// Len implements heap.Interface.
+func (h *nodeHeap) Len() int { return len(*h) }
+
+// Swap implements heap.Interface.
+func (h *nodeHeap) Swap(i, j int) { (*h)[i], (*h)[j] = (*h)[j], (*h)[i] }
 
-func (q *nodeHeap) Len() int      { return len(q.nodes) }
-func (q *nodeHeap) Swap(i, j int) { q.nodes[i], q.nodes[j] = q.nodes[j], q.nodes[i] }
-func (q *nodeHeap) Push(x any)    { q.nodes = append(q.nodes, x.(rankedNode)) }
+// Push implements heap.Interface.
+func (h *nodeHeap) Push(x any) { *h = append(*h, x.(rankedNode)) }
 
-func (q *nodeHeap) Pop() any {
-	last := q.nodes[len(q.nodes)-1]
-	q.nodes = q.nodes[:len(q.nodes)-1]
+// Pop implements heap.Interface.
+func (h *nodeHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// Less ranks by efficiency; where that is equal the image comes first, then the cheaper kind.
-func (q *nodeHeap) Less(i, j int) bool {
-	a, b := &q.nodes[i], &q.nodes[j]
+// Less ranks by efficiency, then by whether the node holds the image, then by price, then by index.
+func (h *nodeHeap) Less(i, j int) bool {
+	a, b := &(*h)[i], &(*h)[j]
 	switch {
-	case a.efficiency > b.efficiency+1e-9:
+	case a.efficiency > b.efficiency+efficiencyTolerance:
 		return true
-	case b.efficiency > a.efficiency+1e-9:
+	case b.efficiency > a.efficiency+efficiencyTolerance:
 		return false
 	case a.hasImage != b.hasImage:
 		return a.hasImage
-	case a.price < 0.999*b.price:
+	case a.price < cheaperFactor*b.price:
 		return true
-	case b.price < 0.999*a.price:
+	case b.price < cheaperFactor*a.price:
 		return false
 	}
 	return a.index < b.index
 }
 
-// pickNodesByScan is fill for jobs that bound how many of their tasks may be in a zone or on a
-// machine, or that wish: there a machine does not only become better.
-func (p *Snapshot) pickNodesByScan(s *Settings, w *Request, n int, fits []*Node) []Placement {
-	spec := w.Job.Spec
-	var got []Placement
-	for len(got) < n {
-		var best *Node
-		var bestEff float64
-		choice := model.Choice{FeasibleNodes: len(fits)}
-		for _, nd := range fits {
-			if nd.checkCapacity(w) != Feasible {
-				continue
-			}
-			power, image := s.efficiencyWith(nd, spec), nd.hasImage(spec)
-			eff, wish := power, 0.0
-			if w.Rules != nil {
-				wish = w.Rules.preference(nd, image)
-				eff += wish
-			}
-			better := eff > bestEff+1e-9
-			if best != nil && !better && eff > bestEff-1e-9 {
-				better = image && !choice.ImageCached || image == choice.ImageCached && pricePerCPU(nd.Machine) < 0.999*pricePerCPU(best.Machine)
-			}
-			if best == nil || better {
-				best, bestEff = nd, eff
-				choice.Efficiency, choice.Preference, choice.ImageCached = power, wish, image
-			}
-		}
-		if best == nil {
+// pickNodesByScan is pickNodes for any request: it ranks all nodes anew for each task.
+func (s *Snapshot) pickNodesByScan(settings *Settings, request *Request, n int, nodes []*Node) []Placement {
+	var placements []Placement
+	for len(placements) < n {
+		best := bestNode(settings, request, nodes)
+		if best.node == nil {
 			break
 		}
-		p.assign(w, best)
-		got = append(got, Placement{w, best, choice})
-	}
-	return got
-}
-
-// needsFullScan tells that more than room limits how many tasks of the want a machine or a zone
-// may take, or that the machines are weighed by more than efficiency.
-func (w *Request) needsFullScan() bool {
-	return w.Job.Spec.Spread || w.Rules != nil || len(w.Job.ErrorsByMachine) > 0
-}
-
-// noFitKey says where a pass has found that something does not fit: of tasks with these
-// constraints. In a pass room only becomes less, except where something is stopped; so what
-// needs as much or more, and may go to the same machines or fewer, does not fit either.
-// Guards against a pass that looks at every machine anew for each of hundreds of jobs
-// that wait.
-type noFitKey struct {
-	zone, lockedZone, types string
-	spot, gpu, requireImage bool
-	gpuNodesAllowed         bool
-	image                   string // where cached: only machines that have it
-	maxPrice, minFetchRate  float64
-
-	// Of making room only.
-	team                  string
-	priority, ownPriority model.Priority // with what was handed on, and without
-	guaranteed            bool
-	promoted              bool // passes ahead of its place in the order
-	preemptions           int  // that were planned: what they free is room
-}
-
-func noFitKeyOf(w *Request, lock string, st nodeFilter) noFitKey {
-	spec := w.Job.Spec
-	k := noFitKey{zone: spec.Zone, lockedZone: lock, types: strings.Join(spec.MachineTypes, " "), spot: spec.AllowSpot, gpu: spec.Demand.GPU > 0, gpuNodesAllowed: w.Job.MayUseGPUMachines, maxPrice: st.maxPrice, minFetchRate: st.minFetchRate}
-	if st.requireImage {
-		k.requireImage, k.image = true, spec.Image
+		s.assign(request, best.node)
+		placements = append(placements, Placement{Request: request, Node: best.node, Choice: best.choice})
 	}
-	return k
+	return placements
 }
 
-// noFitCache holds what did not fit in a pass.
-type noFitCache map[noFitKey][]noFitEntry
-
-type noFitEntry struct {
-	need     model.Resources
-	maxTasks int // tasks of it that did fit
+// scoredNode is a node with its score: its efficiency plus what the job's preferences add.
+type scoredNode struct {
+	node   *Node
+	score  float64
+	choice model.Choice
 }
 
-// maxFitting tells how many tasks with a need may fit, as far as is known; -1: nothing is known.
-func (s noFitCache) maxFitting(k noFitKey, need model.Resources) int {
-	most := -1
-	for _, e := range s[k] {
-		if e.need.Fits(need) && (most < 0 || e.maxTasks < most) {
-			most = e.maxTasks
+// bestNode is the highest-ranked of some nodes that can take one more task of a request; node is nil where none can.
+func bestNode(settings *Settings, request *Request, nodes []*Node) scoredNode {
+	var best scoredNode
+	for _, node := range nodes {
+		if node.checkCapacity(request) != Feasible {
+			continue
+		}
+		if scored := scoreNode(settings, request, node); best.node == nil || scored.betterThan(&best) {
+			scored.choice.FeasibleNodes = len(nodes)
+			best = scored
 		}
 	}
-	return most
+	return best
 }
 
-// add notes that of tasks with a need no more than some fit.
-func (s *noFitCache) add(k noFitKey, need model.Resources, most int) {
-	if *s == nil {
-		*s = noFitCache{}
-	}
-	if list := (*s)[k]; len(list) < maxNoFitEntries {
-		(*s)[k] = append(list, noFitEntry{need, most})
+// scoreNode scores a node for one more task of a request.
+func scoreNode(settings *Settings, request *Request, node *Node) scoredNode {
+	spec := request.Job.Spec
+	choice := model.Choice{Efficiency: settings.efficiencyWith(node, spec), ImageCached: node.hasImage(spec)}
+	score := choice.Efficiency
+	if request.Rules != nil {
+		choice.Preference = request.Rules.preference(node, choice.ImageCached)
+		score += choice.Preference
 	}
+	return scoredNode{node: node, score: score, choice: choice}
 }
 
-// maxNoFitEntries bounds what is kept for tasks of one kind.
-const maxNoFitEntries = 32
+// betterThan ranks by score, then by whether the node holds the image, then by price.
+func (n *scoredNode) betterThan(other *scoredNode) bool {
+	switch atLeastEqual := n.score > other.score-efficiencyTolerance; {
+	case n.score > other.score+efficiencyTolerance:
+		return true
+	case !atLeastEqual:
+		return false
+	case n.choice.ImageCached != other.choice.ImageCached:
+		return n.choice.ImageCached
+	}
+	return pricePerCPU(n.node.Machine) < cheaperFactor*pricePerCPU(other.node.Machine)
+}
