--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -130,6 +130,6 @@
 	if pricePerCPU(node.Machine) > pricePerCPU(d.source.Machine) {
 		return false
 	}
-	asBusyAtMost := busyFraction(node.Machine) <= busyFraction(d.source.Machine)
-	return !asBusyAtMost
+	idler := busyFraction(node.Machine) <= busyFraction(d.source.Machine)
+	return !idler
 }
