--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -27,19 +27,32 @@
 	},
 }
 
+// newShortage is a shortage of n tasks of two CPUs, two of which fill a small machine; change may be nil.
 func newShortage(n int, change func(*model.Spec)) []scheduler.Shortage {
-	s := &model.Spec{ID: "wk-000001", Class: "c", Tasks: n, Demand: model.Resources{CPU: 2, MemGB: 6}, Shape: model.Array}
+	spec := &model.Spec{
+		ID:     "wk-000001",
+		Class:  "c",
+		Tasks:  n,
+		Demand: model.Resources{CPU: 2, MemGB: 6},
+		Shape:  model.Array,
+	}
 	if change != nil {
-		change(s)
+		change(spec)
 	}
+	job := model.NewJob(spec, time.Unix(0, 0), 1)
 	return []scheduler.Shortage{
-		{Request: &scheduler.Request{Job: model.NewJob(s, time.Unix(0, 0), 1), TasksByZone: map[string]int{}}, Count: n},
+		{Request: &scheduler.Request{Job: job, TasksByZone: map[string]int{}}, Count: n},
 	}
 }
 
+// newSnapshot is a snapshot of a cluster without machines.
 func newSnapshot() *Snapshot {
-	return &Snapshot{Types: machineTypes, RefusedUntil: map[Offer]time.Time{}, MachinesByZone: map[string]int{},
-		ReservedForGPU: func(t *model.MachineType, spot bool) bool { return t.Capacity.GPU > 0 && !spot }}
+	return &Snapshot{
+		Types:          machineTypes,
+		RefusedUntil:   map[Offer]time.Time{},
+		MachinesByZone: map[string]int{},
+		ReservedForGPU: func(t *model.MachineType, spot bool) bool { return t.Capacity.GPU > 0 && !spot },
+	}
 }
 
 var testSettings = &Settings{
@@ -51,165 +64,175 @@
 	SpotIdleFactor:    4,
 }
 
-func requested(asks []Request, o Offer) int {
-	for _, a := range asks {
-		if a.Offer == o {
-			return a.Count
+// The offers of small machines that are not spot.
+var (
+	smallInA = Offer{Type: "small", Zone: "a"}
+	smallInB = Offer{Type: "small", Zone: "b"}
+)
+
+// requested is how many machines of an offer are requested.
+func requested(requests []Request, offer Offer) int {
+	for _, r := range requests {
+		if r.Offer == offer {
+			return r.Count
 		}
 	}
 	return 0
 }
 
 func TestScaleOutRequestsCheapestKindSpreadOverZones(t *testing.T) {
-	asks := ScaleOut(testSettings, time.Unix(0, 0), newSnapshot(), newShortage(8, nil)) // two on a machine
-	if len(asks) != 2 || requested(asks, Offer{"small", "a", false}) != 2 || requested(asks, Offer{"small", "b", false}) != 2 {
-		t.Errorf("asked for %v", asks)
+	requests := ScaleOut(testSettings, time.Unix(0, 0), newSnapshot(), newShortage(8, nil))
+	if len(requests) != 2 || requested(requests, smallInA) != 2 || requested(requests, smallInB) != 2 {
+		t.Errorf("requested %v, want 2 small machines in each zone", requests)
 	}
 }
 
-// What has to be in one zone is rented for in one: where most of it fits already, and where its
-// tasks are once some run. Before, its machines were spread and none of the zones took it whole.
+// Machines for what has to be in one zone are requested in one: where most of it fits already, and where its tasks are
+// once some run.
 func TestScaleOutForOneZoneJobStaysInOneZone(t *testing.T) {
-	ask := func(v *Snapshot, held map[string]int) string {
+	scaleOut := func(snapshot *Snapshot, tasksByZone map[string]int) string {
 		t.Helper()
-		l := newShortage(8, func(s *model.Spec) { s.Shape, s.SingleZone = model.Gang, true })
-		l[0].Request.Count, l[0].Request.TasksByZone = 8, held
+		shortages := newShortage(8, func(s *model.Spec) { s.Shape, s.SingleZone = model.Gang, true })
+		shortages[0].Request.Count, shortages[0].Request.TasksByZone = 8, tasksByZone
 		zones := ""
-		for _, a := range ScaleOut(testSettings, time.Unix(100, 0), v, l) {
-			zones += a.Zone
+		for _, r := range ScaleOut(testSettings, time.Unix(100, 0), snapshot, shortages) {
+			zones += r.Zone
 		}
 		return zones
 	}
-	if got := ask(newSnapshot(), nil); got != "a" {
-		t.Errorf("nothing is up: rented in %q", got)
+	roomInB := func(_ *scheduler.Request, zone string) int { return map[string]int{"b": 3}[zone] }
+	if got := scaleOut(newSnapshot(), nil); got != "a" {
+		t.Errorf("no machine: requested in %q, want %q", got, "a")
 	}
-	if got := ask(newSnapshot(), map[string]int{"a": 0, "b": 1}); got != "b" {
-		t.Errorf("a task is in b: rented in %q", got)
+	if got := scaleOut(newSnapshot(), map[string]int{"a": 0, "b": 1}); got != "b" {
+		t.Errorf("a task in b: requested in %q, want %q", got, "b")
 	}
-	v := newSnapshot()
-	v.Incoming = []*Incoming{{Type: &machineTypes[0], Zone: "b"}}
-	if got := ask(v, nil); got != "b" {
-		t.Errorf("one boots in b: rented in %q", got)
+	snapshot := newSnapshot()
+	snapshot.Incoming = []*Incoming{{Type: &machineTypes[0], Zone: "b"}}
+	if got := scaleOut(snapshot, nil); got != "b" {
+		t.Errorf("a machine boots in b: requested in %q, want %q", got, "b")
 	}
-	v = newSnapshot()
-	v.CapacityInZone = func(_ *scheduler.Request, zone string) int { return map[string]int{"b": 3}[zone] }
-	if got := ask(v, nil); got != "b" {
-		t.Errorf("there is room in b: rented in %q", got)
+	snapshot = newSnapshot()
+	snapshot.CapacityInZone = roomInB
+	if got := scaleOut(snapshot, nil); got != "b" {
+		t.Errorf("room in b: requested in %q, want %q", got, "b")
 	}
-	v = newSnapshot()
-	v.CapacityInZone, v.RefusedUntil[Offer{"small", "b", false}] = func(_ *scheduler.Request, zone string) int { return map[string]int{"b": 3}[zone] }, time.Unix(
-		200,
-		0,
-	)
-	if got := ask(v, nil); got != "a" {
-		t.Errorf("b is refused: rented in %q", got)
+	snapshot = newSnapshot()
+	snapshot.CapacityInZone, snapshot.RefusedUntil[smallInB] = roomInB, time.Unix(200, 0)
+	if got := scaleOut(snapshot, nil); got != "a" {
+		t.Errorf("room in b, whose offer is refused: requested in %q, want %q", got, "a")
 	}
 }
 
-// A type that says nothing of its boot time or has no spot price is still rented and waited for.
+// A type that states no boot time or spot price is still requested and waited for.
 func TestScaleOutTypeWithoutBootTimeOrSpotPrice(t *testing.T) {
-	v := newSnapshot()
-	v.Types = []model.MachineType{{Name: "own", Capacity: model.Resources{CPU: 4, MemGB: 16}, Zones: []string{"a"}}}
-	asks := ScaleOut(testSettings, time.Unix(0, 0), v, newShortage(1, func(s *model.Spec) { s.AllowSpot = true }))
-	if len(asks) != 1 || asks[0].Spot {
-		t.Errorf("asked for %v", asks)
+	snapshot := newSnapshot()
+	capacity := model.Resources{CPU: 4, MemGB: 16}
+	snapshot.Types = []model.MachineType{{Name: "own", Capacity: capacity, Zones: []string{"a"}}}
+	shortages := newShortage(1, func(s *model.Spec) { s.AllowSpot = true })
+	requests := ScaleOut(testSettings, time.Unix(0, 0), snapshot, shortages)
+	if len(requests) != 1 || requests[0].Spot {
+		t.Errorf("requested %v, want one machine that is not spot", requests)
 	}
-	if got := testSettings.BootTimeout(&v.Types[0]); got < time.Minute {
-		t.Errorf("given up after %v", got)
+	if got := testSettings.BootTimeout(&snapshot.Types[0]); got < time.Minute {
+		t.Errorf("boot timeout is %v, want a minute or more", got)
 	}
 }
 
 func TestScaleOutRequestsSpotForJobsThatAllowIt(t *testing.T) {
-	for _, a := range ScaleOut(testSettings, time.Unix(0, 0), newSnapshot(), newShortage(4, func(s *model.Spec) { s.AllowSpot = true })) {
-		if !a.Spot {
-			t.Errorf("a job that may use spot machines gets %v", a)
+	shortages := newShortage(4, func(s *model.Spec) { s.AllowSpot = true })
+	for _, r := range ScaleOut(testSettings, time.Unix(0, 0), newSnapshot(), shortages) {
+		if !r.Spot {
+			t.Errorf("requested %v for a job that may use spot machines, want spot", r)
 		}
 	}
 }
 
 func TestScaleOutSkipsRefusedOffersUntilBackoffEnds(t *testing.T) {
-	v := newSnapshot()
+	snapshot := newSnapshot()
 	now := time.Unix(100, 0)
-	v.RefusedUntil[Offer{"small", "a", false}] = now.Add(time.Second)
-	v.RefusedUntil[Offer{"small", "b", false}] = now.Add(time.Second)
-	if asks := ScaleOut(testSettings, now, v, newShortage(2, nil)); len(asks) != 0 {
-		t.Errorf("machines kept for GPU work are no substitute: asked for %v", asks)
+	snapshot.RefusedUntil[smallInA] = now.Add(time.Second)
+	snapshot.RefusedUntil[smallInB] = now.Add(time.Second)
+	if requests := ScaleOut(testSettings, now, snapshot, newShortage(2, nil)); len(requests) != 0 {
+		t.Errorf("requested %v, want none: machines reserved for GPU work are no substitute", requests)
 	}
-	if asks := ScaleOut(testSettings, now.Add(2*time.Second), v, newShortage(2, nil)); len(asks) != 1 {
-		t.Errorf("after the wait: asked for %v", asks)
+	later := now.Add(2 * time.Second)
+	if requests := ScaleOut(testSettings, later, snapshot, newShortage(2, nil)); len(requests) != 1 {
+		t.Errorf("after the backoff: requested %v, want one request", requests)
 	}
 }
 
 func TestScaleOutCountsIncomingCapacity(t *testing.T) {
-	v := newSnapshot()
-	v.Incoming = []*Incoming{
+	snapshot := newSnapshot()
+	freeSoon := func() model.Resources { return model.Resources{CPU: 2, MemGB: 6} }
+	snapshot.Incoming = []*Incoming{
 		{Type: &machineTypes[0], Zone: "a"},
-		{Type: &machineTypes[0], Zone: "b", FreeSoon: func() model.Resources { return model.Resources{CPU: 2, MemGB: 6} }},
+		{Type: &machineTypes[0], Zone: "b", FreeSoon: freeSoon},
 	}
-	if asks := ScaleOut(testSettings, time.Unix(0, 0), v, newShortage(3, nil)); len(asks) != 0 {
-		t.Errorf("asked for %v", asks)
+	now := time.Unix(0, 0)
+	if requests := ScaleOut(testSettings, now, snapshot, newShortage(3, nil)); len(requests) != 0 {
+		t.Errorf("requested %v, want none", requests)
 	}
-	limited := newShortage(9, nil)
-	limited[0].OverQuota = true
-	if asks := ScaleOut(testSettings, time.Unix(0, 0), v, limited); len(asks) != 0 {
-		t.Errorf("for work that its team's limit keeps back: asked for %v", asks)
+	overQuota := newShortage(9, nil)
+	overQuota[0].OverQuota = true
+	if requests := ScaleOut(testSettings, now, snapshot, overQuota); len(requests) != 0 {
+		t.Errorf("for work over its team's quota: requested %v, want none", requests)
 	}
-	if asks := ScaleOut(testSettings, time.Unix(0, 0), v, newShortage(3, func(s *model.Spec) { s.Priority = model.PriorityProduction })); len(
-		asks,
-	) != 1 {
-		t.Errorf("production does not wait for what may become free: asked for %v", asks)
+	production := newShortage(3, func(s *model.Spec) { s.Priority = model.PriorityProduction })
+	if requests := ScaleOut(testSettings, now, snapshot, production); len(requests) != 1 {
+		t.Errorf("production, which does not wait for what may become free: requested %v, want one request", requests)
 	}
 }
 
 func TestIdleMachineIsKeptForBilledTime(t *testing.T) {
 	for _, c := range []struct {
+		name       string
 		spot       bool
 		empty, age time.Duration
-		back       bool
+		want       bool
 	}{
-		{false, 25 * time.Second, 50 * time.Second, false}, // paid for a minute
-		{false, 25 * time.Second, 70 * time.Second, false}, // a boot takes 30 s
-		{false, 31 * time.Second, 70 * time.Second, true},
-		{true, 31 * time.Second, 70 * time.Second, false}, // spot: 80 s
-		{true, 81 * time.Second, 90 * time.Second, true},
+		{"paid for a minute", false, 25 * time.Second, 50 * time.Second, false},
+		{"a boot takes 30 s", false, 25 * time.Second, 70 * time.Second, false},
+		{"idle for longer", false, 31 * time.Second, 70 * time.Second, true},
+		{"spot is kept for 80 s", true, 31 * time.Second, 70 * time.Second, false},
+		{"spot idle for longer", true, 81 * time.Second, 90 * time.Second, true},
 	} {
-		if got := testSettings.ShouldRelease(&machineTypes[0], c.spot, c.empty, c.age); got != c.back {
-			t.Errorf("%+v: given back: %v", c, got)
+		if got := testSettings.ShouldRelease(&machineTypes[0], c.spot, c.empty, c.age); got != c.want {
+			t.Errorf("%s: release is %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// Guards against renting where nothing can report: a zone that is cut off seems to
-// have the fewest machines.
+// A machine in a zone that is cut off cannot register, and such a zone seems to have the fewest machines.
 func TestScaleOutAvoidsSuspectZones(t *testing.T) {
-	v := newSnapshot()
-	v.MachinesByZone, v.SuspectZones = map[string]int{"b": 9}, map[string]bool{"a": true}
-	if asks := ScaleOut(testSettings, time.Unix(0, 0), v, newShortage(8, nil)); len(asks) != 1 ||
-		requested(asks, Offer{"small", "b", false}) != 4 {
-		t.Errorf("asked for %v", asks)
+	snapshot := newSnapshot()
+	snapshot.MachinesByZone, snapshot.SuspectZones = map[string]int{"b": 9}, map[string]bool{"a": true}
+	now := time.Unix(0, 0)
+	requests := ScaleOut(testSettings, now, snapshot, newShortage(8, nil))
+	if len(requests) != 1 || requested(requests, smallInB) != 4 {
+		t.Errorf("requested %v, want 4 small machines in b", requests)
 	}
 	bound := newShortage(2, func(s *model.Spec) { s.Zone = "a" })
-	if asks := ScaleOut(testSettings, time.Unix(0, 0), v, bound); len(asks) != 1 || requested(asks, Offer{"small", "a", false}) != 1 {
-		t.Errorf("for a job that is bound to it: asked for %v", asks)
+	requests = ScaleOut(testSettings, now, snapshot, bound)
+	if len(requests) != 1 || requested(requests, smallInA) != 1 {
+		t.Errorf("for a job that has to be in a: requested %v, want one small machine in a", requests)
 	}
 }
 
-// Guards against working out what ends soon on every machine that is up, five times a second: it is asked for once,
-// and
-// only of machines on which what is lacking may run.
+// What becomes free soon on a running machine is computed once, and only where tasks of a shortage may run.
 func TestFreeSoonIsComputedOnlyWhereTasksMayRun(t *testing.T) {
-	v := newSnapshot()
-	asked := map[string]int{}
+	snapshot := newSnapshot()
+	calls := map[string]int{}
 	machine := func(name, zone string) *Incoming {
 		return &Incoming{Type: &machineTypes[0], Zone: zone, FreeSoon: func() model.Resources {
-			asked[name]++
+			calls[name]++
 			return model.Resources{}
 		}}
 	}
-	v.Incoming = []*Incoming{machine("other zone", "b"), machine("another zone too", "b"), machine("full", "a")}
+	snapshot.Incoming = []*Incoming{machine("other zone", "b"), machine("other zone too", "b"), machine("full", "a")}
 	inA := func(s *model.Spec) { s.Zone = "a" }
-	ScaleOut(testSettings, time.Unix(0, 0), v, append(newShortage(3, inA), newShortage(2, inA)...))
-	if len(asked) != 1 || asked["full"] != 1 {
-		t.Errorf("asked: %v", asked)
+	ScaleOut(testSettings, time.Unix(0, 0), snapshot, append(newShortage(3, inA), newShortage(2, inA)...))
+	if len(calls) != 1 || calls["full"] != 1 {
+		t.Errorf("computed %v, want only full, once", calls)
 	}
 }
