--- a/internal/ledger/fairshare.go
+++ b/internal/ledger/fairshare.go
@@ -4,87 +4,81 @@
 	"cmp"
 	"math"
 	"slices"
-	"time"
 )
 
-// FairShare is a team's place by fair share.
+const (
+	// maxBand is the highest band: beyond eight times its share a team is served last anyway.
+	maxBand = 3
+
+	// minTotalUsage is the decayed usage of all teams together, in weighted CPU-microseconds, below which no team has
+	// used notably more than others.
+	minTotalUsage = 600 * 1_000_000
+)
+
+// FairShare is how a team's decayed usage relates to its fair share.
 type FairShare struct {
 	Team          string
-	Weight        float64 // its part of all weights
-	DecayedUsage  uint64  // its decayed use, in CPU-microseconds by the weights
-	UsageFraction float64 // its part of all decayed use
-	Factor        float64 // 2^-(Part/Weight): 1 for a team without use, 1/2 for one at its share
-	Band          int     // teams with a lower one go first in what goes beyond guarantees
+	Weight        float64 // its fraction of all weights
+	DecayedUsage  uint64  // in weighted CPU-microseconds
+	UsageFraction float64 // its fraction of all decayed usage
+	Factor        float64 // 2^-(UsageFraction/Weight): 1 without usage, 1/2 at its share
+	Band          int     // of work beyond guarantees, teams with a lower band are served first
 	Rank          int     // by factor, from 1
 }
 
-// maxBand bounds the bands: beyond eight times its share a team is last anyway.
-const maxBand = 3
-
-// band is how far beyond its share a team is: 0 within it, then up to twice, up to four
-// times, and more. Teams of one band compete by slack, as the design has it.
-func band(part, weight float64) int {
-	if part <= weight {
-		return 0
+// FairShares compares teams by their weights and decayed usage, best factor first. What a team does not use is not
+// saved up for it: no factor is above that of a team that never ran anything.
+func FairShares(weights map[string]float64, decayedUsage func(team string) uint64) []FairShare {
+	var totalWeight float64
+	var totalUsage uint64
+	shares := make([]FairShare, 0, len(weights))
+	for team, weight := range weights {
+		share := FairShare{Team: team, Weight: weight, DecayedUsage: decayedUsage(team)}
+		totalWeight += weight
+		totalUsage += share.DecayedUsage
+		shares = append(shares, share)
 	}
-	if weight <= 0 {
-		return maxBand
+	for i := range shares {
+		shares[i].compute(totalWeight, totalUsage)
+	}
+	slices.SortFunc(shares, func(a, b FairShare) int {
+		return cmp.Or(cmp.Compare(b.Factor, a.Factor), cmp.Compare(a.Team, b.Team))
+	})
+	for i := range shares {
+		shares[i].Rank = i + 1
+		if i > 0 && shares[i].Factor == shares[i-1].Factor {
+			shares[i].Rank = shares[i-1].Rank
+		}
 	}
-	return min(int(math.Ceil(math.Log2(part/weight))), maxBand)
+	return shares
 }
 
-// minTotalUsage is the use of all teams together, in CPU-microseconds by the weights, below
-// which nobody has had more than others that matters.
-const minTotalUsage = 600 * 1_000_000
-
-// FairShares tells the standings of teams by their weights and decayed use. Nobody's
-// factor is above that of a team that never ran: what a team does not use is not saved
-// up for it.
-func FairShares(weights map[string]float64, decayed func(team string) uint64) []FairShare {
-	var sum float64
-	var all uint64
-	out := make([]FairShare, 0, len(weights))
-	for team, w := range weights {
-		s := FairShare{Team: team, Weight: w, DecayedUsage: decayed(team)}
-		sum += w
-		all += s.DecayedUsage
-		out = append(out, s)
+// compute turns the weight into a fraction and fills in what depends on the totals of all teams.
+func (s *FairShare) compute(totalWeight float64, totalUsage uint64) {
+	if totalWeight > 0 {
+		s.Weight /= totalWeight
 	}
-	for i := range out {
-		s := &out[i]
-		if sum > 0 {
-			s.Weight /= sum
-		}
-		s.Factor = 1
-		if all >= minTotalUsage {
-			s.UsageFraction = float64(s.DecayedUsage) / float64(all)
-			if s.Weight > 0 {
-				s.Factor = math.Exp2(-s.UsageFraction / s.Weight)
-			} else if s.DecayedUsage > 0 {
-				s.Factor = 0
-			}
-			s.Band = band(s.UsageFraction, s.Weight)
-		}
+	s.Factor = 1
+	if totalUsage < minTotalUsage {
+		return
 	}
-	slices.SortFunc(out, func(x, y FairShare) int {
-		return cmp.Or(cmp.Compare(y.Factor, x.Factor), cmp.Compare(x.Team, y.Team))
-	})
-	for i := range out {
-		out[i].Rank = i + 1
-		if i > 0 && out[i].Factor == out[i-1].Factor {
-			out[i].Rank = out[i-1].Rank
-		}
+	s.UsageFraction = float64(s.DecayedUsage) / float64(totalUsage)
+	if s.Weight > 0 {
+		s.Factor = math.Exp2(-s.UsageFraction / s.Weight)
+	} else if s.DecayedUsage > 0 {
+		s.Factor = 0
 	}
-	return out
+	s.Band = band(s.UsageFraction, s.Weight)
 }
 
-// DecayedUsage is a team's decayed use as of now, with what is not on record yet, in
-// CPU-microseconds by the weights.
-func (b *Accounts) DecayedUsage(now time.Time, team string) uint64 {
-	a := b.byTeam[team]
-	if a == nil {
+// band is how far a team is beyond its share: 0 within it, 1 up to twice, 2 up to four times, 3 beyond that. Teams of
+// one band compete by slack.
+func band(usageFraction, weight float64) int {
+	if usageFraction <= weight {
 		return 0
 	}
-	v := decay(a.record.DecayedUsage, now.Sub(a.asOf), b.settings.HalfLife)
-	return v + b.settings.Weights.cost(b.UnrecordedUsage(team))
+	if weight <= 0 {
+		return maxBand
+	}
+	return min(int(math.Ceil(math.Log2(usageFraction/weight))), maxBand)
 }
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -5,25 +5,36 @@
 	"time"
 )
 
-// Hashes of pages stand in their records: what is hashed, and how, stays.
-func TestPageHashesStay(t *testing.T) {
-	page := Segment{Team: "vision \"a\"", First: 3, Last: 6, Unit: Day, Start: time.Unix(1_789_948_800, 0), Prev: "00ff", Head: "11ee",
-		Usage: []ClassUsage{{Class: "train", Usage: FromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})}, {Class: "serve"}}}
+// The hashes of segments are stored: what is hashed, and how, never changes.
+func TestSegmentHashesStay(t *testing.T) {
+	train := FromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})
+	segment := Segment{
+		Team:  "vision \"a\"",
+		First: 3,
+		Last:  6,
+		Unit:  Day,
+		Start: time.Unix(1_789_948_800, 0),
+		Usage: []ClassUsage{{Class: "train", Usage: train}, {Class: "serve"}},
+		Prev:  "00ff",
+		Head:  "11ee",
+	}
 	for _, c := range []struct{ name, secret, want string }{
 		{"plain", "", "89f046485ce6e0acbb0328f2f9db589e"},
 		{"keyed", "a secret of operators", "751cc92d568d56d3dd2cc2be0271ded9"},
 	} {
-		if got := NewSeal([]byte(c.secret)).Sum(&page); got != c.want {
+		if got := NewSeal([]byte(c.secret)).Sum(&segment); got != c.want {
 			t.Errorf("%s hash: got %s, want %s", c.name, got, c.want)
 		}
 	}
-	text := "1 \"vision \\\"a\\\"\" 3 6 2 1789948800 \"00ff\" \"11ee\"\n\"train\" 1 2 3 4 5 6 7 8 9 10 11 12 13\n\"serve\" 0 0 0 0 0 0 0 0 0 0 0 0 0\n"
-	if got := string(page.canonical()); got != text {
+	text := "1 \"vision \\\"a\\\"\" 3 6 2 1789948800 \"00ff\" \"11ee\"\n" +
+		"\"train\" 1 2 3 4 5 6 7 8 9 10 11 12 13\n" +
+		"\"serve\" 0 0 0 0 0 0 0 0 0 0 0 0 0\n"
+	if got := string(segment.canonical()); got != text {
 		t.Errorf("what is hashed: got\n%s\nwant\n%s", got, text)
 	}
 }
 
-// The amounts of a record stand in this order.
+// The order of the amounts in a record, and the names of causes and units, never change.
 func TestAmountsKeepTheirOrder(t *testing.T) {
 	var list []uint64
 	for i := range uint64(13) {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -4,15 +4,17 @@
 	"errors"
 	"flag"
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 )
 
-// The same cases every time, unless another seed is asked for.
+// TestMain draws the same cases every time, unless a flag gives another seed.
 func TestMain(m *testing.M) {
-	for name, value := range map[string]string{"rapid.seed": "20260301", "rapid.checks": "400", "rapid.nofailfile": "true"} {
+	flags := map[string]string{"rapid.seed": "20260301", "rapid.checks": "400", "rapid.nofailfile": "true"}
+	for name, value := range flags {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
 		}
@@ -22,13 +24,19 @@
 
 var noon = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-func newSettings(most int) Settings {
-	return Settings{SettleInterval: 10 * time.Second, HalfLife: time.Hour, Weights: Weights{GPU: 8}, MaxRecordBytes: most,
-		Retention: Retention{Hours: 24 * time.Hour, Days: 72 * time.Hour}, Seal: NewSeal([]byte("a secret of the operators"))}
+func newSettings(maxRecordBytes int) Settings {
+	return Settings{
+		SettleInterval: 10 * time.Second,
+		HalfLife:       time.Hour,
+		Weights:        Weights{GPU: 8},
+		MaxRecordBytes: maxRecordBytes,
+		Retention:      Retention{Hours: 24 * time.Hour, Days: 72 * time.Hour},
+		Seal:           NewSeal([]byte("a secret of the operators")),
+	}
 }
 
-// fakeStore stand in for the state service: one team's account and its pages, and the
-// condition under which a settlement is carried out.
+// fakeStore stands in for the state service: it holds one team's account and its closed segments, and carries a
+// settlement out if its condition holds.
 type fakeStore struct {
 	account      StoredAccount
 	segments     []StoredSegment
@@ -36,226 +44,292 @@
 	fencingToken uint64
 }
 
-func (r *fakeStore) commit(s *Settlement, token uint64) bool {
-	if token != r.fencingToken || s.Version != r.account.Version {
+// commit carries a settlement out, and reports whether its condition held.
+func (f *fakeStore) commit(s *Settlement, fencingToken uint64) bool {
+	if fencingToken != f.fencingToken || s.Version != f.account.Version {
 		return false
 	}
-	r.revision++
-	r.account = StoredAccount{Open: s.Open, Version: r.revision}
+	f.revision++
+	f.account = StoredAccount{Open: s.Open, Version: f.revision}
 	if s.Closed != nil {
-		r.segments = append(r.segments, StoredSegment{*s.Closed, r.revision})
+		f.segments = append(f.segments, StoredSegment{Segment: *s.Closed, Version: f.revision})
 	}
 	return true
 }
 
-func (r *fakeStore) total() Usage {
-	u := Total(r.account.Open.Usage)
-	for _, p := range r.segments {
-		u.Add(Total(p.Usage))
+// total is all usage on record.
+func (f *fakeStore) total() Usage {
+	usage := Total(f.account.Open.Usage)
+	for _, segment := range f.segments {
+		usage.Add(Total(segment.Usage))
 	}
-	return u
+	return usage
 }
 
-func (r *fakeStore) verify(s *Seal) error {
-	var pages []Segment
-	for _, p := range r.segments {
-		pages = append(pages, p.Segment)
+// verify checks the chain of segments.
+func (f *fakeStore) verify(seal *Seal) error {
+	var segments []Segment
+	for _, stored := range f.segments {
+		segments = append(segments, stored.Segment)
 	}
-	last, link, err := s.Verify(pages, 0, "")
-	if err == nil && r.account.Version > 0 {
-		err = r.account.Open.VerifyOpen(last, link)
+	last, link, err := seal.Verify(segments, 0, "")
+	if err == nil && f.account.Version > 0 {
+		err = f.account.Open.VerifyOpen(last, link)
 	}
 	return err
 }
 
-// Whatever the order of charges, settlements, copies that are lost, late or doubled,
-// answers that do not come, takeovers, clocks that jump and folds: what is on record is
-// what was charged up to the last settlement that was carried out, and is chained.
+// sentSettlement is a copy of a settlement on its way to the state service.
+type sentSettlement struct {
+	settlement   *Settlement
+	fencingToken uint64
+}
+
+// id identifies the settlement, however often it is sent.
+func (s sentSettlement) id() string {
+	return fmt.Sprint(s.fencingToken, "/", s.settlement.Open.Settlements)
+}
+
+// ledgerMachine plays leaders that keep the account of team red, one after the other, over one fakeStore.
+type ledgerMachine struct {
+	settings Settings
+	store    *fakeStore
+	accounts *Accounts
+	now, day time.Time
+	copies   []sentSettlement
+	charges  map[string]Usage // of the settlements, by id
+	recorded Usage            // that has to be on record
+	charged  Usage            // by this leader, since the settlement that is pending
+}
+
+// takeOver replaces the leader: what was charged and not settled is lost.
+func (m *ledgerMachine) takeOver(*rapid.T) {
+	m.store.fencingToken++
+	var records []StoredAccount
+	if m.store.account.Version > 0 {
+		records = append(records, m.store.account)
+	}
+	m.accounts, m.charged = NewAccounts(m.now, m.settings, m.store.fencingToken, records), Usage{}
+}
+
+// commit delivers a copy of a settlement to the store.
+func (m *ledgerMachine) commit(c sentSettlement) bool {
+	if !m.store.commit(c.settlement, c.fencingToken) {
+		return false
+	}
+	m.recorded.Add(m.charges[c.id()])
+	return true
+}
+
+func (m *ledgerMachine) send(s *Settlement) sentSettlement {
+	sent := sentSettlement{settlement: s, fencingToken: m.store.fencingToken}
+	m.copies = append(m.copies, sent)
+	return sent
+}
+
+// drawCopy draws one of the copies that were sent, delivered before or not.
+func (m *ledgerMachine) drawCopy(t *rapid.T) sentSettlement {
+	if len(m.copies) == 0 {
+		t.Skip()
+	}
+	return m.copies[rapid.IntRange(0, len(m.copies)-1).Draw(t, "which")]
+}
+
+func (m *ledgerMachine) charge(t *rapid.T) {
+	usage := Usage{
+		CPU:    rapid.Uint64Range(1, 1e12).Draw(t, "cpu"),
+		GPU:    rapid.Uint64Range(0, 1e9).Draw(t, "gpu"),
+		Starts: 1,
+	}
+	usage.Wait[WaitQuota] = rapid.Uint64Range(0, 1e9).Draw(t, "wait")
+	m.accounts.Charge(m.now, "red", rapid.StringMatching(`[a-z<é]{1,30}`).Draw(t, "class"), usage)
+	m.charged.Add(usage)
+}
+
+func (m *ledgerMachine) settle(t *rapid.T) {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 7200).Draw(t, "s")) * time.Second)
+	s := m.accounts.Settle(m.now, m.day, "red")
+	if s == nil {
+		return
+	}
+	// Job classes that the segment has no room for are left for the next settlement.
+	settled, left := Total(s.charges), Total(m.accounts.byTeam["red"].unsettled)
+	all := settled
+	if all.Add(left); all != m.charged {
+		t.Fatalf("settled %+v and left %+v, want %+v together", settled, left, m.charged)
+	}
+	m.charged = left
+	m.charges[m.send(s).id()] = settled
+}
+
+// answer delivers a copy; its sender learns of the outcome if it still leads.
+func (m *ledgerMachine) answer(t *rapid.T) {
+	sent := m.drawCopy(t)
+	ok := m.commit(sent)
+	a := m.accounts.byTeam["red"]
+	if sent.fencingToken != m.store.fencingToken || a == nil || a.pending != sent.settlement {
+		return
+	}
+	if ok {
+		m.accounts.SettlementCompleted("red", m.store.account.Version)
+		return
+	}
+	m.accounts.SettlementRefused(m.now, "red")
+	for range m.accounts.Unreconciled() {
+		if again, _ := m.accounts.Reconcile("red", m.store.account); again != nil {
+			m.send(again)
+		}
+	}
+}
+
+// deliver delivers a copy late, or without an answer.
+func (m *ledgerMachine) deliver(t *rapid.T) { m.commit(m.drawCopy(t)) }
+
+func (m *ledgerMachine) jumpClock(t *rapid.T) {
+	m.day = m.day.Add(time.Duration(rapid.IntRange(-40, 60).Draw(t, "h")) * time.Hour)
+}
+
+func (m *ledgerMachine) fold(t *rapid.T) {
+	folded, first, n := Fold(&m.settings, m.store.segments, m.day, rapid.IntRange(2, 12).Draw(t, "most"))
+	if n > 0 {
+		replacement := StoredSegment{Segment: *folded, Version: m.store.revision}
+		m.store.segments = slices.Replace(m.store.segments, first, first+n, replacement)
+	}
+}
+
+func (m *ledgerMachine) check(t *rapid.T) {
+	if got := m.store.total(); got != m.recorded {
+		t.Fatalf("%+v on record, want %+v", got, m.recorded)
+	}
+	if err := m.store.verify(m.settings.Seal); err != nil {
+		t.Fatalf("chain of segments: got %v, want no error", err)
+	}
+	usage := m.store.account.Open.Usage
+	if size := RecordSize("red", usage); size > m.settings.MaxRecordBytes && len(usage) > 1 {
+		t.Fatalf("record of %d bytes, want at most %d", size, m.settings.MaxRecordBytes)
+	}
+}
+
+// Whatever the order of charges, settlements, copies that are lost, late or doubled, missing answers, failovers, clocks
+// that jump and folds: what is on record is what was charged up to the last settlement that was carried out, and the
+// segments are chained.
 func TestRecordsHoldSettledUsageInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := newSettings(rapid.IntRange(700, 2000).Draw(t, "most"))
-		rec := &fakeStore{}
-		var book *Accounts
-		var copies []struct {
-			s     *Settlement
-			token uint64
-		}
-		now, day := noon, noon
-		var want, charged Usage // on record; and charged by this leader since the settlement that is on its way
-		about := map[string]Usage{}
-		name := func(s *Settlement, token uint64) string { return fmt.Sprint(token, "/", s.Open.Settlements) }
-		takeOver := func(*rapid.T) {
-			rec.fencingToken++
-			var have []StoredAccount
-			if rec.account.Version > 0 {
-				have = append(have, rec.account)
-			}
-			book, charged = NewAccounts(now, set, rec.fencingToken, have), Usage{}
-		}
-		takeOver(nil)
-		carry := func(s *Settlement, token uint64) bool {
-			if !rec.commit(s, token) {
-				return false
-			}
-			want.Add(about[name(s, token)])
-			return true
-		}
-		send := func(s *Settlement) {
-			copies = append(copies, struct {
-				s     *Settlement
-				token uint64
-			}{s, rec.fencingToken})
-		}
-		doubt := func() {
-			book.SettlementRefused(now, "red")
-			for range book.Unreconciled() {
-				if again, _ := book.Reconcile("red", rec.account); again != nil {
-					send(again)
-				}
-			}
+		m := &ledgerMachine{
+			settings: newSettings(rapid.IntRange(700, 2000).Draw(t, "most")),
+			store:    &fakeStore{},
+			now:      noon,
+			day:      noon,
+			charges:  map[string]Usage{},
 		}
+		m.takeOver(nil)
 		t.Repeat(map[string]func(*rapid.T){
-			"charge": func(t *rapid.T) {
-				u := Usage{CPU: rapid.Uint64Range(1, 1e12).Draw(t, "cpu"), GPU: rapid.Uint64Range(0, 1e9).Draw(t, "gpu"), Starts: 1}
-				u.Wait[WaitQuota] = rapid.Uint64Range(0, 1e9).Draw(t, "wait")
-				book.Charge(now, "red", rapid.StringMatching(`[a-z<é]{1,30}`).Draw(t, "class"), u)
-				charged.Add(u)
-			},
-			"settle": func(t *rapid.T) {
-				now = now.Add(time.Duration(rapid.IntRange(0, 7200).Draw(t, "s")) * time.Second)
-				if s := book.Settle(now, day, "red"); s != nil {
-					// Classes for which the page had no room are left for the next one.
-					part, left := Total(s.charges), Total(book.byTeam["red"].unsettled)
-					all := part
-					if all.Add(left); all != charged {
-						t.Fatalf("settled %+v and left %+v of %+v", part, left, charged)
-					}
-					about[name(s, rec.fencingToken)], charged = part, left
-					send(s)
-				}
-			},
-			"answered": func(t *rapid.T) {
-				if len(copies) == 0 {
-					t.Skip()
-				}
-				c := copies[rapid.IntRange(0, len(copies)-1).Draw(t, "which")]
-				ok := carry(c.s, c.token)
-				if a := book.byTeam["red"]; c.token == rec.fencingToken && a != nil && a.pending == c.s {
-					if ok {
-						book.SettlementCompleted("red", rec.account.Version)
-					} else {
-						doubt()
-					}
-				}
-			},
-			"unanswered, or late": func(t *rapid.T) {
-				if len(copies) == 0 {
-					t.Skip()
-				}
-				c := copies[rapid.IntRange(0, len(copies)-1).Draw(t, "which")]
-				carry(c.s, c.token)
-			},
-			"takeover":    takeOver,
-			"clock jumps": func(t *rapid.T) { day = day.Add(time.Duration(rapid.IntRange(-40, 60).Draw(t, "h")) * time.Hour) },
-			"fold": func(t *rapid.T) {
-				into, from, n := Fold(&set, rec.segments, day, rapid.IntRange(2, 12).Draw(t, "most"))
-				if n > 0 {
-					rec.segments = append(rec.segments[:from:from], append([]StoredSegment{{*into, rec.revision}}, rec.segments[from+n:]...)...)
-				}
-			},
-			"": func(t *rapid.T) {
-				if got := rec.total(); got != want {
-					t.Fatalf("on record %+v, settled %+v", got, want)
-				}
-				if err := rec.verify(set.Seal); err != nil {
-					t.Fatal(err)
-				}
-				if n := RecordSize("red", rec.account.Open.Usage); n > set.MaxRecordBytes && len(rec.account.Open.Usage) > 1 {
-					t.Fatalf("a record of %d bytes", n)
-				}
-			},
+			"charge":              m.charge,
+			"settle":              m.settle,
+			"answered":            m.answer,
+			"unanswered, or late": m.deliver,
+			"takeover":            m.takeOver,
+			"clock jumps":         m.jumpClock,
+			"fold":                m.fold,
+			"":                    m.check,
 		})
 	})
 }
 
 func TestVerifyReportsChangedAndMissingSegments(t *testing.T) {
-	set := newSettings(2000)
-	b := NewAccounts(noon, set, 1, nil)
-	rec := &fakeStore{fencingToken: 1}
+	settings := newSettings(2000)
+	accounts := NewAccounts(noon, settings, 1, nil)
+	store := &fakeStore{fencingToken: 1}
 	now := noon
 	for hour := range 6 {
-		b.Charge(now, "red", "work", Usage{CPU: uint64(hour + 1)})
-		s := b.Settle(now, now, "red")
-		if !rec.commit(s, 1) {
-			t.Fatal("not carried out")
+		accounts.Charge(now, "red", "work", Usage{CPU: uint64(hour + 1)})
+		s := accounts.Settle(now, now, "red")
+		if !store.commit(s, 1) {
+			t.Fatalf("settlement %d was not carried out, want that it is", hour)
 		}
-		b.SettlementCompleted("red", rec.account.Version)
+		accounts.SettlementCompleted("red", store.account.Version)
 		now = now.Add(time.Hour)
 	}
-	if err := rec.verify(set.Seal); err != nil || len(rec.segments) != 5 {
-		t.Fatalf("%d pages, %v", len(rec.segments), err)
+	if err := store.verify(settings.Seal); err != nil || len(store.segments) != 5 {
+		t.Fatalf("%d segments and %v, want 5 and no error", len(store.segments), err)
 	}
-	broken := func(what string, want error, change func(r *fakeStore, s **Seal)) {
-		r, s := *rec, set.Seal
-		r.segments = append([]StoredSegment(nil), rec.segments...)
-		change(&r, &s)
-		if err := r.verify(s); !errors.Is(err, want) {
-			t.Errorf("%s: %v", what, err)
+	for _, c := range []struct {
+		name   string
+		want   error
+		change func(f *fakeStore, seal **Seal)
+	}{
+		{"another amount", ErrChanged, func(f *fakeStore, _ **Seal) {
+			f.segments[2].Usage = []ClassUsage{{Class: "work", Usage: Usage{CPU: 99}}}
+		}},
+		{"a segment is missing", ErrGap, func(f *fakeStore, _ **Seal) {
+			f.segments = slices.Delete(f.segments, 2, 3)
+		}},
+		{"the last segment is missing", ErrGap, func(f *fakeStore, _ **Seal) {
+			f.segments = f.segments[:4]
+		}},
+		{"a segment is replaced without the key", ErrChanged, func(f *fakeStore, _ **Seal) {
+			f.segments[4].Usage = nil
+			f.segments[4].Sum = NewSeal(nil).Sum(&f.segments[4].Segment)
+		}},
+		{"another key", ErrChanged, func(_ *fakeStore, seal **Seal) {
+			*seal = NewSeal([]byte("some other secret"))
+		}},
+	} {
+		changed, seal := *store, settings.Seal
+		changed.segments = slices.Clone(store.segments)
+		c.change(&changed, &seal)
+		if err := changed.verify(seal); !errors.Is(err, c.want) {
+			t.Errorf("%s: got %v, want %v", c.name, err, c.want)
 		}
 	}
-	broken("an amount", ErrChanged, func(r *fakeStore, _ **Seal) { r.segments[2].Usage = []ClassUsage{{"work", Usage{CPU: 99}}} })
-	broken("a page less", ErrGap, func(r *fakeStore, _ **Seal) { r.segments = append(r.segments[:2:2], r.segments[3:]...) })
-	broken("the last page less", ErrGap, func(r *fakeStore, _ **Seal) { r.segments = r.segments[:4] })
-	broken("a page made anew without the key", ErrChanged, func(r *fakeStore, _ **Seal) {
-		r.segments[4].Usage = nil
-		r.segments[4].Sum = NewSeal(nil).Sum(&r.segments[4].Segment)
-	})
-	broken("another key", ErrChanged, func(_ *fakeStore, s **Seal) { *s = NewSeal([]byte("some other secret")) })
 }
 
+// cpuHours is the usage of a number of CPU-hours.
+func cpuHours(n uint64) Usage { return Usage{CPU: n * 3600 * 1_000_000} }
+
 func TestFairShareDecaysAndSavesNothingUp(t *testing.T) {
-	b := NewAccounts(noon, newSettings(2000), 1, nil)
+	accounts := NewAccounts(noon, newSettings(2000), 1, nil)
 	weights := map[string]float64{"red": 1, "blue": 1, "new": 2}
-	hours := func(n uint64) Usage { return Usage{CPU: n * 3600 * 1_000_000} }
-	b.Charge(noon, "red", "work", hours(300))
-	at := func(now time.Time) map[string]FairShare {
-		out := map[string]FairShare{}
-		for _, s := range FairShares(weights, func(team string) uint64 { return b.DecayedUsage(now, team) }) {
-			out[s.Team] = s
+	sharesAt := func(now time.Time) map[string]FairShare {
+		byTeam := map[string]FairShare{}
+		decayedUsage := func(team string) uint64 { return accounts.DecayedUsage(now, team) }
+		for _, share := range FairShares(weights, decayedUsage) {
+			byTeam[share.Team] = share
 		}
-		return out
+		return byTeam
 	}
-	s := b.Settle(noon, noon, "red")
-	b.SettlementCompleted("red", 1)
-	if s.Open.DecayedUsage != hours(300).CPU {
-		t.Fatalf("decayed use %d", s.Open.DecayedUsage)
+	accounts.Charge(noon, "red", "work", cpuHours(300))
+	s := accounts.Settle(noon, noon, "red")
+	accounts.SettlementCompleted("red", 1)
+	if got, want := s.Open.DecayedUsage, cpuHours(300).CPU; got != want {
+		t.Fatalf("decayed usage is %d, want %d", got, want)
 	}
-	now := at(noon)
-	if now["red"].Band == 0 || now["red"].Rank != 3 || now["red"].Factor >= 0.5 {
-		t.Errorf("a team that has used everything: %+v", now["red"])
+	shares := sharesAt(noon)
+	if red := shares["red"]; red.Band == 0 || red.Rank != 3 || red.Factor >= 0.5 {
+		t.Errorf("a team that has used everything: got %+v, want a band above 0, rank 3, a factor below 1/2", red)
 	}
-	// Blue was idle for weeks; it stands where a team stands that never ran.
-	if now["blue"].Factor != 1 || now["new"].Factor != 1 || now["blue"].Rank != now["new"].Rank {
-		t.Errorf("idle %+v, never ran %+v", now["blue"], now["new"])
+	// Blue was idle for weeks; it ranks like a team that never ran anything.
+	if blue, never := shares["blue"], shares["new"]; blue.Factor != 1 || never.Factor != 1 || blue.Rank != never.Rank {
+		t.Errorf("idle %+v, never ran %+v; want the factor 1 and the same rank", blue, never)
 	}
-	if got := b.DecayedUsage(noon.Add(time.Hour), "red"); got != hours(150).CPU {
-		t.Errorf("after a half-life %d", got)
+	if got, want := accounts.DecayedUsage(noon.Add(time.Hour), "red"), cpuHours(150).CPU; got != want {
+		t.Errorf("decayed usage after a half-life is %d, want %d", got, want)
 	}
 	// Blue works at an eighth of the pace: red is back within its share by the half-life.
-	b.Charge(noon, "blue", "work", hours(40))
+	accounts.Charge(noon, "blue", "work", cpuHours(40))
 	back := time.Duration(0)
-	for at(noon.Add(back))["red"].Band > 0 && back < 24*time.Hour {
+	for sharesAt(noon.Add(back))["red"].Band > 0 && back < 24*time.Hour {
 		back += 10 * time.Minute
-		b.Charge(noon.Add(back), "blue", "work", hours(10))
-		b.Charge(noon.Add(back), "new", "work", hours(20))
+		accounts.Charge(noon.Add(back), "blue", "work", cpuHours(10))
+		accounts.Charge(noon.Add(back), "new", "work", cpuHours(20))
 	}
 	if back == 0 || back > 4*time.Hour {
-		t.Errorf("back within its share after %v with a half-life of an hour", back)
+		t.Errorf("back within its share after %v with a half-life of an hour, want up to four hours", back)
 	}
-	// The steady clock alone counts: a jump of the time of day by hours decays nothing.
-	before := b.DecayedUsage(noon, "red")
-	b.Charge(noon, "red", "work", Usage{CPU: 1})
-	if s := b.Settle(noon, noon.Add(9*time.Hour), "red"); s.Open.DecayedUsage != before+1 {
-		t.Errorf("decayed %d by a jump of the time of day, from %d", s.Open.DecayedUsage, before)
+	// Only the monotonic clock counts: a jump of the time of day by hours decays nothing.
+	before := accounts.DecayedUsage(noon, "red")
+	accounts.Charge(noon, "red", "work", Usage{CPU: 1})
+	if s := accounts.Settle(noon, noon.Add(9*time.Hour), "red"); s.Open.DecayedUsage != before+1 {
+		t.Errorf("decayed usage after a jump of the time of day is %d, want %d", s.Open.DecayedUsage, before+1)
 	}
 }
--- a/internal/ledger/usage.go
+++ b/internal/ledger/usage.go
@@ -1,8 +1,3 @@
-// Package ledger keeps who used what, and why who waited: amounts in integers, one
-// account a team, pages that are chained by their hashes, and a share that forgets.
-// It is pure: values in, records and decisions out; no input or output, no clock.
-// docs/ledger.md tells what counts and why; docs/safety.md, "Ledger", why nothing is
-// charged twice.
 package ledger
 
 import (
@@ -17,136 +12,151 @@
 // WaitCause says why tasks wait.
 type WaitCause uint8
 
-// The causes of waiting, in the order in which records hold them. New ones go behind.
+// The causes of waiting, in the order in which records hold them. New ones are appended.
 const (
-	WaitQuota        WaitCause = iota // the team is at its limit
-	WaitGuarantee                     // others' guarantees and production go first
-	WaitCapacity                      // no machine that fits has room
-	WaitFairShare                     // teams below their fair share go first
+	WaitQuota        WaitCause = iota // the team's quota is used up
+	WaitGuarantee                     // production and work within other teams' guarantees are served first
+	WaitCapacity                      // no feasible machine has room
+	WaitFairShare                     // teams further below their fair share are served first
 	WaitDependencies                  // other jobs have to be done first
-	WaitBackoff                       // it failed, and is tried again later
+	WaitBackoff                       // a failed task is retried later
 	WaitFailover                      // a new leader does not know yet what runs where
-	NumWaitCauses                     // how many there are
+	NumWaitCauses                     // the number of causes
 )
 
-func (c WaitCause) String() string {
-	return [...]string{"limit", "guarantee", "room", "share", "awaits", "backoff", "takeover", "causes"}[c]
+// waitCauseNames are the causes as users and operators read them.
+var waitCauseNames = [...]string{
+	WaitQuota:        "limit",
+	WaitGuarantee:    "guarantee",
+	WaitCapacity:     "room",
+	WaitFairShare:    "share",
+	WaitDependencies: "awaits",
+	WaitBackoff:      "backoff",
+	WaitFailover:     "takeover",
+	NumWaitCauses:    "causes",
 }
 
-// Usage is what was used and waited for. Sums of it are exact: it holds integers.
+func (c WaitCause) String() string { return waitCauseNames[c] }
+
+// Usage is what was used and waited for. It holds integers, so that sums are exact.
 type Usage struct {
 	CPU       uint64                // CPU-microseconds
 	GPU       uint64                // GPU-microseconds
 	Mem       uint64                // GB-microseconds
-	Lost      uint64                // CPU-microseconds of attempts that neither completed nor saved
+	Lost      uint64                // CPU-microseconds of attempts that neither completed nor saved a checkpoint
 	Starts    uint64                // attempts that began to run
-	TakenOver uint64                // attempts that a new leader found running: they began or ended unseen
+	TakenOver uint64                // attempts that a new leader found running: they began or ended unobserved
 	Wait      [NumWaitCauses]uint64 // task-milliseconds, by cause
 }
 
 // Add adds another amount.
-func (u *Usage) Add(o Usage) {
-	u.CPU += o.CPU
-	u.GPU += o.GPU
-	u.Mem += o.Mem
-	u.Lost += o.Lost
-	u.Starts += o.Starts
-	u.TakenOver += o.TakenOver
+func (u *Usage) Add(other Usage) {
+	u.CPU += other.CPU
+	u.GPU += other.GPU
+	u.Mem += other.Mem
+	u.Lost += other.Lost
+	u.Starts += other.Starts
+	u.TakenOver += other.TakenOver
 	for i := range u.Wait {
-		u.Wait[i] += o.Wait[i]
+		u.Wait[i] += other.Wait[i]
 	}
 }
 
-// numbers lists the amounts in the order of the records.
-func (u *Usage) numbers() []*uint64 {
-	out := []*uint64{&u.CPU, &u.GPU, &u.Mem, &u.Lost, &u.Starts, &u.TakenOver}
+// fields lists the amounts in the order of the records.
+func (u *Usage) fields() []*uint64 {
+	fields := []*uint64{&u.CPU, &u.GPU, &u.Mem, &u.Lost, &u.Starts, &u.TakenOver}
 	for i := range u.Wait {
-		out = append(out, &u.Wait[i])
+		fields = append(fields, &u.Wait[i])
 	}
-	return out
+	return fields
 }
 
 // Numbers lists the amounts in the order of the records.
 func (u Usage) Numbers() []uint64 {
-	var out []uint64
-	for _, n := range u.numbers() {
-		out = append(out, *n)
+	var numbers []uint64
+	for _, field := range u.fields() {
+		numbers = append(numbers, *field)
 	}
-	return out
+	return numbers
 }
 
-// FromNumbers reads amounts in the order of the records. What is missing is zero; what
-// a later version has put behind is left out.
-func FromNumbers(list []uint64) (u Usage) {
-	for i, n := range u.numbers() {
-		if i < len(list) {
-			*n = list[i]
+// FromNumbers is the inverse of Numbers. Missing amounts are zero; those that a later version has appended are ignored.
+func FromNumbers(numbers []uint64) (u Usage) {
+	for i, field := range u.fields() {
+		if i < len(numbers) {
+			*field = numbers[i]
 		}
 	}
 	return u
 }
 
-// Rate is what a task takes of its machine, in thousandths.
+// Rate is what a task takes of its machine, in thousandths of a CPU, a GPU and a GB.
 type Rate struct{ CPU, GPU, Mem uint64 }
 
-// RateOf rounds a request to thousandths of a CPU, a GPU and a GB.
-func RateOf(r model.Resources) Rate {
-	milli := func(v float64) uint64 { return uint64(math.Round(max(v, 0) * 1000)) }
-	return Rate{milli(r.CPU), milli(r.GPU), milli(r.MemGB)}
+// unitsPerResource is how many units of a Rate are one CPU, GPU or GB.
+const unitsPerResource = 1000
+
+// RateOf rounds a demand to a rate.
+func RateOf(demand model.Resources) Rate {
+	round := func(amount float64) uint64 { return uint64(math.Round(max(amount, 0) * unitsPerResource)) }
+	return Rate{CPU: round(demand.CPU), GPU: round(demand.GPU), Mem: round(demand.MemGB)}
 }
 
-// Usage is what is used at the rate in some milliseconds: a thousandth of a CPU for a
-// millisecond is a CPU-microsecond, so nothing is rounded here.
-func (r Rate) Usage(ms uint64) Usage { return Usage{CPU: r.CPU * ms, GPU: r.GPU * ms, Mem: r.Mem * ms} }
+// Usage is what is used at the rate in some milliseconds. Nothing is rounded: a thousandth of a CPU for a millisecond
+// is a CPU-microsecond.
+func (r Rate) Usage(ms uint64) Usage {
+	return Usage{CPU: r.CPU * ms, GPU: r.GPU * ms, Mem: r.Mem * ms}
+}
 
-// ClassUsage is what one class of jobs of a team used in the time of a page.
+// ClassUsage is the usage of one job class of a team.
 type ClassUsage struct {
 	Class string
 	Usage
 }
 
-// AddUsage adds an amount to the cell of a class; cells are in the order of their classes.
-func AddUsage(cells []ClassUsage, class string, u Usage) []ClassUsage {
-	i, ok := slices.BinarySearchFunc(cells, class, func(c ClassUsage, class string) int { return strings.Compare(c.Class, class) })
-	if !ok {
-		cells = slices.Insert(cells, i, ClassUsage{Class: class})
+// AddUsage adds an amount to that of a job class in a list that is sorted by class.
+func AddUsage(list []ClassUsage, class string, usage Usage) []ClassUsage {
+	i, found := slices.BinarySearchFunc(list, class, func(c ClassUsage, class string) int {
+		return strings.Compare(c.Class, class)
+	})
+	if !found {
+		list = slices.Insert(list, i, ClassUsage{Class: class})
 	}
-	cells[i].Add(u)
-	return cells
+	list[i].Add(usage)
+	return list
 }
 
-// Total is the sum of cells.
-func Total(cells []ClassUsage) (u Usage) {
-	for _, c := range cells {
-		u.Add(c.Usage)
+// Total is the usage of all job classes.
+func Total(list []ClassUsage) (total Usage) {
+	for _, class := range list {
+		total.Add(class.Usage)
 	}
-	return u
+	return total
 }
 
-// Interval is a time that no leader accounted for, as the time of day names it: from the
-// last settlement of the leader before to the takeover of the next one that keeps a
-// ledger.
+// Interval is a time that no leader accounted for: from the last settlement of one leader to the takeover of the next
+// one that keeps a ledger. Its ends are times of day.
 type Interval struct {
 	Start, End       time.Time
 	FencingToken     uint64 // of the leader that took over
-	UnsettledLeaders uint64 // leaderships in between that settled nothing: of versions without a ledger, or too short
+	UnsettledLeaders uint64 // leaders in between that settled nothing, for lack of a ledger or of time
 }
 
-// Weights say what counts towards a team's decayed use.
+// Weights say what counts towards a team's decayed usage.
 type Weights struct {
-	GPU float64 // a GPU counts as this many CPUs
-	Mem float64 // a GB counts as this many CPUs
+	GPU float64 // CPUs that a GPU counts as
+	Mem float64 // CPUs that a GB counts as
 }
 
-// cost is an amount in CPU-microseconds by the weights.
+// cost is an amount in weighted CPU-microseconds.
 func (w Weights) cost(u Usage) uint64 {
 	return u.CPU + uint64(float64(u.GPU)*w.GPU) + uint64(float64(u.Mem)*w.Mem)
 }
 
-// decay is what is left of an amount after some time, which halves it in each half-life.
-func decay(v uint64, after, half time.Duration) uint64 {
-	if after <= 0 || half <= 0 || v == 0 {
-		return v
+// decay is what is left of an amount after some time, by its half-life.
+func decay(amount uint64, after, halfLife time.Duration) uint64 {
+	if after <= 0 || halfLife <= 0 || amount == 0 {
+		return amount
 	}
-	return uint64(float64(v) * math.Exp2(-float64(after)/float64(half)))
+	return uint64(float64(amount) * math.Exp2(-float64(after)/float64(halfLife)))
 }
