--- a/internal/election/clone.go
+++ b/internal/election/clone.go
@@ -7,51 +7,72 @@
 	"time"
 )
 
-// Clone is the same machine, which goes its own way from here on.
+// Clone returns an independent copy. The model checker uses it to follow every course of events.
 func (m *StateMachine) Clone() *StateMachine {
 	out := *m
 	out.votes.notLeading, out.votes.received = maps.Clone(m.votes.notLeading), maps.Clone(m.votes.received)
 	return &out
 }
 
-// AppendKey appends what the machine's further course hangs on: two with the same key, in the
-// same surroundings, do the same. Times count as they are from now.
+// AppendKey appends a key of all that determines the state machine's further behaviour: two with
+// the same key behave alike in the same surroundings. Times count relative to now.
 func (m *StateMachine) AppendKey(b []byte, now time.Time) []byte {
-	at := func(ts ...time.Time) {
-		for _, t := range ts {
-			// What lies a minute off has no say any more, and a zero time lies further.
-			b = binary.AppendVarint(b, int64(min(max(t.Sub(now), -time.Minute), time.Minute)))
-		}
+	k := keyWriter{b: b, now: now}
+	v := &m.votes
+	k.b = append(k.b, byte(m.state), byte(v.state))
+	k.text(m.leader)
+	k.text(v.castFor)
+	k.times(m.nextActionAt, m.lease.renewalSentAt, m.noClaimBefore)
+	k.times(v.blockedUntil, v.recoveryUntil, v.castAt, v.nextRequestAt)
+	k.numbers(m.lease.id, m.lease.fencingToken, m.lease.tokenVersion)
+	k.numbers(v.castToken, v.castSeq, v.highestToken, v.requestSeq, v.waivedSeq)
+	k.numbers(uint64(m.level.inForce), uint64(m.level.recorded), m.level.version)
+	k.numbers(uint64(m.level.proposed), uint64(m.level.claimed))
+	k.flag(m.lease.renewing)
+	k.flag(v.extended)
+	for _, peer := range slices.Sorted(maps.Keys(v.notLeading)) {
+		k.text(peer)
 	}
-	text := func(s string) { b = append(append(b, byte(len(s))), s...) }
-	num := func(ns ...uint64) {
-		for _, n := range ns {
-			b = binary.AppendUvarint(b, n)
-		}
+	k.end()
+	for _, peer := range slices.Sorted(maps.Keys(v.received)) {
+		k.text(peer)
+		k.times(v.received[peer].validUntil, v.received[peer].startsUntil)
 	}
-	flag := func(f bool) {
-		if f {
-			b = append(b, 1)
-		} else {
-			b = append(b, 0)
-		}
+	k.end()
+	return k.b
+}
+
+// keyWriter appends values to a key.
+type keyWriter struct {
+	b   []byte
+	now time.Time
+}
+
+// keyHorizon is how far from now a time may lie and still make a difference. A zero time lies
+// farther.
+const keyHorizon = time.Minute
+
+func (k *keyWriter) times(times ...time.Time) {
+	for _, t := range times {
+		k.b = binary.AppendVarint(k.b, int64(min(max(t.Sub(k.now), -keyHorizon), keyHorizon)))
 	}
-	p := &m.votes
-	b = append(b, byte(m.state), byte(p.state))
-	text(m.leader)
-	text(p.castFor)
-	at(m.nextActionAt, m.renewalSentAt, m.noClaimBefore, p.blockedUntil, p.recoveryUntil, p.castAt, p.nextRequestAt)
-	num(m.leaseID, m.fencingToken, m.tokenVersion, p.castToken, p.castSeq, p.highestToken, p.requestSeq, p.waivedSeq)
-	num(uint64(m.level), uint64(m.recordedLevel), m.levelVersion, uint64(m.proposedLevel), uint64(m.claimedLevel))
-	flag(m.renewing)
-	flag(p.extended)
-	for _, o := range slices.Sorted(maps.Keys(p.notLeading)) {
-		text(o)
+}
+
+func (k *keyWriter) numbers(numbers ...uint64) {
+	for _, n := range numbers {
+		k.b = binary.AppendUvarint(k.b, n)
 	}
-	b = append(b, 0)
-	for _, o := range slices.Sorted(maps.Keys(p.received)) {
-		text(o)
-		at(p.received[o].validUntil, p.received[o].startsUntil)
+}
+
+func (k *keyWriter) text(s string) { k.b = append(append(k.b, byte(len(s))), s...) }
+
+func (k *keyWriter) flag(f bool) {
+	var bit byte
+	if f {
+		bit = 1
 	}
-	return append(b, 0)
+	k.b = append(k.b, bit)
 }
+
+// end closes a list.
+func (k *keyWriter) end() { k.b = append(k.b, 0) }
