--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -4,8 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
-	"log/slog"
 	"strings"
 	"testing"
 	"time"
@@ -23,8 +21,8 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// recorder stands in for the state service: it writes every request down, and answers with what it is given for a path,
-// or that the key isn't there.
+// recorder stands in for the state service. It records every request, and answers with what it is
+// given for a path, or that the key does not exist.
 type recorder struct {
 	t        *testing.T
 	answers  map[string][]byte // by the beginning of "METHOD path"
@@ -45,7 +43,7 @@
 	return nil, &rpc.StatusError{Status: 404}
 }
 
-func decodeLeaderRecord(t *testing.T) (*recorder, *store.Client) {
+func newRecorder(t *testing.T) (*recorder, *store.Client) {
 	t.Helper()
 	number := func(key string) []byte {
 		return msgp.AppendUint64(msgp.AppendString(msgp.AppendMapHeader(nil, 1), key), 77)
@@ -60,26 +58,35 @@
 // Every request to the state service: its path, the keys and conditions of its transaction, and the records in it.
 func TestStateServiceRequestsKeepTheirBytes(t *testing.T) {
 	at := time.UnixMilli(1_790_000_000_123)
-	cell := []ledger.ClassUsage{{Class: "train", Usage: ledger.FromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})}}
-	open := ledger.OpenSegment{Team: "vision/a b", Number: 4, Settlements: 9, FencingToken: 41, Start: at, SettledAt: at, Usage: cell, Prev: "00ff", DecayedUsage: 5}
-	page := ledger.Segment{Team: "vision/a b", First: 3, Last: 3, Unit: ledger.Hour, Start: at, Usage: cell, Prev: "00ff", Sum: "22dd"}
+	usage := ledger.FromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})
+	cell := []ledger.ClassUsage{{Class: "train", Usage: usage}}
+	open := ledger.OpenSegment{Team: "vision/a b", Number: 4, Settlements: 9, FencingToken: 41,
+		Start: at, SettledAt: at, Usage: cell, Prev: "00ff", DecayedUsage: 5}
+	page := ledger.Segment{Team: "vision/a b", First: 3, Last: 3, Unit: ledger.Hour,
+		Start: at, Usage: cell, Prev: "00ff", Sum: "22dd"}
 	next := page
 	next.First, next.Last = 4, 4
 	into := page
 	into.Last, into.Unit, into.Head = 4, ledger.Day, "11ee"
 	interval := ledger.Interval{Start: at, End: at.Add(time.Minute), FencingToken: 41, UnsettledLeaders: 2}
+	const id = "wk-000412"
+	bits := []byte{0xff, 0x5a}
+	numbered, span := model.Chunk{Number: 6}, model.Chunk{StartsAtTask: true, Number: 2048}
 	machine := model.MachineInfo{Name: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true}
 	spec := func(awaits int) *model.Spec {
-		s := &model.Spec{ID: "wk-000412", Class: "train", Team: "vision", Shape: model.Gang, Priority: model.PriorityHigh, Tasks: 16,
-			Demand: model.Resources{CPU: 8, GPU: 1, MemGB: 64}}
+		s := &model.Spec{ID: "wk-000412", Class: "train", Team: "vision", Shape: model.Gang,
+			Priority: model.PriorityHigh, Tasks: 16, Demand: model.Resources{CPU: 8, GPU: 1, MemGB: 64}}
 		for i := range awaits {
 			s.Dependencies = append(s.Dependencies, fmt.Sprintf("wk-%06d", i))
 		}
 		return s
 	}
-	batch := store.RelayBatch{Member: "tiller-1", RelayBatch: wire.RelayBatch{Incarnation: 7, Seq: 12, Payload: "AQNhYmM"}}
+	batch := store.RelayBatch{
+		Member:     "tiller-1",
+		RelayBatch: wire.RelayBatch{Incarnation: 7, Seq: 12, Payload: "AQNhYmM"},
+	}
 	jobs := func(c *store.Client) *store.JobCache {
-		return store.NewJobCache(c, 7, 100, store.Limits{MaxValueBytes: 2048, MaxChanges: 4}, func([]store.JobChange) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		return newEmptyCache(c, 7, 100, lowestLimits)
 	}
 	ctx := context.Background()
 	commit := func(saves ...reconciler.Change) func(c *store.Client) error {
@@ -92,21 +99,31 @@
 		name string
 		call func(c *store.Client) error
 	}{
-		{"machine", commit(reconciler.Change{Kind: reconciler.PutMachine, Machine: machine}, reconciler.Change{Kind: reconciler.DeleteMachine, Machine: machine})},
+		{"machine", commit(
+			reconciler.Change{Kind: reconciler.PutMachine, Machine: machine},
+			reconciler.Change{Kind: reconciler.DeleteMachine, Machine: machine})},
 		{"finished-tasks", commit(
-			reconciler.Change{Kind: reconciler.PutTasks, Job: "wk-000412", Chunk: model.Chunk{Number: 6}, FinishedBits: []byte{0xff, 0x5a}},
-			reconciler.Change{Kind: reconciler.PutTasks, Job: "wk-000412", Chunk: model.Chunk{StartsAtTask: true, Number: 2048}, FinishedBits: []byte{0xff, 0x5a}},
-			reconciler.Change{Kind: reconciler.DeleteTasks, Job: "wk-000412", Chunk: model.Chunk{Number: 6}},
-			reconciler.Change{Kind: reconciler.DeleteTasks, Job: "wk-000412", Chunk: model.Chunk{StartsAtTask: true, Number: 2048}})},
+			reconciler.Change{Kind: reconciler.PutTasks, Job: id, Chunk: numbered, FinishedBits: bits},
+			reconciler.Change{Kind: reconciler.PutTasks, Job: id, Chunk: span, FinishedBits: bits},
+			reconciler.Change{Kind: reconciler.DeleteTasks, Job: id, Chunk: numbered},
+			reconciler.Change{Kind: reconciler.DeleteTasks, Job: id, Chunk: span})},
 		{"layout", commit(reconciler.Change{Kind: reconciler.PutChunkLayout, Tasks: 16384})},
-		{"gpu-request", commit(reconciler.Change{Kind: reconciler.PutGPUDemand, GPUDemand: model.Resources{CPU: 8, GPU: 0.5, MemGB: 1e8}})},
-		{"job-done", commit(reconciler.Change{Kind: reconciler.CompleteJob, Job: "wk-000412", Version: 3, Tasks: 16, At: at})},
-		{"job-doomed", commit(reconciler.Change{Kind: reconciler.CancelDependent, Job: "wk-000412", Version: 3, Tasks: 16, At: at})},
-		{"awaits-dropped", commit(reconciler.Change{Kind: reconciler.DeleteDependencies, Job: "wk-000412", Key: "job/w/wk-000412/ff/0"})},
-		{"ledger-settled", commit(reconciler.Change{Kind: reconciler.SettleAccount, Settlement: &ledger.Settlement{Version: 5, Open: open, Closed: &page}})},
+		{"gpu-request", commit(reconciler.Change{
+			Kind: reconciler.PutGPUDemand, GPUDemand: model.Resources{CPU: 8, GPU: 0.5, MemGB: 1e8}})},
+		{"job-done", commit(reconciler.Change{
+			Kind: reconciler.CompleteJob, Job: id, Version: 3, Tasks: 16, At: at})},
+		{"job-doomed", commit(reconciler.Change{
+			Kind: reconciler.CancelDependent, Job: id, Version: 3, Tasks: 16, At: at})},
+		{"awaits-dropped", commit(reconciler.Change{
+			Kind: reconciler.DeleteDependencies, Job: id, Key: "job/w/wk-000412/ff/0"})},
+		{"ledger-settled", commit(reconciler.Change{Kind: reconciler.SettleAccount,
+			Settlement: &ledger.Settlement{Version: 5, Open: open, Closed: &page}})},
 		{"ledger-unaccounted", commit(reconciler.Change{Kind: reconciler.PutUnaccounted, Unaccounted: &interval})},
-		{"ledger-folded", commit(reconciler.Change{Kind: reconciler.CompactAccount, Compaction: &reconciler.Compaction{
-			Sources: []ledger.StoredSegment{{Segment: page, Version: 5}, {Segment: next, Version: 6}}, Result: &into}})},
+		{"ledger-folded", commit(reconciler.Change{Kind: reconciler.CompactAccount,
+			Compaction: &reconciler.Compaction{
+				Sources: []ledger.StoredSegment{{Segment: page, Version: 5}, {Segment: next, Version: 6}},
+				Result:  &into,
+			}})},
 		{"ledger-read", func(c *store.Client) error {
 			_, err := c.Accounts(ctx)
 			_, aerr := c.Account(ctx, strings.Repeat("long ", 60))
@@ -115,7 +132,8 @@
 			return errors.Join(err, aerr, perr, serr)
 		}},
 		{"leader-claimed", func(c *store.Client) error {
-			_, _, err := c.ClaimLeadership(ctx, "tiller-1", election.Claim{FencingToken: 41, TokenVersion: 12, LevelVersion: 3, LeaseID: 9, NewLevel: 1})
+			_, _, err := c.ClaimLeadership(ctx, "tiller-1", election.Claim{
+				FencingToken: 41, TokenVersion: 12, LevelVersion: 3, LeaseID: 9, NewLevel: 1})
 			return err
 		}},
 		{"leader-claimed-first", func(c *store.Client) error {
@@ -133,7 +151,8 @@
 			return errors.Join(err, werr, lerr)
 		}},
 		{"member-announced", func(c *store.Client) error {
-			err := c.PublishMember(ctx, 9, featuregate.Member{Name: "tiller-1", Release: "1.2.3", Supported: 1, Incarnation: 7})
+			err := c.PublishMember(ctx, 9, featuregate.Member{
+				Name: "tiller-1", Release: "1.2.3", Supported: 1, Incarnation: 7})
 			_, rerr := c.ListMembers(ctx)
 			return errors.Join(err, rerr)
 		}},
@@ -168,7 +187,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, client := decodeLeaderRecord(t)
+			r, client := newRecorder(t)
 			if err := c.call(client); err != nil {
 				t.Error(err)
 			}
@@ -176,9 +195,10 @@
 		})
 	}
 	t.Run("job-cancelled", func(t *testing.T) {
-		r, client := decodeLeaderRecord(t)
+		r, client := newRecorder(t)
 		entry := msgp.AppendString(msgp.AppendString(msgp.AppendMapHeader(nil, 3), "k"), "job/a/wk-000412")
-		entry = append(msgp.AppendString(entry, "value"), wire.AppendActiveJob(nil, spec(0), at, nil, wire.DependencyParts{})...)
+		record := wire.AppendActiveJob(nil, spec(0), at, nil, wire.DependencyParts{})
+		entry = append(msgp.AppendString(entry, "value"), record...)
 		r.answers["GET /keys/job/a/wk-000412"] = msgp.AppendUint64(msgp.AppendString(entry, "stamp"), 3)
 		if _, err := jobs(client).Cancel(ctx, "wk-000412", at); err != nil {
 			t.Error(err)
--- /dev/null
+++ b/internal/store/helpers_test.go
@@ -0,0 +1,69 @@
+package store_test
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/glentiller/glentiller/internal/fake"
+	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/store"
+	"github.com/glentiller/glentiller/internal/wire"
+)
+
+var (
+	lowestLimits   = store.Limits{MaxValueBytes: 2048, MaxChanges: 4}
+	ordinaryLimits = store.Limits{MaxValueBytes: 16 << 10, MaxChanges: 12}
+)
+
+// newTestStore returns a state service with the lowest limits, and a client of it.
+func newTestStore() (*fake.State, *store.Client) {
+	now := time.Unix(1000, 0)
+	s := fake.NewState(func() time.Time { return now })
+	s.MaxValueBytes, s.MaxOps = lowestLimits.MaxValueBytes, lowestLimits.MaxChanges
+	c := store.NewOver(s, s, time.Second)
+	c.SetRateLimits(1e9, 1e9)
+	return s, c
+}
+
+// newEmptyCache returns a cache that has not been loaded.
+func newEmptyCache(c *store.Client, incarnation uint64, maxEnded int, limits store.Limits) *store.JobCache {
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	return store.NewJobCache(c, incarnation, maxEnded, limits, func([]store.JobChange) {}, log)
+}
+
+// newTestCache returns a loaded cache of one incarnation of a member.
+func newTestCache(t *testing.T, c *store.Client, incarnation uint64, maxEnded int) *store.JobCache {
+	t.Helper()
+	j := newEmptyCache(c, incarnation, maxEnded, ordinaryLimits)
+	if err := j.Refresh(context.Background()); err != nil {
+		t.Fatalf("Refresh: got error %v, want none", err)
+	}
+	return j
+}
+
+// newTestSpec returns a job of one task.
+func newTestSpec(id string) *model.Spec {
+	return &model.Spec{
+		ID: id, Class: "c", Team: "t", Shape: model.Array, Priority: model.PriorityNormal, Tasks: 1,
+		Demand: model.Resources{CPU: 1, MemGB: 1},
+	}
+}
+
+// acceptAndCancel accepts jobs with the numbers from first on, and cancels them.
+func acceptAndCancel(t *testing.T, j *store.JobCache, first, count int) {
+	t.Helper()
+	now := time.Unix(1000, 0)
+	for i := first; i < first+count; i++ {
+		id := fmt.Sprintf("wk-%06d", i)
+		if _, _, err := j.Accept(context.Background(), newTestSpec(id), false, now); err != nil {
+			t.Fatalf("Accept %s: got error %v, want none", id, err)
+		}
+		if v, err := j.Cancel(context.Background(), id, now); err != nil || v.State != wire.StateCancelled {
+			t.Fatalf("Cancel %s: got state %v, error %v; want cancelled and none", id, v.State, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/store/keyvalue.go
@@ -0,0 +1,133 @@
+package store
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/url"
+	"strconv"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"github.com/glentiller/glentiller/internal/rpc"
+	"github.com/glentiller/glentiller/internal/wire"
+)
+
+// listPageSize is how many keys List reads at a time.
+const listPageSize = 1000
+
+// Get reads one key. found reports whether it exists.
+func (c *Client) Get(ctx context.Context, key string) (entry wire.Entry, found bool, err error) {
+	if err := c.waitForBudget(ctx, 0); err != nil {
+		return wire.Entry{}, false, fmt.Errorf("get %s: %w", key, err)
+	}
+	out, err := c.call(fasthttp.MethodGet, "/keys/"+key, nil)
+	if rpc.StatusCode(err) == fasthttp.StatusNotFound {
+		return wire.Entry{}, false, nil
+	}
+	if err != nil {
+		return wire.Entry{}, false, fmt.Errorf("get %s: %w", key, err)
+	}
+	entry, err = wire.DecodeEntry(out)
+	if err != nil {
+		return entry, false, fmt.Errorf("get %s: %w", key, err)
+	}
+	return entry, true, nil
+}
+
+// List reads all keys with a prefix, and the revision that the first page described: the changes
+// after it bring the list up to date.
+func (c *Client) List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error) {
+	var all []wire.Entry
+	var revision uint64
+	after := ""
+	for {
+		page, err := c.readPage(ctx, prefix, after, listPageSize)
+		if err != nil {
+			return nil, 0, err
+		}
+		if revision == 0 {
+			revision = page.Revision
+		}
+		all = append(all, page.Entries...)
+		if !page.More || len(page.Entries) == 0 {
+			return all, revision, nil
+		}
+		after = page.Entries[len(page.Entries)-1].Key
+	}
+}
+
+// readPage reads up to limit keys with a prefix that follow a key.
+func (c *Client) readPage(ctx context.Context, prefix, after string, limit int) (wire.Page, error) {
+	if err := c.waitForBudget(ctx, 0); err != nil {
+		return wire.Page{}, fmt.Errorf("list %s: %w", prefix, err)
+	}
+	uri := "/keys?prefix=" + url.QueryEscape(prefix) + "&page=" + strconv.Itoa(limit)
+	if after != "" {
+		uri += "&after=" + url.QueryEscape(after)
+	}
+	out, err := c.call(fasthttp.MethodGet, uri, nil)
+	if err != nil {
+		return wire.Page{}, fmt.Errorf("list %s: %w", prefix, err)
+	}
+	page, err := wire.DecodePage(out)
+	if err != nil {
+		return page, fmt.Errorf("list %s: %w", prefix, err)
+	}
+	return page, nil
+}
+
+// Changes returns the changes of keys with a prefix after a revision, and waits for one up to the
+// given time. It returns ErrCompacted if they are no longer kept.
+func (c *Client) Changes(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.Page, error) {
+	if err := c.waitForBudget(ctx, 0); err != nil {
+		return wire.Page{}, fmt.Errorf("changes of %s: %w", prefix, err)
+	}
+	uri := "/changes?prefix=" + url.QueryEscape(prefix) + "&after=" + strconv.FormatUint(after, 10) +
+		"&waitMs=" + strconv.FormatInt(wait.Milliseconds(), 10)
+	transport := c.requests
+	if wait > 0 {
+		transport = c.watches
+	}
+	// Not by call: whether watches are answered says nothing of the other requests.
+	out, err := transport.Call(fasthttp.MethodGet, uri, nil, wait+c.timeout)
+	if rpc.StatusCode(err) == fasthttp.StatusGone {
+		return wire.Page{}, ErrCompacted
+	}
+	if err != nil {
+		return wire.Page{}, fmt.Errorf("changes of %s: %w", prefix, err)
+	}
+	page, err := wire.DecodePage(out)
+	if err != nil {
+		return page, fmt.Errorf("changes of %s: %w", prefix, err)
+	}
+	return page, nil
+}
+
+// Commit carries out a transaction and returns the revision of its changes. ok is false if one of
+// its conditions failed. An error is a *CommitError: unless it is ErrNotExecuted, the transaction
+// may have been carried out, or still be. An urgent one does not wait for the rate limits.
+func (c *Client) Commit(ctx context.Context, txn *wire.Txn, urgent bool) (revision uint64, ok bool, err error) {
+	if urgent {
+		c.requestLimiter.Allow()
+	} else if err := c.waitForBudget(ctx, len(txn.Changes)); err != nil {
+		return 0, false, &CommitError{NeverExecuted: true, Err: err}
+	}
+	out, err := c.call(fasthttp.MethodPost, "/commit", txn.Append(nil))
+	switch status := rpc.StatusCode(err); {
+	case err == nil:
+		revision, err = wire.DecodeRevision(out)
+		if err != nil {
+			return revision, false, &CommitError{Err: err}
+		}
+		return revision, true, nil
+	case status == fasthttp.StatusConflict:
+		return 0, false, nil
+	case status == fasthttp.StatusBadRequest:
+		return 0, false, &CommitError{NeverExecuted: true, Err: fmt.Errorf("%w: %w", ErrRejected, err)}
+	case status != 0, errors.Is(err, rpc.ErrNotSent):
+		return 0, false, &CommitError{NeverExecuted: true, Err: err}
+	}
+	return 0, false, &CommitError{Err: err}
+}
--- /dev/null
+++ b/internal/store/leases.go
@@ -0,0 +1,53 @@
+package store
+
+import (
+	"fmt"
+	"strconv"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"github.com/glentiller/glentiller/internal/rpc"
+	"github.com/glentiller/glentiller/internal/wire"
+)
+
+// Requests about leases count against the rate limits, but never wait for them: the leadership
+// depends on them.
+
+// GrantLease returns a new lease.
+func (c *Client) GrantLease(duration time.Duration) (uint64, error) {
+	c.requestLimiter.Allow()
+	body := wire.AppendLeaseRequest(nil, uint64(duration.Milliseconds()))
+	out, err := c.call(fasthttp.MethodPost, "/grants", body)
+	if err != nil {
+		return 0, fmt.Errorf("grant a lease: %w", err)
+	}
+	id, err := wire.DecodeLeaseID(out)
+	if err != nil {
+		return id, fmt.Errorf("grant a lease: %w", err)
+	}
+	return id, nil
+}
+
+// RenewLease renews a lease. It returns ErrLeaseExpired if the service says that it is over.
+func (c *Client) RenewLease(id uint64) error {
+	c.requestLimiter.Allow()
+	_, err := c.call(fasthttp.MethodPost, "/grants/"+strconv.FormatUint(id, 10)+"/touch", nil)
+	if rpc.StatusCode(err) == fasthttp.StatusNotFound {
+		return ErrLeaseExpired
+	}
+	if err != nil {
+		return fmt.Errorf("renew lease %d: %w", id, err)
+	}
+	return nil
+}
+
+// RevokeLease ends a lease. One that is over already is no error.
+func (c *Client) RevokeLease(id uint64) error {
+	c.requestLimiter.Allow()
+	_, err := c.call(fasthttp.MethodDelete, "/grants/"+strconv.FormatUint(id, 10), nil)
+	if err != nil && rpc.StatusCode(err) != fasthttp.StatusNotFound {
+		return fmt.Errorf("revoke lease %d: %w", id, err)
+	}
+	return nil
+}
--- a/internal/store/ledger.go
+++ b/internal/store/ledger.go
@@ -5,147 +5,143 @@
 	"fmt"
 	"hash/fnv"
 	"net/url"
-	"strconv"
-
-	"github.com/valyala/fasthttp"
 
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// The keys of the ledger. Versions without one skip them.
+// The keys of the ledger. Versions without a ledger ignore them.
 const (
-	accountPrefix  = "use/o/" // a team's account, with the page that is being written
-	segmentPrefix  = "use/p/" // closed pages, by team and the number of the first hour in them
-	intervalPrefix = "use/g/" // stretches that are not accounted, by the token that ended them
+	accountPrefix  = "use/o/" // a team's account, with its open segment
+	segmentPrefix  = "use/p/" // closed segments, by team and the number of the first hour in them
+	intervalPrefix = "use/g/" // unaccounted intervals, by the fencing token of the leader that ended them
 )
 
-// teamKey is a team's name as a part of a key: no spaces and slashes, and not too long.
+// maxTeamKeyBytes bounds a team's part of a key, so that keys stay within 200 bytes.
+const maxTeamKeyBytes = 120
+
+// teamKey returns a team's part of a key: without spaces and slashes, and of bounded length.
 func teamKey(team string) string {
-	k := url.PathEscape(team)
-	if len(k) <= maxTeamKeyBytes {
-		return k
+	escaped := url.PathEscape(team)
+	if len(escaped) <= maxTeamKeyBytes {
+		return escaped
 	}
-	h := fnv.New128a()
-	_, _ = h.Write([]byte(team)) // a hash takes everything
-	return fmt.Sprintf("%s-%x", k[:maxTeamKeyBytes/2], h.Sum(nil))
+	hash := fnv.New128a()
+	_, _ = hash.Write([]byte(team)) // never fails
+	return fmt.Sprintf("%s-%x", escaped[:maxTeamKeyBytes/2], hash.Sum(nil))
 }
 
-// maxTeamKeyBytes keeps keys within 200 bytes.
-const maxTeamKeyBytes = 120
-
-// sortableNumber writes a number so that keys are in its order.
+// sortableNumber formats a number so that keys sort like their numbers.
 func sortableNumber(n uint64) string { return fmt.Sprintf("%016d", n) }
 
 func segmentKey(team string, first uint64) string {
 	return segmentPrefix + teamKey(team) + "/" + sortableNumber(first)
 }
 
-// addLedgerChange adds a save of the ledger to a transaction. Each goes under a condition of its
-// own, so that no copy of it is carried out twice: docs/safety.md, "Ledger".
-func addLedgerChange(t *wire.Txn, s reconciler.Change) {
-	switch s.Kind {
+// addLedgerChange adds a change of the ledger to a transaction. A settlement and a compaction depend
+// on the version that they replace, so that no duplicate is carried out: docs/safety.md, "Ledger".
+func addLedgerChange(txn *wire.Txn, ch *reconciler.Change, key string) {
+	switch ch.Kind {
 	case reconciler.SettleAccount:
-		o := &s.Settlement.Open
-		t.Conditions = append(t.Conditions, wire.Condition{Key: changeKey(s), Version: s.Settlement.Version})
-		t.Changes = append(t.Changes, wire.Change{Key: changeKey(s), Value: wire.AppendOpenSegment(nil, o)})
-		if p := s.Settlement.Closed; p != nil {
-			key := segmentKey(p.Team, p.First)
-			t.Conditions = append(t.Conditions, wire.Condition{Key: key})
-			t.Changes = append(t.Changes, wire.Change{Key: key, Value: wire.AppendSegment(nil, p)})
+		require(txn, key, ch.Settlement.Version)
+		put(txn, key, wire.AppendOpenSegment(nil, &ch.Settlement.Open))
+		if closed := ch.Settlement.Closed; closed != nil {
+			closedKey := segmentKey(closed.Team, closed.First)
+			require(txn, closedKey, 0)
+			put(txn, closedKey, wire.AppendSegment(nil, closed))
 		}
 	case reconciler.PutUnaccounted:
-		t.Changes = append(t.Changes, wire.Change{Key: changeKey(s), Value: wire.AppendUnaccountedInterval(nil, *s.Unaccounted)})
+		put(txn, key, wire.AppendUnaccountedInterval(nil, *ch.Unaccounted))
 	case reconciler.CompactAccount:
-		for i := range s.Compaction.Sources {
-			p := &s.Compaction.Sources[i]
-			t.Conditions = append(t.Conditions, wire.Condition{Key: segmentKey(p.Team, p.First), Version: p.Version})
-			if i > 0 {
-				t.Changes = append(t.Changes, wire.Change{Key: segmentKey(p.Team, p.First)})
+		for i := range ch.Compaction.Sources {
+			source := &ch.Compaction.Sources[i]
+			sourceKey := segmentKey(source.Team, source.First)
+			require(txn, sourceKey, source.Version)
+			if i > 0 { // the first one's record becomes the result's
+				remove(txn, sourceKey)
 			}
 		}
-		t.Changes = append(t.Changes, wire.Change{Key: changeKey(s), Value: wire.AppendSegment(nil, s.Compaction.Result)})
+		put(txn, key, wire.AppendSegment(nil, ch.Compaction.Result))
 	}
 }
 
-// Accounts reads the accounts of all teams.
+// Accounts reads the accounts of all teams. An unreadable record is returned with its error: it must
+// not keep every controller from leading.
 func (c *Client) Accounts(ctx context.Context) ([]ledger.StoredAccount, error) {
 	entries, _, err := c.List(ctx, accountPrefix)
 	if err != nil {
 		return nil, err
 	}
-	out := make([]ledger.StoredAccount, 0, len(entries))
+	accounts := make([]ledger.StoredAccount, 0, len(entries))
 	for _, e := range entries {
-		// Guards against one record that keeps everybody from leading: it is told, and
-		// the others are kept.
-		o, err := wire.DecodeOpenSegment(e.Value)
+		open, err := wire.DecodeOpenSegment(e.Value)
 		if err != nil {
-			if o.Team, _ = url.PathUnescape(e.Key[len(accountPrefix):]); o.Team == "" {
-				o.Team = e.Key
-			}
-			o = ledger.OpenSegment{Team: o.Team}
+			open = ledger.OpenSegment{Team: teamOfAccountKey(e.Key)}
 		}
-		out = append(out, ledger.StoredAccount{Open: o, Version: e.Version, Err: err})
+		accounts = append(accounts, ledger.StoredAccount{Open: open, Version: e.Version, Err: err})
+	}
+	return accounts, nil
+}
+
+// teamOfAccountKey returns the team that an account's key names; if it names none, the key.
+func teamOfAccountKey(key string) string {
+	team, err := url.PathUnescape(key[len(accountPrefix):])
+	if err != nil || team == "" {
+		return key
 	}
-	return out, nil
+	return team
 }
 
-// Account reads a team's account; without one its version is 0.
+// Account reads a team's account; its version is 0 if there is none.
 func (c *Client) Account(ctx context.Context, team string) (ledger.StoredAccount, error) {
-	e, ok, err := c.Get(ctx, accountPrefix+teamKey(team))
-	if err != nil || !ok {
+	key := accountPrefix + teamKey(team)
+	entry, found, err := c.Get(ctx, key)
+	if err != nil || !found {
 		return ledger.StoredAccount{}, err
 	}
-	o, err := wire.DecodeOpenSegment(e.Value)
-	return ledger.StoredAccount{Open: o, Version: e.Version}, err
+	open, err := wire.DecodeOpenSegment(entry.Value)
+	account := ledger.StoredAccount{Open: open, Version: entry.Version}
+	if err != nil {
+		return account, &RecordError{Key: key, Err: err}
+	}
+	return account, nil
 }
 
-// Segments reads some closed pages of a team behind the one that begins with a number, in
-// order, in one request. more tells that there are others behind them.
-func (c *Client) Segments(ctx context.Context, team string, after uint64, most int) (pages []ledger.StoredSegment, more bool, err error) {
-	p, err := c.readPage(ctx, segmentPrefix+teamKey(team)+"/", segmentKey(team, after), most)
+// Segments reads, in one request, up to limit closed segments of a team that follow the one with a
+// number, in order. more reports that others follow them.
+func (c *Client) Segments(
+	ctx context.Context, team string, after uint64, limit int,
+) (segments []ledger.StoredSegment, more bool, err error) {
+	page, err := c.readPage(ctx, segmentPrefix+teamKey(team)+"/", segmentKey(team, after), limit)
 	if err != nil {
 		return nil, false, err
 	}
-	for _, e := range p.Entries {
-		page, err := wire.DecodeSegment(e.Value)
+	for _, e := range page.Entries {
+		segment, err := wire.DecodeSegment(e.Value)
 		if err != nil {
-			return nil, false, fmt.Errorf("unreadable record %s: %w", e.Key, err)
+			return nil, false, &RecordError{Key: e.Key, Err: err}
 		}
-		pages = append(pages, ledger.StoredSegment{Segment: page, Version: e.Version})
+		segments = append(segments, ledger.StoredSegment{Segment: segment, Version: e.Version})
 	}
-	return pages, p.More, nil
+	return segments, page.More, nil
 }
 
-// Intervals reads some stretches that are not accounted, behind the one with a token.
-func (c *Client) Intervals(ctx context.Context, after uint64, most int) (list []ledger.Interval, more bool, err error) {
-	p, err := c.readPage(ctx, intervalPrefix, intervalPrefix+sortableNumber(after), most)
+// Intervals reads, in one request, up to limit unaccounted intervals that follow the one with a
+// fencing token, in order. more reports that others follow them.
+func (c *Client) Intervals(
+	ctx context.Context, after uint64, limit int,
+) (intervals []ledger.Interval, more bool, err error) {
+	page, err := c.readPage(ctx, intervalPrefix, intervalPrefix+sortableNumber(after), limit)
 	if err != nil {
 		return nil, false, err
 	}
-	for _, e := range p.Entries {
-		s, err := wire.DecodeUnaccountedInterval(e.Value)
+	for _, e := range page.Entries {
+		interval, err := wire.DecodeUnaccountedInterval(e.Value)
 		if err != nil {
-			return nil, false, fmt.Errorf("unreadable record %s: %w", e.Key, err)
+			return nil, false, &RecordError{Key: e.Key, Err: err}
 		}
-		list = append(list, s)
-	}
-	return list, p.More, nil
-}
-
-// readPage reads one page of keys.
-func (c *Client) readPage(ctx context.Context, prefix, after string, most int) (wire.Page, error) {
-	if err := c.waitForBudget(ctx, 0); err != nil {
-		return wire.Page{}, err
-	}
-	uri := "/keys?prefix=" + url.QueryEscape(prefix) + "&page=" + strconv.Itoa(most)
-	if after != "" {
-		uri += "&after=" + url.QueryEscape(after)
-	}
-	out, err := c.call(fasthttp.MethodGet, uri, nil)
-	if err != nil {
-		return wire.Page{}, err
+		intervals = append(intervals, interval)
 	}
-	return wire.DecodePage(out)
+	return intervals, page.More, nil
 }
--- a/internal/store/relay.go
+++ b/internal/store/relay.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"strconv"
 	"strings"
 	"time"
@@ -10,89 +9,102 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Batches of workers' reports that their members hand to a leader out of reach, and the answers. A
-// member has some keys of each, which it uses in turns.
+// Members relay workers' heartbeats to a leader that they cannot reach in batches, and the leader
+// answers with batches of responses. Each member reuses a few keys for either in turn.
 const (
 	heartbeatsPrefix = "relay/q/"
 	responsesPrefix  = "relay/a/"
 	relaySlots       = 8
 )
 
-// RelayBatch is one batch of reports, or of answers to one.
+// RelayBatch is a batch of heartbeats, or of responses to one.
 type RelayBatch struct {
-	Member string // that handed the reports over
+	Member string // relays the heartbeats
 	wire.RelayBatch
 }
 
+// relaySlotKey returns the key of a batch.
 func relaySlotKey(prefix, member string, seq uint64) string {
 	return prefix + member + "/" + strconv.FormatUint(seq%relaySlots, 10)
 }
 
-// PutHeartbeats writes a batch of reports of this member.
-func (c *Client) PutHeartbeats(ctx context.Context, b RelayBatch) error {
-	_, _, err := c.Commit(ctx, &wire.Txn{Changes: []wire.Change{{Key: relaySlotKey(heartbeatsPrefix, b.Member, b.Seq), Value: wire.AppendRelayBatch(nil, b.RelayBatch)}}}, false)
+// watchedPrefix returns where heartbeats are put, or with a member's name the responses to it.
+func watchedPrefix(member string) string {
+	if member == "" {
+		return heartbeatsPrefix
+	}
+	return responsesPrefix + member + "/"
+}
+
+// PutHeartbeats writes a batch of heartbeats for the leader.
+func (c *Client) PutHeartbeats(ctx context.Context, batch RelayBatch) error {
+	txn := &wire.Txn{}
+	put(txn, relaySlotKey(heartbeatsPrefix, batch.Member, batch.Seq), wire.AppendRelayBatch(nil, batch.RelayBatch))
+	_, _, err := c.Commit(ctx, txn, false)
 	return err
 }
 
-// PutHeartbeatResponses writes a leader's answers to a batch, if its token is still the last one.
-func (c *Client) PutHeartbeatResponses(ctx context.Context, tokenVersion uint64, b RelayBatch) (ok bool, err error) {
-	_, ok, err = c.Commit(ctx, &wire.Txn{Conditions: []wire.Condition{{Key: tokenKey, Version: tokenVersion}},
-		Changes: []wire.Change{{Key: relaySlotKey(responsesPrefix, b.Member, b.Seq), Value: wire.AppendRelayBatch(nil, b.RelayBatch)}}}, false)
+// PutHeartbeatResponses writes a leader's responses to a batch, on condition that its fencing token
+// is still the last one. ok is false if it is not.
+func (c *Client) PutHeartbeatResponses(
+	ctx context.Context, tokenVersion uint64, batch RelayBatch,
+) (ok bool, err error) {
+	txn := &wire.Txn{}
+	require(txn, tokenKey, tokenVersion)
+	put(txn, relaySlotKey(responsesPrefix, batch.Member, batch.Seq), wire.AppendRelayBatch(nil, batch.RelayBatch))
+	_, ok, err = c.Commit(ctx, txn, false)
 	return ok, err
 }
 
-// DeleteRelayRecords removes what a member and its leader have left behind.
-func (c *Client) DeleteRelayRecords(ctx context.Context, member string, ops int) error {
-	var all []wire.Change
-	for _, p := range []string{heartbeatsPrefix, responsesPrefix} {
-		for i := range uint64(relaySlots) {
-			all = append(all, wire.Change{Key: relaySlotKey(p, member, i)})
+// DeleteRelayRecords deletes all batches of a member and the responses to it, with at most maxChanges
+// keys in a transaction.
+func (c *Client) DeleteRelayRecords(ctx context.Context, member string, maxChanges int) error {
+	txn := &wire.Txn{}
+	for _, prefix := range []string{heartbeatsPrefix, responsesPrefix} {
+		for slot := range uint64(relaySlots) {
+			remove(txn, relaySlotKey(prefix, member, slot))
 		}
 	}
-	for len(all) > 0 {
-		n := min(len(all), ops)
-		if _, _, err := c.Commit(ctx, &wire.Txn{Changes: all[:n]}, false); err != nil {
+	for rest := txn.Changes; len(rest) > 0; {
+		n := min(len(rest), maxChanges)
+		if _, _, err := c.Commit(ctx, &wire.Txn{Changes: rest[:n]}, false); err != nil {
 			return err
 		}
-		all = all[n:]
+		rest = rest[n:]
 	}
 	return nil
 }
 
-// RelayRevision is the revision from which on batches of reports are waited for, or with a member's name
-// answers to it.
+// RelayRevision returns the revision after which to watch for batches of heartbeats, or with a
+// member's name for responses to it.
 func (c *Client) RelayRevision(ctx context.Context, member string) (uint64, error) {
-	prefix := heartbeatsPrefix
-	if member != "" {
-		prefix = responsesPrefix + member + "/"
-	}
-	p, err := c.readPage(ctx, prefix, "", 1)
-	return p.Revision, err
+	page, err := c.readPage(ctx, watchedPrefix(member), "", 1)
+	return page.Revision, err
 }
 
-// WatchRelay waits for batches of reports, or with a member's name for answers to it.
-func (c *Client) WatchRelay(ctx context.Context, member string, after uint64, wait time.Duration) (out []RelayBatch, rev uint64, err error) {
-	prefix := heartbeatsPrefix
-	if member != "" {
-		prefix = responsesPrefix + member + "/"
-	}
-	p, err := c.Changes(ctx, prefix, after, wait)
+// WatchRelay waits for batches of heartbeats, or with a member's name for responses to it, that were
+// put after a revision. It returns the revision to go on with.
+func (c *Client) WatchRelay(
+	ctx context.Context, member string, after uint64, wait time.Duration,
+) (batches []RelayBatch, revision uint64, err error) {
+	prefix := watchedPrefix(member)
+	page, err := c.Changes(ctx, prefix, after, wait)
 	if err != nil {
 		return nil, 0, err
 	}
-	for _, e := range p.Entries {
+	for _, e := range page.Entries {
 		if e.Removed {
 			continue
 		}
-		b, err := wire.DecodeRelayBatch(e.Value)
+		batch, err := wire.DecodeRelayBatch(e.Value)
 		if err != nil {
-			return nil, p.Revision, fmt.Errorf("%s: %w", e.Key, err)
+			return nil, page.Revision, &RecordError{Key: e.Key, Err: err}
 		}
-		who := member
-		if who == "" {
-			who, _, _ = strings.Cut(e.Key[len(prefix):], "/")
+		sender := member
+		if sender == "" {
+			sender, _, _ = strings.Cut(e.Key[len(prefix):], "/")
 		}
-		out = append(out, RelayBatch{who, b})
+		batches = append(batches, RelayBatch{sender, batch})
 	}
-	return out, p.Revision, nil
+	return batches, page.Revision, nil
 }
--- a/internal/store/relay_test.go
+++ b/internal/store/relay_test.go
@@ -12,61 +12,70 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// A member hands batches to a leader by way of the state service and has its answers, under the lowest
-// limits and however often its keys come round; a leader that is deposed meanwhile answers nothing, and
-// what is left behind is removed.
+// packOne packs one envelope into a batch of a member.
+func packOne(t *testing.T, seq uint64, body string, size int) string {
+	t.Helper()
+	payload, n := relay.Pack([]relay.Envelope{{ID: seq, Body: []byte(body)}}, size)
+	if n != 1 {
+		t.Fatalf("Pack: got %d envelopes in %d bytes, want 1", n, size)
+	}
+	return payload
+}
+
+// Batches of a member reach the leader and its responses the member, under the lowest limits and
+// however often the keys are reused. A leader that has been deposed can't respond any more, and all
+// that is left is deleted.
 func TestRelayBatchesReachLeaderAndMember(t *testing.T) {
 	s, c := newTestStore()
 	ctx := context.Background()
 	s.Preload("leader/token", wire.AppendLeaderRecord(nil, 7, "b"))
-	token := s.Revision()
-	room := wire.MaxBatchPayload(s.MaxValueBytes)
-	toLeader, err := c.RelayRevision(ctx, "")
+	tokenVersion := s.Revision()
+	size := wire.MaxBatchPayload(s.MaxValueBytes)
+	leaderFrom, err := c.RelayRevision(ctx, "")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("RelayRevision of heartbeats: got error %v, want none", err)
 	}
-	toMember, err := c.RelayRevision(ctx, "a")
+	memberFrom, err := c.RelayRevision(ctx, "a")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("RelayRevision of responses: got error %v, want none", err)
 	}
 	for seq := uint64(1); seq <= 20; seq++ {
-		text, n := relay.Pack([]relay.Envelope{{ID: seq, Body: []byte("report " + strings.Repeat("x", 500))}}, room)
-		if n != 1 {
-			t.Fatal("it does not fit")
-		}
-		if err := c.PutHeartbeats(ctx, store.RelayBatch{Member: "a", RelayBatch: wire.RelayBatch{Incarnation: 5, Seq: seq, Payload: text}}); err != nil {
-			t.Fatal(err)
+		payload := packOne(t, seq, "report "+strings.Repeat("x", 500), size)
+		batch := wire.RelayBatch{Incarnation: 5, Seq: seq, Payload: payload}
+		if err := c.PutHeartbeats(ctx, store.RelayBatch{Member: "a", RelayBatch: batch}); err != nil {
+			t.Fatalf("PutHeartbeats %d: got error %v, want none", seq, err)
 		}
 	}
-	batches, at, err := c.WatchRelay(ctx, "", toLeader, time.Second)
-	if err != nil || len(batches) != 20 || at <= toLeader {
-		t.Fatalf("the leader sees %d batches up to %d: %v", len(batches), at, err)
+	batches, at, err := c.WatchRelay(ctx, "", leaderFrom, time.Second)
+	if err != nil || len(batches) != 20 || at <= leaderFrom {
+		t.Fatalf("the leader: got %d batches up to revision %d, error %v; want 20, more than %d and none",
+			len(batches), at, err, leaderFrom)
 	}
 	for i, b := range batches {
 		if b.Member != "a" || b.Incarnation != 5 || b.Seq != uint64(i+1) {
-			t.Errorf("batch %d: %+v", i, b)
+			t.Errorf("batch %d: got %+v, want member a, incarnation 5, seq %d", i, b, i+1)
 		}
-		b.Payload, _ = relay.Pack([]relay.Envelope{{ID: b.Seq, Body: fmt.Append(nil, "answer ", b.Seq)}}, room)
-		if ok, err := c.PutHeartbeatResponses(ctx, token, b); err != nil || !ok {
-			t.Fatal(ok, err)
+		b.Payload = packOne(t, b.Seq, fmt.Sprint("answer ", b.Seq), size)
+		if ok, err := c.PutHeartbeatResponses(ctx, tokenVersion, b); err != nil || !ok {
+			t.Fatalf("PutHeartbeatResponses %d: got ok=%v, error %v; want true and none", i, ok, err)
 		}
 	}
-	answers, _, err := c.WatchRelay(ctx, "a", toMember, time.Second)
-	if err != nil || len(answers) != 20 {
-		t.Fatalf("the member sees %d answers: %v", len(answers), err)
+	responses, _, err := c.WatchRelay(ctx, "a", memberFrom, time.Second)
+	if err != nil || len(responses) != 20 {
+		t.Fatalf("the member: got %d responses, error %v; want 20 and none", len(responses), err)
 	}
-	if other, _, err := c.WatchRelay(ctx, "ab", toMember, time.Second); err != nil || len(other) != 0 {
-		t.Errorf("another one sees %d: %v", len(other), err)
+	if other, _, err := c.WatchRelay(ctx, "ab", memberFrom, time.Second); err != nil || len(other) != 0 {
+		t.Errorf("another member: got %d responses, error %v; want 0 and none", len(other), err)
 	}
-	letters, err := relay.Unpack(answers[19].Payload)
-	if err != nil || string(letters[0].Body) != "answer 20" {
-		t.Error(letters, err)
+	envelopes, err := relay.Unpack(responses[19].Payload)
+	if err != nil || string(envelopes[0].Body) != "answer 20" {
+		t.Errorf("the last response: got %v, error %v; want answer 20 and none", envelopes, err)
 	}
 	s.Preload("leader/token", wire.AppendLeaderRecord(nil, 8, "c"))
-	if ok, err := c.PutHeartbeatResponses(ctx, token, batches[0]); ok || err != nil {
-		t.Errorf("a deposed leader answers: %v, %v", ok, err)
+	if ok, err := c.PutHeartbeatResponses(ctx, tokenVersion, batches[0]); ok || err != nil {
+		t.Errorf("responses of a deposed leader: got ok=%v, error %v; want false and none", ok, err)
 	}
 	if err := c.DeleteRelayRecords(ctx, "a", s.MaxOps); err != nil || len(s.Keys("relay/")) != 0 {
-		t.Errorf("left behind: %v, %v", s.Keys("relay/"), err)
+		t.Errorf("after DeleteRelayRecords: got keys %v, error %v; want neither", s.Keys("relay/"), err)
 	}
 }
--- /dev/null
+++ b/internal/store/snapshot.go
@@ -0,0 +1,120 @@
+package store
+
+import (
+	"context"
+	"strconv"
+	"strings"
+
+	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/wire"
+)
+
+// The keys of a leader's records, besides those of jobs and of the ledger.
+const (
+	numberedTasksPrefix = "tasks/" // finished tasks of a job by the number of a chunk: the layout of the first version
+	taskSpanPrefix      = "part/"  // finished tasks of a job from a task on
+	layoutPrefix        = "layout/"
+	layoutKey           = "layout/numbered" // how many tasks a numbered chunk has
+	machinePrefix       = "machine/"
+	gpuDemandPrefix     = "need/" // GPU requests that were seen
+)
+
+// maxChunkNumber bounds the numbers of chunks: a larger one is not ours.
+const maxChunkNumber = 1 << 20
+
+// ReadSnapshot reads what a new leader needs besides the job records, see JobCache.AddToSnapshot. The
+// teams' accounts are read if there is a ledger: they are as many as the teams, however old it is.
+func (c *Client) ReadSnapshot(ctx context.Context, accounts bool) (*reconciler.Snapshot, error) {
+	snap := &reconciler.Snapshot{FinishedTasks: map[string]map[model.Chunk][]byte{}}
+	if accounts {
+		stored, err := c.Accounts(ctx)
+		if err != nil {
+			return nil, err
+		}
+		snap.Accounts = stored
+	}
+	for _, read := range []func(context.Context, *reconciler.Snapshot) error{
+		c.readFinishedTasks,
+		c.readChunkLayout,
+		c.readMachines,
+		c.readGPUDemands,
+	} {
+		if err := read(ctx, snap); err != nil {
+			return nil, err
+		}
+	}
+	return snap, nil
+}
+
+func (c *Client) readFinishedTasks(ctx context.Context, snap *reconciler.Snapshot) error {
+	for _, prefix := range []string{numberedTasksPrefix, taskSpanPrefix} {
+		entries, _, err := c.List(ctx, prefix)
+		if err != nil {
+			return err
+		}
+		for _, e := range entries {
+			id, number, _ := strings.Cut(e.Key[len(prefix):], "/")
+			n, err := strconv.Atoi(number)
+			if err != nil || n < 0 || n > maxChunkNumber {
+				return &RecordError{Key: e.Key, Err: err}
+			}
+			bits, err := wire.DecodeTasksDone(e.Value)
+			if err != nil {
+				return &RecordError{Key: e.Key, Err: err}
+			}
+			if snap.FinishedTasks[id] == nil {
+				snap.FinishedTasks[id] = map[model.Chunk][]byte{}
+			}
+			chunk := model.Chunk{StartsAtTask: prefix == taskSpanPrefix, Number: n}
+			snap.FinishedTasks[id][chunk] = bits
+		}
+	}
+	return nil
+}
+
+func (c *Client) readChunkLayout(ctx context.Context, snap *reconciler.Snapshot) error {
+	entries, _, err := c.List(ctx, layoutPrefix)
+	if err != nil {
+		return err
+	}
+	for _, e := range entries {
+		if e.Key != layoutKey {
+			continue
+		}
+		if snap.NumberedChunkTasks, err = wire.DecodeChunkLayout(e.Value); err != nil {
+			return &RecordError{Key: e.Key, Err: err}
+		}
+	}
+	return nil
+}
+
+func (c *Client) readMachines(ctx context.Context, snap *reconciler.Snapshot) error {
+	entries, _, err := c.List(ctx, machinePrefix)
+	if err != nil {
+		return err
+	}
+	for _, e := range entries {
+		machine, err := wire.DecodeMachine(e.Key[len(machinePrefix):], e.Value)
+		if err != nil {
+			return &RecordError{Key: e.Key, Err: err}
+		}
+		snap.Machines = append(snap.Machines, machine)
+	}
+	return nil
+}
+
+func (c *Client) readGPUDemands(ctx context.Context, snap *reconciler.Snapshot) error {
+	entries, _, err := c.List(ctx, gpuDemandPrefix)
+	if err != nil {
+		return err
+	}
+	for _, e := range entries {
+		demand, err := wire.DecodeGPUDemand(e.Value)
+		if err != nil {
+			return &RecordError{Key: e.Key, Err: err}
+		}
+		snap.GPUDemands = append(snap.GPUDemands, demand)
+	}
+	return nil
+}
