--- /dev/null
+++ b/internal/reconciler/attempts.go
@@ -0,0 +1,256 @@
+package reconciler
+
+import (
+	"time"
+
+	"github.com/glentiller/glentiller/internal/model"
+)
+
+// attemptTokenShift: the fencing token is in an attempt number's upper bits, so that no two leaders give the same.
+const attemptTokenShift = 24
+
+// checkpointMargin is the time beyond what saving a checkpoint takes.
+const checkpointMargin = 2 * time.Second
+
+// nextAttemptNumber returns an attempt number that no leader gives again.
+func (c *Core) nextAttemptNumber() uint64 {
+	c.attemptCounter++
+	return c.lastAttemptNumber()
+}
+
+// lastAttemptNumber is the highest number that this or an earlier leader can have given.
+func (c *Core) lastAttemptNumber() uint64 {
+	return c.fencingToken<<attemptTokenShift + c.attemptCounter
+}
+
+// attemptKey names an attempt on its machine.
+func attemptKey(attempt *model.Attempt) model.AttemptKey {
+	return model.AttemptKey{Task: attempt.Task, Number: attempt.Number}
+}
+
+// adoptAttempt enters an attempt that only the worker knew.
+func (c *Core) adoptAttempt(now time.Time, machine *model.Machine, status *model.TaskStatus) *model.Attempt {
+	attempt := &model.Attempt{
+		Task: status.Task, Number: status.Attempt, Machine: machine, Epoch: machine.Epoch,
+		Job: c.jobs[status.Task.Job], Phase: status.Phase, LaunchedAt: now,
+	}
+	machine.Attempts[attemptKey(attempt)] = attempt
+	job, index := attempt.Job, status.Task.Index
+	if job == nil || index >= job.Spec.Tasks {
+		c.adoptOrphan(now, attempt)
+		return attempt
+	}
+	attempt.Demand, attempt.Team, attempt.Usage = job.Spec.Demand, job.Spec.Team, c.usage.of(job.Spec.Team)
+	attempt.Transition(model.AttemptPresent)
+	machine.CachedImages[job.Spec.Image] = now
+	if status.Phase == model.PhaseExited {
+		return attempt
+	}
+	c.accounting.beginCharging(now, attempt, status.Phase, true)
+	if old := job.ActiveAttempts[index]; old != nil && old.Number < status.Attempt && job.Spec.Shape != model.Gang {
+		// The attempts of a task have rising numbers, and each was started only when the one before was gone. So a
+		// delayed heartbeat has shown the earlier one, and the later one runs.
+		c.stopAttempt(now, old, 0)
+		delete(job.ActiveAttempts, index)
+	}
+	if job.ActiveAttempts[index] != nil || job.Task(index) == model.TaskDone {
+		c.log.Warn("task is not wanted here", "task", status.Task, "try", status.Attempt, "machine", machine.Name)
+		c.stopAttempt(now, attempt, 0)
+		return attempt
+	}
+	activateTask(job, attempt)
+	return attempt
+}
+
+// adoptOrphan enters an attempt whose job has ended. Its demand is not known any more, so it counts as taking the
+// whole machine, for every team, until it is gone.
+func (c *Core) adoptOrphan(now time.Time, attempt *model.Attempt) {
+	attempt.Job, attempt.Demand, attempt.Usage = nil, attempt.Machine.Type.Capacity, &c.usage.orphans
+	attempt.Transition(model.AttemptPresent)
+	if attempt.Phase != model.PhaseExited {
+		c.stopAttempt(now, attempt, 0)
+	}
+}
+
+// activateTask makes an attempt the active one of its task.
+func activateTask(job *model.Job, attempt *model.Attempt) {
+	job.ActiveAttempts[attempt.Task.Index] = attempt
+	job.SetTask(attempt.Task.Index, model.TaskActive)
+	if job.Spec.Shape == model.Gang {
+		job.Gang = model.GangLaunched
+	}
+}
+
+// updateAttempt takes what a heartbeat says of one attempt.
+func (c *Core) updateAttempt(now time.Time, attempt *model.Attempt, status *model.TaskStatus) {
+	if attempt.State == model.AttemptEnded || attempt.State == model.AttemptDropped {
+		return
+	}
+	if status.Phase == model.PhaseExited {
+		c.attemptExited(now, attempt, status)
+		return
+	}
+	if attempt.State == model.AttemptLaunching {
+		attempt.Transition(model.AttemptPresent)
+	}
+	if status.Phase == model.PhaseRunning && attempt.Phase != model.PhaseRunning {
+		attempt.RunningAt = now
+		c.log.Debug("attempt runs", "task", attempt.Task, "machine", attempt.Machine.Name,
+			"after", now.Sub(attempt.LaunchedAt))
+	}
+	attempt.Phase = status.Phase
+	c.accounting.beginCharging(now, attempt, status.Phase, false)
+}
+
+// attemptExited takes the end of an attempt.
+func (c *Core) attemptExited(now time.Time, attempt *model.Attempt, status *model.TaskStatus) {
+	attempt.Cause, attempt.Phase, attempt.EndedAt = status.Cause, model.PhaseExited, now
+	c.log.Debug("attempt ended", "task", attempt.Task, "try", attempt.Number, "machine", attempt.Machine.Name,
+		"why", status.Cause.String(), "saved", status.Checkpointed)
+	c.accounting.chargeUntil(now, attempt, now)
+	if status.Cause != model.CauseDone && !status.Checkpointed {
+		c.accounting.chargeWasted(now, attempt)
+	}
+	if job := attempt.Job; job != nil && job.State != model.JobEnded {
+		c.takeExitCause(now, attempt)
+	}
+	c.releaseAttempt(now, attempt, model.AttemptEnded)
+}
+
+// takeExitCause takes what the end of an attempt means for its task, job and machine.
+func (c *Core) takeExitCause(now time.Time, attempt *model.Attempt) {
+	job, index := attempt.Job, attempt.Task.Index
+	switch attempt.Cause {
+	case model.CauseDone:
+		if !attempt.RunningAt.IsZero() && !job.Restarted(index) {
+			c.runTimes.observe(job.Spec, now.Sub(attempt.RunningAt))
+		}
+		if job.Spec.Shape == model.Gang {
+			// When one task of a gang is done, all are.
+			for i := range job.Spec.Tasks {
+				c.completeTask(now, job, i)
+			}
+		} else {
+			c.completeTask(now, job, index)
+		}
+		attempt.Machine.ErrorsByJob[job.Spec.ID] = 0
+		clearFaults(attempt)
+	case model.CauseError:
+		c.taskFailed(now, attempt)
+	case model.CauseNoCapacity, model.CauseAttemptConflict, model.CauseUnknownJob:
+		c.log.Warn("start refused", "task", attempt.Task, "machine", attempt.Machine.Name,
+			"why", attempt.Cause.String())
+		job.RetryNotBefore = now.Add(c.settings.Backoff / 4)
+	}
+}
+
+// releaseAttempt takes an attempt off its machine. Its task waits again unless it is done.
+func (c *Core) releaseAttempt(now time.Time, attempt *model.Attempt, state model.AttemptState) {
+	attempt.Transition(state)
+	if attempt.Machine.ActiveCount == 0 {
+		attempt.Machine.EmptySince = now
+	}
+	c.passes.needed = true
+	job, index := attempt.Job, attempt.Task.Index
+	if job == nil || job.ActiveAttempts[index] != attempt {
+		return
+	}
+	delete(job.ActiveAttempts, index)
+	if job.State == model.JobEnded {
+		return
+	}
+	if job.Task(index) != model.TaskDone {
+		if job.Waiting() == 0 {
+			job.WaitingSince = now
+		}
+		if attempt.Preempted && job.Spec.Shape != model.Gang {
+			job.SetTask(index, model.TaskPreempted)
+		} else {
+			job.SetTask(index, model.TaskRetry)
+		}
+	}
+	if job.Spec.Shape == model.Gang {
+		if len(job.ActiveAttempts) == 0 {
+			job.Gang = model.GangIdle
+		} else if job.Unfinished() > 0 {
+			c.breakGang(now, job)
+		}
+	}
+}
+
+// loseAttempt takes an attempt as gone although its end was not reported.
+func (c *Core) loseAttempt(now time.Time, attempt *model.Attempt) {
+	if attempt.Active() {
+		c.accounting.chargeUntil(now, attempt, attempt.Machine.LastSeen)
+		c.accounting.chargeWasted(now, attempt)
+		c.releaseAttempt(now, attempt, model.AttemptDropped)
+	} else if attempt.State == model.AttemptEnded {
+		attempt.Transition(model.AttemptDropped)
+	}
+}
+
+// loseAttempts takes everything on a machine as gone.
+func (c *Core) loseAttempts(now time.Time, machine *model.Machine, reason string) {
+	if count := machine.ActiveCount; count > 0 {
+		c.log.Info("attempts lost", "machine", machine.Name, "count", count, "why", reason)
+	}
+	for key, attempt := range machine.Attempts {
+		delete(machine.Attempts, key)
+		c.loseAttempt(now, attempt)
+	}
+}
+
+// stopAttempt requests that an attempt stops.
+func (c *Core) stopAttempt(now time.Time, attempt *model.Attempt, grace time.Duration) {
+	if attempt.RequestStop(now, grace) {
+		attempt.CommandedState = 0
+		c.commandsPending[attempt.Machine] = true
+	}
+}
+
+// stopGracefully stops an attempt with time for a checkpoint. Of a gang all tasks are stopped together.
+func (c *Core) stopGracefully(now time.Time, attempt *model.Attempt) {
+	job := attempt.Job
+	if job == nil || job.Spec.Shape != model.Gang {
+		c.stopAttempt(now, attempt, gracePeriod(attempt))
+		return
+	}
+	if job.Gang == model.GangLaunched {
+		job.Gang = model.GangStopping
+		for _, member := range job.ActiveAttempts {
+			c.stopAttempt(now, member, gracePeriod(member))
+		}
+	}
+}
+
+// gracePeriod is how long an attempt may take to save a checkpoint when it is stopped.
+func gracePeriod(attempt *model.Attempt) time.Duration {
+	if attempt.Job == nil || attempt.Job.Spec.CheckpointInterval == 0 {
+		return 0
+	}
+	return attempt.Job.Spec.CheckpointTime + checkpointMargin
+}
+
+// breakGang stops what is left of a gang that has lost a task: the others make no progress, and the next attempt
+// starts when all of them are gone.
+func (c *Core) breakGang(now time.Time, job *model.Job) {
+	if job.Gang == model.GangBroken || job.Gang == model.GangStopping {
+		return
+	}
+	job.Gang = model.GangBroken
+	for _, attempt := range job.ActiveAttempts {
+		c.stopAttempt(now, attempt, 0)
+	}
+}
+
+// gangComplete reports whether all unfinished tasks of a gang are active with one attempt number.
+func gangComplete(job *model.Job) bool {
+	var number uint64
+	for _, attempt := range job.ActiveAttempts {
+		if number != 0 && attempt.Number != number || attempt.State == model.AttemptStopping {
+			return false
+		}
+		number = attempt.Number
+	}
+	return len(job.ActiveAttempts) == job.Unfinished()
+}
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -7,170 +7,239 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// responseCommands lists everything that a worker is to do, for the answer to a report, which came straight from
-// it or by way of another member.
-func (c *Core) responseCommands(now time.Time, m *model.Machine, straight bool) []model.Command {
-	var out []model.Command
-	for _, a := range m.Attempts {
-		// Stops go first. Guards against an answer that is full before them, and renews the lease
-		// of a machine that holds tasks of a cancelled job.
-		if a.State == model.AttemptStopping && len(out) < maxCommands {
-			out = c.appendCommands(out, a)
-		}
-	}
-	for _, a := range m.Attempts {
-		if len(out) >= maxCommands {
-			break
-		}
-		if a.State == model.AttemptStopping {
-			continue
-		}
-		n := len(out)
-		if out = c.appendCommands(out, a); len(out) > n && straight && a.SentInReplyTo == (liveness.MessageNumber{}) {
-			a.SentInReplyTo = m.LatestHeartbeat()
-		}
-		if a.State == model.AttemptEnded && c.canForget(now, a) {
-			out = append(out, model.Command{Op: model.OpForget, Task: a.Task, Attempt: a.Number})
-		}
-	}
-	return out
-}
-
-// maxCommands keeps an answer far below the published limit.
+// maxCommands bounds the commands of one message, which keeps it far below the published size limit.
 const maxCommands = 200
 
-// duplicateRetentionLeases is for how many leases the row of an ended attempt is kept that was launched straight.
+// duplicateRetentionLeases is for how many leases an ended attempt is kept that was launched directly: the network
+// may repeat its launch.
 const duplicateRetentionLeases = 3
 
-// maxUnansweredLaunches bounds of how many attempts on a machine unanswered launches may be out: their
-// rows stay in the worker's reports until its session ends. Beyond it launches go with
-// answers to reports, which are never carried out late. Guards against a network that
-// swallows answers for hours, until a worker's report passes the published limit.
+// maxUnansweredLaunches bounds of how many attempts on a machine unanswered launches may be out. The worker keeps
+// these attempts in its heartbeats until its epoch ends. Beyond the bound launches go with responses to heartbeats,
+// which are never carried out late. So a network that swallows answers for hours does not make heartbeats exceed the
+// published size limit.
 const maxUnansweredLaunches = 64
 
-// maxDirectLaunches bounds how many rows of attempts that were launched straight a machine has. Beyond it, too,
-// launches go with answers to reports: those are not repeated, and so need no row that outlives them.
+// maxDirectLaunches bounds how many attempts that were launched directly are known on a machine. Beyond it, too,
+// launches go with responses to heartbeats: those are not repeated, so their attempts need not be kept.
 const maxDirectLaunches = 256
 
-// countDirectLaunches counts the rows on a machine of attempts that were launched straight.
-func countDirectLaunches(m *model.Machine) int {
-	n := 0
-	for _, a := range m.Attempts {
-		if a.LaunchedDirectly {
-			n++
+// responseCommands lists everything that a worker is to do, for the response to a heartbeat. direct says that the
+// heartbeat came from the worker itself and not by way of another member.
+func (c *Core) responseCommands(now time.Time, machine *model.Machine, direct bool) []model.Command {
+	var commands []model.Command
+	for _, attempt := range machine.Attempts {
+		// Stops go first: a response that is full before them would renew the lease of a machine that still holds
+		// tasks of a cancelled job.
+		if attempt.State == model.AttemptStopping && len(commands) < maxCommands {
+			commands = appendCommands(commands, attempt)
+		}
+	}
+	for _, attempt := range machine.Attempts {
+		if len(commands) >= maxCommands {
+			break
+		}
+		if attempt.State == model.AttemptStopping {
+			continue
+		}
+		before := len(commands)
+		commands = appendCommands(commands, attempt)
+		if len(commands) > before && direct && attempt.SentInReplyTo == (liveness.MessageNumber{}) {
+			attempt.SentInReplyTo = machine.LatestHeartbeat()
+		}
+		if attempt.State == model.AttemptEnded && c.canForget(now, attempt) {
+			commands = append(commands, model.Command{Op: model.OpForget, Task: attempt.Task, Attempt: attempt.Number})
 		}
 	}
-	return n
+	return commands
 }
 
-// appendCommands adds the orders that bring one attempt to where it should be. An
-// unwanted attempt that no report has shown yet is launched and stopped: then
-// the worker knows it, and a late copy of its launch does nothing
-// (docs/safety.md, "Late launches").
-func (c *Core) appendCommands(out []model.Command, a *model.Attempt) []model.Command {
-	switch {
-	case a.State == model.AttemptLaunching, a.State == model.AttemptStopping && a.Phase == 0:
-		out = append(out, model.Command{Op: model.OpLaunch, Task: a.Task, Attempt: a.Number})
-	}
-	if a.State == model.AttemptStopping && (a.Phase != model.PhaseCheckpointing || a.GracePeriod == 0) {
-		out = append(out, model.Command{Op: model.OpStop, Task: a.Task, Attempt: a.Number, GracePeriod: a.GracePeriod})
-	}
-	return out
+// appendCommands appends the commands that bring one attempt to where it should be. An unwanted attempt that no
+// heartbeat has shown yet is launched and stopped: then the worker knows it, and a delayed duplicate of its launch
+// has no effect (docs/safety.md, "Late launches").
+func appendCommands(commands []model.Command, attempt *model.Attempt) []model.Command {
+	stopping := attempt.State == model.AttemptStopping
+	if attempt.State == model.AttemptLaunching || stopping && attempt.Phase == 0 {
+		commands = append(commands, model.Command{Op: model.OpLaunch, Task: attempt.Task, Attempt: attempt.Number})
+	}
+	if stopping && (attempt.Phase != model.PhaseCheckpointing || attempt.GracePeriod == 0) {
+		commands = append(commands, model.Command{
+			Op: model.OpStop, Task: attempt.Task, Attempt: attempt.Number, GracePeriod: attempt.GracePeriod,
+		})
+	}
+	return commands
 }
 
-// canForget tells whether the row of an ended attempt may be removed: what it did is durable, and no copy
-// of its launch can come late. One that went straight to the worker and was answered may yet be repeated by
-// the network: its row stays for some leases, and maxStraight keeps reports within their limit. Guards
-// against a repeat that starts a stopped task beside its next start, or one of a cancelled job.
-func (c *Core) canForget(now time.Time, a *model.Attempt) bool {
-	if a.LaunchedDirectly && now.Sub(a.EndedAt) < duplicateRetentionLeases*c.settings.WorkerLease {
+// canForget reports whether the worker may forget an ended attempt: what it did is durable, and no copy of its launch
+// can arrive any more. The network may repeat a launch that was sent directly even after it was answered, so that
+// attempt is kept for some leases. Otherwise the repeat could start a stopped task beside its next attempt, or one of
+// a cancelled job.
+func (c *Core) canForget(now time.Time, attempt *model.Attempt) bool {
+	retention := duplicateRetentionLeases * c.settings.WorkerLease
+	if attempt.LaunchedDirectly && now.Sub(attempt.EndedAt) < retention {
 		return false
 	}
-	if a.Machine.UnansweredLaunches.MayArrive(model.AttemptKey{Task: a.Task, Number: a.Number}) || a.Machine.FencingToken < c.fencingToken {
+	machine := attempt.Machine
+	if machine.UnansweredLaunches.MayArrive(attemptKey(attempt)) || machine.FencingToken < c.fencingToken {
 		return false
 	}
-	if a.Cause != model.CauseDone || a.Job == nil || a.Job.Spec.Shape == model.Service {
+	job := attempt.Job
+	if attempt.Cause != model.CauseDone || job == nil || job.Spec.Shape == model.Service {
 		return true
 	}
-	return a.Job.IsDurable(a.Task.Index)
+	return job.IsDurable(attempt.Task.Index)
+}
+
+// canCommandDirectly reports whether commands may be sent directly to a machine now. If not, the response to its next
+// heartbeat carries them.
+func canCommandDirectly(now time.Time, machine *model.Machine) bool {
+	return !now.Before(machine.NoDirectCommandBefore) && machine.Epoch != 0 && machine.Epoch > machine.ExpiredEpoch &&
+		machine.Addr != "" && machine.State < model.MachineReleasing
 }
 
-// sendDirectCommands sends new launches and stops straight to a worker.
-func (c *Core) sendDirectCommands(now time.Time, m *model.Machine) {
-	if m.CommandInFlight {
+// sendDirectCommands sends new launches and stops directly to a worker.
+func (c *Core) sendDirectCommands(now time.Time, machine *model.Machine) {
+	if machine.CommandInFlight {
 		return
 	}
-	delete(c.commandsPending, m)
-	if now.Before(m.NoDirectCommandBefore) || m.Epoch == 0 || m.Epoch <= m.ExpiredEpoch || m.Addr == "" || m.State >= model.MachineReleasing {
-		return // the next answer to a report carries it
+	delete(c.commandsPending, machine)
+	if !canCommandDirectly(now, machine) {
+		return
 	}
-	var out []model.Command
+	var commands []model.Command
 	urgent := false
-	rows := -1 // launched straight; not counted yet
-	for key, a := range m.Attempts {
-		if !a.Active() || a.CommandedState == a.State || len(out) >= maxCommands {
+	launches := launchBudget{machine: machine, launched: -1}
+	for _, attempt := range machine.Attempts {
+		if !attempt.Active() || attempt.CommandedState == attempt.State || len(commands) >= maxCommands {
 			continue
 		}
-		n := len(out)
-		if out = c.appendCommands(out, a); len(out) > n && out[n].Op == model.OpLaunch {
-			if rows < 0 {
-				rows = countDirectLaunches(m)
-			}
-			if m.UnansweredLaunches.Len() >= maxUnansweredLaunches && !m.UnansweredLaunches.MayArrive(key) || rows >= maxDirectLaunches && !a.LaunchedDirectly {
-				out = out[:n] // the next answer to a report carries it
+		before := len(commands)
+		commands = appendCommands(commands, attempt)
+		if len(commands) > before && commands[before].Op == model.OpLaunch {
+			if !launches.take(attempt) {
+				commands = commands[:before] // the response to the next heartbeat carries it
 				continue
 			}
-			if !a.LaunchedDirectly {
-				a.LaunchedDirectly = true
-				rows++
-			}
-			m.UnansweredLaunches.Add(key)
-			urgent = urgent || a.Job != nil && a.Job.EffectivePriority >= model.PriorityHigh
+			urgent = urgent || attempt.Job != nil && attempt.Job.EffectivePriority >= model.PriorityHigh
 		}
-		a.CommandedState = a.State
+		attempt.CommandedState = attempt.State
 	}
-	if len(out) > 0 {
-		c.sendCommands(m, out, urgent)
+	if len(commands) > 0 {
+		c.sendCommands(machine, commands, urgent)
 	}
 }
 
-// sendCommands sends commands straight to a worker; none of them is a question.
-func (c *Core) sendCommands(m *model.Machine, orders []model.Command, urgent bool) {
-	m.CommandInFlight = true
-	m.CommandSent()
-	c.emit(SendCommands{Machine: m.Name, Addr: m.Addr, Epoch: m.Epoch, Commands: orders, Urgent: urgent})
+// launchBudget bounds the direct launches on one machine.
+type launchBudget struct {
+	machine  *model.Machine
+	launched int // attempts on it that were launched directly; below zero: not counted yet
+}
+
+// take notes that a launch leaves directly, and reports false where that is one too many.
+func (b *launchBudget) take(attempt *model.Attempt) bool {
+	if b.launched < 0 {
+		b.launched = countDirectLaunches(b.machine)
+	}
+	key, unanswered := attemptKey(attempt), &b.machine.UnansweredLaunches
+	if unanswered.Len() >= maxUnansweredLaunches && !unanswered.MayArrive(key) {
+		return false
+	}
+	if b.launched >= maxDirectLaunches && !attempt.LaunchedDirectly {
+		return false
+	}
+	if !attempt.LaunchedDirectly {
+		attempt.LaunchedDirectly = true
+		b.launched++
+	}
+	unanswered.Add(key)
+	return true
 }
 
-func (c *Core) commandCompleted(now time.Time, ev CommandCompleted) {
-	if len(ev.Commands) == 0 {
-		c.probesInFlight--
+// countDirectLaunches counts the attempts on a machine that were launched directly.
+func countDirectLaunches(machine *model.Machine) int {
+	count := 0
+	for _, attempt := range machine.Attempts {
+		if attempt.LaunchedDirectly {
+			count++
+		}
 	}
-	m := c.machines[ev.Machine]
-	if m == nil {
+	return count
+}
+
+// sendCommands sends commands directly to a worker; without any it is a probe.
+func (c *Core) sendCommands(machine *model.Machine, commands []model.Command, urgent bool) {
+	machine.CommandInFlight = true
+	machine.CommandSent()
+	c.emit(SendCommands{
+		Machine: machine.Name, Addr: machine.Addr, Epoch: machine.Epoch, Commands: commands, Urgent: urgent,
+	})
+}
+
+// commandCompleted takes the answer to direct commands or a probe, or that there was none.
+func (c *Core) commandCompleted(now time.Time, event CommandCompleted) {
+	isProbe := len(event.Commands) == 0
+	if isProbe {
+		c.liveness.probesInFlight--
+	}
+	machine := c.machines[event.Machine]
+	if machine == nil {
 		return
 	}
-	m.CommandInFlight = false
-	if len(ev.Commands) == 0 && ev.Heartbeat == nil && (ev.Outcome == Unknown || ev.Outcome == Refused) {
-		m.ProbeUnanswered = true // it was asked whether it is there
-		if m.Detector.ProbeTimedOut(now) {
-			c.livenessChanged(m)
+	machine.CommandInFlight = false
+	if isProbe && event.Heartbeat == nil && (event.Outcome == Unknown || event.Outcome == Refused) {
+		machine.ProbeUnanswered = true
+		if machine.Detector.ProbeTimedOut(now) {
+			c.livenessChanged(machine)
 		}
 	}
-	if ev.Outcome == Unknown {
-		m.NoDirectCommandBefore = now.Add(c.settings.CommandHoldOff)
-	} else if ev.Epoch == m.Epoch {
-		for _, o := range ev.Commands {
-			if o.Op == model.OpLaunch {
-				m.UnansweredLaunches.Remove(model.AttemptKey{Task: o.Task, Number: o.Attempt})
+	if event.Outcome == Unknown {
+		machine.NoDirectCommandBefore = now.Add(c.settings.CommandHoldOff)
+	} else if event.Epoch == machine.Epoch {
+		for _, command := range event.Commands {
+			if command.Op == model.OpLaunch {
+				machine.UnansweredLaunches.Remove(model.AttemptKey{Task: command.Task, Number: command.Attempt})
 			}
 		}
 	}
-	if ev.Heartbeat != nil && ev.Heartbeat.Machine == m.Name {
-		c.commandAnswered(now, m, ev.Heartbeat)
+	if event.Heartbeat != nil && event.Heartbeat.Machine == machine.Name {
+		c.commandAnswered(now, machine, event.Heartbeat)
+	}
+	if hasUnsentCommands(machine) {
+		c.commandsPending[machine] = true
+	}
+}
+
+// hasUnsentCommands reports whether a worker was not told yet of a launch or a stop.
+func hasUnsentCommands(machine *model.Machine) bool {
+	for _, attempt := range machine.Attempts {
+		if attempt.CommandedState == attempt.State {
+			continue
+		}
+		if attempt.State == model.AttemptLaunching || attempt.State == model.AttemptStopping {
+			return true
+		}
 	}
-	for _, a := range m.Attempts {
-		if a.Active() && a.CommandedState != a.State && (a.State == model.AttemptLaunching || a.State == model.AttemptStopping) {
-			c.commandsPending[m] = true
+	return false
+}
+
+// commandAnswered takes a worker's state that answers a command or probe: it was sent after the command.
+func (c *Core) commandAnswered(now time.Time, machine *model.Machine, heartbeat *model.Heartbeat) {
+	c.proveAlive(now, machine, "it has answered")
+	if known := machine.LatestMessage(); machine.CommandAnswered(heartbeat.Epoch, heartbeat.Seq) {
+		c.log.Warn("machine has begun anew", "machine", machine.Name, "known", known, "session", heartbeat.Epoch,
+			"number", heartbeat.Seq, "holding", machine.ActiveCount,
+			"commands_on_their_way", machine.UnansweredLaunches.Len())
+		machine.ErrorsByJob = map[string]int{}
+		if machine.UnansweredLaunches.Len() > 0 {
+			// Launches that were sent to its former incarnation may reach the present one, which does not know them.
+			// Their attempts count on the machine until it is gone.
+			c.startRelease(now, machine, reasonRestarted)
 		}
 	}
+	// If it has restarted with higher numbers than were known, its lease may have begun as late as now. The deadline
+	// of the former lease must not free tasks of the new incarnation.
+	machine.LeaseExpiry = c.leaseExpiry(now)
+	if heartbeat.Epoch > machine.ExpiredEpoch {
+		c.applyHeartbeat(now, machine, heartbeat, true)
+	}
 }
--- a/internal/reconciler/commits.go
+++ b/internal/reconciler/commits.go
@@ -7,133 +7,101 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
+// pendingCommits are the changes of records that wait for their transaction. One transaction is in flight at a time.
+type pendingCommits struct {
+	changes      []Change
+	queuedChunks map[chunkKey]bool // the PutTasks among the changes
+	inFlight     bool              // a transaction or a fence is not answered yet
+	fenceNeeded  bool              // a transaction that was not answered may yet be carried out
+	lastAlone    bool              // the last transaction was for a change that needs its own
+	notBefore    time.Time         // of the next transaction
+}
+
 // chunkKey names a chunk of a job's finished-task record.
 type chunkKey struct {
 	job   string
 	chunk model.Chunk
 }
 
-// queueChunk queues a chunk of a finished-task record, unless it waits already: what it holds is taken from the job as
-// it leaves. Guards against a queue that grows for as long as tasks end faster than the state service takes their
-// records, with every state that a chunk ever had in it: each transaction then went through tens of thousands of
-// saves, for up to a second, and workers' leases ran out behind it.
-func (c *Core) queueChunk(job string, chunk model.Chunk) {
-	key := chunkKey{job, chunk}
-	if !c.queuedChunks[key] {
-		c.queuedChunks[key] = true
-		c.pendingChanges = append(c.pendingChanges, Change{Kind: PutTasks, Job: job, Chunk: chunk})
-	}
-}
+// commitRetryDelay is the pause after a transaction that was not carried out, or not answered.
+const commitRetryDelay = 300 * time.Millisecond
 
-// fillChunk has a save leave with what it is to hold by now. It is false where nothing is to be written any more: the
-// record of a job's end stands for those of its tasks.
-func (c *Core) fillChunk(s *Change) bool {
-	if s.Kind != PutTasks || s.CommitAlone {
-		return true
-	}
-	delete(c.queuedChunks, chunkKey{s.Job, s.Chunk})
-	j := c.jobs[s.Job]
-	if j == nil {
-		return false
+func newPendingCommits() pendingCommits { return pendingCommits{queuedChunks: map[chunkKey]bool{}} }
+
+func (p *pendingCommits) add(changes ...Change) { p.changes = append(p.changes, changes...) }
+
+// queueChunk queues a chunk of a finished-task record unless it waits already: its content is taken from the job when
+// its transaction leaves. Otherwise the queue would grow with every state that a chunk ever had, for as long as tasks
+// finish faster than the state service writes.
+func (p *pendingCommits) queueChunk(job string, chunk model.Chunk) {
+	key := chunkKey{job, chunk}
+	if !p.queuedChunks[key] {
+		p.queuedChunks[key] = true
+		p.add(Change{Kind: PutTasks, Job: job, Chunk: chunk})
 	}
-	from := s.Chunk.Number / 8
-	s.FinishedBits = append([]byte(nil), j.DoneBits[from:min(from+model.ChunkTasks/8, len(j.DoneBits))]...)
-	return true
 }
 
-// requeue puts saves that may not have been carried out in front of the others. Of a chunk that waits again already
-// nothing is put back: the later save holds as much and more.
-func (c *Core) requeue(saves []Change) {
-	back := make([]Change, 0, len(saves)+len(c.pendingChanges))
-	for _, s := range saves {
-		key := chunkKey{s.Job, s.Chunk}
-		if s.Kind == PutTasks && !s.CommitAlone {
-			if c.queuedChunks[key] {
+// requeue puts changes that may not have been carried out in front of the others. A chunk that waits again already is
+// not put back: the later change holds as much and more.
+func (p *pendingCommits) requeue(changes []Change) {
+	front := make([]Change, 0, len(changes)+len(p.changes))
+	for _, change := range changes {
+		if change.Kind == PutTasks && !change.CommitAlone {
+			key := chunkKey{change.Job, change.Chunk}
+			if p.queuedChunks[key] {
 				continue
 			}
-			c.queuedChunks[key] = true
+			p.queuedChunks[key] = true
 		}
-		back = append(back, s)
+		front = append(front, change)
 	}
-	c.pendingChanges = append(back, c.pendingChanges...)
+	p.changes = append(front, p.changes...)
 }
 
-// queueDirtyChunks queues the changed chunks of finished-task records.
-func (c *Core) queueDirtyChunks(now time.Time) {
-	for id := range c.dirtyJobs {
-		j := c.jobs[id]
-		delete(c.dirtyJobs, id)
-		if j == nil || j.State != model.JobActive {
-			continue
-		}
-		for k := range j.DirtyChunks {
-			c.queueChunk(id, k)
-			delete(j.DirtyChunks, k)
-			j.RecordedChunks[k] = true
-		}
-	}
-	c.flushAt = now.Add(c.settings.FlushInterval)
+// retryLater puts the next transaction off.
+func (p *pendingCommits) retryLater(now time.Time) { p.notBefore = now.Add(commitRetryDelay) }
+
+// ready reports whether a transaction may leave now.
+func (p *pendingCommits) ready(now time.Time) bool {
+	return !p.inFlight && len(p.changes) > 0 && !now.Before(p.notBefore)
 }
 
-// startCommit sends the next batch of records, one transaction at a time. Ends of jobs
-// that are done and new machines go first, since somebody waits for them; then saves
-// that go alone take turns with batches of the others.
-func (c *Core) startCommit(now time.Time) {
-	if c.commitInFlight || len(c.pendingChanges) == 0 || now.Before(c.commitAt) {
-		return
-	}
-	if c.fenceNeeded {
-		c.commitInFlight = true
-		c.emit(Fence{})
-		return
-	}
-	first, other := -1, -1
-	for i := range c.pendingChanges {
-		s := &c.pendingChanges[i]
-		instead, waits := c.blockedBySettlement(now, s)
+// next is the index of the change that the next transaction is for; -1: all wait. Completed jobs and new machines go
+// first, since users and tasks wait for them; then changes that need their own transaction take turns with batches of
+// the others. blocked says of a change whether it has to wait, and the index of the change that goes instead (-1:
+// none).
+func (p *pendingCommits) next(blocked func(*Change) (instead int, waits bool)) int {
+	other := -1
+	for i := range p.changes {
+		change := &p.changes[i]
+		instead, waits := blocked(change)
 		if waits && instead < 0 {
 			continue
 		}
-		if s.Kind == CompleteJob || s.Kind == PutMachine {
-			if first = i; waits {
-				first = instead
+		if change.Kind == CompleteJob || change.Kind == PutMachine {
+			if waits {
+				return instead
 			}
-			break
+			return i
 		}
-		if other < 0 || c.lastCommitAlone && c.pendingChanges[other].needsOwnCommit() && !s.needsOwnCommit() {
+		if other < 0 || p.lastAlone && p.changes[other].needsOwnCommit() && !change.needsOwnCommit() {
 			other = i
 		}
 	}
-	if first < 0 {
-		first = other
-	}
-	if first < 0 {
-		return // all that there is waits for a reading
-	}
-	var batch []Change
-	c.lastCommitAlone = c.pendingChanges[first].needsOwnCommit()
-	if c.lastCommitAlone {
-		if batch, c.pendingChanges = c.takeOwnCommit(now, first); len(batch) == 0 {
-			return
-		}
-	} else if batch = c.takeBatch(); len(batch) == 0 {
-		return
-	}
-	c.commitInFlight = true
-	c.emit(Commit{batch})
+	return other
 }
 
-// takeBatch takes as many of the saves that may go together as fit into a transaction, new machines first. Those that are
-// left stay in their order and where they are.
-func (c *Core) takeBatch() []Change {
+// takeBatch takes up to limit of the changes that may share a transaction, new machines first. fill completes a
+// change as it leaves, and reports false where nothing is to be written any more. The rest stay in their order.
+func (p *pendingCommits) takeBatch(limit int, fill func(*Change) bool) []Change {
 	var batch []Change
 	take := func(machines bool) {
-		c.pendingChanges = slices.DeleteFunc(c.pendingChanges, func(s Change) bool {
-			if s.needsOwnCommit() || (s.Kind == PutMachine) != machines || len(batch) >= c.settings.MaxTxnOps {
+		p.changes = slices.DeleteFunc(p.changes, func(change Change) bool {
+			if change.needsOwnCommit() || (change.Kind == PutMachine) != machines || len(batch) >= limit {
 				return false
 			}
-			if c.fillChunk(&s) {
-				batch = append(batch, s)
+			if fill(&change) {
+				batch = append(batch, change)
 			}
 			return true
 		})
@@ -143,72 +111,133 @@
 	return batch
 }
 
-// commitCompleted takes what became of a transaction.
-func (c *Core) commitCompleted(now time.Time, ev CommitCompleted) {
-	c.commitInFlight = false
-	switch ev.Outcome {
+// startCommit sends the next transaction, or a fence where one is needed first.
+func (c *Core) startCommit(now time.Time) {
+	if !c.commits.ready(now) {
+		return
+	}
+	if c.commits.fenceNeeded {
+		c.commits.inFlight = true
+		c.emit(Fence{})
+		return
+	}
+	next := c.commits.next(func(change *Change) (int, bool) { return c.blockedBySettlement(now, change) })
+	if next < 0 {
+		return
+	}
+	var batch []Change
+	c.commits.lastAlone = c.commits.changes[next].needsOwnCommit()
+	if c.commits.lastAlone {
+		batch, c.commits.changes = c.takeOwnCommit(now, next)
+	} else {
+		batch = c.commits.takeBatch(c.settings.MaxTxnOps, c.fillChunk)
+	}
+	if len(batch) == 0 {
+		return
+	}
+	c.commits.inFlight = true
+	c.emit(Commit{batch})
+}
+
+// fillChunk gives a chunk that leaves its present content. It reports false where the job has ended: the record of
+// the end covers its tasks.
+func (c *Core) fillChunk(change *Change) bool {
+	if change.Kind != PutTasks || change.CommitAlone {
+		return true
+	}
+	delete(c.commits.queuedChunks, chunkKey{change.Job, change.Chunk})
+	job := c.jobs[change.Job]
+	if job == nil {
+		return false
+	}
+	first := change.Chunk.Number / 8
+	end := min(first+model.ChunkTasks/8, len(job.DoneBits))
+	change.FinishedBits = append([]byte(nil), job.DoneBits[first:end]...)
+	return true
+}
+
+// commitCompleted takes the outcome of a transaction.
+func (c *Core) commitCompleted(now time.Time, event CommitCompleted) {
+	c.commits.inFlight = false
+	changes := event.Changes
+	switch event.Outcome {
 	case Unknown, NotSent:
-		// Every save may be repeated: it writes whole values, under the condition
-		// that this leader's token is still the last one.
-		c.requeue(ev.Changes)
-		c.commitAt = now.Add(commitRetryDelay)
-		c.fenceNeeded = c.fenceNeeded || ev.Outcome == Unknown
+		// Each change may be repeated: it writes whole values, under the condition that this leader's token is still
+		// the last one.
+		c.commits.requeue(changes)
+		c.commits.retryLater(now)
+		c.commits.fenceNeeded = c.commits.fenceNeeded || event.Outcome == Unknown
 		return
 	case Rejected:
-		c.commitRejected(now, ev.Changes)
+		c.commitRejected(now, changes)
 		return
+	case Refused:
+		changes = c.accounting.deferRefusedEnds(changes)
 	}
-	saves := ev.Changes
-	if ev.Outcome == Refused {
-		saves = c.deferRefusedEnds(saves)
-	}
-	for _, s := range saves {
-		switch s.Kind {
-		case SettleAccount, CompactAccount:
-			c.settlementCompleted(now, s, ev)
-		case PutMachine:
-			if m := c.machines[s.Machine.Name]; m != nil && ev.Outcome == OK {
-				m.Registered = true
-				c.passNeeded = true
-			}
-		case PutTasks:
-			if j := c.jobs[s.Job]; j != nil && ev.Outcome == OK {
-				j.MarkDurable(s.Chunk.Number, s.FinishedBits)
-			}
-		case CompleteJob, CancelDependent:
-			// Done: the watch tells of it too. Refused: somebody else has ended the
-			// job, or an earlier copy of this very save has; the watch tells.
-			if ev.Outcome == OK {
-				end := model.OutcomeDone
-				if s.Kind == CancelDependent {
-					end = model.OutcomeCancelled
-				}
-				c.endJob(now, JobEnded{ID: s.Job, Outcome: end, EndedAt: s.At})
-			}
+	for _, change := range changes {
+		c.changeCompleted(now, change, event)
+	}
+}
+
+// changeCompleted takes the outcome of a transaction, OK or Refused, for one of its changes.
+func (c *Core) changeCompleted(now time.Time, change Change, event CommitCompleted) {
+	if change.Kind == SettleAccount || change.Kind == CompactAccount {
+		c.accounting.changeCompleted(now, change, event)
+		return
+	}
+	if event.Outcome != OK {
+		return // a job's end: another leader or the user has recorded it, and the watch tells
+	}
+	switch change.Kind {
+	case PutMachine:
+		if machine := c.machines[change.Machine.Name]; machine != nil {
+			machine.Registered = true
+			c.passes.needed = true
+		}
+	case PutTasks:
+		if job := c.jobs[change.Job]; job != nil {
+			job.MarkDurable(change.Chunk.Number, change.FinishedBits)
 		}
+	case CompleteJob:
+		c.endJob(now, JobEnded{ID: change.Job, Outcome: model.OutcomeDone, EndedAt: change.At})
+	case CancelDependent:
+		c.endJob(now, JobEnded{ID: change.Job, Outcome: model.OutcomeCancelled, EndedAt: change.At})
 	}
 }
 
-// commitRejected takes saves that the state service will not carry out as they stand.
-// Guards against an endless loop round one record that is too large: of several each
-// is tried alone, and one that was alone is dropped, or tried again much later where
-// a job hangs on it.
-func (c *Core) commitRejected(now time.Time, saves []Change) {
-	if len(saves) > 1 {
-		for i := range saves {
-			saves[i].CommitAlone = true
+// commitRejected takes changes that the state service will not carry out as they stand. Of several, each is tried
+// alone; one that was alone is dropped, or tried again much later where a job's end hangs on it. So one record that
+// is too large does not block all others.
+func (c *Core) commitRejected(now time.Time, changes []Change) {
+	if len(changes) > 1 {
+		for i := range changes {
+			changes[i].CommitAlone = true
 		}
-		c.pendingChanges = append(c.pendingChanges, saves...)
+		c.commits.add(changes...)
 		return
 	}
-	switch saves[0].Kind {
+	change := changes[0]
+	switch change.Kind {
 	case SettleAccount:
-		c.retrySettlementLater(now, saves[0])
+		c.accounting.retrySettlementLater(change, now.Add(c.settings.MaxBackoff))
 	case CompactAccount:
-		c.settlementCompleted(now, saves[0], CommitCompleted{Outcome: Rejected})
+		c.accounting.changeCompleted(now, change, CommitCompleted{Outcome: Rejected})
 	}
-	if j := c.jobs[saves[0].Job]; j != nil && (saves[0].Kind == CompleteJob || saves[0].Kind == CancelDependent) {
-		j.Transition(model.JobActive)
-		j.RetryNotBefore = now.Add(c.settings.MaxBackoff)
+	if job := c.jobs[change.Job]; job != nil && change.endsJob() {
+		job.Transition(model.JobActive)
+		job.RetryNotBefore = now.Add(c.settings.MaxBackoff)
+	}
+}
+
+// fenceCompleted takes the outcome of a fence. A transaction that was not answered may be carried out late, after
+// newer ones; it could make finished tasks unfinished again, or bring back machines that are gone. So a fence goes
+// before the next transaction: it writes the token's record anew, and what was sent under the former version of that
+// record fails from then on (docs/safety.md, "Late transactions").
+func (c *Core) fenceCompleted(now time.Time, event FenceCompleted) {
+	c.commits.inFlight = false
+	if event.Outcome == OK {
+		c.commits.fenceNeeded = false
+		return
 	}
+	c.commits.retryLater(now)
 }
--- a/internal/reconciler/commits_test.go
+++ b/internal/reconciler/commits_test.go
@@ -76,7 +76,7 @@
 		s.finishTask(i)
 	}
 	s.finishTask(model.ChunkTasks) // of the second chunk
-	if n := len(s.core.pendingChanges); n != 2 {
+	if n := len(s.core.commits.changes); n != 2 {
 		t.Fatalf("%d saves wait for two chunks", n)
 	}
 	s.complete(OK)
@@ -97,8 +97,8 @@
 		}
 		s.finishTask(2)
 		s.finishTask(3)
-		if len(s.inFlight) != 1 || countBits(s.inFlight[0].FinishedBits) < 2 || len(s.core.pendingChanges) > 1 {
-			t.Fatalf("after %v: sent %+v, %d more wait", outcome, s.inFlight, len(s.core.pendingChanges))
+		if len(s.inFlight) != 1 || countBits(s.inFlight[0].FinishedBits) < 2 || len(s.core.commits.changes) > 1 {
+			t.Fatalf("after %v: sent %+v, %d more wait", outcome, s.inFlight, len(s.core.commits.changes))
 		}
 		s.complete(OK)
 		s.finishTask(4)
@@ -120,7 +120,7 @@
 			t.Errorf("%+v is written", save)
 		}
 	}
-	if len(s.core.queuedChunks) != 0 {
-		t.Errorf("%v still count as waiting", s.core.queuedChunks)
+	if len(s.core.commits.queuedChunks) != 0 {
+		t.Errorf("%v still count as waiting", s.core.commits.queuedChunks)
 	}
 }
--- a/internal/reconciler/constraints.go
+++ b/internal/reconciler/constraints.go
@@ -6,196 +6,229 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// jobConstraints is a job with rules: compiled once, judged once a class of machines.
+// constraintRegistry keeps the placement constraints of the unfinished jobs that have any, and numbers the classes of
+// machines that they are evaluated for.
+type constraintRegistry struct {
+	byJob   map[*model.Job]*jobConstraints
+	classes machineClasses
+}
+
+// jobConstraints are the constraints of one job: parsed once, and evaluated once a class of machines.
 type jobConstraints struct {
-	set            *constraint.Set // nil: this version cannot read them, so none of its tasks starts
-	err            error
-	catalogVersion int // the catalogue that fit and wishes were worked out for
-	allowed        []bool
-	preferences    [2][]float64
-	unsatisfiable  bool // it has been said that nothing in the catalogue meets them
+	set            *constraint.Set // nil: this version cannot read them, so none of the job's tasks starts
+	err            error           // why it cannot
+	catalogVersion int             // that the following two hold for
+	allowed        []bool          // by number of a class
+	preferences    [2][]float64    // by number of a class; the second for machines that hold the job's image
+	unsatisfiable  bool            // it was logged that nothing in the catalog satisfies them
 }
 
-// machineClasses numbers the classes of machines, for one catalogue.
+// machineClasses numbers the classes of machines of one catalog.
 type machineClasses struct {
-	catalogVersion int // counts catalogues
+	catalogVersion int // counts catalogs
 	numbers        map[constraint.Class]int
 	list           []constraint.Class
 }
 
-// number is the number of a class.
-func (k *machineClasses) number(c constraint.Class) int {
-	n, ok := k.numbers[c]
+func newConstraintRegistry() constraintRegistry {
+	return constraintRegistry{byJob: map[*model.Job]*jobConstraints{}}
+}
+
+// readable reports whether a job's constraints, if it has any, can be read.
+func (r *constraintRegistry) readable(job *model.Job) bool {
+	constraints := r.byJob[job]
+	return constraints == nil || constraints.set != nil
+}
+
+func (r *constraintRegistry) remove(job *model.Job) { delete(r.byJob, job) }
+
+// number returns the number of a class.
+func (m *machineClasses) number(class constraint.Class) int {
+	number, ok := m.numbers[class]
 	if !ok {
-		if k.numbers == nil {
-			k.numbers = map[constraint.Class]int{}
+		if m.numbers == nil {
+			m.numbers = map[constraint.Class]int{}
 		}
-		n = len(k.list)
-		k.numbers[c] = n
-		k.list = append(k.list, c)
+		number = len(m.list)
+		m.numbers[class] = number
+		m.list = append(m.list, class)
 	}
-	return n
+	return number
 }
 
-// reset forgets the classes: the catalogue has changed.
-func (k *machineClasses) reset() { *k = machineClasses{catalogVersion: k.catalogVersion + 1} }
+// reset forgets the classes: the catalog has changed.
+func (m *machineClasses) reset() { *m = machineClasses{catalogVersion: m.catalogVersion + 1} }
+
+// evaluate evaluates constraints for the classes that they were not evaluated for yet.
+func (j *jobConstraints) evaluate(classes *machineClasses) {
+	if j.catalogVersion != classes.catalogVersion || j.allowed == nil {
+		j.catalogVersion, j.allowed, j.preferences = classes.catalogVersion, []bool{}, [2][]float64{}
+	}
+	for len(j.allowed) < len(classes.list) {
+		class := classes.list[len(j.allowed)]
+		_, ok := j.set.Allows(class)
+		j.allowed = append(j.allowed, ok)
+		for i := range j.preferences {
+			weight := j.set.PreferenceWeight(class, i == 1) / 100
+			j.preferences[i] = append(j.preferences[i], weight)
+		}
+	}
+}
 
-// addConstraints compiles the rules of a job that was accepted with some. Guards against
-// starting a job whose rules a later version has accepted and this one cannot read.
-func (c *Core) addConstraints(j *model.Job) {
-	if j.Spec.Rules == "" {
+// classOf returns the class that a machine belongs to.
+func classOf(machine *model.Machine) constraint.Class {
+	return constraint.Class{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
+}
+
+// addConstraints parses the constraints of a job that was accepted with some. A later version may have accepted a job
+// whose constraints this one cannot read; such a job is not started.
+func (c *Core) addConstraints(job *model.Job) {
+	if job.Spec.Rules == "" {
 		return
 	}
-	r := &jobConstraints{}
-	if r.set, r.err = constraint.Parse(j.Spec.Rules); r.err != nil {
-		c.log.Error("a job's rules cannot be read, so it waits", "id", j.Spec.ID, "err", r.err)
+	constraints := &jobConstraints{}
+	if constraints.set, constraints.err = constraint.Parse(job.Spec.Rules); constraints.err != nil {
+		c.log.Error("a job's rules cannot be read, so it waits", "id", job.Spec.ID, "err", constraints.err)
 	}
-	c.constraints[j] = r
-	c.checkSatisfiable(j, r)
+	c.constraints.byJob[job] = constraints
+	c.checkSatisfiable(job, constraints)
 }
 
-// checkSatisfiable says once where nothing in the catalogue meets a job's rules any more, and
-// once when something does again. The job stays accepted.
-func (c *Core) checkSatisfiable(j *model.Job, r *jobConstraints) {
-	if r.set == nil || len(c.machineTypes) == 0 {
+// checkSatisfiable logs once when nothing in the catalog satisfies a job's constraints any more, and once when
+// something does again. The job stays accepted.
+func (c *Core) checkSatisfiable(job *model.Job, constraints *jobConstraints) {
+	if constraints.set == nil || len(c.machineTypes) == 0 {
 		return
 	}
-	err := constraint.Check(r.set, j.Spec, constraint.Environment{Types: c.machineTypes})
-	if stuck := err != nil; stuck != r.unsatisfiable {
-		r.unsatisfiable = stuck
-		if stuck {
-			c.log.Warn("no machine in the catalogue meets a job's rules", "id", j.Spec.ID, "err", err)
-		} else {
-			c.log.Info("machines in the catalogue meet a job's rules again", "id", j.Spec.ID)
-		}
+	err := constraint.Check(constraints.set, job.Spec, constraint.Environment{Types: c.machineTypes})
+	unsatisfiable := err != nil
+	if unsatisfiable == constraints.unsatisfiable {
+		return
+	}
+	constraints.unsatisfiable = unsatisfiable
+	if unsatisfiable {
+		c.log.Warn("no machine in the catalogue meets a job's rules", "id", job.Spec.ID, "err", err)
+	} else {
+		c.log.Info("machines in the catalogue meet a job's rules again", "id", job.Spec.ID)
 	}
 }
 
-// constraintsReadable tells whether a job's rules, if it has any, can be read.
-func (c *Core) constraintsReadable(j *model.Job) bool {
-	r := c.constraints[j]
-	return r == nil || r.set != nil
+// recheckConstraints checks all constraints when the catalog was read anew.
+func (c *Core) recheckConstraints() {
+	c.constraints.classes.reset()
+	for job, constraints := range c.constraints.byJob {
+		c.checkSatisfiable(job, constraints)
+	}
 }
 
-// constraintsOf is what a job's rules say of the machines of this pass; nil: it has none.
-func (c *Core) constraintsOf(j *model.Job) *scheduler.Rules {
-	r := c.constraints[j]
-	if r == nil || r.set == nil {
-		return nil
+// classifyNodes numbers the classes of the machines of a pass, where any job has constraints.
+func (c *Core) classifyNodes(nodes []*scheduler.Node) {
+	if len(c.constraints.byJob) == 0 {
+		return
 	}
-	if r.catalogVersion != c.machineClasses.catalogVersion || r.allowed == nil {
-		r.catalogVersion, r.allowed, r.preferences = c.machineClasses.catalogVersion, []bool{}, [2][]float64{}
+	for _, node := range nodes {
+		node.MachineClass = c.constraints.classes.number(classOf(node.Machine))
 	}
-	for len(r.allowed) < len(c.machineClasses.list) {
-		class := c.machineClasses.list[len(r.allowed)]
-		_, ok := r.set.Allows(class)
-		r.allowed = append(r.allowed, ok)
-		for k := range r.preferences {
-			r.preferences[k] = append(r.preferences[k], r.set.PreferenceWeight(class, k == 1)/100)
-		}
+}
+
+// constraintsOf returns what a job's constraints say of the machines of this pass; nil: it has none.
+func (c *Core) constraintsOf(job *model.Job) *scheduler.Rules {
+	constraints := c.constraints.byJob[job]
+	if constraints == nil || constraints.set == nil {
+		return nil
 	}
-	out := &scheduler.Rules{FeasibleByClass: r.allowed, PreferenceByClass: r.preferences, MaxPerMachine: r.set.MaxPerMachine(), MaxPerZone: r.set.MaxPerZone(),
-		OfferFeasible: func(o scheduler.MachineOffer) bool {
-			_, ok := r.set.Allows(constraint.Class{Type: o.Type, Zone: o.Zone, Spot: o.Spot})
+	constraints.evaluate(&c.constraints.classes)
+	set := constraints.set
+	rules := &scheduler.Rules{
+		FeasibleByClass:   constraints.allowed,
+		PreferenceByClass: constraints.preferences,
+		MaxPerMachine:     set.MaxPerMachine(),
+		MaxPerZone:        set.MaxPerZone(),
+		OfferFeasible: func(offer scheduler.MachineOffer) bool {
+			_, ok := set.Allows(constraint.Class{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot})
 			return ok
-		}}
-	if out.MaxPerMachine > 0 {
-		out.TasksByMachine = map[*model.Machine]int{}
-		for _, a := range j.ActiveAttempts {
-			out.TasksByMachine[a.Machine]++
+		},
+	}
+	if rules.MaxPerMachine > 0 {
+		rules.TasksByMachine = map[*model.Machine]int{}
+		for _, attempt := range job.ActiveAttempts {
+			rules.TasksByMachine[attempt.Machine]++
 		}
 	}
-	for i := range r.set.Affinities {
-		c.addAffinity(out, &r.set.Affinities[i])
+	for i := range set.Affinities {
+		c.addAffinity(rules, &set.Affinities[i])
 	}
-	return out
+	return rules
 }
 
-// addAffinity works out where another job is that a rule speaks of. While it is on no machine,
-// it counts as where it may be: guards against a start in another zone while the other
-// job moves. Once it has ended the rule says nothing.
-func (c *Core) addAffinity(out *scheduler.Rules, k *constraint.Affinity) {
-	other := c.jobs[k.Job]
+// addAffinity adds where another job is that an affinity names. While that job is on no machine it counts as where it
+// may be, so that this one does not start in another zone while the other one moves. Once it has ended the affinity
+// has no effect.
+func (c *Core) addAffinity(rules *scheduler.Rules, affinity *constraint.Affinity) {
+	other := c.jobs[affinity.Job]
 	if other == nil {
 		return
 	}
 	zones, machines := map[string]bool{}, map[*model.Machine]bool{}
-	for _, a := range other.ActiveAttempts {
-		zones[a.Machine.Zone] = true
-		machines[a.Machine] = true
+	for _, attempt := range other.ActiveAttempts {
+		zones[attempt.Machine.Zone] = true
+		machines[attempt.Machine] = true
 	}
 	if len(other.ActiveAttempts) == 0 {
-		if !k.SameZone {
+		if !affinity.SameZone {
 			return
 		}
-		for _, z := range constraint.FeasibleZones(other.Spec, c.machineTypes) {
-			zones[z] = true
+		for _, zone := range constraint.FeasibleZones(other.Spec, c.machineTypes) {
+			zones[zone] = true
 		}
 	}
-	if k.ByZone {
+	if affinity.ByZone {
 		machines = nil
 	} else {
 		zones = nil
 	}
-	switch {
-	case k.Weight != 0 && k.SameZone:
-		out.JobPreferences = append(out.JobPreferences, scheduler.JobPreference{Zones: zones, Weight: k.Weight / 100})
-	case k.Weight != 0:
-		out.JobPreferences = append(out.JobPreferences, scheduler.JobPreference{Zones: zones, Machines: machines, Weight: -k.Weight / 100})
-	case k.SameZone:
-		out.AffinityZones = append(out.AffinityZones, zones)
+	switch weight := affinity.Weight / 100; {
+	case affinity.Weight != 0 && affinity.SameZone:
+		rules.JobPreferences = append(rules.JobPreferences, scheduler.JobPreference{Zones: zones, Weight: weight})
+	case affinity.Weight != 0:
+		rules.JobPreferences = append(rules.JobPreferences, scheduler.JobPreference{
+			Zones: zones, Machines: machines, Weight: -weight,
+		})
+	case affinity.SameZone:
+		rules.AffinityZones = append(rules.AffinityZones, zones)
 	default:
-		for z := range zones {
-			if out.AntiAffinityZones == nil {
-				out.AntiAffinityZones = map[string]bool{}
-			}
-			out.AntiAffinityZones[z] = true
-		}
-		for m := range machines {
-			if out.AntiAffinityMachines == nil {
-				out.AntiAffinityMachines = map[*model.Machine]bool{}
-			}
-			out.AntiAffinityMachines[m] = true
+		rules.AntiAffinityZones = union(rules.AntiAffinityZones, zones)
+		rules.AntiAffinityMachines = union(rules.AntiAffinityMachines, machines)
+	}
+}
+
+// union adds the elements of a set to another one, which is made if it is nil and there are any.
+func union[K comparable](set, more map[K]bool) map[K]bool {
+	for element := range more {
+		if set == nil {
+			set = map[K]bool{}
 		}
+		set[element] = true
 	}
+	return set
 }
 
-// affinityHolds tells whether a placement still meets what its job's rules say of other jobs.
-// Guards against a pass that starts that other job too, ahead of it: the rules were
-// judged by where it was before. Of a gang all placements stand or none does.
-func (c *Core) affinityHolds(pl scheduler.Placement, all []scheduler.Placement) bool {
-	j := pl.Request.Job
-	r := c.constraints[j]
-	if r == nil || r.set == nil || len(r.set.Affinities) == 0 {
+// affinityHolds reports whether a placement still satisfies the affinities of its job. The same pass may have started
+// the job that they name elsewhere, after they were evaluated. Of a gang all placements have to satisfy them.
+func (c *Core) affinityHolds(placement scheduler.Placement, all []scheduler.Placement) bool {
+	job := placement.Request.Job
+	constraints := c.constraints.byJob[job]
+	if constraints == nil || constraints.set == nil || len(constraints.set.Affinities) == 0 {
 		return true
 	}
-	rules := c.constraintsOf(j)
-	if j.Spec.Shape != model.Gang {
-		return rules.StillMet(pl.Node.Machine)
+	rules := c.constraintsOf(job)
+	if job.Spec.Shape != model.Gang {
+		return rules.StillMet(placement.Node.Machine)
 	}
-	for _, o := range all {
-		if o.Request == pl.Request && !rules.StillMet(o.Node.Machine) {
+	for _, other := range all {
+		if other.Request == placement.Request && !rules.StillMet(other.Node.Machine) {
 			return false
 		}
 	}
 	return true
 }
-
-// classifyNodes numbers the classes of the machines of a pass, where any job has rules.
-func (c *Core) classifyNodes(nodes []*scheduler.Node) {
-	if len(c.constraints) == 0 {
-		return
-	}
-	for _, nd := range nodes {
-		m := nd.Machine
-		nd.MachineClass = c.machineClasses.number(constraint.Class{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
-	}
-}
-
-// recheckConstraints looks over what has rules when the catalogue was read anew.
-func (c *Core) recheckConstraints() {
-	c.machineClasses.reset()
-	for j, r := range c.constraints {
-		c.checkSatisfiable(j, r)
-	}
-}
--- a/internal/reconciler/constraints_test.go
+++ b/internal/reconciler/constraints_test.go
@@ -49,7 +49,7 @@
 		Autoscaler: autoscaler.Settings{IdleTimeout: time.Hour, BootTimeoutFactor: 3, MaxPerRequest: 50}}
 	c := New(now, set, 3, &Snapshot{NumberedChunkTasks: 64}, types, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for i, k := range constraint.Classes(types) {
-		m := c.newMachine(now, model.MachineInfo{Name: fmt.Sprintf("n-%06d", i), Type: k.Type.Name, Zone: k.Zone, Spot: k.Spot}, model.MachineBooting)
+		m := c.addMachine(now, model.MachineInfo{Name: fmt.Sprintf("n-%06d", i), Type: k.Type.Name, Zone: k.Zone, Spot: k.Spot}, model.MachineBooting)
 		m.Transition(now, model.MachineReady, "")
 		m.Registered, m.Epoch = true, 1
 	}
@@ -150,7 +150,7 @@
 			all := constraint.Classes(types)
 			for i := range 500 {
 				k := all[i%len(all)]
-				m := c.newMachine(now, model.MachineInfo{Name: fmt.Sprintf("m-%06d", i), Type: k.Type.Name, Zone: k.Zone, Spot: k.Spot}, model.MachineBooting)
+				m := c.addMachine(now, model.MachineInfo{Name: fmt.Sprintf("m-%06d", i), Type: k.Type.Name, Zone: k.Zone, Spot: k.Spot}, model.MachineBooting)
 				m.Transition(now, model.MachineReady, "")
 				m.Registered, m.Epoch = true, 1
 				m.Used = model.Resources{CPU: m.Type.Capacity.CPU - float64(i%3)}
--- a/internal/reconciler/dependencies.go
+++ b/internal/reconciler/dependencies.go
@@ -7,158 +7,115 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// enqueue puts a job into the order by the moment from which its age counts.
-func (c *Core) enqueue(j *model.Job) {
-	j.EligibleAt = j.Dependency.SatisfiedAt
-	j.WaitingSince = j.EligibleAt
-	at, _ := slices.BinarySearchFunc(c.jobsByAge, j, func(a, b *model.Job) int {
-		if d := a.EligibleAt.Compare(b.EligibleAt); d != 0 {
-			return d
-		}
-		return -1 // behind those of the same moment
-	})
-	c.jobsByAge = slices.Insert(c.jobsByAge, at, j)
+// dependencyTracker knows which unfinished jobs depend on which, and looks up the ends of those that it knows by name
+// only.
+type dependencyTracker struct {
+	graph           *model.DependencyGraph
+	lookupAt        time.Time // ends are not looked up before this
+	lookupPending   bool
+	criticalPathsAt time.Time // when the critical paths are worked out anew
 }
 
-func (c *Core) dequeue(j *model.Job) {
-	if i := slices.Index(c.jobsByAge, j); i >= 0 {
-		c.jobsByAge = slices.Delete(c.jobsByAge, i, i+1)
-	}
-}
+const (
+	maxEndLookups       = 32                     // ends that are looked up at once
+	endLookupRetryDelay = 500 * time.Millisecond // after none was found
 
-// startCountingAge lets the tasks of a job start: all that it needs is done, and that is durable.
-// Its age counts from here.
-func (c *Core) startCountingAge(now time.Time, l *model.DependencyNode) {
-	j := c.jobs[l.ID]
-	if j == nil {
-		return
-	}
-	c.dequeue(j)
-	c.enqueue(j)
-	c.passNeeded = true
-	c.log.Info("job freed", "id", l.ID, "class", j.Spec.Class, "by", l.DecidedBy, "after", now.Sub(j.SubmittedAt))
-}
+	// criticalPathInterval is the time after which critical paths are worked out anew although the graph has not
+	// changed: estimates of run times change.
+	criticalPathInterval = time.Second
+)
 
-// startable tells whether tasks of a job may start at all: docs/safety.md, "Pipelines".
-func startable(j *model.Job) bool {
-	return j.State == model.JobActive && j.Dependency.State == model.DependencySatisfied
+func newDependencyTracker() dependencyTracker {
+	return dependencyTracker{graph: model.NewDependencyGraph()}
 }
 
-const (
-	maxEndLookups       = 32                     // ends that are asked for at once
-	endLookupRetryDelay = 500 * time.Millisecond // after none was found
-)
+// graphChanged has the critical paths worked out with the next pass.
+func (d *dependencyTracker) graphChanged(now time.Time) { d.criticalPathsAt = now }
 
-// lookUpJobEnds asks how the awaited jobs ended that are not among the unfinished ones. A
-// job that waits for one of them starts only once that is known.
+// lookUpJobEnds asks how the jobs ended that others depend on and that are not among the unfinished ones. A job starts
+// only once the ends of all its dependencies are known.
 func (c *Core) lookUpJobEnds(now time.Time) {
-	if c.endLookupPending || now.Before(c.endLookupAt) {
+	if c.dependencies.lookupPending || now.Before(c.dependencies.lookupAt) {
 		return
 	}
-	ids := c.dependencies.Referenced()
+	ids := c.dependencies.graph.Referenced()
 	if len(ids) == 0 {
 		return
 	}
 	slices.Sort(ids)
-	c.endLookupPending = true
+	c.dependencies.lookupPending = true
 	c.emit(LookUpJobEnds{ids[:min(len(ids), maxEndLookups)]})
 }
 
-func (c *Core) jobEndsReceived(now time.Time, ev JobEndsReceived) {
-	c.endLookupPending = false
+// jobEndsReceived takes the ends that were found.
+func (c *Core) jobEndsReceived(now time.Time, event JobEndsReceived) {
+	c.dependencies.lookupPending = false
 	found := 0
-	for _, e := range ev.Ends {
-		if e.Outcome != model.OutcomeUnknown && c.jobs[e.ID] == nil {
+	for _, end := range event.Ends {
+		if end.Outcome != model.OutcomeUnknown && c.jobs[end.ID] == nil {
 			found++
-			c.endJob(now, e)
+			c.endJob(now, end)
 		}
 	}
 	if found == 0 {
-		c.endLookupAt = now.Add(endLookupRetryDelay)
+		c.dependencies.lookupAt = now.Add(endLookupRetryDelay)
 	}
 }
 
-// criticalPathInterval is how often the paths behind jobs are looked over although the graph
-// has not changed: what is estimated of run times changes.
-const criticalPathInterval = time.Second
+// dependenciesSatisfied lets the tasks of a job start: all that it depends on is done, and that is durable. Its age
+// counts from here.
+func (c *Core) dependenciesSatisfied(now time.Time, node *model.DependencyNode) {
+	job := c.jobs[node.ID]
+	if job == nil {
+		return
+	}
+	c.dequeue(job)
+	c.enqueue(job)
+	c.passes.needed = true
+	c.log.Info("job freed", "id", node.ID, "class", job.Spec.Class, "by", node.DecidedBy,
+		"after", now.Sub(job.SubmittedAt))
+}
 
-// updateCriticalPaths works out, for every job that others need, by when it must be done so that
-// their dates can be met, and the highest rank among them.
+// updateCriticalPaths works out for every job that others depend on by when it must be done so that their deadlines
+// can be met, and the highest priority among them.
 func (c *Core) updateCriticalPaths(now time.Time) {
-	if now.Before(c.criticalPathsAt) {
+	if now.Before(c.dependencies.criticalPathsAt) {
 		return
 	}
-	c.criticalPathsAt = now.Add(criticalPathInterval)
-	seen := make(map[*model.Job]bool, len(c.jobsByAge))
-	for _, j := range c.jobsByAge {
-		c.updateCriticalPath(j, seen)
+	c.dependencies.criticalPathsAt = now.Add(criticalPathInterval)
+	visited := make(map[*model.Job]bool, len(c.jobsByAge))
+	for _, job := range c.jobsByAge {
+		c.updateCriticalPath(job, visited)
 	}
 }
 
-// updateCriticalPath looks at what is behind one job. Its slack goes by the last job's date less
-// the estimated run times on the longest path to it, its own included.
-func (c *Core) updateCriticalPath(j *model.Job, seen map[*model.Job]bool) {
-	if seen[j] {
+// updateCriticalPath works out the critical path of one job: the deadline of the last job on it less the estimated run
+// times on the longest path to it.
+func (c *Core) updateCriticalPath(job *model.Job, visited map[*model.Job]bool) {
+	if visited[job] {
 		return
 	}
-	seen[j] = true
-	j.DownstreamDeadlines, j.EffectivePriority = nil, j.Spec.Priority
-	for id := range j.Dependency.Downstream {
+	visited[job] = true
+	job.DownstreamDeadlines, job.EffectivePriority = nil, job.Spec.Priority
+	for id := range job.Dependency.Downstream {
 		next := c.jobs[id]
 		if next == nil {
 			continue
 		}
-		c.updateCriticalPath(next, seen)
-		// Production stands above all guarantees, and a user waits for it: that is
-		// not handed on.
-		j.EffectivePriority = max(j.EffectivePriority, min(next.EffectivePriority, model.PriorityHigh))
-		j.DownstreamDeadlines = earliestEach(j.DownstreamDeadlines, c.latestStarts(next))
-	}
-}
-
-// latestStarts tells by when a job must start to meet its dates and those behind it.
-func (c *Core) latestStarts(j *model.Job) []time.Time {
-	dates := earliestEach(c.deadlinesOf(j), j.DownstreamDeadlines)
-	estimate := c.runTimes.estimate(j.Spec)
-	out := make([]time.Time, len(dates))
-	for i, d := range dates {
-		out[i] = d.Add(-estimate)
+		c.updateCriticalPath(next, visited)
+		// Production stands above all guarantees since a user waits for it. That is not inherited.
+		job.EffectivePriority = max(job.EffectivePriority, min(next.EffectivePriority, model.PriorityHigh))
+		job.DownstreamDeadlines = earliestEach(job.DownstreamDeadlines, c.latestStarts(next))
 	}
-	return out
 }
 
-// deadlinesOf are a job's deadline and the multiples of it that users look at.
-func (c *Core) deadlinesOf(j *model.Job) []time.Time {
-	if j.Spec.Deadline <= 0 {
-		return nil
-	}
-	out := []time.Time{j.SubmittedAt.Add(j.Spec.Deadline)}
-	for _, times := range c.deadlineMultiples[j.Spec.Class] {
-		out = append(out, c.deadlineTimes(j, times))
-	}
-	return out
-}
-
-// deadlineTimes is a multiple of a job's deadline.
-func (c *Core) deadlineTimes(j *model.Job, times float64) time.Time {
-	return j.SubmittedAt.Add(time.Duration(times * float64(j.Spec.Deadline)))
-}
-
-// earliestEach takes the earlier one of two rows of dates, place by place. A row that is
-// shorter says nothing of the later places but its last date.
-func earliestEach(a, b []time.Time) []time.Time {
-	if len(a) == 0 {
-		return b
-	}
-	if len(b) == 0 {
-		return a
-	}
-	out := make([]time.Time, max(len(a), len(b)))
-	for i := range out {
-		x, y := a[min(i, len(a)-1)], b[min(i, len(b)-1)]
-		if out[i] = x; y.Before(x) {
-			out[i] = y
-		}
+// latestStarts returns by when a job must start to meet its deadlines and those downstream.
+func (c *Core) latestStarts(job *model.Job) []time.Time {
+	deadlines := earliestEach(slices.Collect(c.deadlines.of(job)), job.DownstreamDeadlines)
+	estimate := c.runTimes.estimate(job.Spec)
+	starts := make([]time.Time, len(deadlines))
+	for i, deadline := range deadlines {
+		starts[i] = deadline.Add(-estimate)
 	}
-	return out
+	return starts
 }
--- a/internal/reconciler/explain.go
+++ b/internal/reconciler/explain.go
@@ -23,14 +23,14 @@
 	Done        int               `json:"done"`
 	OnMachines  int               `json:"on_machines"`
 	Waiting     int               `json:"waiting"`
-	Reasons     []string          `json:"why,omitempty"`      // in words, what keeps its tasks waiting
+	Reasons     []string          `json:"why,omitempty"`      // what keeps its tasks waiting, for people
 	Machines    []MachineCount    `json:"machines,omitempty"` // how many machines do not take one more task, and why
-	Coming      []string          `json:"coming,omitempty"`   // what is being rented or boots that could take it
+	Coming      []string          `json:"coming,omitempty"`   // machines that come up and could take it
 	Remedies    []string          `json:"change,omitempty"`   // what would have to change
-	Placements  []PlacementReason `json:"placed,omitempty"`   // at most mostPlaced
+	Placements  []PlacementReason `json:"placed,omitempty"`   // at most maxPlacements
 }
 
-// MachineCount counts machines that do not take a task for the same reason.
+// MachineCount counts the machines that do not take a task for the same reason.
 type MachineCount struct {
 	Reason string `json:"why"`
 	Count  int    `json:"count"`
@@ -44,192 +44,229 @@
 	Reason  string `json:"why"`
 }
 
-// maxPlacements bounds an explanation of a large array.
+// maxPlacements bounds the explanation of a large array.
 const maxPlacements = 20
 
-// Explain says why a job's tasks wait. It plays a pass without carrying it out and asks
-// the functions that decide, so it says what the next pass would find; nil: the job is
-// not among the unfinished ones.
+func (e *Explanation) addReason(format string, args ...any) {
+	e.Reasons = append(e.Reasons, fmt.Sprintf(format, args...))
+}
+
+func (e *Explanation) addRemedy(format string, args ...any) {
+	e.Remedies = append(e.Remedies, fmt.Sprintf(format, args...))
+}
+
+// Explain says why a job's tasks wait. It plans a pass without carrying it out and asks the functions that decide, so
+// it says what the next pass would find; nil: the job is not among the unfinished ones.
 func (c *Core) Explain(now time.Time, id string) *Explanation {
-	j := c.jobs[id]
-	if j == nil {
+	job := c.jobs[id]
+	if job == nil {
 		return nil
 	}
-	s := j.Spec
-	e := &Explanation{Job: id, Class: s.Class, Team: s.Team, Priority: j.EffectivePriority.String(), Tasks: s.Tasks, Done: j.Count(model.TaskDone), OnMachines: len(j.ActiveAttempts), Waiting: j.Waiting()}
-	r := c.constraints[j]
-	if r != nil && r.set != nil {
-		e.Constraints = r.set.ClauseTexts()
+	spec := job.Spec
+	explanation := &Explanation{
+		Job: id, Class: spec.Class, Team: spec.Team, Priority: job.EffectivePriority.String(), Tasks: spec.Tasks,
+		Done: job.Count(model.TaskDone), OnMachines: len(job.ActiveAttempts), Waiting: job.Waiting(),
+	}
+	if constraints := c.constraints.byJob[job]; constraints != nil && constraints.set != nil {
+		explanation.Constraints = constraints.set.ClauseTexts()
 	}
-	for _, i := range slices.Sorted(maps.Keys(j.ActiveAttempts)) {
-		if len(e.Placements) < maxPlacements {
-			e.Placements = append(e.Placements, explainPlacement(j.ActiveAttempts[i]))
+	for _, index := range slices.Sorted(maps.Keys(job.ActiveAttempts)) {
+		if len(explanation.Placements) < maxPlacements {
+			explanation.Placements = append(explanation.Placements, explainPlacement(job.ActiveAttempts[index]))
 		}
 	}
-	say := func(list *[]string, format string, args ...any) { *list = append(*list, fmt.Sprintf(format, args...)) }
-	switch {
-	case e.Waiting == 0:
-	case j.State != model.JobActive:
-		say(&e.Reasons, "its end is being written")
-	case j.Dependency.State == model.DependencyWaiting:
-		say(&e.Reasons, "it awaits %v", slices.Sorted(maps.Keys(j.Dependency.Upstream)))
-		say(&e.Remedies, "those jobs have to be done")
-	case j.Dependency.State == model.DependencyFailed:
-		say(&e.Reasons, "it awaits %s, which is cancelled", j.Dependency.DecidedBy)
-	case r != nil && r.set == nil:
-		say(&e.Reasons, "its rules cannot be read by this version: %v", r.err)
-		say(&e.Remedies, "a version that reads them has to lead, or it has to be cancelled")
-	case now.Before(j.RetryNotBefore):
-		say(&e.Reasons, "its tasks failed or were refused; they are tried again in %v", j.RetryNotBefore.Sub(now).Round(time.Second))
-	case c.mayAlreadyRun(j):
-		say(&e.Reasons, "the new leader does not know yet what runs on %d machines, and a task of it might", c.unreconciled)
-	case s.Shape == model.Gang && len(j.ActiveAttempts) > 0:
-		say(&e.Reasons, "%d tasks of the attempt before are not gone yet", len(j.ActiveAttempts))
+	if explanation.Waiting > 0 && !c.explainBlocked(now, job, explanation) {
+		c.explainWaiting(now, job, explanation)
+	}
+	return explanation
+}
+
+// explainBlocked says why no pass considers a job's tasks, and reports whether that is so.
+func (c *Core) explainBlocked(now time.Time, job *model.Job, explanation *Explanation) bool {
+	switch constraints := c.constraints.byJob[job]; {
+	case job.State != model.JobActive:
+		explanation.addReason("its end is being written")
+	case job.Dependency.State == model.DependencyWaiting:
+		explanation.addReason("it awaits %v", slices.Sorted(maps.Keys(job.Dependency.Upstream)))
+		explanation.addRemedy("those jobs have to be done")
+	case job.Dependency.State == model.DependencyFailed:
+		explanation.addReason("it awaits %s, which is cancelled", job.Dependency.DecidedBy)
+	case !c.constraints.readable(job):
+		explanation.addReason("its rules cannot be read by this version: %v", constraints.err)
+		explanation.addRemedy("a version that reads them has to lead, or it has to be cancelled")
+	case now.Before(job.RetryNotBefore):
+		explanation.addReason("its tasks failed or were refused; they are tried again in %v",
+			job.RetryNotBefore.Sub(now).Round(time.Second))
+	case c.mayAlreadyRun(job):
+		explanation.addReason("the new leader does not know yet what runs on %d machines, and a task of it might",
+			c.takeover.unreconciled)
+	case job.Spec.Shape == model.Gang && len(job.ActiveAttempts) > 0:
+		explanation.addReason("%d tasks of the attempt before are not gone yet", len(job.ActiveAttempts))
 	default:
-		c.explainWaiting(now, j, e, say)
+		return false
 	}
-	return e
+	return true
 }
 
-// explainWaiting plays a pass and says what it finds.
-func (c *Core) explainWaiting(now time.Time, j *model.Job, e *Explanation, say func(list *[]string, format string, args ...any)) {
-	s := j.Spec
-	p := c.schedulerInput(now)
-	i := slices.IndexFunc(p.Requests, func(w *scheduler.Request) bool { return w.Job == j })
-	if i < 0 {
+// explainWaiting plans a pass and says what it finds.
+func (c *Core) explainWaiting(now time.Time, job *model.Job, explanation *Explanation) {
+	input := c.schedulerInput(now)
+	ahead := slices.IndexFunc(input.Requests, func(r *scheduler.Request) bool { return r.Job == job })
+	if ahead < 0 {
 		return
 	}
-	w := p.Requests[i]
-	ahead := 0
-	plan := scheduler.MakePlan(&c.settings.Scheduler, p) // of a picture of its own: nothing is done
-	for _, o := range p.Requests {
-		if o == w {
-			break
-		}
-		ahead++
+	request := input.Requests[ahead]
+	plan := scheduler.MakePlan(&c.settings.Scheduler, input)
+	c.explainPlan(job, request, input, plan, explanation)
+	if ahead > 0 {
+		explanation.addReason("%d others stand before it in the order", ahead)
 	}
-	n := 0
-	for _, pl := range plan.Placements {
-		if pl.Request.Job == j {
-			n++
-		}
+	c.explainMachines(now, request, input, explanation)
+	c.explainIncoming(now, request, explanation)
+	set := &constraint.Set{}
+	if constraints := c.constraints.byJob[job]; constraints != nil {
+		set = constraints.set
 	}
-	if n > 0 {
-		say(&e.Reasons, "%d tasks are placed with the next pass", n)
-	}
-	if k := slices.IndexFunc(plan.Shortages, func(l scheduler.Shortage) bool { return l.Request.Job == j }); k >= 0 {
-		team, use := c.teams[s.Team], p.Used[s.Team]
-		switch l := plan.Shortages[k]; l.Reason {
-		case scheduler.WaitQuota:
-			say(&e.Reasons, "team %s is at its limit: %s are in use", s.Team, team.Quota.FormatUsage(use))
-			say(&e.Remedies, "tasks of the team have to end, or its limit has to be raised")
-		case scheduler.WaitGuarantee:
-			say(&e.Reasons, "production and what other teams' guarantees cover goes first")
-		case scheduler.WaitFairShare:
-			say(&e.Reasons, "teams that have used less of their share go first (band %d)", w.FairShareBand)
-		case scheduler.WaitCapacity:
-			say(&e.Reasons, "no machine that fits has room for %d tasks", l.Count)
+	if len(c.machineTypes) == 0 {
+		return
+	}
+	if err := constraint.Check(set, job.Spec, constraint.Environment{Types: c.machineTypes}); err != nil {
+		explanation.addRemedy("nothing in the catalogue takes it now: %v", err)
+	}
+}
+
+// explainPlan says how many tasks the next pass places, and what the others lack.
+func (c *Core) explainPlan(
+	job *model.Job, request *scheduler.Request, input *scheduler.Snapshot, plan *scheduler.Plan,
+	explanation *Explanation,
+) {
+	placed := 0
+	for _, placement := range plan.Placements {
+		if placement.Request.Job == job {
+			placed++
 		}
-	} else if n < e.Waiting && c.hasQuota(j) {
-		say(&e.Reasons, "team %s has room for no more of its tasks under its limit", s.Team)
-		say(&e.Remedies, "tasks of the team have to end, or its limit has to be raised")
 	}
-	if ahead > 0 {
-		say(&e.Reasons, "%d others stand before it in the order", ahead)
+	if placed > 0 {
+		explanation.addReason("%d tasks are placed with the next pass", placed)
 	}
-	c.explainMachines(now, j, w, p, e)
-	c.explainIncoming(now, j, w, e, say)
-	r := c.constraints[j]
-	set := &constraint.Set{}
-	if r != nil {
-		set = r.set
+	team := job.Spec.Team
+	i := slices.IndexFunc(plan.Shortages, func(s scheduler.Shortage) bool { return s.Request.Job == job })
+	if i < 0 {
+		if placed < explanation.Waiting && c.hasQuota(job) {
+			explanation.addReason("team %s has room for no more of its tasks under its limit", team)
+			explanation.addRemedy("tasks of the team have to end, or its limit has to be raised")
+		}
+		return
 	}
-	if err := constraint.Check(set, s, constraint.Environment{Types: c.machineTypes}); err != nil && len(c.machineTypes) > 0 {
-		say(&e.Remedies, "nothing in the catalogue takes it now: %v", err)
+	switch shortage := plan.Shortages[i]; shortage.Reason {
+	case scheduler.WaitQuota:
+		inUse := c.teams[team].Quota.FormatUsage(input.Used[team])
+		explanation.addReason("team %s is at its limit: %s are in use", team, inUse)
+		explanation.addRemedy("tasks of the team have to end, or its limit has to be raised")
+	case scheduler.WaitGuarantee:
+		explanation.addReason("production and what other teams' guarantees cover goes first")
+	case scheduler.WaitFairShare:
+		explanation.addReason("teams that have used less of their share go first (band %d)", request.FairShareBand)
+	case scheduler.WaitCapacity:
+		explanation.addReason("no machine that fits has room for %d tasks", shortage.Count)
 	}
 }
 
 // explainMachines counts why machines do not take one more task.
-func (c *Core) explainMachines(now time.Time, j *model.Job, w *scheduler.Request, p *scheduler.Snapshot, e *Explanation) {
+func (c *Core) explainMachines(
+	now time.Time, request *scheduler.Request, input *scheduler.Snapshot, explanation *Explanation,
+) {
 	counts := map[string]int{}
-	for _, m := range c.machines {
-		if why := c.placementObstacle(now, m); why != "" {
-			if m.StateReason != "" {
-				why += ": " + m.StateReason
+	for _, machine := range c.machines {
+		if obstacle := c.placementObstacle(now, machine); obstacle != "" {
+			if machine.StateReason != "" {
+				obstacle += ": " + machine.StateReason
 			}
-			counts[why]++
+			counts[obstacle]++
 		}
 	}
-	for _, nd := range p.Nodes {
-		why := nd.Feasibility(w, "")
-		text := why.String()
-		if why == scheduler.RulesNotMet {
-			m := nd.Machine
-			if by, ok := c.constraints[j].set.Allows(constraint.Class{Type: m.Type, Zone: m.Zone, Spot: m.Spot}); !ok {
-				text = "refused by " + by.String()
-			}
-		}
-		if why == scheduler.Feasible {
-			text = "would take one"
-		}
-		counts[text]++
+	for _, node := range input.Nodes {
+		counts[c.explainNode(request, node)]++
 	}
-	for why, n := range counts {
-		e.Machines = append(e.Machines, MachineCount{why, n})
+	for reason, count := range counts {
+		explanation.Machines = append(explanation.Machines, MachineCount{reason, count})
 	}
-	slices.SortFunc(e.Machines, func(a, b MachineCount) int {
+	slices.SortFunc(explanation.Machines, func(a, b MachineCount) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Reason, b.Reason))
 	})
 }
 
-// explainIncoming tells what is rented or boots that could take a task, and what the cloud
-// has refused.
-func (c *Core) explainIncoming(now time.Time, j *model.Job, w *scheduler.Request, e *Explanation, say func(list *[]string, format string, args ...any)) {
-	s := j.Spec
-	useful := func(t *model.MachineType, zone string, spot bool) bool {
-		return constraint.SpecAllows(s, constraint.Class{Type: t, Zone: zone, Spot: spot}) && w.Rules.AcceptsOffer(t, zone, spot) && (s.Demand.GPU > 0 || j.MayUseGPUMachines || !c.keptForGPU(t, spot))
+// explainNode says whether a machine that tasks may be placed on takes one more task, and if not, why.
+func (c *Core) explainNode(request *scheduler.Request, node *scheduler.Node) string {
+	feasibility := node.Feasibility(request, "")
+	switch feasibility {
+	case scheduler.Feasible:
+		return "would take one"
+	case scheduler.RulesNotMet:
+		if clause, ok := c.constraints.byJob[request.Job].set.Allows(classOf(node.Machine)); !ok {
+			return "refused by " + clause.String()
+		}
+	}
+	return feasibility.String()
+}
+
+// explainIncoming says which machines come up that could take a task, and which the cloud has refused.
+func (c *Core) explainIncoming(now time.Time, request *scheduler.Request, explanation *Explanation) {
+	job := request.Job
+	useful := func(class constraint.Class) bool {
+		return constraint.SpecAllows(job.Spec, class) &&
+			request.Rules.AcceptsOffer(class.Type, class.Zone, class.Spot) &&
+			(job.Spec.Demand.GPU > 0 || job.MayUseGPUMachines || !c.gpus.reserves(class.Type, class.Spot))
 	}
 	coming := map[string]int{}
-	for _, m := range c.machines {
-		if m.State == model.MachineBooting && useful(m.Type, m.Zone, m.Spot) {
-			coming["booting "+constraint.Class{Type: m.Type, Zone: m.Zone, Spot: m.Spot}.String()]++
+	for _, machine := range c.machines {
+		if class := classOf(machine); machine.State == model.MachineBooting && useful(class) {
+			coming["booting "+class.String()]++
 		}
 	}
-	for _, r := range c.provisioning {
-		if t := c.machineTypeNamed(r.Type); useful(t, r.Zone, r.Spot) {
-			coming["asked for "+constraint.Class{Type: t, Zone: r.Zone, Spot: r.Spot}.String()] += r.Count
+	for _, r := range c.provisioning.requests {
+		if class := c.offerClass(r.Type, r.Zone, r.Spot); useful(class) {
+			coming["asked for "+class.String()] += r.Count
 		}
 	}
-	for what, n := range coming {
-		e.Coming = append(e.Coming, fmt.Sprintf("%d %s", n, what))
+	for what, count := range coming {
+		explanation.Coming = append(explanation.Coming, fmt.Sprintf("%d %s", count, what))
 	}
-	slices.Sort(e.Coming)
+	slices.Sort(explanation.Coming)
 	var refused []string
-	for o, until := range c.refusedOffers {
-		if t := c.machineTypeNamed(o.Type); now.Before(until) && useful(t, o.Zone, o.Spot) {
-			refused = append(refused, constraint.Class{Type: t, Zone: o.Zone, Spot: o.Spot}.String())
+	for offer, until := range c.provisioning.refusedUntil {
+		if class := c.offerClass(offer.Type, offer.Zone, offer.Spot); now.Before(until) && useful(class) {
+			refused = append(refused, class.String())
 		}
 	}
 	if len(refused) > 0 {
 		slices.Sort(refused)
-		say(&e.Reasons, "the cloud has just refused %v; it is asked again soon", refused)
+		explanation.addReason("the cloud has just refused %v; it is asked again soon", refused)
 	}
 }
 
+// offerClass returns the class of machines that the cloud is asked for.
+func (c *Core) offerClass(machineType, zone string, spot bool) constraint.Class {
+	return constraint.Class{Type: c.machineType(machineType), Zone: zone, Spot: spot}
+}
+
 // explainPlacement says why an attempt is on its machine.
-func explainPlacement(a *model.Attempt) PlacementReason {
-	m := a.Machine
-	p := PlacementReason{Task: a.Task.Index, Machine: m.Name, Class: constraint.Class{Type: m.Type, Zone: m.Zone, Spot: m.Spot}.String()}
-	switch ch := a.Choice; {
-	case ch.FeasibleNodes == 0:
-		p.Reason = "an earlier leader placed it"
-	case ch.Preference != 0:
-		p.Reason = fmt.Sprintf("of %d that fitted: efficiency %.2f, and %+.2f for wishes", ch.FeasibleNodes, ch.Efficiency, ch.Preference)
+func explainPlacement(attempt *model.Attempt) PlacementReason {
+	placement := PlacementReason{
+		Task: attempt.Task.Index, Machine: attempt.Machine.Name, Class: classOf(attempt.Machine).String(),
+	}
+	switch choice := attempt.Choice; {
+	case choice.FeasibleNodes == 0:
+		placement.Reason = "an earlier leader placed it"
+	case choice.Preference != 0:
+		placement.Reason = fmt.Sprintf("of %d that fitted: efficiency %.2f, and %+.2f for wishes",
+			choice.FeasibleNodes, choice.Efficiency, choice.Preference)
 	default:
-		p.Reason = fmt.Sprintf("of %d that fitted the most efficient: %.2f", ch.FeasibleNodes, ch.Efficiency)
+		placement.Reason = fmt.Sprintf("of %d that fitted the most efficient: %.2f",
+			choice.FeasibleNodes, choice.Efficiency)
 	}
-	if a.Choice.ImageCached {
-		p.Reason += "; it held the image"
+	if attempt.Choice.ImageCached {
+		placement.Reason += "; it held the image"
 	}
-	return p
+	return placement
 }
--- a/internal/reconciler/faults.go
+++ b/internal/reconciler/faults.go
@@ -6,84 +6,91 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// A task that fails tells of its machine or of its job. One job may have been submitted with a mistake: it
-// fails on every machine, until its user cancels it. A sick machine fails every task. Who is to blame
-// follows from what else is known of either, and where that is not enough the machine gets no work until
-// more is.
+// A task that fails is the fault of its machine or of its job. A job that was submitted with a mistake fails on every
+// machine, and a faulty machine fails every task. The fault is attributed by what else is known of both. Where that is
+// not enough, the machine is quarantined until more is known.
 
-// maxQuarantine is how long a machine is left alone at the most while nothing more becomes known.
-const maxQuarantine = 45 * time.Second
+const (
+	maxQuarantine    = 45 * time.Second // then a machine counts as faulty, if nothing more became known
+	wellRunningAfter = 15 * time.Second // a task that runs this long does well
+	faultyJobStrikes = 2                // so many machines on which a job failed put it off
+	maxBackoffShift  = 6                // the backoff doubles at most this often
+)
 
-// taskFailed accounts a task that ended with an error: errors of several jobs
-// condemn the machine, errors on several machines put the job off.
-func (c *Core) taskFailed(now time.Time, a *model.Attempt) {
-	j, m := a.Job, a.Machine
-	m.ErrorsByJob[j.Spec.ID]++
-	m.LastFailure = now
-	j.RecordFailure(m.Name)
-	if j.FailedMachineCount >= 2 && !j.KnownGood {
-		wait := c.settings.Backoff << min(j.FailedMachineCount-2, 6)
-		j.RetryNotBefore = now.Add(min(wait, c.settings.MaxBackoff))
+// taskFailed takes that a task ended with an error. Errors of several jobs show that the machine is faulty; errors on
+// several machines put the job off.
+func (c *Core) taskFailed(now time.Time, attempt *model.Attempt) {
+	job, machine := attempt.Job, attempt.Machine
+	machine.ErrorsByJob[job.Spec.ID]++
+	machine.LastFailure = now
+	job.RecordFailure(machine.Name)
+	if job.FailedMachineCount >= faultyJobStrikes && !job.KnownGood {
+		backoff := c.settings.Backoff << min(job.FailedMachineCount-faultyJobStrikes, maxBackoffShift)
+		job.RetryNotBefore = now.Add(min(backoff, c.settings.MaxBackoff))
 	}
-	jobs := c.attributeFaults(now, m)
-	c.log.Warn("task failed", "task", a.Task, "machine", m.Name, "errors_of_job", j.ConsecutiveErrors, "jobs_failing_here", jobs)
+	failingJobs := c.attributeFaults(now, machine)
+	c.log.Warn("task failed", "task", attempt.Task, "machine", machine.Name, "errors_of_job", job.ConsecutiveErrors,
+		"jobs_failing_here", failingJobs)
 }
 
-// attributeFaults looks at a machine on which tasks have failed, and says how many jobs fail there that are not at
-// fault themselves. It is sick if such as do well elsewhere do; if nothing is known of them yet it is left
-// alone until they have run elsewhere. Guards against healthy machines that are given back, one after the
-// other, since two jobs with a mistake fail on them.
-func (c *Core) attributeFaults(now time.Time, m *model.Machine) (jobs int) {
-	proven, twice := 0, false
-	for id, n := range m.ErrorsByJob {
-		j := c.jobs[id]
-		if n == 0 || j != nil && j.Faulty() {
+// attributeFaults decides about a machine on which tasks have failed, and returns how many jobs fail there that are
+// not faulty themselves. The machine is faulty if jobs fail there that do well elsewhere. If nothing is known of the
+// jobs yet it is quarantined until they have run elsewhere. So healthy machines are not released, one after the other,
+// since two jobs with a mistake fail on them.
+func (c *Core) attributeFaults(now time.Time, machine *model.Machine) (failingJobs int) {
+	threshold := c.settings.MachineFaultErrors
+	goodJobs, repeated := 0, false
+	for id, errors := range machine.ErrorsByJob {
+		job := c.jobs[id]
+		if errors == 0 || job != nil && job.Faulty() {
 			continue
 		}
-		jobs++
-		if j == nil || j.KnownGood || c.runsElsewhere(now, j, m) {
-			proven++
-			twice = twice || n >= c.settings.MachineFaultErrors
+		failingJobs++
+		if job == nil || job.KnownGood || runsElsewhere(now, job, machine) {
+			goodJobs++
+			repeated = repeated || errors >= threshold
 		}
 	}
+	quarantined := !machine.QuarantinedSince.IsZero()
+	tooLong := quarantined && now.Sub(machine.QuarantinedSince) > maxQuarantine
 	switch {
-	case proven >= c.settings.MachineFaultErrors || twice,
-		jobs >= c.settings.MachineFaultErrors && !m.QuarantinedSince.IsZero() && now.Sub(m.QuarantinedSince) > maxQuarantine:
-		m.QuarantinedSince = time.Time{}
-		c.drain(now, m, "sick")
-	case jobs < c.settings.MachineFaultErrors:
-		if !m.QuarantinedSince.IsZero() {
-			m.QuarantinedSince, c.passNeeded = time.Time{}, true
-			c.log.Info("machine is not at fault", "machine", m.Name)
+	case goodJobs >= threshold || repeated, failingJobs >= threshold && tooLong:
+		machine.QuarantinedSince = time.Time{}
+		c.drain(now, machine, reasonFaulty)
+	case failingJobs < threshold:
+		if quarantined {
+			machine.QuarantinedSince, c.passes.needed = time.Time{}, true
+			c.log.Info("machine is not at fault", "machine", machine.Name)
 		}
-	case m.QuarantinedSince.IsZero() && m.State < model.MachineDraining:
-		m.QuarantinedSince = now
-		c.log.Info("machine or jobs at fault", "machine", m.Name, "jobs_failing_here", jobs)
+	case !quarantined && machine.State < model.MachineDraining:
+		machine.QuarantinedSince = now
+		c.log.Info("machine or jobs at fault", "machine", machine.Name, "jobs_failing_here", failingJobs)
 	}
-	return jobs
+	return failingJobs
 }
 
-// clearFaults takes that a task has completed on a machine: if it was started after the last failure there, the
-// machine is well.
-func (c *Core) clearFaults(a *model.Attempt) {
-	if m := a.Machine; a.LaunchedAt.After(m.LastFailure) {
-		clear(m.ErrorsByJob)
+// clearFaults takes that a task has completed on a machine. If it was started after the last failure there, the
+// machine is healthy.
+func clearFaults(attempt *model.Attempt) {
+	if machine := attempt.Machine; attempt.LaunchedAt.After(machine.LastFailure) {
+		clear(machine.ErrorsByJob)
 	}
 }
 
-// exonerate takes the failures of a job that was cancelled off its machines: they tell nothing any more.
-func (c *Core) exonerate(j *model.Job) {
-	for name := range j.MachinesWithErrors {
-		if m := c.machines[name]; m != nil {
-			delete(m.ErrorsByJob, j.Spec.ID)
+// exonerate drops the failures of a job that was cancelled from its machines: they tell nothing any more.
+func (c *Core) exonerate(job *model.Job) {
+	for name := range job.MachinesWithErrors {
+		if machine := c.machines[name]; machine != nil {
+			delete(machine.ErrorsByJob, job.Spec.ID)
 		}
 	}
 }
 
-// runsElsewhere tells whether a job does well on another machine.
-func (c *Core) runsElsewhere(now time.Time, j *model.Job, m *model.Machine) bool {
-	for _, a := range j.ActiveAttempts {
-		if a.Machine != m && a.Phase == model.PhaseRunning && now.Sub(a.RunningAt) > 15*time.Second {
+// runsElsewhere reports whether a job does well on another machine.
+func runsElsewhere(now time.Time, job *model.Job, machine *model.Machine) bool {
+	for _, attempt := range job.ActiveAttempts {
+		if attempt.Machine != machine && attempt.Phase == model.PhaseRunning &&
+			now.Sub(attempt.RunningAt) > wellRunningAfter {
 			return true
 		}
 	}
--- a/internal/reconciler/heartbeat_property_test.go
+++ b/internal/reconciler/heartbeat_property_test.go
@@ -88,8 +88,8 @@
 						r.Fatalf("%s holds %d, counted %d", m.Name, n, m.ActiveCount)
 					}
 				}
-				sum := k.core.orphanUsage.Allocated
-				for _, u := range k.core.usageByTeam {
+				sum := k.core.usage.orphans.Allocated
+				for _, u := range k.core.usage.byTeam {
 					sum = sum.Add(u.Allocated)
 				}
 				if d := sum.CPU - held.CPU; d > 1e-6 || d < -1e-6 {
--- a/internal/reconciler/heartbeats.go
+++ b/internal/reconciler/heartbeats.go
@@ -7,325 +7,258 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// heartbeatReceived takes a worker's report and answers it, unless its worker certainly waits for no
-// answer any more: docs/safety.md, "Copies and lives".
-func (c *Core) heartbeatReceived(now time.Time, ev HeartbeatReceived) {
-	r := ev.Heartbeat
-	m := c.machines[r.Machine]
-	if m == nil {
-		if _, ok := c.releasedMachines[r.Machine]; ok {
-			// Guards against a report that was held back until its machine was gone.
-			c.emit(HeartbeatResponse{Refused: true})
+// foreignLogInterval is the time between log lines about heartbeats of another machine by a known name.
+const foreignLogInterval = 10 * time.Second
+
+// statusKey names the attempt that a heartbeat reports on.
+func statusKey(status *model.TaskStatus) model.AttemptKey {
+	return model.AttemptKey{Task: status.Task, Number: status.Attempt}
+}
+
+// heartbeatReceived takes a worker's heartbeat and answers it, unless its worker certainly waits for no answer any
+// more: docs/safety.md, "Copies and lives".
+func (c *Core) heartbeatReceived(now time.Time, event HeartbeatReceived) {
+	heartbeat := event.Heartbeat
+	machine := c.machines[heartbeat.Machine]
+	if machine == nil {
+		if c.releases.isReleased(heartbeat.Machine) {
+			c.emit(HeartbeatResponse{Refused: true}) // it was delayed until its machine was gone
 			return
 		}
-		// A machine that nobody here rented. No leader launches anything on a
-		// machine without a record, so it holds nothing; what this report says may be of long ago.
-		m = c.newMachine(now, model.MachineInfo{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, model.MachineBooting)
-		m.Detector.MarkUnexpected(now)
-		c.log.Info("unexpected machine reports", "machine", m.Name, "type", r.Type, "zone", r.Zone)
+		machine = c.addUnexpectedMachine(now, heartbeat)
 	}
-	if m.State == model.MachineBooting && m.Detector.State >= liveness.Suspect && r.FencingToken < c.fencingToken {
-		// Guards against a late copy that brings back a machine which an earlier leader has given
-		// back: work was placed on it, and its rows counted, until it was silent for long enough.
-		c.probe(now, m)
+	if c.mayBeOfReleasedMachine(machine, heartbeat) {
+		c.probe(now, machine)
 		c.emit(HeartbeatResponse{})
 		return
 	}
-	if c.isForeign(m, r) {
-		if now.Sub(c.foreignLoggedAt) > 10*time.Second {
-			c.foreignLoggedAt = now
-			c.log.Warn("a report of another machine by this name", "machine", m.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "known", m.Type.Name, "in", m.Zone)
-		}
+	if isForeign(machine, heartbeat) {
+		c.logForeign(now, machine, heartbeat)
 		c.emit(HeartbeatResponse{Refused: true})
 		return
 	}
-	session, numbering := m.Epoch, m.Numbering
-	kind := m.ClassifyHeartbeat(r.Epoch, r.Seq, r.FencingToken)
-	if m.Numbering != numbering {
-		m.LeaseExpiry = c.leaseExpiry(now) // of the new life, which has begun before now
-		c.log.Warn("machine has begun anew", "machine", m.Name, "known", m.LatestMessage(), "session", r.Epoch, "number", r.Seq, "token", m.FencingToken, "shows", r.FencingToken)
-	}
+	kind := c.classifyHeartbeat(now, machine, heartbeat)
 	switch kind {
 	case liveness.Stale:
-		c.log.Debug("old report", "machine", m.Name, "session", r.Epoch, "number", r.Seq, "known", m.LatestMessage())
-		c.probe(now, m)
+		c.log.Debug("old report", "machine", machine.Name, "session", heartbeat.Epoch, "number", heartbeat.Seq,
+			"known", machine.LatestMessage())
+		c.probe(now, machine)
 		c.emit(HeartbeatResponse{Refused: true})
 		return
 	case liveness.Unordered:
-		c.probe(now, m)
+		c.probe(now, machine)
 	case liveness.Fresh:
-		sign := liveness.Evidence{Direct: !ev.Relayed, MissesCommands: r.Epoch == session && c.missesCommands(m, r), NewEpoch: session != 0 && r.Epoch > session, ZonePartitioned: c.recentlyPartitioned(now, m.Zone),
-			Acknowledges: r.FencingToken >= c.fencingToken && m.FencingToken < c.fencingToken}
-		sign.Acknowledges = c.applyHeartbeat(now, m, r, false) || sign.Acknowledges
-		c.observeLiveness(now, m, sign)
-		if m.Unreconciled && now.After(c.leaseExpiry(c.startedAt).Add(responseTimeout)) {
-			c.reconcileUnrenewed(now, m)
-		}
+		c.takeFreshHeartbeat(now, machine, event)
 	}
 	if kind != liveness.Duplicate {
-		// Also one that an answer to a command has overtaken: it renews the worker's lease. One that
-		// comes again was sent before it first came.
-		m.LeaseExpiry = c.leaseExpiry(now)
-		if m.ActiveCount == 0 && now.Sub(m.LastHeartbeat) > c.settings.UnresponsiveAfter {
-			m.EmptySince = now // from here on it is of use again
-		}
-		// Only here. Guards against a machine that reaches no controller, while commands reach it: its answers to
-		// them were taken for reports, so it got work again and again that its lease killed.
-		m.LastHeartbeat = now
+		// A heartbeat that an answer to a command has overtaken renews the worker's lease too. A duplicate was sent
+		// before it first came.
+		c.renewLease(now, machine)
 	}
-	c.emit(HeartbeatResponse{Commands: c.responseCommands(now, m, !ev.Relayed)})
+	c.emit(HeartbeatResponse{Commands: c.responseCommands(now, machine, !event.Relayed)})
 	if kind == liveness.Fresh {
-		delete(c.commandsPending, m)
+		delete(c.commandsPending, machine)
 	}
 }
 
-// reconcileUnrenewed takes a fresh report of a machine that has reported since the takeover, and has not taken this
-// leader's token for more than a lease: nothing that a leader before has started is on it, but for what its
-// reports have shown (docs/safety.md, "Rebuilding"). Guards against work of before the takeover that waits
-// for as long as machines hear nothing, since each of their reports puts off the end of their leases.
-func (c *Core) reconcileUnrenewed(now time.Time, m *model.Machine) {
-	if m.Detector.TokenNotTaken(now) {
-		c.livenessChanged(m)
-	}
-	c.markReconciled(now, m, "not renewed since the takeover")
+// addUnexpectedMachine takes a machine into the picture that nobody here has provisioned. No leader launches anything
+// on a machine without a record, so it holds nothing; the heartbeat may be of long ago.
+func (c *Core) addUnexpectedMachine(now time.Time, heartbeat *model.Heartbeat) *model.Machine {
+	machine := c.addMachine(now, model.MachineInfo{
+		Name: heartbeat.Machine, Addr: heartbeat.Addr, Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot,
+	}, model.MachineBooting)
+	machine.Detector.MarkUnexpected(now)
+	c.log.Info("unexpected machine reports", "machine", machine.Name, "type", heartbeat.Type, "zone", heartbeat.Zone)
+	return machine
 }
 
-// isForeign tells that a report names another type, zone or kind than its machine is known to have.
-// None of them ever changes. Guards against bounds by zone that count tasks where they are not.
-func (c *Core) isForeign(m *model.Machine, r *model.Heartbeat) bool {
-	if m.State == model.MachineBooting || m.Epoch == 0 {
-		return false
-	}
-	return r.Type != m.Type.Name || r.Zone != m.Zone || r.Spot != m.Spot
+// mayBeOfReleasedMachine reports that a heartbeat may be a delayed copy from a machine that an earlier leader has
+// released. Tasks would be placed on it until it was silent for long enough, so it has to answer a probe first.
+func (c *Core) mayBeOfReleasedMachine(machine *model.Machine, heartbeat *model.Heartbeat) bool {
+	return machine.State == model.MachineBooting && machine.Detector.State >= liveness.Suspect &&
+		heartbeat.FencingToken < c.fencingToken
 }
 
-// applyHeartbeat takes what a worker says of itself, unless something newer is known. certain tells that
-// it answers a question, so that it is no copy. It tells whether it shows something that this
-// leader has sent, for the first time.
-func (c *Core) applyHeartbeat(now time.Time, m *model.Machine, r *model.Heartbeat, certain bool) (shows bool) {
-	if r.Epoch < m.Epoch || r.Epoch == m.Epoch && r.Seq <= m.Seq {
+// isForeign reports that a heartbeat states another type, zone or kind than its machine is known to have. None of
+// them ever changes. Accepting them would break limits by zone.
+func isForeign(machine *model.Machine, heartbeat *model.Heartbeat) bool {
+	if machine.State == model.MachineBooting || machine.Epoch == 0 {
 		return false
 	}
-	if r.Epoch > m.Epoch {
-		if m.Epoch != 0 {
-			c.log.Warn("worker's lease has run out", "machine", m.Name, "session", r.Epoch)
-			c.loseAttempts(now, m, "new session")
-			m.UnansweredLaunches.Clear()
-		}
-		m.ExpiredEpoch = r.Epoch - 1
-		// The new session has a lease of its own, which began before now. Guards
-		// against a session that an answer to a command has shown, and that was taken
-		// for run out when the one before it would have been: what had been started
-		// in it meanwhile was started once more elsewhere.
-		m.LeaseExpiry = c.leaseExpiry(now)
-		m.ErrorsByJob = map[string]int{}
-	}
-	m.ProbeUnanswered = false
-	before := m.LastSeen
-	m.Epoch, m.Seq, m.FencingToken, m.LastSeen, m.Addr = r.Epoch, r.Seq, r.FencingToken, now, r.Addr
-	if r.Type != m.Type.Name || m.Type.Capacity.CPU < 1e-6 {
-		m.Type = c.machineTypeNamed(r.Type)
-	}
-	m.Zone, m.Spot = r.Zone, r.Spot
-
-	seen := make(map[model.AttemptKey]bool, len(r.Tasks))
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		if t.Attempt > c.fencingToken<<24+c.attemptCounter {
-			// Guards against numbers that nobody has given out: a later start by the same number would
-			// take its place in the accounts. If a later leader has, nothing of this one counts any more.
-			continue
-		}
-		key := model.AttemptKey{Task: t.Task, Number: t.Attempt}
-		seen[key] = true
-		a := m.Attempts[key]
-		if a == nil {
-			a = c.adoptAttempt(now, m, t)
-		} else if a.State == model.AttemptLaunching {
-			shows = true
-		}
-		c.updateAttempt(now, a, t)
-	}
-	for key, a := range m.Attempts {
-		if seen[key] {
-			continue
-		}
-		switch {
-		case a.State == model.AttemptEnded:
-			a.Transition(model.AttemptDropped)
-			delete(m.Attempts, key)
-		case a.Phase != 0 && !certain:
-			// Rows stay until they are forgotten, so one of the two messages is of another life. Guards
-			// against a late copy from before the machine began anew, or from before the task was
-			// started: it was taken for gone, and started elsewhere while it ran.
-			c.probe(now, m)
-		case a.Phase != 0 && !m.UnansweredLaunches.MayArrive(key):
-			// It was there, and the answer to a question lacks it.
-			c.log.Warn("attempt has vanished", "task", a.Task, "try", a.Number, "machine", m.Name)
-			c.chargeUntil(now, a, before) // it was last seen then
-			c.chargeWasted(now, a)
-			a.ChargedUntil = time.Time{}
-			c.loseAttempt(now, a)
-			delete(m.Attempts, key)
-		}
-	}
-	if m.State == model.MachineBooting && m.Transition(now, model.MachineReady, "") {
-		// Only now it gets a record: a machine that still boots holds nothing, and
-		// a new leader need not wait for it to say so.
-		c.recordMachine(m)
-		m.EmptySince = now
-		c.passNeeded = true
-		c.log.Info("machine is up", "machine", m.Name, "type", m.Type.Name, "zone", m.Zone, "spot", m.Spot)
-	}
-	if m.Unreconciled && m.FencingToken >= c.fencingToken {
-		c.markReconciled(now, m, "reported")
-	}
-	if r.InterruptionNotice {
-		if m.InterruptionAt.IsZero() {
-			c.log.Info("spot notice", "machine", m.Name, "in", r.InterruptionIn)
-			m.InterruptionAt = now.Add(r.InterruptionIn)
-			c.drain(now, m, "notice")
-		}
-		c.evacuate(now, m)
-	}
-	return shows
+	return heartbeat.Type != machine.Type.Name || heartbeat.Zone != machine.Zone || heartbeat.Spot != machine.Spot
 }
 
-// markReconciled notes that everything on a machine from before the takeover is known:
-// see docs/safety.md, "Rebuilding".
-func (c *Core) markReconciled(now time.Time, m *model.Machine, why string) {
-	m.Unreconciled = false
-	c.unreconciled--
-	if k := recordedKind(m); c.unreconciledKinds[k] > 1 {
-		c.unreconciledKinds[k]--
-	} else {
-		delete(c.unreconciledKinds, k)
-	}
-	if m.State == model.MachineInherited {
-		m.Transition(now, model.MachineReady, "")
-	}
-	if m.ActiveCount == 0 {
-		m.EmptySince = now
-	}
-	c.passNeeded = true
-	c.log.Debug("machine settled", "machine", m.Name, "how", why, "holding", m.ActiveCount, "left", c.unreconciled)
-	if c.unreconciled > 0 {
+func (c *Core) logForeign(now time.Time, machine *model.Machine, heartbeat *model.Heartbeat) {
+	if now.Sub(c.liveness.foreignLoggedAt) <= foreignLogInterval {
 		return
 	}
-	c.log.Info("all machines settled", "token", c.fencingToken, "after", now.Sub(c.startedAt))
-	for _, j := range c.jobs {
-		if j.Spec.Shape == model.Gang && len(j.ActiveAttempts) > 0 && !c.gangComplete(j) {
-			c.breakGang(now, j)
-		}
-	}
+	c.liveness.foreignLoggedAt = now
+	c.log.Warn("a report of another machine by this name", "machine", machine.Name, "type", heartbeat.Type,
+		"zone", heartbeat.Zone, "spot", heartbeat.Spot, "known", machine.Type.Name, "in", machine.Zone)
 }
 
-// gangComplete tells whether all tasks of a gang are live with one attempt number.
-func (c *Core) gangComplete(j *model.Job) bool {
-	var try uint64
-	for _, a := range j.ActiveAttempts {
-		if try != 0 && a.Number != try || a.State == model.AttemptStopping {
-			return false
-		}
-		try = a.Number
-	}
-	return len(j.ActiveAttempts) == j.Unfinished()
+// classifyHeartbeat tells by its numbers whether a heartbeat is new, and notes whether the machine has restarted.
+func (c *Core) classifyHeartbeat(
+	now time.Time, machine *model.Machine, heartbeat *model.Heartbeat,
+) liveness.HeartbeatKind {
+	before := machine.Numbering
+	kind := machine.ClassifyHeartbeat(heartbeat.Epoch, heartbeat.Seq, heartbeat.FencingToken)
+	if machine.Numbering != before {
+		machine.LeaseExpiry = c.leaseExpiry(now) // of the new incarnation, which has begun before now
+		c.log.Warn("machine has begun anew", "machine", machine.Name, "known", machine.LatestMessage(),
+			"session", heartbeat.Epoch, "number", heartbeat.Seq,
+			"token", machine.FencingToken, "shows", heartbeat.FencingToken)
+	}
+	return kind
 }
 
-// adoptAttempt enters an attempt that only the worker knew.
-func (c *Core) adoptAttempt(now time.Time, m *model.Machine, t *model.TaskStatus) *model.Attempt {
-	a := &model.Attempt{Task: t.Task, Number: t.Attempt, Machine: m, Epoch: m.Epoch, Job: c.jobs[t.Task.Job], Phase: t.Phase, LaunchedAt: now}
-	m.Attempts[model.AttemptKey{Task: t.Task, Number: t.Attempt}] = a
-	j := a.Job
-	if j == nil || t.Task.Index >= j.Spec.Tasks {
-		// Of a job that has ended. What it takes is not known any more, so it
-		// counts as taking the whole machine, for every team, until it is gone.
-		a.Job, a.Demand, a.Usage = nil, m.Type.Capacity, &c.orphanUsage
-		a.Transition(model.AttemptPresent)
-		if t.Phase != model.PhaseExited {
-			c.stopAttempt(now, a, 0)
-		}
-		return a
-	}
-	a.Demand, a.Team, a.Usage = j.Spec.Demand, j.Spec.Team, c.usageOf(j.Spec.Team)
-	a.Transition(model.AttemptPresent)
-	m.CachedImages[j.Spec.Image] = now
-	if t.Phase == model.PhaseExited {
-		return a
-	}
-	c.beginCharging(now, a, t.Phase, true)
-	if old := j.ActiveAttempts[t.Task.Index]; old != nil && old.Number < t.Attempt && j.Spec.Shape != model.Gang {
-		// A task's starts have rising numbers, and each waited until the one before was gone: so the
-		// other one is what a late copy has shown. Guards against stopping the one that runs.
-		c.stopAttempt(now, old, 0)
-		delete(j.ActiveAttempts, t.Task.Index)
-	}
-	if j.ActiveAttempts[t.Task.Index] != nil || j.Task(t.Task.Index) == model.TaskDone {
-		c.log.Warn("task is not wanted here", "task", t.Task, "try", t.Attempt, "machine", m.Name)
-		c.stopAttempt(now, a, 0)
-		return a
+// takeFreshHeartbeat applies a heartbeat that is newer than all before, and takes what it tells of the machine's
+// liveness.
+func (c *Core) takeFreshHeartbeat(now time.Time, machine *model.Machine, event HeartbeatReceived) {
+	heartbeat := event.Heartbeat
+	epoch := machine.Epoch
+	evidence := liveness.Evidence{
+		Direct:          !event.Relayed,
+		Acknowledges:    heartbeat.FencingToken >= c.fencingToken && machine.FencingToken < c.fencingToken,
+		MissesCommands:  heartbeat.Epoch == epoch && missesCommands(machine, heartbeat),
+		NewEpoch:        epoch != 0 && heartbeat.Epoch > epoch,
+		ZonePartitioned: c.partitions.recently(now, machine.Zone, c.settings.WorkerLease),
+	}
+	showsLaunch := c.applyHeartbeat(now, machine, heartbeat, false)
+	evidence.Acknowledges = evidence.Acknowledges || showsLaunch
+	c.observeLiveness(now, machine, evidence)
+	inheritedUntil := c.leaseExpiry(c.takeover.startedAt).Add(responseTimeout)
+	if machine.Unreconciled && now.After(inheritedUntil) {
+		c.reconcileUnrenewed(now, machine)
 	}
-	j.ActiveAttempts[t.Task.Index] = a
-	j.SetTask(t.Task.Index, model.TaskActive)
-	if j.Spec.Shape == model.Gang {
-		j.Gang = model.GangLaunched
-	}
-	return a
 }
 
-// updateAttempt takes what a report says of one attempt.
-func (c *Core) updateAttempt(now time.Time, a *model.Attempt, t *model.TaskStatus) {
-	if a.State == model.AttemptEnded || a.State == model.AttemptDropped {
-		return
-	}
-	if t.Phase == model.PhaseExited {
-		c.attemptExited(now, a, t)
-		return
+// renewLease notes that a heartbeat is answered, which renews the worker's lease. An answer to a command does not: a
+// machine that reaches no controller, while commands reach it, would get tasks again and again that end with its
+// lease.
+func (c *Core) renewLease(now time.Time, machine *model.Machine) {
+	machine.LeaseExpiry = c.leaseExpiry(now)
+	if machine.ActiveCount == 0 && now.Sub(machine.LastHeartbeat) > c.settings.UnresponsiveAfter {
+		machine.EmptySince = now // it could not be used before
+	}
+	machine.LastHeartbeat = now
+}
+
+// applyHeartbeat takes what a worker says of itself, unless something newer is known. answersProbe says that it
+// answers a command or probe, so that it is no delayed copy. It reports whether the heartbeat shows a launch of this
+// leader for the first time.
+func (c *Core) applyHeartbeat(
+	now time.Time, machine *model.Machine, heartbeat *model.Heartbeat, answersProbe bool,
+) (showsLaunch bool) {
+	if heartbeat.Epoch < machine.Epoch || heartbeat.Epoch == machine.Epoch && heartbeat.Seq <= machine.Seq {
+		return false
 	}
-	if a.State == model.AttemptLaunching {
-		a.Transition(model.AttemptPresent)
+	if heartbeat.Epoch > machine.Epoch {
+		c.beginEpoch(now, machine, heartbeat.Epoch)
 	}
-	if t.Phase == model.PhaseRunning && a.Phase != model.PhaseRunning {
-		a.RunningAt = now
-		c.log.Debug("attempt runs", "task", a.Task, "machine", a.Machine.Name, "after", now.Sub(a.LaunchedAt))
+	machine.ProbeUnanswered = false
+	lastSeen := machine.LastSeen
+	machine.Epoch, machine.Seq, machine.FencingToken = heartbeat.Epoch, heartbeat.Seq, heartbeat.FencingToken
+	machine.LastSeen, machine.Addr = now, heartbeat.Addr
+	if heartbeat.Type != machine.Type.Name || !inCatalog(machine.Type) {
+		machine.Type = c.machineType(heartbeat.Type)
 	}
-	a.Phase = t.Phase
-	c.beginCharging(now, a, t.Phase, false)
+	machine.Zone, machine.Spot = heartbeat.Zone, heartbeat.Spot
+
+	shown, showsLaunch := c.applyTasks(now, machine, heartbeat.Tasks)
+	c.checkMissingAttempts(now, machine, shown, lastSeen, answersProbe)
+	if machine.State == model.MachineBooting && machine.Transition(now, model.MachineReady, "") {
+		// It gets a record only now: a booting machine holds nothing, and a new leader need not wait for it.
+		c.recordMachine(machine)
+		machine.EmptySince = now
+		c.passes.needed = true
+		c.log.Info("machine is up", "machine", machine.Name, "type", machine.Type.Name, "zone", machine.Zone,
+			"spot", machine.Spot)
+	}
+	if machine.Unreconciled && machine.FencingToken >= c.fencingToken {
+		c.markReconciled(now, machine, "reported")
+	}
+	if heartbeat.InterruptionNotice {
+		c.takeInterruptionNotice(now, machine, heartbeat.InterruptionIn)
+	}
+	return showsLaunch
 }
 
-// attemptExited takes the end of an attempt.
-func (c *Core) attemptExited(now time.Time, a *model.Attempt, t *model.TaskStatus) {
-	a.Cause, a.Phase, a.EndedAt = t.Cause, model.PhaseExited, now
-	c.log.Debug("attempt ended", "task", a.Task, "try", a.Number, "machine", a.Machine.Name, "why", t.Cause.String(), "saved", t.Checkpointed)
-	c.chargeUntil(now, a, now)
-	if t.Cause != model.CauseDone && !t.Checkpointed {
-		c.chargeWasted(now, a)
-	}
-	j, i := a.Job, a.Task.Index
-	if j == nil || j.State == model.JobEnded {
-		c.releaseAttempt(now, a, model.AttemptEnded)
-		return
+// beginEpoch takes that a worker has begun a new epoch, since its lease had expired or it was restarted. All its
+// attempts are gone.
+func (c *Core) beginEpoch(now time.Time, machine *model.Machine, epoch uint64) {
+	if machine.Epoch != 0 {
+		c.log.Warn("worker's lease has run out", "machine", machine.Name, "session", epoch)
+		c.loseAttempts(now, machine, "new session")
+		machine.UnansweredLaunches.Clear()
+	}
+	machine.ExpiredEpoch = epoch - 1
+	// The new epoch has a lease of its own, which began before now. With the expiry of the former one, tasks of the
+	// new epoch would be started elsewhere while they run.
+	machine.LeaseExpiry = c.leaseExpiry(now)
+	machine.ErrorsByJob = map[string]int{}
+}
+
+// applyTasks takes what a heartbeat says of attempts, and returns those that it shows. showsLaunch reports that an
+// attempt is among them that this leader has launched and no heartbeat has shown before.
+func (c *Core) applyTasks(
+	now time.Time, machine *model.Machine, tasks []model.TaskStatus,
+) (shown map[model.AttemptKey]bool, showsLaunch bool) {
+	shown = make(map[model.AttemptKey]bool, len(tasks))
+	for i := range tasks {
+		status := &tasks[i]
+		if status.Attempt > c.lastAttemptNumber() {
+			// Nobody up to this leader has given this number; it would collide with a later attempt. If a later
+			// leader has, nothing that this one does counts any more.
+			continue
+		}
+		key := statusKey(status)
+		shown[key] = true
+		attempt := machine.Attempts[key]
+		if attempt == nil {
+			attempt = c.adoptAttempt(now, machine, status)
+		} else if attempt.State == model.AttemptLaunching {
+			showsLaunch = true
+		}
+		c.updateAttempt(now, attempt, status)
 	}
-	switch t.Cause {
-	case model.CauseDone:
-		if !a.RunningAt.IsZero() && !j.Restarted(i) {
-			c.runTimes.observe(j.Spec, now.Sub(a.RunningAt))
+	return shown, showsLaunch
+}
+
+// checkMissingAttempts looks at the attempts that a heartbeat does not show. lastSeen is when the machine's message
+// before it came.
+func (c *Core) checkMissingAttempts(
+	now time.Time, machine *model.Machine, shown map[model.AttemptKey]bool, lastSeen time.Time, answersProbe bool,
+) {
+	for key, attempt := range machine.Attempts {
+		if shown[key] {
+			continue
 		}
-		if j.Spec.Shape == model.Gang {
-			// When one task of a gang is done, all are.
-			for k := 0; k < j.Spec.Tasks; k++ {
-				c.completeTask(now, j, k)
-			}
-		} else {
-			c.completeTask(now, j, i)
+		switch {
+		case attempt.State == model.AttemptEnded:
+			attempt.Transition(model.AttemptDropped)
+			delete(machine.Attempts, key)
+		case attempt.Phase != 0 && !answersProbe:
+			// Workers show attempts until they are told to forget them, so one of the two messages is of another
+			// incarnation. A delayed copy must not make a running task start elsewhere.
+			c.probe(now, machine)
+		case attempt.Phase != 0 && !machine.UnansweredLaunches.MayArrive(key):
+			c.log.Warn("attempt has vanished", "task", attempt.Task, "try", attempt.Number, "machine", machine.Name)
+			c.accounting.chargeUntil(now, attempt, lastSeen)
+			c.accounting.chargeWasted(now, attempt)
+			attempt.ChargedUntil = time.Time{}
+			c.loseAttempt(now, attempt)
+			delete(machine.Attempts, key)
 		}
-		a.Machine.ErrorsByJob[j.Spec.ID] = 0
-		c.clearFaults(a)
-	case model.CauseError:
-		c.taskFailed(now, a)
-	case model.CauseNoCapacity, model.CauseAttemptConflict, model.CauseUnknownJob:
-		c.log.Warn("start refused", "task", a.Task, "machine", a.Machine.Name, "why", t.Cause.String())
-		j.RetryNotBefore = now.Add(c.settings.Backoff / 4)
 	}
-	c.releaseAttempt(now, a, model.AttemptEnded)
+}
+
+// takeInterruptionNotice takes that the cloud is about to take a spot machine.
+func (c *Core) takeInterruptionNotice(now time.Time, machine *model.Machine, in time.Duration) {
+	if machine.InterruptionAt.IsZero() {
+		c.log.Info("spot notice", "machine", machine.Name, "in", in)
+		machine.InterruptionAt = now.Add(in)
+		c.drain(now, machine, reasonInterruption)
+	}
+	c.evacuate(now, machine)
 }
--- /dev/null
+++ b/internal/reconciler/inventory.go
@@ -0,0 +1,96 @@
+package reconciler
+
+import (
+	"time"
+
+	"github.com/glentiller/glentiller/internal/model"
+)
+
+// cloudInventory is when the cloud's machine list and catalog of machine types are read.
+type cloudInventory struct {
+	machineListAt      time.Time // when the list is due
+	machineListPending bool
+	catalogAt          time.Time // when the catalog is due
+	catalogPending     bool
+}
+
+const (
+	catalogRetryDelay = 2 * time.Second
+	listLagFactor     = 3                // a machine list may be behind by so many times the stated lag,
+	listLagMargin     = 10 * time.Second // and this much more
+)
+
+// newCloudInventory has the machine list read at once, and the catalog too unless its types are known.
+func newCloudInventory(now time.Time, types []model.MachineType, settings *Settings) cloudInventory {
+	inventory := cloudInventory{machineListAt: now, catalogAt: now}
+	if len(types) > 0 {
+		inventory.catalogAt = now.Add(settings.CatalogInterval)
+	}
+	return inventory
+}
+
+// refreshInventory asks the cloud for what is due.
+func (c *Core) refreshInventory(now time.Time) {
+	inventory := &c.inventory
+	if !inventory.machineListPending && !now.Before(inventory.machineListAt) {
+		inventory.machineListPending = true
+		c.emit(ListMachines{})
+	}
+	if !inventory.catalogPending && !now.Before(inventory.catalogAt) {
+		inventory.catalogPending = true
+		c.emit(FetchCatalog{})
+	}
+}
+
+// catalogReceived takes the machine types.
+func (c *Core) catalogReceived(now time.Time, event CatalogReceived) {
+	c.inventory.catalogPending = false
+	if len(event.Types) == 0 {
+		c.inventory.catalogAt = now.Add(catalogRetryDelay)
+		return
+	}
+	c.inventory.catalogAt = now.Add(c.settings.CatalogInterval)
+	c.machineTypes = event.Types
+	c.recheckConstraints()
+	for _, machine := range c.machines {
+		machine.Type = c.machineType(machine.Type.Name)
+	}
+	c.passes.needed = true
+}
+
+// machineListReceived takes the cloud's machine list. Machines that are not known here were provisioned by an earlier
+// leader.
+func (c *Core) machineListReceived(now time.Time, event MachineListReceived) {
+	c.inventory.machineListPending = false
+	c.inventory.machineListAt = now.Add(c.settings.MachineListInterval)
+	unexpected, first := 0, ""
+	for _, info := range event.Machines {
+		machine := c.machines[info.Name]
+		if machine == nil {
+			if c.mayListReleased(info.Name, event.RequestedAt) {
+				continue
+			}
+			machine = c.addMachine(now, info, model.MachineBooting)
+			machine.StateSince, machine.RequestedAt = now.Add(-info.Age), now.Add(-info.Age)
+			if unexpected++; first == "" {
+				first = info.Name
+			}
+			c.log.Debug("unexpected machine is listed", "machine", info.Name, "type", info.Type, "zone", info.Zone)
+		}
+		if machine.Addr == "" {
+			machine.Addr = info.Addr
+		}
+		if info.Failed {
+			c.startRelease(now, machine, reasonCloudFailure)
+		}
+	}
+	if unexpected > 0 {
+		c.log.Info("unexpected machines are listed", "count", unexpected, "first", first)
+	}
+}
+
+// mayListReleased reports that a list of some moment may still hold a machine that is gone, since lists lag.
+func (c *Core) mayListReleased(name string, requestedAt time.Time) bool {
+	releasedAt, ok := c.releases.released[name]
+	return ok && requestedAt.Sub(releasedAt) < listLagFactor*c.settings.MachineListLag+listLagMargin
+}
--- /dev/null
+++ b/internal/reconciler/jobs.go
@@ -0,0 +1,140 @@
+package reconciler
+
+import (
+	"slices"
+	"time"
+
+	"github.com/glentiller/glentiller/internal/model"
+)
+
+// addJob takes an accepted job into the picture.
+func (c *Core) addJob(now time.Time, event JobAdded) {
+	spec := event.Spec
+	if c.jobs[spec.ID] != nil {
+		return
+	}
+	job := model.NewJob(spec, event.SubmittedAt, event.Version)
+	job.DependencyKeys = event.DependencyKeys
+	c.jobs[spec.ID] = job
+	c.addConstraints(job)
+	job.Dependency = c.dependencies.graph.Add(spec.ID, spec.Dependencies, event.SubmittedAt)
+	c.enqueue(job)
+	if len(spec.Dependencies) > 0 {
+		c.dependencies.graphChanged(now)
+		c.endIfFinished(now, job)
+	}
+	if c.gpus.add(spec.Demand) {
+		c.commits.add(Change{Kind: PutGPUDemand, GPUDemand: spec.Demand})
+	}
+	c.passes.needed = true
+	c.log.Info("job", "id", spec.ID, "class", spec.Class, "team", spec.Team, "shape", spec.Shape.String(),
+		"rank", spec.Priority.String(), "tasks", spec.Tasks, "awaits", len(spec.Dependencies),
+		"link", job.Dependency.State.String())
+}
+
+// endJob takes a job that is done or cancelled out of the picture, and passes its end on to the jobs that depend on
+// it. Attempts of it count on their machines until they are gone.
+func (c *Core) endJob(now time.Time, event JobEnded) {
+	if job := c.jobs[event.ID]; job != nil {
+		c.removeJob(now, job, event.Outcome)
+	}
+	if event.Outcome == model.OutcomeUnknown {
+		c.dependencies.graph.Forget(event.ID)
+		return
+	}
+	satisfied, failed := c.dependencies.graph.End(event.ID, event.Outcome, event.EndedAt)
+	for _, node := range satisfied {
+		c.dependenciesSatisfied(now, node)
+	}
+	for _, node := range failed {
+		if job := c.jobs[node.ID]; job != nil {
+			c.endIfFinished(now, job)
+		}
+	}
+}
+
+// removeJob takes a job out of the picture: it stops its attempts and deletes its records.
+func (c *Core) removeJob(now time.Time, job *model.Job, outcome model.Outcome) {
+	id := job.Spec.ID
+	c.log.Info("job ended", "id", id, "done", job.Count(model.TaskDone), "live", len(job.ActiveAttempts),
+		"feeds", len(job.Dependency.Downstream))
+	job.Transition(model.JobEnded)
+	delete(c.jobs, id)
+	c.constraints.remove(job)
+	c.finished.remove(id)
+	for _, attempt := range job.ActiveAttempts {
+		c.stopAttempt(now, attempt, 0)
+	}
+	for chunk := range job.RecordedChunks {
+		c.commits.add(Change{Kind: DeleteTasks, Job: id, Chunk: chunk})
+	}
+	for _, key := range job.DependencyKeys {
+		c.commits.add(Change{Kind: DeleteDependencies, Job: id, Key: key})
+	}
+	if outcome != model.OutcomeDone {
+		c.exonerate(job)
+	}
+	c.accounting.stopWaiting(now, job)
+	c.dequeue(job)
+	c.passes.needed = true
+	if len(job.Dependency.Upstream) > 0 {
+		c.dependencies.graphChanged(now)
+	}
+}
+
+// completeTask notes that a task has completed.
+func (c *Core) completeTask(now time.Time, job *model.Job, index int) {
+	if job.Task(index) == model.TaskDone || job.Spec.Shape == model.Service {
+		return
+	}
+	job.SetTask(index, model.TaskDone)
+	job.KnownGood, job.ConsecutiveErrors, job.FailedMachineCount = true, 0, 0
+	job.DirtyChunks[job.Spec.ChunkOf(index)] = true
+	c.finished.markDirty(job.Spec.ID, now.Add(c.settings.FlushInterval))
+	c.endIfFinished(now, job)
+}
+
+// endIfFinished records the end of a job whose tasks are all done, or that depends on a cancelled one. The record of
+// the end covers its finished tasks, so those are not recorded any more.
+func (c *Core) endIfFinished(now time.Time, job *model.Job) {
+	kind := CompleteJob
+	switch {
+	case job.State != model.JobActive:
+		return
+	case job.Dependency.State == model.DependencyFailed:
+		kind = CancelDependent
+		c.log.Info("job awaits a cancelled one", "id", job.Spec.ID, "cancelled", job.Dependency.DecidedBy)
+	case job.Unfinished() > 0:
+		return
+	}
+	if job.Transition(model.JobCompleting) {
+		c.commits.add(Change{
+			Kind: kind, Job: job.Spec.ID, Version: job.RecordVersion, Tasks: job.Spec.Tasks, At: now,
+		})
+		c.finished.remove(job.Spec.ID)
+	}
+}
+
+// enqueue puts a job into the order by the moment from which its age counts, behind those of the same moment.
+func (c *Core) enqueue(job *model.Job) {
+	job.EligibleAt = job.Dependency.SatisfiedAt
+	job.WaitingSince = job.EligibleAt
+	at, _ := slices.BinarySearchFunc(c.jobsByAge, job, func(a, b *model.Job) int {
+		if order := a.EligibleAt.Compare(b.EligibleAt); order != 0 {
+			return order
+		}
+		return -1
+	})
+	c.jobsByAge = slices.Insert(c.jobsByAge, at, job)
+}
+
+func (c *Core) dequeue(job *model.Job) {
+	if i := slices.Index(c.jobsByAge, job); i >= 0 {
+		c.jobsByAge = slices.Delete(c.jobsByAge, i, i+1)
+	}
+}
+
+// startable reports whether tasks of a job may start at all: docs/safety.md, "Pipelines".
+func startable(job *model.Job) bool {
+	return job.State == model.JobActive && job.Dependency.State == model.DependencySatisfied
+}
--- a/internal/reconciler/liveness.go
+++ b/internal/reconciler/liveness.go
@@ -7,154 +7,155 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// probe asks a machine what it has, where its messages leave a doubt. Its answer is proof of
-// what it shows and of its hearing; a report is not. At most one is out for a machine, and few
-// altogether: the next report raises it again.
-func (c *Core) probe(now time.Time, m *model.Machine) bool {
-	if m.CommandInFlight || m.Addr == "" || m.State >= model.MachineReleasing || c.probesInFlight >= maxProbes || now.Sub(m.ProbedAt) < probeInterval {
-		return false
-	}
-	m.ProbedAt = now
-	c.probesInFlight++
-	c.sendCommands(m, nil, false)
-	return true
+// livenessTracker is what a leader knows of its machines' liveness beyond the failure detector of each of them.
+type livenessTracker struct {
+	settings        liveness.Settings
+	suspects        map[*model.Machine]bool // machines that seem to receive nothing from this leader
+	lastProofAt     time.Time               // when any machine last proved that it receives something
+	probesInFlight  int
+	foreignLoggedAt time.Time // when a heartbeat of another machine by a known name was last logged
 }
 
+// The probing of machines. Their answers prove what they show; a heartbeat may be a delayed copy.
 const (
-	maxProbes            = 32              // questions that are out, at the most
-	suspectProbeInterval = 2 * time.Second // between questions to a machine in doubt
-	responseTimeout      = 4 * time.Second // workers drop answers that come later, by the protocol; reports are a quarter late at most
+	maxProbes            = 32                     // in flight
+	probeInterval        = 500 * time.Millisecond // between probes to one machine
+	suspectProbeInterval = 2 * time.Second        // between probes to a suspect
 )
 
-// checkSuspect looks after a machine in doubt: it is asked again, and replaced if that lasts.
-func (c *Core) checkSuspect(now time.Time, m *model.Machine) {
-	if now.Sub(m.ProbedAt) >= suspectProbeInterval {
-		c.probe(now, m)
+// responseTimeout is how long a worker waits for the answer to a heartbeat, by the protocol. Heartbeats are late by a
+// quarter of their interval at most.
+const responseTimeout = 4 * time.Second
+
+func newLivenessTracker(now time.Time, settings *Settings) livenessTracker {
+	return livenessTracker{
+		settings: liveness.Settings{
+			Lease:        settings.WorkerLease,
+			HeartbeatGap: max(responseTimeout, settings.HeartbeatInterval+settings.HeartbeatInterval/2),
+			ReplaceAfter: settings.UnresponsiveAfter,
+		},
+		suspects:    map[*model.Machine]bool{},
+		lastProofAt: now,
 	}
-	runs := false
-	for _, a := range m.Attempts {
-		runs = runs || a.Active() && a.Phase != 0
+}
+
+// update counts a machine among the suspects or not, and reports whether it was or is one.
+func (t *livenessTracker) update(machine *model.Machine) (wasOrIs bool) {
+	was, is := t.suspects[machine], machine.Detector.State >= liveness.Suspect
+	if is {
+		t.suspects[machine] = true
+	} else {
+		delete(t.suspects, machine)
 	}
-	if m.Detector.CheckTimeout(now, runs, c.livenessSettings) {
-		c.livenessChanged(m)
+	return was || is
+}
+
+// remove forgets a machine that is gone.
+func (t *livenessTracker) remove(machine *model.Machine) { delete(t.suspects, machine) }
+
+// canProbe reports whether a probe can be sent to a machine.
+func canProbe(machine *model.Machine) bool {
+	return !machine.CommandInFlight && machine.Addr != "" && machine.State < model.MachineReleasing
+}
+
+// probe asks a machine for its state where its messages leave it uncertain. One probe is in flight for a machine, and
+// few altogether: the next heartbeat asks for it again. It reports whether a probe was sent.
+func (c *Core) probe(now time.Time, machine *model.Machine) bool {
+	if !canProbe(machine) || c.liveness.probesInFlight >= maxProbes || now.Sub(machine.ProbedAt) < probeInterval {
+		return false
 	}
+	c.sendProbe(now, machine)
+	return true
 }
 
-// commandAnswered takes a worker's report that answers a command: it was sent after the command.
-func (c *Core) commandAnswered(now time.Time, m *model.Machine, r *model.Heartbeat) {
-	c.proveAlive(now, m, "it has answered")
-	if known := m.LatestMessage(); m.CommandAnswered(r.Epoch, r.Seq) {
-		c.log.Warn("machine has begun anew", "machine", m.Name, "known", known, "session", r.Epoch, "number", r.Seq, "holding", m.ActiveCount, "commands_on_their_way", m.UnansweredLaunches.Len())
-		m.ErrorsByJob = map[string]int{}
-		if m.UnansweredLaunches.Len() > 0 && m.Transition(now, model.MachineReleasing, "began anew") {
-			// Launches that were sent to its former life may reach this one, which does not
-			// know them. What they name stays where it is until the machine is gone.
-			c.log.Info("returning", "machine", m.Name, "why", m.StateReason, "holding", m.ActiveCount)
-		}
+func (c *Core) sendProbe(now time.Time, machine *model.Machine) {
+	machine.ProbedAt = now
+	c.liveness.probesInFlight++
+	c.sendCommands(machine, nil, false)
+}
+
+// checkSuspect probes a machine that is not alive again, and has it replaced if that lasts.
+func (c *Core) checkSuspect(now time.Time, machine *model.Machine) {
+	if now.Sub(machine.ProbedAt) >= suspectProbeInterval {
+		c.probe(now, machine)
 	}
-	// Its lease may have begun as late as now, if it has begun anew with higher numbers than were known.
-	// Guards against tasks of a new life that are freed when the lease of the former one has run out.
-	m.LeaseExpiry = c.leaseExpiry(now)
-	if r.Epoch > m.ExpiredEpoch {
-		c.applyHeartbeat(now, m, r, true)
+	running := false
+	for _, attempt := range machine.Attempts {
+		running = running || attempt.Active() && attempt.Phase != 0
+	}
+	if machine.Detector.CheckTimeout(now, running, c.liveness.settings) {
+		c.livenessChanged(machine)
 	}
 }
 
-// observeLiveness takes what a report tells of a machine's hearing.
-func (c *Core) observeLiveness(now time.Time, m *model.Machine, s liveness.Evidence) {
-	if s.Acknowledges {
-		c.lastProofAt = now
+// observeLiveness takes what a heartbeat tells of a machine's liveness.
+func (c *Core) observeLiveness(now time.Time, machine *model.Machine, evidence liveness.Evidence) {
+	if evidence.Acknowledges {
+		c.liveness.lastProofAt = now
 	}
-	if m.Detector.ObserveHeartbeat(now, s, c.livenessSettings) {
-		c.livenessChanged(m)
+	if machine.Detector.ObserveHeartbeat(now, evidence, c.liveness.settings) {
+		c.livenessChanged(machine)
 	}
-	if m.Detector.State != liveness.Alive {
-		c.probe(now, m)
+	if machine.Detector.State != liveness.Alive {
+		c.probe(now, machine)
 	}
 }
 
-// proveAlive takes a proof that a machine hears this leader.
-func (c *Core) proveAlive(now time.Time, m *model.Machine, why string) {
-	c.lastProofAt = now
-	if m.Detector.ProveAlive(now, why) {
-		c.livenessChanged(m)
+// proveAlive takes a proof that a machine receives what this leader sends.
+func (c *Core) proveAlive(now time.Time, machine *model.Machine, reason string) {
+	c.liveness.lastProofAt = now
+	if machine.Detector.ProveAlive(now, reason) {
+		c.livenessChanged(machine)
 	}
 }
 
-// livenessChanged tells of a change of a machine's hearing, and counts those in doubt.
-func (c *Core) livenessChanged(m *model.Machine) {
-	was, is := c.suspects[m], m.Detector.State >= liveness.Suspect
-	if is {
-		c.suspects[m] = true
-	} else {
-		delete(c.suspects, m)
-	}
-	if was || is {
-		c.passNeeded = true
-		c.log.Info("hearing", "machine", m.Name, "is", m.Detector.State.String(), "why", m.Detector.Reason,
-			"holding", m.ActiveCount, "in_doubt", len(c.suspects))
+// livenessChanged notes that the state of a machine's failure detector has changed.
+func (c *Core) livenessChanged(machine *model.Machine) {
+	if c.liveness.update(machine) {
+		c.passes.needed = true
+		c.log.Info("hearing", "machine", machine.Name, "is", machine.Detector.State.String(),
+			"why", machine.Detector.Reason, "holding", machine.ActiveCount, "in_doubt", len(c.liveness.suspects))
 	}
 }
 
-// missesCommands tells whether a report lacks what the answer to an earlier one has told its worker.
-func (c *Core) missesCommands(m *model.Machine, r *model.Heartbeat) bool {
-	told := 0
-	for _, a := range m.Attempts {
-		if a.State == model.AttemptLaunching && a.SentInReplyTo != (liveness.MessageNumber{}) && a.SentInReplyTo.Before(liveness.MessageNumber{Epoch: r.Epoch, Seq: r.Seq}) {
-			told++
+// missesCommands reports whether a heartbeat lacks the launches that the response to an earlier one held.
+func missesCommands(machine *model.Machine, heartbeat *model.Heartbeat) bool {
+	number := liveness.MessageNumber{Epoch: heartbeat.Epoch, Seq: heartbeat.Seq}
+	commanded := 0
+	for _, attempt := range machine.Attempts {
+		sent := attempt.SentInReplyTo
+		if attempt.State == model.AttemptLaunching && sent != (liveness.MessageNumber{}) && sent.Before(number) {
+			commanded++
 		}
 	}
-	if told == 0 {
+	if commanded == 0 {
 		return false
 	}
-	for i := range r.Tasks {
-		if a := m.Attempts[model.AttemptKey{Task: r.Tasks[i].Task, Number: r.Tasks[i].Attempt}]; a != nil && a.State == model.AttemptLaunching {
-			return false // it shows some of it: its report and the answer have crossed
+	for i := range heartbeat.Tasks {
+		key := statusKey(&heartbeat.Tasks[i])
+		if attempt := machine.Attempts[key]; attempt != nil && attempt.State == model.AttemptLaunching {
+			return false // it shows some of it: the heartbeat and the response have crossed
 		}
 	}
 	return true
 }
 
-// trustedAlive tells whether work may be placed on a machine as far as its hearing goes. What rests on
-// questions alone is not believed of many at once: then the fault is likely here.
-func (c *Core) trustedAlive(m *model.Machine) bool {
-	many := float64(len(c.suspects)) > max(1, c.settings.MaxUnresponsiveShare*float64(len(c.machines)))
-	return m.Detector.State < liveness.Suspect || !m.Detector.Conclusive() && many
+// trustedAlive reports whether tasks may be placed on a machine as far as its liveness goes. Unanswered probes alone
+// do not count against many machines at once: then the fault is likely this controller's.
+func (c *Core) trustedAlive(machine *model.Machine) bool {
+	limit := max(1, c.settings.MaxUnresponsiveShare*float64(len(c.machines)))
+	many := float64(len(c.liveness.suspects)) > limit
+	return machine.Detector.State < liveness.Suspect || !machine.Detector.Conclusive() && many
 }
 
-// fewSuspects tells that the machines that seem not to hear are few, so that they may be replaced.
-func (c *Core) fewSuspects() bool { return len(c.suspects) <= max(1, len(c.machines)/minorityDivisor) }
-
-// outboundIsolated tells that nothing that this controller sends seems to arrive anywhere, although reports
-// do: then it is the one at fault.
-func (c *Core) outboundIsolated(now time.Time) bool {
-	return len(c.suspects) > 1 && now.Sub(c.lastProofAt) > c.settings.UnresponsiveAfter+2*time.Second && len(c.suspects) >= c.countReporting(now)/2
-}
-
-// needsProof tells that machines are in doubt, and that none has proved lately that it hears: one that is
-// not in doubt is asked. Guards against a leader that hands over since half of all machines hear nothing,
-// while the others had no reason to prove that they do: each takeover then kept work of before waiting anew.
+// needsProof reports that there are suspects, and that no machine has proved lately that it receives anything. Then
+// one that is alive is probed. Otherwise a leader would take itself for isolated when half of all machines receive
+// nothing, while the others had no reason to prove that they do.
 func (c *Core) needsProof(now time.Time) bool {
-	return len(c.suspects) > 1 && now.Sub(c.lastProofAt) > c.settings.UnresponsiveAfter/2
-}
-
-// countReporting counts the machines that are up and not silent.
-func (c *Core) countReporting(now time.Time) int {
-	n := 0
-	for _, m := range c.machines {
-		if m.State != model.MachineBooting && m.State < model.MachineReleasing && now.Sub(m.LastHeartbeat) <= c.settings.UnresponsiveAfter {
-			n++
-		}
-	}
-	return n
-}
-
-// recentlyPartitioned tells whether many machines of a zone were silent lately, as in a cut.
-func (c *Core) recentlyPartitioned(now time.Time, zone string) bool {
-	return now.Sub(c.partitionedAt[zone]) < c.settings.WorkerLease || now.Sub(c.partitionedAt[anyZone]) < c.settings.WorkerLease
+	return len(c.liveness.suspects) > 1 && now.Sub(c.liveness.lastProofAt) > c.settings.UnresponsiveAfter/2
 }
 
-// Liveness tells whether a machine hears this leader, as far as it knows.
+// Liveness returns the state of a machine's failure detector; a machine that is not known counts as alive.
 func (c *Core) Liveness(machine string) liveness.State {
 	if m := c.machines[machine]; m != nil {
 		return m.Detector.State
--- a/internal/reconciler/provisioning.go
+++ b/internal/reconciler/provisioning.go
@@ -1,109 +1,184 @@
 package reconciler
 
 import (
+	"fmt"
 	"time"
 
 	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
+// provisioner keeps the requests for machines to the cloud.
+type provisioner struct {
+	counter      uint64                        // requests that this leader has named
+	requests     map[string]model.Provisioning // not answered yet, by name
+	retryAt      map[string]time.Time          // of those whose outcome is unknown
+	refusedUntil map[autoscaler.Offer]time.Time
+	scaledOutAt  time.Time // when scaling out was last considered
+}
+
 const (
-	maxReleaseBatch   = 100 // machines in one request
-	releaseInterval   = time.Second
-	releasedRetention = 15 * time.Minute
+	maxProvisionsInFlight  = 4                      // the cloud takes few requests a second
+	scaleOutInterval       = 200 * time.Millisecond // between considerations of scaling out
+	provisionRetryDelay    = time.Second            // after an unknown outcome
+	provisionAnswerTimeout = time.Minute            // of a repeated request, before it is repeated again
 )
 
-func (c *Core) recordMachine(m *model.Machine) {
-	c.pendingChanges = append(c.pendingChanges, Change{Kind: PutMachine, Machine: model.MachineInfo{Name: m.Name, Addr: m.Addr, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot}})
+func newProvisioner() provisioner {
+	return provisioner{
+		requests:     map[string]model.Provisioning{},
+		retryAt:      map[string]time.Time{},
+		refusedUntil: map[autoscaler.Offer]time.Time{},
+	}
+}
+
+// full reports that no further request may be sent now.
+func (p *provisioner) full() bool { return len(p.requests) >= maxProvisionsInFlight }
+
+// remove forgets a request that was answered.
+func (p *provisioner) remove(name string) {
+	delete(p.requests, name)
+	delete(p.retryAt, name)
+}
+
+// nextProvisionName returns a name for a request that no controller uses again.
+func (c *Core) nextProvisionName() string {
+	c.provisioning.counter++
+	return fmt.Sprintf("%s-%d-%d", c.settings.Member, c.fencingToken, c.provisioning.counter)
 }
 
-func (c *Core) provisionCompleted(now time.Time, ev ProvisionCompleted) {
-	r := ev.Provisioning
-	if ev.Outcome == Unknown || ev.Outcome == NotSent {
-		c.provisionRetryAt[r.Name] = now.Add(time.Second)
+// scaleOut asks the cloud for machines for what fits nowhere.
+func (c *Core) scaleOut(now time.Time, input *scheduler.Snapshot, shortages []scheduler.Shortage) {
+	if len(shortages) == 0 || c.provisioning.full() {
 		return
 	}
-	delete(c.provisioning, r.Name)
-	delete(c.provisionRetryAt, r.Name)
-	offer := autoscaler.Offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
-	if len(ev.Machines) < r.Count {
-		c.refusedOffers[offer] = now.Add(c.settings.Autoscaler.RefusalBackoff)
+	if now.Before(c.provisioning.scaledOutAt.Add(scaleOutInterval)) {
+		c.passes.needed = true // considered in a later pass
+		return
 	}
-	c.log.Info("rented", "request", r.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(ev.Machines))
-	for _, name := range ev.Machines {
-		if _, ok := c.releasedMachines[name]; ok || c.machines[name] != nil {
-			continue
+	c.provisioning.scaledOutAt = now
+	snapshot := &autoscaler.Snapshot{
+		Types:          c.machineTypes,
+		Incoming:       c.incomingCapacity(now),
+		RefusedUntil:   c.provisioning.refusedUntil,
+		MachinesByZone: map[string]int{},
+		SuspectZones:   c.partitionedZones(now),
+		ReservedForGPU: c.gpus.reserves,
+		CapacityInZone: input.CapacityInZone,
+	}
+	for _, machine := range c.machines {
+		snapshot.MachinesByZone[machine.Zone]++
+	}
+	for _, request := range autoscaler.ScaleOut(&c.settings.Autoscaler, now, snapshot, shortages) {
+		if c.provisioning.full() {
+			break
 		}
-		m := c.newMachine(now, model.MachineInfo{Name: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, model.MachineBooting)
-		m.RequestedAt = now
+		provisioning := model.Provisioning{
+			Name: c.nextProvisionName(), Type: request.Type, Zone: request.Zone, Spot: request.Spot, Count: request.Count,
+		}
+		c.provisioning.requests[provisioning.Name] = provisioning
+		c.log.Info("renting", "request", provisioning.Name, "type", provisioning.Type, "zone", provisioning.Zone,
+			"spot", provisioning.Spot, "count", provisioning.Count, "for", request.JobClass)
+		c.emit(Provision{provisioning})
 	}
-	c.passNeeded = true
 }
 
-func (c *Core) releaseCompleted(now time.Time, ev ReleaseCompleted) {
-	c.releasePending, c.releaseAt = false, now.Add(releaseInterval)
-	if ev.Outcome != OK {
-		return // they are asked for again
-	}
-	for _, name := range ev.Machines {
-		m := c.machines[name]
-		if m == nil {
+// incomingCapacity is the capacity that becomes available without provisioning.
+func (c *Core) incomingCapacity(now time.Time) []*autoscaler.Incoming {
+	var incoming []*autoscaler.Incoming
+	for _, machine := range c.machines {
+		if machine.State == model.MachineBooting {
+			incoming = append(incoming, &autoscaler.Incoming{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot})
 			continue
 		}
-		// It and everything on it are gone.
-		c.loseAttempts(now, m, "returned")
-		if m.Unreconciled {
-			c.markReconciled(now, m, "returned")
+		if !machine.Unreconciled && machine.ActiveCount > 0 && c.placeable(now, machine) {
+			incoming = append(incoming, &autoscaler.Incoming{
+				Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot,
+				FreeSoon: func() model.Resources { return c.freeSoon(now, machine) },
+			})
+		}
+	}
+	for _, request := range c.provisioning.requests {
+		for range request.Count {
+			incoming = append(incoming, &autoscaler.Incoming{
+				Type: c.machineType(request.Type), Zone: request.Zone, Spot: request.Spot,
+			})
 		}
-		m.Transition(now, model.MachineReleased, "")
-		delete(c.machines, name)
-		delete(c.commandsPending, m)
-		delete(c.suspects, m)
-		c.releasedMachines[name] = now
-		c.pendingChanges = append(c.pendingChanges, Change{Kind: DeleteMachine, Machine: model.MachineInfo{Name: name}})
 	}
+	return incoming
 }
 
-func (c *Core) catalogReceived(now time.Time, ev CatalogReceived) {
-	c.catalogPending = false
-	if len(ev.Types) == 0 {
-		c.catalogAt = now.Add(2 * time.Second)
-		return
+// freeSoon is what is likely free on a machine within a boot time. It is nothing where no attempt ends soon, since
+// what is free now has been considered already.
+func (c *Core) freeSoon(now time.Time, machine *model.Machine) model.Resources {
+	var soon model.Resources
+	for _, attempt := range machine.ActiveAttempts() {
+		if attempt.Job != nil && c.endsSoon(now, attempt) {
+			soon = soon.Add(attempt.Demand)
+		}
 	}
-	c.catalogAt = now.Add(c.settings.CatalogInterval)
-	c.machineTypes = ev.Types
-	c.recheckConstraints()
-	for _, m := range c.machines {
-		m.Type = c.machineTypeNamed(m.Type.Name)
+	if soon == (model.Resources{}) {
+		return soon
 	}
-	c.passNeeded = true
+	return soon.Add(machine.Free())
 }
 
-func (c *Core) machineListReceived(now time.Time, ev MachineListReceived) {
-	c.machineListPending = false
-	c.machineListAt = now.Add(c.settings.MachineListInterval)
-	news, first := 0, ""
-	for _, l := range ev.Machines {
-		m := c.machines[l.Name]
-		if m == nil {
-			if at, ok := c.releasedMachines[l.Name]; ok && ev.RequestedAt.Sub(at) < 3*c.settings.MachineListLag+10*time.Second {
-				continue // the list lags
-			}
-			m = c.newMachine(now, l, model.MachineBooting)
-			m.StateSince, m.RequestedAt = now.Add(-l.Age), now.Add(-l.Age)
-			if news++; first == "" {
-				first = l.Name
-			}
-			c.log.Debug("unexpected machine is listed", "machine", l.Name, "type", l.Type, "zone", l.Zone)
-		}
-		if m.Addr == "" {
-			m.Addr = l.Addr
+// endsSoon reports whether an attempt has likely ended by the time that a machine like its own would be up.
+func (c *Core) endsSoon(now time.Time, attempt *model.Attempt) bool {
+	if attempt.State == model.AttemptStopping {
+		return true
+	}
+	spec, machineType := attempt.Job.Spec, attempt.Machine.Type
+	if spec.Shape == model.Service {
+		return false
+	}
+	estimate := c.runTimes.estimate(spec)
+	left := estimate - now.Sub(attempt.RunningAt)
+	if attempt.RunningAt.IsZero() {
+		left = estimate
+		if rate := machineType.FetchGBPerS; rate > 0 && attempt.Phase != model.PhaseWaiting {
+			fetch := time.Duration(spec.ImageGB / rate * float64(time.Second))
+			left += max(0, fetch-now.Sub(attempt.LaunchedAt))
 		}
-		if l.Failed && m.State != model.MachineReleasing && m.Transition(now, model.MachineReleasing, "failed") {
-			c.log.Info("returning", "machine", m.Name, "why", "failed", "holding", m.ActiveCount)
+	} else if left < 0 {
+		left = estimate / 2 // it takes longer than estimated
+	}
+	return left < time.Duration(c.settings.Autoscaler.LookaheadBoots*float64(machineType.BootTime))
+}
+
+// retryProvisioning repeats the requests whose outcome is unknown, under their own names.
+func (c *Core) retryProvisioning(now time.Time) {
+	for name, at := range c.provisioning.retryAt {
+		if now.After(at) {
+			c.provisioning.retryAt[name] = now.Add(provisionAnswerTimeout)
+			c.emit(Provision{c.provisioning.requests[name]})
 		}
 	}
-	if news > 0 {
-		c.log.Info("unexpected machines are listed", "count", news, "first", first)
+}
+
+// provisionCompleted takes the answer to a request for machines.
+func (c *Core) provisionCompleted(now time.Time, event ProvisionCompleted) {
+	request := event.Provisioning
+	if event.Outcome == Unknown || event.Outcome == NotSent {
+		c.provisioning.retryAt[request.Name] = now.Add(provisionRetryDelay)
+		return
+	}
+	c.provisioning.remove(request.Name)
+	if len(event.Machines) < request.Count {
+		offer := autoscaler.Offer{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
+		c.provisioning.refusedUntil[offer] = now.Add(c.settings.Autoscaler.RefusalBackoff)
+	}
+	c.log.Info("rented", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
+		"asked", request.Count, "got", len(event.Machines))
+	for _, name := range event.Machines {
+		if c.releases.isReleased(name) || c.machines[name] != nil {
+			continue
+		}
+		machine := c.addMachine(now, model.MachineInfo{
+			Name: name, Type: request.Type, Zone: request.Zone, Spot: request.Spot,
+		}, model.MachineBooting)
+		machine.RequestedAt = now
 	}
+	c.passes.needed = true
 }
--- /dev/null
+++ b/internal/reconciler/releases.go
@@ -0,0 +1,71 @@
+package reconciler
+
+import (
+	"time"
+
+	"github.com/glentiller/glentiller/internal/model"
+)
+
+// machineReleases keeps the request that gives machines back to the cloud, and which machines are gone. One request
+// is in flight at a time, and none is repeated before it was answered. Otherwise a queue would grow faster than the
+// cloud's rate limit lets it drain: idle machines would be billed for, and requests for new ones wait behind.
+type machineReleases struct {
+	pending   bool                 // a request is not answered yet
+	notBefore time.Time            // of the next request
+	released  map[string]time.Time // machines that the cloud has taken back, and when
+}
+
+const (
+	maxReleaseBatch   = 100              // machines in one request
+	releaseInterval   = time.Second      // between requests
+	releasedRetention = 15 * time.Minute // for which the names of released machines are known
+)
+
+func newMachineReleases() machineReleases { return machineReleases{released: map[string]time.Time{}} }
+
+// mayRequest reports whether a request may be sent now.
+func (r *machineReleases) mayRequest(now time.Time) bool {
+	return !r.pending && !now.Before(r.notBefore)
+}
+
+// isReleased reports whether the cloud has taken a machine back.
+func (r *machineReleases) isReleased(machine string) bool {
+	_, ok := r.released[machine]
+	return ok
+}
+
+// forgetOld drops the names of machines that are gone for long.
+func (r *machineReleases) forgetOld(now time.Time) {
+	for name, at := range r.released {
+		if now.Sub(at) > releasedRetention {
+			delete(r.released, name)
+		}
+	}
+}
+
+// releaseCompleted takes that machines are gone. After another outcome they are released again.
+func (c *Core) releaseCompleted(now time.Time, event ReleaseCompleted) {
+	c.releases.pending, c.releases.notBefore = false, now.Add(releaseInterval)
+	if event.Outcome != OK {
+		return
+	}
+	for _, name := range event.Machines {
+		if machine := c.machines[name]; machine != nil {
+			c.removeMachine(now, machine)
+		}
+	}
+}
+
+// removeMachine takes a machine out of the picture: it and everything on it are gone.
+func (c *Core) removeMachine(now time.Time, machine *model.Machine) {
+	c.loseAttempts(now, machine, "returned")
+	if machine.Unreconciled {
+		c.markReconciled(now, machine, "returned")
+	}
+	machine.Transition(now, model.MachineReleased, "")
+	delete(c.machines, machine.Name)
+	delete(c.commandsPending, machine)
+	c.liveness.remove(machine)
+	c.releases.released[machine.Name] = now
+	c.commits.add(Change{Kind: DeleteMachine, Machine: model.MachineInfo{Name: machine.Name}})
+}
--- /dev/null
+++ b/internal/reconciler/sweep.go
@@ -0,0 +1,114 @@
+package reconciler
+
+import (
+	"time"
+
+	"github.com/glentiller/glentiller/internal/liveness"
+	"github.com/glentiller/glentiller/internal/model"
+)
+
+// maxPassAge: a pass is run at least this often, since slack and waiting times change by time alone.
+const maxPassAge = time.Second
+
+// sweep looks after what changes by time alone: leases that expire, machines that do not come up, fall silent or
+// stand empty, requests to the cloud that are repeated, and jobs whose backoff is over.
+func (c *Core) sweep(now time.Time) {
+	c.sweepMachines(now)
+	c.probeUnreconciled(now)
+	c.releases.forgetOld(now)
+	c.retryProvisioning(now)
+	for _, job := range c.jobs {
+		if !job.RetryNotBefore.IsZero() && now.After(job.RetryNotBefore) {
+			job.RetryNotBefore = time.Time{}
+			c.passes.needed = true
+			c.endIfFinished(now, job)
+		}
+	}
+	if now.Sub(c.passes.lastAt) > maxPassAge {
+		c.passes.needed = true
+	}
+}
+
+// sweepMachines checks each machine, and asks the cloud to take back those that are to be released.
+func (c *Core) sweepMachines(now time.Time) {
+	partitioned := c.partitionedZones(now)
+	mayRelease := c.releases.mayRequest(now)
+	needsProof := c.needsProof(now)
+	var released []string
+	for _, machine := range c.machines {
+		if needsProof && machine.Detector.State == liveness.Alive && c.placeable(now, machine) {
+			needsProof = !c.probe(now, machine)
+		}
+		c.expireLease(now, machine)
+		if machine.Detector.State != liveness.Alive && machine.State < model.MachineReleasing {
+			c.checkSuspect(now, machine)
+		}
+		if !machine.QuarantinedSince.IsZero() {
+			c.attributeFaults(now, machine)
+		}
+		if reason, ok := c.releaseReason(now, machine, partitioned); ok {
+			c.startRelease(now, machine, reason)
+		}
+		if mayRelease && machine.State == model.MachineReleasing && len(released) < maxReleaseBatch {
+			released = append(released, machine.Name)
+		}
+	}
+	if len(released) > 0 {
+		c.releases.pending = true
+		c.emit(Release{released})
+	}
+}
+
+// expireLease takes the tasks of a machine as gone once its worker's lease has certainly expired.
+func (c *Core) expireLease(now time.Time, machine *model.Machine) {
+	if machine.State == model.MachineBooting || !now.After(machine.LeaseExpiry) {
+		return
+	}
+	if machine.Epoch <= machine.ExpiredEpoch && !machine.Unreconciled {
+		return
+	}
+	c.log.Warn("lease has certainly run out", "machine", machine.Name, "session", machine.Epoch)
+	machine.ExpiredEpoch = machine.Epoch
+	c.loseAttempts(now, machine, "lease")
+	if machine.Unreconciled {
+		c.markReconciled(now, machine, "lease")
+	}
+}
+
+// releaseReason says why a machine is to be released; !ok: it is not.
+func (c *Core) releaseReason(
+	now time.Time, machine *model.Machine, partitioned map[string]bool,
+) (reason string, ok bool) {
+	if machine.State == model.MachineBooting {
+		return reasonBootTimeout, now.Sub(machine.StateSince) > c.settings.Autoscaler.BootTimeout(machine.Type)
+	}
+	if !isUp(machine) {
+		return "", false
+	}
+	switch {
+	case machine.Unreconciled && machine.ProbeUnanswered && c.fewUnreconciled():
+		return reasonSilent, true
+	case now.Sub(machine.LastHeartbeat) > c.settings.UnresponsiveAfter && c.partitions.silenceCounts(now) &&
+		!partitioned[machine.Zone] && !partitioned[allZones]:
+		return reasonSilent, true
+	case machine.Detector.State == liveness.Failed && isMinority(len(c.liveness.suspects), len(c.machines)):
+		return reasonUnresponsive, true
+	case machine.Unreconciled || machine.ActiveCount > 0:
+		return "", false
+	case machine.State == model.MachineDraining:
+		return machine.StateReason, true
+	case c.mayReconnect(now, machine):
+		return "", false
+	}
+	empty, age := now.Sub(machine.EmptySince), now.Sub(machine.RequestedAt)
+	return reasonIdle, c.settings.Autoscaler.ShouldRelease(machine.Type, machine.Spot, empty, age)
+}
+
+// mayReconnect reports that an empty machine cannot be reached and may come back, so that it is not idle for lack of
+// tasks. Otherwise a whole zone would be released during a network partition and provisioned anew. It is kept for as
+// long as a replacement would be billed for at least.
+func (c *Core) mayReconnect(now time.Time, machine *model.Machine) bool {
+	silent := now.Sub(machine.LastHeartbeat)
+	longest := c.settings.UnresponsiveAfter + c.settings.Autoscaler.MinBilledTime
+	return silent > c.settings.UnresponsiveAfter && silent < longest
+}
