--- a/internal/reconciler/explain.go
+++ b/internal/reconciler/explain.go
@@ -111,12 +111,15 @@
 // explainWaiting plans a pass and says what it finds.
 func (c *Core) explainWaiting(now time.Time, job *model.Job, explanation *Explanation) {
 	input := c.schedulerInput(now)
-	ahead := slices.IndexFunc(input.Requests, func(r *scheduler.Request) bool { return r.Job == job })
-	if ahead < 0 {
+	ofJob := func(request *scheduler.Request) bool { return request.Job == job }
+	first := slices.IndexFunc(input.Requests, ofJob)
+	if first < 0 {
 		return
 	}
-	request := input.Requests[ahead]
+	request := input.Requests[first]
 	plan := scheduler.MakePlan(&c.settings.Scheduler, input)
+	// Only now, as MakePlan has put the requests into the order in which it serves them.
+	ahead := slices.Index(input.Requests, request)
 	c.explainPlan(job, request, input, plan, explanation)
 	if ahead > 0 {
 		explanation.addReason("%d others stand before it in the order", ahead)
