--- a/internal/fake/operations_test.go
+++ b/internal/fake/operations_test.go
@@ -151,7 +151,7 @@
 func (d faultyMachineRecorder) Handle(_ context.Context, r slog.Record) error {
 	attrs := map[string]string{}
 	r.Attrs(func(a slog.Attr) bool { attrs[a.Key] = a.Value.String(); return true })
-	if r.Message == "draining" && attrs["why"] == "sick" {
+	if r.Message == "draining" && attrs["reason"] == "sick" {
 		d.names[attrs["machine"]] = true
 	}
 	return nil
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -13,7 +13,7 @@
 	Failed               // that has lasted: it is to be replaced
 )
 
-func (s State) String() string { return [...]string{"hears", "asked", "doubtful", "deaf"}[s] }
+func (s State) String() string { return [...]string{"alive", "probing", "suspect", "failed"}[s] }
 
 // Settings are the times that hearing goes by.
 type Settings struct {
--- a/internal/liveness/incarnation.go
+++ b/internal/liveness/incarnation.go
@@ -21,7 +21,7 @@
 	Restarted                   // it has begun again with lower ones: only answers to questions are believed
 )
 
-func (n Numbering) String() string { return [...]string{"steady", "restarted"}[n] }
+func (n Numbering) String() string { return [...]string{"increasing", "restarted"}[n] }
 
 // HeartbeatKind is what a report is, by its numbers.
 type HeartbeatKind uint8
@@ -34,7 +34,9 @@
 	Unordered                      // of a machine that began anew: its numbers tell nothing
 )
 
-func (k HeartbeatKind) String() string { return [...]string{"fresh", "repeated", "old", "unsorted"}[k] }
+func (k HeartbeatKind) String() string {
+	return [...]string{"fresh", "duplicate", "stale", "unordered"}[k]
+}
 
 // Incarnation is what a leader knows of the present incarnation of a machine, by the numbers of its messages.
 type Incarnation struct {
--- a/internal/reconciler/accounting.go
+++ b/internal/reconciler/accounting.go
@@ -74,7 +74,7 @@
 		Start: last.SettledAt, End: settings.TimeOfDay(now),
 		FencingToken: c.fencingToken, UnsettledLeaders: c.fencingToken - last.FencingToken - 1,
 	}
-	c.log.Info("not accounted", "from", interval.Start, "to", interval.End,
+	c.log.Info("interval not accounted", "from", interval.Start, "to", interval.End,
 		"leaders_without_ledger", interval.UnsettledLeaders)
 	c.commits.add(Change{Kind: PutUnaccounted, Unaccounted: interval})
 }
@@ -84,7 +84,7 @@
 	for _, account := range accounts {
 		open := &account.Open
 		if account.Err != nil {
-			a.log.Error("a team's account cannot be read, so nothing is charged to it", "team", open.Team,
+			a.log.Error("team account unreadable", "team", open.Team,
 				"err", account.Err)
 			continue
 		}
@@ -191,12 +191,12 @@
 	for team, account := range event.Accounts {
 		settlement, foreign := accounting.ledger.Reconcile(team, account)
 		if foreign {
-			c.log.Error("a team's account is not what any leader wrote; going on from there", "team", team,
-				"settled", account.Open.Settlements, "token", account.Open.FencingToken)
+			c.log.Error("team account of unknown origin", "team", team,
+				"settlements", account.Open.Settlements, "fencing_token", account.Open.FencingToken)
 			continue
 		}
-		c.log.Info("ledger settlement was in doubt", "team", team, "carried_out", settlement == nil,
-			"settled", account.Open.Settlements)
+		c.log.Info("ledger settlement reconciled", "team", team, "committed", settlement == nil,
+			"settlements", account.Open.Settlements)
 		if settlement != nil {
 			c.commits.add(Change{Kind: SettleAccount, Team: team, Settlement: settlement})
 		}
@@ -214,7 +214,7 @@
 		accounting.compactionPending = false
 		return
 	}
-	c.log.Info("ledger pages folded", "team", event.Team, "pages", count, "into", compacted.Unit.String(),
+	c.log.Info("ledger segments compacted", "team", event.Team, "segments", count, "into", compacted.Unit.String(),
 		"from", compacted.Start)
 	c.commits.add(Change{Kind: CompactAccount, Compaction: &Compaction{
 		Sources: event.Segments[first : first+count], Result: compacted,
--- a/internal/reconciler/attempts.go
+++ b/internal/reconciler/attempts.go
@@ -54,7 +54,7 @@
 		delete(job.ActiveAttempts, index)
 	}
 	if job.ActiveAttempts[index] != nil || job.Task(index) == model.TaskDone {
-		c.log.Warn("task is not wanted here", "task", status.Task, "try", status.Attempt, "machine", machine.Name)
+		c.log.Warn("unwanted attempt", "task", status.Task, "attempt", status.Attempt, "machine", machine.Name)
 		c.stopAttempt(now, attempt, 0)
 		return attempt
 	}
@@ -95,7 +95,7 @@
 	}
 	if status.Phase == model.PhaseRunning && attempt.Phase != model.PhaseRunning {
 		attempt.RunningAt = now
-		c.log.Debug("attempt runs", "task", attempt.Task, "machine", attempt.Machine.Name,
+		c.log.Debug("attempt running", "task", attempt.Task, "machine", attempt.Machine.Name,
 			"after", now.Sub(attempt.LaunchedAt))
 	}
 	attempt.Phase = status.Phase
@@ -105,8 +105,8 @@
 // attemptExited takes the end of an attempt.
 func (c *Core) attemptExited(now time.Time, attempt *model.Attempt, status *model.TaskStatus) {
 	attempt.Cause, attempt.Phase, attempt.EndedAt = status.Cause, model.PhaseExited, now
-	c.log.Debug("attempt ended", "task", attempt.Task, "try", attempt.Number, "machine", attempt.Machine.Name,
-		"why", status.Cause.String(), "saved", status.Checkpointed)
+	c.log.Debug("attempt ended", "task", attempt.Task, "attempt", attempt.Number, "machine", attempt.Machine.Name,
+		"cause", status.Cause.String(), "checkpointed", status.Checkpointed)
 	c.accounting.chargeUntil(now, attempt, now)
 	if status.Cause != model.CauseDone && !status.Checkpointed {
 		c.accounting.chargeWasted(now, attempt)
@@ -139,7 +139,7 @@
 		c.taskFailed(now, attempt)
 	case model.CauseNoCapacity, model.CauseAttemptConflict, model.CauseUnknownJob:
 		c.log.Warn("start refused", "task", attempt.Task, "machine", attempt.Machine.Name,
-			"why", attempt.Cause.String())
+			"cause", attempt.Cause.String())
 		job.RetryNotBefore = now.Add(c.settings.Backoff / 4)
 	}
 }
@@ -192,7 +192,7 @@
 // loseAttempts takes everything on a machine as gone.
 func (c *Core) loseAttempts(now time.Time, machine *model.Machine, reason string) {
 	if count := machine.ActiveCount; count > 0 {
-		c.log.Info("attempts lost", "machine", machine.Name, "count", count, "why", reason)
+		c.log.Info("attempts lost", "machine", machine.Name, "count", count, "reason", reason)
 	}
 	for key, attempt := range machine.Attempts {
 		delete(machine.Attempts, key)
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -226,9 +226,9 @@
 func (c *Core) commandAnswered(now time.Time, machine *model.Machine, heartbeat *model.Heartbeat) {
 	c.proveAlive(now, machine, "it has answered")
 	if known := machine.LatestMessage(); machine.CommandAnswered(heartbeat.Epoch, heartbeat.Seq) {
-		c.log.Warn("machine has begun anew", "machine", machine.Name, "known", known, "session", heartbeat.Epoch,
-			"number", heartbeat.Seq, "holding", machine.ActiveCount,
-			"commands_on_their_way", machine.UnansweredLaunches.Len())
+		c.log.Warn("machine restarted", "machine", machine.Name, "latest", known, "epoch", heartbeat.Epoch,
+			"seq", heartbeat.Seq, "attempts", machine.ActiveCount,
+			"unanswered_launches", machine.UnansweredLaunches.Len())
 		machine.ErrorsByJob = map[string]int{}
 		if machine.UnansweredLaunches.Len() > 0 {
 			// Launches that were sent to its former incarnation may reach the present one, which does not know them.
--- a/internal/reconciler/constraints.go
+++ b/internal/reconciler/constraints.go
@@ -88,7 +88,7 @@
 	}
 	constraints := &jobConstraints{}
 	if constraints.set, constraints.err = constraint.Parse(job.Spec.Rules); constraints.err != nil {
-		c.log.Error("a job's rules cannot be read, so it waits", "id", job.Spec.ID, "err", constraints.err)
+		c.log.Error("job constraints unreadable", "id", job.Spec.ID, "err", constraints.err)
 	}
 	c.constraints.byJob[job] = constraints
 	c.checkSatisfiable(job, constraints)
@@ -107,9 +107,9 @@
 	}
 	constraints.unsatisfiable = unsatisfiable
 	if unsatisfiable {
-		c.log.Warn("no machine in the catalogue meets a job's rules", "id", job.Spec.ID, "err", err)
+		c.log.Warn("job constraints unsatisfiable", "id", job.Spec.ID, "err", err)
 	} else {
-		c.log.Info("machines in the catalogue meet a job's rules again", "id", job.Spec.ID)
+		c.log.Info("job constraints satisfiable again", "id", job.Spec.ID)
 	}
 }
 
--- a/internal/reconciler/core.go
+++ b/internal/reconciler/core.go
@@ -87,7 +87,7 @@
 		c.teams[settings.Teams[i].Name] = &settings.Teams[i]
 	}
 	c.loadSnapshot(now, snapshot)
-	c.log.Info("takeover", "token", token, "jobs", len(c.jobs), "machines", len(c.machines))
+	c.log.Info("leader started", "fencing_token", token, "jobs", len(c.jobs), "machines", len(c.machines))
 	return c
 }
 
@@ -180,7 +180,7 @@
 // PauseStarts says whether tasks may be started: docs/safety.md, "Promises for longer". What runs goes on.
 func (c *Core) PauseStarts(paused bool) {
 	if c.passes.startsPaused != paused {
-		c.log.Info("starting tasks", "still", paused, "token", c.fencingToken)
+		c.log.Info("task starts paused", "paused", paused, "fencing_token", c.fencingToken)
 	}
 	c.passes.startsPaused = paused
 }
--- a/internal/reconciler/dependencies.go
+++ b/internal/reconciler/dependencies.go
@@ -72,7 +72,7 @@
 	c.dequeue(job)
 	c.enqueue(job)
 	c.passes.needed = true
-	c.log.Info("job freed", "id", node.ID, "class", job.Spec.Class, "by", node.DecidedBy,
+	c.log.Info("job dependencies done", "id", node.ID, "class", job.Spec.Class, "last", node.DecidedBy,
 		"after", now.Sub(job.SubmittedAt))
 }
 
--- a/internal/reconciler/faults.go
+++ b/internal/reconciler/faults.go
@@ -29,8 +29,8 @@
 		job.RetryNotBefore = now.Add(min(backoff, c.settings.MaxBackoff))
 	}
 	failingJobs := c.attributeFaults(now, machine)
-	c.log.Warn("task failed", "task", attempt.Task, "machine", machine.Name, "errors_of_job", job.ConsecutiveErrors,
-		"jobs_failing_here", failingJobs)
+	c.log.Warn("task failed", "task", attempt.Task, "machine", machine.Name, "job_errors", job.ConsecutiveErrors,
+		"failing_jobs", failingJobs)
 }
 
 // attributeFaults decides about a machine on which tasks have failed, and returns how many jobs fail there that are
@@ -60,11 +60,11 @@
 	case failingJobs < threshold:
 		if quarantined {
 			machine.QuarantinedSince, c.passes.needed = time.Time{}, true
-			c.log.Info("machine is not at fault", "machine", machine.Name)
+			c.log.Info("machine quarantine ended", "machine", machine.Name)
 		}
 	case !quarantined && machine.State < model.MachineDraining:
 		machine.QuarantinedSince = now
-		c.log.Info("machine or jobs at fault", "machine", machine.Name, "jobs_failing_here", failingJobs)
+		c.log.Info("machine quarantined", "machine", machine.Name, "failing_jobs", failingJobs)
 	}
 	return failingJobs
 }
--- a/internal/reconciler/heartbeats.go
+++ b/internal/reconciler/heartbeats.go
@@ -40,8 +40,8 @@
 	kind := c.classifyHeartbeat(now, machine, heartbeat)
 	switch kind {
 	case liveness.Stale:
-		c.log.Debug("old report", "machine", machine.Name, "session", heartbeat.Epoch, "number", heartbeat.Seq,
-			"known", machine.LatestMessage())
+		c.log.Debug("stale heartbeat", "machine", machine.Name, "epoch", heartbeat.Epoch, "seq", heartbeat.Seq,
+			"latest", machine.LatestMessage())
 		c.probe(now, machine)
 		c.emit(HeartbeatResponse{Refused: true})
 		return
@@ -68,7 +68,8 @@
 		Name: heartbeat.Machine, Addr: heartbeat.Addr, Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot,
 	}, model.MachineBooting)
 	machine.Detector.MarkUnexpected(now)
-	c.log.Info("unexpected machine reports", "machine", machine.Name, "type", heartbeat.Type, "zone", heartbeat.Zone)
+	c.log.Info("heartbeat of an unexpected machine", "machine", machine.Name, "type", heartbeat.Type,
+		"zone", heartbeat.Zone)
 	return machine
 }
 
@@ -93,8 +94,8 @@
 		return
 	}
 	c.liveness.foreignLoggedAt = now
-	c.log.Warn("a report of another machine by this name", "machine", machine.Name, "type", heartbeat.Type,
-		"zone", heartbeat.Zone, "spot", heartbeat.Spot, "known", machine.Type.Name, "in", machine.Zone)
+	c.log.Warn("heartbeat of another machine by the same name", "machine", machine.Name, "type", heartbeat.Type,
+		"zone", heartbeat.Zone, "spot", heartbeat.Spot, "known_type", machine.Type.Name, "known_zone", machine.Zone)
 }
 
 // classifyHeartbeat tells by its numbers whether a heartbeat is new, and notes whether the machine has restarted.
@@ -105,9 +106,9 @@
 	kind := machine.ClassifyHeartbeat(heartbeat.Epoch, heartbeat.Seq, heartbeat.FencingToken)
 	if machine.Numbering != before {
 		machine.LeaseExpiry = c.leaseExpiry(now) // of the new incarnation, which has begun before now
-		c.log.Warn("machine has begun anew", "machine", machine.Name, "known", machine.LatestMessage(),
-			"session", heartbeat.Epoch, "number", heartbeat.Seq,
-			"token", machine.FencingToken, "shows", heartbeat.FencingToken)
+		c.log.Warn("machine restarted", "machine", machine.Name, "latest", machine.LatestMessage(),
+			"epoch", heartbeat.Epoch, "seq", heartbeat.Seq,
+			"known_token", machine.FencingToken, "heartbeat_token", heartbeat.FencingToken)
 	}
 	return kind
 }
@@ -172,11 +173,11 @@
 		c.recordMachine(machine)
 		machine.EmptySince = now
 		c.passes.needed = true
-		c.log.Info("machine is up", "machine", machine.Name, "type", machine.Type.Name, "zone", machine.Zone,
+		c.log.Info("machine ready", "machine", machine.Name, "type", machine.Type.Name, "zone", machine.Zone,
 			"spot", machine.Spot)
 	}
 	if machine.Unreconciled && machine.FencingToken >= c.fencingToken {
-		c.markReconciled(now, machine, "reported")
+		c.markReconciled(now, machine, "heartbeat")
 	}
 	if heartbeat.InterruptionNotice {
 		c.takeInterruptionNotice(now, machine, heartbeat.InterruptionIn)
@@ -188,8 +189,8 @@
 // attempts are gone.
 func (c *Core) beginEpoch(now time.Time, machine *model.Machine, epoch uint64) {
 	if machine.Epoch != 0 {
-		c.log.Warn("worker's lease has run out", "machine", machine.Name, "session", epoch)
-		c.loseAttempts(now, machine, "new session")
+		c.log.Warn("worker began a new epoch", "machine", machine.Name, "epoch", epoch)
+		c.loseAttempts(now, machine, "new epoch")
 		machine.UnansweredLaunches.Clear()
 	}
 	machine.ExpiredEpoch = epoch - 1
@@ -243,7 +244,8 @@
 			// incarnation. A delayed copy must not make a running task start elsewhere.
 			c.probe(now, machine)
 		case attempt.Phase != 0 && !machine.UnansweredLaunches.MayArrive(key):
-			c.log.Warn("attempt has vanished", "task", attempt.Task, "try", attempt.Number, "machine", machine.Name)
+			c.log.Warn("attempt missing on its machine", "task", attempt.Task, "attempt", attempt.Number,
+				"machine", machine.Name)
 			c.accounting.chargeUntil(now, attempt, lastSeen)
 			c.accounting.chargeWasted(now, attempt)
 			attempt.ChargedUntil = time.Time{}
@@ -256,7 +258,7 @@
 // takeInterruptionNotice takes that the cloud is about to take a spot machine.
 func (c *Core) takeInterruptionNotice(now time.Time, machine *model.Machine, in time.Duration) {
 	if machine.InterruptionAt.IsZero() {
-		c.log.Info("spot notice", "machine", machine.Name, "in", in)
+		c.log.Info("spot interruption notice", "machine", machine.Name, "in", in)
 		machine.InterruptionAt = now.Add(in)
 		c.drain(now, machine, reasonInterruption)
 	}
--- a/internal/reconciler/inventory.go
+++ b/internal/reconciler/inventory.go
@@ -75,7 +75,7 @@
 			if unexpected++; first == "" {
 				first = info.Name
 			}
-			c.log.Debug("unexpected machine is listed", "machine", info.Name, "type", info.Type, "zone", info.Zone)
+			c.log.Debug("unexpected machine listed", "machine", info.Name, "type", info.Type, "zone", info.Zone)
 		}
 		if machine.Addr == "" {
 			machine.Addr = info.Addr
@@ -85,7 +85,7 @@
 		}
 	}
 	if unexpected > 0 {
-		c.log.Info("unexpected machines are listed", "count", unexpected, "first", first)
+		c.log.Info("unexpected machines listed", "count", unexpected, "first", first)
 	}
 }
 
--- a/internal/reconciler/jobs.go
+++ b/internal/reconciler/jobs.go
@@ -27,9 +27,9 @@
 		c.commits.add(Change{Kind: PutGPUDemand, GPUDemand: spec.Demand})
 	}
 	c.passes.needed = true
-	c.log.Info("job", "id", spec.ID, "class", spec.Class, "team", spec.Team, "shape", spec.Shape.String(),
-		"rank", spec.Priority.String(), "tasks", spec.Tasks, "awaits", len(spec.Dependencies),
-		"link", job.Dependency.State.String())
+	c.log.Info("job accepted", "id", spec.ID, "class", spec.Class, "team", spec.Team, "shape", spec.Shape.String(),
+		"priority", spec.Priority.String(), "tasks", spec.Tasks, "dependencies", len(spec.Dependencies),
+		"dependency_state", job.Dependency.State.String())
 }
 
 // endJob takes a job that is done or cancelled out of the picture, and passes its end on to the jobs that depend on
@@ -56,8 +56,8 @@
 // removeJob takes a job out of the picture: it stops its attempts and deletes its records.
 func (c *Core) removeJob(now time.Time, job *model.Job, outcome model.Outcome) {
 	id := job.Spec.ID
-	c.log.Info("job ended", "id", id, "done", job.Count(model.TaskDone), "live", len(job.ActiveAttempts),
-		"feeds", len(job.Dependency.Downstream))
+	c.log.Info("job ended", "id", id, "done", job.Count(model.TaskDone), "active", len(job.ActiveAttempts),
+		"dependents", len(job.Dependency.Downstream))
 	job.Transition(model.JobEnded)
 	delete(c.jobs, id)
 	c.constraints.remove(job)
@@ -103,7 +103,7 @@
 		return
 	case job.Dependency.State == model.DependencyFailed:
 		kind = CancelDependent
-		c.log.Info("job awaits a cancelled one", "id", job.Spec.ID, "cancelled", job.Dependency.DecidedBy)
+		c.log.Info("job cancelled with its dependency", "id", job.Spec.ID, "dependency", job.Dependency.DecidedBy)
 	case job.Unfinished() > 0:
 		return
 	}
--- a/internal/reconciler/liveness.go
+++ b/internal/reconciler/liveness.go
@@ -113,8 +113,8 @@
 func (c *Core) livenessChanged(machine *model.Machine) {
 	if c.liveness.update(machine) {
 		c.passes.needed = true
-		c.log.Info("hearing", "machine", machine.Name, "is", machine.Detector.State.String(),
-			"why", machine.Detector.Reason, "holding", machine.ActiveCount, "in_doubt", len(c.liveness.suspects))
+		c.log.Info("machine liveness", "machine", machine.Name, "state", machine.Detector.State.String(),
+			"reason", machine.Detector.Reason, "attempts", machine.ActiveCount, "suspects", len(c.liveness.suspects))
 	}
 }
 
--- a/internal/reconciler/machines.go
+++ b/internal/reconciler/machines.go
@@ -14,7 +14,8 @@
 	minCPUs     = 1e-6 // of any type in the catalog
 )
 
-// The reasons why a machine is drained or released, as logged.
+// The reasons why a machine is drained or released. Logs and explanations show these values; docs/operators.md lists
+// them.
 const (
 	reasonBootTimeout  = "boot"
 	reasonSilent       = "silent"
@@ -86,7 +87,7 @@
 // drain places nothing more on a machine. It is released when it is empty.
 func (c *Core) drain(now time.Time, machine *model.Machine, reason string) {
 	if machine.Transition(now, model.MachineDraining, reason) {
-		c.log.Info("draining", "machine", machine.Name, "why", reason, "holding", machine.ActiveCount)
+		c.log.Info("draining", "machine", machine.Name, "reason", reason, "attempts", machine.ActiveCount)
 		c.passes.needed = true
 	}
 }
@@ -115,7 +116,7 @@
 // startRelease gives a machine back to the cloud with one of the next Release effects.
 func (c *Core) startRelease(now time.Time, machine *model.Machine, reason string) {
 	if machine.Transition(now, model.MachineReleasing, reason) {
-		c.log.Info("returning", "machine", machine.Name, "type", machine.Type.Name, "why", reason,
-			"holding", machine.ActiveCount)
+		c.log.Info("releasing machine", "machine", machine.Name, "type", machine.Type.Name, "reason", reason,
+			"attempts", machine.ActiveCount)
 	}
 }
--- a/internal/reconciler/pass.go
+++ b/internal/reconciler/pass.go
@@ -125,17 +125,17 @@
 	activateTask(job, attempt)
 	machine.CachedImages[job.Spec.Image] = now
 	c.commandsPending[machine] = true
-	c.log.Debug("launch", "task", attempt.Task, "try", number, "machine", machine.Name,
+	c.log.Debug("launching attempt", "task", attempt.Task, "attempt", number, "machine", machine.Name,
 		"restart", placement.Request.Restart)
 }
 
 // preempt stops a task to make room for another one.
 func (c *Core) preempt(now time.Time, preemption *scheduler.Preemption) {
 	attempt, preemptor := preemption.Attempt, preemption.Preemptor
-	c.log.Info("preempting", "task", attempt.Task, "machine", attempt.Machine.Name,
-		"rank", preemption.Priority.String(), "over", preemption.BeyondGuarantee, "loss", preemption.LostWork,
-		"at_once", preemption.Immediate, "for", preemptor.Job.Spec.ID,
-		"rank_for", preemptor.Job.EffectivePriority.String(), "guaranteed", preemptor.Guaranteed,
+	c.log.Info("preempting task", "task", attempt.Task, "machine", attempt.Machine.Name,
+		"priority", preemption.Priority.String(), "beyond_guarantee", preemption.BeyondGuarantee,
+		"lost_work", preemption.LostWork, "immediate", preemption.Immediate, "for", preemptor.Job.Spec.ID,
+		"priority_for", preemptor.Job.EffectivePriority.String(), "guaranteed", preemptor.Guaranteed,
 		"slack", preemptor.Slack)
 	attempt.Preempted = true
 	if preemption.Immediate && !preemption.Gang {
@@ -153,7 +153,7 @@
 	c.passes.consolidateAt = now.Add(c.settings.ConsolidateInterval)
 	for _, job := range c.jobsByAge {
 		if attempt := scheduler.Consolidate(&c.settings.Scheduler, now, input, job); attempt != nil {
-			c.log.Info("moving", "task", attempt.Task, "from", attempt.Machine.Name,
+			c.log.Info("moving replica", "task", attempt.Task, "machine", attempt.Machine.Name,
 				"type", attempt.Machine.Type.Name)
 			c.stopGracefully(now, attempt)
 			return
@@ -163,8 +163,8 @@
 		return
 	}
 	if attempt := scheduler.Drain(&c.settings.Scheduler, now, input); attempt != nil {
-		c.log.Info("vacating", "task", attempt.Task, "machine", attempt.Machine.Name,
-			"type", attempt.Machine.Type.Name, "holding", attempt.Machine.ActiveCount)
+		c.log.Info("draining replica", "task", attempt.Task, "machine", attempt.Machine.Name,
+			"type", attempt.Machine.Type.Name, "attempts", attempt.Machine.ActiveCount)
 		c.stopGracefully(now, attempt)
 	}
 }
--- a/internal/reconciler/provisioning.go
+++ b/internal/reconciler/provisioning.go
@@ -78,8 +78,8 @@
 			Name: c.nextProvisionName(), Type: request.Type, Zone: request.Zone, Spot: request.Spot, Count: request.Count,
 		}
 		c.provisioning.requests[provisioning.Name] = provisioning
-		c.log.Info("renting", "request", provisioning.Name, "type", provisioning.Type, "zone", provisioning.Zone,
-			"spot", provisioning.Spot, "count", provisioning.Count, "for", request.JobClass)
+		c.log.Info("provisioning machines", "request", provisioning.Name, "type", provisioning.Type,
+			"zone", provisioning.Zone, "spot", provisioning.Spot, "count", provisioning.Count, "for", request.JobClass)
 		c.emit(Provision{provisioning})
 	}
 }
@@ -169,8 +169,8 @@
 		offer := autoscaler.Offer{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
 		c.provisioning.refusedUntil[offer] = now.Add(c.settings.Autoscaler.RefusalBackoff)
 	}
-	c.log.Info("rented", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
-		"asked", request.Count, "got", len(event.Machines))
+	c.log.Info("machines provisioned", "request", request.Name, "type", request.Type, "zone", request.Zone,
+		"spot", request.Spot, "requested", request.Count, "received", len(event.Machines))
 	for _, name := range event.Machines {
 		if c.releases.isReleased(name) || c.machines[name] != nil {
 			continue
--- a/internal/reconciler/releases.go
+++ b/internal/reconciler/releases.go
@@ -58,9 +58,9 @@
 
 // removeMachine takes a machine out of the picture: it and everything on it are gone.
 func (c *Core) removeMachine(now time.Time, machine *model.Machine) {
-	c.loseAttempts(now, machine, "returned")
+	c.loseAttempts(now, machine, "released")
 	if machine.Unreconciled {
-		c.markReconciled(now, machine, "returned")
+		c.markReconciled(now, machine, "released")
 	}
 	machine.Transition(now, model.MachineReleased, "")
 	delete(c.machines, machine.Name)
--- a/internal/reconciler/settlements.go
+++ b/internal/reconciler/settlements.go
@@ -144,10 +144,10 @@
 		return
 	}
 	a.ledger.SettlementCompleted(open.Team, event.Version)
-	a.log.Debug("ledger settled", "team", open.Team, "settled", open.Settlements,
-		"with_end", len(event.Changes) > 1, "closed", closed != nil)
+	a.log.Debug("ledger settled", "team", open.Team, "settlements", open.Settlements,
+		"with_job_end", len(event.Changes) > 1, "closed", closed != nil)
 	if closed != nil {
-		a.log.Info("ledger page closed", "team", open.Team, "page", closed.First, "hour", closed.Start,
+		a.log.Info("ledger segment closed", "team", open.Team, "segment", closed.First, "hour", closed.Start,
 			"sum", closed.Sum)
 		a.teamsToCompact[open.Team] = true
 	}
--- a/internal/reconciler/status.go
+++ b/internal/reconciler/status.go
@@ -22,10 +22,10 @@
 	}
 	jobs := c.summarizeJobs()
 	c.log.Info("status", "jobs", len(c.jobs),
-		"waiting", jobs.waitingTasks, "awaiting", jobs.awaitingJobs, "live", jobs.activeTasks,
+		"waiting", jobs.waitingTasks, "waiting_for_dependencies", jobs.awaitingJobs, "active", jobs.activeTasks,
 		"ready", states[model.MachineReady], "booting", states[model.MachineBooting],
-		"draining", states[model.MachineDraining], "unsettled", c.takeover.unreconciled,
-		"at_limit", c.teamsNearQuota(), "kinds", c.summarizeMachines(),
+		"draining", states[model.MachineDraining], "unreconciled", c.takeover.unreconciled,
+		"teams_near_quota", c.teamsNearQuota(), "machine_types", c.summarizeMachines(),
 		"cpus", total.CPU, "cpus_used", used.CPU, "gpus", total.GPU, "gpus_used", used.GPU)
 }
 
--- a/internal/reconciler/sweep.go
+++ b/internal/reconciler/sweep.go
@@ -67,11 +67,11 @@
 	if machine.Epoch <= machine.ExpiredEpoch && !machine.Unreconciled {
 		return
 	}
-	c.log.Warn("lease has certainly run out", "machine", machine.Name, "session", machine.Epoch)
+	c.log.Warn("worker lease expired", "machine", machine.Name, "epoch", machine.Epoch)
 	machine.ExpiredEpoch = machine.Epoch
-	c.loseAttempts(now, machine, "lease")
+	c.loseAttempts(now, machine, "lease expired")
 	if machine.Unreconciled {
-		c.markReconciled(now, machine, "lease")
+		c.markReconciled(now, machine, "lease expired")
 	}
 }
 
--- a/internal/reconciler/takeover.go
+++ b/internal/reconciler/takeover.go
@@ -118,12 +118,12 @@
 		machine.EmptySince = now
 	}
 	c.passes.needed = true
-	c.log.Debug("machine settled", "machine", machine.Name, "how", how,
-		"holding", machine.ActiveCount, "left", c.takeover.unreconciled)
+	c.log.Debug("machine reconciled", "machine", machine.Name, "how", how,
+		"attempts", machine.ActiveCount, "left", c.takeover.unreconciled)
 	if !c.takeover.complete() {
 		return
 	}
-	c.log.Info("all machines settled", "token", c.fencingToken, "after", now.Sub(c.takeover.startedAt))
+	c.log.Info("all machines reconciled", "fencing_token", c.fencingToken, "after", now.Sub(c.takeover.startedAt))
 	for _, job := range c.jobs {
 		if job.Spec.Shape == model.Gang && len(job.ActiveAttempts) > 0 && !gangComplete(job) {
 			c.breakGang(now, job)
@@ -139,7 +139,7 @@
 	if machine.Detector.TokenNotTaken(now) {
 		c.livenessChanged(machine)
 	}
-	c.markReconciled(now, machine, "not renewed since the takeover")
+	c.markReconciled(now, machine, "lease not renewed since the takeover")
 }
 
 // fewUnreconciled reports that nearly all machines are reconciled: the others are likely dead.
@@ -207,5 +207,5 @@
 		}
 	}
 	c.takeover.servicesRestored = true
-	c.log.Info("services are placed", "token", c.fencingToken, "after", now.Sub(c.takeover.startedAt))
+	c.log.Info("services restored", "fencing_token", c.fencingToken, "after", now.Sub(c.takeover.startedAt))
 }
--- a/internal/reconciler/waiting.go
+++ b/internal/reconciler/waiting.go
@@ -119,8 +119,8 @@
 	usage := func(team string) uint64 { return a.ledger.DecayedUsage(now, team) }
 	for _, share := range ledger.FairShares(a.settings.Weights, usage) {
 		if a.fairShareBands[share.Team] != share.Band {
-			a.log.Info("fair share", "team", share.Team, "band", share.Band, "factor", share.Factor,
-				"part", share.UsageFraction, "weight", share.Weight)
+			a.log.Info("fair share band", "team", share.Team, "band", share.Band, "factor", share.Factor,
+				"usage_fraction", share.UsageFraction, "weight", share.Weight)
 			a.fairShareBands[share.Team] = share.Band
 		}
 	}
