--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -12,225 +12,235 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// The leading core's effects, and the changes and answers that are handed back to it.
-
-// stepReconciler hands an event to the core, if this controller may act.
-func (n *Controller) stepReconciler(now time.Time, ev reconciler.Event) []reconciler.Effect {
-	if n.reconciler == nil {
+// stepReconciler has the reconciler take an event, if this controller leads, and starts the effects that it
+// asks for. It returns them too, for callers that answer somebody by them.
+func (c *Controller) stepReconciler(now time.Time, ev reconciler.Event) []reconciler.Effect {
+	if c.reconciler == nil {
 		return nil
 	}
-	n.lastEvent = ev
-	effects := n.reconciler.Step(now, ev)
-	for _, e := range effects {
-		n.perform(now, e)
+	c.loop.hold.lastEvent = ev
+	effects := c.reconciler.Step(now, ev)
+	for _, effect := range effects {
+		c.perform(effect)
 	}
 	return effects
 }
 
-// postCompletion hands the answer to an effect to the core of the same leadership.
-func (n *Controller) postCompletion(term uint64, ev reconciler.Event) {
-	n.post(func(now time.Time) {
-		if n.term == term {
-			n.stepReconciler(now, ev)
-		}
-	})
+// runPass is a scheduling pass: the reconciler's Tick.
+func (c *Controller) runPass(now time.Time) {
+	c.stepReconciler(now, reconciler.Tick{})
+	took := time.Since(now)
+	if c.reconciler != nil && c.reconciler.ObserveStepDuration(took) && took > longPassThreshold {
+		c.log.Debug("long pass", "took", took)
+	}
+}
+
+// leaderTerm is the leadership in which the reconciler has asked for an effect. Its methods carry effects
+// out beside the event loop, check the lease right before a request leaves that needs it, and hand the
+// result back as an event.
+type leaderTerm struct {
+	*Controller
+	number       uint64 // the controller's term as the effect was asked for
+	token        uint64 // the fencing token of that leadership
+	tokenVersion uint64 // of the token's record
 }
 
-// perform carries out one effect. Whoever needs the right to act has it checked
-// right before the request leaves.
-func (n *Controller) perform(now time.Time, e reconciler.Effect) {
-	term, r := n.term, n.lease.Load()
-	if r == nil {
+// perform starts an effect. HeartbeatResponse is none: whoever stepped the reconciler answers with it.
+func (c *Controller) perform(effect reconciler.Effect) {
+	lease := c.lease.load()
+	if lease == nil {
 		return
 	}
-	may := func() bool {
-		cur := n.lease.Load()
-		return cur != nil && cur.fencingToken == r.fencingToken && cur.valid()
-	}
-	switch e := e.(type) {
+	t := &leaderTerm{Controller: c, number: c.term, token: lease.fencingToken, tokenVersion: lease.tokenVersion}
+	switch e := effect.(type) {
 	case reconciler.SendCommands:
-		orders := append([]model.Command(nil), e.Commands...)
-		n.spawn(func() {
-			ev := reconciler.CommandCompleted{Machine: e.Machine, Epoch: e.Epoch, Commands: orders, Outcome: reconciler.NotSent}
-			if may() {
-				reply := n.workers.Send(e.Addr, r.fencingToken, e.Epoch, orders, e.Urgent)
-				ev.Heartbeat = reply.Heartbeat
-				switch {
-				case reply.Executed:
-					ev.Outcome = reconciler.OK
-				case errors.Is(reply.Err, connquota.ErrFull):
-					// Nothing is known of the machine.
-				case reply.NotSent:
-					ev.Outcome = reconciler.Refused
-				default:
-					ev.Outcome = reconciler.Unknown
-				}
-			}
-			n.postCompletion(term, ev)
-		})
+		commands := append([]model.Command(nil), e.Commands...)
+		t.tasks.spawn(func() { t.sendCommands(e, commands) })
 	case reconciler.Provision:
-		n.spawn(func() {
-			ev := reconciler.ProvisionCompleted{Provisioning: e.Provisioning, Outcome: reconciler.Unknown}
-			if n.cloud.Wait(n.ctx) == nil && may() && n.mayProvision() {
-				names, full, err := n.cloud.Provision(e.Provisioning)
-				switch {
-				case full:
-					ev.Outcome = reconciler.Refused
-				case err == nil:
-					ev.Outcome, ev.Machines = reconciler.OK, names
-				default:
-					n.log.Debug("rental not answered", "request", e.Provisioning.Name, "err", err)
-				}
-			}
-			n.postCompletion(term, ev)
-		})
+		t.tasks.spawn(func() { t.provisionMachines(e) })
 	case reconciler.Release:
-		names := append([]string(nil), e.Machines...)
-		n.spawn(func() {
-			ev := reconciler.ReleaseCompleted{Machines: names, Outcome: reconciler.Unknown}
-			if n.cloud.Wait(n.ctx) == nil && may() && n.mayProvision() {
-				if err := n.cloud.Release(names); err == nil {
-					ev.Outcome = reconciler.OK
-				}
-			}
-			n.postCompletion(term, ev)
-		})
+		machines := append([]string(nil), e.Machines...)
+		t.tasks.spawn(func() { t.releaseMachines(machines) })
 	case reconciler.ListMachines:
-		n.spawn(func() {
-			asked := time.Now()
-			list, err := n.cloud.ListMachines(n.ctx)
-			if err != nil {
-				n.log.Debug("machine list", "err", err)
-			}
-			n.postCompletion(term, reconciler.MachineListReceived{Machines: list, RequestedAt: asked})
-		})
+		t.tasks.spawn(t.listMachines)
 	case reconciler.FetchCatalog:
-		n.spawn(func() {
-			types, err := n.cloud.Catalog(n.ctx)
-			if err != nil {
-				n.log.Debug("catalogue", "err", err)
-			} else {
-				n.machineTypes.Store(&types)
-			}
-			n.postCompletion(term, reconciler.CatalogReceived{Types: types})
-		})
+		t.tasks.spawn(t.fetchCatalog)
 	case reconciler.LookUpJobEnds:
-		n.spawn(func() { n.postCompletion(term, reconciler.JobEndsReceived{Ends: n.jobs.ReadEnds(n.ctx, e.IDs)}) })
+		t.tasks.spawn(func() { t.complete(reconciler.JobEndsReceived{Ends: t.jobs.ReadEnds(t.tasks.ctx, e.IDs)}) })
 	case reconciler.Commit:
-		saves := append([]reconciler.Change(nil), e.Changes...)
-		n.spawn(func() {
-			ev := reconciler.CommitCompleted{Changes: saves, Outcome: reconciler.OK}
-			rev, ok, err := n.store.CommitFenced(n.ctx, r.tokenVersion, saves)
-			ev.Version = rev
-			switch {
-			case errors.Is(err, store.ErrRejected):
-				ev.Outcome = reconciler.Rejected
-				n.log.Error("the state service rejects records", "keys", store.ChangeKeys(saves), "err", err)
-			case errors.Is(err, store.ErrNotExecuted):
-				ev.Outcome = reconciler.NotSent
-			case err != nil:
-				ev.Outcome = reconciler.Unknown
-			case !ok:
-				ev.Outcome = reconciler.Refused
-				if last, err := n.store.TokenUnchanged(n.ctx, r.tokenVersion); err != nil {
-					ev.Outcome = reconciler.Unknown
-				} else if !last {
-					n.postElectionEvent(election.Fenced{FencingToken: r.fencingToken})
-				}
-			}
-			n.postCompletion(term, ev)
-		})
+		changes := append([]reconciler.Change(nil), e.Changes...)
+		t.tasks.spawn(func() { t.commit(changes) })
 	case reconciler.Fence:
-		n.spawn(func() {
-			v, ok, err := n.store.RewriteToken(n.ctx, n.platform.Member, r.fencingToken, r.tokenVersion)
-			if err != nil {
-				n.log.Debug("fence", "err", err)
-				n.postCompletion(term, reconciler.FenceCompleted{Outcome: reconciler.Unknown})
-				return
-			}
-			if !ok {
-				n.postElectionEvent(election.Fenced{FencingToken: r.fencingToken})
-				return
-			}
-			n.log.Info("transactions without an answer are void", "token", r.fencingToken, "version", v)
-			n.post(func(now time.Time) {
-				if n.term == term {
-					n.applyElectionEffects(now, n.election.Step(now, election.TokenRewritten{FencingToken: r.fencingToken, TokenVersion: v}))
-					n.stepReconciler(now, reconciler.FenceCompleted{Outcome: reconciler.OK})
-				}
-			})
-		})
+		t.tasks.spawn(t.fence)
 	case reconciler.ReadAccounts:
-		n.spawn(func() {
-			ev := reconciler.AccountsReceived{Accounts: map[string]ledger.StoredAccount{}}
-			for _, team := range e.Teams {
-				if r, err := n.store.Account(n.ctx, team); err == nil {
-					ev.Accounts[team] = r
-				} else {
-					n.log.Debug("account in doubt", "team", team, "err", err)
-				}
-			}
-			n.postCompletion(term, ev)
-		})
+		t.tasks.spawn(func() { t.readAccounts(e.Teams) })
 	case reconciler.ReadSegments:
-		n.spawn(func() {
-			pages, _, err := n.store.Segments(n.ctx, e.Team, 0, reconciler.MaxSegmentsRead)
-			if err != nil {
-				n.log.Debug("closed pages", "team", e.Team, "err", err)
-			}
-			n.postCompletion(term, reconciler.SegmentsReceived{Team: e.Team, Segments: pages})
-		})
+		t.tasks.spawn(func() { t.readSegments(e.Team) })
 	}
 }
 
-// mayProvision tells that the right rests on the lease: on promises alone nothing is rented or
-// given back, since nothing of it could be put on record.
-func (n *Controller) mayProvision() bool {
-	r := n.lease.Load()
-	return r != nil && !r.restsOnVotes(time.Now())
+// leading reports whether this leadership may act now.
+func (t *leaderTerm) leading() bool { return t.lease.holds(t.token) }
+
+// mayProvision reports whether machines may be rented or released: not on votes alone, as nothing of it
+// could be put on record then.
+func (t *leaderTerm) mayProvision() bool {
+	if !t.leading() {
+		return false
+	}
+	lease := t.lease.load()
+	return lease != nil && !lease.restsOnVotes(time.Now())
 }
 
-// enqueueJobChanges queues changes of the job records for the loop. The view is locked
-// while it tells of them, and the loop asks it: so nothing is waited for here.
-func (n *Controller) enqueueJobChanges(changes []store.JobChange) {
-	if len(changes) == 0 {
-		return
+// complete has the reconciler of the same leadership take the result of an effect.
+func (t *leaderTerm) complete(ev reconciler.Event) {
+	t.loop.post(func(now time.Time) {
+		if t.term == t.number {
+			t.stepReconciler(now, ev)
+		}
+	})
+}
+
+func (t *leaderTerm) sendCommands(e reconciler.SendCommands, commands []model.Command) {
+	ev := reconciler.CommandCompleted{
+		Machine:  e.Machine,
+		Epoch:    e.Epoch,
+		Commands: commands,
+		Outcome:  reconciler.NotSent,
 	}
-	n.jobChangesMu.Lock()
-	n.jobChanges = append(n.jobChanges, changes...)
-	n.jobChangesMu.Unlock()
-	select {
-	case n.jobChangesReady <- struct{}{}:
+	if t.leading() {
+		reply := t.workers.Send(e.Addr, t.token, e.Epoch, commands, e.Urgent)
+		ev.Heartbeat = reply.Heartbeat
+		switch {
+		case reply.Executed:
+			ev.Outcome = reconciler.OK
+		case errors.Is(reply.Err, connquota.ErrFull):
+			// The request stayed here, which says nothing about the machine.
+		case reply.NotSent:
+			ev.Outcome = reconciler.Refused
+		default:
+			ev.Outcome = reconciler.Unknown
+		}
+	}
+	t.complete(ev)
+}
+
+func (t *leaderTerm) provisionMachines(e reconciler.Provision) {
+	ev := reconciler.ProvisionCompleted{Provisioning: e.Provisioning, Outcome: reconciler.Unknown}
+	if t.cloud.Wait(t.tasks.ctx) == nil && t.mayProvision() {
+		machines, full, err := t.cloud.Provision(e.Provisioning)
+		switch {
+		case full:
+			ev.Outcome = reconciler.Refused
+		case err == nil:
+			ev.Outcome, ev.Machines = reconciler.OK, machines
+		default:
+			t.log.Debug("provisioning not answered", "request", e.Provisioning.Name, "err", err)
+		}
+	}
+	t.complete(ev)
+}
+
+func (t *leaderTerm) releaseMachines(machines []string) {
+	ev := reconciler.ReleaseCompleted{Machines: machines, Outcome: reconciler.Unknown}
+	if t.cloud.Wait(t.tasks.ctx) == nil && t.mayProvision() {
+		if err := t.cloud.Release(machines); err == nil {
+			ev.Outcome = reconciler.OK
+		}
+	}
+	t.complete(ev)
+}
+
+func (t *leaderTerm) listMachines() {
+	requested := time.Now()
+	machines, err := t.cloud.ListMachines(t.tasks.ctx)
+	if err != nil {
+		t.log.Debug("listing machines failed", "err", err)
+	}
+	t.complete(reconciler.MachineListReceived{Machines: machines, RequestedAt: requested})
+}
+
+func (t *leaderTerm) fetchCatalog() {
+	types, err := t.cloud.Catalog(t.tasks.ctx)
+	if err != nil {
+		t.log.Debug("reading the catalog failed", "err", err)
+	} else {
+		t.machineTypes.Store(&types)
+	}
+	t.complete(reconciler.CatalogReceived{Types: types})
+}
+
+func (t *leaderTerm) commit(changes []reconciler.Change) {
+	revision, ok, err := t.store.CommitFenced(t.tasks.ctx, t.tokenVersion, changes)
+	ev := reconciler.CommitCompleted{Changes: changes, Version: revision}
+	switch {
+	case errors.Is(err, store.ErrRejected):
+		ev.Outcome = reconciler.Rejected
+		t.log.Error("the state service rejects records", "keys", store.ChangeKeys(changes), "err", err)
+	case errors.Is(err, store.ErrNotExecuted):
+		ev.Outcome = reconciler.NotSent
+	case err != nil:
+		ev.Outcome = reconciler.Unknown
+	case !ok:
+		ev.Outcome = t.refusedCommit()
 	default:
+		ev.Outcome = reconciler.OK
 	}
+	t.complete(ev)
 }
 
-// applyJobChanges tells the core of changes of the job records.
-func (n *Controller) applyJobChanges(now time.Time) {
-	n.jobChangesMu.Lock()
-	changes := n.jobChanges
-	n.jobChanges = nil
-	n.jobChangesMu.Unlock()
-	for _, ch := range changes {
-		n.stepReconciler(now, n.jobs.EventFor(ch))
+// refusedCommit finds out whether a commit was refused since another leader has taken over, which the
+// election has to know, or for one of the commit's own conditions.
+func (t *leaderTerm) refusedCommit() reconciler.Outcome {
+	unchanged, err := t.store.TokenUnchanged(t.tasks.ctx, t.tokenVersion)
+	if err != nil {
+		return reconciler.Unknown
+	}
+	if !unchanged {
+		t.postElectionEvent(election.Fenced{FencingToken: t.token})
 	}
+	return reconciler.Refused
 }
 
-// refreshMachineTypes keeps the machine types known, which users' requests are checked
-// against.
-func (n *Controller) refreshMachineTypes() error {
-	for n.ctx.Err() == nil {
-		wait := time.Second
-		if len(n.MachineTypes()) > 0 {
-			wait = 5 * time.Minute
+// fence rewrites the record of the fencing token, after which no transaction that has not been answered can
+// be carried out any more. The election learns the record's new version before the reconciler goes on.
+func (t *leaderTerm) fence() {
+	version, ok, err := t.store.RewriteToken(t.tasks.ctx, t.platform.Member, t.token, t.tokenVersion)
+	if err != nil {
+		t.log.Debug("fencing failed", "err", err)
+		t.complete(reconciler.FenceCompleted{Outcome: reconciler.Unknown})
+		return
+	}
+	if !ok {
+		t.postElectionEvent(election.Fenced{FencingToken: t.token})
+		return
+	}
+	t.log.Info("unanswered transactions fenced", "token", t.token, "version", version)
+	t.loop.post(func(now time.Time) {
+		if t.term == t.number {
+			t.stepElection(now, election.TokenRewritten{FencingToken: t.token, TokenVersion: version})
+			t.stepReconciler(now, reconciler.FenceCompleted{Outcome: reconciler.OK})
 		}
-		if types, err := n.cloud.Catalog(n.ctx); err == nil {
-			n.machineTypes.Store(&types)
-			wait = 5 * time.Minute
-		} else {
-			n.log.Debug("catalogue", "err", err)
+	})
+}
+
+func (t *leaderTerm) readAccounts(teams []string) {
+	ev := reconciler.AccountsReceived{Accounts: map[string]ledger.StoredAccount{}}
+	for _, team := range teams {
+		account, err := t.store.Account(t.tasks.ctx, team)
+		if err != nil {
+			t.log.Debug("reading an account failed", "team", team, "err", err)
+			continue
 		}
-		store.Sleep(n.ctx, wait)
+		ev.Accounts[team] = account
+	}
+	t.complete(ev)
+}
+
+func (t *leaderTerm) readSegments(team string) {
+	segments, _, err := t.store.Segments(t.tasks.ctx, team, 0, reconciler.MaxSegmentsRead)
+	if err != nil {
+		t.log.Debug("reading ledger segments failed", "team", team, "err", err)
 	}
-	return nil
+	t.complete(reconciler.SegmentsReceived{Team: team, Segments: segments})
 }
--- a/internal/controller/explain.go
+++ b/internal/controller/explain.go
@@ -6,88 +6,83 @@
 	"errors"
 	"time"
 
+	"github.com/glentiller/glentiller/internal/admin"
 	"github.com/glentiller/glentiller/internal/peer/peerpb"
 	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// errNoLeader says that nobody can answer what only the leader's picture knows.
-var errNoLeader = errors.New("no leader is within reach")
+// A controller is what the operators' interface asks for all that is not in the ledger's records.
+var _ admin.Controller = (*Controller)(nil)
+
+// ErrNoLeader is returned for questions that only a leader can answer, if none is reachable.
+var ErrNoLeader = errors.New("no leader is within reach")
 
 // explainTimeout bounds how long an explanation may take.
 const explainTimeout = 3 * time.Second
 
-// Explain says why a job's tasks wait, as JSON; empty: the job is not among the unfinished
-// ones. A controller that does not lead asks the one that does.
-func (n *Controller) Explain(ctx context.Context, id string) ([]byte, error) {
+// Explain returns why a job's tasks wait, as JSON; empty: the job is not among the unfinished ones. A
+// controller that does not lead asks the leader, and returns ErrNoLeader if it reaches none.
+func (c *Controller) Explain(ctx context.Context, id string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
-	if a := n.explainLocally(ctx, id); a.GetAct() {
-		return a.GetBody(), nil
+	if answer := c.explainLocally(ctx, id); answer.GetAct() {
+		return answer.GetBody(), nil
 	}
-	leader := n.leader.Load()
-	if leader == nil || n.peers[*leader] == nil {
-		return nil, errNoLeader
+	leader := c.peers[c.leader.current()]
+	if leader == nil {
+		return nil, ErrNoLeader
 	}
-	a, err := n.peers[*leader].Explain(ctx, &peerpb.Ask{Explain: id})
-	if err == nil && !a.GetAct() {
-		err = errNoLeader
+	answer, err := leader.Explain(ctx, &peerpb.Ask{Explain: id})
+	if err == nil && !answer.GetAct() {
+		err = ErrNoLeader
 	}
-	return a.GetBody(), err
+	return answer.GetBody(), err
 }
 
-// explainLocally answers where this controller leads.
-func (n *Controller) explainLocally(ctx context.Context, id string) *peerpb.AskAnswer {
-	if !n.lease.Load().valid() {
+// explainLocally answers if this controller leads; otherwise the answer is nil, or without Act.
+func (c *Controller) explainLocally(ctx context.Context, id string) *peerpb.AskAnswer {
+	if !c.lease.valid() {
 		return nil
 	}
-	a, _ := runInLoop(ctx, n.inbox, func(now time.Time) *peerpb.AskAnswer {
-		a := &peerpb.AskAnswer{}
-		var e *reconciler.Explanation
-		if n.reconciler != nil && ctx.Err() == nil {
-			a.Act, e = true, n.reconciler.Explain(now, id)
-		}
-		if e != nil {
-			var err error
-			if a.Body, err = json.Marshal(e); err != nil {
-				a.Act = false
-				n.log.Error("an explanation cannot be written", "id", id, "err", err)
-			}
-		}
-		return a
+	answer, err := runInLoop(ctx, c.loop.inbox, func(now time.Time) *peerpb.AskAnswer {
+		return c.explainInLoop(ctx, now, id)
 	})
-	return a
+	if err != nil {
+		return nil
+	}
+	return answer
 }
 
-// runInLoop has the loop, which owns the cores, work something out; it is handed over through
-// one of the loop's inboxes.
-func runInLoop[T any](ctx context.Context, inbox chan<- func(time.Time), f func(now time.Time) T) (out T, err error) {
-	got := make(chan T, 1)
-	select {
-	case inbox <- func(now time.Time) { got <- f(now) }:
-	case <-ctx.Done():
-		return out, ctx.Err()
+func (c *Controller) explainInLoop(ctx context.Context, now time.Time, id string) *peerpb.AskAnswer {
+	answer := &peerpb.AskAnswer{}
+	var explanation *reconciler.Explanation
+	if c.reconciler != nil && ctx.Err() == nil {
+		answer.Act, explanation = true, c.reconciler.Explain(now, id)
+	}
+	if explanation == nil {
+		return answer
 	}
-	select {
-	case out = <-got:
-		return out, nil
-	case <-ctx.Done():
-		return out, ctx.Err()
+	var err error
+	if answer.Body, err = json.Marshal(explanation); err != nil {
+		answer.Act = false
+		c.log.Error("encoding an explanation failed", "id", id, "err", err)
 	}
+	return answer
 }
 
-// JobState tells how a job stands by the state service's records.
-func (n *Controller) JobState(ctx context.Context, id string) (wire.JobState, error) {
-	v, err := n.jobs.Lookup(ctx, id)
-	return v.State, err
+// JobState returns how a job stands by the state service's records.
+func (c *Controller) JobState(ctx context.Context, id string) (wire.JobState, error) {
+	view, err := c.jobs.Lookup(ctx, id)
+	return view.State, err
 }
 
-// HandleExplain answers an operator's question that another controller hands over.
+// HandleExplain answers an operator's question that another controller forwards.
 func (h peerHandler) HandleExplain(ctx context.Context, q *peerpb.Ask) *peerpb.AskAnswer {
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
-	if a := h.controller.explainLocally(ctx, q.GetExplain()); a != nil {
-		return a
+	if answer := h.controller.explainLocally(ctx, q.GetExplain()); answer != nil {
+		return answer
 	}
 	return &peerpb.AskAnswer{}
 }
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"log/slog"
 	"math/rand/v2"
 	"net/http"
 	"time"
@@ -13,65 +14,58 @@
 	"github.com/glentiller/glentiller/internal/route"
 )
 
-// newRouter makes what decides where users' requests are answered; nil: where they come.
-func (n *Controller) newRouter() *route.Router {
-	set := config.RoutingSettings(n.platform, n.operator)
-	if set == nil {
+// forwardMargin is by how much sooner than its user another member gives a forwarded request up.
+const forwardMargin = 50 * time.Millisecond
+
+// newRouter makes what decides where users' requests are answered; nil: where they arrive.
+func newRouter(p *config.Platform, o *config.Operator, log *slog.Logger) *route.Router {
+	settings := config.RoutingSettings(p, o)
+	if settings == nil {
 		return nil
 	}
-	return route.New(
-		*set,
-		rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		func(way string, from, to route.BreakerState) {
-			n.log.Info("way of requests", "by", way, "from", from.String(), "to", to.String())
-		},
-	)
+	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	return route.New(*settings, random, func(via string, from, to route.BreakerState) {
+		log.Info("request path", "via", via, "from", from.String(), "to", to.String())
+	})
 }
 
-// forwardMargin is by how much sooner than its user another member gives a request up.
-const forwardMargin = 50 * time.Millisecond
-
-// Forward hands a user's request to another member, and says what became of it.
-func (n *Controller) Forward(ctx context.Context, member string, q route.Request) route.Response {
-	h := &peerpb.Hand{Kind: uint32(q.Kind), Id: q.ID, Body: q.Body}
-	if until, ok := ctx.Deadline(); ok {
-		h.WaitMs = uint32(max(time.Until(until)-forwardMargin, forwardMargin).Milliseconds())
+// Forward forwards a user's request to another member, and returns its response or why there is none.
+func (c *Controller) Forward(ctx context.Context, member string, q route.Request) route.Response {
+	request := &peerpb.Hand{Kind: uint32(q.Kind), Id: q.ID, Body: q.Body}
+	if deadline, ok := ctx.Deadline(); ok {
+		request.WaitMs = uint32(max(time.Until(deadline)-forwardMargin, forwardMargin).Milliseconds())
 	}
-	a, err := n.forwardClients[member].ForwardRequest(ctx, h)
+	answer, err := c.forwardClients[member].ForwardRequest(ctx, request)
 	switch {
 	case errors.Is(err, peer.ErrDialing):
 		return route.Response{Outcome: route.Overloaded}
 	case err != nil && ctx.Err() != nil:
 		return route.Response{Outcome: route.TimedOut}
-	case err != nil || a == nil:
+	case err != nil || answer == nil:
 		return route.Response{Outcome: route.Unreachable}
 	}
-	out := route.Response{
-		Outcome:    route.Outcome(min(a.GetCause(), 255)),
-		Status:     int(a.GetStatus()),
-		Body:       a.GetBody(),
-		RetryAfter: time.Duration(a.GetAfterS()) * time.Second,
+	response := route.Response{
+		Outcome:    route.Outcome(min(answer.GetCause(), 255)),
+		Status:     int(answer.GetStatus()),
+		Body:       answer.GetBody(),
+		RetryAfter: time.Duration(answer.GetAfterS()) * time.Second,
 	}
-	if out.Outcome == route.Answered && (out.Status < http.StatusOK || out.Status >= http.StatusInternalServerError) {
+	failed := response.Status < http.StatusOK || response.Status >= http.StatusInternalServerError
+	if response.Outcome == route.Answered && failed {
 		return route.Response{Outcome: route.NotReady}
 	}
-	return out
+	return response
 }
 
-// LastStateResponse is when the state service has last answered anything.
-func (n *Controller) LastStateResponse() time.Time { return n.store.LastContact() }
-
-// HandleForwardedRequest answers a user's request that another member cannot take.
+// HandleForwardedRequest answers a user's request that another member cannot answer.
 func (h peerHandler) HandleForwardedRequest(ctx context.Context, q *peerpb.Hand) *peerpb.HandAnswer {
-	a := h.controller.httpAPI.HandleForwarded(
-		ctx,
-		route.Request{Kind: route.Kind(min(q.GetKind(), 255)), ID: q.GetId(), Body: q.GetBody()},
-		time.Duration(q.GetWaitMs())*time.Millisecond,
-	)
+	request := route.Request{Kind: route.Kind(min(q.GetKind(), 255)), ID: q.GetId(), Body: q.GetBody()}
+	wait := time.Duration(q.GetWaitMs()) * time.Millisecond
+	response := h.controller.httpAPI.HandleForwarded(ctx, request, wait)
 	return &peerpb.HandAnswer{
-		Cause:  uint32(a.Outcome),
-		Status: uint32(a.Status),
-		Body:   a.Body,
-		AfterS: uint32(a.RetryAfter.Round(time.Second) / time.Second),
+		Cause:  uint32(response.Outcome),
+		Status: uint32(response.Status),
+		Body:   response.Body,
+		AfterS: uint32(response.RetryAfter.Round(time.Second) / time.Second),
 	}
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -5,147 +5,173 @@
 
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/reconciler"
-	"github.com/glentiller/glentiller/internal/store"
 )
 
-// The election's effects, and what a new leader reads before it acts.
+const (
+	revokeAttempts    = 3
+	revokeRetry       = 300 * time.Millisecond
+	readLeaderRetry   = 500 * time.Millisecond
+	watchLeaderRetry  = 300 * time.Millisecond
+	readSnapshotRetry = 200 * time.Millisecond
+)
 
-// applyElectionEffects carries out the election's effects.
-func (n *Controller) applyElectionEffects(now time.Time, effects []election.Effect) {
-	for _, e := range effects {
-		switch e := e.(type) {
-		case election.ReadRecord:
-			n.spawn(func() {
-				r, _, err := n.store.ReadLeaderRecord(n.ctx)
-				n.postElectionEvent(election.RecordRead{Record: r, Err: err})
-			})
-		case election.GrantLease:
-			n.spawn(func() {
-				sent := time.Now()
-				lease, err := n.store.GrantLease(e.Duration)
-				n.postElectionEvent(election.LeaseGranted{LeaseID: lease, Sent: sent, Err: err})
-			})
-		case election.Claim:
-			n.spawn(func() {
-				v, ok, err := n.store.ClaimLeadership(n.ctx, n.platform.Member, e)
-				n.postElectionEvent(election.ClaimCompleted{OK: ok, TokenVersion: v, Err: err})
-			})
-		case election.RenewLease:
-			token := n.election.FencingToken()
-			n.spawn(func() { n.renewLease(token, e.LeaseID) })
-		case election.RevokeLease:
-			n.spawn(func() {
-				for range 3 {
-					if n.store.RevokeLease(e.LeaseID) == nil {
-						return
-					}
-					store.Sleep(n.ctx, 300*time.Millisecond)
-				}
-			})
-		case election.RequestVotes:
-			n.requestVotes(n.term, e)
-		case election.QueryLeadership:
-			n.askWhoLeads()
-		case election.ReleaseVotes:
-			n.releaseVotes(e.FencingToken)
-		case election.Elected:
-			n.term++
-			n.allocateRates(true)
-			n.takeOver(n.term, e)
-			n.superviseRenewals(e.FencingToken, n.election.LeaseID())
-		case election.Deposed:
-			n.lease.Store(nil) // before anybody may hear of it
-			n.term++
-			n.reconciler, n.staleness, n.tooStale = nil, nil, false
-			n.allocateRates(false)
-		}
+// postElectionEvent has the election take an event, before all other messages.
+func (c *Controller) postElectionEvent(ev election.Event) {
+	c.loop.postUrgent(func(now time.Time) { c.stepElection(now, ev) })
+}
+
+// stepElection has the election take an event, starts the effects that it asks for, and publishes what has
+// become of the leadership.
+func (c *Controller) stepElection(now time.Time, ev election.Event) {
+	for _, effect := range c.election.Step(now, ev) {
+		c.performElection(effect)
 	}
-	n.publishLease(now)
-	n.featureLevel.Store(uint32(n.election.Level()))
-	leader := n.election.Leader()
-	if old := n.leader.Swap(&leader); old == nil || *old != leader {
-		n.leaderSince.Store(&now)
-		if n.storeRelay != nil {
-			n.storeRelay.leaderChanged(leader == "")
-		}
+	c.publishLease(now)
+	c.rollout.level.Store(uint32(c.election.Level()))
+	leader := c.election.Leader()
+	if c.leader.update(now, leader) && c.storeRelay != nil {
+		c.storeRelay.leaderChanged(leader == "")
+	}
+}
+
+// performElection starts an effect of the election.
+func (c *Controller) performElection(effect election.Effect) {
+	switch e := effect.(type) {
+	case election.ReadRecord:
+		c.tasks.spawn(c.readLeaderRecord)
+	case election.GrantLease:
+		c.tasks.spawn(func() { c.grantLease(e) })
+	case election.Claim:
+		c.tasks.spawn(func() { c.claimLeadership(e) })
+	case election.RenewLease:
+		token := c.election.FencingToken()
+		c.tasks.spawn(func() { c.renewLease(token, e.LeaseID) })
+	case election.RevokeLease:
+		c.tasks.spawn(func() { c.revokeLease(e.LeaseID) })
+	case election.RequestVotes:
+		c.requestVotes(c.term, e)
+	case election.QueryLeadership:
+		c.askWhoLeads()
+	case election.ReleaseVotes:
+		c.releaseVotes(e.FencingToken)
+	case election.Elected:
+		c.term++
+		c.setRates(c.platform, true)
+		c.takeOver(c.term, e)
+		c.superviseRenewals(e.FencingToken, c.election.LeaseID())
+	case election.Deposed:
+		c.lease.clear() // first, so that nothing acts on it any more
+		c.term++
+		c.reconciler = nil
+		c.cancellations.end()
+		c.setRates(c.platform, false)
 	}
 }
 
-// postElectionEvent hands an event to the election, before everything else.
-func (n *Controller) postElectionEvent(ev election.Event) {
-	n.postUrgent(func(now time.Time) { n.applyElectionEffects(now, n.election.Step(now, ev)) })
+func (c *Controller) readLeaderRecord() {
+	record, _, err := c.store.ReadLeaderRecord(c.tasks.ctx)
+	c.postElectionEvent(election.RecordRead{Record: record, Err: err})
+}
+
+func (c *Controller) grantLease(e election.GrantLease) {
+	sent := time.Now()
+	leaseID, err := c.store.GrantLease(e.Duration)
+	c.postElectionEvent(election.LeaseGranted{LeaseID: leaseID, Sent: sent, Err: err})
+}
+
+func (c *Controller) claimLeadership(e election.Claim) {
+	version, ok, err := c.store.ClaimLeadership(c.tasks.ctx, c.platform.Member, e)
+	c.postElectionEvent(election.ClaimCompleted{OK: ok, TokenVersion: version, Err: err})
+}
+
+// revokeLease gives a lease up. One that cannot be revoked expires.
+func (c *Controller) revokeLease(leaseID uint64) {
+	for range revokeAttempts {
+		if c.store.RevokeLease(leaseID) == nil {
+			return
+		}
+		c.tasks.sleep(revokeRetry)
+	}
 }
 
-// postUrgent hands a piece of work to the loop that goes before the inbox.
-func (n *Controller) postUrgent(f func(now time.Time)) {
-	select {
-	case n.urgent <- f:
-	case <-n.ctx.Done():
+// stepDown gives the leadership up as the process ends, so that nobody has to wait for its lease to expire.
+func (c *Controller) stepDown(now time.Time) {
+	for _, effect := range c.election.Step(now, election.Resign{}) {
+		revoke, ok := effect.(election.RevokeLease)
+		if !ok {
+			continue
+		}
+		c.lease.clear()
+		if err := c.store.RevokeLease(revoke.LeaseID); err != nil {
+			c.log.Warn("revoking the lease failed", "err", err)
+		}
 	}
 }
 
-// watchLeader tells the election when the leader's key is free.
-func (n *Controller) watchLeader() error {
-	var rev uint64
-	for n.ctx.Err() == nil {
-		if rev == 0 {
-			r, at, err := n.store.ReadLeaderRecord(n.ctx)
+// watchLeader reports to the election who holds the leader's key, and when it is free.
+func (c *Controller) watchLeader() error {
+	var revision uint64
+	for c.tasks.running() {
+		if revision == 0 {
+			record, at, err := c.store.ReadLeaderRecord(c.tasks.ctx)
 			if err != nil {
-				store.Sleep(n.ctx, 500*time.Millisecond)
+				c.tasks.sleep(readLeaderRetry)
 				continue
 			}
-			rev = at
-			n.postElectionEvent(election.RecordRead{Record: r})
+			revision = at
+			c.postElectionEvent(election.RecordRead{Record: record})
 		}
-		at, vacant, leader, err := n.store.WatchLeader(n.ctx, rev)
+		at, vacant, leader, err := c.store.WatchLeader(c.tasks.ctx, revision)
 		if err != nil {
-			rev = 0
-			store.Sleep(n.ctx, 300*time.Millisecond)
+			revision = 0
+			c.tasks.sleep(watchLeaderRetry)
 			continue
 		}
-		rev = at
+		revision = at
 		if vacant {
-			n.postElectionEvent(election.LeaderKeyVacant{})
+			c.postElectionEvent(election.LeaderKeyVacant{})
 		} else if leader != "" {
-			n.postElectionEvent(election.RecordRead{Record: election.Record{Held: true, Leader: leader}})
+			c.postElectionEvent(election.RecordRead{Record: election.Record{Held: true, Leader: leader}})
 		}
 	}
 	return nil
 }
 
-// takeOver reads what a new leader needs, and starts its core.
-func (n *Controller) takeOver(term uint64, e election.Elected) {
-	n.spawn(func() {
-		for n.ctx.Err() == nil {
-			var snap *reconciler.Snapshot
-			err := n.jobs.Refresh(n.ctx)
-			if err == nil {
-				snap, err = n.store.ReadSnapshot(n.ctx, n.settings.Ledger != nil)
-			}
+// takeOver reads the records for a new leader and starts its reconciler. It tries until it succeeds or the
+// leadership has ended.
+func (c *Controller) takeOver(term uint64, e election.Elected) {
+	c.tasks.spawn(func() {
+		for c.tasks.running() {
+			snapshot, err := c.readSnapshot()
 			if err == nil {
-				started := make(chan bool, 1)
-				n.post(func(now time.Time) {
-					if n.term == term {
-						// Read in the loop: no change of a job can come in between.
-						n.jobs.AddToSnapshot(snap)
-						n.reconciler = reconciler.New(now, n.settings, e.FencingToken, snap, n.MachineTypes(), n.log)
-						n.startStaleness(now)
+				c.loop.post(func(now time.Time) {
+					if c.term == term {
+						c.startReconciler(now, e.FencingToken, snapshot)
 					}
-					started <- true
 				})
 				return
 			}
-			n.log.Warn("takeover: reading the records", "err", err)
-			stop := make(chan bool, 1)
-			n.post(func(time.Time) { stop <- n.term != term })
-			select {
-			case over := <-stop:
-				if over {
-					return
-				}
-			case <-n.ctx.Done():
+			c.log.Warn("takeover: reading the records failed", "err", err)
+			over, err := runInLoop(c.tasks.ctx, c.loop.inbox, func(time.Time) bool { return c.term != term })
+			if err == nil && over {
+				return
 			}
-			store.Sleep(n.ctx, 200*time.Millisecond)
+			c.tasks.sleep(readSnapshotRetry)
 		}
 	})
 }
+
+func (c *Controller) readSnapshot() (*reconciler.Snapshot, error) {
+	if err := c.jobs.Refresh(c.tasks.ctx); err != nil {
+		return nil, err
+	}
+	return c.store.ReadSnapshot(c.tasks.ctx, c.settings.Ledger != nil)
+}
+
+// startReconciler makes the reconciler of a leadership from the records. The jobs are added within the
+// event loop, so that no change of a job comes in between.
+func (c *Controller) startReconciler(now time.Time, token uint64, snapshot *reconciler.Snapshot) {
+	c.jobs.AddToSnapshot(snapshot)
+	c.reconciler = reconciler.New(now, c.settings, token, snapshot, c.MachineTypes(), c.log)
+	c.beginCancellations(now)
+}
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -2,24 +2,50 @@
 
 import (
 	"errors"
+	"log/slog"
+	"sync/atomic"
 	"time"
 
 	"github.com/glentiller/glentiller/internal/election"
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// leadershipLease is the right to act, as it was last renewed.
+// leadershipLease is what allows a leader to act, and until when. A published lease is never changed; a
+// renewal publishes a new one. A nil lease is not valid.
 type leadershipLease struct {
-	fencingToken, tokenVersion uint64
-	leaseUntil                 time.Time // until when it rests on the lease at the state service
-	votesUntil                 time.Time // and until when on the promises of the other members
-	voteStartsUntil            time.Time // and until when tasks are started by those
-	freshUntil                 time.Time // until when it may act at all by what it knows of cancellations
-	freshStartsUntil           time.Time // and until when it may start tasks by that
+	fencingToken     uint64
+	tokenVersion     uint64    // of the token's record at the state service
+	leaseUntil       time.Time // until when the lease at the state service allows it
+	votesUntil       time.Time // until when the votes of all other members allow it
+	voteStartsUntil  time.Time // until when these votes allow it to start tasks
+	freshUntil       time.Time // until when its knowledge of cancellations is fresh enough to act at all
+	freshStartsUntil time.Time // until when that is fresh enough to start tasks
 }
 
-func (r *leadershipLease) validUntil() time.Time {
-	return earliest(latest(r.leaseUntil, r.votesUntil), r.freshUntil)
+// grantedUntil is until when the lease or the votes allow to act, whatever is known of cancellations.
+func (l *leadershipLease) grantedUntil() time.Time { return latest(l.leaseUntil, l.votesUntil) }
+
+func (l *leadershipLease) validUntil() time.Time { return earliest(l.grantedUntil(), l.freshUntil) }
+
+func (l *leadershipLease) valid() bool { return l != nil && time.Now().Before(l.validUntil()) }
+
+// restsOnVotes reports whether only votes allow to act any more.
+func (l *leadershipLease) restsOnVotes(now time.Time) bool {
+	return !now.Before(l.leaseUntil) && now.Before(l.votesUntil)
+}
+
+// mayStartTasks reports whether tasks may be started, which ends before the lease does while the state
+// service is unreachable (docs/safety.md).
+func (l *leadershipLease) mayStartTasks(now time.Time) bool {
+	return l != nil && now.Before(earliest(latest(l.leaseUntil, l.voteStartsUntil), l.freshStartsUntil))
+}
+
+// withLeaseUntil returns a copy whose lease at the state service lasts at least until a moment.
+func (l *leadershipLease) withLeaseUntil(until time.Time) *leadershipLease {
+	renewed := *l
+	renewed.leaseUntil = latest(l.leaseUntil, until)
+	return &renewed
 }
 
 func earliest(a, b time.Time) time.Time {
@@ -36,99 +62,133 @@
 	return a
 }
 
-// restsOnVotes tells that the right rests on the promises of the other members alone.
-func (r *leadershipLease) restsOnVotes(now time.Time) bool {
-	return !now.Before(r.leaseUntil) && now.Before(r.votesUntil)
+// leaseHolder publishes the leadership lease. The event loop replaces it, renewals beside the loop extend
+// it, and whatever acts for the leader checks it right before it acts.
+type leaseHolder struct {
+	current         atomic.Pointer[leadershipLease] // nil: this controller does not lead
+	lastRenewalSent atomic.Pointer[time.Time]       // of the renewals that succeeded
 }
 
-// mayStartTasks tells that tasks may be started: docs/safety.md, "Promises for longer".
-func (r *leadershipLease) mayStartTasks(now time.Time) bool {
-	return r != nil && now.Before(earliest(latest(r.leaseUntil, r.voteStartsUntil), r.freshStartsUntil))
+func (h *leaseHolder) load() *leadershipLease { return h.current.Load() }
+
+func (h *leaseHolder) valid() bool { return h.load().valid() }
+
+// holds reports whether the lease of the leadership with this token is valid.
+func (h *leaseHolder) holds(token uint64) bool {
+	lease := h.load()
+	return lease != nil && lease.fencingToken == token && lease.valid()
 }
 
-func (r *leadershipLease) valid() bool { return r != nil && time.Now().Before(r.validUntil()) }
+func (h *leaseHolder) clear() { h.current.Store(nil) }
 
-// withLeaseUntil is the same right with a lease that holds at least until a moment.
-func (r *leadershipLease) withLeaseUntil(lease time.Time) *leadershipLease {
-	out := *r
-	out.leaseUntil = latest(r.leaseUntil, lease)
-	return &out
+// extend prolongs the lease of the leadership with this token. One that was given up stays so.
+func (h *leaseHolder) extend(token uint64, until time.Time) {
+	for {
+		lease := h.load()
+		if lease == nil || lease.fencingToken != token {
+			return
+		}
+		if h.current.CompareAndSwap(lease, lease.withLeaseUntil(until)) {
+			return
+		}
+	}
 }
 
-// publishLease shows the right to act as the election knows it, unless a renewal beside the loop
-// has shown more already.
-func (n *Controller) publishLease(now time.Time) {
-	if n.election.State() != election.Leading {
-		n.lease.Store(nil)
+// publishLease publishes the leadership lease as the election knows it, unless a renewal beside the loop
+// has proved more already.
+func (c *Controller) publishLease(now time.Time) {
+	if c.election.State() != election.Leading {
+		c.lease.clear()
 		return
 	}
 	for {
-		old := n.lease.Load()
-		r := &leadershipLease{fencingToken: n.election.FencingToken(), tokenVersion: n.election.TokenVersion(), leaseUntil: n.election.LeaseValidUntil(), votesUntil: n.election.ValidUntil(), voteStartsUntil: n.election.StartsValidUntil()}
-		if old != nil && old.fencingToken == r.fencingToken {
-			// Of the lease a renewal beside the loop may have shown more. Of promises the
-			// election has the last word: it waives some.
-			r = r.withLeaseUntil(old.leaseUntil)
-			if old.restsOnVotes(now) != r.restsOnVotes(now) {
-				n.log.Info("right to act", "token", r.fencingToken, "on_promises", r.restsOnVotes(now), "until", r.validUntil().Sub(now))
-			}
-		}
-		n.limitByStaleness(now, r)
-		if !n.lease.CompareAndSwap(old, r) {
-			continue // a renewal came in between
-		}
-		if n.lapsedToken == 0 && !r.valid() {
-			n.lapsedToken, n.lapsedAt = r.fencingToken, r.validUntil()
-		}
-		// Told only while it holds: a renewal's answer that has waited for long may prove a
-		// right that has run out already.
-		if n.lapsedToken != 0 && r.valid() {
-			if n.lapsedToken == r.fencingToken && n.reconciler != nil {
-				n.log.Info("right to act is back", "token", r.fencingToken, "lapsed", now.Sub(n.lapsedAt))
-				n.reconciler.Resume(now)
-			}
-			n.lapsedToken = 0
+		former := c.lease.load()
+		lease := c.leaseOfElection(now, former)
+		c.cancellations.limit(now, lease)
+		if c.lease.current.CompareAndSwap(former, lease) {
+			c.lapse.observe(now, lease, c.reconciler, c.log)
+			return
 		}
+		// A renewal came in between.
+	}
+}
+
+// leaseOfElection is the lease as the election knows it. A renewal beside the loop may have proved more of
+// the lease at the state service, but of the votes the election decides: it waives some.
+func (c *Controller) leaseOfElection(now time.Time, former *leadershipLease) *leadershipLease {
+	lease := &leadershipLease{
+		fencingToken:    c.election.FencingToken(),
+		tokenVersion:    c.election.TokenVersion(),
+		leaseUntil:      c.election.LeaseValidUntil(),
+		votesUntil:      c.election.ValidUntil(),
+		voteStartsUntil: c.election.StartsValidUntil(),
+	}
+	if former == nil || former.fencingToken != lease.fencingToken {
+		return lease
+	}
+	lease = lease.withLeaseUntil(former.leaseUntil)
+	if onVotes := lease.restsOnVotes(now); former.restsOnVotes(now) != onVotes {
+		c.log.Info("leadership lease",
+			"token", lease.fencingToken, "on_votes", onVotes, "remaining", lease.grantedUntil().Sub(now))
+	}
+	return lease
+}
+
+// leaseLapse is the time in which a leadership goes on while its lease has expired; the event loop owns it.
+type leaseLapse struct {
+	token uint64 // of that leadership; 0: the lease has not expired
+	since time.Time
+}
+
+// observe takes the lease that was just published. The reconciler resumes only while the lease is valid: a
+// renewal's response that was delayed may prove a lease that has expired already.
+func (l *leaseLapse) observe(now time.Time, lease *leadershipLease, core *reconciler.Core, log *slog.Logger) {
+	if l.token == 0 && !lease.valid() {
+		l.token, l.since = lease.fencingToken, lease.validUntil()
+	}
+	if l.token == 0 || !lease.valid() {
 		return
 	}
+	if l.token == lease.fencingToken && core != nil {
+		log.Info("leadership lease valid again", "token", lease.fencingToken, "lapsed", now.Sub(l.since))
+		core.Resume(now)
+	}
+	l.token = 0
 }
 
-// renewLease renews the lease, and shows what that proves at once: the loop hears of it too, but
-// nothing that holds the loop keeps the right from being renewed. It is the same right by
-// the same count, from the sending (docs/safety.md, "The right to act").
-func (n *Controller) renewLease(token, lease uint64) {
+// renewLease renews the lease at the state service and publishes at once what that proves, so that nothing
+// that holds the event loop keeps the leadership lease from being renewed. The election hears of it too,
+// and counts the same time from the sending (docs/safety.md).
+func (c *Controller) renewLease(token, leaseID uint64) {
 	sent := time.Now()
-	err := n.store.RenewLease(lease)
+	err := c.store.RenewLease(leaseID)
 	if err == nil {
-		until := n.election.RenewalValidUntil(sent)
-		for {
-			r := n.lease.Load()
-			if r == nil || r.fencingToken != token {
-				break // it was given up meanwhile, and never comes back
-			}
-			if n.lease.CompareAndSwap(r, r.withLeaseUntil(until)) {
-				break
-			}
-		}
-		n.lastRenewalSent.Store(&sent)
+		c.lease.extend(token, c.election.RenewalValidUntil(sent))
+		c.lease.lastRenewalSent.Store(&sent)
 	}
-	n.postElectionEvent(election.LeaseRenewed{LeaseID: lease, Sent: sent, Expired: errors.Is(err, store.ErrLeaseExpired), Err: err})
+	c.postElectionEvent(election.LeaseRenewed{
+		LeaseID: leaseID,
+		Sent:    sent,
+		Expired: errors.Is(err, store.ErrLeaseExpired),
+		Err:     err,
+	})
 }
 
-// superviseRenewals watches over the renewals of one leadership beside the loop, which makes them: where
-// it is late, as it is held by a pass or by too much that comes in, they are made here.
-func (n *Controller) superviseRenewals(token, lease uint64) {
-	life, now := n.election.LeaseDuration(), time.Now()
-	n.lastRenewalSent.Store(&now)
-	n.spawn(func() {
-		for n.ctx.Err() == nil {
-			store.Sleep(n.ctx, life/16)
-			if r := n.lease.Load(); r == nil || r.fencingToken != token {
+// superviseRenewals watches the renewals of one leadership. The event loop makes them; where the loop is
+// late, held by a scheduling pass or by too many messages, they are made here.
+func (c *Controller) superviseRenewals(token, leaseID uint64) {
+	duration, now := c.election.LeaseDuration(), time.Now()
+	interval, late := duration/16, duration*3/8
+	c.lease.lastRenewalSent.Store(&now)
+	c.tasks.spawn(func() {
+		for c.tasks.running() {
+			c.tasks.sleep(interval)
+			if lease := c.lease.load(); lease == nil || lease.fencingToken != token {
 				return
 			}
-			if at := n.lastRenewalSent.Load(); at != nil && time.Since(*at) > life*3/8 {
-				n.log.Debug("renewing beside the loop", "token", token, "last", time.Since(*at))
-				n.renewLease(token, lease)
+			if sent := c.lease.lastRenewalSent.Load(); sent != nil && time.Since(*sent) > late {
+				c.log.Debug("renewing the lease beside the event loop", "token", token, "last", time.Since(*sent))
+				c.renewLease(token, leaseID)
 			}
 		}
 	})
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -1,146 +1,149 @@
 package controller
 
 import (
-	"fmt"
-	"strings"
+	"context"
+	"log/slog"
 	"time"
 
 	"github.com/glentiller/glentiller/internal/election"
-	"github.com/glentiller/glentiller/internal/reconciler"
 )
 
-// The loop: one goroutine that owns the cores, what reaches it, and in which order it takes that.
+const (
+	inboxSize   = 256
+	urgentSize  = 64
+	inboxBudget = 20 * time.Millisecond // for messages, before the election and the timers have their turn
+	minTimer    = time.Millisecond
+)
 
-// runLoop owns the cores. What the right to act hangs on goes first, then what has come in, a
-// bounded time at once, then what time brings: passes come last, and leave room for the
-// others (Core.Took).
-func (n *Controller) runLoop() error {
-	timer := time.NewTimer(0)
-	defer timer.Stop()
-	for {
-		select {
-		case <-n.ctx.Done():
-			n.stepDown(time.Now())
-			return nil
-		case f := <-n.urgent:
-			n.measureHold("election", f)
-		case f := <-n.inbox:
-			n.measureHold("message", f)
-			n.drainInbox(time.Now().Add(inboxBudget))
-		case <-n.jobChangesReady:
-			n.measureHold("jobs", n.applyJobChanges)
-		case <-timer.C:
-		}
-		n.drainUrgent()
-		now := time.Now()
-		n.updateStaleness(now)
-		n.applyElectionEffects(now, n.election.Step(now, election.Tick{}))
-		if n.tooStaleToLead(now) && len(n.peers) > 0 {
-			n.log.Warn("the records cannot be read, stepping down")
-			n.applyElectionEffects(now, n.election.Step(now, election.Resign{}))
-		}
-		wake := n.election.NextTick()
-		if n.reconciler != nil && n.lease.Load().valid() {
-			n.reconciler.PauseStarts(!n.lease.Load().mayStartTasks(now))
-			n.measureHold("pass", func(now time.Time) {
-				n.stepReconciler(now, reconciler.Tick{})
-				if took := time.Since(now); n.reconciler != nil && n.reconciler.ObserveStepDuration(took) && took > longPassThreshold {
-					n.log.Debug("long pass", "took", took)
-				}
-			})
-			if n.reconciler != nil && n.reconciler.Isolated(now) && len(n.peers) > 0 {
-				n.log.Warn("no worker is heard, stepping down")
-				n.applyElectionEffects(now, n.election.Step(now, election.Resign{}))
-				continue
-			}
-			if n.reconciler != nil {
-				if w := n.reconciler.NextTick(); w.Before(wake) {
-					wake = w
-				}
-			}
-			n.logLongestHold(now)
-		}
-		timer.Reset(max(time.Until(wake), time.Millisecond))
+// work is what another goroutine has the event loop do.
+type work func(now time.Time)
+
+// eventLoop is the input of the goroutine that owns the state machines.
+type eventLoop struct {
+	tasks  *taskGroup
+	inbox  chan work
+	urgent chan work // what the leadership lease depends on; it goes before the inbox
+	hold   holdMonitor
+}
+
+func newEventLoop(tasks *taskGroup, log *slog.Logger) *eventLoop {
+	return &eventLoop{
+		tasks:  tasks,
+		inbox:  make(chan work, inboxSize),
+		urgent: make(chan work, urgentSize),
+		hold:   holdMonitor{log: log},
 	}
 }
 
-const (
-	inboxBudget       = 20 * time.Millisecond  // for what has come in, before the election and time have their turn
-	longPassThreshold = 200 * time.Millisecond // worth a line in the log
-	holdLogInterval   = 10 * time.Second       // between words on what held the loop longest
-)
+// post hands work to the loop.
+func (l *eventLoop) post(f work) {
+	select {
+	case l.inbox <- f:
+	case <-l.tasks.ctx.Done():
+	}
+}
+
+// postUrgent hands work to the loop that goes before the inbox.
+func (l *eventLoop) postUrgent(f work) {
+	select {
+	case l.urgent <- f:
+	case <-l.tasks.ctx.Done():
+	}
+}
 
-// drainUrgent carries out what the right to act hangs on.
-func (n *Controller) drainUrgent() {
+// drainUrgent does all urgent work that waits.
+func (l *eventLoop) drainUrgent() {
 	for {
 		select {
-		case f := <-n.urgent:
-			n.measureHold("election", f)
+		case f := <-l.urgent:
+			l.hold.measure("election", f)
 		default:
 			return
 		}
 	}
 }
 
-// drainInbox takes in what else has come, until a moment.
-func (n *Controller) drainInbox(until time.Time) {
+// drainInbox does what else waits in the inbox, until a moment.
+func (l *eventLoop) drainInbox(until time.Time) {
 	for time.Now().Before(until) {
-		n.drainUrgent()
+		l.drainUrgent()
 		select {
-		case f := <-n.inbox:
-			n.measureHold("message", f)
+		case f := <-l.inbox:
+			l.hold.measure("message", f)
 		default:
 			return
 		}
 	}
 }
 
-// measureHold runs a piece of work and measures for how long it held the loop.
-func (n *Controller) measureHold(what string, f func(now time.Time)) {
-	now := time.Now()
-	n.lastEvent = nil
-	f(now)
-	if took := time.Since(now); took > n.longestHold.longest {
-		n.longestHold.longest, n.longestHold.work, n.longestHold.event = took, what, ""
-		if n.lastEvent != nil {
-			n.longestHold.event = strings.TrimPrefix(fmt.Sprintf("%T", n.lastEvent), "reconciler.")
-		}
+// runInLoop has the event loop compute something; inbox is one of the loop's two.
+func runInLoop[T any](ctx context.Context, inbox chan<- work, f func(now time.Time) T) (result T, err error) {
+	done := make(chan T, 1)
+	select {
+	case inbox <- func(now time.Time) { done <- f(now) }:
+	case <-ctx.Done():
+		return result, ctx.Err()
+	}
+	select {
+	case result = <-done:
+		return result, nil
+	case <-ctx.Done():
+		return result, ctx.Err()
 	}
 }
 
-// loopHold is what held the loop longest since it was last told.
-type loopHold struct {
-	longest  time.Duration
-	work     string
-	event    string // the kind of the core's event; "": none
-	loggedAt time.Time
-}
-
-// logLongestHold logs what held the loop longest.
-func (n *Controller) logLongestHold(now time.Time) {
-	if now.Sub(n.longestHold.loggedAt) < holdLogInterval {
-		return
+// runLoop is the event loop. What the leadership lease depends on goes first, then messages for a bounded
+// time, then timers: scheduling passes come last, and their rate leaves room for the rest
+// (reconciler.Core.ObserveStepDuration).
+func (c *Controller) runLoop() error {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		select {
+		case <-c.tasks.ctx.Done():
+			c.stepDown(time.Now())
+			return nil
+		case f := <-c.loop.urgent:
+			c.loop.hold.measure("election", f)
+		case f := <-c.loop.inbox:
+			c.loop.hold.measure("message", f)
+			c.loop.drainInbox(time.Now().Add(inboxBudget))
+		case <-c.jobChanges.ready:
+			c.loop.hold.measure("jobs", c.applyJobChanges)
+		case <-timer.C:
+		}
+		c.loop.drainUrgent()
+		if wake, ok := c.tick(time.Now()); ok {
+			timer.Reset(max(time.Until(wake), minTimer))
+		}
 	}
-	n.log.Info(
-		"loop",
-		"longest_hold",
-		n.longestHold.longest,
-		"by",
-		n.longestHold.work,
-		"event",
-		n.longestHold.event,
-		"inbox",
-		len(n.inbox),
-		"right",
-		n.lease.Load().validUntil().Sub(now),
-	)
-	n.longestHold = loopHold{loggedAt: now}
 }
 
-// post hands a piece of work to the loop.
-func (n *Controller) post(f func(now time.Time)) {
-	select {
-	case n.inbox <- f:
-	case <-n.ctx.Done():
+// tick steps both state machines with the time. It returns when it is due again; ok is false if this
+// controller has just stepped down as it hears no worker, and only input wakes the loop then.
+func (c *Controller) tick(now time.Time) (wake time.Time, ok bool) {
+	c.refreshCancellations(now)
+	c.stepElection(now, election.Tick{})
+	if c.cancellations.tooStaleToLead(now, c.election) && len(c.peers) > 0 {
+		c.log.Warn("stepping down: the records cannot be read")
+		c.stepElection(now, election.Resign{})
+	}
+	wake = c.election.NextTick()
+	if c.reconciler == nil || !c.lease.valid() {
+		return wake, true
+	}
+	c.reconciler.PauseStarts(!c.lease.load().mayStartTasks(now))
+	c.loop.hold.measure("pass", c.runPass)
+	if c.reconciler != nil && c.reconciler.Isolated(now) && len(c.peers) > 0 {
+		c.log.Warn("stepping down: no worker is heard")
+		c.stepElection(now, election.Resign{})
+		return time.Time{}, false
+	}
+	if c.reconciler != nil {
+		if next := c.reconciler.NextTick(); next.Before(wake) {
+			wake = next
+		}
 	}
+	c.loop.hold.logLongest(now, len(c.loop.inbox), c.lease.load())
+	return wake, true
 }
--- /dev/null
+++ b/internal/controller/member_status.go
@@ -0,0 +1,66 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"github.com/glentiller/glentiller/internal/admin"
+	"github.com/glentiller/glentiller/internal/election"
+)
+
+// MemberStatus returns where this controller stands, for the operators' interface.
+func (c *Controller) MemberStatus(ctx context.Context) (*admin.MemberStatus, error) {
+	var hold loopHold
+	member, err := runInLoop(ctx, c.loop.urgent, func(time.Time) election.Status {
+		hold = c.loop.hold.longest
+		return c.election.Status(time.Now())
+	})
+	if err != nil {
+		return nil, err
+	}
+	status := &admin.MemberStatus{
+		Member:                 c.platform.Member,
+		State:                  member.State,
+		Leader:                 member.Leader,
+		FencingToken:           member.FencingToken,
+		StateLeaseSeconds:      member.LeaseRemaining.Seconds(),
+		LeadershipSeconds:      member.ValidRemaining.Seconds(),
+		VoteSeconds:            member.VoteDuration.Seconds(),
+		VotesSeconds:           map[string]float64{},
+		BoundSeconds:           member.ClaimBlockedFor.Seconds(),
+		StateUnansweredSeconds: c.store.UnreachableFor(time.Now()).Seconds(),
+		Load: admin.Load{
+			LongestHoldSeconds: hold.duration.Seconds(),
+			LongestHoldEvent:   hold.work,
+			Inbox:              len(c.loop.inbox),
+		},
+		Connections: c.connectionStatus(),
+		Rollout:     c.rolloutStatus(),
+	}
+	if c.router != nil {
+		status.Requests = c.router.Status(time.Now())
+	}
+	for voter, remaining := range member.Votes {
+		status.VotesSeconds[voter] = remaining.Seconds()
+	}
+	return status, nil
+}
+
+func (c *Controller) connectionStatus() admin.Connections {
+	quotas := c.connections.Status()
+	status := admin.Connections{
+		Occupancy: quotas.Occupancy.String(),
+		Used:      quotas.Used,
+		Peak:      quotas.Peak,
+		Capacity:  quotas.Capacity,
+		Classes:   map[string]admin.ClassConnections{},
+	}
+	for class, held := range quotas.Classes {
+		status.Classes[class.String()] = admin.ClassConnections{
+			Used:     held.Used,
+			Quota:    held.Quota,
+			Rejected: held.Rejected,
+		}
+	}
+	return status
+}
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -6,7 +6,6 @@
 
 	"github.com/glentiller/glentiller/internal/peer/peerpb"
 	"github.com/glentiller/glentiller/internal/route"
-	"github.com/glentiller/glentiller/internal/store"
 )
 
 const (
@@ -14,24 +13,26 @@
 	peerProbeTimeout  = 800 * time.Millisecond
 )
 
-// probePeers asks the other members whether they are there, while the state service is out of reach.
-func (n *Controller) probePeers() error {
-	for n.ctx.Err() == nil {
-		store.Sleep(n.ctx, peerProbeInterval)
-		down := n.store.UnreachableFor(time.Now())
-		ask, moved := n.peerReachability.Evaluate(time.Now(), down)
-		if moved {
-			n.log.Info("company", "is", n.peerReachability.State().String(), "without_state", down)
+// probePeers asks the other members whether they are there, while the state service is unreachable.
+func (c *Controller) probePeers() error {
+	for c.tasks.running() {
+		c.tasks.sleep(peerProbeInterval)
+		unreachableFor := c.store.UnreachableFor(time.Now())
+		probe, changed := c.peerReachability.Evaluate(time.Now(), unreachableFor)
+		if changed {
+			c.log.Info("peer reachability",
+				"state", c.peerReachability.State().String(), "state_service_unreachable_for", unreachableFor)
 		}
-		if !ask {
+		if !probe {
 			continue
 		}
-		for _, c := range n.peers {
-			n.spawn(func() {
-				ctx, cancel := context.WithTimeout(n.ctx, peerProbeTimeout)
+		for _, client := range c.peers {
+			c.tasks.spawn(func() {
+				ctx, cancel := context.WithTimeout(c.tasks.ctx, peerProbeTimeout)
 				defer cancel()
-				if a, err := c.RequestVote(ctx, &peerpb.PromiseAsk{Member: n.platform.Member}); err == nil && a != nil {
-					n.peerReachability.ObserveContact(time.Now())
+				answer, err := client.RequestVote(ctx, &peerpb.PromiseAsk{Member: c.platform.Member})
+				if err == nil && answer != nil {
+					c.peerReachability.ObserveContact(time.Now())
 				}
 			})
 		}
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// isolated tells that this member reaches nobody, and does not act for all either.
-func (n *Controller) isolated() bool {
-	return n.peerReachability.State() == route.Isolated && !n.lease.Load().valid()
+// isolated reports whether this member reaches neither the state service nor any member, and does not lead.
+func (c *Controller) isolated() bool {
+	return c.peerReachability.State() == route.Isolated && !c.lease.valid()
 }
--- /dev/null
+++ b/internal/controller/relay_leader.go
@@ -0,0 +1,131 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"github.com/glentiller/glentiller/internal/config"
+	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/relay"
+	"github.com/glentiller/glentiller/internal/store"
+	"github.com/glentiller/glentiller/internal/wire"
+)
+
+const (
+	batchWatchTimeout       = 5 * time.Second // of one watch for heartbeats
+	batchResponseTimeout    = time.Second     // for the event loop to answer a batch
+	maxConcurrentHeartbeats = 32              // of a batch that wait for the event loop at a time
+
+	notLeadingRetry   = 200 * time.Millisecond
+	watchBatchesRetry = 300 * time.Millisecond
+)
+
+// watchRelayedBatches has a leader take the heartbeats that members relay by way of the state service.
+func (c *Controller) watchRelayedBatches() error {
+	var revision, token uint64
+	for c.tasks.running() {
+		lease := c.lease.load()
+		if !lease.valid() {
+			revision = 0
+			c.tasks.sleep(notLeadingRetry)
+			continue
+		}
+		if lease.fencingToken != token {
+			revision, token = 0, lease.fencingToken
+		}
+		var err error
+		if revision == 0 {
+			if revision, err = c.store.RelayRevision(c.tasks.ctx, ""); err != nil {
+				revision = 0
+				c.tasks.sleep(watchBatchesRetry)
+				continue
+			}
+		}
+		batches, next, err := c.store.WatchRelay(c.tasks.ctx, "", revision, batchWatchTimeout)
+		if err != nil {
+			c.log.Debug("watching relayed heartbeats failed", "err", err)
+			revision = 0
+			c.tasks.sleep(watchBatchesRetry)
+			continue
+		}
+		revision = next
+		for _, batch := range batches {
+			c.tasks.spawn(func() { c.answerBatch(batch) })
+		}
+	}
+	return nil
+}
+
+// answerBatch answers a batch of heartbeats, each as if it had come by itself.
+func (c *Controller) answerBatch(batch store.RelayBatch) {
+	envelopes, err := relay.Unpack(batch.Payload)
+	if err != nil {
+		c.log.Warn("malformed heartbeat batch", "member", batch.Member, "err", err)
+		return
+	}
+	c.putResponses(batch, c.batchResponses(envelopes))
+}
+
+// batchResponses has the event loop take all heartbeats of a batch, and returns the responses in their
+// order. A worker whose heartbeat is malformed or not answered in time is left out.
+func (c *Controller) batchResponses(envelopes []relay.Envelope) []relay.Envelope {
+	ctx, cancel := context.WithTimeout(c.tasks.ctx, batchResponseTimeout)
+	defer cancel()
+	bodies := make([][]byte, len(envelopes))
+	var group errgroup.Group
+	group.SetLimit(maxConcurrentHeartbeats)
+	for i, envelope := range envelopes {
+		group.Go(func() error {
+			bodies[i] = c.relayedResponse(ctx, envelope.Body)
+			return nil
+		})
+	}
+	_ = group.Wait() // none of them returns an error
+	var responses []relay.Envelope
+	for i, body := range bodies {
+		if body != nil {
+			responses = append(responses, relay.Envelope{ID: envelopes[i].ID, Body: body})
+		}
+	}
+	return responses
+}
+
+// relayedResponse returns the encoded response to a relayed heartbeat; nil: there is none.
+func (c *Controller) relayedResponse(ctx context.Context, body []byte) []byte {
+	heartbeat, err := wire.DecodeHeartbeat(body)
+	if err != nil {
+		return nil
+	}
+	result := c.handleHeartbeat(ctx, reconciler.HeartbeatReceived{Heartbeat: heartbeat, Relayed: true})
+	if !result.Leading || !result.LeaseValid() {
+		return nil
+	}
+	return wire.AppendHeartbeatResponse(nil, result.FencingToken, result.Commands)
+}
+
+// putResponses writes the responses to a batch, as many records as it takes.
+func (c *Controller) putResponses(batch store.RelayBatch, responses []relay.Envelope) {
+	capacity := wire.MaxBatchPayload(config.StoreLimits(c.platform).MaxValueBytes)
+	for len(responses) > 0 {
+		lease := c.lease.load()
+		payload, count := relay.Pack(responses, capacity)
+		if count == 0 {
+			responses = responses[1:] // larger than a record; its commands are sent again, fewer at a time
+			continue
+		}
+		if !lease.valid() {
+			return
+		}
+		record := store.RelayBatch{
+			Member:     batch.Member,
+			RelayBatch: wire.RelayBatch{Incarnation: batch.Incarnation, Seq: batch.Seq, Payload: payload},
+		}
+		if _, err := c.store.PutHeartbeatResponses(c.tasks.ctx, lease.tokenVersion, record); err != nil {
+			c.log.Debug("relaying heartbeat responses failed", "member", batch.Member, "count", count, "err", err)
+			return
+		}
+		responses = responses[count:]
+	}
+}
--- a/internal/controller/relay_store.go
+++ b/internal/controller/relay_store.go
@@ -2,307 +2,272 @@
 
 import (
 	"context"
+	"log/slog"
 	"math/rand/v2"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"github.com/glentiller/glentiller/internal/config"
-	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/relay"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// storeRelay hands workers' reports to a leader out of reach by way of the state service
-// (docs/reports.md): what is decided is in package courier.
+const (
+	// extraResponseWait is by how much longer than usual a worker waits for a response by way of the state
+	// service; workers give up after 4 s.
+	extraResponseWait = 1400 * time.Millisecond
+
+	relayIdleTimeout     = 15 * time.Second // without a heartbeat, the watch ends and what is left is deleted
+	responseWatchTimeout = 2 * time.Second  // of one watch for responses
+
+	flushRetry          = 20 * time.Millisecond // while responses are not watched yet
+	relayRevisionRetry  = 200 * time.Millisecond
+	watchResponsesRetry = 100 * time.Millisecond
+)
+
+// storeRelay is the member's side of relaying heartbeats to a leader that it does not reach, by way of the
+// state service (docs/reports.md): it writes batches of heartbeats and watches for the leader's responses.
+// relay.Outbox decides what is written when. relay_leader.go is the leader's side.
 type storeRelay struct {
-	controller     *Controller
-	incarnation    uint64
-	batchCapacity  int           // of text in a value
-	flushSignal    chan struct{} // something was added: for flush
-	answerSignal   chan struct{} // and for answers
-	answersWatched atomic.Bool   // answers are watched for
+	store         *store.Client
+	tasks         *taskGroup
+	log           *slog.Logger
+	member        string
+	incarnation   uint64 // of this process, by which it knows the responses that are meant for it
+	batchCapacity int    // bytes of envelopes in one record
+	maxTxnOps     int
+
+	flushSignal      chan struct{} // for flushBatches: a heartbeat was added
+	responseSignal   chan struct{} // for watchResponses: a heartbeat was added
+	responsesWatched atomic.Bool   // nothing is written before a response would be seen
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards outbox and waiters
 	outbox  *relay.Outbox
-	waiters map[uint64]chan []byte
+	waiters map[uint64]chan []byte // by envelope; a nil response sends the worker elsewhere
 }
 
-const (
-	extraAnswerWait         = 1400 * time.Millisecond // than the front does: workers drop answers after 4 s
-	relayIdleTimeout        = 15 * time.Second        // after so long without a report nothing is watched, and what was left is removed
-	answerWatchTimeout      = 2 * time.Second         // of one watch for answers
-	batchWatchTimeout       = 5 * time.Second         // and for reports
-	batchAnswerTimeout      = time.Second             // for a leader's loop to answer a batch
-	maxConcurrentHeartbeats = 32                      // reports of a batch that wait for the loop at once
-)
-
-// newStoreRelay makes it; nil: it is off, or there is nobody to hand anything to.
-func newStoreRelay(n *Controller) *storeRelay {
-	set := config.RelaySettings(n.platform, n.operator)
-	if set == nil || len(n.platform.Members) == 0 {
+// newStoreRelay returns nil if the settings turn it off, or if there are no other members.
+func newStoreRelay(
+	p *config.Platform, o *config.Operator, state *store.Client, tasks *taskGroup, log *slog.Logger,
+) *storeRelay {
+	settings := config.RelaySettings(p, o)
+	if settings == nil || len(p.Members) == 0 {
 		return nil
 	}
-	p := &storeRelay{controller: n, incarnation: rand.Uint64() | 1, batchCapacity: wire.MaxBatchPayload(config.StoreLimits(n.platform).MaxValueBytes), flushSignal: make(chan struct{}, 1), answerSignal: make(chan struct{}, 1), waiters: map[uint64]chan []byte{}}
-	p.outbox = relay.New(*set, func(from, to relay.Path, why string) {
-		n.log.Info("way of reports", "from", from.String(), "to", to.String(), "why", why)
-	})
-	return p
+	onPathChange := func(from, to relay.Path, why string) {
+		log.Info("heartbeat path", "from", from.String(), "to", to.String(), "why", why)
+	}
+	return &storeRelay{
+		store:          state,
+		tasks:          tasks,
+		log:            log,
+		member:         p.Member,
+		incarnation:    rand.Uint64() | 1,
+		batchCapacity:  wire.MaxBatchPayload(config.StoreLimits(p).MaxValueBytes),
+		maxTxnOps:      p.StateLimits().TxnOps,
+		flushSignal:    make(chan struct{}, 1),
+		responseSignal: make(chan struct{}, 1),
+		outbox:         relay.New(*settings, onPathChange),
+		waiters:        map[uint64]chan []byte{},
+	}
 }
 
-// send hands a report over and waits for its answer: for longer than for others, as a worker that
-// is sent on spends much of its lease on members on the other side of the cut.
-func (p *storeRelay) send(ctx context.Context, report []byte) ([]byte, bool) {
+// send relays a heartbeat and waits for its response. It waits for longer than others do, since a worker
+// that is sent elsewhere spends much of its lease on members on the other side of the partition.
+func (r *storeRelay) send(ctx context.Context, heartbeat []byte) (response []byte, ok bool) {
 	now := time.Now()
-	if until, ok := ctx.Deadline(); ok {
+	if deadline, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(p.controller.ctx, until.Add(extraAnswerWait))
+		ctx, cancel = context.WithDeadline(r.tasks.ctx, deadline.Add(extraResponseWait))
 		defer cancel()
 	}
-	p.mu.Lock()
-	p.outbox.ObserveContact(now, false)
-	id, ok := p.outbox.Add(now, append([]byte(nil), report...))
+	id, responses, ok := r.enqueue(now, heartbeat)
 	if !ok {
-		p.mu.Unlock()
 		return nil, false
 	}
-	got := make(chan []byte, 1)
-	p.waiters[id] = got
-	p.mu.Unlock()
-	for _, c := range []chan struct{}{p.flushSignal, p.answerSignal} {
+	for _, signal := range []chan struct{}{r.flushSignal, r.responseSignal} {
 		select {
-		case c <- struct{}{}:
+		case signal <- struct{}{}:
 		default:
 		}
 	}
 	select {
-	case b := <-got:
-		return b, b != nil
+	case response = <-responses:
+		return response, response != nil
 	case <-ctx.Done():
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.outbox.Cancel(id)
-		delete(p.waiters, id)
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.outbox.Cancel(id)
+		delete(r.waiters, id)
 		return nil, false
 	}
 }
 
-// active tells whether reports go this way already.
-func (p *storeRelay) active() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.outbox.Path() == relay.ViaStore
+// enqueue adds a copy of a heartbeat to the outbox, and a waiter for its response; ok is false if the outbox
+// takes nothing.
+func (r *storeRelay) enqueue(now time.Time, heartbeat []byte) (id uint64, responses <-chan []byte, ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.outbox.ObserveContact(now, false)
+	id, ok = r.outbox.Add(now, append([]byte(nil), heartbeat...))
+	if !ok {
+		return 0, nil, false
+	}
+	waiter := make(chan []byte, 1)
+	r.waiters[id] = waiter
+	return id, waiter, true
 }
 
-// leaderReached takes that the leader is within reach again: nobody waits any more, and workers are sent on.
-func (p *storeRelay) leaderReached() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.outbox.ObserveContact(time.Now(), true)
-	p.rejectWaiters()
+// active reports whether heartbeats go by way of the state service already.
+func (r *storeRelay) active() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.outbox.Path() == relay.ViaStore
 }
 
-// leaderChanged takes that another one leads, or nobody.
-func (p *storeRelay) leaderChanged(nobody bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.outbox.LeaderChanged(time.Now(), nobody)
+func (r *storeRelay) idle() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.outbox.Idle()
 }
 
-// rejectWaiters has all that wait ask again. The lock is held.
-func (p *storeRelay) rejectWaiters() {
-	for id, got := range p.waiters {
-		got <- nil
-		p.outbox.Cancel(id)
+// leaderReached notes that the leader is reachable again: nobody waits any more, and workers are redirected.
+func (r *storeRelay) leaderReached() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.outbox.ObserveContact(time.Now(), true)
+	r.rejectWaiters()
+}
+
+// leaderChanged notes that another member leads, or nobody.
+func (r *storeRelay) leaderChanged(nobody bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.outbox.LeaderChanged(time.Now(), nobody)
+}
+
+// rejectWaiters has all workers that wait ask again. mu is held.
+func (r *storeRelay) rejectWaiters() {
+	for id, waiter := range r.waiters {
+		waiter <- nil
+		r.outbox.Cancel(id)
 	}
-	clear(p.waiters)
+	clear(r.waiters)
 }
 
-// flushBatches writes batches as they are due.
-func (p *storeRelay) flushBatches() error {
-	n := p.controller
-	for n.ctx.Err() == nil {
-		p.mu.Lock()
+// flushBatches writes batches of heartbeats as they are due.
+func (r *storeRelay) flushBatches() error {
+	for r.tasks.running() {
+		r.mu.Lock()
 		now := time.Now()
-		p.outbox.Tick(now)
-		due, idle := p.outbox.NextBatchAt(now), p.outbox.Idle()
-		p.mu.Unlock()
+		r.outbox.Tick(now)
+		due, idle := r.outbox.NextBatchAt(now), r.outbox.Idle()
+		r.mu.Unlock()
 		switch {
 		case idle:
 			select {
-			case <-p.flushSignal:
-			case <-n.ctx.Done():
+			case <-r.flushSignal:
+			case <-r.tasks.ctx.Done():
 			}
 			continue
-		case due.IsZero() || !p.answersWatched.Load():
-			store.Sleep(n.ctx, 20*time.Millisecond)
+		case due.IsZero() || !r.responsesWatched.Load():
+			r.tasks.sleep(flushRetry)
 			continue
 		case now.Before(due):
-			store.Sleep(n.ctx, due.Sub(now))
-		}
-		p.mu.Lock()
-		seq, text, count := p.outbox.TakeBatch(time.Now(), p.batchCapacity)
-		p.mu.Unlock()
-		if count == 0 {
-			continue
-		}
-		err := n.store.PutHeartbeats(n.ctx, store.RelayBatch{Member: n.platform.Member, RelayBatch: wire.RelayBatch{Incarnation: p.incarnation, Seq: seq, Payload: text}})
-		if err != nil {
-			n.log.Debug("reports not handed over", "count", count, "err", err)
-			p.mu.Lock()
-			p.outbox.WriteFailed(seq)
-			p.mu.Unlock()
+			r.tasks.sleep(due.Sub(now))
 		}
+		r.flush()
 	}
 	return nil
 }
 
-// watchAnswers watches for the leader's answers while any are waited for.
-func (p *storeRelay) watchAnswers() error {
-	n := p.controller
-	var rev uint64
-	var used time.Time
-	for n.ctx.Err() == nil {
-		p.mu.Lock()
-		idle := p.outbox.Idle()
-		p.mu.Unlock()
+// flush writes one batch, if there is any.
+func (r *storeRelay) flush() {
+	r.mu.Lock()
+	seq, payload, count := r.outbox.TakeBatch(time.Now(), r.batchCapacity)
+	r.mu.Unlock()
+	if count == 0 {
+		return
+	}
+	batch := wire.RelayBatch{Incarnation: r.incarnation, Seq: seq, Payload: payload}
+	err := r.store.PutHeartbeats(r.tasks.ctx, store.RelayBatch{Member: r.member, RelayBatch: batch})
+	if err == nil {
+		return
+	}
+	r.log.Debug("relaying heartbeats failed", "count", count, "err", err)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.outbox.WriteFailed(seq)
+}
+
+// watchResponses watches for the leader's responses while any are waited for.
+func (r *storeRelay) watchResponses() error {
+	var revision uint64
+	var lastUsed time.Time
+	for r.tasks.running() {
+		idle := r.idle()
 		if now := time.Now(); !idle {
-			used = now
-		} else if now.Sub(used) > relayIdleTimeout {
-			p.answersWatched.Store(false)
-			rev = 0
-			if !used.IsZero() {
-				if err := n.store.DeleteRelayRecords(n.ctx, n.platform.Member, n.settings.MaxTxnOps); err != nil {
-					n.log.Debug("what is left of reports by way of the state service stays", "err", err)
-				}
-			}
-			select {
-			case <-p.answerSignal:
-				used = time.Now()
-			case <-n.ctx.Done():
-			}
+			lastUsed = now
+		} else if now.Sub(lastUsed) > relayIdleTimeout {
+			revision = 0
+			lastUsed = r.waitUntilUsed(lastUsed)
 			continue
 		}
 		var err error
-		if rev == 0 {
-			if rev, err = n.store.RelayRevision(n.ctx, n.platform.Member); err != nil {
-				rev = 0
-				store.Sleep(n.ctx, 200*time.Millisecond)
+		if revision == 0 {
+			if revision, err = r.store.RelayRevision(r.tasks.ctx, r.member); err != nil {
+				revision = 0
+				r.tasks.sleep(relayRevisionRetry)
 				continue
 			}
-			p.answersWatched.Store(true)
+			r.responsesWatched.Store(true)
 		}
-		batches, at, err := n.store.WatchRelay(n.ctx, n.platform.Member, rev, answerWatchTimeout)
+		batches, next, err := r.store.WatchRelay(r.tasks.ctx, r.member, revision, responseWatchTimeout)
 		if err != nil {
-			rev = 0
-			p.answersWatched.Store(false)
-			store.Sleep(n.ctx, 100*time.Millisecond)
+			revision = 0
+			r.responsesWatched.Store(false)
+			r.tasks.sleep(watchResponsesRetry)
 			continue
 		}
-		rev = at
-		for _, b := range batches {
-			letters, err := relay.Unpack(b.Payload)
-			if err != nil || b.Incarnation != p.incarnation {
-				continue // for an earlier life of this process
-			}
-			p.mu.Lock()
-			for _, l := range p.outbox.AcceptResponses(time.Now(), b.Seq, letters) {
-				if got := p.waiters[l.ID]; got != nil {
-					got <- l.Body
-					delete(p.waiters, l.ID)
-				}
-			}
-			p.mu.Unlock()
+		revision = next
+		for _, batch := range batches {
+			r.deliver(batch)
 		}
 	}
 	return nil
 }
 
-// watchRelayedBatches has a leader take the reports that members hand over by way of the state service.
-func (n *Controller) watchRelayedBatches() error {
-	var rev, token uint64
-	for n.ctx.Err() == nil {
-		r := n.lease.Load()
-		if !r.valid() {
-			rev = 0
-			store.Sleep(n.ctx, 200*time.Millisecond)
-			continue
-		}
-		if r.fencingToken != token {
-			rev, token = 0, r.fencingToken
-		}
-		var err error
-		if rev == 0 {
-			if rev, err = n.store.RelayRevision(n.ctx, ""); err != nil {
-				rev = 0
-				store.Sleep(n.ctx, 300*time.Millisecond)
-				continue
-			}
-		}
-		batches, at, err := n.store.WatchRelay(n.ctx, "", rev, batchWatchTimeout)
-		if err != nil {
-			n.log.Debug("reports by way of the state service", "err", err)
-			rev = 0
-			store.Sleep(n.ctx, 300*time.Millisecond)
-			continue
-		}
-		rev = at
-		for _, b := range batches {
-			n.spawn(func() { n.answerBatch(b) })
+// waitUntilUsed ends the watch, deletes what this member has left at the state service if it has written
+// anything, and waits for the next heartbeat. It returns when that came, or lastUsed if the context ended.
+func (r *storeRelay) waitUntilUsed(lastUsed time.Time) time.Time {
+	r.responsesWatched.Store(false)
+	if !lastUsed.IsZero() {
+		if err := r.store.DeleteRelayRecords(r.tasks.ctx, r.member, r.maxTxnOps); err != nil {
+			r.log.Debug("deleting relay records failed", "err", err)
 		}
 	}
-	return nil
+	select {
+	case <-r.responseSignal:
+		return time.Now()
+	case <-r.tasks.ctx.Done():
+		return lastUsed
+	}
 }
 
-// answerBatch answers a batch of reports, each as if it had come by itself.
-func (n *Controller) answerBatch(b store.RelayBatch) {
-	letters, err := relay.Unpack(b.Payload)
-	if err != nil {
-		n.log.Warn("a batch of reports cannot be read", "member", b.Member, "err", err)
+// deliver hands the responses of a batch to their waiters, unless they are for an earlier incarnation.
+func (r *storeRelay) deliver(batch store.RelayBatch) {
+	envelopes, err := relay.Unpack(batch.Payload)
+	if err != nil || batch.Incarnation != r.incarnation {
 		return
 	}
-	ctx, cancel := context.WithTimeout(n.ctx, batchAnswerTimeout)
-	defer cancel()
-	answers := make([][]byte, len(letters))
-	var group errgroup.Group
-	group.SetLimit(maxConcurrentHeartbeats)
-	for i, l := range letters {
-		group.Go(func() error {
-			r, err := wire.DecodeHeartbeat(l.Body)
-			if err != nil {
-				return nil // its worker is answered by nobody; the others are
-			}
-			if v := n.handleHeartbeat(ctx, reconciler.HeartbeatReceived{Heartbeat: r, Relayed: true}); v.Leading && v.LeaseValid() {
-				answers[i] = wire.AppendHeartbeatResponse(nil, v.FencingToken, v.Commands)
-			}
-			return nil
-		})
-	}
-	_ = group.Wait()
-	var out []relay.Envelope
-	for i, a := range answers {
-		if a != nil {
-			out = append(out, relay.Envelope{ID: letters[i].ID, Body: a})
-		}
-	}
-	room := wire.MaxBatchPayload(config.StoreLimits(n.platform).MaxValueBytes)
-	for len(out) > 0 {
-		r := n.lease.Load()
-		text, k := relay.Pack(out, room)
-		if k == 0 {
-			out = out[1:] // more orders than a value holds: told again, fewer at a time
-			continue
-		}
-		if !r.valid() {
-			return
-		}
-		if _, err := n.store.PutHeartbeatResponses(n.ctx, r.tokenVersion, store.RelayBatch{Member: b.Member, RelayBatch: wire.RelayBatch{Incarnation: b.Incarnation, Seq: b.Seq, Payload: text}}); err != nil {
-			n.log.Debug("answers not handed over", "member", b.Member, "count", k, "err", err)
-			return
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, envelope := range r.outbox.AcceptResponses(time.Now(), batch.Seq, envelopes) {
+		if waiter := r.waiters[envelope.ID]; waiter != nil {
+			waiter <- envelope.Body
+			delete(r.waiters, envelope.ID)
 		}
-		out = out[k:]
 	}
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"math/rand/v2"
+	"sync/atomic"
 	"time"
 
 	"github.com/glentiller/glentiller/internal/admin"
@@ -13,108 +14,138 @@
 )
 
 const (
-	rolloutInterval = 5 * time.Second  // between looks at what the members tell
-	announcementTTL = 30 * time.Second // of what a member tells of itself
-	resignInterval  = time.Minute      // a leader gives way for a level no more often than this
+	rolloutInterval = 5 * time.Second  // between two looks at what the members announce
+	announcementTTL = 30 * time.Second // of what a member announces of itself
+	resignInterval  = time.Minute      // a leader resigns for the sake of a level no more often than this
 )
 
-// rolloutStatus is what this member knows of the way to the next level.
+// rolloutView is what this member knows of the feature level. The event loop writes it, and all read it.
+type rolloutView struct {
+	level  atomic.Uint32 // in force, as the election knows it
+	status atomic.Pointer[rolloutStatus]
+}
+
+// rolloutStatus is how the way to the next level stands.
 type rolloutStatus struct {
 	state   featuregate.State
 	reason  string
 	members map[string]featuregate.Member
 }
 
-// rulesSupported tells the front whether all members know the rules of jobs; nil: nobody watches over it,
-// and the operators have seen to it.
-func (n *Controller) rulesSupported() func() bool {
-	if n.operator.Rollout == nil {
+// constraintsInForce returns what tells the HTTP interface whether all members know the rules of jobs; nil:
+// the operators have seen to it, as no rollout is watched.
+func (c *Controller) constraintsInForce() func() bool {
+	if c.operator.Rollout == nil {
 		return nil
 	}
-	return func() bool { return featuregate.Level(n.featureLevel.Load()) >= featuregate.Constraints }
+	return func() bool { return featuregate.Level(c.rollout.level.Load()) >= featuregate.Constraints }
 }
 
-// runRollout tells the others what this member's program knows, and watches over the way to the
-// next level.
-func (n *Controller) runRollout() error {
-	me := featuregate.Member{Name: n.platform.Member, Release: n.release, Supported: featuregate.Supported, Incarnation: rand.Uint64()}
-	listed := []string{n.platform.Member}
-	for _, m := range n.platform.Members {
-		listed = append(listed, m.Member)
+// runRollout announces what this member's program supports, and has the election raise the feature level
+// once all members support the next one.
+func (c *Controller) runRollout() error {
+	self := featuregate.Member{
+		Name:        c.platform.Member,
+		Release:     c.release,
+		Supported:   featuregate.Supported,
+		Incarnation: rand.Uint64(),
+	}
+	expected := []string{c.platform.Member}
+	for _, m := range c.platform.Members {
+		expected = append(expected, m.Member)
 	}
-	gate := featuregate.NewGate(listed, n.operator.Rollout.SettleTime.Std())
-	var lease uint64
-	var gaveWay time.Time
-	for ; n.ctx.Err() == nil; store.Sleep(n.ctx, rolloutInterval) {
+	gate := featuregate.NewGate(expected, c.operator.Rollout.SettleTime.Std())
+	var leaseID uint64
+	var resignedAt time.Time // owned by the event loop
+	for ; c.tasks.running(); c.tasks.sleep(rolloutInterval) {
 		var err error
-		if lease, err = n.announce(lease, me); err != nil {
-			n.log.Debug("not announced", "err", err)
+		if leaseID, err = c.announce(leaseID, self); err != nil {
+			c.log.Debug("announcing this member failed", "err", err)
 			continue
 		}
-		known, err := n.store.ListMembers(n.ctx)
+		members, err := c.store.ListMembers(c.tasks.ctx)
 		if err != nil {
-			n.log.Debug("members are not known", "err", err)
+			c.log.Debug("listing members failed", "err", err)
 			continue
 		}
-		n.postUrgent(func(now time.Time) {
-			inForce := n.election.Level()
-			moved := gate.Step(now, inForce, known)
-			state, why := gate.State()
-			if moved {
-				n.log.Info("rollout", "state", state.String(), "level", inForce, "known", featuregate.Supported, "why", why)
-			}
-			n.rollout.Store(&rolloutStatus{state, why, known})
-			next := gate.NextLevel(inForce)
-			if n.operator.Rollout.Paused {
-				next = 0
-			}
-			ev := election.ProposeLevel{Level: next}
-			// Not on promises: nobody could claim then.
-			if r := n.lease.Load(); next > 0 && r.valid() && !r.restsOnVotes(now) && now.Sub(gaveWay) > resignInterval {
-				n.log.Info("giving way, for the next level", "to", next, "token", r.fencingToken)
-				gaveWay, ev.StepDown = now, true
-			}
-			n.applyElectionEffects(now, n.election.Step(now, ev))
-		})
+		c.loop.postUrgent(func(now time.Time) { c.evaluateRollout(now, gate, members, &resignedAt) })
 	}
 	return nil
 }
 
-// announce keeps what this member tells of itself alive. It returns the lease that it hangs on; 0:
-// it has to be told anew.
-func (n *Controller) announce(lease uint64, me featuregate.Member) (uint64, error) {
-	if lease != 0 {
-		err := n.store.RenewLease(lease)
+// evaluateRollout has the gate take what the members announce, and proposes the level that follows from it
+// to the election. A leader resigns for it, so that the next claim raises the level; not while it acts on
+// votes alone, as nobody could claim then.
+func (c *Controller) evaluateRollout(
+	now time.Time, gate *featuregate.Gate, members map[string]featuregate.Member, resignedAt *time.Time,
+) {
+	inForce := c.election.Level()
+	changed := gate.Step(now, inForce, members)
+	state, reason := gate.State()
+	if changed {
+		c.log.Info("rollout",
+			"state", state.String(), "level", inForce, "supported", featuregate.Supported, "why", reason)
+	}
+	c.rollout.status.Store(&rolloutStatus{state: state, reason: reason, members: members})
+	next := gate.NextLevel(inForce)
+	if c.operator.Rollout.Paused {
+		next = 0
+	}
+	proposal := election.ProposeLevel{Level: next}
+	lease := c.lease.load()
+	if next > 0 && lease.valid() && !lease.restsOnVotes(now) && now.Sub(*resignedAt) > resignInterval {
+		c.log.Info("resigning to raise the feature level", "level", next, "token", lease.fencingToken)
+		*resignedAt, proposal.StepDown = now, true
+	}
+	c.stepElection(now, proposal)
+}
+
+// announce keeps alive what this member announces of itself. It returns the lease at the state service that
+// the announcement is bound to; 0: it has to be announced anew.
+func (c *Controller) announce(leaseID uint64, self featuregate.Member) (uint64, error) {
+	if leaseID != 0 {
+		err := c.store.RenewLease(leaseID)
 		if err == nil {
-			return lease, nil
+			return leaseID, nil
 		}
 		if !errors.Is(err, store.ErrLeaseExpired) {
-			return lease, err
+			return leaseID, err
 		}
 	}
-	lease, err := n.store.GrantLease(announcementTTL)
+	leaseID, err := c.store.GrantLease(announcementTTL)
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(n.ctx, rolloutInterval)
+	ctx, cancel := context.WithTimeout(c.tasks.ctx, rolloutInterval)
 	defer cancel()
-	if err := n.store.PublishMember(ctx, lease, me); err != nil {
+	if err := c.store.PublishMember(ctx, leaseID, self); err != nil {
 		return 0, err
 	}
-	return lease, nil
+	return leaseID, nil
 }
 
-// describeRollout tells operators how the rollout stands; nil: it is off.
-func (n *Controller) describeRollout() *admin.Rollout {
-	s := n.rollout.Load()
-	if n.operator.Rollout == nil || s == nil {
+// rolloutStatus returns how the rollout stands, for the operators' interface; nil: none is watched, or
+// nothing is known yet.
+func (c *Controller) rolloutStatus() *admin.Rollout {
+	status := c.rollout.status.Load()
+	if c.operator.Rollout == nil || status == nil {
 		return nil
 	}
-	out := &admin.Rollout{Level: uint32(n.featureLevel.Load()), Supported: uint32(featuregate.Supported), State: s.state.String(), Reason: s.reason, Held: n.operator.Rollout.Paused}
-	for l := featuregate.Level(1); l <= featuregate.Supported; l++ {
-		out.Features = append(out.Features, admin.Feature{Name: featuregate.Features[l], Level: uint32(l), InForce: uint32(l) <= out.Level})
+	out := &admin.Rollout{
+		Level:     c.rollout.level.Load(),
+		Supported: uint32(featuregate.Supported),
+		State:     status.state.String(),
+		Reason:    status.reason,
+		Held:      c.operator.Rollout.Paused,
+	}
+	for level := featuregate.Level(1); level <= featuregate.Supported; level++ {
+		out.Features = append(out.Features, admin.Feature{
+			Name:    featuregate.Features[level],
+			Level:   uint32(level),
+			InForce: uint32(level) <= out.Level,
+		})
 	}
-	for _, m := range s.members {
+	for _, m := range status.members {
 		out.Members = append(out.Members, m)
 	}
 	return out
--- a/internal/controller/staleness.go
+++ b/internal/controller/staleness.go
@@ -1,86 +1,138 @@
 package controller
 
 import (
+	"log/slog"
 	"maps"
 	"math"
 	"slices"
 	"time"
 
+	"github.com/glentiller/glentiller/internal/config"
+	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/peer/peerpb"
 	"github.com/glentiller/glentiller/internal/staleness"
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// What a leader knows of cancellations: docs/safety.md, "Cancelled is gone in time".
+// cancellationKnowledge bounds a leader by how old its knowledge of cancellations is: users hear of a
+// cancellation from any member, and its tasks have to end in time (docs/safety.md). The event loop owns
+// it, but for the bound, which never changes.
+type cancellationKnowledge struct {
+	bound        staleness.Bound
+	tracker      *staleness.Tracker // nil: the leader has no reconciler yet
+	tooStale     bool               // the leader knows too little to act
+	acknowledged map[string]store.CancellationCursor
+	log          *slog.Logger
+}
 
-// learnCancellations takes another member's word on cancellations, which it was asked for at a moment. The core
-// has them before the book says so.
-func (n *Controller) learnCancellations(now, sent time.Time, member string, a *peerpb.PromiseAnswer) {
-	ids, versions := a.GetCancelled(), a.GetVersions()
-	told := make([]store.Cancellation, len(ids))
-	for i, id := range ids {
-		told[i] = store.Cancellation{ID: id, Version: math.MaxUint64} // an old version does not say it
-		if len(versions) == len(ids) {
-			told[i].Version = versions[i]
-		}
+func newCancellationKnowledge(p *config.Platform, log *slog.Logger) cancellationKnowledge {
+	bound, ok := config.StalenessBound(p)
+	if !ok {
+		log.Warn("workers' leases are too long for cancel_s: "+
+			"tasks of cancelled jobs on machines that can't be reached may outlast it",
+			"lease_s", p.Deployment.Workers.Lease,
+			"cancel_s", p.Deployment.Workers.Cancel,
+			"knows_of_cancellations_within", bound.KeepLeases)
 	}
-	n.jobs.ApplyCancellations(told)
-	n.applyJobChanges(now)
-	n.acknowledged[member] = store.CancellationCursor{Incarnation: a.GetLife(), Count: a.GetTold()}
-	if n.staleness != nil && a.GetWhole() {
-		n.staleness.Acknowledged(member, sent)
+	return cancellationKnowledge{bound: bound, acknowledged: map[string]store.CancellationCursor{}, log: log}
+}
+
+// begin starts to track for a leader that has read the records as of a moment.
+func (k *cancellationKnowledge) begin(members []string, recordsAsOf time.Time) {
+	k.tracker, k.tooStale = staleness.NewTracker(members, recordsAsOf), false
+}
+
+// end stops to track: this controller leads no more.
+func (k *cancellationKnowledge) end() { k.tracker, k.tooStale = nil, false }
+
+// acknowledge takes up to where a member has sent its cancellations, when it was asked, and whether these
+// are all that it knows.
+func (k *cancellationKnowledge) acknowledge(
+	member string, cursor store.CancellationCursor, complete bool, asked time.Time,
+) {
+	k.acknowledged[member] = cursor
+	if k.tracker != nil && complete {
+		k.tracker.Acknowledged(member, asked)
 	}
 }
 
-// updateStaleness notes as of when the records were read.
-func (n *Controller) updateStaleness(now time.Time) {
-	if n.staleness == nil {
+// limit bounds a lease by what this leader knows of cancellations. Before it has a reconciler it answers
+// nobody, so nothing bounds it.
+func (k *cancellationKnowledge) limit(now time.Time, lease *leadershipLease) {
+	if k.tracker == nil {
+		lease.freshUntil = lease.grantedUntil()
 		return
 	}
-	at := n.jobs.AsOf()
-	n.applyJobChanges(now) // what that reading has brought
-	n.staleness.RecordsRead(at)
+	knownAsOf := k.tracker.KnownAsOf()
+	lease.freshUntil = knownAsOf.Add(k.bound.KeepLeases)
+	lease.freshStartsUntil = knownAsOf.Add(k.bound.StartTasks)
+	tooStale := !now.Before(lease.freshUntil) && now.Before(lease.grantedUntil())
+	if tooStale == k.tooStale {
+		return
+	}
+	k.tooStale = tooStale
+	k.log.Warn("cancellation knowledge",
+		"too_stale", tooStale, "age", now.Sub(knownAsOf), "limit", k.bound.KeepLeases, "token", lease.fencingToken)
 }
 
-// limitByStaleness bounds a right by what this leader knows of cancellations. Before its core is there it
-// answers nobody.
-func (n *Controller) limitByStaleness(now time.Time, r *leadershipLease) {
-	if n.staleness == nil {
-		r.freshUntil = latest(r.leaseUntil, r.votesUntil)
-		return
+// tooStaleToLead reports whether the state service serves this leader and still it has not come to know of
+// cancellations for so long that it may not act: another member may do better.
+func (k *cancellationKnowledge) tooStaleToLead(now time.Time, machine *election.StateMachine) bool {
+	return k.tooStale && now.Before(machine.LeaseValidUntil())
+}
+
+// learnCancellations takes the cancellations in another member's answer to a request for its vote. The
+// reconciler has them before the knowledge counts as newer.
+func (c *Controller) learnCancellations(now, asked time.Time, member string, answer *peerpb.PromiseAnswer) {
+	ids, versions := answer.GetCancelled(), answer.GetVersions()
+	cancelled := make([]store.Cancellation, len(ids))
+	for i, id := range ids {
+		// A member of an earlier version sends no record versions.
+		cancelled[i] = store.Cancellation{ID: id, Version: math.MaxUint64}
+		if len(versions) == len(ids) {
+			cancelled[i].Version = versions[i]
+		}
 	}
-	since := n.staleness.KnownAsOf()
-	r.freshUntil, r.freshStartsUntil = since.Add(n.stalenessBound.KeepLeases), since.Add(n.stalenessBound.StartTasks)
-	if behind := !now.Before(r.freshUntil) && now.Before(latest(r.leaseUntil, r.votesUntil)); behind != n.tooStale {
-		n.tooStale = behind
-		n.log.Warn("cancellations that users were told of", "unknown", behind, "since", now.Sub(since), "most", n.stalenessBound.KeepLeases, "token", r.fencingToken)
+	c.jobs.ApplyCancellations(cancelled)
+	c.applyJobChanges(now)
+	cursor := store.CancellationCursor{Incarnation: answer.GetLife(), Count: answer.GetTold()}
+	c.cancellations.acknowledge(member, cursor, answer.GetWhole(), asked)
+}
+
+// refreshCancellations notes as of when the job records were read, after the reconciler has what that
+// reading brought.
+func (c *Controller) refreshCancellations(now time.Time) {
+	if c.cancellations.tracker == nil {
+		return
 	}
+	asOf := c.jobs.AsOf()
+	c.applyJobChanges(now)
+	c.cancellations.tracker.RecordsRead(asOf)
 }
 
-// tooStaleToLead tells that this leader is served, but has not come to know of cancellations for so long that
-// it may act no more: another one may do better.
-func (n *Controller) tooStaleToLead(now time.Time) bool {
-	return n.tooStale && now.Before(n.election.LeaseValidUntil())
+// beginCancellations starts to track for a leadership whose reconciler was just made.
+func (c *Controller) beginCancellations(now time.Time) {
+	c.cancellations.begin(slices.Collect(maps.Keys(c.peers)), c.jobs.AsOf())
+	c.publishLease(now)
 }
 
-// pollJobRecords has a leader read the changes of the job records, where nothing else does: the
-// watch tells of changes, and not that there are none.
-func (n *Controller) pollJobRecords() error {
-	every := min(time.Second, n.stalenessBound.StartTasks/4)
-	for n.ctx.Err() == nil {
-		store.Sleep(n.ctx, every)
-		if n.lease.Load() == nil || time.Since(n.jobs.AsOf()) < every || !n.jobs.Loaded() {
+const (
+	maxPollInterval     = time.Second
+	pollsPerStaleStarts = 4 // polls within the time after which a leader starts no more tasks
+)
+
+// pollJobRecords has a leader read the changes of the job records if nothing else does: a watch reports
+// changes, but not that there are none.
+func (c *Controller) pollJobRecords() error {
+	every := min(maxPollInterval, c.cancellations.bound.StartTasks/pollsPerStaleStarts)
+	for c.tasks.running() {
+		c.tasks.sleep(every)
+		if c.lease.load() == nil || time.Since(c.jobs.AsOf()) < every || !c.jobs.Loaded() {
 			continue
 		}
-		if err := n.jobs.CatchUp(n.ctx); err != nil {
-			n.log.Debug("job records", "err", err)
+		if err := c.jobs.CatchUp(c.tasks.ctx); err != nil {
+			c.log.Debug("reading job changes failed", "err", err)
 		}
 	}
 	return nil
 }
-
-// startStaleness begins the book of a leadership whose core has just been made.
-func (n *Controller) startStaleness(now time.Time) {
-	n.staleness, n.tooStale = staleness.NewTracker(slices.Collect(maps.Keys(n.peers)), n.jobs.AsOf()), false
-	n.publishLease(now)
-}
