--- a/cmd/glentiller/rollout.go
+++ b/cmd/glentiller/rollout.go
@@ -4,8 +4,10 @@
 	"cmp"
 	"errors"
 	"fmt"
+	"os"
 	"slices"
 
+	"github.com/glentiller/glentiller/internal/cli"
 	"github.com/glentiller/glentiller/internal/featuregate"
 )
 
@@ -18,37 +20,42 @@
 	JSON bool `help:"Write JSON."`
 }
 
-// Run asks and writes.
+// errNoRollout is returned by a controller that does not watch a rollout.
+var errNoRollout = errors.New("nothing is known of a rollout yet: " +
+	"the state service has not answered, or <rollout> is not in the operators' settings")
+
+// Run prints which feature level is in force and what the members support.
 func (c *rolloutStatusCmd) Run() error {
 	client, err := c.connect()
 	if err != nil {
 		return err
 	}
-	m, err := client.MemberStatus()
+	status, err := client.MemberStatus()
 	if err != nil {
 		return err
 	}
-	r := m.Rollout
-	if r == nil {
-		return errors.New("nothing is known of a rollout yet: the state service has not answered, or <rollout> is not in the operators' settings")
+	rollout := status.Rollout
+	if rollout == nil {
+		return errNoRollout
 	}
 	if c.JSON {
-		return writeJSON(r)
+		return cli.WriteJSON(os.Stdout, rollout)
 	}
-	fmt.Printf("level %d is in force, %s knows %d; %s: %s\n", r.Level, m.Member, r.Supported, r.State, r.Reason)
-	if r.Held {
+	fmt.Printf("level %d is in force, %s knows %d; %s: %s\n",
+		rollout.Level, status.Member, rollout.Supported, rollout.State, rollout.Reason)
+	if rollout.Held {
 		fmt.Println("this member is held: it raises nothing")
 	}
-	for _, f := range r.Features {
+	for _, feature := range rollout.Features {
 		state := "not in force"
-		if f.InForce {
+		if feature.InForce {
 			state = "in force"
 		}
-		fmt.Printf("  %-12s level %d, %s\n", f.Name, f.Level, state)
+		fmt.Printf("  %-12s level %d, %s\n", feature.Name, feature.Level, state)
 	}
-	slices.SortFunc(r.Members, func(a, b featuregate.Member) int { return cmp.Compare(a.Name, b.Name) })
-	for _, o := range r.Members {
-		fmt.Printf("  %-12s release %s, knows level %d\n", o.Name, o.Release, o.Supported)
+	slices.SortFunc(rollout.Members, func(a, b featuregate.Member) int { return cmp.Compare(a.Name, b.Name) })
+	for _, member := range rollout.Members {
+		fmt.Printf("  %-12s release %s, knows level %d\n", member.Name, member.Release, member.Supported)
 	}
 	return nil
 }
