--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -5,7 +5,7 @@
 //
 // A leader holds a lease at the state service. Votes of all other members, each of which promises
 // not to claim for a time, keep its leadership valid while the state service is unreachable. The
-// safety argument is in docs/safety.md, "One leader".
+// safety argument is in docs/safety.md, "Single leader".
 package election
 
 import (
--- a/internal/election/validity.go
+++ b/internal/election/validity.go
@@ -9,7 +9,7 @@
 
 // ValidUntil returns when this controller's leadership ends unless it is extended before; zero: it
 // does not lead. It is the later one of what the lease and what the votes of all other members
-// prove: docs/safety.md, "Promises".
+// prove: docs/safety.md, "Votes".
 func (m *StateMachine) ValidUntil() time.Time {
 	until := m.LeaseValidUntil()
 	if m.state == Leading {
--- a/internal/election/votes.go
+++ b/internal/election/votes.go
@@ -4,7 +4,7 @@
 
 // votes holds the vote that this member has cast and the votes that it has received as a leader. A
 // member that votes for a leader does not claim the leadership until a given time. The safety
-// argument is in docs/safety.md, "Promises".
+// argument is in docs/safety.md, "Votes".
 type votes struct {
 	// The vote that this member has cast.
 	state         voteState
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }() // nothing was written that could be lost
 	go func() {
 		conn, err := l.Accept()
 		if err != nil {
--- a/internal/relay/envelope.go
+++ b/internal/relay/envelope.go
@@ -5,13 +5,26 @@
 	"encoding/base64"
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"io"
 	"sync"
 
 	"github.com/klauspost/compress/flate"
 )
 
-// compressors are kept: each holds some hundred KB.
+// Envelope is a heartbeat on its way, or the response to one.
+type Envelope struct {
+	ID   uint64
+	Body []byte
+}
+
+// ErrMalformedBatch says that a payload was not made by Pack.
+var ErrMalformedBatch = errors.New("malformed batch of heartbeats")
+
+// maxUnpackedBytes bounds what a payload may decompress to.
+const maxUnpackedBytes = 4 << 20
+
+// compressors are reused, since each holds some hundred KB.
 var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
@@ -20,65 +33,72 @@
 	return w
 }}
 
-// Pack makes one text of as many letters as fit into a size, the first ones; 0: not even one does.
-// Values at the state service hold nothing binary, so what is compressed is written as base64.
-func Pack(letters []Envelope, size int) (text string, n int) {
-	for n = len(letters); n > 0; n /= 2 {
-		if text = encode(letters[:n]); len(text) <= size {
-			return text, n
+// Pack makes a payload of at most maxBytes from the first envelopes, and returns how many of them it
+// holds; 0: not even one fits. It is text, since values at the state service can't be binary.
+func Pack(envelopes []Envelope, maxBytes int) (payload string, count int) {
+	for count = len(envelopes); count > 0; count /= 2 {
+		if payload = encode(envelopes[:count]); len(payload) <= maxBytes {
+			return payload, count
 		}
 	}
 	return "", 0
 }
 
-func encode(letters []Envelope) string {
+func encode(envelopes []Envelope) string {
 	var out bytes.Buffer
 	w := compressors.Get().(*flate.Writer)
 	defer compressors.Put(w)
 	w.Reset(&out)
-	var head []byte
-	for _, l := range letters {
-		head = binary.AppendUvarint(binary.AppendUvarint(head[:0], l.ID), uint64(len(l.Body)))
-		_, _ = w.Write(head) // a buffer takes everything
-		_, _ = w.Write(l.Body)
+	var header []byte
+	for _, e := range envelopes {
+		header = binary.AppendUvarint(header[:0], e.ID)
+		header = binary.AppendUvarint(header, uint64(len(e.Body)))
+		_, _ = w.Write(header) // a buffer takes everything
+		_, _ = w.Write(e.Body)
 	}
 	_ = w.Close()
 	return base64.RawStdEncoding.EncodeToString(out.Bytes())
 }
 
-// maxUnpackedBytes bounds what a batch may unfold to.
-const maxUnpackedBytes = 4 << 20
+// Unpack returns the envelopes of a payload. Its errors are ErrMalformedBatch.
+func Unpack(payload string) ([]Envelope, error) {
+	rest, err := decompress(payload)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformedBatch, err)
+	}
+	var envelopes []Envelope
+	for len(rest) > 0 {
+		id, idBytes := binary.Uvarint(rest)
+		if idBytes <= 0 {
+			return nil, fmt.Errorf("%w: an id is cut off", ErrMalformedBatch)
+		}
+		rest = rest[idBytes:]
+		size, sizeBytes := binary.Uvarint(rest)
+		if sizeBytes <= 0 || size > uint64(len(rest)-sizeBytes) {
+			return nil, fmt.Errorf("%w: a body is cut off", ErrMalformedBatch)
+		}
+		rest = rest[sizeBytes:]
+		envelopes = append(envelopes, Envelope{id, rest[:size:size]})
+		rest = rest[size:]
+	}
+	return envelopes, nil
+}
 
-// Unpack reads letters back.
-func Unpack(text string) ([]Envelope, error) {
-	b, err := base64.RawStdEncoding.DecodeString(text)
+func decompress(payload string) ([]byte, error) {
+	compressed, err := base64.RawStdEncoding.DecodeString(payload)
 	if err != nil {
 		return nil, err
 	}
-	r := flate.NewReader(bytes.NewReader(b))
-	defer r.Close()
-	all, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
+	r := flate.NewReader(bytes.NewReader(compressed))
+	content, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(all) > maxUnpackedBytes {
-		return nil, errors.New("a batch of letters that unfolds to too much")
+	if err := r.Close(); err != nil {
+		return nil, err
 	}
-	var out []Envelope
-	for len(all) > 0 {
-		id, n := binary.Uvarint(all)
-		if n <= 0 {
-			return nil, ErrMalformedBatch
-		}
-		size, k := binary.Uvarint(all[n:])
-		if k <= 0 || size > uint64(len(all)-n-k) {
-			return nil, ErrMalformedBatch
-		}
-		all = all[n+k:]
-		out = append(out, Envelope{id, all[:size:size]})
-		all = all[size:]
+	if len(content) > maxUnpackedBytes {
+		return nil, fmt.Errorf("more than %d bytes", maxUnpackedBytes)
 	}
-	return out, nil
+	return content, nil
 }
-
-var ErrMalformedBatch = errors.New("not a batch of letters")
--- a/internal/relay/outbox.go
+++ b/internal/relay/outbox.go
@@ -1,6 +1,3 @@
-// Package relay decides how workers' reports reach a leader that this member cannot reach: by way
-// of the state service, in batches. It is pure: reports and the time go in, batches come out. Why
-// a report may take any way is in docs/safety.md, "Reports that are handed on".
 package relay
 
 import (
@@ -9,216 +6,176 @@
 	"time"
 )
 
-// Path is the way to the leader, as far as this member knows.
-type Path uint8
-
-// The paths.
-const (
-	Direct      Path = iota // the leader is heard, or nothing is known against it
-	ViaStore                // it is not: by way of the state service
-	Unreachable             // nor does it answer there
-)
-
-func (p Path) String() string { return [...]string{"direct", "post", "lost"}[p] }
-
-// Settings bound what is sent.
-type Settings struct {
-	BatchInterval    time.Duration // between batches, at the least
-	MaxQueued        int           // reports that wait, at the most
-	MaxQueuedBytes   int           // and how large they are together
-	MaxInFlight      int           // batches that are not answered, at the most
-	HeartbeatTimeout time.Duration // how long a report may take until its answer is of no use
-	RetryAfter       time.Duration // before the leader is tried again that has not answered
-}
-
-// maxUnansweredBatches is how many batches in a row without an answer show that nobody takes them.
-const maxUnansweredBatches = 4
-
-// Envelope is a report on its way, or the answer to one.
-type Envelope struct {
-	ID   uint64
-	Body []byte
-}
-
-// Outbox holds the reports that wait for a batch, and what is out. It belongs to one goroutine at
-// a time.
+// Outbox holds the heartbeats that wait for a batch, and the batches that wait for a response. Its
+// owner keeps its methods from being called concurrently.
 type Outbox struct {
-	settings          Settings
+	settings Settings
+
 	path              Path
 	pathSince         time.Time
-	pathChanged       func(from, to Path, why string)
-	queue             []Envelope
-	queuedBytes       int                  // of the queue
-	receivedAt        map[uint64]time.Time // when reports came that are not answered or given up
-	lastID            uint64
-	lastSeq           uint64
-	inFlight          map[uint64]inFlightBatch // that are not answered
-	noLeader          bool                     // nobody leads: reports wait for whoever will
-	lastSentAt        time.Time                // when one left
-	unansweredBatches int                      // batches in a row that were not answered
+	pathChanged       func(from, to Path, why string) // nil: nobody is told
+	noLeader          bool                            // nobody leads: heartbeats wait for the next leader
+	unansweredBatches int                             // batches in a row that got no response in time
+
+	lastID     uint64               // of a heartbeat
+	receivedAt map[uint64]time.Time // when heartbeats came whose workers still wait, by id
+	queue      heartbeatQueue
+
+	lastSeq    uint64 // of a batch
+	lastSentAt time.Time
+	inFlight   map[uint64]inFlightBatch // by sequence number
 }
 
-// inFlightBatch is out.
+// inFlightBatch is a batch that waits for its response.
 type inFlightBatch struct {
 	sentAt    time.Time
 	envelopes []Envelope
 }
 
-// New makes an outbox. moved is told of each change of the path, with the evidence.
-func New(set Settings, moved func(from, to Path, why string)) *Outbox {
-	return &Outbox{settings: set, pathChanged: moved, receivedAt: map[uint64]time.Time{}, inFlight: map[uint64]inFlightBatch{}}
+// New returns an empty outbox. pathChanged is told of each change of the path, with the reason.
+func New(settings Settings, pathChanged func(from, to Path, why string)) *Outbox {
+	return &Outbox{
+		settings:    settings,
+		pathChanged: pathChanged,
+		receivedAt:  map[uint64]time.Time{},
+		inFlight:    map[uint64]inFlightBatch{},
+	}
 }
 
-// Path tells the way to the leader.
+// Path returns the present path to the leader.
 func (o *Outbox) Path() Path { return o.path }
 
-// transition changes the path; it is the only place that does.
-func (o *Outbox) transition(now time.Time, p Path, why string) {
-	if o.path != p {
-		if o.pathChanged != nil {
-			o.pathChanged(o.path, p, why)
-		}
-		o.path, o.pathSince, o.unansweredBatches = p, now, 0
+// transition changes the path; nothing else does.
+func (o *Outbox) transition(now time.Time, to Path, why string) {
+	if o.path == to {
+		return
 	}
+	if o.pathChanged != nil {
+		o.pathChanged(o.path, to, why)
+	}
+	o.path, o.pathSince, o.unansweredBatches = to, now, 0
 }
 
-// ObserveContact takes whether the leader is within reach of this member by itself. One that is goes before
-// everything else.
+// ObserveContact takes whether this member reaches the leader itself, and returns the path. A leader
+// that is reachable is never relayed to.
 func (o *Outbox) ObserveContact(now time.Time, reached bool) Path {
 	switch {
 	case reached:
-		o.transition(now, Direct, "the leader is heard")
+		o.transition(now, Direct, "the leader is reachable")
 	case o.path == Direct:
-		o.transition(now, ViaStore, "the leader is not heard, or takes nothing that is handed on")
+		o.transition(now, ViaStore, "the leader is unreachable, or takes no relayed heartbeats")
 	case o.path == Unreachable && now.Sub(o.pathSince) >= o.settings.RetryAfter:
 		o.transition(now, ViaStore, "tried again")
 	}
 	return o.path
 }
 
-// LeaderChanged takes that another one leads, or for now nobody. What kept this member from the last one
-// likely keeps it from this one too, until it is heard: guards against workers that are sent in
-// vain, for seconds that their leases do not have, to a leader on the other side of the same cut.
-// What was out is sent again: the new one reads nothing of before its time.
-func (o *Outbox) LeaderChanged(now time.Time, nobody bool) {
-	o.noLeader, o.unansweredBatches = nobody, 0
+// LeaderChanged says that another member leads, or for now none. The path stays: what separates this
+// member from the last leader likely separates it from the new one, and workers that were redirected
+// to it in vain would lose seconds that their leases do not have. Batches in flight are sent again,
+// since a new leader reads nothing from before its time.
+func (o *Outbox) LeaderChanged(now time.Time, noLeader bool) {
+	o.noLeader, o.unansweredBatches = noLeader, 0
 	if o.path == Unreachable {
-		o.transition(now, ViaStore, "another one is to lead")
+		o.transition(now, ViaStore, "the leader changes")
 	}
 	var again []Envelope
 	for seq := range o.inFlight {
 		again = append(again, o.reclaim(seq)...)
 	}
 	slices.SortFunc(again, func(a, b Envelope) int { return cmp.Compare(a.ID, b.ID) })
-	o.queue = append(again, o.queue...)
+	o.queue.pushFront(again)
 }
 
-// reclaim takes a batch back, as far as somebody still waits for it.
-func (o *Outbox) reclaim(seq uint64) (live []Envelope) {
-	for _, l := range o.inFlight[seq].envelopes {
-		if _, ok := o.receivedAt[l.ID]; ok {
-			live = append(live, l)
-			o.queuedBytes += len(l.Body)
+// reclaim takes a batch out of flight, and returns the heartbeats whose workers still wait.
+func (o *Outbox) reclaim(seq uint64) []Envelope {
+	var waiting []Envelope
+	for _, e := range o.inFlight[seq].envelopes {
+		if _, ok := o.receivedAt[e.ID]; ok {
+			waiting = append(waiting, e)
 		}
 	}
 	delete(o.inFlight, seq)
-	return live
+	return waiting
 }
 
-// Add takes a report. Where too much waits already, or there is no path, it is not taken: its worker
-// had better ask another member.
-func (o *Outbox) Add(now time.Time, report []byte) (id uint64, ok bool) {
-	if o.path != ViaStore || len(o.queue) >= o.settings.MaxQueued || o.queuedBytes+len(report) > o.settings.MaxQueuedBytes {
+// Add queues a heartbeat. It is not accepted if there is no path, or if the queue is full: its worker
+// should ask another member at once.
+func (o *Outbox) Add(now time.Time, heartbeat []byte) (id uint64, ok bool) {
+	if o.path != ViaStore || !o.queue.hasRoom(&o.settings, heartbeat) {
 		return 0, false
 	}
 	o.lastID++
-	o.queuedBytes += len(report)
-	o.queue = append(o.queue, Envelope{o.lastID, report})
+	o.queue.push(Envelope{o.lastID, heartbeat})
 	o.receivedAt[o.lastID] = now
 	return o.lastID, true
 }
 
-// Cancel forgets a report whose worker waits no more.
+// Cancel says that the worker of a heartbeat waits no longer.
 func (o *Outbox) Cancel(id uint64) { delete(o.receivedAt, id) }
 
-// NextBatchAt is when the next batch may leave; zero: nothing waits, or too much is out.
-func (o *Outbox) NextBatchAt(now time.Time) time.Time {
-	if o.noLeader || len(o.queue) == 0 || len(o.inFlight) >= o.settings.MaxInFlight {
+// NextBatchAt returns when the next batch may be sent; zero: nothing is queued, nobody leads, or too
+// many batches are in flight.
+func (o *Outbox) NextBatchAt(time.Time) time.Time {
+	if o.noLeader || o.queue.len() == 0 || len(o.inFlight) >= o.settings.MaxInFlight {
 		return time.Time{}
 	}
 	return o.lastSentAt.Add(o.settings.BatchInterval)
 }
 
-// TakeBatch makes the next batch, as many reports as fit into a size of text, the oldest first. What
-// nobody waits for any more is left out; what is too large by itself is dropped.
-func (o *Outbox) TakeBatch(now time.Time, size int) (seq uint64, text string, n int) {
+// TakeBatch takes the next batch: a payload of at most maxBytes with as many heartbeats as fit, the
+// oldest first. Those whose workers wait no longer are left out; one that does not fit by itself is
+// dropped. count is how many there are; 0: there is no batch.
+func (o *Outbox) TakeBatch(now time.Time, maxBytes int) (seq uint64, payload string, count int) {
 	o.dropExpired(now)
-	for len(o.queue) > 0 {
-		if text, n = Pack(o.queue, size); n > 0 {
+	for o.queue.len() > 0 {
+		if payload, count = Pack(o.queue.envelopes, maxBytes); count > 0 {
 			break
 		}
-		delete(o.receivedAt, o.queue[0].ID) // more than a value holds
-		o.queuedBytes -= len(o.queue[0].Body)
-		o.queue = o.queue[1:]
+		delete(o.receivedAt, o.queue.popFront().ID)
 	}
-	if n == 0 {
+	if count == 0 {
 		return 0, "", 0
 	}
-	sent := o.queue[:n:n]
-	for _, l := range sent {
-		o.queuedBytes -= len(l.Body)
-	}
-	o.queue = append([]Envelope(nil), o.queue[n:]...)
 	o.lastSeq++
-	o.inFlight[o.lastSeq], o.lastSentAt = inFlightBatch{now, sent}, now
-	return o.lastSeq, text, n
-}
-
-// dropExpired drops what nobody waits for any more.
-func (o *Outbox) dropExpired(now time.Time) {
-	live := o.queue[:0]
-	for _, l := range o.queue {
-		if at, ok := o.receivedAt[l.ID]; ok && now.Sub(at) < o.settings.HeartbeatTimeout {
-			live = append(live, l)
-		} else {
-			delete(o.receivedAt, l.ID)
-			o.queuedBytes -= len(l.Body)
-		}
-	}
-	o.queue = live
+	o.inFlight[o.lastSeq] = inFlightBatch{sentAt: now, envelopes: o.queue.take(count)}
+	o.lastSentAt = now
+	return o.lastSeq, payload, count
 }
 
-// WriteFailed takes that a batch was not written: it goes with the next one.
-func (o *Outbox) WriteFailed(seq uint64) { o.queue = append(o.reclaim(seq), o.queue...) }
+// WriteFailed says that a batch was not written: its heartbeats go with the next one.
+func (o *Outbox) WriteFailed(seq uint64) { o.queue.pushFront(o.reclaim(seq)) }
 
-// AcceptResponses takes the answers to a batch. It tells which of them somebody still waits for: an answer
-// that comes after its worker has given up must not reach it.
-func (o *Outbox) AcceptResponses(now time.Time, seq uint64, letters []Envelope) (live []Envelope) {
+// AcceptResponses takes responses to a batch, and returns those for which a worker still waits. A
+// response that comes later must not reach it.
+func (o *Outbox) AcceptResponses(now time.Time, seq uint64, responses []Envelope) []Envelope {
 	if _, ok := o.inFlight[seq]; ok {
 		delete(o.inFlight, seq)
 		o.unansweredBatches = 0
 	}
-	for _, l := range letters {
-		if at, ok := o.receivedAt[l.ID]; ok && now.Sub(at) < o.settings.HeartbeatTimeout {
-			delete(o.receivedAt, l.ID)
-			live = append(live, l)
+	var awaited []Envelope
+	for _, e := range responses {
+		if o.isAwaited(now, e.ID) {
+			delete(o.receivedAt, e.ID)
+			awaited = append(awaited, e)
 		}
 	}
-	return live
+	return awaited
 }
 
-// Tick takes that time has passed: batches without an answer in time count against the path.
+// Tick says that time has passed. Batches without a response in time count against the path.
 func (o *Outbox) Tick(now time.Time) {
 	if o.noLeader {
-		o.dropExpired(now) // no batch leaves: what was given up must not take the place of what comes
+		// No batch is taken, so what has expired would fill the queue.
+		o.dropExpired(now)
 	}
-	for seq, b := range o.inFlight {
-		if now.Sub(b.sentAt) < o.settings.HeartbeatTimeout {
+	for seq, batch := range o.inFlight {
+		if now.Sub(batch.sentAt) < o.settings.HeartbeatTimeout {
 			continue
 		}
 		delete(o.inFlight, seq)
 		if o.unansweredBatches++; o.unansweredBatches >= maxUnansweredBatches && o.path == ViaStore {
-			o.transition(now, Unreachable, "nobody answers by way of the state service")
+			o.transition(now, Unreachable, "no responses through the state service")
 		}
 	}
 	for id, at := range o.receivedAt {
@@ -228,7 +185,24 @@
 	}
 }
 
-// Idle tells that nothing waits and nothing is out.
+// isAwaited reports whether a worker still waits for the response to a heartbeat.
+func (o *Outbox) isAwaited(now time.Time, id uint64) bool {
+	at, ok := o.receivedAt[id]
+	return ok && now.Sub(at) < o.settings.HeartbeatTimeout
+}
+
+// dropExpired drops the queued heartbeats whose workers wait no longer.
+func (o *Outbox) dropExpired(now time.Time) {
+	o.queue.keep(func(e Envelope) bool {
+		if o.isAwaited(now, e.ID) {
+			return true
+		}
+		delete(o.receivedAt, e.ID)
+		return false
+	})
+}
+
+// Idle reports that nothing is queued, in flight or awaited.
 func (o *Outbox) Idle() bool {
-	return len(o.queue) == 0 && len(o.inFlight) == 0 && len(o.receivedAt) == 0
+	return o.queue.len() == 0 && len(o.inFlight) == 0 && len(o.receivedAt) == 0
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -9,7 +10,16 @@
 	"time"
 )
 
-var testSettings = Settings{BatchInterval: 250 * time.Millisecond, MaxQueued: 5, MaxQueuedBytes: 1 << 20, MaxInFlight: 2, HeartbeatTimeout: 2 * time.Second, RetryAfter: 8 * time.Second}
+var testSettings = Settings{
+	BatchInterval:    250 * time.Millisecond,
+	MaxQueued:        5,
+	MaxQueuedBytes:   1 << 20,
+	MaxInFlight:      2,
+	HeartbeatTimeout: 2 * time.Second,
+	RetryAfter:       8 * time.Second,
+}
+
+const maxPayloadBytes = 1000
 
 var startTime = time.Unix(1e9, 0)
 
@@ -25,153 +35,223 @@
 	return b
 }
 
+func equalEnvelopes(a, b Envelope) bool { return a.ID == b.ID && string(a.Body) == string(b.Body) }
+
 func TestPackUnpackRoundTrip(t *testing.T) {
 	for range 200 {
-		var letters []Envelope
+		var envelopes []Envelope
 		for range 1 + random.IntN(40) {
-			letters = append(letters, Envelope{random.Uint64(), randomBody(random.IntN(300))})
+			envelopes = append(envelopes, Envelope{random.Uint64(), randomBody(random.IntN(300))})
+		}
+		maxBytes := 10 + random.IntN(20_000)
+		payload, n := Pack(envelopes, maxBytes)
+		got, err := Unpack(payload)
+		if len(payload) > maxBytes {
+			t.Fatalf("got a payload of %d bytes, want at most %d", len(payload), maxBytes)
 		}
-		size := 10 + random.IntN(20_000)
-		text, n := Pack(letters, size)
-		got, err := Unpack(text)
-		if len(text) > size || n > 0 && (err != nil || !slices.EqualFunc(got, letters[:n], func(a, b Envelope) bool { return a.ID == b.ID && string(a.Body) == string(b.Body) })) {
-			t.Fatalf("%d letters in %d bytes of %d: %v", n, len(text), size, err)
+		if n > 0 && (err != nil || !slices.EqualFunc(got, envelopes[:n], equalEnvelopes)) {
+			t.Fatalf("unpacked: got %d envelopes, error %v; want the %d that were packed", len(got), err, n)
 		}
 	}
 }
 
 func TestUnpackRejectsMalformedBatch(t *testing.T) {
 	good := encode([]Envelope{{1, []byte("abc")}})
-	for _, bad := range []string{"", "%", "AAAA", good[:len(good)-3], encode([]Envelope{{1, make([]byte, maxUnpackedBytes)}})} {
-		if got, err := Unpack(bad); err == nil && len(got) > 0 {
-			t.Errorf("%.20q is taken for %d letters", bad, len(got))
+	tooLarge := encode([]Envelope{{1, make([]byte, maxUnpackedBytes)}})
+	for _, bad := range []string{"", "%", "AAAA", good[:len(good)-3], tooLarge} {
+		got, err := Unpack(bad)
+		if err == nil && len(got) > 0 {
+			t.Errorf("Unpack(%.20q): got %d envelopes and no error, want none or an error", bad, len(got))
 		}
+		if err != nil && !errors.Is(err, ErrMalformedBatch) {
+			t.Errorf("Unpack(%.20q): got error %v, want ErrMalformedBatch", bad, err)
+		}
+	}
+}
+
+// outboxScenario is an outbox that goes through the steps of TestOutboxPathToUnreachableLeader.
+type outboxScenario struct {
+	t      *testing.T
+	outbox *Outbox
+	now    time.Time
+	paths  []string // changes of the path
+}
+
+// add adds a heartbeat, which must be accepted.
+func (s *outboxScenario) add(body string) uint64 {
+	s.t.Helper()
+	id, ok := s.outbox.Add(s.now, []byte(body))
+	if !ok {
+		s.t.Fatalf("Add %q on path %v: got false, want true", body, s.outbox.Path())
+	}
+	return id
+}
+
+// takeOne takes a batch, which must have one heartbeat.
+func (s *outboxScenario) takeOne() (seq uint64, payload string) {
+	s.t.Helper()
+	seq, payload, n := s.outbox.TakeBatch(s.now, maxPayloadBytes)
+	if n != 1 {
+		s.t.Fatalf("TakeBatch: got %d heartbeats, want 1", n)
 	}
+	return seq, payload
 }
 
 func TestOutboxPathToUnreachableLeader(t *testing.T) {
-	var moves []string
-	o := New(testSettings, func(from, to Path, why string) { moves = append(moves, fmt.Sprintf("%v-%v", from, to)) })
-	if _, ok := o.Add(startTime, []byte("r")); ok {
-		t.Error("a report is taken although the leader is within reach")
+	s := &outboxScenario{t: t, now: startTime}
+	s.outbox = New(testSettings, func(from, to Path, _ string) {
+		s.paths = append(s.paths, fmt.Sprintf("%v-%v", from, to))
+	})
+	s.queueIsBounded()
+	s.responsesReachWaitingWorkersOnce()
+	s.unansweredBatchesClosePath()
+	heartbeat := s.heartbeatsWaitWhileNobodyLeads()
+	s.newLeaderGetsHeartbeatsAgain(heartbeat)
+	s.pathIsRetried()
+	if got, want := strings.Join(s.paths, " "), "direct-post post-lost lost-post post-direct"; got != want {
+		t.Errorf("got changes of the path %q, want %q", got, want)
 	}
-	o.ObserveContact(startTime, false)
+}
+
+// queueIsBounded: heartbeats are accepted only while the leader is unreachable, and up to a bound.
+func (s *outboxScenario) queueIsBounded() {
+	s.t.Helper()
+	if _, ok := s.outbox.Add(startTime, []byte("r")); ok {
+		s.t.Error("Add while the leader is reachable: got true, want false")
+	}
+	s.outbox.ObserveContact(startTime, false)
 	for i := range 7 {
-		if _, ok := o.Add(startTime, []byte(fmt.Sprint("r", i))); ok != (i < testSettings.MaxQueued) {
-			t.Errorf("report %d of a queue of %d: taken %v", i, testSettings.MaxQueued, ok)
+		_, ok := s.outbox.Add(startTime, []byte(fmt.Sprint("r", i)))
+		if want := i < testSettings.MaxQueued; ok != want {
+			s.t.Errorf("Add %d to a queue of %d: got %v, want %v", i, testSettings.MaxQueued, ok, want)
 		}
 	}
-	seq, text, n := o.TakeBatch(startTime, 1000)
-	if n != 5 || !o.NextBatchAt(startTime).IsZero() {
-		t.Fatalf("a batch of %d", n)
+}
+
+// responsesReachWaitingWorkersOnce: not those whose worker has given up, and none twice or late.
+func (s *outboxScenario) responsesReachWaitingWorkersOnce() {
+	s.t.Helper()
+	o := s.outbox
+	seq, payload, n := o.TakeBatch(startTime, maxPayloadBytes)
+	if next := o.NextBatchAt(startTime); n != 5 || !next.IsZero() {
+		s.t.Fatalf("got a batch of %d and the next one at %v, want 5 and none", n, next)
 	}
-	letters, err := Unpack(text)
-	if err != nil || string(letters[4].Body) != "r4" {
-		t.Fatal(err, letters)
+	envelopes, err := Unpack(payload)
+	if err != nil || string(envelopes[4].Body) != "r4" {
+		s.t.Fatalf("Unpack: got %v, error %v; want r4 last and none", envelopes, err)
 	}
-	// Answers reach those that still wait, once.
-	o.Cancel(letters[0].ID)
-	if live := o.AcceptResponses(afterStart(time.Second), seq, letters[:3]); len(live) != 2 || live[0].ID != letters[1].ID {
-		t.Errorf("answers for %v", live)
+	o.Cancel(envelopes[0].ID)
+	got := o.AcceptResponses(afterStart(time.Second), seq, envelopes[:3])
+	if len(got) != 2 || got[0].ID != envelopes[1].ID {
+		s.t.Errorf("responses, one of them cancelled: got %v, want 2 from id %d on", got, envelopes[1].ID)
 	}
-	if live := o.AcceptResponses(afterStart(time.Second), seq, letters[:3]); len(live) != 0 {
-		t.Errorf("answered twice: %v", live)
+	if got := o.AcceptResponses(afterStart(time.Second), seq, envelopes[:3]); len(got) != 0 {
+		s.t.Errorf("the same responses again: got %v, want none", got)
 	}
-	// What comes after its worker has given up reaches nobody.
-	if live := o.AcceptResponses(afterStart(2*time.Second), seq, letters[3:]); len(live) != 0 {
-		t.Errorf("a late answer for %v", live)
+	if got := o.AcceptResponses(afterStart(2*time.Second), seq, envelopes[3:]); len(got) != 0 {
+		s.t.Errorf("late responses: got %v, want none", got)
 	}
-	// Batches that nobody answers close the path for a while.
-	now := afterStart(3 * time.Second)
+}
+
+// unansweredBatchesClosePath: for a while, or until another member leads.
+func (s *outboxScenario) unansweredBatchesClosePath() {
+	s.t.Helper()
+	s.now = afterStart(3 * time.Second)
 	for range maxUnansweredBatches {
-		if _, ok := o.Add(now, []byte("r")); !ok {
-			t.Fatal("not taken")
-		}
-		if _, _, n := o.TakeBatch(now, 1000); n != 1 {
-			t.Fatal("no batch")
-		}
-		now = now.Add(testSettings.HeartbeatTimeout)
-		o.Tick(now)
-	}
-	if _, ok := o.Add(now, []byte("r")); ok || o.Path() != Unreachable {
-		t.Errorf("a report is taken on path %v", o.Path())
+		s.add("r")
+		s.takeOne()
+		s.now = s.now.Add(testSettings.HeartbeatTimeout)
+		s.outbox.Tick(s.now)
 	}
-	if o.LeaderChanged(now, false); o.Path() != ViaStore {
-		t.Error("another leader is not tried")
+	if _, ok := s.outbox.Add(s.now, []byte("r")); ok || s.outbox.Path() != Unreachable {
+		s.t.Errorf("after unanswered batches: got Add %v on path %v, want false on %v", ok, s.outbox.Path(), Unreachable)
 	}
-	// A report is out when the leader goes: it waits, and goes to the next one.
-	id, _ := o.Add(now, []byte("last"))
-	if _, _, n := o.TakeBatch(now, 1000); n != 1 {
-		t.Fatal("no batch")
+	if s.outbox.LeaderChanged(s.now, false); s.outbox.Path() != ViaStore {
+		s.t.Errorf("with another leader: got path %v, want %v", s.outbox.Path(), ViaStore)
 	}
-	o.LeaderChanged(now, true)
-	if !o.NextBatchAt(now).IsZero() || o.Path() != ViaStore {
-		t.Error("a batch is due although nobody leads, or what kept this member from the last leader is forgotten")
+}
+
+// heartbeatsWaitWhileNobodyLeads: one that is in flight waits too. It returns that one's id.
+func (s *outboxScenario) heartbeatsWaitWhileNobodyLeads() uint64 {
+	s.t.Helper()
+	o := s.outbox
+	inFlight := s.add("last")
+	s.takeOne()
+	o.LeaderChanged(s.now, true)
+	if next := o.NextBatchAt(s.now); !next.IsZero() || o.Path() != ViaStore {
+		s.t.Errorf("while nobody leads: got a batch at %v on path %v, want none on %v", next, o.Path(), ViaStore)
 	}
 	for range testSettings.MaxQueued - 1 {
-		gone, ok := o.Add(now, []byte("given up"))
-		if !ok {
-			t.Fatal("not taken while nobody leads")
-		}
-		o.Cancel(gone)
+		o.Cancel(s.add("given up"))
 	}
-	o.Tick(now)
-	if _, ok := o.Add(now, nil); !ok {
-		t.Error("what was given up while nobody leads takes the place of others")
+	o.Tick(s.now)
+	if _, ok := o.Add(s.now, nil); !ok {
+		s.t.Error("Add after others were cancelled while nobody leads: got false, want true")
 	}
 	o.Cancel(o.lastID)
-	o.LeaderChanged(now, false)
-	seq, text, n = o.TakeBatch(now, 1000)
-	if letters, err := Unpack(text); err != nil || n != 1 || letters[0].ID != id || string(letters[0].Body) != "last" {
-		t.Errorf("sent again: %d %v %v", n, letters, err)
-	}
-	o.WriteFailed(seq)
-	if _, _, n = o.TakeBatch(now, 1000); n != 1 {
-		t.Error("what was not written is not sent again")
+	return inFlight
+}
+
+// newLeaderGetsHeartbeatsAgain: those that were in flight, and those that were not written.
+func (s *outboxScenario) newLeaderGetsHeartbeatsAgain(id uint64) {
+	s.t.Helper()
+	s.outbox.LeaderChanged(s.now, false)
+	seq, payload := s.takeOne()
+	envelopes, err := Unpack(payload)
+	if err != nil || envelopes[0].ID != id || string(envelopes[0].Body) != "last" {
+		s.t.Errorf("sent again: got %v, error %v; want id %d with body last", envelopes, err, id)
 	}
-	if o.ObserveContact(now.Add(testSettings.RetryAfter), false) != ViaStore || o.ObserveContact(now.Add(testSettings.RetryAfter), true) != Direct {
-		t.Error("the path is not tried again")
+	s.outbox.WriteFailed(seq)
+	s.takeOne()
+}
+
+func (s *outboxScenario) pathIsRetried() {
+	s.t.Helper()
+	later := s.now.Add(testSettings.RetryAfter)
+	if got := s.outbox.ObserveContact(later, false); got != ViaStore {
+		s.t.Errorf("while the leader is unreachable: got path %v, want %v", got, ViaStore)
 	}
-	if got := strings.Join(moves, " "); got != "direct-post post-lost lost-post post-direct" {
-		t.Error(got)
+	if got := s.outbox.ObserveContact(later, true); got != Direct {
+		s.t.Errorf("when the leader is reachable: got path %v, want %v", got, Direct)
 	}
 }
 
-// A report that is larger than a value holds up none of the others, and what waits fits into batches
-// of the size that the platform allows, the oldest first.
+// A heartbeat that is larger than a value holds up none of the others, and the queue goes into batches
+// of the size that the state service accepts, the oldest first.
 func TestBatchesFitMaxValueSize(t *testing.T) {
-	big := testSettings
-	big.MaxQueued, big.MaxInFlight = 100, 100
-	o := New(big, nil)
+	settings := testSettings
+	settings.MaxQueued, settings.MaxInFlight = 100, 100
+	o := New(settings, nil)
 	o.ObserveContact(startTime, false)
 	for i := range 20 {
-		n := 200
+		size := 200
 		if i == 3 {
-			n = 5000
+			size = 5000
 		}
-		o.Add(startTime, randomBody(n))
+		o.Add(startTime, randomBody(size))
 	}
 	var ids []uint64
 	for range 40 {
-		_, text, n := o.TakeBatch(startTime, 1000)
+		_, payload, n := o.TakeBatch(startTime, maxPayloadBytes)
 		if n == 0 {
 			break
 		}
-		letters, err := Unpack(text)
-		if err != nil || len(text) > 1000 || len(letters) != n {
-			t.Fatal(err, len(text), n)
+		envelopes, err := Unpack(payload)
+		if err != nil || len(payload) > maxPayloadBytes || len(envelopes) != n {
+			t.Fatalf("got %d envelopes in %d bytes, error %v; want %d in at most %d and none",
+				len(envelopes), len(payload), err, n, maxPayloadBytes)
 		}
-		for _, l := range letters {
-			ids = append(ids, l.ID)
+		for _, e := range envelopes {
+			ids = append(ids, e.ID)
 		}
 	}
-	if o.queuedBytes != 0 || !o.NextBatchAt(startTime).IsZero() {
-		t.Errorf("%d bytes are still counted", o.queuedBytes)
+	if next := o.NextBatchAt(startTime); o.queue.bytes != 0 || !next.IsZero() {
+		t.Errorf("an empty queue: got %d bytes and a batch at %v, want 0 and none", o.queue.bytes, next)
 	}
-	if _, ok := o.Add(startTime, make([]byte, big.MaxQueuedBytes+1)); ok {
-		t.Error("more than all that may wait is taken")
+	if _, ok := o.Add(startTime, make([]byte, settings.MaxQueuedBytes+1)); ok {
+		t.Error("Add of more than all that may be queued: got true, want false")
 	}
 	if len(ids) != 19 || slices.Contains(ids, 4) || !slices.IsSorted(ids) {
-		t.Errorf("went in this order: %v", ids)
+		t.Errorf("got heartbeats %v, want 1 to 20 in order, without 4", ids)
 	}
 }
