--- a/internal/controller/relay_store.go
+++ b/internal/controller/relay_store.go
@@ -163,7 +163,7 @@
 		r.mu.Lock()
 		now := time.Now()
 		r.outbox.Tick(now)
-		due, idle := r.outbox.NextBatchAt(now), r.outbox.Idle()
+		due, idle := r.outbox.NextBatchAt(), r.outbox.Idle()
 		r.mu.Unlock()
 		switch {
 		case idle:
--- a/internal/relay/outbox.go
+++ b/internal/relay/outbox.go
@@ -116,7 +116,7 @@
 
 // NextBatchAt returns when the next batch may be sent; zero: nothing is queued, nobody leads, or too
 // many batches are in flight.
-func (o *Outbox) NextBatchAt(time.Time) time.Time {
+func (o *Outbox) NextBatchAt() time.Time {
 	if o.noLeader || o.queue.len() == 0 || len(o.inFlight) >= o.settings.MaxInFlight {
 		return time.Time{}
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -133,7 +133,7 @@
 	s.t.Helper()
 	o := s.outbox
 	seq, payload, n := o.TakeBatch(startTime, maxPayloadBytes)
-	if next := o.NextBatchAt(startTime); n != 5 || !next.IsZero() {
+	if next := o.NextBatchAt(); n != 5 || !next.IsZero() {
 		s.t.Fatalf("got a batch of %d and the next one at %v, want 5 and none", n, next)
 	}
 	envelopes, err := Unpack(payload)
@@ -178,7 +178,7 @@
 	inFlight := s.add("last")
 	s.takeOne()
 	o.LeaderChanged(s.now, true)
-	if next := o.NextBatchAt(s.now); !next.IsZero() || o.Path() != ViaStore {
+	if next := o.NextBatchAt(); !next.IsZero() || o.Path() != ViaStore {
 		s.t.Errorf("while nobody leads: got a batch at %v on path %v, want none on %v", next, o.Path(), ViaStore)
 	}
 	for range testSettings.MaxQueued - 1 {
@@ -245,7 +245,7 @@
 			ids = append(ids, e.ID)
 		}
 	}
-	if next := o.NextBatchAt(startTime); o.queue.bytes != 0 || !next.IsZero() {
+	if next := o.NextBatchAt(); o.queue.bytes != 0 || !next.IsZero() {
 		t.Errorf("an empty queue: got %d bytes and a batch at %v, want 0 and none", o.queue.bytes, next)
 	}
 	if _, ok := o.Add(startTime, make([]byte, settings.MaxQueuedBytes+1)); ok {
