--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -127,9 +127,11 @@
 
 // busier reports whether a node is busier than the source and costs no more.
 func (d *drainSearch) busier(node *Node) bool {
-	if pricePerCPU(node.Machine) > pricePerCPU(d.source.Machine) {
+	switch machine, source := node.Machine, d.source.Machine; {
+	case pricePerCPU(machine) > pricePerCPU(source):
+		return false
+	case busyFraction(machine) <= busyFraction(source):
 		return false
 	}
-	idler := busyFraction(node.Machine) <= busyFraction(d.source.Machine)
-	return !idler
+	return true
 }
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -9,7 +9,7 @@
 )
 
 // A team without a quota is bounded by machines only, and one with a quota for one resource by that alone.
-func TestTeamWithoutLimitIsBoundedByMachinesOnly(t *testing.T) {
+func TestTeamWithoutQuotaIsBoundedByMachinesOnly(t *testing.T) {
 	for quota, want := range map[model.Quota]int{{}: 80, model.NewQuota(0, 2): 80, model.NewQuota(20, 0): 5} {
 		snapshot := newSnapshot(nil, newRequest("x", 90, nil))
 		for i := range 40 {
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestTeamLimitIsNotExceeded(t *testing.T) {
+func TestTeamQuotaIsNotExceeded(t *testing.T) {
 	snapshot := newSnapshot(newNodes("a1", "a2"), newRequest("x", 4, nil))
 	snapshot.Used["red"] = model.Resources{CPU: 91}
 	plan := MakePlan(testSettings, snapshot)
