--- a/cmd/glentiller/member.go
+++ b/cmd/glentiller/member.go
@@ -18,11 +18,7 @@
 
 // Run prints where a controller stands.
 func (c *memberCmd) Run() error {
-	client, err := c.connect()
-	if err != nil {
-		return err
-	}
-	status, err := client.MemberStatus()
+	status, err := c.memberStatus()
 	if err != nil {
 		return err
 	}
--- a/cmd/glentiller/output.go
+++ b/cmd/glentiller/output.go
@@ -24,6 +24,15 @@
 	return &admin.Client{Addr: f.Admin, Token: token}, err
 }
 
+// memberStatus asks a controller where it stands.
+func (f *adminFlags) memberStatus() (*admin.MemberStatus, error) {
+	client, err := f.connect()
+	if err != nil {
+		return nil, err
+	}
+	return client.MemberStatus()
+}
+
 // outputFormat is how a table is printed.
 type outputFormat struct {
 	JSON bool `xor:"format" help:"Write JSON, amounts in integers."`
--- a/cmd/glentiller/rollout.go
+++ b/cmd/glentiller/rollout.go
@@ -26,11 +26,7 @@
 
 // Run prints which feature level is in force and what the members support.
 func (c *rolloutStatusCmd) Run() error {
-	client, err := c.connect()
-	if err != nil {
-		return err
-	}
-	status, err := client.MemberStatus()
+	status, err := c.memberStatus()
 	if err != nil {
 		return err
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -13,7 +13,6 @@
 	"errors"
 	"log/slog"
 	"net"
-	"runtime/metrics"
 	"sync/atomic"
 	"time"
 
@@ -28,7 +27,6 @@
 	"github.com/glentiller/glentiller/internal/peer"
 	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/route"
-	"github.com/glentiller/glentiller/internal/store"
 )
 
 // Controller is one member of a deployment's controllers: it follows the leader, or leads.
@@ -220,79 +218,3 @@
 	c.tasks.onShutdown(func() error { return errors.Join(l.Close(), server.Shutdown()) })
 	return nil
 }
-
-// memoryInterval is the time between samples of how much memory is live.
-const memoryInterval = time.Second
-
-// watchMemory samples how much memory is live.
-func (c *Controller) watchMemory() error {
-	samples := []metrics.Sample{{Name: "/gc/heap/live:bytes"}, {Name: "/memory/classes/heap/stacks:bytes"}}
-	for c.tasks.running() {
-		metrics.Read(samples)
-		c.memory.Observe(samples[0].Value.Uint64() + samples[1].Value.Uint64())
-		c.tasks.sleep(memoryInterval)
-	}
-	return nil
-}
-
-const (
-	catalogRetry   = time.Second     // while no machine types are known
-	catalogRefresh = 5 * time.Minute // once they are
-)
-
-// refreshMachineTypes keeps the machine types current, against which submissions are checked.
-func (c *Controller) refreshMachineTypes() error {
-	for c.tasks.running() {
-		wait := catalogRetry
-		if len(c.MachineTypes()) > 0 {
-			wait = catalogRefresh
-		}
-		if types, err := c.cloud.Catalog(c.tasks.ctx); err == nil {
-			c.machineTypes.Store(&types)
-			wait = catalogRefresh
-		} else {
-			c.log.Debug("reading the catalog failed", "err", err)
-		}
-		c.tasks.sleep(wait)
-	}
-	return nil
-}
-
-// taskGroup runs a controller's goroutines. Run sets its fields before it starts the first one; ctx ends
-// all of them, and Run waits for them.
-type taskGroup struct {
-	group *errgroup.Group
-	ctx   context.Context
-}
-
-// spawn runs one piece of input or output beside the event loop.
-func (t *taskGroup) spawn(f func()) {
-	t.group.Go(func() error {
-		f()
-		return nil
-	})
-}
-
-// serve runs a server. One that ends without an error was shut down, so the reason is the context's.
-func (t *taskGroup) serve(run func() error) {
-	t.group.Go(func() error {
-		if err := run(); err != nil {
-			return err
-		}
-		return t.ctx.Err()
-	})
-}
-
-// onShutdown runs f once the context has ended.
-func (t *taskGroup) onShutdown(f func() error) {
-	t.group.Go(func() error {
-		<-t.ctx.Done()
-		return f()
-	})
-}
-
-// running reports whether the context still lives.
-func (t *taskGroup) running() bool { return t.ctx.Err() == nil }
-
-// sleep waits for d, or until the context ends.
-func (t *taskGroup) sleep(d time.Duration) { store.Sleep(t.ctx, d) }
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -55,27 +55,27 @@
 	switch e := effect.(type) {
 	case reconciler.SendCommands:
 		commands := append([]model.Command(nil), e.Commands...)
-		t.tasks.spawn(func() { t.sendCommands(e, commands) })
+		t.start(func() reconciler.Event { return t.sendCommands(e, commands) })
 	case reconciler.Provision:
-		t.tasks.spawn(func() { t.provisionMachines(e) })
+		t.start(func() reconciler.Event { return t.provisionMachines(e) })
 	case reconciler.Release:
 		machines := append([]string(nil), e.Machines...)
-		t.tasks.spawn(func() { t.releaseMachines(machines) })
+		t.start(func() reconciler.Event { return t.releaseMachines(machines) })
 	case reconciler.ListMachines:
-		t.tasks.spawn(t.listMachines)
+		t.start(t.listMachines)
 	case reconciler.FetchCatalog:
-		t.tasks.spawn(t.fetchCatalog)
+		t.start(t.fetchCatalog)
 	case reconciler.LookUpJobEnds:
-		t.tasks.spawn(func() { t.complete(reconciler.JobEndsReceived{Ends: t.jobs.ReadEnds(t.tasks.ctx, e.IDs)}) })
+		t.start(func() reconciler.Event { return reconciler.JobEndsReceived{Ends: t.jobs.ReadEnds(t.tasks.ctx, e.IDs)} })
 	case reconciler.Commit:
 		changes := append([]reconciler.Change(nil), e.Changes...)
-		t.tasks.spawn(func() { t.commit(changes) })
+		t.start(func() reconciler.Event { return t.commit(changes) })
 	case reconciler.Fence:
 		t.tasks.spawn(t.fence)
 	case reconciler.ReadAccounts:
-		t.tasks.spawn(func() { t.readAccounts(e.Teams) })
+		t.start(func() reconciler.Event { return t.readAccounts(e.Teams) })
 	case reconciler.ReadSegments:
-		t.tasks.spawn(func() { t.readSegments(e.Team) })
+		t.start(func() reconciler.Event { return t.readSegments(e.Team) })
 	}
 }
 
@@ -92,6 +92,11 @@
 	return lease != nil && !lease.restsOnVotes(time.Now())
 }
 
+// start carries an effect out beside the event loop, and completes it with the event that f returns.
+func (t *leaderTerm) start(f func() reconciler.Event) {
+	t.tasks.spawn(func() { t.complete(f()) })
+}
+
 // complete has the reconciler of the same leadership take the result of an effect.
 func (t *leaderTerm) complete(ev reconciler.Event) {
 	t.loop.post(func(now time.Time) {
@@ -101,7 +106,7 @@
 	})
 }
 
-func (t *leaderTerm) sendCommands(e reconciler.SendCommands, commands []model.Command) {
+func (t *leaderTerm) sendCommands(e reconciler.SendCommands, commands []model.Command) reconciler.Event {
 	ev := reconciler.CommandCompleted{
 		Machine:  e.Machine,
 		Epoch:    e.Epoch,
@@ -122,10 +127,10 @@
 			ev.Outcome = reconciler.Unknown
 		}
 	}
-	t.complete(ev)
+	return ev
 }
 
-func (t *leaderTerm) provisionMachines(e reconciler.Provision) {
+func (t *leaderTerm) provisionMachines(e reconciler.Provision) reconciler.Event {
 	ev := reconciler.ProvisionCompleted{Provisioning: e.Provisioning, Outcome: reconciler.Unknown}
 	if t.cloud.Wait(t.tasks.ctx) == nil && t.mayProvision() {
 		machines, full, err := t.cloud.Provision(e.Provisioning)
@@ -138,41 +143,41 @@
 			t.log.Debug("provisioning not answered", "request", e.Provisioning.Name, "err", err)
 		}
 	}
-	t.complete(ev)
+	return ev
 }
 
-func (t *leaderTerm) releaseMachines(machines []string) {
+func (t *leaderTerm) releaseMachines(machines []string) reconciler.Event {
 	ev := reconciler.ReleaseCompleted{Machines: machines, Outcome: reconciler.Unknown}
 	if t.cloud.Wait(t.tasks.ctx) == nil && t.mayProvision() {
 		if err := t.cloud.Release(machines); err == nil {
 			ev.Outcome = reconciler.OK
 		}
 	}
-	t.complete(ev)
+	return ev
 }
 
-func (t *leaderTerm) listMachines() {
+func (t *leaderTerm) listMachines() reconciler.Event {
 	requested := time.Now()
 	machines, err := t.cloud.ListMachines(t.tasks.ctx)
 	if err != nil {
 		t.log.Debug("listing machines failed", "err", err)
 	}
-	t.complete(reconciler.MachineListReceived{Machines: machines, RequestedAt: requested})
+	return reconciler.MachineListReceived{Machines: machines, RequestedAt: requested}
 }
 
-func (t *leaderTerm) fetchCatalog() {
+func (t *leaderTerm) fetchCatalog() reconciler.Event {
 	types, err := t.cloud.Catalog(t.tasks.ctx)
 	if err != nil {
 		t.log.Debug("reading the catalog failed", "err", err)
 	} else {
 		t.machineTypes.Store(&types)
 	}
-	t.complete(reconciler.CatalogReceived{Types: types})
+	return reconciler.CatalogReceived{Types: types}
 }
 
-func (t *leaderTerm) commit(changes []reconciler.Change) {
+func (t *leaderTerm) commit(changes []reconciler.Change) reconciler.Event {
 	revision, ok, err := t.store.CommitFenced(t.tasks.ctx, t.tokenVersion, changes)
-	ev := reconciler.CommitCompleted{Changes: changes, Version: revision}
+	ev := reconciler.CommitCompleted{Changes: changes, Version: revision, Outcome: reconciler.OK}
 	switch {
 	case errors.Is(err, store.ErrRejected):
 		ev.Outcome = reconciler.Rejected
@@ -183,10 +188,8 @@
 		ev.Outcome = reconciler.Unknown
 	case !ok:
 		ev.Outcome = t.refusedCommit()
-	default:
-		ev.Outcome = reconciler.OK
 	}
-	t.complete(ev)
+	return ev
 }
 
 // refusedCommit finds out whether a commit was refused since another leader has taken over, which the
@@ -224,7 +227,7 @@
 	})
 }
 
-func (t *leaderTerm) readAccounts(teams []string) {
+func (t *leaderTerm) readAccounts(teams []string) reconciler.Event {
 	ev := reconciler.AccountsReceived{Accounts: map[string]ledger.StoredAccount{}}
 	for _, team := range teams {
 		account, err := t.store.Account(t.tasks.ctx, team)
@@ -234,13 +237,13 @@
 		}
 		ev.Accounts[team] = account
 	}
-	t.complete(ev)
+	return ev
 }
 
-func (t *leaderTerm) readSegments(team string) {
+func (t *leaderTerm) readSegments(team string) reconciler.Event {
 	segments, _, err := t.store.Segments(t.tasks.ctx, team, 0, reconciler.MaxSegmentsRead)
 	if err != nil {
 		t.log.Debug("reading ledger segments failed", "team", team, "err", err)
 	}
-	t.complete(reconciler.SegmentsReceived{Team: team, Segments: segments})
+	return reconciler.SegmentsReceived{Team: team, Segments: segments}
 }
--- /dev/null
+++ b/internal/controller/effects_test.go
@@ -0,0 +1,188 @@
+package controller
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"github.com/glentiller/glentiller/internal/cloud"
+	"github.com/glentiller/glentiller/internal/config"
+	"github.com/glentiller/glentiller/internal/fake"
+	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/store"
+	"github.com/glentiller/glentiller/internal/wire"
+	"github.com/glentiller/glentiller/internal/worker"
+)
+
+const testToken = 7
+
+// newTestTerm is a leadership with a state service of its own, and no goroutine that takes what it posts.
+func newTestTerm(t *testing.T) (*leaderTerm, *fake.State) {
+	t.Helper()
+	state := fake.NewState(time.Now)
+	client := store.NewOver(state, state, time.Second)
+	client.SetRateLimits(1e9, 1e9)
+	state.Preload("leader/token", wire.AppendLeaderRecord(nil, testToken, "a"))
+	entry, ok, err := client.Get(context.Background(), "leader/token")
+	if err != nil || !ok {
+		t.Fatalf("reading the token's record: got %v, %v, want it", ok, err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	tasks := &taskGroup{}
+	tasks.group, tasks.ctx = errgroup.WithContext(ctx)
+	c := &Controller{
+		platform: &config.Platform{Member: "a"},
+		log:      discard(),
+		tasks:    tasks,
+		loop:     newEventLoop(tasks, discard()),
+	}
+	c.store = client
+	lease := &leadershipLease{fencingToken: testToken, tokenVersion: entry.Version}
+	lease.leaseUntil = time.Now().Add(time.Hour)
+	lease.freshUntil = lease.leaseUntil
+	c.lease.current.Store(lease)
+	return &leaderTerm{Controller: c, token: testToken, tokenVersion: entry.Version}, state
+}
+
+func TestCommitOutcomeSaysWhetherItWasCarriedOut(t *testing.T) {
+	newToken := func(_ *leaderTerm, state *fake.State) {
+		state.Preload("leader/token", wire.AppendLeaderRecord(nil, testToken+1, "b"))
+	}
+	tests := []struct {
+		name       string
+		before     func(*leaderTerm, *fake.State)
+		change     reconciler.Change
+		want       reconciler.Outcome
+		wantFenced bool
+	}{
+		{
+			name:   "taken",
+			change: reconciler.Change{Kind: reconciler.PutTasks, Job: "j"},
+			want:   reconciler.OK,
+		},
+		{
+			name:   "a condition of its own fails",
+			change: reconciler.Change{Kind: reconciler.CompleteJob, Job: "j", Version: 99},
+			want:   reconciler.Refused,
+		},
+		{
+			name:       "another leader has taken over",
+			before:     newToken,
+			change:     reconciler.Change{Kind: reconciler.PutTasks, Job: "j"},
+			want:       reconciler.Refused,
+			wantFenced: true,
+		},
+		{
+			name:   "no request left in time",
+			before: spendRate,
+			change: reconciler.Change{Kind: reconciler.PutTasks, Job: "j"},
+			want:   reconciler.NotSent,
+		},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			term, state := newTestTerm(t)
+			if test.before != nil {
+				test.before(term, state)
+			}
+			ev, ok := term.commit([]reconciler.Change{test.change}).(reconciler.CommitCompleted)
+			if !ok || ev.Outcome != test.want {
+				t.Errorf("got %v, want outcome %v", ev, test.want)
+			}
+			if got := len(term.loop.urgent) == 1; got != test.wantFenced {
+				t.Errorf("got the election told=%v, want %v", got, test.wantFenced)
+			}
+		})
+	}
+}
+
+// spendRate sets the request rate to 0 and uses up what its limiter still allows at once.
+func spendRate(term *leaderTerm, _ *fake.State) {
+	term.store.SetRateLimits(0, 0)
+	for term.commit(nil).(reconciler.CommitCompleted).Outcome != reconciler.NotSent {
+	}
+}
+
+func TestFenceReportsALostLeadership(t *testing.T) {
+	term, state := newTestTerm(t)
+	term.fence()
+	if urgent, inbox := len(term.loop.urgent), len(term.loop.inbox); urgent != 0 || inbox != 1 {
+		t.Errorf("own token: got %d urgent and %d messages, want 0 and 1", urgent, inbox)
+	}
+	state.Preload("leader/token", wire.AppendLeaderRecord(nil, testToken+1, "b"))
+	term.fence()
+	if urgent, inbox := len(term.loop.urgent), len(term.loop.inbox); urgent != 1 || inbox != 1 {
+		t.Errorf("another token: got %d urgent and %d messages, want 1 and 1", urgent, inbox)
+	}
+}
+
+func TestEffectsNeedAValidLease(t *testing.T) {
+	term, _ := newTestTerm(t)
+	term.workers = worker.New(time.Second, nil)
+	term.cloud = cloud.New("127.0.0.1:1", 1, time.Second, nil)
+	term.cloud.SetRate(1e9)
+	term.lease.clear()
+	commands, ok := term.sendCommands(reconciler.SendCommands{Machine: "m"}, nil).(reconciler.CommandCompleted)
+	if !ok || commands.Outcome != reconciler.NotSent {
+		t.Errorf("commands: got %v, want NotSent", commands.Outcome)
+	}
+	provision, ok := term.provisionMachines(reconciler.Provision{}).(reconciler.ProvisionCompleted)
+	if !ok || provision.Outcome != reconciler.Unknown || provision.Machines != nil {
+		t.Errorf("provisioning: got %v, want Unknown", provision.Outcome)
+	}
+	release, ok := term.releaseMachines([]string{"m"}).(reconciler.ReleaseCompleted)
+	if !ok || release.Outcome != reconciler.Unknown {
+		t.Errorf("release: got %v, want Unknown", release.Outcome)
+	}
+}
+
+func TestProvisioningNeedsMoreThanVotes(t *testing.T) {
+	term, _ := newTestTerm(t)
+	if !term.mayProvision() {
+		t.Error("with a lease: got no provisioning, want it allowed")
+	}
+	now := time.Now()
+	term.Controller.lease.current.Store(&leadershipLease{
+		fencingToken: testToken,
+		leaseUntil:   now.Add(-time.Second),
+		votesUntil:   now.Add(time.Hour),
+		freshUntil:   now.Add(time.Hour),
+	})
+	if !term.leading() || term.mayProvision() {
+		t.Errorf("on votes: got leading=%v, provisioning=%v, want true, false", term.leading(), term.mayProvision())
+	}
+}
+
+func TestEffectWithoutLeaseIsNotStarted(t *testing.T) {
+	term, _ := newTestTerm(t)
+	term.lease.clear()
+	term.perform(reconciler.Commit{Changes: []reconciler.Change{{Kind: reconciler.PutTasks, Job: "j"}}})
+	if err := term.tasks.group.Wait(); err != nil || len(term.loop.inbox) != 0 {
+		t.Errorf("got %d results and %v, want none", len(term.loop.inbox), err)
+	}
+}
+
+func TestEffectIsCompletedInItsOwnTermOnly(t *testing.T) {
+	for name, later := range map[string]bool{"the same term": false, "a later term": true} {
+		t.Run(name, func(t *testing.T) {
+			term, _ := newTestTerm(t)
+			term.reconciler = reconciler.New(
+				time.Now(), reconciler.Settings{}, testToken, &reconciler.Snapshot{}, nil, discard())
+			term.perform(reconciler.Commit{Changes: []reconciler.Change{{Kind: reconciler.PutTasks, Job: "j"}}})
+			if err := term.tasks.group.Wait(); err != nil || len(term.loop.inbox) != 1 {
+				t.Fatalf("got %d results and %v, want 1", len(term.loop.inbox), err)
+			}
+			if later {
+				term.Controller.term++
+			}
+			(<-term.loop.inbox)(time.Now())
+			_, stepped := term.loop.hold.lastEvent.(reconciler.CommitCompleted)
+			if want := !later; stepped != want {
+				t.Errorf("got the reconciler stepped=%v, want %v", stepped, want)
+			}
+		})
+	}
+}
