--- a/internal/controller/peer_handler.go
+++ b/internal/controller/peer_handler.go
@@ -18,18 +18,22 @@
 
 // HandleHeartbeat takes a worker's heartbeat that another member relays.
 func (h peerHandler) HandleHeartbeat(ctx context.Context, heartbeat []byte) *peerpb.RelayAnswer {
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
+	defer cancel()
+	response, leader := h.controller.handleRelayed(ctx, heartbeat)
+	return &peerpb.RelayAnswer{Act: response != nil, Body: response, Leader: leader}
+}
+
+// handleRelayed takes an encoded heartbeat that another member relays and returns the encoded response. It is
+// nil if the heartbeat is malformed or this controller must not answer; leader then names who does, if known.
+func (c *Controller) handleRelayed(ctx context.Context, heartbeat []byte) (response []byte, leader string) {
 	decoded, err := wire.DecodeHeartbeat(heartbeat)
 	if err != nil {
-		return &peerpb.RelayAnswer{}
+		return nil, ""
 	}
-	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
-	defer cancel()
-	result := h.controller.handleHeartbeat(ctx, reconciler.HeartbeatReceived{Heartbeat: decoded, Relayed: true})
+	result := c.handleHeartbeat(ctx, reconciler.HeartbeatReceived{Heartbeat: decoded, Relayed: true})
 	if !result.Leading || !result.LeaseValid() {
-		return &peerpb.RelayAnswer{Leader: result.Leader}
-	}
-	return &peerpb.RelayAnswer{
-		Act:  true,
-		Body: wire.AppendHeartbeatResponse(nil, result.FencingToken, result.Commands),
+		return nil, result.Leader
 	}
+	return wire.AppendHeartbeatResponse(nil, result.FencingToken, result.Commands), ""
 }
--- a/internal/controller/relay_leader.go
+++ b/internal/controller/relay_leader.go
@@ -7,7 +7,6 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/glentiller/glentiller/internal/config"
-	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/relay"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/wire"
@@ -78,7 +77,7 @@
 	group.SetLimit(maxConcurrentHeartbeats)
 	for i, envelope := range envelopes {
 		group.Go(func() error {
-			bodies[i] = c.relayedResponse(ctx, envelope.Body)
+			bodies[i], _ = c.handleRelayed(ctx, envelope.Body)
 			return nil
 		})
 	}
@@ -92,19 +91,6 @@
 	return responses
 }
 
-// relayedResponse returns the encoded response to a relayed heartbeat; nil: there is none.
-func (c *Controller) relayedResponse(ctx context.Context, body []byte) []byte {
-	heartbeat, err := wire.DecodeHeartbeat(body)
-	if err != nil {
-		return nil
-	}
-	result := c.handleHeartbeat(ctx, reconciler.HeartbeatReceived{Heartbeat: heartbeat, Relayed: true})
-	if !result.Leading || !result.LeaseValid() {
-		return nil
-	}
-	return wire.AppendHeartbeatResponse(nil, result.FencingToken, result.Commands)
-}
-
 // putResponses writes the responses to a batch, as many records as it takes.
 func (c *Controller) putResponses(batch store.RelayBatch, responses []relay.Envelope) {
 	capacity := wire.MaxBatchPayload(config.StoreLimits(c.platform).MaxValueBytes)
