--- a/internal/controller/peer_handler_test.go
+++ b/internal/controller/peer_handler_test.go
@@ -11,8 +11,9 @@
 )
 
 func TestRelayedHeartbeatIsAnsweredOnlyByALeader(t *testing.T) {
-	heartbeat := msgp.AppendMapHeader(nil, 1)
-	heartbeat = msgp.AppendString(msgp.AppendString(heartbeat, "tiller"), "m")
+	heartbeat := msgp.AppendMapHeader(nil, 2)
+	heartbeat = msgp.AppendString(msgp.AppendString(heartbeat, "tiller"), "m") // the machine
+	heartbeat = msgp.AppendUint64(msgp.AppendString(heartbeat, "shift"), 1)    // its epoch
 	if _, err := wire.DecodeHeartbeat(heartbeat); err != nil {
 		t.Fatalf("got %v from the heartbeat, want it well formed", err)
 	}
