--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,10 +1,14 @@
-// Package cloud is the client of the cloud that rents out machines.
+// Package cloud is the client of the cloud, which provisions and releases machines.
+//
+// Reads wait for the rate limit by themselves. Provision and Release do not: their
+// caller waits first and then checks that its leadership lease is still valid.
 package cloud
 
 import (
+	"bytes"
 	"context"
+	"errors"
 	"net/url"
-	"strings"
 	"time"
 
 	"github.com/valyala/fasthttp"
@@ -15,17 +19,36 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Client talks to the cloud within a budget of requests.
+// The published paths.
+const (
+	catalogPath   = "/catalog"
+	provisionPath = "/rentals"
+	releasePath   = "/rentals/return"
+	listPath      = "/rentals?page=500"
+	listAfter     = "&after="
+)
+
+// noCapacity is what the body of a 503 contains where the cloud has no machines of a
+// kind left.
+const noCapacity = "capacity"
+
+const maxConns = 8
+
+// Client talks to the cloud within a rate limit. It may be used from several
+// goroutines.
 type Client struct {
 	rpc     *rpc.Client
 	limiter *rate.Limiter
 	timeout time.Duration
 }
 
-// New makes a client. The rate is this controller's share; connections are made under a
-// condition (rpc.New).
-func New(addr string, perSecond float64, timeout time.Duration, under func(rpc.DialFunc) rpc.DialFunc) *Client {
-	return &Client{rpc: rpc.New(addr, 8, under), limiter: rate.NewLimiter(rate.Limit(perSecond), 1), timeout: timeout}
+// New returns a client. The rate is this controller's share of the published limit.
+func New(addr string, perSecond float64, timeout time.Duration, wrapDial rpc.DialWrapper) *Client {
+	return &Client{
+		rpc:     rpc.New(addr, maxConns, wrapDial),
+		limiter: rate.NewLimiter(rate.Limit(perSecond), 1),
+		timeout: timeout,
+	}
 }
 
 // SetRate sets this controller's share of the published limit.
@@ -34,8 +57,7 @@
 	c.limiter.SetBurst(max(1, int(perSecond)))
 }
 
-// Wait waits until a request is within the budget. Rent and Return do not wait
-// themselves: their caller checks its right to act in between.
+// Wait waits until a request is within the rate limit.
 func (c *Client) Wait(ctx context.Context) error { return c.limiter.Wait(ctx) }
 
 func (c *Client) get(ctx context.Context, uri string) ([]byte, error) {
@@ -47,56 +69,58 @@
 
 // Catalog returns the machine types.
 func (c *Client) Catalog(ctx context.Context) ([]model.MachineType, error) {
-	out, err := c.get(ctx, "/catalog")
+	body, err := c.get(ctx, catalogPath)
 	if err != nil {
 		return nil, err
 	}
-	return wire.DecodeCatalog(out)
+	return wire.DecodeCatalog(body)
 }
 
-// Provision asks for machines. full tells that the cloud has answered that it has
-// none of this kind. Any error leaves the outcome open.
-func (c *Client) Provision(r model.Provisioning) (names []string, full bool, err error) {
-	out, err := c.rpc.Call(fasthttp.MethodPost, "/rentals", wire.AppendProvisioning(nil, r), c.timeout)
-	if err != nil {
-		switch rpc.StatusCode(err) {
-		case fasthttp.StatusBadRequest:
-			return nil, true, nil // it will never be taken
-		case fasthttp.StatusServiceUnavailable:
-			return nil, strings.Contains(string(err.(*rpc.StatusError).Body), "capacity"), err
-		}
+// Provision asks for machines. It reports whether the cloud refuses this kind of
+// machine, for now or for good. After any error the outcome is unknown.
+func (c *Client) Provision(p model.Provisioning) (names []string, refused bool, err error) {
+	body, err := c.rpc.Call(fasthttp.MethodPost, provisionPath, wire.AppendProvisioning(nil, p), c.timeout)
+	var status *rpc.StatusError
+	switch {
+	case err == nil:
+		names, err = wire.DecodeMachineNames(body)
+		return names, false, err
+	case !errors.As(err, &status):
 		return nil, false, err
+	case status.Status == fasthttp.StatusBadRequest:
+		return nil, true, nil // no repetition of the request can succeed
+	case status.Status == fasthttp.StatusServiceUnavailable:
+		return nil, bytes.Contains(status.Body, []byte(noCapacity)), err
 	}
-	names, err = wire.DecodeMachineNames(out)
-	return names, false, err
+	return nil, false, err
 }
 
 // Release gives machines back. Without an error they are gone.
 func (c *Client) Release(names []string) error {
-	_, err := c.rpc.Call(fasthttp.MethodPost, "/rentals/return", wire.AppendMachineNames(nil, names), c.timeout)
+	_, err := c.rpc.Call(fasthttp.MethodPost, releasePath, wire.AppendMachineNames(nil, names), c.timeout)
 	return err
 }
 
-// ListMachines returns all rented machines, as of some time ago.
+// ListMachines returns all provisioned machines. The cloud's list lags behind.
 func (c *Client) ListMachines(ctx context.Context) ([]model.MachineInfo, error) {
-	var all []model.MachineInfo
+	var machines []model.MachineInfo
 	after := ""
 	for {
-		uri := "/rentals?page=500"
+		uri := listPath
 		if after != "" {
-			uri += "&after=" + url.QueryEscape(after)
+			uri += listAfter + url.QueryEscape(after)
 		}
-		out, err := c.get(ctx, uri)
+		body, err := c.get(ctx, uri)
 		if err != nil {
 			return nil, err
 		}
-		page, more, err := wire.DecodeMachineList(out)
+		page, more, err := wire.DecodeMachineList(body)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, page...)
+		machines = append(machines, page...)
 		if !more || len(page) == 0 {
-			return all, nil
+			return machines, nil
 		}
 		after = page[len(page)-1].Name
 	}
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -37,7 +37,8 @@
 	if _, err := c.Catalog(context.Background()); err == nil {
 		t.Error("a list of machines is taken as a catalogue")
 	}
-	if _, _, err := c.Provision(model.Provisioning{Name: "h-1", Type: "g8", Zone: "a", Spot: true, Count: 50}); err == nil {
+	provisioning := model.Provisioning{Name: "h-1", Type: "g8", Zone: "a", Spot: true, Count: 50}
+	if _, _, err := c.Provision(provisioning); err == nil {
 		t.Error("a list of machines is taken as a list of names")
 	}
 	if err := c.Release([]string{"n-000231", "n-000232"}); err != nil {
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,6 +1,9 @@
-// Package rpc is the common part of the clients of the outside services: one
-// request over HTTP with a MessagePack body, within a time, with a clear word
-// on whether a failed request can still be carried out.
+// Package rpc is the common part of the clients of the outside services: one request
+// over HTTP with a MessagePack body and a timeout.
+//
+// Its errors tell what has become of a request: with ErrNotSent it is certainly not
+// executed, with a *StatusError the service has answered it, and after any other error
+// it may still be executed.
 package rpc
 
 import (
@@ -12,6 +15,12 @@
 	"github.com/valyala/fasthttp"
 )
 
+const (
+	dialTimeout     = time.Second
+	connIdleTimeout = 20 * time.Second
+	connWaitTimeout = 500 * time.Millisecond // for a connection that is in use to become free
+)
+
 // ErrNotSent marks a request that did not reach the other side and never will:
 // a connection attempt that was given up does not complete afterwards.
 var ErrNotSent = errors.New("not sent")
@@ -33,40 +42,41 @@
 	return 0
 }
 
-// Client sends requests to one address.
+// DialFunc makes a connection.
+type DialFunc func(addr string) (net.Conn, error)
+
+// DialWrapper puts the making of connections under a condition, such as a quota of
+// sockets.
+type DialWrapper func(DialFunc) DialFunc
+
+// Client sends requests to one address. It may be used from several goroutines.
 type Client struct {
 	http *fasthttp.HostClient
 }
 
-// dialTimeout bounds how long a connection may take to come about.
-const dialTimeout = time.Second
-
-// DialFunc makes a connection.
-type DialFunc func(addr string) (net.Conn, error)
-
-// New makes a client for an address with up to conns connections. under puts the making of
-// connections under a condition, such as a budget of sockets; nil: there is none.
-func New(addr string, conns int, under func(DialFunc) DialFunc) *Client {
+// New returns a client for an address with up to maxConns connections. The wrapper
+// may be nil.
+func New(addr string, maxConns int, wrap DialWrapper) *Client {
 	open := DialFunc(dial)
-	if under != nil {
-		open = under(open)
+	if wrap != nil {
+		open = wrap(open)
 	}
 	return &Client{http: &fasthttp.HostClient{
 		Addr:                          addr,
-		MaxConns:                      conns,
-		MaxIdleConnDuration:           20 * time.Second,
+		MaxConns:                      maxConns,
+		MaxIdleConnDuration:           connIdleTimeout,
 		MaxIdemponentCallAttempts:     1,
 		RetryIfErr:                    func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		NoDefaultUserAgentHeader:      true,
 		DisablePathNormalizing:        true,
 		DisableHeaderNamesNormalizing: true,
-		MaxConnWaitTimeout:            500 * time.Millisecond,
+		MaxConnWaitTimeout:            connWaitTimeout,
 		Dial: func(addr string) (net.Conn, error) {
-			c, err := open(addr)
+			conn, err := open(addr)
 			if err != nil {
 				return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 			}
-			return c, nil
+			return conn, nil
 		},
 	}}
 }
@@ -79,25 +89,25 @@
 // Call sends a request and returns the body of a 200. Any other answer is a
 // *StatusError.
 func (c *Client) Call(method, uri string, body []byte, timeout time.Duration) ([]byte, error) {
-	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(res)
-	req.Header.SetMethod(method)
-	req.URI().DisablePathNormalizing = true
-	req.SetRequestURI("http://" + c.http.Addr + uri)
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.Header.SetMethod(method)
+	request.URI().DisablePathNormalizing = true
+	request.SetRequestURI("http://" + c.http.Addr + uri)
 	if body != nil {
-		req.Header.SetContentType("application/msgpack")
-		req.SetBodyRaw(body)
+		request.Header.SetContentType("application/msgpack")
+		request.SetBodyRaw(body)
 	}
-	if err := c.http.DoTimeout(req, res, timeout); err != nil {
+	if err := c.http.DoTimeout(request, response, timeout); err != nil {
 		if errors.Is(err, fasthttp.ErrNoFreeConns) {
 			return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 		return nil, err
 	}
-	out := append([]byte(nil), res.Body()...)
-	if res.StatusCode() != fasthttp.StatusOK {
-		return nil, &StatusError{res.StatusCode(), out}
+	answer := append([]byte(nil), response.Body()...)
+	if response.StatusCode() != fasthttp.StatusOK {
+		return nil, &StatusError{Status: response.StatusCode(), Body: answer}
 	}
-	return out, nil
+	return answer, nil
 }
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -25,8 +25,12 @@
 	defer s.Close()
 	c := New(5*time.Second, nil)
 	task := model.TaskID{Job: "wk-000412", Index: 3}
-	r := c.Send(s.Listener.Addr().String(), 41, 1<<63, []model.Command{{Op: model.OpLaunch, Task: task, Attempt: 2},
-		{Op: model.OpStop, Task: task, Attempt: 3, GracePeriod: 7500 * time.Millisecond}, {Op: model.OpForget, Task: task, Attempt: 4}}, true)
+	commands := []model.Command{
+		{Op: model.OpLaunch, Task: task, Attempt: 2},
+		{Op: model.OpStop, Task: task, Attempt: 3, GracePeriod: 7500 * time.Millisecond},
+		{Op: model.OpForget, Task: task, Attempt: 4},
+	}
+	r := c.Send(s.Listener.Addr().String(), 41, 1<<63, commands, true)
 	if !r.Executed || r.Heartbeat != nil {
 		t.Errorf("an empty answer of 200: got %+v, want executed, without a heartbeat", r)
 	}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,5 +1,9 @@
-// Package worker is the client of the workers: commands straight to their
+// Package worker is the client of the workers: it sends direct commands to their
 // addresses.
+//
+// There may be thousands of workers and few sockets. The client keeps connections to
+// the workers that it used most recently, and closes idle ones where the quota of
+// sockets does not allow a new one.
 package worker
 
 import (
@@ -17,97 +21,119 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Client sends commands to workers, over few connections a worker.
+const (
+	commandsPath      = "/commands" // published
+	maxConnsPerWorker = 2
+
+	// idleTimeout is after which time without a command a worker is removed:
+	// machines come and go, and their addresses with them.
+	idleTimeout = 2 * time.Minute
+
+	maxClosedAtOnce  = 16  // workers whose connections are closed for one new connection
+	maxIdleInspected = 128 // the least recently used workers that are considered for that
+)
+
+// Client sends commands to workers. It may be used from several goroutines.
 type Client struct {
 	timeout  time.Duration
-	wrapDial func(rpc.DialFunc) rpc.DialFunc
+	wrapDial rpc.DialWrapper
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards the fields below and those of all connections
 	byAddr       map[string]*list.Element
-	recentlyUsed *list.List // of *conn, those that were used last at the back
+	recentlyUsed *list.List // of *connection, the least recently used first
 }
 
+// connection holds the connections to one worker. The client's mutex guards it.
 type connection struct {
 	addr          string
 	client        *rpc.Client
 	lastUsed      time.Time
-	callsInFlight int  // that are under way
-	lastUrgent    bool // the last one is
+	callsInFlight int
+	lastUrgent    bool // the last call is urgent
 }
 
-// idleTimeout is when a worker that nothing was sent to is forgotten: machines come
-// and go, and their addresses with them.
-const idleTimeout = 2 * time.Minute
-
-// New makes a client; connections are made under a condition (rpc.New).
-func New(timeout time.Duration, under func(rpc.DialFunc) rpc.DialFunc) *Client {
-	return &Client{timeout: timeout, wrapDial: under, byAddr: map[string]*list.Element{}, recentlyUsed: list.New()}
+// New returns a client. The wrapper may be nil.
+func New(timeout time.Duration, wrapDial rpc.DialWrapper) *Client {
+	return &Client{
+		timeout:      timeout,
+		wrapDial:     wrapDial,
+		byAddr:       map[string]*list.Element{},
+		recentlyUsed: list.New(),
+	}
 }
 
-// dialFor puts the making of a connection to a worker under the client's condition. Where there is no socket for it,
-// others make room.
-func (c *Client) dialFor(w *connection) func(rpc.DialFunc) rpc.DialFunc {
+// dialFor returns the wrapper for connections to one worker: it applies the client's
+// own, and where the quota of sockets is used up closes idle connections and dials
+// once more.
+func (c *Client) dialFor(worker *connection) rpc.DialWrapper {
 	return func(dial rpc.DialFunc) rpc.DialFunc {
 		if c.wrapDial != nil {
 			dial = c.wrapDial(dial)
 		}
 		return func(addr string) (net.Conn, error) {
-			made, err := dial(addr)
-			if errors.Is(err, connquota.ErrFull) && c.closeIdle(w) {
-				made, err = dial(addr)
+			conn, err := dial(addr)
+			if errors.Is(err, connquota.ErrFull) && c.closeIdle(worker) {
+				conn, err = dial(addr)
 			}
-			return made, err
+			return conn, err
 		}
 	}
 }
 
-// closeIdle closes connections on which nothing is under way, of the workers that were sent nothing for longest, so that
-// another one can be sent something. It is false where there are none to close: for what is not urgent those that were
-// used lately stay, and the launch goes in the answer to its worker's next report, which costs nothing. Guards against
-// urgent launches that wait for such a report, for seconds, and against connections that are made and closed for each
-// of thousands of launches a second.
-func (c *Client) closeIdle(to *connection) bool {
+// closeIdle closes idle connections of the least recently used workers, and reports
+// whether there were any. An urgent call may close any of them: it would otherwise
+// wait for its worker's next heartbeat, for seconds. Other calls close only those that
+// were not used within the timeout, so that thousands of launches a second don't make
+// and close a connection each; their commands go in the answer to the next heartbeat,
+// which costs nothing.
+func (c *Client) closeIdle(caller *connection) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := 0
+	closed := 0
 	e := c.recentlyUsed.Front()
 	for range maxIdleInspected {
-		if e == nil || n == maxClosedAtOnce {
+		if e == nil || closed == maxClosedAtOnce {
 			break
 		}
 		next := e.Next()
-		if w := e.Value.(*connection); w.callsInFlight == 0 && (to.lastUrgent || time.Since(w.lastUsed) > c.timeout) {
+		w := e.Value.(*connection)
+		if w.callsInFlight == 0 && (caller.lastUrgent || time.Since(w.lastUsed) > c.timeout) {
 			c.remove(e)
-			n++
+			closed++
 		}
 		e = next
 	}
-	return n > 0
+	return closed > 0
 }
 
-const (
-	maxClosedAtOnce  = 16  // workers whose connections are closed at once
-	maxIdleInspected = 128 // that were sent nothing for longest
-)
-
-// remove closes the connections to a worker. The lock is held.
+// remove removes a worker and closes the connections to it. The mutex is held.
 func (c *Client) remove(e *list.Element) {
-	old := c.recentlyUsed.Remove(e).(*connection)
-	old.client.Close()
-	delete(c.byAddr, old.addr)
+	w := c.recentlyUsed.Remove(e).(*connection)
+	w.client.Close()
+	delete(c.byAddr, w.addr)
 }
 
-// acquire finds the connection to a worker for a call; give says that it is over.
+// removeExpired removes the workers that were not used for idleTimeout. The mutex is
+// held.
+func (c *Client) removeExpired(now time.Time) {
+	for {
+		e := c.recentlyUsed.Front()
+		if e == nil || now.Sub(e.Value.(*connection).lastUsed) <= idleTimeout {
+			return
+		}
+		c.remove(e)
+	}
+}
+
+// acquire returns the connection to a worker for one call; release ends the call.
 func (c *Client) acquire(addr string, urgent bool, now time.Time) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.byAddr[addr]
 	if e == nil {
-		for o := c.recentlyUsed.Front(); o != nil && now.Sub(o.Value.(*connection).lastUsed) > idleTimeout; o = c.recentlyUsed.Front() {
-			c.remove(o)
-		}
+		c.removeExpired(now)
 		w := &connection{addr: addr}
-		w.client = rpc.New(addr, 2, c.dialFor(w))
+		w.client = rpc.New(addr, maxConnsPerWorker, c.dialFor(w))
 		e = c.recentlyUsed.PushBack(w)
 		c.byAddr[addr] = e
 	}
@@ -124,38 +150,38 @@
 	w.callsInFlight--
 }
 
-// Reply is what became of commands.
+// Reply is the outcome of a request with commands.
 type Reply struct {
 	Executed  bool             // the commands were executed
-	Heartbeat *model.Heartbeat // the worker's report after them; nil where none came
-	NotSent   bool             // the commands did not reach the worker and never will
+	Heartbeat *model.Heartbeat // the worker's heartbeat after them; nil where none came
+	NotSent   bool             // the commands were not executed and never will be
 	Err       error
 }
 
-// Send sends commands. The caller checks its right to act right before.
-func (c *Client) Send(addr string, token, session uint64, orders []model.Command, urgent bool) Reply {
+// Send sends commands. The caller checks its leadership lease right before.
+func (c *Client) Send(addr string, fencingToken, epoch uint64, commands []model.Command, urgent bool) Reply {
 	w := c.acquire(addr, urgent, time.Now())
 	defer c.release(w)
-	out, err := w.client.Call(
-		fasthttp.MethodPost,
-		"/commands",
-		wire.AppendCommands(nil, token, session, orders),
-		c.timeout,
-	)
-	var s *rpc.StatusError
+	request := wire.AppendCommands(nil, fencingToken, epoch, commands)
+	body, err := w.client.Call(fasthttp.MethodPost, commandsPath, request, c.timeout)
+	var status *rpc.StatusError
 	switch {
 	case err == nil:
-		r, err := wire.DecodeHeartbeat(out)
-		if err != nil {
-			r = nil
-		}
-		return Reply{Executed: true, Heartbeat: r, Err: err}
-	case errors.As(err, &s):
-		r, derr := wire.DecodeHeartbeat(s.Body)
-		if derr != nil {
-			r = nil
-		}
-		return Reply{Heartbeat: r, NotSent: true, Err: err}
+		heartbeat, err := decodeHeartbeat(body)
+		return Reply{Executed: true, Heartbeat: heartbeat, Err: err}
+	case errors.As(err, &status):
+		// A refusal may come without a heartbeat, so it is no error if there is none.
+		heartbeat, _ := decodeHeartbeat(status.Body)
+		return Reply{Heartbeat: heartbeat, NotSent: true, Err: err}
 	}
 	return Reply{NotSent: errors.Is(err, rpc.ErrNotSent), Err: err}
 }
+
+// decodeHeartbeat reads the heartbeat in an answer, or returns nil and an error.
+func decodeHeartbeat(body []byte) (*model.Heartbeat, error) {
+	h, err := wire.DecodeHeartbeat(body)
+	if err != nil {
+		return nil, err
+	}
+	return h, nil
+}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -12,7 +12,7 @@
 	"github.com/glentiller/glentiller/internal/connquota"
 )
 
-// startWorker makes a stand-in worker that answers commands after the gate is open.
+// startWorker starts a worker that answers commands once the gate is closed, and returns its address.
 func startWorker(t *testing.T, gate <-chan struct{}) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -25,23 +25,34 @@
 	return l.Addr().String()
 }
 
-// maxDirectConnections is how many connections for commands the smallest budget allows.
+// maxDirectConnections is how many connections for commands the smallest quota allows.
 const maxDirectConnections = 4
 
-// Guards against launches that wait for their workers' next reports, up to several seconds, where every connection was
-// used lately and none is in use: at 2,200 starts a second urgent work started after 1.2 s.
+// Without the eviction an urgent launch waits for its worker's next heartbeat, up to several seconds, where every
+// connection was used recently and none is in use: at 2,200 starts a second urgent work started after 1.2 s.
 func TestUrgentCommandEvictsRecentlyUsedIdleConnection(t *testing.T) {
-	open := make(chan struct{})
-	close(open)
+	gate := make(chan struct{})
+	close(gate)
 	c := New(5*time.Second, connquota.New(16, 0, nil).Dialer(connquota.DirectCommands))
 	for i := range 4 * maxDirectConnections {
-		if r := c.Send(startWorker(t, open), 1, 1, nil, true); !r.Executed {
-			t.Fatalf("worker %d: %v", i, r.Err)
+		if r := c.Send(startWorker(t, gate), 1, 1, nil, true); !r.Executed {
+			t.Fatalf("urgent command to worker %d: got %+v, want it executed", i, r)
 		}
 	}
-	if r := c.Send(startWorker(t, open), 1, 1, nil, false); !errors.Is(r.Err, connquota.ErrFull) {
-		t.Errorf("what is not urgent: %+v", r)
+	if r := c.Send(startWorker(t, gate), 1, 1, nil, false); !errors.Is(r.Err, connquota.ErrFull) {
+		t.Errorf("command that is not urgent: got %+v, want %v", r, connquota.ErrFull)
+	}
+}
+
+// totalCallsInFlight sums up the calls to all workers.
+func (c *Client) totalCallsInFlight() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	n := 0
+	for e := c.recentlyUsed.Front(); e != nil; e = e.Next() {
+		n += e.Value.(*connection).callsInFlight
 	}
+	return n
 }
 
 func TestConnectionInUseIsNotEvicted(t *testing.T) {
@@ -53,24 +64,18 @@
 		addr := startWorker(t, gate)
 		all.Go(func() { replies[i] = c.Send(addr, 1, 1, nil, true) })
 	}
-	for under := 0; under < maxDirectConnections; {
+	for c.totalCallsInFlight() < maxDirectConnections {
 		time.Sleep(10 * time.Millisecond)
-		c.mu.Lock()
-		under = 0
-		for e := c.recentlyUsed.Front(); e != nil; e = e.Next() {
-			under += e.Value.(*connection).callsInFlight
-		}
-		c.mu.Unlock()
 	}
 	time.Sleep(50 * time.Millisecond) // all of them are connected by now
 	if r := c.Send(startWorker(t, gate), 1, 1, nil, true); !errors.Is(r.Err, connquota.ErrFull) {
-		t.Errorf("one more: %+v", r)
+		t.Errorf("one command more: got %+v, want %v", r, connquota.ErrFull)
 	}
 	close(gate)
 	all.Wait()
 	for i, r := range replies {
 		if !r.Executed {
-			t.Errorf("worker %d: %v", i, r.Err)
+			t.Errorf("command to worker %d: got %+v, want it executed", i, r)
 		}
 	}
 }
