--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -21,6 +21,7 @@
 	AttemptDropped                           // it is certainly not on the machine, or the worker was told to forget it
 )
 
+// String returns the state's name for logs and explanations.
 func (s AttemptState) String() string {
 	return [...]string{"none", "launching", "present", "stopping", "ended", "dropped"}[s]
 }
--- a/internal/model/dependency_graph.go
+++ b/internal/model/dependency_graph.go
@@ -28,6 +28,7 @@
 	DependencyEnded
 )
 
+// String returns the state's name for logs and explanations.
 func (s DependencyState) String() string {
 	return [...]string{"none", "named", "waiting", "free", "doomed", "over"}[s]
 }
--- a/internal/model/heartbeat.go
+++ b/internal/model/heartbeat.go
@@ -20,6 +20,7 @@
 	PhaseExited
 )
 
+// String returns the phase's name for logs and explanations.
 func (p Phase) String() string {
 	return [...]string{"none", "fetching", "waiting", "running", "saving", "exited"}[p]
 }
@@ -39,6 +40,7 @@
 	CauseUnknownJob      // the worker refused the launch: it does not know the job
 )
 
+// String returns the cause's name for logs and explanations.
 func (c ExitCause) String() string {
 	return [...]string{"none", "done", "stopped", "peers", "alone", "error", "no_room", "busy", "unknown"}[c]
 }
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -20,6 +20,7 @@
 	MachineReleased                          // the cloud has taken it back
 )
 
+// String returns the state's name for logs and explanations.
 func (s MachineState) String() string {
 	return [...]string{"none", "booting", "unsettled", "ready", "draining", "returning", "gone"}[s]
 }
--- a/internal/model/quota.go
+++ b/internal/model/quota.go
@@ -36,6 +36,7 @@
 	return b.limited && used > fraction*b.max
 }
 
+// String returns the bound as text for people.
 func (b Bound) String() string {
 	if !b.limited {
 		return "no limit"
--- a/internal/model/spec.go
+++ b/internal/model/spec.go
@@ -23,6 +23,7 @@
 	Service                  // replicas run until the job is cancelled
 )
 
+// String returns the shape's name for logs and explanations.
 func (s Shape) String() string {
 	switch s {
 	case Array:
@@ -46,6 +47,7 @@
 	PriorityProduction
 )
 
+// String returns the priority's name for logs and explanations.
 func (p Priority) String() string {
 	switch p {
 	case PriorityLow:
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -31,6 +31,7 @@
 	Body   []byte
 }
 
+// Error returns the status as text.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
 // StatusCode returns the status of an answer other than 200, or 0.
