--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -12,7 +12,8 @@
 type AttemptState uint8
 
 // The states of an attempt. It is active, which means that it counts as being
-// on its machine, from AttemptLaunching to AttemptStopping: docs/safety.md.
+// on its machine, from AttemptLaunching to AttemptStopping: docs/safety.md,
+// "Attempts on a machine".
 const (
 	AttemptLaunching AttemptState = iota + 1 // the launch may have been sent; no heartbeat has shown it yet
 	AttemptPresent                           // a heartbeat has shown it on its machine
--- a/internal/model/unanswered_launches.go
+++ b/internal/model/unanswered_launches.go
@@ -5,7 +5,7 @@
 // worker's epoch and its fencing token are the same. Every copy counts by itself:
 // an answer to one says nothing of another that the network delays, and which
 // would start the task a second time once the attempt is forgotten
-// (docs/safety.md).
+// (docs/safety.md, "Delayed launches").
 //
 // They belong to the worker's epoch and not to the attempt, so they outlive an
 // attempt that the leader no longer knows.
