--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -12,26 +12,24 @@
 // DecodeCatalog reads the machine types. It leaves out types without a name or CPUs:
 // nothing can be placed there, and they must not hide the others.
 func DecodeCatalog(b []byte) ([]model.MachineType, error) {
-	var types []model.MachineType
-	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
-		if name != cloudCatalog {
-			return b, false, nil
-		}
-		rest, err := eachItem(b, func(b []byte) ([]byte, error) {
-			t, rest, err := decodeMachineType(b)
-			if t.Name != "" && t.Capacity.CPU > 0 {
-				types = append(types, t)
-			}
-			return rest, err
-		})
-		return rest, true, err
-	})
+	types, err := decodeField(b, cloudCatalog, readCatalog)
 	if err == nil && len(types) == 0 {
 		err = errors.New("a catalogue without a type that has a name and CPUs")
 	}
 	return types, err
 }
 
+func readCatalog(b []byte, dst *[]model.MachineType) ([]byte, bool, error) {
+	rest, err := eachItem(b, func(b []byte) ([]byte, error) {
+		t, rest, err := decodeMachineType(b)
+		if t.Name != "" && t.Capacity.CPU > 0 {
+			*dst = append(*dst, t)
+		}
+		return rest, err
+	})
+	return rest, true, err
+}
+
 func decodeMachineType(b []byte) (model.MachineType, []byte, error) {
 	var t model.MachineType
 	var bootSeconds float64
@@ -80,7 +78,9 @@
 }
 
 // DecodeMachineNames reads the names of provisioned machines.
-func DecodeMachineNames(b []byte) ([]string, error) { return decodeStrings(b, cloudMachines) }
+func DecodeMachineNames(b []byte) ([]string, error) {
+	return decodeField(b, cloudMachines, readStrings)
+}
 
 // DecodeMachineList reads one page of the list of machines.
 func DecodeMachineList(b []byte) (machines []model.MachineInfo, more bool, err error) {
@@ -89,18 +89,22 @@
 		case cloudMore:
 			return readBool(b, &more)
 		case cloudMachines:
-			rest, err := eachItem(b, func(b []byte) ([]byte, error) {
-				m, rest, err := decodeListedMachine(b)
-				machines = append(machines, m)
-				return rest, err
-			})
-			return rest, true, err
+			return readMachines(b, &machines)
 		}
 		return b, false, nil
 	})
 	return machines, more, err
 }
 
+func readMachines(b []byte, dst *[]model.MachineInfo) ([]byte, bool, error) {
+	rest, err := eachItem(b, func(b []byte) ([]byte, error) {
+		m, rest, err := decodeListedMachine(b)
+		*dst = append(*dst, m)
+		return rest, err
+	})
+	return rest, true, err
+}
+
 func decodeListedMachine(b []byte) (model.MachineInfo, []byte, error) {
 	var m model.MachineInfo
 	var status string
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -190,27 +190,23 @@
 	return rest, true, err
 }
 
-// decodeStrings decodes a message of which one field matters, a list of texts.
-func decodeStrings(b []byte, field string) ([]string, error) {
-	var list []string
+// decodeField decodes a message of which one field matters.
+func decodeField[T any](
+	b []byte, field string, read func(b []byte, dst *T) (rest []byte, handled bool, err error),
+) (T, error) {
+	var v T
 	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
 		if name == field {
-			return readStrings(b, &list)
+			return read(b, &v)
 		}
 		return b, false, nil
 	})
-	return list, err
+	return v, err
 }
 
 // decodeUint decodes a message of which one field matters, an integer above zero.
 func decodeUint(b []byte, field string) (uint64, error) {
-	var v uint64
-	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
-		if name == field {
-			return readUint(b, &v)
-		}
-		return b, false, nil
-	})
+	v, err := decodeField(b, field, readUint)
 	if err == nil && v == 0 {
 		err = errors.New(field + " is missing")
 	}
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -61,13 +61,7 @@
 // DecodeJobID reads the id of a submitted job and nothing else: a known job is
 // answered before its submission is validated.
 func DecodeJobID(b []byte) (string, error) {
-	var id string
-	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
-		if name == jobID {
-			return readString(b, &id)
-		}
-		return b, false, nil
-	})
+	id, err := decodeField(b, jobID, readString)
 	if err == nil && !model.ValidJobID(id) {
 		err = errors.New("ref is missing or not of the form")
 	}
--- a/internal/wire/job_records.go
+++ b/internal/wire/job_records.go
@@ -90,7 +90,9 @@
 }
 
 // DecodeDependencies reads one part of a list of dependencies.
-func DecodeDependencies(b []byte) ([]string, error) { return decodeStrings(b, recordDependencies) }
+func DecodeDependencies(b []byte) ([]string, error) {
+	return decodeField(b, recordDependencies, readStrings)
+}
 
 // AppendEndedJob appends the small record that is kept of an ended job for good.
 func AppendEndedJob(b []byte, s JobState, tasks int, ended time.Time) []byte {
@@ -150,13 +152,7 @@
 
 // DecodeTasksDone reads one chunk of the finished-task record.
 func DecodeTasksDone(b []byte) ([]byte, error) {
-	var digits string
-	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
-		if name == recordDoneBits {
-			return readString(b, &digits)
-		}
-		return b, false, nil
-	})
+	digits, err := decodeField(b, recordDoneBits, readString)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -98,13 +98,7 @@
 
 // DecodeFeatureLevel reads the record of the feature level in force.
 func DecodeFeatureLevel(b []byte) (uint32, error) {
-	var level uint64
-	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
-		if name == recordFeatureLevel {
-			return readUint(b, &level)
-		}
-		return b, false, nil
-	})
+	level, err := decodeField(b, recordFeatureLevel, readUint)
 	if err == nil && (level == 0 || level > math.MaxUint32) {
 		err = errors.New("not a level's record")
 	}
