--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -12,7 +12,8 @@
 type AttemptState uint8
 
 // The states of an attempt. It is active, which means that it counts as being
-// on its machine, from AttemptLaunching to AttemptStopping: docs/safety.md.
+// on its machine, from AttemptLaunching to AttemptStopping: docs/safety.md,
+// "Attempts on a machine".
 const (
 	AttemptLaunching AttemptState = iota + 1 // the launch may have been sent; no heartbeat has shown it yet
 	AttemptPresent                           // a heartbeat has shown it on its machine
@@ -21,6 +22,7 @@
 	AttemptDropped                           // it is certainly not on the machine, or the worker was told to forget it
 )
 
+// String returns the state's name for logs and explanations.
 func (s AttemptState) String() string {
 	return [...]string{"none", "launching", "present", "stopping", "ended", "dropped"}[s]
 }
