--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -2,136 +2,152 @@
 
 import "time"
 
-// State is whether a machine hears the leader.
+// State is what a failure detector holds of a machine.
 type State uint8
 
-// The states of a machine's hearing.
+// The states of a machine's liveness.
 const (
 	Alive   State = iota // nothing is known against it
-	Probing              // something does not fit: it is asked
-	Suspect              // it has not answered, or does not do what it is told: nothing is placed on it
-	Failed               // that has lasted: it is to be replaced
+	Probing              // something does not fit: it is probed
+	Suspect              // it did not answer, or does not carry out its commands: nothing is placed on it
+	Failed               // it was a suspect for long: it is to be replaced
 )
 
 func (s State) String() string { return [...]string{"alive", "probing", "suspect", "failed"}[s] }
 
-// Settings are the times that hearing goes by.
+// Settings are the times that a Detector works by.
 type Settings struct {
 	Lease        time.Duration // of the workers
-	HeartbeatGap time.Duration // between two reports that shows that its worker has waited for an answer in vain
-	ReplaceAfter time.Duration // a doubtful machine on which nothing is known to run is deaf after this
+	HeartbeatGap time.Duration // between two heartbeats: its worker has waited for an answer in vain
+	ReplaceAfter time.Duration // a suspect on which nothing is known to run fails after this
 }
 
-// Detector is a failure detector: what a leader knows of whether a machine hears it. Evidence goes in, in
-// any order; a proof ends every doubt.
+// Detector is a failure detector for one machine: what a leader knows of whether the machine receives its messages.
+// Evidence is given in any order; a proof that something was received ends every suspicion.
 type Detector struct {
 	State  State
 	Since  time.Time
-	Reason string
+	Reason string // for people
 
-	lastDirect     time.Time    // when the last report came straight from it and was answered
+	lastDirect     time.Time    // when the last heartbeat came directly from the worker and was answered
 	relayedSince   bool         // others came by way of members since
-	unacknowledged int          // answers in a row that it shows nothing of
-	selfEvident    bool         // the doubt rests on what it has shown by itself
-	answeredAt     [2]time.Time // when the last two reports came that were answered, the later one first
+	unacknowledged int          // consecutive answers whose commands it did not carry out
+	selfEvident    bool         // the suspicion rests on what the machine itself has shown
+	answeredAt     [2]time.Time // when the last two answered heartbeats came, the later one first
 }
 
-// transition changes the state; it is the only place that does. It tells whether that is new.
-func (d *Detector) transition(now time.Time, s State, why string) bool {
-	if d.State == s {
+// maxUnacknowledged is how many consecutive answers without effect make a machine a suspect without a probe.
+const maxUnacknowledged = 2
+
+// epochMarginDivisor: an epoch that outlives a suspicion by a lease and one part in this many of it was renewed since.
+const epochMarginDivisor = 8
+
+// transition changes the state and is the only place that does. It reports whether the state is new.
+func (d *Detector) transition(now time.Time, state State, reason string) bool {
+	if d.State == state {
 		return false
 	}
-	d.State, d.Since, d.Reason = s, now, why
+	d.State, d.Since, d.Reason = state, now, reason
 	return true
 }
 
-// ProveAlive takes a proof that something that was sent lately has reached the machine.
-func (d *Detector) ProveAlive(now time.Time, why string) bool {
+// ProveAlive takes a proof that something that was sent lately has reached the machine. It reports whether the state
+// has changed, as the other methods do.
+func (d *Detector) ProveAlive(now time.Time, reason string) bool {
 	d.unacknowledged, d.selfEvident = 0, false
-	return d.transition(now, Alive, why)
+	return d.transition(now, Alive, reason)
 }
 
-// TokenNotTaken takes that a machine reports, and has not taken the leader's token in more than a lease.
+// TokenNotTaken takes that a machine sends heartbeats but has not taken the leader's fencing token in more than a
+// lease.
 func (d *Detector) TokenNotTaken(now time.Time) bool {
 	d.selfEvident = true
 	return d.State < Suspect && d.transition(now, Suspect, "it has not taken this leader's token")
 }
 
-// Probe has it asked whether it hears. Who is in doubt already stays there.
-func (d *Detector) Probe(now time.Time, why string) bool {
-	return d.State == Alive && d.transition(now, Probing, why)
+// Probe has a machine probed. One that is probed already, or a suspect, stays in its state.
+func (d *Detector) Probe(now time.Time, reason string) bool {
+	return d.State == Alive && d.transition(now, Probing, reason)
 }
 
-// Conclusive tells that the doubt rests on what the machine itself has shown, and not on questions alone.
+// Conclusive reports whether a suspicion rests on what the machine itself has shown, and not on unanswered probes
+// alone.
 func (d *Detector) Conclusive() bool { return d.unacknowledged >= maxUnacknowledged || d.selfEvident }
 
-// MarkUnexpected is a machine that nobody here has rented: nothing is placed on it before it has answered.
+// MarkUnexpected takes that this leader has not provisioned the machine: it is a suspect until it has answered.
 func (d *Detector) MarkUnexpected(now time.Time) {
 	d.transition(now, Suspect, "nobody here has rented it")
 }
 
-// Evidence is what a report tells of the machine's hearing.
+// Evidence is what a heartbeat tells of a machine's liveness.
 type Evidence struct {
-	Direct          bool // it came from the machine itself, not by way of another member
-	Acknowledges    bool // it shows something that was sent to it, for the first time
-	MissesCommands  bool // it lacks what the answer to an earlier straight one of the session has told
-	NewEpoch        bool // the worker has begun a new session
-	ZonePartitioned bool // many machines of the zone are silent: a cut explains gaps
+	Direct          bool // it came from the worker itself, not by way of another member
+	Acknowledges    bool // it shows for the first time something that was sent to the machine
+	MissesCommands  bool // it lacks what the answer to an earlier direct heartbeat of the epoch commanded
+	NewEpoch        bool // the worker has begun a new epoch
+	ZonePartitioned bool // many machines of the zone are silent: a network partition explains gaps
 }
 
-// ObserveHeartbeat takes a fresh report that is answered.
+// ObserveHeartbeat takes a fresh heartbeat that is answered, and reports whether the state has changed.
 //
-// Only answers to straight ones tell anything against a machine, since what is handed on may be
-// answered too late. A worker that waits for one in vain turns to another member, so the report that tells
-// of it mostly comes by way of that one.
-func (d *Detector) ObserveHeartbeat(now time.Time, s Evidence, set Settings) (changed bool) {
-	gap, left := now.Sub(d.lastDirect), d.relayedSince
+// Only answers to direct heartbeats count against a machine, since a relayed one may be answered too late. A worker
+// that waits for an answer in vain turns to another member, so the heartbeat that shows it is mostly a relayed one.
+func (d *Detector) ObserveHeartbeat(now time.Time, evidence Evidence, settings Settings) (changed bool) {
+	gap, relayedSince := now.Sub(d.lastDirect), d.relayedSince
 	known := !d.lastDirect.IsZero()
-	if d.relayedSince = !s.Direct; s.Direct {
+	if d.relayedSince = !evidence.Direct; evidence.Direct {
 		d.lastDirect = now
 	}
-	// A lease is longer than two reports that were answered are apart: at least one of these answers was lost.
-	vain := s.NewEpoch && now.Sub(d.answeredAt[1]) < set.Lease
+	// A lease is longer than the time between two answered heartbeats: at least one of their answers was lost.
+	expiredThoughAnswered := evidence.NewEpoch && now.Sub(d.answeredAt[1]) < settings.Lease
 	d.answeredAt = [2]time.Time{now, d.answeredAt[0]}
 	switch {
-	case s.Acknowledges:
+	case evidence.Acknowledges:
 		return d.ProveAlive(now, "it shows what it was told")
-	case vain:
-		// Also while many are silent. Guards against half a zone that hears nothing and is taken for cut off:
-		// work was placed there again and again.
+	case expiredThoughAnswered:
+		// This counts also during a partition. Otherwise half a zone that receives nothing is taken for cut off, and
+		// tasks are placed there again and again.
 		d.selfEvident = true
 		return d.Probe(now, "its lease has run out although two of its reports were answered")
-	case s.MissesCommands:
-		if d.unacknowledged++; d.unacknowledged >= maxUnacknowledged {
-			return d.State <= Probing && d.transition(now, Suspect, "it does not do what it is told")
-		}
-		return d.Probe(now, "it lacks what it was told")
-	case s.NewEpoch && known && gap < set.Lease+set.HeartbeatGap && !s.ZonePartitioned:
+	case evidence.MissesCommands:
+		return d.commandsMissed(now)
+	case evidence.NewEpoch && known && gap < settings.Lease+settings.HeartbeatGap && !evidence.ZonePartitioned:
 		return d.Probe(now, "its lease has run out although its reports were answered")
-	case known && !left && gap >= set.HeartbeatGap && gap < set.Lease && !s.ZonePartitioned:
+	case known && !relayedSince && gap >= settings.HeartbeatGap && gap < settings.Lease && !evidence.ZonePartitioned:
 		return d.Probe(now, "it seems to have waited for an answer in vain")
-	case !s.NewEpoch && d.State == Suspect && now.Sub(d.Since) > set.Lease+set.Lease/8:
+	case !evidence.NewEpoch && d.State == Suspect && d.epochOutlivesSuspicion(now, settings.Lease):
 		return d.ProveAlive(now, "its session has outlived the doubt by a lease")
 	}
-	if s.Direct {
+	if evidence.Direct {
 		d.unacknowledged = 0
 	}
 	return false
 }
 
-// maxUnacknowledged is how many answers in a row that have no effect put a machine in doubt without a question.
-const maxUnacknowledged = 2
+// commandsMissed takes that a machine did not carry out the commands of an answer.
+func (d *Detector) commandsMissed(now time.Time) bool {
+	if d.unacknowledged++; d.unacknowledged >= maxUnacknowledged {
+		return d.State <= Probing && d.transition(now, Suspect, "it does not do what it is told")
+	}
+	return d.Probe(now, "it lacks what it was told")
+}
+
+// epochOutlivesSuspicion reports that the epoch lasts for longer than a lease after the suspicion began: an answer has
+// reached the worker since.
+func (d *Detector) epochOutlivesSuspicion(now time.Time, lease time.Duration) bool {
+	return now.Sub(d.Since) > lease+lease/epochMarginDivisor
+}
 
-// ProbeTimedOut takes that a question was not answered.
+// ProbeTimedOut takes that a probe was not answered.
 func (d *Detector) ProbeTimedOut(now time.Time) bool {
 	return d.State == Probing && d.transition(now, Suspect, d.Reason+", and it does not answer")
 }
 
-// CheckTimeout takes that time passes. holding tells whether anything is known to run on it: that goes on
-// until the worker's lease has run out, and is not thrown away before.
-func (d *Detector) CheckTimeout(now time.Time, holding bool, set Settings) bool {
-	long := now.Sub(d.Since)
-	if d.State != Suspect || long < set.ReplaceAfter || holding && long < set.Lease {
+// CheckTimeout takes that time passes. running says that something is known to run on the machine: that goes on until
+// the worker's lease has expired, and the machine is not replaced before.
+func (d *Detector) CheckTimeout(now time.Time, running bool, settings Settings) bool {
+	suspected := now.Sub(d.Since)
+	if d.State != Suspect || suspected < settings.ReplaceAfter || running && suspected < settings.Lease {
 		return false
 	}
 	return d.transition(now, Failed, d.Reason)
