--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -1,72 +1,75 @@
-// Package staleness decides for how long a leader may keep workers' leases and start tasks by what it
-// knows of cancellations. Users are told of them by any member, and a leader may be the one that
-// the state service does not answer: it goes by the others' word then. It reads no clock. The
-// argument is in docs/safety.md, "Cancelled is gone in time".
+// Package staleness decides for how long a leader may renew workers' leases and start tasks by what it knows of
+// cancellations.
+//
+// Any member confirms cancellations to users, and the leader may be the one that the state service does not answer:
+// then it goes by what the other members report. A leader keeps a Tracker, tells it of each reading of the records and
+// each report of a member, and compares the age of Tracker.KnownAsOf with a Bound. The package reads no clock.
+// docs/safety.md, "Cancelled is gone in time", has the argument.
 package staleness
 
 import "time"
 
 // Bound is how old a leader's knowledge of cancellations may be.
 type Bound struct {
-	KeepLeases time.Duration // while it answers workers
+	KeepLeases time.Duration // while it answers heartbeats
 	StartTasks time.Duration // while it starts tasks
 }
 
 const (
-	stopSlack     = 3 * time.Second         // for workers that end their tasks late
-	maxClockDrift = 0.001                   // bounds how far the steady clocks of two machines part
+	stopSlack     = 3 * time.Second         // for workers that stop their tasks late
+	maxClockDrift = 0.001                   // how far the steady clocks of two machines part, as a fraction
 	minBound      = 1500 * time.Millisecond // that a leader can work with
-	maxStartBound = 4 * time.Second         // in which every member has been asked, and asked again, if all is well
+	maxStartBound = 4 * time.Second         // enough to ask every member twice, if all is well
 )
 
-// BoundFor is the bound by which tasks of a cancelled job are gone in a time, where workers' leases
-// last for another; ok is false where no bound can see to that, and the least that a leader can
-// work with is given.
-func BoundFor(cancel, lease time.Duration) (b Bound, ok bool) {
-	keep := time.Duration(float64(cancel)/(1+maxClockDrift)) - lease - stopSlack
+// BoundFor returns the bound by which the tasks of a cancelled job end within a time, where workers' leases last for
+// another. ok is false where no bound ensures that; the least bound that a leader can work with is returned then.
+func BoundFor(cancelWithin, lease time.Duration) (bound Bound, ok bool) {
+	keep := time.Duration(float64(cancelWithin)/(1+maxClockDrift)) - lease - stopSlack
 	ok = keep >= minBound
 	keep = max(keep, minBound)
 	return Bound{KeepLeases: keep, StartTasks: min(keep, maxStartBound)}, ok
 }
 
-// Tracker keeps as of when a leader knows of all cancellations that users were told of.
+// Tracker keeps as of when a leader knows all cancellations that users were told of.
 type Tracker struct {
 	readAt         time.Time            // as of when it has read the records
-	acknowledgedAt map[string]time.Time // as of when each other member has told it all
+	acknowledgedAt map[string]time.Time // by member: as of when it has reported all; zero: not yet
 }
 
-// NewTracker begins the book of a leader that has read the records as of a moment.
-func NewTracker(others []string, read time.Time) *Tracker {
-	b := &Tracker{readAt: read, acknowledgedAt: map[string]time.Time{}}
-	for _, o := range others {
-		b.acknowledgedAt[o] = time.Time{}
+// NewTracker makes the tracker of a leader that has read the records as of a moment.
+func NewTracker(others []string, readAt time.Time) *Tracker {
+	tracker := &Tracker{readAt: readAt, acknowledgedAt: make(map[string]time.Time, len(others))}
+	for _, member := range others {
+		tracker.acknowledgedAt[member] = time.Time{}
 	}
-	return b
+	return tracker
 }
 
-// RecordsRead notes that the records were read; the reading was asked for at a moment.
-func (b *Tracker) RecordsRead(sent time.Time) { b.readAt = laterOf(b.readAt, sent) }
+// RecordsRead notes that the records were read; requestedAt is when the reading was asked for.
+func (t *Tracker) RecordsRead(requestedAt time.Time) { t.readAt = laterOf(t.readAt, requestedAt) }
 
-// Acknowledged notes that a member has told all that it has told users; it was asked at a moment.
-func (b *Tracker) Acknowledged(member string, sent time.Time) {
-	if at, ok := b.acknowledgedAt[member]; ok {
-		b.acknowledgedAt[member] = laterOf(at, sent)
+// Acknowledged notes that a member has reported all cancellations that it has confirmed; requestedAt is when it was
+// asked. A name that is no member's is ignored.
+func (t *Tracker) Acknowledged(member string, requestedAt time.Time) {
+	if at, ok := t.acknowledgedAt[member]; ok {
+		t.acknowledgedAt[member] = laterOf(at, requestedAt)
 	}
 }
 
-// KnownAsOf is a moment as of which every cancellation is known: whoever tells users of one has
-// written or read it, so the records hold it, and one of the members has it in mind.
-func (b *Tracker) KnownAsOf() time.Time {
-	var told time.Time
-	for _, at := range b.acknowledgedAt {
+// KnownAsOf returns a moment as of which every cancellation is known. Whoever confirms one to a user has written or
+// read its record, and remembers it; so either the records or the reports of all other members hold it.
+func (t *Tracker) KnownAsOf() time.Time {
+	var earliest time.Time
+	for _, at := range t.acknowledgedAt {
 		if at.IsZero() {
-			return b.readAt
+			return t.readAt
 		}
-		if told.IsZero() || at.Before(told) {
-			told = at
+		if earliest.IsZero() || at.Before(earliest) {
+			earliest = at
 		}
 	}
-	return laterOf(b.readAt, told)
+	return laterOf(t.readAt, earliest)
 }
 
 func laterOf(a, b time.Time) time.Time {
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -10,44 +10,46 @@
 
 func at(s int) time.Time { return time.Unix(1_800_000_000, 0).Add(time.Duration(s) * second) }
 
-// Only the words of all others, or a reading, move what a leader knows, and nothing moves it back.
+// Only the reports of all other members, or a reading, move what a leader knows, and nothing moves it back.
 func TestTrackerKnowsAsOfLeastRecentAcknowledgement(t *testing.T) {
-	b := NewTracker([]string{"b", "c"}, at(0))
-	for i, step := range []struct {
+	tracker := NewTracker([]string{"b", "c"}, at(0))
+	for _, step := range []struct {
+		name string
 		do   func()
 		want time.Time
 	}{
-		{func() { b.Acknowledged("b", at(9)) }, at(0)},
-		{func() { b.Acknowledged("x", at(9)) }, at(0)}, // no member
-		{func() { b.Acknowledged("c", at(5)) }, at(5)},
-		{func() { b.Acknowledged("c", at(4)) }, at(5)},
-		{func() { b.RecordsRead(at(7)) }, at(7)},
-		{func() { b.Acknowledged("c", at(8)) }, at(8)},
-		{func() { b.RecordsRead(at(6)) }, at(8)},
+		{"one of two members", func() { tracker.Acknowledged("b", at(9)) }, at(0)},
+		{"no member", func() { tracker.Acknowledged("x", at(9)) }, at(0)},
+		{"both members", func() { tracker.Acknowledged("c", at(5)) }, at(5)},
+		{"an older report", func() { tracker.Acknowledged("c", at(4)) }, at(5)},
+		{"a later reading", func() { tracker.RecordsRead(at(7)) }, at(7)},
+		{"a later report", func() { tracker.Acknowledged("c", at(8)) }, at(8)},
+		{"an older reading", func() { tracker.RecordsRead(at(6)) }, at(8)},
 	} {
-		if step.do(); !b.KnownAsOf().Equal(step.want) {
-			t.Errorf("step %d: as of %v, want %v", i, b.KnownAsOf(), step.want)
+		if step.do(); !tracker.KnownAsOf().Equal(step.want) {
+			t.Errorf("%s: known as of %v, want %v", step.name, tracker.KnownAsOf(), step.want)
 		}
 	}
 	if alone := NewTracker(nil, at(3)); !alone.KnownAsOf().Equal(at(3)) {
-		t.Errorf("one without others knows as of %v", alone.KnownAsOf())
+		t.Errorf("a leader without other members: known as of %v, want %v", alone.KnownAsOf(), at(3))
 	}
 }
 
-// Whatever the settings: what is answered by what was known last is gone in time, clocks that part included; or the
-// bound says that it can't see to that.
+// Whatever the settings: what is answered by the oldest knowledge that the bound allows ends in time, with clocks that
+// drift; or the bound says that it cannot ensure that.
 func TestBoundEndsCancelledTasksInTime(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 20_000 {
 		lease := time.Duration(1+r.IntN(600_000)) * time.Millisecond
 		cancel := max(lease+time.Duration(r.IntN(60_000)-20_000)*time.Millisecond, time.Millisecond)
-		b, ok := BoundFor(cancel, lease)
-		gone := time.Duration(float64(b.KeepLeases+lease) * (1 + maxClockDrift))
-		if ok && gone > cancel || b.KeepLeases < minBound || b.StartTasks > b.KeepLeases || b.StartTasks > maxStartBound {
-			t.Errorf("cancel %v, lease %v: %+v", cancel, lease, b)
+		bound, ok := BoundFor(cancel, lease)
+		endsWithin := time.Duration(float64(bound.KeepLeases+lease) * (1 + maxClockDrift))
+		if ok && endsWithin > cancel || bound.KeepLeases < minBound || bound.StartTasks > bound.KeepLeases ||
+			bound.StartTasks > maxStartBound {
+			t.Errorf("cancel within %v, lease %v: got %+v, tasks end within %v", cancel, lease, bound, endsWithin)
 		}
 		if room := cancel - lease - 5*second; !ok && room > cancel/500 {
-			t.Errorf("no bound, though cancel %v leaves %v beside lease %v", cancel, room, lease)
+			t.Errorf("cancel within %v, lease %v: got no bound, want one as %v are left", cancel, lease, room)
 		}
 	}
 }
