--- a/internal/reconciler/commits_test.go
+++ b/internal/reconciler/commits_test.go
@@ -1,6 +1,7 @@
 package reconciler
 
 import (
+	"math/bits"
 	"slices"
 	"testing"
 	"time"
@@ -8,119 +9,124 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// slowStore is a leader of one machine on which the tasks of one job end, one after the other, and a state service
-// whose answers its test gives.
+// slowStore is a leader of one machine on which the tasks of one job finish one after the other, and a state service
+// whose answers the test gives.
 type slowStore struct {
-	t        *testing.T
 	core     *Core
 	now      time.Time
-	seq      uint64
-	finished int
-	inFlight []Change // the last transaction that has no answer yet
+	inFlight []Change // of the last transaction that was not answered yet
 }
 
-func newSlowStore(t *testing.T) *slowStore {
-	s := &slowStore{t: t, now: time.Unix(1000, 0)}
+func newSlowStore() *slowStore {
+	s := &slowStore{now: time.Unix(1000, 0)}
 	spec := pipelineStage("wk-000001", time.Second, model.PriorityLow)
 	spec.Tasks = 3 * model.ChunkTasks
-	s.core = newTestLeader(s.now, &Snapshot{NumberedChunkTasks: 64, Jobs: []JobAdded{{Version: 1, SubmittedAt: s.now, Spec: spec}}})
-	s.step(
-		HeartbeatReceived{Heartbeat: &model.Heartbeat{Machine: "n-1", Addr: "n-1", Type: "eight", Zone: "a", Epoch: 1, Seq: 1, FencingToken: 1}},
-	)
+	s.core = newTestLeader(s.now, &Snapshot{
+		NumberedChunkTasks: 64, Jobs: []JobAdded{{Version: 1, SubmittedAt: s.now, Spec: spec}},
+	})
+	s.step(HeartbeatReceived{Heartbeat: heartbeatOf("n-1", 1, 1, 1)})
 	s.complete(OK) // the machine's record
 	return s
 }
 
-func (s *slowStore) step(ev Event) {
-	for _, e := range s.core.Step(s.now, ev) {
-		if commit, ok := e.(Commit); ok {
+func (s *slowStore) step(event Event) {
+	for _, effect := range s.core.Step(s.now, event) {
+		if commit, ok := effect.(Commit); ok {
 			s.inFlight = slices.Clone(commit.Changes)
 		}
 	}
 }
 
-// complete gives the answer to the transaction that was sent.
-func (s *slowStore) complete(o Outcome) {
-	saves := s.inFlight
+// complete gives the outcome of the transaction in flight.
+func (s *slowStore) complete(outcome Outcome) {
+	changes := s.inFlight
 	s.inFlight = nil
-	s.step(CommitCompleted{Changes: saves, Outcome: o, Version: 9})
+	s.step(CommitCompleted{Changes: changes, Outcome: outcome, Version: 9})
 }
 
-// finishTask has a task end as its time has come, with some time for its record to be queued.
-func (s *slowStore) finishTask(task int) {
+// finishTask has a task finish, with some time for its record to be queued.
+func (s *slowStore) finishTask(index int) {
 	s.now = s.now.Add(time.Second)
-	s.seq++
-	s.finished++
-	s.core.completeTask(s.now, s.core.jobs["wk-000001"], task)
+	s.core.completeTask(s.now, s.core.jobs["wk-000001"], index)
 	s.step(Tick{})
 }
 
-func countBits(b []byte) (n int) {
-	for _, x := range b {
-		for ; x != 0; x &= x - 1 {
-			n++
+// finishedIn counts the finished tasks of each change in flight.
+func (s *slowStore) finishedIn() (counts []int) {
+	for _, change := range s.inFlight {
+		count := 0
+		for _, b := range change.FinishedBits {
+			count += bits.OnesCount8(b)
 		}
+		counts = append(counts, count)
 	}
-	return n
+	return counts
 }
 
-// Guards against a queue that holds every state that a record ever had: on a day at four times a fleet's size it held
-// tens of thousands, and each transaction went through all of them.
+// A queue that holds every state that a chunk ever had grows to tens of thousands of changes on a large deployment,
+// and each transaction goes through all of them.
 func TestChangedChunkIsQueuedOnce(t *testing.T) {
-	s := newSlowStore(t)
+	s := newSlowStore()
 	s.finishTask(0)
-	if len(s.inFlight) != 1 || countBits(s.inFlight[0].FinishedBits) != 1 {
-		t.Fatalf("sent %+v", s.inFlight)
+	if got, want := s.finishedIn(), []int{1}; !slices.Equal(got, want) {
+		t.Fatalf("first transaction: got chunks with %v finished tasks, want %v", got, want)
 	}
 	for i := 1; i < 300; i++ {
 		s.finishTask(i)
 	}
 	s.finishTask(model.ChunkTasks) // of the second chunk
-	if n := len(s.core.commits.changes); n != 2 {
-		t.Fatalf("%d saves wait for two chunks", n)
+	if got := len(s.core.commits.changes); got != 2 {
+		t.Fatalf("got %d changes for two chunks, want 2", got)
 	}
 	s.complete(OK)
-	if len(s.inFlight) != 2 || countBits(s.inFlight[0].FinishedBits) != 300 || countBits(s.inFlight[1].FinishedBits) != 1 {
-		t.Errorf("the next transaction holds %d saves", len(s.inFlight))
+	if got, want := s.finishedIn(), []int{300, 1}; !slices.Equal(got, want) {
+		t.Errorf("next transaction: got chunks with %v finished tasks, want %v", got, want)
 	}
 }
 
 func TestUnansweredChunkIsRewrittenWithCurrentContent(t *testing.T) {
-	for _, outcome := range []Outcome{Unknown, NotSent} {
-		s := newSlowStore(t)
-		s.finishTask(0)
-		s.finishTask(1)
-		s.complete(outcome)
-		if outcome == Unknown {
-			s.now = s.now.Add(time.Second)
-			s.step(FenceCompleted{Outcome: OK})
-		}
-		s.finishTask(2)
-		s.finishTask(3)
-		if len(s.inFlight) != 1 || countBits(s.inFlight[0].FinishedBits) < 2 || len(s.core.commits.changes) > 1 {
-			t.Fatalf("after %v: sent %+v, %d more wait", outcome, s.inFlight, len(s.core.commits.changes))
-		}
-		s.complete(OK)
-		s.finishTask(4)
-		s.complete(OK)
-		if j := s.core.jobs["wk-000001"]; !j.IsDurable(0) || !j.IsDurable(3) {
-			t.Errorf("after %v: not all is durable", outcome)
-		}
+	for _, test := range []struct {
+		name    string
+		outcome Outcome
+	}{{"unknown", Unknown}, {"not sent", NotSent}} {
+		t.Run(test.name, func(t *testing.T) {
+			s := newSlowStore()
+			s.finishTask(0)
+			s.finishTask(1)
+			s.complete(test.outcome)
+			if test.outcome == Unknown {
+				s.now = s.now.Add(time.Second)
+				s.step(FenceCompleted{Outcome: OK})
+			}
+			s.finishTask(2)
+			s.finishTask(3)
+			counts, waiting := s.finishedIn(), len(s.core.commits.changes)
+			if len(counts) != 1 || counts[0] < 2 || waiting > 1 {
+				t.Fatalf("got chunks with %v finished tasks, %d more changes; want one with at least 2, at most 1 more",
+					counts, waiting)
+			}
+			s.complete(OK)
+			s.finishTask(4)
+			s.complete(OK)
+			if job := s.core.jobs["wk-000001"]; !job.IsDurable(0) || !job.IsDurable(3) {
+				t.Errorf("got tasks 0 and 3 durable: %v, %v; want both", job.IsDurable(0), job.IsDurable(3))
+			}
+		})
 	}
 }
 
 func TestChunkOfEndedJobIsNotWritten(t *testing.T) {
-	s := newSlowStore(t)
+	s := newSlowStore()
 	s.finishTask(0)
 	s.finishTask(1) // waits behind the first
 	s.step(JobEnded{ID: "wk-000001", Outcome: model.OutcomeCancelled, EndedAt: s.now})
 	s.complete(OK)
-	for _, save := range s.inFlight {
-		if save.Kind == PutTasks {
-			t.Errorf("%+v is written", save)
+	for _, change := range s.inFlight {
+		if change.Kind == PutTasks {
+			t.Errorf("%+v is written", change)
 		}
 	}
-	if len(s.core.commits.queuedChunks) != 0 {
-		t.Errorf("%v still count as waiting", s.core.commits.queuedChunks)
+	if got := len(s.core.commits.queuedChunks); got != 0 {
+		t.Errorf("got %d queued chunks, want none", got)
 	}
 }
--- a/internal/reconciler/dependencies_test.go
+++ b/internal/reconciler/dependencies_test.go
@@ -7,88 +7,96 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// pipelineStage makes an array of a pipeline.
-func pipelineStage(id string, estimate time.Duration, rank model.Priority, awaits ...string) *model.Spec {
-	return &model.Spec{ID: id, Class: "middle", Team: "red", Shape: model.Array, Priority: rank, Tasks: 2, Dependencies: awaits,
-		Demand: model.Resources{CPU: 4, MemGB: 8}, EstimatedRunTime: estimate}
-}
-
 func TestPipelineEndDeterminesSlackAndPriority(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(now, &Snapshot{})
 	last := pipelineStage("wk-000004", 8*time.Second, model.PriorityHigh, "wk-000002", "wk-000003")
 	last.Class, last.Deadline = "last", 100*time.Second
-	for i, s := range []*model.Spec{pipelineStage("wk-000001", 10*time.Second, model.PriorityLow), pipelineStage("wk-000002", 5*time.Second, model.PriorityLow, "wk-000001"),
-		pipelineStage("wk-000003", 20*time.Second, model.PriorityNormal, "wk-000001"), last} {
-		c.Step(now, JobAdded{Version: uint64(i + 1), SubmittedAt: now, Spec: s})
-	}
-	slack := func(id string) (time.Duration, bool) { return c.slack(now, c.jobs[id], false, 0) }
+	for i, spec := range []*model.Spec{
+		pipelineStage("wk-000001", 10*time.Second, model.PriorityLow),
+		pipelineStage("wk-000002", 5*time.Second, model.PriorityLow, "wk-000001"),
+		pipelineStage("wk-000003", 20*time.Second, model.PriorityNormal, "wk-000001"),
+		last,
+	} {
+		c.Step(now, JobAdded{Version: uint64(i + 1), SubmittedAt: now, Spec: spec})
+	}
+	slackOfFirst := func() (time.Duration, bool) { return c.slack(now, c.jobs["wk-000001"], false, 0) }
 	c.updateCriticalPaths(now)
 	// 100 s, less its own 10, the 20 of the longer way and the 8 of the last stage.
-	if d, due := slack("wk-000001"); !due || d != 62*time.Second {
-		t.Errorf("slack of the first stage: %v", d)
+	if slack, hasDeadline := slackOfFirst(); !hasDeadline || slack != 62*time.Second {
+		t.Errorf("slack of the first stage: got %v, %v; want 62s, true", slack, hasDeadline)
 	}
-	if r := c.jobs["wk-000001"].EffectivePriority; r != model.PriorityHigh {
-		t.Errorf("its rank is %v", r)
+	if got := c.jobs["wk-000001"].EffectivePriority; got != model.PriorityHigh {
+		t.Errorf("priority of the first stage: got %v, want %v", got, model.PriorityHigh)
 	}
-	// The date is past: the one half as long again counts.
+	// The deadline is past: 1.5 times the deadline counts.
 	now = now.Add(90 * time.Second)
-	if d, due := slack("wk-000001"); !due || d != 22*time.Second {
-		t.Errorf("slack to the later date: %v", d)
+	if slack, hasDeadline := slackOfFirst(); !hasDeadline || slack != 22*time.Second {
+		t.Errorf("slack to the later deadline: got %v, %v; want 22s, true", slack, hasDeadline)
 	}
 	c.Step(now, JobEnded{ID: "wk-000004", Outcome: model.OutcomeCancelled, EndedAt: now})
 	c.updateCriticalPaths(now)
-	if _, due := slack("wk-000001"); due || c.jobs["wk-000001"].EffectivePriority != model.PriorityNormal {
-		t.Error("a job whose dependents are gone still has their date or rank")
+	priority := c.jobs["wk-000001"].EffectivePriority
+	if _, hasDeadline := slackOfFirst(); hasDeadline || priority != model.PriorityNormal {
+		t.Errorf("after the last stage has ended: got deadline %v, priority %v; want false, %v",
+			hasDeadline, priority, model.PriorityNormal)
 	}
 }
 
-// Production waits for nobody's pipeline: only its own jobs stand above guarantees.
+// Production does not wait for a pipeline: only its own jobs stand above guarantees.
 func TestProductionPriorityIsNotInherited(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(now, &Snapshot{})
-	c.Step(now, JobAdded{Version: 1, SubmittedAt: now, Spec: pipelineStage("wk-000001", time.Second, model.PriorityLow)})
-	c.Step(now, JobAdded{Version: 2, SubmittedAt: now, Spec: pipelineStage("wk-000002", time.Second, model.PriorityProduction, "wk-000001")})
+	first := pipelineStage("wk-000001", time.Second, model.PriorityLow)
+	second := pipelineStage("wk-000002", time.Second, model.PriorityProduction, "wk-000001")
+	c.Step(now, JobAdded{Version: 1, SubmittedAt: now, Spec: first})
+	c.Step(now, JobAdded{Version: 2, SubmittedAt: now, Spec: second})
 	c.updateCriticalPaths(now)
-	if r := c.jobs["wk-000001"].EffectivePriority; r != model.PriorityHigh {
-		t.Errorf("rank %v", r)
+	if got := c.jobs["wk-000001"].EffectivePriority; got != model.PriorityHigh {
+		t.Errorf("got priority %v, want %v", got, model.PriorityHigh)
 	}
 }
 
 func TestAgeGuaranteeAndOrderCountFromDependenciesMet(t *testing.T) {
 	at := time.Unix(1000, 0)
-	first, waits := pipelineStage("wk-000001", time.Second, model.PriorityLow), pipelineStage("wk-000002", time.Second, model.PriorityLow, "wk-000001", "wk-000009")
+	first := pipelineStage("wk-000001", time.Second, model.PriorityLow)
+	waiting := pipelineStage("wk-000002", time.Second, model.PriorityLow, "wk-000001", "wk-000009")
 	other := pipelineStage("wk-000003", time.Second, model.PriorityLow)
-	snap := &Snapshot{Revision: 3, Jobs: []JobAdded{{Spec: waits, SubmittedAt: at, Version: 2}, {Spec: other, SubmittedAt: at.Add(9 * time.Second), Version: 3},
-		{Spec: first, SubmittedAt: at, Version: 1}}}
+	snapshot := &Snapshot{Revision: 3, Jobs: []JobAdded{
+		{Spec: waiting, SubmittedAt: at, Version: 2},
+		{Spec: other, SubmittedAt: at.Add(9 * time.Second), Version: 3},
+		{Spec: first, SubmittedAt: at, Version: 1},
+	}}
 	now := at.Add(10 * time.Second)
-	c := newTestLeader(now, snap)
-	if g := c.guaranteedJobs(); !g[c.jobs["wk-000001"]] || g[c.jobs["wk-000002"]] || g[c.jobs["wk-000003"]] {
-		t.Error("8 of 10 guaranteed CPUs go to the first job, none to the one that waits")
-	}
-	var asked []string
-	for _, e := range c.Step(now, Tick{}) {
-		if l, ok := e.(LookUpJobEnds); ok {
-			asked = l.IDs
+	c := newTestLeader(now, snapshot)
+	if got := c.guaranteedJobs(); !got[c.jobs["wk-000001"]] || got[c.jobs["wk-000002"]] || got[c.jobs["wk-000003"]] {
+		t.Errorf("got %d guaranteed jobs, want the first one only: it takes 8 of 10 guaranteed CPUs", len(got))
+	}
+	var lookedUp []string
+	for _, effect := range c.Step(now, Tick{}) {
+		if lookup, ok := effect.(LookUpJobEnds); ok {
+			lookedUp = lookup.IDs
 		}
 	}
-	if len(asked) != 1 || asked[0] != "wk-000009" {
-		t.Fatalf("asked for the ends of %v", asked)
+	if len(lookedUp) != 1 || lookedUp[0] != "wk-000009" {
+		t.Fatalf("looked up the ends of %v, want wk-000009", lookedUp)
 	}
-	j := c.jobs["wk-000002"]
+	job := c.jobs["wk-000002"]
 	c.Step(now, JobEnded{ID: "wk-000001", Outcome: model.OutcomeDone, EndedAt: now})
-	if startable(j) {
-		t.Fatal("it may start although the end of what it needs is not known")
+	if startable(job) {
+		t.Fatal("startable although the end of a dependency is not known")
 	}
-	c.Step(now, JobEndsReceived{Ends: []JobEnded{{ID: "wk-000009", Outcome: model.OutcomeDone}}}) // of the old version: no moment
-	if !startable(j) || !j.EligibleAt.Equal(now) {
-		t.Errorf("may start: %v, its age counts from %v", startable(j), j.EligibleAt)
+	// The end is of a former version: it states no moment.
+	c.Step(now, JobEndsReceived{Ends: []JobEnded{{ID: "wk-000009", Outcome: model.OutcomeDone}}})
+	if !startable(job) || !job.EligibleAt.Equal(now) {
+		t.Errorf("got startable %v, eligible at %v; want true, %v", startable(job), job.EligibleAt, now)
 	}
-	if c.jobsByAge[len(c.jobsByAge)-1] != j {
+	if c.jobsByAge[len(c.jobsByAge)-1] != job {
 		t.Error("it does not stand behind the jobs that could start before it")
 	}
-	if g := c.guaranteedJobs(); !g[c.jobs["wk-000003"]] || g[j] {
-		t.Error("the guarantee goes to who could start first")
+	if got := c.guaranteedJobs(); !got[c.jobs["wk-000003"]] || got[job] {
+		t.Errorf("got guarantees %v and %v, want them for the job that could start first",
+			got[c.jobs["wk-000003"]], got[job])
 	}
 }
 
@@ -96,21 +104,22 @@
 func TestUnknownJobEndIsLookedUpAgainAfterDelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(now, &Snapshot{})
-	count := func(effects []Effect) (n int) {
-		for _, e := range effects {
-			if _, ok := e.(LookUpJobEnds); ok {
-				n++
+	lookups := func(after time.Duration, event Event) (count int) {
+		for _, effect := range c.Step(now.Add(after), event) {
+			if _, ok := effect.(LookUpJobEnds); ok {
+				count++
 			}
 		}
-		return n
+		return count
 	}
-	if n := count(c.Step(now, JobAdded{Version: 1, SubmittedAt: now, Spec: pipelineStage("wk-000002", time.Second, model.PriorityLow, "wk-000001")})); n != 1 {
-		t.Fatalf("asked %d times", n)
+	spec := pipelineStage("wk-000002", time.Second, model.PriorityLow, "wk-000001")
+	if got := lookups(0, JobAdded{Version: 1, SubmittedAt: now, Spec: spec}); got != 1 {
+		t.Fatalf("got %d lookups, want 1", got)
 	}
-	if n := count(c.Step(now, JobEndsReceived{})) + count(c.Step(now.Add(100*time.Millisecond), Tick{})); n != 0 {
-		t.Error("asked again at once")
+	if got := lookups(0, JobEndsReceived{}) + lookups(100*time.Millisecond, Tick{}); got != 0 {
+		t.Errorf("at once: got %d lookups, want none", got)
 	}
-	if n := count(c.Step(now.Add(time.Second), Tick{})); n != 1 || startable(c.jobs["wk-000002"]) {
-		t.Errorf("asked %d times, may start: %v", n, startable(c.jobs["wk-000002"]))
+	if got := lookups(time.Second, Tick{}); got != 1 || startable(c.jobs["wk-000002"]) {
+		t.Errorf("after a second: got %d lookups, startable %v; want 1, false", got, startable(c.jobs["wk-000002"]))
 	}
 }
--- a/internal/reconciler/epoch_test.go
+++ b/internal/reconciler/epoch_test.go
@@ -1,68 +1,52 @@
 package reconciler
 
 import (
-	"io"
-	"log/slog"
+	"slices"
 	"testing"
 	"time"
 
-	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// newTestLeader makes the core of a leader for a small deployment.
-func newTestLeader(now time.Time, snap *Snapshot) *Core {
-	types := []model.MachineType{{Name: "eight", Capacity: model.Resources{CPU: 8, MemGB: 64}, BootTime: 5 * time.Second}}
-	set := Settings{Member: "tiller-0",
-		Teams:             []model.Team{{Name: "red", Guarantee: model.Resources{CPU: 10}, Quota: model.NewQuota(100, 0)}},
-		Objectives:        map[string][]Objective{"last": {{DeadlineMultiple: 1}, {DeadlineMultiple: 1.5}}},
-		HeartbeatInterval: 2 * time.Second, WorkerLease: 12 * time.Second, LeaseMargin: 500 * time.Millisecond, UnresponsiveAfter: 7 * time.Second, MaxTxnOps: 12,
-		MaxBackoff: time.Minute, Scheduler: scheduler.Settings{IdlePowerFraction: 0.7}, Autoscaler: autoscaler.Settings{IdleTimeout: time.Hour, BootTimeoutFactor: 100}}
-	return New(now, set, 1, snap, types, slog.New(slog.NewTextHandler(io.Discard, nil)))
-}
-
-// Guards against a task that was started twice after a long outage of the state
-// service: the answer to a command showed a worker's new session, a task was started
-// in it, and then the deadline of the session before was taken for the new one's. Only a machine that has
-// reported lately gets work, so the answer comes soon after the last report here.
+// A task was once started twice after a long outage of the state service: the answer to a command showed a worker's
+// new epoch, a task was started in it, and then the expiry of the former epoch's lease was taken for the new one's.
+// Only a machine that has sent a heartbeat lately gets tasks, so the answer comes soon after the last heartbeat here.
 func TestNewEpochHasItsOwnLease(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(now, &Snapshot{})
-	step := func(after time.Duration, ev Event) []Effect {
+	step := func(after time.Duration, event Event) []Effect {
 		now = now.Add(after)
-		return append([]Effect(nil), c.Step(now, ev)...)
-	}
-	report := func(session, seq uint64) *model.Heartbeat {
-		return &model.Heartbeat{Machine: "n-1", Addr: "n-1", Type: "eight", Zone: "a", Epoch: session, Seq: seq, FencingToken: 1}
+		return slices.Clone(c.Step(now, event))
 	}
-	for _, e := range step(0, HeartbeatReceived{Heartbeat: report(1, 1)}) {
-		if s, ok := e.(Commit); ok {
-			step(0, CommitCompleted{Changes: s.Changes, Outcome: OK})
+	for _, effect := range step(0, HeartbeatReceived{Heartbeat: heartbeatOf("n-1", 1, 1, 1)}) {
+		if commit, ok := effect.(Commit); ok {
+			step(0, CommitCompleted{Changes: commit.Changes, Outcome: OK})
 		}
 	}
-	step(time.Second, HeartbeatReceived{Heartbeat: report(1, 2)}) // the last report that is answered
-	step(time.Second, JobAdded{Version: 9, SubmittedAt: now, Spec: &model.Spec{ID: "wk-1", Team: "red", Shape: model.Array, Priority: model.PriorityNormal, Tasks: 1,
-		Demand: model.Resources{CPU: 4, MemGB: 8}, EstimatedRunTime: time.Minute}})
-	launches := func(effects []Effect) (n int) {
-		for _, e := range effects {
-			if cmd, ok := e.(SendCommands); ok && len(cmd.Commands) > 0 && cmd.Commands[0].Op == model.OpLaunch {
-				n++
+	step(time.Second, HeartbeatReceived{Heartbeat: heartbeatOf("n-1", 1, 2, 1)}) // the last one that is answered
+	step(time.Second, JobAdded{Version: 9, SubmittedAt: now, Spec: oneTask("wk-1", model.Array)})
+	launches := func(effects []Effect) (count int) {
+		for _, effect := range effects {
+			sent, ok := effect.(SendCommands)
+			if ok && len(sent.Commands) > 0 && sent.Commands[0].Op == model.OpLaunch {
+				count++
 			}
 		}
-		return n
+		return count
 	}
-	// The launch hangs; its answer shows that the worker has begun a new session.
-	first := step(500*time.Millisecond, CommandCompleted{Machine: "n-1", Epoch: 1, Outcome: Refused, Heartbeat: report(2, 1)})
-	if n := launches(first) + launches(step(100*time.Millisecond, Tick{})); n != 1 {
-		t.Fatalf("started %d times in the new session", n)
+	// The launch hangs; its answer shows that the worker has begun a new epoch.
+	first := step(500*time.Millisecond, CommandCompleted{
+		Machine: "n-1", Epoch: 1, Outcome: Refused, Heartbeat: heartbeatOf("n-1", 2, 1, 1),
+	})
+	if got := launches(first) + launches(step(100*time.Millisecond, Tick{})); got != 1 {
+		t.Fatalf("got %d launches in the new epoch, want 1", got)
 	}
-	for range 48 { // past the deadline of the old session, which is 12.5 s after its last report
-		if n := launches(step(250*time.Millisecond, Tick{})); n != 0 {
-			t.Fatal("started once more")
+	for range 48 { // past the expiry of the former lease, which is 12.5 s after its last heartbeat
+		if got := launches(step(250*time.Millisecond, Tick{})); got != 0 {
+			t.Fatalf("got %d more launches, want none", got)
 		}
 	}
 	if m := c.machines["n-1"]; m.ActiveCount != 1 || m.ExpiredEpoch != 1 {
-		t.Errorf("holding %d, sessions up to %d count as over", m.ActiveCount, m.ExpiredEpoch)
+		t.Errorf("got %d attempts, expired epoch %d; want 1, 1", m.ActiveCount, m.ExpiredEpoch)
 	}
 }
--- a/internal/reconciler/faults_test.go
+++ b/internal/reconciler/faults_test.go
@@ -7,86 +7,77 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// failTask has a task of a job fail on the machine that it was placed on, and tells which.
-func (k *workerScenario) failTask(id string) string {
-	k.Helper()
-	name, key := k.placementOf(id)
-	if name == "" {
-		k.Fatalf("%s is on no machine", id)
+// quarantine has two jobs fail on one of three machines, and returns that machine: it gets no more tasks.
+func quarantine(t *testing.T, s *workerScenario) *model.Machine {
+	t.Helper()
+	s.core.settings.MachineFaultErrors = 2
+	s.register("n-1", "n-2", "n-3")
+	s.addJob("wk-1")
+	s.addJob("wk-2") // the most efficient fit: on the same machine
+	machine := s.core.machines[s.failTask("wk-1")]
+	if other := s.failTask("wk-2"); other != machine.Name {
+		t.Fatalf("the jobs were on %s and %s, want the same machine", machine.Name, other)
 	}
-	m := k.core.machines[name]
-	r := heartbeatOf(name, m.Epoch, m.Seq+1, 1)
-	r.Tasks = append(r.Tasks, model.TaskStatus{Task: key.Task, Attempt: key.Number, Phase: model.PhaseExited, Cause: model.CauseError})
-	k.heartbeat(100*time.Millisecond, r)
-	return name
+	if machine.QuarantinedSince.IsZero() || s.core.placeable(s.now, machine) || machine.State != model.MachineReady {
+		t.Errorf("after two jobs' failures: got %v, quarantined since %v; want %v and quarantined",
+			machine.State, machine.QuarantinedSince, model.MachineReady)
+	}
+	s.step(time.Second, Tick{})
+	return machine
 }
 
-// Two jobs fail on one machine. It gets nothing more; when they have failed elsewhere too it is of use again, and when
-// one does well there it is given back.
+// Two jobs fail on one machine. When they have failed elsewhere too it is used again; when they do well elsewhere it
+// is released.
 func TestTaskFailuresAttributeFaultToMachineOrJob(t *testing.T) {
-	for _, sick := range []bool{true, false} {
-		k := newWorkerScenario(t, &Snapshot{})
-		k.core.settings.MachineFaultErrors = 2
-		k.register("n-1", "n-2", "n-3")
-		k.addJob("wk-1")
-		k.addJob("wk-2") // the most efficient fit: on the same machine
-		m := k.core.machines[k.failTask("wk-1")]
-		if other := k.failTask("wk-2"); other != m.Name {
-			t.Fatalf("they were on %s and %s", m.Name, other)
-		}
-		if m.QuarantinedSince.IsZero() || k.core.placeable(k.now, m) || m.State != model.MachineReady {
-			t.Errorf("sick %v: after two jobs' failures: %v, suspect %v", sick, m.State, m.QuarantinedSince)
-		}
-		k.step(time.Second, Tick{})
-		if !sick {
-			for _, id := range []string{"wk-1", "wk-2"} {
-				if k.failTask(id) == m.Name {
-					t.Errorf("%s was started there again", id)
-				}
-			}
-			k.step(300*time.Millisecond, Tick{})
-			if !m.QuarantinedSince.IsZero() || m.State != model.MachineReady {
-				t.Errorf("both jobs fail elsewhere: %v, suspect %v", m.State, m.QuarantinedSince)
+	t.Run("jobs fail elsewhere too", func(t *testing.T) {
+		s := newWorkerScenario(t, &Snapshot{})
+		machine := quarantine(t, s)
+		for _, id := range []string{"wk-1", "wk-2"} {
+			if s.failTask(id) == machine.Name {
+				t.Errorf("%s was started on the quarantined machine", id)
 			}
-			continue
 		}
+		s.step(300*time.Millisecond, Tick{})
+		if !machine.QuarantinedSince.IsZero() || machine.State != model.MachineReady {
+			t.Errorf("got %v, quarantined since %v; want %v and not quarantined",
+				machine.State, machine.QuarantinedSince, model.MachineReady)
+		}
+	})
+	t.Run("jobs are done elsewhere", func(t *testing.T) {
+		s := newWorkerScenario(t, &Snapshot{})
+		machine := quarantine(t, s)
 		for _, id := range []string{"wk-1", "wk-2"} {
-			name, key := k.placementOf(id)
-			o := k.core.machines[name]
-			r := heartbeatOf(name, o.Epoch, o.Seq+1, 1)
-			r.Tasks = append(r.Tasks, model.TaskStatus{Task: key.Task, Attempt: key.Number, Phase: model.PhaseExited,
-				Cause: model.CauseDone})
-			k.heartbeat(time.Second, r)
+			s.exitTask(time.Second, id, model.CauseDone)
 		}
-		k.step(300*time.Millisecond, Tick{})
-		if m.State != model.MachineDraining && m.State != model.MachineReleasing {
-			t.Errorf("both jobs are done elsewhere: %v", m.State)
+		s.step(300*time.Millisecond, Tick{})
+		if machine.State != model.MachineDraining && machine.State != model.MachineReleasing {
+			t.Errorf("got %v, want %v or %v", machine.State, model.MachineDraining, model.MachineReleasing)
 		}
-	}
+	})
 }
 
-// A job that failed on many machines, and is cancelled, holds nothing against any of them.
+// A job that failed on many machines and is cancelled counts against none of them.
 func TestCancelledJobExoneratesMachines(t *testing.T) {
-	k := newWorkerScenario(t, &Snapshot{})
-	k.core.settings.Backoff, k.core.settings.MachineFaultErrors = time.Second, 2
-	k.register("n-1", "n-2", "n-3", "n-4", "n-5", "n-6")
-	k.addJob("wk-1")
+	s := newWorkerScenario(t, &Snapshot{})
+	s.core.settings.Backoff, s.core.settings.MachineFaultErrors = time.Second, 2
+	s.register("n-1", "n-2", "n-3", "n-4", "n-5", "n-6")
+	s.addJob("wk-1")
 	for range 8 {
-		k.failTask("wk-1")
+		s.failTask("wk-1")
 		for range 300 {
-			if name, _ := k.placementOf("wk-1"); name != "" {
+			if machine, _ := s.placementOf("wk-1"); machine != "" {
 				break
 			}
-			for _, m := range k.core.machines {
-				k.heartbeat(0, heartbeatOf(m.Name, m.Epoch, m.Seq+1, 1))
+			for _, m := range s.core.machines {
+				s.heartbeat(0, heartbeatOf(m.Name, m.Epoch, m.Seq+1, 1))
 			}
-			k.step(500*time.Millisecond, Tick{})
+			s.step(500*time.Millisecond, Tick{})
 		}
 	}
-	k.step(0, JobEnded{ID: "wk-1", Outcome: model.OutcomeCancelled})
-	for _, m := range k.core.machines {
+	s.step(0, JobEnded{ID: "wk-1", Outcome: model.OutcomeCancelled})
+	for _, m := range s.core.machines {
 		if len(m.ErrorsByJob) > 0 || m.State != model.MachineReady {
-			t.Errorf("%s: %v, %v", m.Name, m.State, m.ErrorsByJob)
+			t.Errorf("%s: got %v, errors %v; want %v, none", m.Name, m.State, m.ErrorsByJob, model.MachineReady)
 		}
 	}
 }
--- a/internal/reconciler/memory_test.go
+++ b/internal/reconciler/memory_test.go
@@ -17,32 +17,47 @@
 	return m.HeapAlloc
 }
 
-// What a leader's picture holds for each machine and each live task; stated in
-// docs/operators.md, and bounded here so that it does not grow unseen.
+// What a leader's picture holds for each machine and each active task is stated in docs/operators.md, and bounded here
+// so that it does not grow unnoticed.
 func TestMemoryPerMachineAndTaskIsBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
-	const machines, each = 2000, 50 // 100,000 live tasks
-	snap := &Snapshot{NumberedChunkTasks: 64}
+	const (
+		machines         = 2000
+		tasksPerMachine  = 50 // 100,000 active tasks
+		maxMachineBytes  = 2000
+		maxTaskBytes     = 600
+		bytesPerMegabyte = 1 << 20
+	)
+	name := func(i int) string { return fmt.Sprintf("n-%06d", i) }
+	snapshot := &Snapshot{NumberedChunkTasks: 64}
 	for i := range machines {
-		snap.Machines = append(snap.Machines, model.MachineInfo{Name: fmt.Sprintf("n-%06d", i), Addr: "10.1.2.3:9000", Type: "eight", Zone: "a"})
+		snapshot.Machines = append(snapshot.Machines, inheritedMachine(name(i), "10.1.2.3:9000"))
 	}
-	snap.Jobs = []JobAdded{{Version: 1, SubmittedAt: now, Spec: pipelineStage("wk-000001", time.Second, model.PriorityLow)}}
-	snap.Jobs[0].Spec.Tasks = machines * each
+	spec := pipelineStage("wk-000001", time.Second, model.PriorityLow)
+	spec.Tasks = machines * tasksPerMachine
+	snapshot.Jobs = []JobAdded{{Version: 1, SubmittedAt: now, Spec: spec}}
 	before := liveHeapBytes()
-	c := newTestLeader(now, snap)
+	c := newTestLeader(now, snapshot)
 	empty := liveHeapBytes()
 	for i := range machines {
-		r := &model.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.2.3:9000", Type: "eight", Zone: "a", Epoch: 1, Seq: 1, FencingToken: 99}
-		for k := range each {
-			r.Tasks = append(r.Tasks, model.TaskStatus{Task: model.TaskID{Job: "wk-000001", Index: i*each + k}, Attempt: 7, Phase: model.PhaseRunning})
+		heartbeat := heartbeatOf(name(i), 1, 1, 99)
+		heartbeat.Addr = "10.1.2.3:9000"
+		for k := range tasksPerMachine {
+			heartbeat.Tasks = append(heartbeat.Tasks, model.TaskStatus{
+				Task:    model.TaskID{Job: "wk-000001", Index: i*tasksPerMachine + k},
+				Attempt: 7, Phase: model.PhaseRunning,
+			})
 		}
-		c.Step(now, HeartbeatReceived{Heartbeat: r})
+		c.Step(now, HeartbeatReceived{Heartbeat: heartbeat})
 	}
 	full := liveHeapBytes()
-	machine, task := float64(empty-before)/machines, float64(full-empty)/(machines*each)
-	t.Logf("%.0f bytes a machine, %.0f a live task, %.0f MB in all", machine, task, float64(full-before)/(1<<20))
-	if machine > 2000 || task > 600 {
-		t.Errorf("%.0f bytes a machine and %.0f a live task are more than docs/operators.md says", machine, task)
+	machineBytes := float64(empty-before) / machines
+	taskBytes := float64(full-empty) / (machines * tasksPerMachine)
+	t.Logf("%.0f bytes a machine, %.0f an active task, %.0f MB in all",
+		machineBytes, taskBytes, float64(full-before)/bytesPerMegabyte)
+	if machineBytes > maxMachineBytes || taskBytes > maxTaskBytes {
+		t.Errorf("got %.0f bytes a machine and %.0f an active task, want at most %d and %d, as docs/operators.md states",
+			machineBytes, taskBytes, maxMachineBytes, maxTaskBytes)
 	}
 	runtime.KeepAlive(c)
 }
--- a/internal/reconciler/runtimes_test.go
+++ b/internal/reconciler/runtimes_test.go
@@ -8,25 +8,26 @@
 )
 
 func TestEstimatesAreCorrectedByObservedRunTimes(t *testing.T) {
-	r := runTimes{}
-	s := &model.Spec{Class: "low", EstimatedRunTime: 10 * time.Second}
+	estimates := runTimes{}
+	spec := &model.Spec{Class: "low", EstimatedRunTime: 10 * time.Second}
 	for range minObservations - 1 {
-		r.observe(s, 20*time.Second)
+		estimates.observe(spec, 20*time.Second)
 	}
-	if got := r.estimate(s); got != s.EstimatedRunTime {
-		t.Errorf("corrected to %v after too few tasks", got)
+	if got := estimates.estimate(spec); got != spec.EstimatedRunTime {
+		t.Errorf("after too few tasks: got %v, want %v", got, spec.EstimatedRunTime)
 	}
 	for range 100 {
-		r.observe(s, 20*time.Second)
+		estimates.observe(spec, 20*time.Second)
 	}
-	if got := r.estimate(s); got < 19*time.Second || got > 21*time.Second {
-		t.Errorf("tasks run twice as long as estimated: corrected to %v", got)
+	if got := estimates.estimate(spec); got < 19*time.Second || got > 21*time.Second {
+		t.Errorf("tasks run twice as long as estimated: got %v, want 19s to 21s", got)
 	}
-	r.observe(s, time.Hour) // one that hung
-	if got := r.estimate(s); got > 22*time.Second {
-		t.Errorf("a single odd one moves the estimate to %v", got)
+	estimates.observe(spec, time.Hour) // one that hung
+	if got := estimates.estimate(spec); got > 22*time.Second {
+		t.Errorf("after a single outlier: got %v, want 22s at most", got)
 	}
-	if other := (&model.Spec{Class: "other", EstimatedRunTime: time.Second}); r.estimate(other) != time.Second {
-		t.Error("another class is corrected too")
+	other := &model.Spec{Class: "other", EstimatedRunTime: time.Second}
+	if got := estimates.estimate(other); got != time.Second {
+		t.Errorf("another class: got %v, want 1s", got)
 	}
 }
