--- a/internal/clustersim/faults/overlapping.go
+++ b/internal/clustersim/faults/overlapping.go
@@ -343,22 +343,22 @@
 }
 
 // delayCommits has the network hold a part of the transactions, which are carried out seconds later.
-func (r *simulation) delayCommits(_ *fake.Controller, body []byte) (error, bool) {
+func (r *simulation) delayCommits(_ *fake.Controller, body []byte) (bool, error) {
 	if r.IntN(3) > 0 {
-		return nil, false
+		return false, nil
 	}
 	body = slices.Clone(body)
 	r.planIn(2*second+r.randomUpTo(10*second), func() { _, _ = r.world.State.Call("POST", "/commit", body, second) }) // refused, or not
-	return context.DeadlineExceeded, true
+	return true, context.DeadlineExceeded
 }
 
 // loseCommitAnswers has the answers to a part of the transactions lost, which are carried out.
-func (r *simulation) loseCommitAnswers(_ *fake.Controller, body []byte) (error, bool) {
+func (r *simulation) loseCommitAnswers(_ *fake.Controller, body []byte) (bool, error) {
 	if r.IntN(3) > 0 {
-		return nil, false
+		return false, nil
 	}
 	_, _ = r.world.State.Call("POST", "/commit", body, second) // refused, or not
-	return context.DeadlineExceeded, true
+	return true, context.DeadlineExceeded
 }
 
 // cancelCompleted cancels a part of the jobs whose last task has just ended, before or after the leader knows.
--- a/internal/clustersim/ledgersim/audit.go
+++ b/internal/clustersim/ledgersim/audit.go
@@ -101,11 +101,9 @@
 }
 
 // settlements finds the settlements among the changes of a transaction.
-func settlements(ops []any) (out []settlement) {
-	for _, o := range ops {
-		m := o.(map[string]any)
-		key, _ := m["write"].(string)
-		if v, ok := m["value"].(map[string]any); ok && strings.HasPrefix(key, "use/o/") {
+func settlements(ops []fake.Operation) (out []settlement) {
+	for _, op := range ops {
+		if v, ok := op.Value.(map[string]any); ok && strings.HasPrefix(op.Write, "use/o/") {
 			team, _ := v["team"].(string)
 			out = append(out, settlement{team, fake.DecodeUint(v["token"]), fake.DecodeUint(v["settled"])})
 		}
@@ -115,7 +113,7 @@
 
 // TransactionSent: a transaction leaves a controller. The first time that a settlement does, it is
 // about all that its leader has heard by now.
-func (a *audit) TransactionSent(ops []any) {
+func (a *audit) TransactionSent(ops []fake.Operation) {
 	for _, s := range settlements(ops) {
 		if a.seen[s] {
 			continue
@@ -130,7 +128,7 @@
 
 // committed: the state service carries a transaction out. What its settlements are about
 // is on record from now on.
-func (a *audit) committed(ops []any) {
+func (a *audit) committed(ops []fake.Operation) {
 	a.allOps += len(ops)
 	for _, s := range settlements(ops) {
 		t := a.settledByTeam[s.team]
@@ -139,13 +137,11 @@
 		delete(a.inFlight, s)
 		a.settlementCount++
 	}
-	for _, o := range ops {
-		key, _ := o.(map[string]any)["write"].(string)
-		gone, _ := o.(map[string]any)["remove"].(string)
-		if strings.HasPrefix(key, "use/") || strings.HasPrefix(gone, "use/") {
+	for _, op := range ops {
+		if strings.HasPrefix(op.Write, "use/") || strings.HasPrefix(op.Remove, "use/") {
 			a.ledgerOps++
 		}
-		if id, ok := strings.CutPrefix(key, "job/e/"); ok {
+		if id, ok := strings.CutPrefix(op.Write, "job/e/"); ok {
 			a.endRevisions[id] = a.world.State.Revision()
 		}
 	}
--- a/internal/clustersim/ledgersim/simulation.go
+++ b/internal/clustersim/ledgersim/simulation.go
@@ -385,22 +385,22 @@
 var errAnswerLost = errors.New("no answer")
 
 // interceptCommit loses answers, and holds transactions back until minutes later.
-func (k *simulation) interceptCommit(c *fake.Controller, body []byte) (error, bool) {
+func (k *simulation) interceptCommit(c *fake.Controller, body []byte) (bool, error) {
 	if k.faultsEnded || k.world.State.Down {
-		return nil, false
+		return false, nil
 	}
 	switch k.commitRand.IntN(120) {
 	case 0:
 		k.result.LateTransactions++
 		body = slices.Clone(body)
 		k.insert(&k.delayed, k.randomDuration(time.Second, 5*time.Minute), func() { k.commit(body) })
-		return errAnswerLost, true
+		return true, errAnswerLost
 	case 1:
 		k.result.UnansweredTransactions++
 		k.commit(body)
-		return errAnswerLost, true
+		return true, errAnswerLost
 	}
-	return nil, false
+	return false, nil
 }
 
 // commit has the state service carry a transaction out, whose sender does not learn of it.
--- a/internal/clustersim/scale/standins.go
+++ b/internal/clustersim/scale/standins.go
@@ -104,7 +104,7 @@
 		done:    make(chan struct{}),
 	}
 	s.state.MaxOps, s.state.MaxValueBytes = txnOps, valueKB<<10
-	s.state.OnCommit = func(ops []any) { s.changes += len(ops) }
+	s.state.OnCommit = func(ops []fake.Operation) { s.changes += len(ops) }
 	var l net.Listener
 	var err error
 	if s.http, l, err = serveLoopback(address, s.handle); err != nil {
--- a/internal/fake/answers.go
+++ b/internal/fake/answers.go
@@ -8,60 +8,72 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// jobAnswers is what users were told of one job, in the order of the answers. Here each question is answered
-// within a moment, so an answer is older than another one if it comes after it and says less: an accepted
-// job stays known, and an end stays as it is.
+// jobAnswers is what users were told of one job, in the order of the answers. In a World each question is answered
+// at once, so an answer is stale if it says less than one before it: an accepted job stays known, and a final state
+// stays as it is.
 type jobAnswers struct {
-	answeredBy      string // who gave the last answer that counts
-	finalState      wire.JobState
-	cancelRequested bool // its user has asked to cancel it
+	answeredBy      string        // the member that gave the last answer that was not stale
+	finalState      wire.JobState // StateUnknown: none was told
+	cancelRequested bool          // its user has asked to cancel it
 }
 
-// recordAnswer holds what a member has told a user of a job against all that was told before.
-func (w *Site) recordAnswer(by, id string, s wire.JobState) {
-	h := w.answers[id]
-	if h == nil {
-		if s == wire.StateUnknown {
+// polls is how users ask the controllers of a World about their jobs.
+type polls struct {
+	PollOnCommit  bool // users ask every controller about a job as a transaction changes its record
+	StaleReads    bool // a deliberate fault: members answer from what they have read last
+	AnsweredPolls int
+	polling       bool // a poll of PollOnCommit is under way
+}
+
+// recordAnswer checks what a member has told a user of a job against all answers before.
+func (e *Environment) recordAnswer(member, id string, state wire.JobState) {
+	history := e.answers[id]
+	if history == nil {
+		if state == wire.StateUnknown {
 			return
 		}
-		h = &jobAnswers{}
-		w.answers[id] = h
+		history = &jobAnswers{}
+		e.answers[id] = history
 	}
-	spec := w.Specs[id]
+	known, final := history.answeredBy, history.finalState
 	switch {
-	case s == wire.StateUnknown:
-		w.violated("forgotten: %s says that %s is not known, %s knew it", by, id, h.answeredBy)
-	case h.finalState != wire.StateUnknown && s != h.finalState:
-		w.violated("went_back: %s says that %s is %v, %s said %v", by, id, s, h.answeredBy, h.finalState)
-	case s == wire.StateCancelled && !w.cancelRequested(id):
-		w.violated("went_back: %s says that %s is cancelled, which nobody has asked for", by, id)
-	case s == wire.StateDone && !w.AllCompleted(id) && (spec.Shape != model.Gang || !w.anyCompleted(id)):
-		w.violated("not_done: %s says that %s is done", by, id)
+	case state == wire.StateUnknown:
+		e.violated("forgotten: %s says that %s is not known, %s knew it", member, id, known)
+	case final != wire.StateUnknown && state != final:
+		e.violated("went_back: %s says that %s is %v, %s said %v", member, id, state, known, final)
+	case state == wire.StateCancelled && !e.cancelRequested(id):
+		e.violated("went_back: %s says that %s is cancelled, which nobody has asked for", member, id)
+	case state == wire.StateDone && !e.mayBeDone(id):
+		e.violated("not_done: %s says that %s is done", member, id)
 	}
-	if s == wire.StateUnknown || h.finalState != wire.StateUnknown {
+	if state == wire.StateUnknown || final != wire.StateUnknown {
 		return
 	}
-	h.answeredBy = by
-	if s.Ended() {
-		h.finalState = s
+	history.answeredBy = member
+	if state.Ended() {
+		history.finalState = state
 	}
 }
 
-func (w *Site) cancelRequested(id string) bool {
-	if h := w.answers[id]; h != nil && h.cancelRequested {
-		return true
-	}
-	for _, need := range w.Dependencies[id] {
-		if w.cancelRequested(need) {
-			return true
-		}
+// mayBeDone tells whether a job may be called done: all of its tasks have completed, or one of a gang's.
+func (e *Environment) mayBeDone(id string) bool {
+	return e.AllCompleted(id) || e.Specs[id].Shape == model.Gang && e.anyCompleted(id)
+}
+
+// recordCancelRequest notes that the user of a job asks to cancel it.
+func (e *Environment) recordCancelRequest(id string) {
+	if history := e.answers[id]; history != nil {
+		history.cancelRequested = true
 	}
-	return false
 }
 
-func (w *Site) anyCompleted(id string) bool {
-	for i := range w.Specs[id].Tasks {
-		if w.Completed[model.TaskID{Job: id, Index: i}] {
+// cancelRequested tells whether a user has asked to cancel a job or one that it depends on.
+func (e *Environment) cancelRequested(id string) bool {
+	if history := e.answers[id]; history != nil && history.cancelRequested {
+		return true
+	}
+	for _, dependency := range e.Dependencies[id] {
+		if e.cancelRequested(dependency) {
 			return true
 		}
 	}
@@ -70,30 +82,38 @@
 
 // Poll has a user ask a controller about a job.
 func (w *World) Poll(c *Controller, id string) (wire.JobState, error) {
-	if v := c.Jobs.Peek(id); w.StaleReads && v.State != wire.StateUnknown {
-		w.recordAnswer(c.Member, id, v.State)
-		return v.State, nil
+	if record := c.Jobs.Peek(id); w.StaleReads && record.State != wire.StateUnknown {
+		w.recordAnswer(c.Member, id, record.State)
+		return record.State, nil
 	}
-	v, err := c.Jobs.Lookup(context.Background(), id)
+	record, err := c.Jobs.Lookup(context.Background(), id)
 	if err == nil {
 		w.AnsweredPolls++
-		w.recordAnswer(c.Member, id, v.State)
+		w.recordAnswer(c.Member, id, record.State)
 	}
-	return v.State, err
+	return record.State, err
 }
 
-// pollCommitted has users ask every controller about the jobs of a transaction at the moment at which it is carried out: before
-// whoever has sent it knows, and whether it ever learns of it.
-func (w *World) pollCommitted(ops []any) {
+// PollAll has users ask all controllers about a job, one right after the other.
+func (w *World) PollAll(id string) {
+	for _, c := range w.Controllers {
+		if c.Up && !c.Frozen {
+			_, _ = w.Poll(c, id) // a controller need not answer
+		}
+	}
+}
+
+// pollCommitted has users ask every controller about the jobs of a transaction at the moment at which it is carried
+// out: before its sender knows, and whether or not it ever learns of it.
+func (w *World) pollCommitted(ops []Operation) {
 	if !w.PollOnCommit || w.polling {
 		return
 	}
-	w.polling = true // what a look has written itself, nobody looks at
+	w.polling = true // transactions that a poll causes are not polled for
 	defer func() { w.polling = false }()
 	seen := map[string]bool{}
 	for _, op := range ops {
-		for _, what := range []string{"write", "remove"} {
-			key, _ := op.(map[string]any)[what].(string)
+		for _, key := range []string{op.Write, op.Remove} {
 			id, ok := strings.CutPrefix(key, "job/a/")
 			if !ok {
 				id, ok = strings.CutPrefix(key, "job/e/")
@@ -105,12 +125,3 @@
 		}
 	}
 }
-
-// PollAll has users ask all controllers about a job, one right after the other.
-func (w *World) PollAll(id string) {
-	for _, c := range w.Controllers {
-		if c.Up && !c.Frozen {
-			_, _ = w.Poll(c, id) // no answer is one too
-		}
-	}
-}
--- a/internal/fake/answers_test.go
+++ b/internal/fake/answers_test.go
@@ -21,9 +21,9 @@
 // loseCommitAnswers has the answers of a part of all transactions lost; at once they are carried out, or seconds later.
 func loseCommitAnswers(w *World, r *rand.Rand, part float64, atOnce bool) (later *[]func()) {
 	later = &[]func(){}
-	w.InterceptCommit = func(_ *Controller, body []byte) (error, bool) {
+	w.InterceptCommit = func(_ *Controller, body []byte) (bool, error) {
 		if r.Float64() >= part {
-			return nil, false
+			return false, nil
 		}
 		body = slices.Clone(body)
 		do := func() { _, _ = w.State.Call("POST", "/commit", body, second) } // refused, or not
@@ -32,7 +32,7 @@
 		} else {
 			*later = append(*later, do)
 		}
-		return context.DeadlineExceeded, true
+		return true, context.DeadlineExceeded
 	}
 	return later
 }
--- a/internal/fake/delayed_writes_test.go
+++ b/internal/fake/delayed_writes_test.go
@@ -14,15 +14,14 @@
 type heldWrites struct{ bodies [][]byte }
 
 func (l *heldWrites) hold(w *World, prefix string, most int) {
-	w.InterceptCommit = func(c *Controller, body []byte) (error, bool) {
+	w.InterceptCommit = func(c *Controller, body []byte) (bool, error) {
 		for _, op := range TransactionOps(body) {
-			key, _ := op.(map[string]any)["write"].(string)
-			if len(l.bodies) < most && strings.HasPrefix(key, prefix) {
+			if len(l.bodies) < most && strings.HasPrefix(op.Write, prefix) {
 				l.bodies = append(l.bodies, append([]byte(nil), body...))
-				return context.DeadlineExceeded, true
+				return true, context.DeadlineExceeded
 			}
 		}
-		return nil, false
+		return false, nil
 	}
 }
 
@@ -99,9 +98,9 @@
 			var first, held heldWrites
 			first.hold(w, "tasks/", 1)
 			saves, fences := w.InterceptCommit, 0
-			w.InterceptCommit = func(c *Controller, body []byte) (error, bool) {
+			w.InterceptCommit = func(c *Controller, body []byte) (bool, error) {
 				for _, op := range TransactionOps(body) {
-					if key, _ := op.(map[string]any)["write"].(string); key == "leader/token" && c == leader && fences < 3 {
+					if op.Write == "leader/token" && c == leader && fences < 3 {
 						fences++
 						switch at {
 						case "sent and carried out":
@@ -109,7 +108,7 @@
 						case "sent and held":
 							held.bodies = append(held.bodies, append([]byte(nil), body...))
 						}
-						return context.DeadlineExceeded, true
+						return true, context.DeadlineExceeded
 					}
 				}
 				return saves(c, body)
--- a/internal/fake/duplicates_test.go
+++ b/internal/fake/duplicates_test.go
@@ -134,7 +134,7 @@
 			},
 			"a machine is back at once": func(r *rapid.T) {
 				k := worker(r)
-				if k.site == nil {
+				if k.env == nil {
 					return
 				}
 				w.RestartWorker(k)
--- a/internal/fake/fleet.go
+++ b/internal/fake/fleet.go
@@ -9,21 +9,22 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Fleet is many stand-in workers without controllers: whoever plays them carries their messages. Unlike a World
-// it never looks at all of them at once. It holds what happens on them against the rules as it happens. It is not
-// safe for concurrent use.
+// Fleet is many stand-in workers without controllers: its caller carries their messages and moves the time with
+// SetNow. Unlike a World it never looks at all workers at once, but checks the invariants as tasks arrive on machines
+// and leave them. It is not safe for concurrent use.
 type Fleet struct {
-	Site
+	Environment
 	Workers  map[string]*Worker
-	OnLaunch func(t *Task) // told of each launch that a worker takes; nil: nobody is
+	OnLaunch func(t *Task) // called with each launch that a worker takes; nil: nothing is
 
-	limits     map[string]model.Quota
+	quotas     map[string]model.Quota // by team
 	gangs      map[gangAttempt]map[*Task]bool
 	workerOf   map[model.TaskID]*Worker
-	usedByTeam map[string]model.Resources // by team
-	placements map[string]*placement      // by job
+	usedByTeam map[string]model.Resources
+	placements map[string]*placement // by job
 }
 
+// gangAttempt names an attempt at a gang.
 type gangAttempt struct {
 	job     string
 	attempt uint64
@@ -32,17 +33,23 @@
 // placement is where the tasks of a job are.
 type placement struct {
 	tasks int
-	zones map[string]int
+	zones map[string]int // tasks by zone
 }
 
-// NewFleet makes a fleet without workers, in which teams have limits.
+// NewFleet makes a fleet without workers, in which teams have quotas.
 func NewFleet(now time.Time, teams []model.Team) *Fleet {
-	f := &Fleet{Workers: map[string]*Worker{}, limits: map[string]model.Quota{}, gangs: map[gangAttempt]map[*Task]bool{},
-		workerOf: map[model.TaskID]*Worker{}, usedByTeam: map[string]model.Resources{}, placements: map[string]*placement{}}
-	f.Site = newSite(now, f.gangAttemptTasks)
-	f.Site.OnTaskMoved, f.Site.OnAttemptKnown = f.trackPlacement, f.trackGang
-	for _, t := range teams {
-		f.limits[t.Name] = t.Quota
+	f := &Fleet{
+		Workers:    map[string]*Worker{},
+		quotas:     map[string]model.Quota{},
+		gangs:      map[gangAttempt]map[*Task]bool{},
+		workerOf:   map[model.TaskID]*Worker{},
+		usedByTeam: map[string]model.Resources{},
+		placements: map[string]*placement{},
+	}
+	f.Environment = newEnvironment(now, f.gangAttemptTasks)
+	f.OnTaskMoved, f.OnAttemptKnown = f.trackPlacement, f.trackLaunch
+	for _, team := range teams {
+		f.quotas[team.Name] = team.Quota
 	}
 	return f
 }
@@ -51,40 +58,37 @@
 func (f *Fleet) SetNow(now time.Time) { f.now = now }
 
 // Add brings a machine up.
-func (f *Fleet) Add(l model.MachineInfo) *Worker {
-	k := &Worker{site: &f.Site, Name: l.Name, Addr: l.Addr, Type: l.Type, Zone: l.Zone, Spot: l.Spot, Epoch: 1,
-		Tasks: map[model.AttemptKey]*Task{}, leaseRenewedAt: f.now}
-	f.Workers[l.Name] = k
-	return k
+func (f *Fleet) Add(m model.MachineInfo) *Worker {
+	w := newWorker(&f.Environment, m)
+	f.Workers[m.Name] = w
+	return w
 }
 
 // Remove ends a machine and everything on it.
 func (f *Fleet) Remove(name string) {
-	if k := f.Workers[name]; k != nil {
-		k.KillTasks()
+	if w := f.Workers[name]; w != nil {
+		w.KillTasks()
 		delete(f.Workers, name)
 	}
 }
 
-// RecordAnswer holds what a controller has told the user of a job against all that was told before. Answers of one job
-// are to be told in the order in which its user asked.
-func (f *Fleet) RecordAnswer(by, id string, s wire.JobState) { f.recordAnswer(by, id, s) }
+// RecordAnswer checks what a controller has told the user of a job against all answers before. Answers about one job
+// are to be recorded in the order in which its user asked.
+func (f *Fleet) RecordAnswer(member, id string, state wire.JobState) {
+	f.recordAnswer(member, id, state)
+}
 
 // RecordCancelRequest notes that the user of a job asks to cancel it.
-func (f *Fleet) RecordCancelRequest(id string) {
-	if h := f.answers[id]; h != nil {
-		h.cancelRequested = true
-	}
-}
+func (f *Fleet) RecordCancelRequest(id string) { f.recordCancelRequest(id) }
 
 // RecordCancelled notes that the user of a job was told that it is cancelled.
 func (f *Fleet) RecordCancelled(id string) {
-	if _, told := f.CancelledAt[id]; !told {
+	if _, known := f.CancelledAt[id]; !known {
 		f.CancelledAt[id] = f.now
 	}
 }
 
-// ActiveTasks tells how many tasks are on machines.
+// ActiveTasks counts the tasks that are on machines.
 func (f *Fleet) ActiveTasks() int { return len(f.workerOf) }
 
 // CheckCancelled looks for tasks of cancelled jobs that are still on machines.
@@ -96,12 +100,14 @@
 	}
 }
 
+// gangAttemptTasks finds the tasks of a gang's attempt on all machines.
 func (f *Fleet) gangAttemptTasks(job string, attempt uint64) iter.Seq[*Task] {
 	return maps.Keys(f.gangs[gangAttempt{job, attempt}])
 }
 
-func (f *Fleet) trackGang(_ *Worker, t *Task, is bool) {
-	if is && f.OnLaunch != nil {
+// trackLaunch reports a launch to the caller, and keeps the tasks of each gang's attempt.
+func (f *Fleet) trackLaunch(_ *Worker, t *Task, known bool) {
+	if known && f.OnLaunch != nil {
 		f.OnLaunch(t)
 	}
 	if t.Spec == nil || t.Spec.Shape != model.Gang {
@@ -109,9 +115,9 @@
 	}
 	key := gangAttempt{t.ID.Job, t.Attempt}
 	switch {
-	case is && f.gangs[key] == nil:
+	case known && f.gangs[key] == nil:
 		f.gangs[key] = map[*Task]bool{t: true}
-	case is:
+	case known:
 		f.gangs[key][t] = true
 	default:
 		if delete(f.gangs[key], t); len(f.gangs[key]) == 0 {
@@ -120,23 +126,25 @@
 	}
 }
 
-func (f *Fleet) trackPlacement(k *Worker, t *Task, on bool) {
-	if on {
-		f.taskPlaced(k, t)
+// trackPlacement keeps where tasks are.
+func (f *Fleet) trackPlacement(w *Worker, t *Task, onMachine bool) {
+	if onMachine {
+		f.taskPlaced(w, t)
 	} else {
-		f.taskRemoved(k, t)
+		f.taskRemoved(w, t)
 	}
 }
 
-// taskPlaced holds a task that is on a machine now against the rules.
-func (f *Fleet) taskPlaced(k *Worker, t *Task) {
+// taskPlaced checks the invariants for a task that has arrived on a machine.
+func (f *Fleet) taskPlaced(w *Worker, t *Task) {
+	spec := t.Spec
 	if other := f.workerOf[t.ID]; other != nil {
-		f.violated("ran_twice: %v on %s and %s", t.ID, other.Name, k.Name)
+		f.violated("ran_twice: %v on %s and %s", t.ID, other.Name, w.Name)
 	}
-	f.workerOf[t.ID] = k
-	f.usedByTeam[t.Spec.Team] = f.usedByTeam[t.Spec.Team].Add(t.Spec.Demand)
-	if u := f.usedByTeam[t.Spec.Team]; !f.limits[t.Spec.Team].Allows(u) {
-		f.violated("quota: %s uses %v", t.Spec.Team, u)
+	f.workerOf[t.ID] = w
+	f.usedByTeam[spec.Team] = f.usedByTeam[spec.Team].Add(spec.Demand)
+	if used := f.usedByTeam[spec.Team]; !f.quotas[spec.Team].Allows(used) {
+		f.violated("quota: %s uses %v", spec.Team, used)
 	}
 	p := f.placements[t.ID.Job]
 	if p == nil {
@@ -144,22 +152,21 @@
 		f.placements[t.ID.Job] = p
 	}
 	p.tasks++
-	p.zones[k.Zone]++
-	s := t.Spec
-	if !s.AllowSpot && k.Spot || !s.AllowsType(k.Type) || s.Zone != "" && s.Zone != k.Zone {
-		f.violated("wrong_place: %v on %s", t.ID, k.Name)
+	p.zones[w.Zone]++
+	if !spec.AllowSpot && w.Spot || !spec.AllowsType(w.Type) || spec.Zone != "" && spec.Zone != w.Zone {
+		f.violated("wrong_place: %v on %s", t.ID, w.Name)
 	}
-	if s.SingleZone && len(p.zones) > 1 || s.Spread && p.zones[k.Zone] > s.MaxTasksPerZone() {
-		f.violated("wrong_place: %s has %d tasks in %s", s.ID, p.zones[k.Zone], k.Zone)
+	if spec.SingleZone && len(p.zones) > 1 || spec.Spread && p.zones[w.Zone] > spec.MaxTasksPerZone() {
+		f.violated("wrong_place: %s has %d tasks in %s", spec.ID, p.zones[w.Zone], w.Zone)
 	}
 	if at, ok := f.CancelledAt[t.ID.Job]; ok && f.now.Sub(at) > f.CancelDeadline {
-		f.violated("ran_cancelled: %v on %s", t.ID, k.Name)
+		f.violated("ran_cancelled: %v on %s", t.ID, w.Name)
 	}
 }
 
-// taskRemoved takes a task off the accounts.
-func (f *Fleet) taskRemoved(k *Worker, t *Task) {
-	if f.workerOf[t.ID] == k {
+// taskRemoved takes a task that has left its machine out of what is kept.
+func (f *Fleet) taskRemoved(w *Worker, t *Task) {
+	if f.workerOf[t.ID] == w {
 		delete(f.workerOf, t.ID)
 	}
 	f.usedByTeam[t.Spec.Team] = f.usedByTeam[t.Spec.Team].Sub(t.Spec.Demand)
@@ -167,8 +174,8 @@
 	if p == nil {
 		return
 	}
-	if p.zones[k.Zone]--; p.zones[k.Zone] == 0 {
-		delete(p.zones, k.Zone)
+	if p.zones[w.Zone]--; p.zones[w.Zone] == 0 {
+		delete(p.zones, w.Zone)
 	}
 	if p.tasks--; p.tasks == 0 {
 		delete(f.placements, t.ID.Job)
--- a/internal/fake/ledger_test.go
+++ b/internal/fake/ledger_test.go
@@ -52,7 +52,7 @@
 func TestJobEndIsCommittedWithItsSettlement(t *testing.T) {
 	w := newAccountedDeployment(t, 2, func(l *reconciler.LedgerSettings) { l.SettleInterval = time.Hour })
 	var together, alone int
-	w.State.OnCommit = func(ops []any) {
+	w.State.OnCommit = func(ops []Operation) {
 		text := fmt.Sprint(ops)
 		if strings.Contains(text, "job/e/") && strings.Contains(text, "use/o/red") {
 			together++
--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -6,42 +6,44 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// maxWaitWithRoom is how long a job may wait while a machine that fits has room and its team is under its limit, once
-// troubles are over.
-const maxWaitWithRoom = 90 * time.Second
+const (
+	// maxWaitWithRoom is how long a job may wait, once all faults have ended, while a machine that fits has room and
+	// its team is under its quota.
+	maxWaitWithRoom = 90 * time.Second
+	// starvationInterval is the time between two checks for jobs that wait.
+	starvationInterval = time.Second
+)
+
+// starvation is how long jobs wait for which there is room.
+type starvation struct {
+	LongestWait         time.Duration // of a job for which there was room, once all faults had ended
+	faultsEndedAt       time.Time     // zero: faults go on, and waits are not checked
+	waitingSince        map[string]time.Time
+	starvationCheckedAt time.Time
+}
+
+// occupancy is what is on the machines of a World.
+type occupancy struct {
+	usedByTeam map[string]model.Resources
+	tasks      map[model.TaskID]bool // that a worker knows and that have not ended
+	free       map[*Worker]model.Resources
+	zones      map[string]map[string]int // tasks by job and zone
+}
 
-// MarkFaultsEnded notes that all troubles are over: from here on no job waits for long while there is room for it.
+// MarkFaultsEnded notes that all faults have ended: from here on no job waits for long while there is room for it.
 func (w *World) MarkFaultsEnded() { w.faultsEndedAt, w.waitingSince = w.now, map[string]time.Time{} }
 
-// checkStarvation looks once a second for jobs that wait although there is room for them.
+// checkStarvation looks for jobs that wait although there is room for them.
 func (w *World) checkStarvation() {
-	if w.faultsEndedAt.IsZero() || w.now.Sub(w.starvationCheckedAt) < time.Second {
+	if w.faultsEndedAt.IsZero() || w.now.Sub(w.starvationCheckedAt) < starvationInterval {
 		return
 	}
 	w.starvationCheckedAt = w.now
-	used := map[string]model.Resources{}
-	held := map[model.TaskID]bool{}
-	free := map[*Worker]model.Resources{}
-	zones := map[string]map[string]int{}
-	for _, k := range w.Workers {
-		free[k] = w.capacityOf(k.Type)
-		for _, t := range k.Tasks {
-			if t.Phase == model.PhaseExited {
-				continue
-			}
-			held[t.ID] = true
-			free[k] = free[k].Sub(t.Spec.Demand)
-			used[t.Spec.Team] = used[t.Spec.Team].Add(t.Spec.Demand)
-			if zones[t.ID.Job] == nil {
-				zones[t.ID.Job] = map[string]int{}
-			}
-			zones[t.ID.Job][k.Zone]++
-		}
-	}
-	for id, h := range w.answers {
-		s := w.Specs[id]
-		if h.finalState != 0 || w.cancelRequested(id) || w.FailingJobs[id] || !w.hasWaitingTasks(s, held) ||
-			!w.hasRoomFor(s, used[s.Team], free, zones[id]) {
+	occupied := w.occupancy()
+	for id, history := range w.answers {
+		spec := w.Specs[id]
+		if history.finalState != 0 || w.cancelRequested(id) || w.FailingJobs[id] ||
+			!w.hasWaitingTasks(spec, occupied.tasks) || !w.hasRoomFor(spec, occupied) {
 			delete(w.waitingSince, id)
 			continue
 		}
@@ -50,72 +52,108 @@
 			w.waitingSince[id] = w.now
 			continue
 		}
-		if long := w.now.Sub(since); long > w.LongestWait {
-			if w.LongestWait = long; long > maxWaitWithRoom {
+		if wait := w.now.Sub(since); wait > w.LongestWait {
+			if w.LongestWait = wait; wait > maxWaitWithRoom {
 				w.violated("waits: %s for over %v although there is room", id, maxWaitWithRoom)
 			}
 		}
 	}
 }
 
-func (w *World) capacityOf(breed string) model.Resources {
+// occupancy sums up what is on the machines.
+func (w *World) occupancy() *occupancy {
+	o := &occupancy{
+		usedByTeam: map[string]model.Resources{},
+		tasks:      map[model.TaskID]bool{},
+		free:       map[*Worker]model.Resources{},
+		zones:      map[string]map[string]int{},
+	}
+	for _, worker := range w.Workers {
+		o.free[worker] = w.capacityOf(worker.Type)
+		for _, t := range worker.Tasks {
+			if t.Phase == model.PhaseExited {
+				continue
+			}
+			o.tasks[t.ID] = true
+			o.free[worker] = o.free[worker].Sub(t.Spec.Demand)
+			o.usedByTeam[t.Spec.Team] = o.usedByTeam[t.Spec.Team].Add(t.Spec.Demand)
+			if o.zones[t.ID.Job] == nil {
+				o.zones[t.ID.Job] = map[string]int{}
+			}
+			o.zones[t.ID.Job][worker.Zone]++
+		}
+	}
+	return o
+}
+
+// capacityOf is what a machine of a type has; zero: the cloud does not offer the type.
+func (w *World) capacityOf(machineType string) model.Resources {
 	for _, t := range w.Types {
-		if t.Name == breed {
+		if t.Name == machineType {
 			return t.Capacity
 		}
 	}
 	return model.Resources{}
 }
 
-// hasWaitingTasks tells whether something of a job is to run and is on no machine.
-func (w *World) hasWaitingTasks(s *model.Spec, held map[model.TaskID]bool) bool {
-	for _, need := range w.Dependencies[s.ID] {
-		if !w.AllCompleted(need) {
+// hasWaitingTasks tells whether a task of a job could start and is on no machine.
+func (w *World) hasWaitingTasks(spec *model.Spec, onMachines map[model.TaskID]bool) bool {
+	for _, dependency := range w.Dependencies[spec.ID] {
+		if !w.AllCompleted(dependency) {
 			return false
 		}
 	}
-	open := 0
-	for i := range s.Tasks {
-		if id := (model.TaskID{Job: s.ID, Index: i}); !w.Completed[id] {
-			if held[id] && s.Shape == model.Gang {
-				return false // its attempt is not over
-			}
-			if !held[id] {
-				open++
-			}
+	waiting := 0
+	for i := range spec.Tasks {
+		id := model.TaskID{Job: spec.ID, Index: i}
+		switch {
+		case w.Completed[id]:
+		case !onMachines[id]:
+			waiting++
+		case spec.Shape == model.Gang:
+			return false // its attempt has not ended
 		}
 	}
-	return open > 0 && (s.Shape != model.Gang || open == s.Tasks)
+	return waiting > 0 && (spec.Shape != model.Gang || waiting == spec.Tasks)
 }
 
 // hasRoomFor tells whether machines have room for a task of a job, or for all of a gang.
-func (w *World) hasRoomFor(s *model.Spec, used model.Resources, free map[*Worker]model.Resources,
-	zones map[string]int) bool {
-	n := 1
-	if s.Shape == model.Gang {
-		n = s.Tasks
+func (w *World) hasRoomFor(spec *model.Spec, occupied *occupancy) bool {
+	tasks := 1
+	if spec.Shape == model.Gang {
+		tasks = spec.Tasks
 	}
-	if !w.Teams[s.Team].Quota.Allows(used.Add(s.Demand.Times(n))) {
+	if !w.Teams[spec.Team].Quota.Allows(occupied.usedByTeam[spec.Team].Add(spec.Demand.Times(tasks))) {
 		return false
 	}
-	fits := map[string]int{}
-	for k, f := range free {
-		fine := !k.Partitioned && !k.InboundBlocked && !k.OutboundBlocked && !k.Hung && !k.Faulty && k.InterruptionNotice == 0
-		if !fine || !s.AllowsType(k.Type) || s.Zone != "" && s.Zone != k.Zone || k.Spot && !s.AllowSpot ||
-			s.SingleZone && len(zones) > 0 && zones[k.Zone] == 0 {
-			continue
-		}
-		if allowed := w.PlacementAllowed[s.ID]; allowed != nil && !allowed(k) {
-			continue
+	zones := occupied.zones[spec.ID]
+	fitsByZone := map[string]int{}
+	for worker, free := range occupied.free {
+		if w.mayRunOn(spec, worker, zones) {
+			fitsByZone[worker.Zone] += spec.Demand.FitCount(free)
 		}
-		fits[k.Zone] += s.Demand.FitCount(f)
 	}
-	all := 0
-	for zone, count := range fits {
-		count = min(count, s.MaxTasksPerZone()-zones[zone])
-		if all += max(count, 0); s.SingleZone && count >= n {
+	total := 0
+	for zone, count := range fitsByZone {
+		count = min(count, spec.MaxTasksPerZone()-zones[zone])
+		if total += max(count, 0); spec.SingleZone && count >= tasks {
 			return true
 		}
 	}
-	return !s.SingleZone && all >= n
+	return !spec.SingleZone && total >= tasks
+}
+
+// mayRunOn tells whether a job's tasks may start on a machine, apart from its free resources; zones are where tasks
+// of the job are.
+func (w *World) mayRunOn(spec *model.Spec, worker *Worker, zones map[string]int) bool {
+	switch {
+	case !worker.usable() || worker.InterruptionNotice != 0,
+		!spec.AllowsType(worker.Type),
+		spec.Zone != "" && spec.Zone != worker.Zone,
+		worker.Spot && !spec.AllowSpot,
+		spec.SingleZone && len(zones) > 0 && zones[worker.Zone] == 0:
+		return false
+	}
+	allowed := w.PlacementAllowed[spec.ID]
+	return allowed == nil || allowed(worker)
 }
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -1,46 +1,48 @@
-// Package fake holds in-memory stand-ins for everything outside a controller:
-// the state service, the cloud, the workers and the network between them. The
-// stories in its tests play controllers against them in a time of their own.
 package fake
 
 import (
 	"encoding/json"
-	"errors"
-	"net/http"
-	"net/url"
 	"sort"
-	"strconv"
 	"strings"
 	"time"
 
 	"github.com/tidwall/btree"
 	"github.com/tinylib/msgp/msgp"
+)
 
-	"github.com/glentiller/glentiller/internal/rpc"
+const (
+	maxLogEntries       = 10_000   // changes that are kept for watches
+	maxTransactionBytes = 64 << 10 // of all values of a transaction, in JSON
+	conditionsPerOp     = 4        // conditions that a transaction may have for each change that it may have
 )
 
-// State is a stand-in for the state service. It speaks the published protocol,
-// without the network.
+// State is a stand-in for the state service, a consensus-backed key-value store with leases. Call answers requests of
+// the published protocol without a network. It is not safe for concurrent use.
 type State struct {
 	now               func() time.Time
-	Down              bool // answers 503 to all
+	Down              bool // answers 503 to all requests
 	revision          uint64
 	keys              *btree.Map[string, *stateEntry]
-	log               []stateEntry // of the last changes, in their order
+	log               []stateEntry // the last changes in their order
 	compactedRevision uint64       // changes up to this revision are not kept any more
 	leases            map[uint64]*stateLease
 	lastLease         uint64
-	Transactions      int // transactions that were carried out
+	Transactions      int // that were carried out
 
-	MaxValueBytes int // bytes of a value, in JSON; 0: any
-	MaxOps        int // changes of a transaction; 0: any
-	LargestValue  int // the largest value that was ever taken
+	MaxValueBytes int // bytes of a value, in JSON; 0: any number
+	MaxOps        int // changes of a transaction; 0: any number
+	LargestValue  int // bytes of the largest value that was ever accepted
 
-	OnCommit func(ops []any) // told of every transaction that is carried out
+	OnCommit func(ops []Operation) // called with each transaction that is carried out
 }
 
-// maxLogEntries is how many changes are kept.
-const maxLogEntries = 10_000
+// Operation is one change of a transaction.
+type Operation struct {
+	Write  string // key that is written; "": none
+	Remove string // key that is removed; "": none
+	Value  any    // that is written, as msgp decodes it
+	Lease  uint64 // that the written key belongs to; 0: none
+}
 
 type stateEntry struct {
 	key     string
@@ -60,7 +62,10 @@
 	return &State{now: now, revision: 1, keys: &btree.Map[string, *stateEntry]{}, leases: map[uint64]*stateLease{}}
 }
 
-// Preload sets a key to a value that stands there from before.
+// Revision counts the changes.
+func (s *State) Revision() uint64 { return s.revision }
+
+// Preload sets a key to a value that stands there from before. It panics where the value is not MessagePack.
 func (s *State) Preload(key string, value []byte) {
 	v, _, err := msgp.ReadIntfBytes(value)
 	if err != nil {
@@ -76,7 +81,13 @@
 	s.appendLog(e)
 }
 
-// appendLog takes down a change, and lets the oldest ones go.
+// removeKey removes a key.
+func (s *State) removeKey(key string) {
+	s.keys.Delete(key)
+	s.appendLog(stateEntry{key: key, version: s.revision, removed: true})
+}
+
+// appendLog notes a change and lets the oldest ones go.
 func (s *State) appendLog(e stateEntry) {
 	if s.log = append(s.log, e); len(s.log) >= 2*maxLogEntries {
 		s.compactedRevision = s.log[len(s.log)-maxLogEntries-1].version
@@ -84,6 +95,25 @@
 	}
 }
 
+// logAfter is the part of the log that follows a revision.
+func (s *State) logAfter(revision uint64) []stateEntry {
+	first := sort.Search(len(s.log), func(i int) bool { return s.log[i].version > revision })
+	return s.log[first:]
+}
+
+// Changed tells whether a key with a prefix has changed after a revision, or whether that is not known any more.
+func (s *State) Changed(prefix string, after uint64) bool {
+	if after < s.compactedRevision {
+		return true
+	}
+	for _, e := range s.logAfter(after) {
+		if strings.HasPrefix(e.key, prefix) {
+			return true
+		}
+	}
+	return false
+}
+
 // entry finds a key; nil: it does not exist.
 func (s *State) entry(key string) *stateEntry {
 	e, _ := s.keys.Get(key)
@@ -100,26 +130,27 @@
 
 // Keys lists the keys with a prefix.
 func (s *State) Keys(prefix string) []string {
-	var names []string
-	s.keys.Ascend(prefix, func(k string, _ *stateEntry) bool {
-		if strings.HasPrefix(k, prefix) {
-			names = append(names, k)
+	var keys []string
+	s.keys.Ascend(prefix, func(key string, _ *stateEntry) bool {
+		if strings.HasPrefix(key, prefix) {
+			keys = append(keys, key)
 			return true
 		}
 		return false
 	})
-	return names
+	return keys
 }
 
 // withinLimits tells whether a transaction keeps within the limits.
-func (s *State) withinLimits(conds, ops []any) bool {
-	if s.MaxOps > 0 && (len(ops) > s.MaxOps || len(conds) > 4*s.MaxOps) {
+func (s *State) withinLimits(conditions []any, ops []Operation) bool {
+	if s.MaxOps > 0 && (len(ops) > s.MaxOps || len(conditions) > conditionsPerOp*s.MaxOps) {
 		return false
 	}
-	all := 0
-	for _, o := range ops {
-		b, err := json.Marshal(o.(map[string]any)["value"])
-		if all += len(b); err != nil || s.MaxValueBytes > 0 && len(b) > s.MaxValueBytes || all > 64<<10 {
+	total := 0
+	for _, op := range ops {
+		b, err := json.Marshal(op.Value)
+		total += len(b)
+		if err != nil || s.MaxValueBytes > 0 && len(b) > s.MaxValueBytes || total > maxTransactionBytes {
 			return false
 		}
 		s.LargestValue = max(s.LargestValue, len(b))
@@ -127,231 +158,57 @@
 	return true
 }
 
-// Expire ends the leases whose time is over, and removes their keys.
-func (s *State) Expire() { s.expireLeases() }
-
-// Changed tells whether a key with a prefix has changed after a revision, or whether that is not known any more.
-func (s *State) Changed(prefix string, after uint64) bool {
-	if after < s.compactedRevision {
-		return true
-	}
-	first := sort.Search(len(s.log), func(i int) bool { return s.log[i].version > after })
-	for _, e := range s.log[first:] {
-		if strings.HasPrefix(e.key, prefix) {
-			return true
+// apply carries a transaction's changes out.
+func (s *State) apply(ops []Operation) {
+	s.revision++
+	s.Transactions++
+	for _, op := range ops {
+		if op.Remove == "" {
+			s.put(stateEntry{key: op.Write, value: op.Value, version: s.revision, lease: op.Lease})
+		} else if s.entry(op.Remove) != nil {
+			s.removeKey(op.Remove)
 		}
 	}
-	return false
+	if s.OnCommit != nil {
+		s.OnCommit(ops)
+	}
 }
 
-// SetDown starts or ends an outage. After one, every lease has its full time.
+// SetDown starts or ends an outage. After one, every lease has its full time again.
 func (s *State) SetDown(down bool) {
-	s.expireLeases()
+	s.Expire()
 	s.Down = down
-	for _, l := range s.leases {
-		l.renewedAt = s.now()
+	for _, lease := range s.leases {
+		lease.renewedAt = s.now()
 	}
 }
 
-func (s *State) expireLeases() {
+// Expire ends the leases whose time is over and removes their keys. In an outage none ends.
+func (s *State) Expire() {
 	if s.Down {
 		return
 	}
-	for id, l := range s.leases {
-		if s.now().Sub(l.renewedAt) > l.duration {
+	for id, lease := range s.leases {
+		if s.now().Sub(lease.renewedAt) > lease.duration {
 			s.revokeLease(id)
 		}
 	}
 }
 
+// revokeLease ends a lease and removes its keys.
 func (s *State) revokeLease(id uint64) {
 	delete(s.leases, id)
-	var gone []string
-	s.keys.Scan(func(k string, e *stateEntry) bool {
+	var keys []string
+	s.keys.Scan(func(key string, e *stateEntry) bool {
 		if e.lease == id {
-			gone = append(gone, k)
+			keys = append(keys, key)
 		}
 		return true
 	})
-	if len(gone) > 0 {
+	if len(keys) > 0 {
 		s.revision++
 	}
-	for _, k := range gone {
-		s.removeKey(k)
+	for _, key := range keys {
+		s.removeKey(key)
 	}
 }
-
-func (s *State) removeKey(k string) {
-	s.keys.Delete(k)
-	s.appendLog(stateEntry{key: k, version: s.revision, removed: true})
-}
-
-func response(code int, body any) ([]byte, error) {
-	b, err := msgp.AppendIntf(nil, body)
-	if err != nil {
-		return nil, err
-	}
-	if code != http.StatusOK {
-		return nil, &rpc.StatusError{Status: code, Body: b}
-	}
-	return b, nil
-}
-
-// Call answers one request.
-func (s *State) Call(method, uri string, body []byte, _ time.Duration) ([]byte, error) {
-	s.expireLeases()
-	if s.Down {
-		return response(http.StatusServiceUnavailable, map[string]any{})
-	}
-	u, err := url.Parse(uri)
-	if err != nil {
-		return response(http.StatusBadRequest, map[string]any{})
-	}
-	var in map[string]any
-	if len(body) > 0 {
-		v, _, err := msgp.ReadIntfBytes(body)
-		m, ok := v.(map[string]any)
-		if err != nil || !ok {
-			return response(http.StatusBadRequest, map[string]any{})
-		}
-		in = m
-	}
-	q := u.Query()
-	switch path := u.Path; {
-	case path == "/keys":
-		return s.list(q.Get("prefix"), q.Get("after"), q.Get("page"))
-	case strings.HasPrefix(path, "/keys/"):
-		e := s.entry(path[len("/keys/"):])
-		if e == nil {
-			return response(http.StatusNotFound, map[string]any{"epoch": s.revision})
-		}
-		return response(http.StatusOK, e.asMap())
-	case path == "/changes":
-		return s.changes(q.Get("prefix"), q.Get("after"))
-	case path == "/commit":
-		return s.commit(in)
-	case path == "/grants":
-		s.lastLease++
-		s.leases[s.lastLease] = &stateLease{duration: time.Duration(DecodeUint(in["lifeMs"])) * time.Millisecond, renewedAt: s.now()}
-		return response(http.StatusOK, map[string]any{"tenancy": s.lastLease})
-	case strings.HasPrefix(path, "/grants/"):
-		id, _ := strconv.ParseUint(strings.TrimSuffix(path[len("/grants/"):], "/touch"), 10, 64)
-		l := s.leases[id]
-		if l == nil {
-			return response(http.StatusNotFound, map[string]any{})
-		}
-		if method == http.MethodDelete {
-			s.revokeLease(id)
-		} else {
-			l.renewedAt = s.now()
-		}
-		return response(http.StatusOK, map[string]any{})
-	}
-	return nil, errors.New("no such path: " + uri)
-}
-
-func (e *stateEntry) asMap() map[string]any {
-	m := map[string]any{"k": e.key, "value": e.value, "stamp": e.version}
-	if e.lease != 0 {
-		m["tenancy"] = e.lease
-	}
-	return m
-}
-
-// DecodeUint reads an integer as the wire may hold it.
-func DecodeUint(v any) uint64 {
-	switch n := v.(type) {
-	case uint64:
-		return n
-	case int64:
-		return uint64(n)
-	}
-	return 0
-}
-
-func (s *State) list(prefix, after, page string) ([]byte, error) {
-	most, err := strconv.Atoi(page)
-	if err != nil {
-		most = 1000
-	}
-	var names []string
-	s.keys.Ascend(max(prefix, after), func(k string, _ *stateEntry) bool {
-		if k > after && strings.HasPrefix(k, prefix) {
-			names = append(names, k)
-		}
-		return strings.HasPrefix(k, prefix) && len(names) <= most
-	})
-	more := len(names) > most
-	entries := []any{}
-	for _, k := range names[:min(most, len(names))] {
-		entries = append(entries, s.entry(k).asMap())
-	}
-	return response(http.StatusOK, map[string]any{"entries": entries, "more": more, "epoch": s.revision})
-}
-
-func (s *State) changes(prefix, after string) ([]byte, error) {
-	from, _ := strconv.ParseUint(after, 10, 64)
-	if from < s.compactedRevision {
-		return response(http.StatusGone, map[string]any{})
-	}
-	log := []any{}
-	first := sort.Search(len(s.log), func(i int) bool { return s.log[i].version > from })
-	for _, e := range s.log[first:] {
-		if !strings.HasPrefix(e.key, prefix) {
-			continue
-		}
-		if e.removed {
-			log = append(log, map[string]any{"remove": e.key, "stamp": e.version})
-		} else {
-			log = append(log, map[string]any{"write": e.key, "value": e.value, "stamp": e.version})
-		}
-	}
-	return response(http.StatusOK, map[string]any{"epoch": s.revision, "log": log})
-}
-
-func (s *State) commit(in map[string]any) ([]byte, error) {
-	conds, _ := in["if"].([]any)
-	ops, _ := in["apply"].([]any)
-	if !s.withinLimits(conds, ops) {
-		return response(http.StatusBadRequest, map[string]any{"error": "too large"})
-	}
-	failed := []any{}
-	for _, c := range conds {
-		m := c.(map[string]any)
-		var have uint64
-		if e := s.entry(m["k"].(string)); e != nil {
-			have = e.version
-		}
-		if have != DecodeUint(m["stamp"]) {
-			failed = append(failed, m["k"])
-		}
-	}
-	if len(failed) > 0 {
-		return response(http.StatusConflict, map[string]any{"failed": failed, "epoch": s.revision})
-	}
-	for _, o := range ops {
-		m := o.(map[string]any)
-		if lease := DecodeUint(m["tenancy"]); lease != 0 && s.leases[lease] == nil {
-			return response(http.StatusBadRequest, map[string]any{"error": "no such lease"})
-		}
-	}
-	s.revision++
-	s.Transactions++
-	for _, o := range ops {
-		m := o.(map[string]any)
-		if k, ok := m["remove"].(string); ok {
-			if s.entry(k) != nil {
-				s.removeKey(k)
-			}
-			continue
-		}
-		s.put(stateEntry{key: m["write"].(string), value: m["value"], version: s.revision, lease: DecodeUint(m["tenancy"])})
-	}
-	if s.OnCommit != nil {
-		s.OnCommit(ops)
-	}
-	return response(http.StatusOK, map[string]any{"epoch": s.revision})
-}
-
-// Revision counts the changes.
-func (s *State) Revision() uint64 { return s.revision }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -8,316 +8,212 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Task is a task on a stand-in worker.
-type Task struct {
-	ID           model.TaskID
-	Attempt      uint64
-	Spec         *model.Spec
-	Phase        model.Phase
-	Cause        model.ExitCause
-	Checkpointed bool
-	phaseSince   time.Time
-	phaseEnd     time.Time // when it completes, has saved, or has its image
-}
-
-// OnMachine tells whether the task counts as being on its machine.
-func (t *Task) OnMachine() bool {
-	return t.Phase >= model.PhaseWaiting && t.Phase <= model.PhaseCheckpointing
-}
+// minHeartbeatGap is the least time between two heartbeats.
+const minHeartbeatGap = 500 * time.Millisecond
 
-// Worker is a stand-in for a machine's worker, as the protocol describes it.
+// Worker is a stand-in for a machine's worker, which follows the published worker protocol.
 type Worker struct {
-	site               *Site
-	Name               string
-	Addr               string // "": its name
-	Type               string
-	Zone               string
-	Spot               bool
-	Epoch              uint64
-	Seq                uint64
-	FencingToken       uint64
-	Tasks              map[model.AttemptKey]*Task
-	Partitioned        bool // neither reports nor commands get through
-	InboundBlocked     bool // its reports get through, but neither answers nor commands reach it
-	OutboundBlocked    bool // it reaches no controller, while commands reach it
-	Hung               bool // does nothing; its lease runs on
-	Faulty             bool // fails every task
-	InterruptionNotice time.Duration
-	FetchDelay         time.Duration // how much longer its fetches take
-
-	leaseRenewedAt  time.Time // when the last answered report was sent, or the session began
+	env          *Environment
+	Name         string
+	Addr         string // "": its name
+	Type         string
+	Zone         string
+	Spot         bool
+	Epoch        uint64
+	Seq          uint64
+	FencingToken uint64 // the highest that it has accepted
+	Tasks        map[model.AttemptKey]*Task
+	WorkerFaults
+	InterruptionNotice time.Duration // until the cloud takes the machine back; 0: it does not
+
+	leaseRenewedAt time.Time // when the last answered heartbeat was sent, or the epoch began
+	heartbeatState
+}
+
+// WorkerFaults are the failures that a worker can be given.
+type WorkerFaults struct {
+	Partitioned     bool          // neither heartbeats nor commands get through
+	InboundBlocked  bool          // its heartbeats get through, but neither answers nor commands reach it
+	OutboundBlocked bool          // its heartbeats reach no controller, while commands reach it
+	Hung            bool          // it does nothing, while its lease runs on
+	Faulty          bool          // every task on it fails
+	FetchDelay      time.Duration // how much longer it takes to fetch an image
+}
+
+// usable tells whether tasks can be started on the worker and complete there.
+func (f *WorkerFaults) usable() bool {
+	return !f.Partitioned && !f.InboundBlocked && !f.OutboundBlocked && !f.Hung && !f.Faulty
+}
+
+// heartbeatState is when, why and to whom a worker reports next.
+type heartbeatState struct {
 	nextHeartbeatAt time.Time
 	lastHeartbeatAt time.Time
-	statusChanged   bool
-	awaitingAnswer  bool // for an answer that is lost
+	statusChanged   bool // something is to be reported before the interval ends
+	awaitingAnswer  bool // the answer to the last heartbeat is lost
 	controllerIndex int  // the controller that it reports to
 }
 
-func (k *Worker) heartbeat() *model.Heartbeat {
-	k.Seq++
-	r := &model.Heartbeat{Machine: k.Name, Addr: cmp.Or(k.Addr, k.Name), Type: k.Type, Zone: k.Zone, Spot: k.Spot, Epoch: k.Epoch, Seq: k.Seq, FencingToken: k.FencingToken,
-		InterruptionNotice: k.InterruptionNotice > 0, InterruptionIn: k.InterruptionNotice}
-	for key, t := range k.Tasks {
-		r.Tasks = append(r.Tasks, model.TaskStatus{Task: key.Task, Attempt: key.Number, Phase: t.Phase, Cause: t.Cause, Checkpointed: t.Checkpointed})
-	}
-	return r
-}
-
-// NextHeartbeat is the worker's report of now. It counts as sent: the next one without news is due after the usual time.
-func (k *Worker) NextHeartbeat() *model.Heartbeat {
-	now := k.site.now
-	k.lastHeartbeatAt, k.nextHeartbeatAt, k.statusChanged, k.awaitingAnswer = now, now.Add(k.site.nextInterval()), false, false
-	return k.heartbeat()
-}
-
-// HandleAnswer takes the answer to a report of a session that was sent at some time.
-func (k *Worker) HandleAnswer(session uint64, sent time.Time, token uint64, orders []model.Command) {
-	if session != k.Epoch || !k.acceptToken(token) {
-		return // dropped: it renews nothing
-	}
-	k.leaseRenewedAt = sent
-	k.Execute(orders)
-}
-
-// HandleCommands takes commands that come straight to the worker. It is false where they are refused, by their token
-// or their session.
-func (k *Worker) HandleCommands(token, session uint64, orders []model.Command) bool {
-	if token < k.FencingToken && !k.site.AcceptAnyToken || session != k.Epoch {
+// newWorker makes the worker of a machine that has just come up.
+func newWorker(env *Environment, m model.MachineInfo) *Worker {
+	return &Worker{
+		env:            env,
+		Name:           m.Name,
+		Addr:           m.Addr,
+		Type:           m.Type,
+		Zone:           m.Zone,
+		Spot:           m.Spot,
+		Epoch:          1,
+		Tasks:          map[model.AttemptKey]*Task{},
+		leaseRenewedAt: env.now,
+	}
+}
+
+// heartbeat is the worker's status of now with the next message number.
+func (w *Worker) heartbeat() *model.Heartbeat {
+	w.Seq++
+	h := &model.Heartbeat{
+		Machine:            w.Name,
+		Addr:               cmp.Or(w.Addr, w.Name),
+		Type:               w.Type,
+		Zone:               w.Zone,
+		Spot:               w.Spot,
+		Epoch:              w.Epoch,
+		Seq:                w.Seq,
+		FencingToken:       w.FencingToken,
+		InterruptionNotice: w.InterruptionNotice > 0,
+		InterruptionIn:     w.InterruptionNotice,
+	}
+	for key, t := range w.Tasks {
+		h.Tasks = append(h.Tasks, model.TaskStatus{
+			Task:         key.Task,
+			Attempt:      key.Number,
+			Phase:        t.Phase,
+			Cause:        t.Cause,
+			Checkpointed: t.Checkpointed,
+		})
+	}
+	return h
+}
+
+// NextHeartbeat is the worker's heartbeat of now. It counts as sent: the next one is due after the usual interval
+// unless the status changes before.
+func (w *Worker) NextHeartbeat() *model.Heartbeat {
+	now := w.env.now
+	w.lastHeartbeatAt, w.nextHeartbeatAt = now, now.Add(w.env.nextInterval())
+	w.statusChanged, w.awaitingAnswer = false, false
+	return w.heartbeat()
+}
+
+// HandleAnswer takes the answer to a heartbeat of an epoch that was sent at some time.
+func (w *Worker) HandleAnswer(epoch uint64, sent time.Time, token uint64, commands []model.Command) {
+	if epoch != w.Epoch || !w.acceptToken(token) {
+		return // an answer that is dropped does not renew the lease
+	}
+	w.leaseRenewedAt = sent
+	w.Execute(commands)
+}
+
+// HandleCommands takes commands that a leader sends directly. It is false where they are refused, by their token or
+// their epoch.
+func (w *Worker) HandleCommands(token, epoch uint64, commands []model.Command) bool {
+	if token < w.FencingToken && !w.env.AcceptAnyToken || epoch != w.Epoch {
 		return false
 	}
-	k.acceptToken(token)
-	k.Execute(orders)
+	w.acceptToken(token)
+	w.Execute(commands)
 	return true
 }
 
-// Retry has the worker report again after a time, to another controller.
-func (k *Worker) Retry(after time.Duration) { k.nextHeartbeatAt = k.site.now.Add(after) }
+// Retry makes the next heartbeat due after a delay.
+func (w *Worker) Retry(after time.Duration) { w.nextHeartbeatAt = w.env.now.Add(after) }
 
-// Inspect is the worker's report of now, as an answer to a question: the next one is due as before.
-func (k *Worker) Inspect() *model.Heartbeat { return k.heartbeat() }
+// Inspect is the worker's status of now as the answer to a probe: the next heartbeat is due as before.
+func (w *Worker) Inspect() *model.Heartbeat { return w.heartbeat() }
 
-// acceptToken takes a token; a lower one is refused.
-func (k *Worker) acceptToken(token uint64) bool {
-	if token < k.FencingToken {
-		return k.site.AcceptAnyToken
+// acceptToken raises the worker's fencing token; a lower one is refused.
+func (w *Worker) acceptToken(token uint64) bool {
+	if token < w.FencingToken {
+		return w.env.AcceptAnyToken
 	}
-	if token > k.FencingToken {
-		k.FencingToken, k.statusChanged = token, true
+	if token > w.FencingToken {
+		w.FencingToken, w.statusChanged = token, true
 	}
 	return true
 }
 
 // Execute carries out commands.
-func (k *Worker) Execute(orders []model.Command) {
-	now := k.site.now
-	for _, o := range orders {
-		key := model.AttemptKey{Task: o.Task, Number: o.Attempt}
-		t := k.Tasks[key]
-		switch o.Op {
+func (w *Worker) Execute(commands []model.Command) {
+	for _, command := range commands {
+		key := model.AttemptKey{Task: command.Task, Number: command.Attempt}
+		t := w.Tasks[key]
+		switch command.Op {
 		case model.OpLaunch:
-			if t != nil {
-				continue
+			if t == nil {
+				w.statusChanged = true
+				w.Tasks[key] = w.launch(key)
+				w.env.notifyAttemptKnown(w, w.Tasks[key], true)
 			}
-			k.statusChanged = true
-			k.Tasks[key] = k.launch(key, now)
-			k.site.notifyAttemptKnown(k, k.Tasks[key], true)
 		case model.OpStop:
-			if t == nil || t.Phase == model.PhaseExited {
-				continue
-			}
-			k.statusChanged = true
-			if t.Phase == model.PhaseRunning && t.Spec.CheckpointInterval > 0 && o.GracePeriod >= t.Spec.CheckpointTime {
-				k.transition(t, model.PhaseCheckpointing)
-				t.phaseEnd = now.Add(t.Spec.CheckpointTime)
-			} else if t.Phase != model.PhaseCheckpointing || o.GracePeriod == 0 {
-				k.exit(t, model.CauseStopped)
+			if t != nil && t.Phase != model.PhaseExited {
+				w.stop(t, command.GracePeriod)
 			}
 		case model.OpForget:
 			if t != nil && t.Phase == model.PhaseExited {
-				delete(k.Tasks, key)
-				k.site.notifyAttemptKnown(k, t, false)
+				delete(w.Tasks, key)
+				w.env.notifyAttemptKnown(w, t, false)
 			}
 		}
 	}
 }
 
-// CountTasks counts the tasks on the machine of jobs whose id begins in some way.
-func (k *Worker) CountTasks(prefix string) int {
-	n := 0
-	for _, t := range k.Tasks {
+// CountTasks counts the tasks on the machine of jobs whose id has a prefix.
+func (w *Worker) CountTasks(prefix string) int {
+	count := 0
+	for _, t := range w.Tasks {
 		if t.OnMachine() && strings.HasPrefix(t.ID.Job, prefix) {
-			n++
-		}
-	}
-	return n
-}
-
-func (k *Worker) launch(key model.AttemptKey, now time.Time) *Task {
-	k.site.Starts[key.Task]++
-	if at, ok := k.site.CancelledAt[key.Task.Job]; ok && now.Sub(at) > k.site.CancelDeadline {
-		k.site.violated("ran_cancelled: %v started on %s", key.Task, k.Name)
-	}
-	defer func() {
-		if ok := k.site.PlacementAllowed[key.Task.Job]; ok != nil && !ok(k) {
-			k.site.violated("rules: %v started on %s", key.Task, k.Name)
+			count++
 		}
-	}()
-	t := &Task{ID: key.Task, Attempt: key.Number, Spec: k.site.Specs[key.Task.Job], Phase: model.PhaseFetching, phaseEnd: now.Add(k.site.FetchTime + k.FetchDelay)}
-	if t.Spec == nil {
-		k.exit(t, model.CauseUnknownJob)
-		return t
-	}
-	for _, o := range k.Tasks {
-		if o.ID == t.ID && o.Phase != model.PhaseExited {
-			k.exit(t, model.CauseAttemptConflict)
-			return t
-		}
-	}
-	return t
-}
-
-// transition changes a task's phase; it is the only place that does.
-func (k *Worker) transition(t *Task, p model.Phase) {
-	before := t.OnMachine()
-	t.Phase, t.phaseSince = p, k.site.now
-	if on := t.OnMachine(); on != before && k.site.OnTaskMoved != nil {
-		k.site.OnTaskMoved(k, t, on)
 	}
-}
-
-// exit ends a task.
-func (k *Worker) exit(t *Task, why model.ExitCause) {
-	t.Cause = why
-	k.transition(t, model.PhaseExited)
+	return count
 }
 
 // KillTasks ends and forgets all tasks, and tells how many were on the machine.
-func (k *Worker) KillTasks() int {
-	n := 0
-	for _, t := range k.Tasks {
+func (w *Worker) KillTasks() int {
+	killed := 0
+	for _, t := range w.Tasks {
 		if t.OnMachine() {
-			n++
+			killed++
 		}
 		if t.Phase != model.PhaseExited {
-			k.exit(t, model.CauseStopped)
+			w.exit(t, model.CauseStopped)
 		}
-		k.site.notifyAttemptKnown(k, t, false)
+		w.env.notifyAttemptKnown(w, t, false)
 	}
-	k.Tasks = map[model.AttemptKey]*Task{}
-	return n
+	w.Tasks = map[model.AttemptKey]*Task{}
+	return killed
 }
 
-// Advance lets time pass on the machine, up to the site's time. It tells whether a report is due.
-func (k *Worker) Advance() bool {
-	now := k.site.now
-	if now.Sub(k.leaseRenewedAt) > k.site.Lease {
-		k.Epoch++
-		k.site.LeaseExpiries++
-		k.site.KilledTasks += k.KillTasks()
-		k.leaseRenewedAt, k.statusChanged = now, true
+// Advance lets the worker act up to the environment's time. It tells whether a heartbeat is due.
+func (w *Worker) Advance() bool {
+	now := w.env.now
+	if now.Sub(w.leaseRenewedAt) > w.env.Lease {
+		w.Epoch++
+		w.env.LeaseExpiries++
+		w.env.KilledTasks += w.KillTasks()
+		w.leaseRenewedAt, w.statusChanged = now, true
 	}
-	if k.Hung {
-		for _, t := range k.Tasks {
-			t.phaseEnd = t.phaseEnd.Add(k.site.Tick)
+	if w.Hung {
+		for _, t := range w.Tasks {
+			t.phaseEnd = t.phaseEnd.Add(w.env.Tick)
 		}
 		return false
 	}
-	for _, t := range k.Tasks {
+	for _, t := range w.Tasks {
 		if t.Phase != model.PhaseExited && (t.Phase == model.PhaseWaiting || !now.Before(t.phaseEnd)) {
-			k.finishPhase(t)
-		}
-	}
-	news := k.statusChanged && !k.awaitingAnswer && now.Sub(k.lastHeartbeatAt) >= leastBetween
-	return !now.Before(k.nextHeartbeatAt) || news
-}
-
-// leastBetween is the least time between two reports.
-const leastBetween = 500 * time.Millisecond
-
-// finishPhase takes a task whose time has come to what follows.
-func (k *Worker) finishPhase(t *Task) {
-	switch t.Phase {
-	case model.PhaseFetching:
-		k.imageFetched(t)
-	case model.PhaseWaiting:
-		k.awaitGang(t)
-	case model.PhaseRunning:
-		if t.Spec.Shape == model.Gang && !k.site.gangIntact(t) {
-			k.statusChanged = true
-			k.exit(t, model.CauseGangMemberLost)
-		} else if t.Spec.Shape != model.Service {
-			k.statusChanged = true
-			k.exit(t, model.CauseDone)
-			k.site.Completed[t.ID] = true
-		}
-	case model.PhaseCheckpointing:
-		k.statusChanged = true
-		t.Checkpointed = true
-		k.exit(t, model.CauseStopped)
-		k.site.Checkpoints[t.ID]++
-	}
-}
-
-// imageFetched takes a task whose image is there.
-func (k *Worker) imageFetched(t *Task) {
-	k.statusChanged = true
-	switch {
-	case k.Faulty || k.site.FailingJobs[t.ID.Job]:
-		k.exit(t, model.CauseError)
-	case k.site.Completed[t.ID]:
-		k.exit(t, model.CauseDone)
-	default:
-		k.transition(t, model.PhaseWaiting)
-		if t.Spec.Shape != model.Gang {
-			k.startRunning(t)
+			w.finishPhase(t)
 		}
 	}
-}
-
-// awaitGang has a gang task run once the others of its attempt are there, or give up.
-func (k *Worker) awaitGang(t *Task) {
-	if k.site.gangReady(t) {
-		k.statusChanged = true
-		k.startRunning(t)
-	} else if k.site.now.Sub(t.phaseSince) > k.site.GangWait {
-		k.statusChanged = true
-		k.exit(t, model.CauseGangIncomplete)
-	}
-}
-
-func (k *Worker) startRunning(t *Task) {
-	run := k.site.RunTime
-	if k.site.RunTimeOf != nil {
-		run = k.site.RunTimeOf(t.ID)
-	}
-	k.transition(t, model.PhaseRunning)
-	t.phaseEnd = k.site.now.Add(run)
-}
-
-// sendHeartbeat has a worker report to a controller of the world and take its answer.
-func (w *World) sendHeartbeat(k *Worker) {
-	now := w.now
-	c := w.Controllers[k.controllerIndex]
-	r := k.NextHeartbeat()
-	if w.MaxRetainedHeartbeats > 0 {
-		if len(w.RetainedHeartbeats) >= w.MaxRetainedHeartbeats {
-			w.RetainedHeartbeats = w.RetainedHeartbeats[1:]
-		}
-		w.RetainedHeartbeats = append(w.RetainedHeartbeats, r)
-	}
-	v, ok := c.handleHeartbeat(r, false)
-	if l := w.Leader(); k.InboundBlocked && !ok && c.Up && l != nil && l != c && !c.PeersUnreachable && !l.PeersUnreachable {
-		l.handleHeartbeat(r, true)
-	}
-	switch {
-	case k.InboundBlocked: // it waits for its answer, and then tries the next controller
-		k.controllerIndex = (k.controllerIndex + 1) % len(w.Controllers)
-		k.Retry(5 * time.Second)
-		k.awaitingAnswer = true
-	case ok:
-		k.HandleAnswer(r.Epoch, now, v.token, v.commands)
-	default:
-		k.controllerIndex = (k.controllerIndex + 1) % len(w.Controllers)
-		k.Retry(time.Second)
-	}
+	news := w.statusChanged && !w.awaitingAnswer && now.Sub(w.lastHeartbeatAt) >= minHeartbeatGap
+	return !now.Before(w.nextHeartbeatAt) || news
 }
