--- a/internal/controller/background.go
+++ b/internal/controller/background.go
@@ -31,8 +31,7 @@
 		if len(c.MachineTypes()) > 0 {
 			wait = catalogRefresh
 		}
-		if types, err := c.cloud.Catalog(c.tasks.ctx); err == nil {
-			c.machineTypes.Store(&types)
+		if _, err := c.publishingCloud().Catalog(c.tasks.ctx); err == nil {
 			wait = catalogRefresh
 		} else {
 			c.log.Debug("reading the catalog failed", "err", err)
--- a/internal/controller/clients.go
+++ b/internal/controller/clients.go
@@ -1,13 +1,16 @@
 package controller
 
 import (
+	"context"
 	"log/slog"
 	"math/rand/v2"
+	"sync/atomic"
 	"time"
 
 	"github.com/glentiller/glentiller/internal/cloud"
 	"github.com/glentiller/glentiller/internal/config"
 	"github.com/glentiller/glentiller/internal/connquota"
+	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/peer"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/worker"
@@ -50,6 +53,25 @@
 	return c
 }
 
+// catalogPublisher is the cloud's client. It publishes the machine types that it reads.
+type catalogPublisher struct {
+	*cloud.Client
+	machineTypes *atomic.Pointer[[]model.MachineType]
+}
+
+func (c *Controller) publishingCloud() catalogPublisher {
+	return catalogPublisher{Client: c.cloud, machineTypes: &c.machineTypes}
+}
+
+// Catalog reads the machine types.
+func (p catalogPublisher) Catalog(ctx context.Context) ([]model.MachineType, error) {
+	types, err := p.Client.Catalog(ctx)
+	if err == nil {
+		p.machineTypes.Store(&types)
+	}
+	return types, err
+}
+
 // All controllers spend from one published allowance of requests, and the leader does most of the work.
 // These are each controller's fractions of it.
 const (
--- a/internal/controller/effects_test.go
+++ b/internal/controller/effects_test.go
@@ -88,7 +88,7 @@
 			if test.before != nil {
 				test.before(term, state)
 			}
-			ev, ok := term.commit([]reconciler.Change{test.change}).(reconciler.CommitCompleted)
+			ev, ok := term.execute(reconciler.Commit{Changes: []reconciler.Change{test.change}}).(reconciler.CommitCompleted)
 			if !ok || ev.Outcome != test.want {
 				t.Errorf("got %v, want outcome %v", ev, test.want)
 			}
@@ -102,7 +102,7 @@
 // spendRate sets the request rate to 0 and uses up what its limiter still allows at once.
 func spendRate(term *leaderTerm, _ *fake.State) {
 	term.store.SetRateLimits(0, 0)
-	for term.commit(nil).(reconciler.CommitCompleted).Outcome != reconciler.NotSent {
+	for term.execute(reconciler.Commit{}).(reconciler.CommitCompleted).Outcome != reconciler.NotSent {
 	}
 }
 
@@ -125,15 +125,15 @@
 	term.cloud = cloud.New("127.0.0.1:1", 1, time.Second, nil)
 	term.cloud.SetRate(1e9)
 	term.lease.clear()
-	commands, ok := term.sendCommands(reconciler.SendCommands{Machine: "m"}, nil).(reconciler.CommandCompleted)
+	commands, ok := term.execute(reconciler.SendCommands{Machine: "m"}).(reconciler.CommandCompleted)
 	if !ok || commands.Outcome != reconciler.NotSent {
 		t.Errorf("commands: got %v, want NotSent", commands.Outcome)
 	}
-	provision, ok := term.provisionMachines(reconciler.Provision{}).(reconciler.ProvisionCompleted)
+	provision, ok := term.execute(reconciler.Provision{}).(reconciler.ProvisionCompleted)
 	if !ok || provision.Outcome != reconciler.Unknown || provision.Machines != nil {
 		t.Errorf("provisioning: got %v, want Unknown", provision.Outcome)
 	}
-	release, ok := term.releaseMachines([]string{"m"}).(reconciler.ReleaseCompleted)
+	release, ok := term.execute(reconciler.Release{Machines: []string{"m"}}).(reconciler.ReleaseCompleted)
 	if !ok || release.Outcome != reconciler.Unknown {
 		t.Errorf("release: got %v, want Unknown", release.Outcome)
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/glentiller/glentiller/internal/effects"
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/reconciler"
 )
@@ -38,11 +39,11 @@
 func (c *Controller) performElection(effect election.Effect) {
 	switch e := effect.(type) {
 	case election.ReadRecord:
-		c.tasks.spawn(c.readLeaderRecord)
+		c.tasks.spawn(func() { c.postElectionEvent(c.electionExecutor().ReadRecord(c.tasks.ctx)) })
 	case election.GrantLease:
-		c.tasks.spawn(func() { c.grantLease(e) })
+		c.tasks.spawn(func() { c.postElectionEvent(c.electionExecutor().GrantLease(e)) })
 	case election.Claim:
-		c.tasks.spawn(func() { c.claimLeadership(e) })
+		c.tasks.spawn(func() { c.postElectionEvent(c.electionExecutor().Claim(c.tasks.ctx, e)) })
 	case election.RenewLease:
 		token := c.election.FencingToken()
 		c.tasks.spawn(func() { c.renewLease(token, e.LeaseID) })
@@ -68,20 +69,9 @@
 	}
 }
 
-func (c *Controller) readLeaderRecord() {
-	record, _, err := c.store.ReadLeaderRecord(c.tasks.ctx)
-	c.postElectionEvent(election.RecordRead{Record: record, Err: err})
-}
-
-func (c *Controller) grantLease(e election.GrantLease) {
-	sent := time.Now()
-	leaseID, err := c.store.GrantLease(e.Duration)
-	c.postElectionEvent(election.LeaseGranted{LeaseID: leaseID, Sent: sent, Err: err})
-}
-
-func (c *Controller) claimLeadership(e election.Claim) {
-	version, ok, err := c.store.ClaimLeadership(c.tasks.ctx, c.platform.Member, e)
-	c.postElectionEvent(election.ClaimCompleted{OK: ok, TokenVersion: version, Err: err})
+// electionExecutor carries out the election's requests to the state service.
+func (c *Controller) electionExecutor() effects.ElectionExecutor {
+	return effects.ElectionExecutor{Member: c.platform.Member, State: c.store, Now: time.Now}
 }
 
 // revokeLease gives a lease up. One that cannot be revoked expires.
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -1,14 +1,12 @@
 package controller
 
 import (
-	"errors"
 	"log/slog"
 	"sync/atomic"
 	"time"
 
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/reconciler"
-	"github.com/glentiller/glentiller/internal/store"
 )
 
 // leadershipLease is what allows a leader to act, and until when. A published lease is never changed; a
@@ -160,18 +158,12 @@
 // that holds the event loop keeps the leadership lease from being renewed. The election hears of it too,
 // and counts the same time from the sending (docs/safety.md).
 func (c *Controller) renewLease(token, leaseID uint64) {
-	sent := time.Now()
-	err := c.store.RenewLease(leaseID)
-	if err == nil {
-		c.lease.extend(token, c.election.RenewalValidUntil(sent))
-		c.lease.lastRenewalSent.Store(&sent)
+	renewed := c.electionExecutor().RenewLease(leaseID)
+	if renewed.Err == nil {
+		c.lease.extend(token, c.election.RenewalValidUntil(renewed.Sent))
+		c.lease.lastRenewalSent.Store(&renewed.Sent)
 	}
-	c.postElectionEvent(election.LeaseRenewed{
-		LeaseID: leaseID,
-		Sent:    sent,
-		Expired: errors.Is(err, store.ErrLeaseExpired),
-		Err:     err,
-	})
+	c.postElectionEvent(renewed)
 }
 
 // superviseRenewals watches the renewals of one leadership. The event loop makes them; where the loop is
--- /dev/null
+++ b/internal/effects/executor.go
@@ -0,0 +1,199 @@
+// Package effects carries out what the state machines of packages reconciler and election ask for, and says
+// by which event each effect is answered. It decides nothing: what became of a request is read from the
+// client's result, and the event says so.
+//
+// The controller process (package controller) calls an Executor from a goroutine for each effect, with the
+// clients of the services. The simulations (package fake) call it synchronously, in simulated time, with
+// in-memory stand-ins. Both hand the returned event to the state machine themselves.
+package effects
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"time"
+
+	"github.com/glentiller/glentiller/internal/connquota"
+	"github.com/glentiller/glentiller/internal/election"
+	"github.com/glentiller/glentiller/internal/ledger"
+	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/store"
+	"github.com/glentiller/glentiller/internal/worker"
+)
+
+// StateService holds the records. *store.Client implements it.
+type StateService interface {
+	CommitFenced(
+		ctx context.Context, tokenVersion uint64, changes []reconciler.Change,
+	) (revision uint64, ok bool, err error)
+	TokenUnchanged(ctx context.Context, tokenVersion uint64) (bool, error)
+	RewriteToken(
+		ctx context.Context, member string, token, tokenVersion uint64,
+	) (version uint64, ok bool, err error)
+	Account(ctx context.Context, team string) (ledger.StoredAccount, error)
+	Segments(
+		ctx context.Context, team string, after uint64, limit int,
+	) (segments []ledger.StoredSegment, more bool, err error)
+}
+
+// Cloud provisions and releases machines. *cloud.Client implements it.
+type Cloud interface {
+	// Wait waits until a provisioning or a release is within the rate limit.
+	Wait(ctx context.Context) error
+	Provision(request model.Provisioning) (machines []string, refused bool, err error)
+	Release(machines []string) error
+	ListMachines(ctx context.Context) ([]model.MachineInfo, error)
+	Catalog(ctx context.Context) ([]model.MachineType, error)
+}
+
+// Workers take commands. *worker.Client implements it.
+type Workers interface {
+	Send(addr string, fencingToken, epoch uint64, commands []model.Command, urgent bool) worker.Reply
+}
+
+// Leadership is the leadership in which the reconciler has asked for an effect.
+type Leadership struct {
+	Member       string
+	FencingToken uint64
+	TokenVersion uint64 // of the token's record
+
+	// MayAct reports whether this leadership may act now. It is called right before commands leave.
+	MayAct func() bool
+	// MayProvision is MayAct for requests that provision or release machines. It is called right before
+	// they leave, after the wait for the rate limit.
+	MayProvision func() bool
+	// ReportFenced is called once another leader is found to have taken over.
+	ReportFenced func(election.Fenced)
+}
+
+// Executor carries out the effects of one leadership. It is as safe for concurrent use as its clients and the
+// functions of Leadership are.
+type Executor struct {
+	Leadership
+	State   StateService
+	Jobs    *store.JobCache
+	Cloud   Cloud
+	Workers Workers
+	Now     func() time.Time
+	Log     *slog.Logger
+}
+
+// Execute carries an effect out and returns the event that answers it. It returns nil for an effect that is not
+// carried out here: a HeartbeatResponse, with which the caller answers the heartbeat, and a Fence, for which
+// there is the method of that name.
+func (x *Executor) Execute(ctx context.Context, effect reconciler.Effect) reconciler.Event {
+	switch e := effect.(type) {
+	case reconciler.SendCommands:
+		return x.sendCommands(e)
+	case reconciler.Provision:
+		return x.provision(ctx, e)
+	case reconciler.Release:
+		return x.release(ctx, e)
+	case reconciler.ListMachines:
+		return x.listMachines(ctx)
+	case reconciler.FetchCatalog:
+		return x.fetchCatalog(ctx)
+	case reconciler.LookUpJobEnds:
+		return reconciler.JobEndsReceived{Ends: x.Jobs.ReadEnds(ctx, e.IDs)}
+	case reconciler.Commit:
+		return x.commit(ctx, e)
+	case reconciler.ReadAccounts:
+		return x.readAccounts(ctx, e)
+	case reconciler.ReadSegments:
+		return x.readSegments(ctx, e)
+	}
+	return nil
+}
+
+func (x *Executor) sendCommands(e reconciler.SendCommands) reconciler.CommandCompleted {
+	ev := reconciler.CommandCompleted{
+		Machine:  e.Machine,
+		Epoch:    e.Epoch,
+		Commands: e.Commands,
+		Outcome:  reconciler.NotSent,
+	}
+	if x.MayAct() {
+		reply := x.Workers.Send(e.Addr, x.FencingToken, e.Epoch, e.Commands, e.Urgent)
+		ev.Outcome, ev.Heartbeat = commandOutcome(reply), reply.Heartbeat
+	}
+	return ev
+}
+
+// commandOutcome is what became of commands that were handed to the client of the workers.
+func commandOutcome(reply worker.Reply) reconciler.Outcome {
+	switch {
+	case reply.Executed:
+		return reconciler.OK
+	case errors.Is(reply.Err, connquota.ErrFull):
+		return reconciler.NotSent // the request stayed here, which says nothing about the machine
+	case reply.NotSent:
+		return reconciler.Refused
+	}
+	return reconciler.Unknown
+}
+
+func (x *Executor) provision(ctx context.Context, e reconciler.Provision) reconciler.ProvisionCompleted {
+	ev := reconciler.ProvisionCompleted{Provisioning: e.Provisioning, Outcome: reconciler.Unknown}
+	if x.Cloud.Wait(ctx) != nil || !x.MayProvision() {
+		return ev
+	}
+	machines, refused, err := x.Cloud.Provision(e.Provisioning)
+	switch {
+	case refused:
+		ev.Outcome = reconciler.Refused
+	case err == nil:
+		ev.Outcome, ev.Machines = reconciler.OK, machines
+	default:
+		x.Log.Debug("provisioning not answered", "request", e.Provisioning.Name, "err", err)
+	}
+	return ev
+}
+
+func (x *Executor) release(ctx context.Context, e reconciler.Release) reconciler.ReleaseCompleted {
+	ev := reconciler.ReleaseCompleted{Machines: e.Machines, Outcome: reconciler.Unknown}
+	if x.Cloud.Wait(ctx) == nil && x.MayProvision() {
+		if err := x.Cloud.Release(e.Machines); err == nil {
+			ev.Outcome = reconciler.OK
+		}
+	}
+	return ev
+}
+
+func (x *Executor) listMachines(ctx context.Context) reconciler.MachineListReceived {
+	requestedAt := x.Now()
+	machines, err := x.Cloud.ListMachines(ctx)
+	if err != nil {
+		x.Log.Debug("listing machines failed", "err", err)
+	}
+	return reconciler.MachineListReceived{Machines: machines, RequestedAt: requestedAt}
+}
+
+func (x *Executor) fetchCatalog(ctx context.Context) reconciler.CatalogReceived {
+	types, err := x.Cloud.Catalog(ctx)
+	if err != nil {
+		x.Log.Debug("reading the catalog failed", "err", err)
+	}
+	return reconciler.CatalogReceived{Types: types}
+}
+
+func (x *Executor) readAccounts(ctx context.Context, e reconciler.ReadAccounts) reconciler.AccountsReceived {
+	accounts := map[string]ledger.StoredAccount{}
+	for _, team := range e.Teams {
+		account, err := x.State.Account(ctx, team)
+		if err != nil {
+			x.Log.Debug("reading an account failed", "team", team, "err", err)
+			continue
+		}
+		accounts[team] = account
+	}
+	return reconciler.AccountsReceived{Accounts: accounts}
+}
+
+func (x *Executor) readSegments(ctx context.Context, e reconciler.ReadSegments) reconciler.SegmentsReceived {
+	segments, _, err := x.State.Segments(ctx, e.Team, 0, reconciler.MaxSegmentsRead)
+	if err != nil {
+		x.Log.Debug("reading ledger segments failed", "team", e.Team, "err", err)
+	}
+	return reconciler.SegmentsReceived{Team: e.Team, Segments: segments}
+}
--- a/internal/fake/controller.go
+++ b/internal/fake/controller.go
@@ -204,7 +204,7 @@
 	c.runDeferred()
 	c.stepElection(election.Tick{})
 	if c.Election.State() == election.Following {
-		if record, err := c.readElectionRecord(); err == nil && !record.Held {
+		if read := c.electionExecutor().ReadRecord(context.Background()); read.Err == nil && !read.Record.Held {
 			c.stepElection(election.LeaderKeyVacant{})
 		}
 	}
--- a/internal/fake/controller_effects.go
+++ b/internal/fake/controller_effects.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
-	"errors"
+	"log/slog"
 
+	"github.com/glentiller/glentiller/internal/effects"
 	"github.com/glentiller/glentiller/internal/election"
-	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/store"
@@ -40,12 +40,12 @@
 		return nil
 	}
 	c.observe(event)
-	effects := append([]reconciler.Effect(nil), c.Reconciler.Step(c.world.now, event)...)
+	requested := append([]reconciler.Effect(nil), c.Reconciler.Step(c.world.now, event)...)
 	complete := c.completionFor(c.Reconciler)
-	for _, effect := range effects {
+	for _, effect := range requested {
 		c.execute(effect, complete)
 	}
-	return effects
+	return requested
 }
 
 // observe tells the observer of a heartbeat that the reconciler takes.
@@ -81,166 +81,65 @@
 	}
 }
 
+// noLog takes the log records of failed requests, of which the simulations make many on purpose.
+var noLog = slog.New(slog.DiscardHandler)
+
+// executor carries out the effects of the present leadership. The simulation's network decides as a message arrives
+// whether the controller may act, so nothing is checked before one leaves.
+func (c *Controller) executor() *effects.Executor {
+	always := func() bool { return true }
+	return &effects.Executor{
+		Leadership: effects.Leadership{
+			Member:       c.Member,
+			FencingToken: c.fencingToken,
+			TokenVersion: c.tokenVersion,
+			MayAct:       always,
+			MayProvision: always,
+			ReportFenced: func(event election.Fenced) { c.stepElection(event) },
+		},
+		State: c.stateRequests(),
+		Jobs:  c.Jobs,
+		Cloud: cloudRequests{c.world},
+		Now:   c.world.Now,
+		Log:   noLog,
+	}
+}
+
 // execute carries out an effect of the reconciler.
 func (c *Controller) execute(effect reconciler.Effect, complete completion) {
-	ctx := context.Background()
+	ctx, executor := context.Background(), c.executor()
 	switch effect := effect.(type) {
+	case reconciler.HeartbeatResponse: // handleHeartbeat answers with it
 	case reconciler.SendCommands:
-		c.sendCommands(effect, complete)
-	case reconciler.Provision:
-		c.provision(effect, complete)
+		executor.Workers = workerRequests{c, effect.Machine}
+		complete(executor.Execute(ctx, effect))
 	case reconciler.Release:
-		c.release(effect, complete)
-	case reconciler.ListMachines:
-		c.listMachines(complete)
-	case reconciler.FetchCatalog:
-		complete(reconciler.CatalogReceived{Types: c.world.Types})
-	case reconciler.LookUpJobEnds:
-		complete(reconciler.JobEndsReceived{Ends: c.Jobs.ReadEnds(ctx, effect.IDs)})
+		c.world.requestRelease(func() { complete(executor.Execute(ctx, effect)) })
 	case reconciler.Commit:
-		c.commit(ctx, effect, complete)
-	case reconciler.Fence:
-		c.fence(ctx, complete)
-	case reconciler.ReadAccounts:
-		c.readAccounts(ctx, effect, complete)
-	case reconciler.ReadSegments:
-		// Without an answer they are looked for again later.
-		segments, _, _ := c.State.Segments(ctx, effect.Team, 0, reconciler.MaxSegmentsRead)
-		complete(reconciler.SegmentsReceived{Team: effect.Team, Segments: segments})
-	}
-}
-
-// sendCommands sends commands directly to a worker, as the network delivers them.
-func (c *Controller) sendCommands(effect reconciler.SendCommands, complete completion) {
-	w, token := c.world, c.fencingToken
-	w.DirectCommands++
-	outcome := reconciler.CommandCompleted{
-		Machine:  effect.Machine,
-		Epoch:    effect.Epoch,
-		Commands: effect.Commands,
-		Outcome:  reconciler.Unknown,
-	}
-	worker := w.Workers[effect.Machine]
-	deliver := func() (reconciler.Outcome, *model.Heartbeat) {
-		if worker == nil || w.Workers[effect.Machine] != worker {
-			return reconciler.Unknown, nil // the machine has restarted since: the connection is gone
+		event := executor.Execute(ctx, effect)
+		if event.(reconciler.CommitCompleted).Outcome == reconciler.Rejected {
+			c.world.RejectedKeys = append(c.world.RejectedKeys, store.ChangeKeys(effect.Changes)...)
 		}
-		if !worker.HandleCommands(token, effect.Epoch, effect.Commands) {
-			return reconciler.Refused, worker.heartbeat()
-		}
-		return reconciler.OK, worker.heartbeat()
-	}
-	later := func() { deliver() }
-	delivery := w.nextDelivery()
-	switch {
-	case w.HoldCommands, delivery == Delayed:
-		w.hold(later)
-	case delivery == Dropped:
-	case worker != nil && worker.Hung:
-		w.hold(later) // it is carried out when the machine goes on
-	case worker != nil && !worker.Partitioned && !worker.InboundBlocked && !c.WorkersUnreachable && c.Leads():
-		if len(effect.Commands) > 0 {
-			w.retainCommand(w.now, later)
-		}
-		if outcome.Outcome, outcome.Heartbeat = deliver(); delivery == AnswerLost {
-			outcome.Outcome, outcome.Heartbeat = reconciler.Unknown, nil
-		}
-	}
-	complete(outcome)
-}
-
-// provision asks the cloud for machines.
-func (c *Controller) provision(effect reconciler.Provision, complete completion) {
-	w := c.world
-	outcome := reconciler.ProvisionCompleted{Provisioning: effect.Provisioning, Outcome: reconciler.Refused}
-	if w.cloudExhausted {
-		complete(outcome)
-		return
-	}
-	if names, ok := w.Provision(w.now, effect.Provisioning); ok {
-		if outcome.Outcome = reconciler.Unknown; !w.CloudAnswersLost {
-			outcome.Outcome, outcome.Machines = reconciler.OK, names
-		}
-	}
-	complete(outcome)
-}
-
-// release gives machines back to the cloud, which ends them.
-func (c *Controller) release(effect reconciler.Release, complete completion) {
-	w := c.world
-	w.ReleaseRequests++
-	w.pendingReleases = append(w.pendingReleases, func() {
-		for _, name := range effect.Machines {
-			delete(w.Workers, name)
-			w.Forget(name)
-		}
-		complete(reconciler.ReleaseCompleted{Machines: effect.Machines, Outcome: reconciler.OK})
-	})
-	w.runPendingReleases()
-}
-
-// listMachines lists the machines that the cloud has up.
-func (c *Controller) listMachines(complete completion) {
-	w := c.world
-	var machines []model.MachineInfo
-	for _, name := range w.WorkerNames() {
-		worker := w.Workers[name]
-		machines = append(machines, model.MachineInfo{
-			Name: name,
-			Addr: name,
-			Type: worker.Type,
-			Zone: worker.Zone,
-			Spot: worker.Spot,
-		})
-	}
-	complete(reconciler.MachineListReceived{Machines: machines, RequestedAt: w.now})
-}
-
-// commit sends a transaction to the state service.
-func (c *Controller) commit(ctx context.Context, effect reconciler.Commit, complete completion) {
-	token := c.fencingToken
-	version, ok, err := c.State.CommitFenced(ctx, c.tokenVersion, effect.Changes)
-	outcome := reconciler.CommitCompleted{Changes: effect.Changes, Outcome: reconciler.OK, Version: version}
-	switch {
-	case errors.Is(err, store.ErrRejected):
-		outcome.Outcome = reconciler.Rejected
-		c.world.RejectedKeys = append(c.world.RejectedKeys, store.ChangeKeys(effect.Changes)...)
-	case errors.Is(err, store.ErrNotExecuted):
-		outcome.Outcome = reconciler.NotSent
-	case err != nil:
-		outcome.Outcome = reconciler.Unknown
-	case !ok:
-		outcome.Outcome = reconciler.Refused
-		if unchanged, err := c.State.TokenUnchanged(ctx, c.tokenVersion); err == nil && !unchanged {
-			c.stepElection(election.Fenced{FencingToken: token})
-		}
-	}
-	complete(outcome)
-}
-
-// fence rewrites the token's record, so that no transaction from before is carried out any more.
-func (c *Controller) fence(ctx context.Context, complete completion) {
-	token := c.fencingToken
-	version, ok, err := c.State.RewriteToken(ctx, c.Member, token, c.tokenVersion)
-	switch {
-	case err != nil:
-		complete(reconciler.FenceCompleted{Outcome: reconciler.Unknown})
-	case !ok:
-		c.stepElection(election.Fenced{FencingToken: token})
+		complete(event)
+	case reconciler.Fence:
+		c.fence(executor, complete)
 	default:
-		c.tokenVersion = version
-		c.stepElection(election.TokenRewritten{FencingToken: token, TokenVersion: version})
-		complete(reconciler.FenceCompleted{Outcome: reconciler.OK})
+		complete(executor.Execute(ctx, effect))
 	}
 }
 
-// readAccounts reads teams' accounts; one that cannot be read is left out.
-func (c *Controller) readAccounts(ctx context.Context, effect reconciler.ReadAccounts, complete completion) {
-	accounts := map[string]ledger.StoredAccount{}
-	for _, team := range effect.Teams {
-		if account, err := c.State.Account(ctx, team); err == nil {
-			accounts[team] = account
-		}
+// fence rewrites the token's record, so that no transaction from before is carried out any more.
+func (c *Controller) fence(executor *effects.Executor, complete completion) {
+	result := executor.Fence(context.Background())
+	switch result.Outcome {
+	case reconciler.Refused:
+		return // another leader has taken over
+	case reconciler.OK:
+		c.tokenVersion = result.TokenVersion
+		c.stepElection(election.TokenRewritten{
+			FencingToken: executor.FencingToken,
+			TokenVersion: result.TokenVersion,
+		})
 	}
-	complete(reconciler.AccountsReceived{Accounts: accounts})
+	complete(reconciler.FenceCompleted{Outcome: result.Outcome})
 }
--- a/internal/fake/controller_election.go
+++ b/internal/fake/controller_election.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
-	"errors"
 	"time"
 
+	"github.com/glentiller/glentiller/internal/effects"
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/staleness"
-	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -22,27 +21,24 @@
 	}
 }
 
-// executeElection carries out an effect of the election.
+// electionExecutor carries out the election's requests to the state service.
+func (c *Controller) electionExecutor() effects.ElectionExecutor {
+	return effects.ElectionExecutor{Member: c.Member, State: c.stateRequests(), Now: c.world.Now}
+}
+
+// executeElection carries out an effect of the election. A request to the state service is carried out at once, and
+// its answer is on its way for a while.
 func (c *Controller) executeElection(effect election.Effect) {
-	sent := c.world.now
+	ctx, executor := context.Background(), c.electionExecutor()
 	switch effect := effect.(type) {
 	case election.ReadRecord:
-		record, err := c.readElectionRecord()
-		c.onStateReply(func() { c.stepElection(election.RecordRead{Record: record, Err: err}) })
+		c.stepElectionOnReply(executor.ReadRecord(ctx))
 	case election.GrantLease:
-		id, err := c.State.GrantLease(effect.Duration)
-		c.onStateReply(func() { c.stepElection(election.LeaseGranted{LeaseID: id, Sent: sent, Err: err}) })
+		c.stepElectionOnReply(executor.GrantLease(effect))
 	case election.Claim:
-		version, ok, err := c.claim(effect)
-		c.onStateReply(func() {
-			c.stepElection(election.ClaimCompleted{OK: ok, TokenVersion: version, Err: err})
-		})
+		c.stepElectionOnReply(executor.Claim(ctx, effect))
 	case election.RenewLease:
-		err := c.State.RenewLease(effect.LeaseID)
-		expired := errors.Is(err, store.ErrLeaseExpired)
-		c.onStateReply(func() {
-			c.stepElection(election.LeaseRenewed{LeaseID: effect.LeaseID, Sent: sent, Expired: expired, Err: err})
-		})
+		c.stepElectionOnReply(executor.RenewLease(effect.LeaseID))
 	case election.RequestVotes:
 		c.toPeers(func(peer *Controller) { c.requestVote(peer, effect) })
 	case election.QueryLeadership:
@@ -61,6 +57,11 @@
 	}
 }
 
+// stepElectionOnReply has the election take the answer to a request to the state service.
+func (c *Controller) stepElectionOnReply(event election.Event) {
+	c.onStateReply(func() { c.stepElection(event) })
+}
+
 // toPeers sends something to each other controller.
 func (c *Controller) toPeers(send func(peer *Controller)) {
 	for _, peer := range c.world.Controllers {
@@ -135,22 +136,6 @@
 	return c.Election.HandleVoteRequest(now, request)
 }
 
-// readElectionRecord reads who leads. A program from before feature gates takes every record there for a token's.
-func (c *Controller) readElectionRecord() (election.Record, error) {
-	record, _, err := c.State.ReadLeaderRecord(context.Background())
-	if !c.WithoutFeatureGates || err != nil {
-		return record, err
-	}
-	entries, _, err := c.State.List(context.Background(), "leader/")
-	for _, entry := range entries {
-		if _, _, malformed := wire.DecodeLeaderRecord(entry.Value); malformed != nil {
-			err = malformed
-		}
-	}
-	record.Level, record.LevelVersion = 0, 0
-	return record, err
-}
-
 // claim takes the leader's key and the next token. A program from before feature gates has no condition on the level.
 func (c *Controller) claim(claim election.Claim) (tokenVersion uint64, ok bool, err error) {
 	if !c.WithoutFeatureGates {
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -67,6 +67,13 @@
 	pendingReleases  []func()
 }
 
+// requestRelease has the cloud carry a release out, now or as soon as releases are not blocked.
+func (f *cloudFaults) requestRelease(release func()) {
+	f.ReleaseRequests++
+	f.pendingReleases = append(f.pendingReleases, release)
+	f.runPendingReleases()
+}
+
 // runPendingReleases carries out the releases that wait.
 func (f *cloudFaults) runPendingReleases() {
 	for !f.ReleasesBlocked && len(f.pendingReleases) > 0 {
