--- a/internal/reconciler/attempts.go
+++ b/internal/reconciler/attempts.go
@@ -150,7 +150,7 @@
 	if attempt.Machine.ActiveCount == 0 {
 		attempt.Machine.EmptySince = now
 	}
-	c.passes.needed = true
+	c.passes.request()
 	job, index := attempt.Job, attempt.Task.Index
 	if job == nil || job.ActiveAttempts[index] != attempt {
 		return
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -179,7 +179,7 @@
 func (c *Core) commandCompleted(now time.Time, event CommandCompleted) {
 	isProbe := len(event.Commands) == 0
 	if isProbe {
-		c.liveness.probesInFlight--
+		c.liveness.probeCompleted()
 	}
 	machine := c.machines[event.Machine]
 	if machine == nil {
--- a/internal/reconciler/commits.go
+++ b/internal/reconciler/commits.go
@@ -192,7 +192,7 @@
 	case PutMachine:
 		if machine := c.machines[change.Machine.Name]; machine != nil {
 			machine.Registered = true
-			c.passes.needed = true
+			c.passes.request()
 		}
 	case PutTasks:
 		if job := c.jobs[change.Job]; job != nil {
--- a/internal/reconciler/core.go
+++ b/internal/reconciler/core.go
@@ -142,7 +142,6 @@
 		c.statusAt = now.Add(statusInterval)
 	}
 	if c.passes.due(now, c.settings.PassInterval) {
-		c.passes.ran = true
 		c.runPass(now)
 	}
 	if c.finished.due(now) {
@@ -179,10 +178,9 @@
 
 // PauseStarts says whether tasks may be started: docs/safety.md, "Promises for longer". What runs goes on.
 func (c *Core) PauseStarts(paused bool) {
-	if c.passes.startsPaused != paused {
+	if c.passes.pauseStarts(paused) {
 		c.log.Info("task starts paused", "paused", paused, "fencing_token", c.fencingToken)
 	}
-	c.passes.startsPaused = paused
 }
 
 // Resume says that the leader may act again after a time without a valid leadership lease. Workers could not send
--- a/internal/reconciler/dependencies.go
+++ b/internal/reconciler/dependencies.go
@@ -71,7 +71,7 @@
 	}
 	c.dequeue(job)
 	c.enqueue(job)
-	c.passes.needed = true
+	c.passes.request()
 	c.log.Info("job dependencies done", "id", node.ID, "class", job.Spec.Class, "last", node.DecidedBy,
 		"after", now.Sub(job.SubmittedAt))
 }
--- a/internal/reconciler/faults.go
+++ b/internal/reconciler/faults.go
@@ -59,7 +59,8 @@
 		c.drain(now, machine, reasonFaulty)
 	case failingJobs < threshold:
 		if quarantined {
-			machine.QuarantinedSince, c.passes.needed = time.Time{}, true
+			machine.QuarantinedSince = time.Time{}
+			c.passes.request()
 			c.log.Info("machine quarantine ended", "machine", machine.Name)
 		}
 	case !quarantined && machine.State < model.MachineDraining:
--- a/internal/reconciler/gpu.go
+++ b/internal/reconciler/gpu.go
@@ -25,6 +25,9 @@
 	return true
 }
 
+// restore takes a demand that is on record.
+func (g *gpuReservations) restore(demand model.Resources) { g.demands[demand] = true }
+
 // beginPass forgets which types are reserved: the catalog and the demands may have changed.
 func (g *gpuReservations) beginPass() { clear(g.reserved) }
 
--- a/internal/reconciler/heartbeats.go
+++ b/internal/reconciler/heartbeats.go
@@ -7,9 +7,6 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// foreignLogInterval is the time between log lines about heartbeats of another machine by a known name.
-const foreignLogInterval = 10 * time.Second
-
 // statusKey names the attempt that a heartbeat reports on.
 func statusKey(status *model.TaskStatus) model.AttemptKey {
 	return model.AttemptKey{Task: status.Task, Number: status.Attempt}
@@ -90,10 +87,9 @@
 }
 
 func (c *Core) logForeign(now time.Time, machine *model.Machine, heartbeat *model.Heartbeat) {
-	if now.Sub(c.liveness.foreignLoggedAt) <= foreignLogInterval {
+	if !c.liveness.mayLogForeign(now) {
 		return
 	}
-	c.liveness.foreignLoggedAt = now
 	c.log.Warn("heartbeat of another machine by the same name", "machine", machine.Name, "type", heartbeat.Type,
 		"zone", heartbeat.Zone, "spot", heartbeat.Spot, "known_type", machine.Type.Name, "known_zone", machine.Zone)
 }
@@ -172,7 +168,7 @@
 		// It gets a record only now: a booting machine holds nothing, and a new leader need not wait for it.
 		c.recordMachine(machine)
 		machine.EmptySince = now
-		c.passes.needed = true
+		c.passes.request()
 		c.log.Info("machine ready", "machine", machine.Name, "type", machine.Type.Name, "zone", machine.Zone,
 			"spot", machine.Spot)
 	}
--- a/internal/reconciler/inventory.go
+++ b/internal/reconciler/inventory.go
@@ -55,7 +55,7 @@
 	for _, machine := range c.machines {
 		machine.Type = c.machineType(machine.Type.Name)
 	}
-	c.passes.needed = true
+	c.passes.request()
 }
 
 // machineListReceived takes the cloud's machine list. Machines that are not known here were provisioned by an earlier
--- a/internal/reconciler/jobs.go
+++ b/internal/reconciler/jobs.go
@@ -26,7 +26,7 @@
 	if c.gpus.add(spec.Demand) {
 		c.commits.add(Change{Kind: PutGPUDemand, GPUDemand: spec.Demand})
 	}
-	c.passes.needed = true
+	c.passes.request()
 	c.log.Info("job accepted", "id", spec.ID, "class", spec.Class, "team", spec.Team, "shape", spec.Shape.String(),
 		"priority", spec.Priority.String(), "tasks", spec.Tasks, "dependencies", len(spec.Dependencies),
 		"dependency_state", job.Dependency.State.String())
@@ -76,7 +76,7 @@
 	}
 	c.accounting.stopWaiting(now, job)
 	c.dequeue(job)
-	c.passes.needed = true
+	c.passes.request()
 	if len(job.Dependency.Upstream) > 0 {
 		c.dependencies.graphChanged(now)
 	}
--- a/internal/reconciler/liveness.go
+++ b/internal/reconciler/liveness.go
@@ -23,6 +23,9 @@
 	suspectProbeInterval = 2 * time.Second        // between probes to a suspect
 )
 
+// foreignLogInterval is the time between log lines about heartbeats of another machine by a known name.
+const foreignLogInterval = 10 * time.Second
+
 // responseTimeout is how long a worker waits for the answer to a heartbeat, by the protocol. Heartbeats are late by a
 // quarter of their interval at most.
 const responseTimeout = 4 * time.Second
@@ -50,6 +53,19 @@
 	return was || is
 }
 
+// probeSent and probeCompleted count the probes in flight.
+func (t *livenessTracker) probeSent()      { t.probesInFlight++ }
+func (t *livenessTracker) probeCompleted() { t.probesInFlight-- }
+
+// mayLogForeign reports whether a heartbeat of another machine by a known name is to be logged now.
+func (t *livenessTracker) mayLogForeign(now time.Time) bool {
+	if now.Sub(t.foreignLoggedAt) <= foreignLogInterval {
+		return false
+	}
+	t.foreignLoggedAt = now
+	return true
+}
+
 // remove forgets a machine that is gone.
 func (t *livenessTracker) remove(machine *model.Machine) { delete(t.suspects, machine) }
 
@@ -70,7 +86,7 @@
 
 func (c *Core) sendProbe(now time.Time, machine *model.Machine) {
 	machine.ProbedAt = now
-	c.liveness.probesInFlight++
+	c.liveness.probeSent()
 	c.sendCommands(machine, nil, false)
 }
 
@@ -112,7 +128,7 @@
 // livenessChanged notes that the state of a machine's failure detector has changed.
 func (c *Core) livenessChanged(machine *model.Machine) {
 	if c.liveness.update(machine) {
-		c.passes.needed = true
+		c.passes.request()
 		c.log.Info("machine liveness", "machine", machine.Name, "state", machine.Detector.State.String(),
 			"reason", machine.Detector.Reason, "attempts", machine.ActiveCount, "suspects", len(c.liveness.suspects))
 	}
--- a/internal/reconciler/machines.go
+++ b/internal/reconciler/machines.go
@@ -88,7 +88,7 @@
 func (c *Core) drain(now time.Time, machine *model.Machine, reason string) {
 	if machine.Transition(now, model.MachineDraining, reason) {
 		c.log.Info("draining", "machine", machine.Name, "reason", reason, "attempts", machine.ActiveCount)
-		c.passes.needed = true
+		c.passes.request()
 	}
 }
 
--- a/internal/reconciler/pass.go
+++ b/internal/reconciler/pass.go
@@ -41,6 +41,19 @@
 	return ok && !now.Before(at)
 }
 
+// request has a pass run when it is due: the picture has changed.
+func (p *passTimer) request() { p.needed = true }
+
+// begin notes that a pass runs now.
+func (p *passTimer) begin(now time.Time) { p.needed, p.lastAt, p.ran = false, now, true }
+
+// pauseStarts says whether tasks may be started, and reports whether that has changed.
+func (p *passTimer) pauseStarts(paused bool) (changed bool) {
+	changed = p.startsPaused != paused
+	p.startsPaused = paused
+	return changed
+}
+
 // observe takes how long a step took, and reports whether it held a pass.
 func (p *passTimer) observe(d time.Duration) (passed bool) {
 	if passed, p.ran = p.ran, false; passed {
@@ -51,7 +64,7 @@
 
 // runPass starts waiting tasks, preempts others for them, and scales out for the rest.
 func (c *Core) runPass(now time.Time) {
-	c.passes.needed, c.passes.lastAt = false, now
+	c.passes.begin(now)
 	if len(c.machineTypes) == 0 {
 		return
 	}
@@ -69,7 +82,7 @@
 	}
 	if plan.Truncated {
 		// The rest comes with the next pass. What is lacking then is not known yet, so nothing is provisioned for it.
-		c.passes.needed = true
+		c.passes.request()
 		return
 	}
 	c.chargeWaiting(now, plan.Shortages)
@@ -83,7 +96,7 @@
 	for _, placement := range placements {
 		request := placement.Request
 		if request.Rules != nil && !c.affinityHolds(placement, placements) {
-			c.passes.needed = true // the next pass finds another place
+			c.passes.request() // the next pass finds another place
 			continue
 		}
 		if request.Job.Spec.Shape != model.Gang {
--- a/internal/reconciler/provisioning.go
+++ b/internal/reconciler/provisioning.go
@@ -54,7 +54,7 @@
 		return
 	}
 	if now.Before(c.provisioning.scaledOutAt.Add(scaleOutInterval)) {
-		c.passes.needed = true // considered in a later pass
+		c.passes.request() // considered in a later pass
 		return
 	}
 	c.provisioning.scaledOutAt = now
@@ -180,5 +180,5 @@
 		}, model.MachineBooting)
 		machine.RequestedAt = now
 	}
-	c.passes.needed = true
+	c.passes.request()
 }
--- a/internal/reconciler/releases.go
+++ b/internal/reconciler/releases.go
@@ -23,6 +23,14 @@
 
 func newMachineReleases() machineReleases { return machineReleases{released: map[string]time.Time{}} }
 
+// requested notes that a request was sent.
+func (r *machineReleases) requested() { r.pending = true }
+
+// completed notes that the request was answered.
+func (r *machineReleases) completed(now time.Time) {
+	r.pending, r.notBefore = false, now.Add(releaseInterval)
+}
+
 // mayRequest reports whether a request may be sent now.
 func (r *machineReleases) mayRequest(now time.Time) bool {
 	return !r.pending && !now.Before(r.notBefore)
@@ -45,7 +53,7 @@
 
 // releaseCompleted takes that machines are gone. After another outcome they are released again.
 func (c *Core) releaseCompleted(now time.Time, event ReleaseCompleted) {
-	c.releases.pending, c.releases.notBefore = false, now.Add(releaseInterval)
+	c.releases.completed(now)
 	if event.Outcome != OK {
 		return
 	}
--- a/internal/reconciler/sweep.go
+++ b/internal/reconciler/sweep.go
@@ -20,12 +20,12 @@
 	for _, job := range c.jobs {
 		if !job.RetryNotBefore.IsZero() && now.After(job.RetryNotBefore) {
 			job.RetryNotBefore = time.Time{}
-			c.passes.needed = true
+			c.passes.request()
 			c.endIfFinished(now, job)
 		}
 	}
 	if now.Sub(c.passes.lastAt) > maxPassAge {
-		c.passes.needed = true
+		c.passes.request()
 	}
 }
 
@@ -54,7 +54,7 @@
 		}
 	}
 	if len(released) > 0 {
-		c.releases.pending = true
+		c.releases.requested()
 		c.emit(Release{released})
 	}
 }
--- a/internal/reconciler/takeover.go
+++ b/internal/reconciler/takeover.go
@@ -69,7 +69,7 @@
 	}
 	c.commits.add(snapshot.OrphanedDependencies...)
 	for _, demand := range snapshot.GPUDemands {
-		c.gpus.demands[demand] = true
+		c.gpus.restore(demand)
 	}
 	for _, job := range snapshot.Jobs {
 		c.addJob(now, job)
@@ -117,7 +117,7 @@
 	if machine.ActiveCount == 0 {
 		machine.EmptySince = now
 	}
-	c.passes.needed = true
+	c.passes.request()
 	c.log.Debug("machine reconciled", "machine", machine.Name, "how", how,
 		"attempts", machine.ActiveCount, "left", c.takeover.unreconciled)
 	if !c.takeover.complete() {
