--- a/internal/reconciler/constraints_test.go
+++ b/internal/reconciler/constraints_test.go
@@ -121,7 +121,7 @@
 		return
 	}
 	err = constraint.Check(set, test.spec(), constraint.Environment{Types: types})
-	var contradiction *constraint.Contradiction
+	var contradiction *constraint.ContradictionError
 	if !errors.As(err, &contradiction) || !contradiction.Smallest ||
 		!slices.ContainsFunc(test.Refused, func(want []string) bool {
 			return slices.Equal(slices.Sorted(slices.Values(contradiction.Clauses)), want)
