--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -9,6 +9,7 @@
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/store"
 )
 
@@ -68,7 +69,7 @@
 	case reconciler.LookUpJobEnds:
 		t.start(func() reconciler.Event { return reconciler.JobEndsReceived{Ends: t.jobs.ReadEnds(t.tasks.ctx, e.IDs)} })
 	case reconciler.Commit:
-		changes := append([]reconciler.Change(nil), e.Changes...)
+		changes := append([]record.Change(nil), e.Changes...)
 		t.start(func() reconciler.Event { return t.commit(changes) })
 	case reconciler.Fence:
 		t.tasks.spawn(t.fence)
@@ -175,7 +176,7 @@
 	return reconciler.CatalogReceived{Types: types}
 }
 
-func (t *leaderTerm) commit(changes []reconciler.Change) reconciler.Event {
+func (t *leaderTerm) commit(changes []record.Change) reconciler.Event {
 	revision, ok, err := t.store.CommitFenced(t.tasks.ctx, t.tokenVersion, changes)
 	ev := reconciler.CommitCompleted{Changes: changes, Version: revision, Outcome: reconciler.OK}
 	switch {
--- a/internal/controller/effects_test.go
+++ b/internal/controller/effects_test.go
@@ -11,6 +11,7 @@
 	"github.com/glentiller/glentiller/internal/config"
 	"github.com/glentiller/glentiller/internal/fake"
 	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/wire"
 	"github.com/glentiller/glentiller/internal/worker"
@@ -54,31 +55,31 @@
 	tests := []struct {
 		name       string
 		before     func(*leaderTerm, *fake.State)
-		change     reconciler.Change
+		change     record.Change
 		want       reconciler.Outcome
 		wantFenced bool
 	}{
 		{
 			name:   "taken",
-			change: reconciler.Change{Kind: reconciler.PutTasks, Job: "j"},
+			change: record.Change{Kind: record.PutTasks, Job: "j"},
 			want:   reconciler.OK,
 		},
 		{
 			name:   "a condition of its own fails",
-			change: reconciler.Change{Kind: reconciler.CompleteJob, Job: "j", Version: 99},
+			change: record.Change{Kind: record.CompleteJob, Job: "j", Version: 99},
 			want:   reconciler.Refused,
 		},
 		{
 			name:       "another leader has taken over",
 			before:     newToken,
-			change:     reconciler.Change{Kind: reconciler.PutTasks, Job: "j"},
+			change:     record.Change{Kind: record.PutTasks, Job: "j"},
 			want:       reconciler.Refused,
 			wantFenced: true,
 		},
 		{
 			name:   "no request left in time",
 			before: spendRate,
-			change: reconciler.Change{Kind: reconciler.PutTasks, Job: "j"},
+			change: record.Change{Kind: record.PutTasks, Job: "j"},
 			want:   reconciler.NotSent,
 		},
 	}
@@ -88,7 +89,7 @@
 			if test.before != nil {
 				test.before(term, state)
 			}
-			ev, ok := term.commit([]reconciler.Change{test.change}).(reconciler.CommitCompleted)
+			ev, ok := term.commit([]record.Change{test.change}).(reconciler.CommitCompleted)
 			if !ok || ev.Outcome != test.want {
 				t.Errorf("got %v, want outcome %v", ev, test.want)
 			}
@@ -159,7 +160,7 @@
 func TestEffectWithoutLeaseIsNotStarted(t *testing.T) {
 	term, _ := newTestTerm(t)
 	term.lease.clear()
-	term.perform(reconciler.Commit{Changes: []reconciler.Change{{Kind: reconciler.PutTasks, Job: "j"}}})
+	term.perform(reconciler.Commit{Changes: []record.Change{{Kind: record.PutTasks, Job: "j"}}})
 	if err := term.tasks.group.Wait(); err != nil || len(term.loop.inbox) != 0 {
 		t.Errorf("got %d results and %v, want none", len(term.loop.inbox), err)
 	}
@@ -170,8 +171,8 @@
 		t.Run(name, func(t *testing.T) {
 			term, _ := newTestTerm(t)
 			term.reconciler = reconciler.New(
-				time.Now(), reconciler.Settings{}, testToken, &reconciler.Snapshot{}, nil, discard())
-			term.perform(reconciler.Commit{Changes: []reconciler.Change{{Kind: reconciler.PutTasks, Job: "j"}}})
+				time.Now(), reconciler.Settings{}, testToken, &record.Snapshot{}, nil, discard())
+			term.perform(reconciler.Commit{Changes: []record.Change{{Kind: record.PutTasks, Job: "j"}}})
 			if err := term.tasks.group.Wait(); err != nil || len(term.loop.inbox) != 1 {
 				t.Fatalf("got %d results and %v, want 1", len(term.loop.inbox), err)
 			}
--- a/internal/controller/job_changes.go
+++ b/internal/controller/job_changes.go
@@ -4,6 +4,7 @@
 	"sync"
 	"time"
 
+	"github.com/glentiller/glentiller/internal/reconciler"
 	"github.com/glentiller/glentiller/internal/store"
 )
 
@@ -42,6 +43,6 @@
 // applyJobChanges has the reconciler take the changes of the job records that wait.
 func (c *Controller) applyJobChanges(now time.Time) {
 	for _, change := range c.jobChanges.take() {
-		c.stepReconciler(now, c.jobs.EventFor(change))
+		c.stepReconciler(now, reconciler.JobUpdated(c.jobs.UpdateFor(change)))
 	}
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -5,6 +5,7 @@
 
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 const (
@@ -161,7 +162,7 @@
 	})
 }
 
-func (c *Controller) readSnapshot() (*reconciler.Snapshot, error) {
+func (c *Controller) readSnapshot() (*record.Snapshot, error) {
 	if err := c.jobs.Refresh(c.tasks.ctx); err != nil {
 		return nil, err
 	}
@@ -170,7 +171,7 @@
 
 // startReconciler makes the reconciler of a leadership from the records. The jobs are added within the
 // event loop, so that no change of a job comes in between.
-func (c *Controller) startReconciler(now time.Time, token uint64, snapshot *reconciler.Snapshot) {
+func (c *Controller) startReconciler(now time.Time, token uint64, snapshot *record.Snapshot) {
 	c.jobs.AddToSnapshot(snapshot)
 	c.reconciler = reconciler.New(now, c.settings, token, snapshot, c.MachineTypes(), c.log)
 	c.beginCancellations(now)
--- a/internal/fake/controller.go
+++ b/internal/fake/controller.go
@@ -247,7 +247,7 @@
 	changes := c.jobChanges
 	c.jobChanges = nil
 	for _, change := range changes {
-		c.stepReconciler(c.Jobs.EventFor(change))
+		c.stepReconciler(reconciler.JobUpdated(c.Jobs.UpdateFor(change)))
 	}
 }
 
--- a/internal/fake/scenarios_test.go
+++ b/internal/fake/scenarios_test.go
@@ -12,7 +12,7 @@
 	"github.com/glentiller/glentiller/internal/config"
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -275,7 +275,7 @@
 		t.Fatal(err)
 	}
 	v := old.Jobs.Peek(s.ID)
-	_, ok, err := old.State.CommitFenced(context.Background(), ver, []reconciler.Change{{Kind: reconciler.CompleteJob, Job: s.ID, Version: v.Version, Tasks: 1}})
+	_, ok, err := old.State.CommitFenced(context.Background(), ver, []record.Change{{Kind: record.CompleteJob, Job: s.ID, Version: v.Version, Tasks: 1}})
 	if err != nil || ok {
 		t.Errorf("a late transaction of a deposed leader was carried out (ok=%v, err=%v)", ok, err)
 	}
--- a/internal/reconciler/accounting.go
+++ b/internal/reconciler/accounting.go
@@ -8,6 +8,7 @@
 
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // LedgerSettings are what the accounting works by. docs/ledger.md defines what counts as run time; docs/safety.md,
@@ -40,10 +41,10 @@
 	fairShareBands map[string]int // by team
 	fairSharesAt   time.Time      // bands are not updated before this
 
-	readPending         bool      // accounts that are not reconciled are being read
-	readAt              time.Time // none is read before this
-	heldEnds            []Change  // ends of jobs whose settlement's outcome is unknown
-	rejectedSettlements []Change  // by the state service; tried again later
+	readPending         bool            // accounts that are not reconciled are being read
+	readAt              time.Time       // none is read before this
+	heldEnds            []record.Change // ends of jobs whose settlement's outcome is unknown
+	rejectedSettlements []record.Change // by the state service; tried again later
 	rejectedRetryAt     time.Time
 
 	teamsToCompact    map[string]bool // teams whose segments may have become old enough
@@ -76,7 +77,7 @@
 	}
 	c.log.Info("interval not accounted", "from", interval.Start, "to", interval.End,
 		"leaders_without_ledger", interval.UnsettledLeaders)
-	c.commits.add(Change{Kind: PutUnaccounted, Unaccounted: interval})
+	c.commits.add(record.Change{Kind: record.PutUnaccounted, Unaccounted: interval})
 }
 
 // lastSettled returns the latest fencing token and settlement among the accounts on record.
@@ -162,7 +163,7 @@
 	if !now.Before(accounting.ledger.NextCheck()) {
 		c.chargeAll(now)
 		for _, team := range accounting.ledger.DueTeams(now) {
-			c.commits.add(Change{Kind: SettleAccount, Team: team})
+			c.commits.add(record.Change{Kind: record.SettleAccount, Team: team})
 		}
 	}
 	if len(accounting.rejectedSettlements) > 0 && now.After(accounting.rejectedRetryAt) {
@@ -198,7 +199,7 @@
 		c.log.Info("ledger settlement reconciled", "team", team, "committed", settlement == nil,
 			"settlements", account.Open.Settlements)
 		if settlement != nil {
-			c.commits.add(Change{Kind: SettleAccount, Team: team, Settlement: settlement})
+			c.commits.add(record.Change{Kind: record.SettleAccount, Team: team, Settlement: settlement})
 		}
 	}
 }
@@ -216,7 +217,7 @@
 	}
 	c.log.Info("ledger segments compacted", "team", event.Team, "segments", count, "into", compacted.Unit.String(),
 		"from", compacted.Start)
-	c.commits.add(Change{Kind: CompactAccount, Compaction: &Compaction{
+	c.commits.add(record.Change{Kind: record.CompactAccount, Compaction: &record.Compaction{
 		Sources: event.Segments[first : first+count], Result: compacted,
 	}})
 }
--- a/internal/reconciler/accounting_test.go
+++ b/internal/reconciler/accounting_test.go
@@ -9,6 +9,7 @@
 	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
@@ -45,14 +46,14 @@
 			Name: fmt.Sprintf("n-%06d", i), Addr: "x", Type: "five", Zone: zones[i%2],
 		})
 	}
-	snapshot := &Snapshot{NumberedChunkTasks: 16384, Machines: l.machines, Revision: busyJobs}
+	snapshot := &record.Snapshot{NumberedChunkTasks: 16384, Machines: l.machines, Revision: busyJobs}
 	for i := range busyJobs {
 		spec := &model.Spec{
 			ID: fmt.Sprintf("wk-%06d", i), Class: "work", Team: settings.Teams[i%busyTeams].Name, Shape: model.Array,
 			Priority: model.PriorityNormal, Tasks: 40, Demand: model.Resources{CPU: 1, MemGB: 1}, Image: "i",
 			EstimatedRunTime: time.Hour,
 		}
-		snapshot.Jobs = append(snapshot.Jobs, JobAdded{Spec: spec, SubmittedAt: l.now, Version: uint64(i + 1)})
+		snapshot.Jobs = append(snapshot.Jobs, record.Job{Spec: spec, SubmittedAt: l.now, Version: uint64(i + 1)})
 	}
 	l.core = New(l.now, settings, 7, snapshot, types, discardLog())
 	for range 10 {
--- a/internal/reconciler/commits.go
+++ b/internal/reconciler/commits.go
@@ -5,11 +5,12 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // pendingCommits are the changes of records that wait for their transaction. One transaction is in flight at a time.
 type pendingCommits struct {
-	changes      []Change
+	changes      []record.Change
 	queuedChunks map[chunkKey]bool // the PutTasks among the changes
 	inFlight     bool              // a transaction or a fence is not answered yet
 	fenceNeeded  bool              // a transaction that was not answered may yet be carried out
@@ -23,12 +24,28 @@
 	chunk model.Chunk
 }
 
+// needsOwnCommit reports whether a change has a condition of its own. Its failure must not keep other changes back, so
+// it goes in a transaction of its own.
+func needsOwnCommit(change *record.Change) bool {
+	switch change.Kind {
+	case record.CompleteJob, record.CancelDependent, record.DeleteDependencies, record.SettleAccount,
+		record.CompactAccount:
+		return true
+	}
+	return change.CommitAlone
+}
+
+// endsJob reports whether a change records the end of a job.
+func endsJob(change *record.Change) bool {
+	return change.Kind == record.CompleteJob || change.Kind == record.CancelDependent
+}
+
 // commitRetryDelay is the pause after a transaction that was not carried out, or not answered.
 const commitRetryDelay = 300 * time.Millisecond
 
 func newPendingCommits() pendingCommits { return pendingCommits{queuedChunks: map[chunkKey]bool{}} }
 
-func (p *pendingCommits) add(changes ...Change) { p.changes = append(p.changes, changes...) }
+func (p *pendingCommits) add(changes ...record.Change) { p.changes = append(p.changes, changes...) }
 
 // queueChunk queues a chunk of a finished-task record unless it waits already: its content is taken from the job when
 // its transaction leaves. Otherwise the queue would grow with every state that a chunk ever had, for as long as tasks
@@ -37,16 +54,16 @@
 	key := chunkKey{job, chunk}
 	if !p.queuedChunks[key] {
 		p.queuedChunks[key] = true
-		p.add(Change{Kind: PutTasks, Job: job, Chunk: chunk})
+		p.add(record.Change{Kind: record.PutTasks, Job: job, Chunk: chunk})
 	}
 }
 
 // requeue puts changes that may not have been carried out in front of the others. A chunk that waits again already is
 // not put back: the later change holds as much and more.
-func (p *pendingCommits) requeue(changes []Change) {
-	front := make([]Change, 0, len(changes)+len(p.changes))
+func (p *pendingCommits) requeue(changes []record.Change) {
+	front := make([]record.Change, 0, len(changes)+len(p.changes))
 	for _, change := range changes {
-		if change.Kind == PutTasks && !change.CommitAlone {
+		if change.Kind == record.PutTasks && !change.CommitAlone {
 			key := chunkKey{change.Job, change.Chunk}
 			if p.queuedChunks[key] {
 				continue
@@ -70,7 +87,7 @@
 // first, since users and tasks wait for them; then changes that need their own transaction take turns with batches of
 // the others. blocked says of a change whether it has to wait, and the index of the change that goes instead (-1:
 // none).
-func (p *pendingCommits) next(blocked func(*Change) (instead int, waits bool)) int {
+func (p *pendingCommits) next(blocked func(*record.Change) (instead int, waits bool)) int {
 	other := -1
 	for i := range p.changes {
 		change := &p.changes[i]
@@ -78,13 +95,13 @@
 		if waits && instead < 0 {
 			continue
 		}
-		if change.Kind == CompleteJob || change.Kind == PutMachine {
+		if change.Kind == record.CompleteJob || change.Kind == record.PutMachine {
 			if waits {
 				return instead
 			}
 			return i
 		}
-		if other < 0 || p.lastAlone && p.changes[other].needsOwnCommit() && !change.needsOwnCommit() {
+		if other < 0 || p.lastAlone && needsOwnCommit(&p.changes[other]) && !needsOwnCommit(change) {
 			other = i
 		}
 	}
@@ -93,11 +110,11 @@
 
 // takeBatch takes up to limit of the changes that may share a transaction, new machines first. fill completes a
 // change as it leaves, and reports false where nothing is to be written any more. The rest stay in their order.
-func (p *pendingCommits) takeBatch(limit int, fill func(*Change) bool) []Change {
-	var batch []Change
+func (p *pendingCommits) takeBatch(limit int, fill func(*record.Change) bool) []record.Change {
+	var batch []record.Change
 	take := func(machines bool) {
-		p.changes = slices.DeleteFunc(p.changes, func(change Change) bool {
-			if change.needsOwnCommit() || (change.Kind == PutMachine) != machines || len(batch) >= limit {
+		p.changes = slices.DeleteFunc(p.changes, func(change record.Change) bool {
+			if needsOwnCommit(&change) || (change.Kind == record.PutMachine) != machines || len(batch) >= limit {
 				return false
 			}
 			if fill(&change) {
@@ -121,12 +138,12 @@
 		c.emit(Fence{})
 		return
 	}
-	next := c.commits.next(func(change *Change) (int, bool) { return c.blockedBySettlement(now, change) })
+	next := c.commits.next(func(change *record.Change) (int, bool) { return c.blockedBySettlement(now, change) })
 	if next < 0 {
 		return
 	}
-	var batch []Change
-	c.commits.lastAlone = c.commits.changes[next].needsOwnCommit()
+	var batch []record.Change
+	c.commits.lastAlone = needsOwnCommit(&c.commits.changes[next])
 	if c.commits.lastAlone {
 		batch, c.commits.changes = c.takeOwnCommit(now, next)
 	} else {
@@ -141,8 +158,8 @@
 
 // fillChunk gives a chunk that leaves its present content. It reports false where the job has ended: the record of
 // the end covers its tasks.
-func (c *Core) fillChunk(change *Change) bool {
-	if change.Kind != PutTasks || change.CommitAlone {
+func (c *Core) fillChunk(change *record.Change) bool {
+	if change.Kind != record.PutTasks || change.CommitAlone {
 		return true
 	}
 	delete(c.commits.queuedChunks, chunkKey{change.Job, change.Chunk})
@@ -180,8 +197,8 @@
 }
 
 // changeCompleted takes the outcome of a transaction, OK or Refused, for one of its changes.
-func (c *Core) changeCompleted(now time.Time, change Change, event CommitCompleted) {
-	if change.Kind == SettleAccount || change.Kind == CompactAccount {
+func (c *Core) changeCompleted(now time.Time, change record.Change, event CommitCompleted) {
+	if change.Kind == record.SettleAccount || change.Kind == record.CompactAccount {
 		c.accounting.changeCompleted(now, change, event)
 		return
 	}
@@ -189,18 +206,18 @@
 		return // a job's end: another leader or the user has recorded it, and the watch tells
 	}
 	switch change.Kind {
-	case PutMachine:
+	case record.PutMachine:
 		if machine := c.machines[change.Machine.Name]; machine != nil {
 			machine.Registered = true
 			c.passes.request()
 		}
-	case PutTasks:
+	case record.PutTasks:
 		if job := c.jobs[change.Job]; job != nil {
 			job.MarkDurable(change.Chunk.Number, change.FinishedBits)
 		}
-	case CompleteJob:
+	case record.CompleteJob:
 		c.endJob(now, JobEnded{ID: change.Job, Outcome: model.OutcomeDone, EndedAt: change.At})
-	case CancelDependent:
+	case record.CancelDependent:
 		c.endJob(now, JobEnded{ID: change.Job, Outcome: model.OutcomeCancelled, EndedAt: change.At})
 	}
 }
@@ -208,7 +225,7 @@
 // commitRejected takes changes that the state service will not carry out as they stand. Of several, each is tried
 // alone; one that was alone is dropped, or tried again much later where a job's end hangs on it. So one record that
 // is too large does not block all others.
-func (c *Core) commitRejected(now time.Time, changes []Change) {
+func (c *Core) commitRejected(now time.Time, changes []record.Change) {
 	if len(changes) > 1 {
 		for i := range changes {
 			changes[i].CommitAlone = true
@@ -218,12 +235,12 @@
 	}
 	change := changes[0]
 	switch change.Kind {
-	case SettleAccount:
+	case record.SettleAccount:
 		c.accounting.retrySettlementLater(change, now.Add(c.settings.MaxBackoff))
-	case CompactAccount:
+	case record.CompactAccount:
 		c.accounting.changeCompleted(now, change, CommitCompleted{Outcome: Rejected})
 	}
-	if job := c.jobs[change.Job]; job != nil && change.endsJob() {
+	if job := c.jobs[change.Job]; job != nil && endsJob(&change) {
 		job.Transition(model.JobActive)
 		job.RetryNotBefore = now.Add(c.settings.MaxBackoff)
 	}
--- a/internal/reconciler/commits_test.go
+++ b/internal/reconciler/commits_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // slowStore is a leader of one machine on which the tasks of one job finish one after the other, and a state service
@@ -14,15 +15,15 @@
 type slowStore struct {
 	core     *Core
 	now      time.Time
-	inFlight []Change // of the last transaction that was not answered yet
+	inFlight []record.Change // of the last transaction that was not answered yet
 }
 
 func newSlowStore() *slowStore {
 	s := &slowStore{now: time.Unix(1000, 0)}
 	spec := pipelineStage("wk-000001", time.Second, model.PriorityLow)
 	spec.Tasks = 3 * model.ChunkTasks
-	s.core = newTestLeader(s.now, &Snapshot{
-		NumberedChunkTasks: 64, Jobs: []JobAdded{{Version: 1, SubmittedAt: s.now, Spec: spec}},
+	s.core = newTestLeader(s.now, &record.Snapshot{
+		NumberedChunkTasks: 64, Jobs: []record.Job{{Version: 1, SubmittedAt: s.now, Spec: spec}},
 	})
 	s.step(HeartbeatReceived{Heartbeat: heartbeatOf("n-1", 1, 1, 1)})
 	s.complete(OK) // the machine's record
@@ -122,7 +123,7 @@
 	s.step(JobEnded{ID: "wk-000001", Outcome: model.OutcomeCancelled, EndedAt: s.now})
 	s.complete(OK)
 	for _, change := range s.inFlight {
-		if change.Kind == PutTasks {
+		if change.Kind == record.PutTasks {
 			t.Errorf("%+v is written", change)
 		}
 	}
--- a/internal/reconciler/constraints_test.go
+++ b/internal/reconciler/constraints_test.go
@@ -15,6 +15,7 @@
 	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/constraint"
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
@@ -178,7 +179,7 @@
 		},
 		Autoscaler: autoscaler.Settings{IdleTimeout: time.Hour, BootTimeoutFactor: 3, MaxPerRequest: 50},
 	}
-	c := New(now, settings, 3, &Snapshot{NumberedChunkTasks: 64}, types, discardLog())
+	c := New(now, settings, 3, &record.Snapshot{NumberedChunkTasks: 64}, types, discardLog())
 	for i, class := range constraint.Classes(types) {
 		addReadyMachine(c, now, fmt.Sprintf("n-%06d", i), class)
 	}
--- a/internal/reconciler/core.go
+++ b/internal/reconciler/core.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // Core is the picture and the decisions of one leader, for one fencing token. It is discarded when the leadership
@@ -56,7 +57,7 @@
 
 // New makes the Core of a leader that has just taken over.
 func New(
-	now time.Time, settings Settings, token uint64, snapshot *Snapshot, types []model.MachineType, log *slog.Logger,
+	now time.Time, settings Settings, token uint64, snapshot *record.Snapshot, types []model.MachineType, log *slog.Logger,
 ) *Core {
 	c := &Core{
 		settings:        settings,
--- a/internal/reconciler/dependencies.go
+++ b/internal/reconciler/dependencies.go
@@ -54,7 +54,7 @@
 	for _, end := range event.Ends {
 		if end.Outcome != model.OutcomeUnknown && c.jobs[end.ID] == nil {
 			found++
-			c.endJob(now, end)
+			c.endJob(now, JobEnded(end))
 		}
 	}
 	if found == 0 {
--- a/internal/reconciler/dependencies_test.go
+++ b/internal/reconciler/dependencies_test.go
@@ -5,11 +5,12 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 func TestPipelineEndDeterminesSlackAndPriority(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := newTestLeader(now, &Snapshot{})
+	c := newTestLeader(now, &record.Snapshot{})
 	last := pipelineStage("wk-000004", 8*time.Second, model.PriorityHigh, "wk-000002", "wk-000003")
 	last.Class, last.Deadline = "last", 100*time.Second
 	for i, spec := range []*model.Spec{
@@ -46,7 +47,7 @@
 // Production does not wait for a pipeline: only its own jobs stand above guarantees.
 func TestProductionPriorityIsNotInherited(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := newTestLeader(now, &Snapshot{})
+	c := newTestLeader(now, &record.Snapshot{})
 	first := pipelineStage("wk-000001", time.Second, model.PriorityLow)
 	second := pipelineStage("wk-000002", time.Second, model.PriorityProduction, "wk-000001")
 	c.Step(now, JobAdded{Version: 1, SubmittedAt: now, Spec: first})
@@ -62,7 +63,7 @@
 	first := pipelineStage("wk-000001", time.Second, model.PriorityLow)
 	waiting := pipelineStage("wk-000002", time.Second, model.PriorityLow, "wk-000001", "wk-000009")
 	other := pipelineStage("wk-000003", time.Second, model.PriorityLow)
-	snapshot := &Snapshot{Revision: 3, Jobs: []JobAdded{
+	snapshot := &record.Snapshot{Revision: 3, Jobs: []record.Job{
 		{Spec: waiting, SubmittedAt: at, Version: 2},
 		{Spec: other, SubmittedAt: at.Add(9 * time.Second), Version: 3},
 		{Spec: first, SubmittedAt: at, Version: 1},
@@ -87,7 +88,7 @@
 		t.Fatal("startable although the end of a dependency is not known")
 	}
 	// The end is of a former version: it states no moment.
-	c.Step(now, JobEndsReceived{Ends: []JobEnded{{ID: "wk-000009", Outcome: model.OutcomeDone}}})
+	c.Step(now, JobEndsReceived{Ends: []record.JobEnd{{ID: "wk-000009", Outcome: model.OutcomeDone}}})
 	if !startable(job) || !job.EligibleAt.Equal(now) {
 		t.Errorf("got startable %v, eligible at %v; want true, %v", startable(job), job.EligibleAt, now)
 	}
@@ -103,7 +104,7 @@
 // A lookup that finds nothing is not repeated at once, and starts nothing.
 func TestUnknownJobEndIsLookedUpAgainAfterDelay(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := newTestLeader(now, &Snapshot{})
+	c := newTestLeader(now, &record.Snapshot{})
 	lookups := func(after time.Duration, event Event) (count int) {
 		for _, effect := range c.Step(now.Add(after), event) {
 			if _, ok := effect.(LookUpJobEnds); ok {
--- a/internal/reconciler/effects.go
+++ b/internal/reconciler/effects.go
@@ -1,6 +1,10 @@
 package reconciler
 
-import "github.com/glentiller/glentiller/internal/model"
+import (
+	"github.com/glentiller/glentiller/internal/model"
+
+	"github.com/glentiller/glentiller/internal/record"
+)
 
 // Effect is something that a leader wants done. Core.Step returns it.
 type Effect interface{ isEffect() }
@@ -32,7 +36,7 @@
 	// LookUpJobEnds asks how jobs ended that others depend on.
 	LookUpJobEnds struct{ IDs []string }
 	// Commit writes changes in one transaction.
-	Commit struct{ Changes []Change }
+	Commit struct{ Changes []record.Change }
 	// Fence makes sure that no transaction is carried out any more that was sent before and not answered.
 	Fence struct{}
 	// ReadAccounts asks for accounts as they are on record.
--- a/internal/reconciler/epoch_test.go
+++ b/internal/reconciler/epoch_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // A task was once started twice after a long outage of the state service: the answer to a command showed a worker's
@@ -13,7 +14,7 @@
 // Only a machine that has sent a heartbeat lately gets tasks, so the answer comes soon after the last heartbeat here.
 func TestNewEpochHasItsOwnLease(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := newTestLeader(now, &Snapshot{})
+	c := newTestLeader(now, &record.Snapshot{})
 	step := func(after time.Duration, event Event) []Effect {
 		now = now.Add(after)
 		return slices.Clone(c.Step(now, event))
--- a/internal/reconciler/events.go
+++ b/internal/reconciler/events.go
@@ -5,6 +5,7 @@
 
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // Event is something that happens to a leader. Core.Step takes it.
@@ -27,21 +28,11 @@
 	// Tick is due at Core.NextTick.
 	Tick struct{}
 	// JobAdded says that a job was accepted.
-	JobAdded struct {
-		Spec           *model.Spec
-		SubmittedAt    time.Time
-		Version        uint64
-		DependencyKeys []string // keys of the records that hold the rest of its dependencies
-	}
-	// JobEnded says that the state service holds the end of a job. The outcome is unknown where a view that has
-	// missed changes only shows that the job is over.
-	JobEnded struct {
-		ID      string
-		Outcome model.Outcome
-		EndedAt time.Time // zero: before any job was submitted that depends on another
-	}
+	JobAdded record.Job
+	// JobEnded says that the state service holds the end of a job.
+	JobEnded record.JobEnd
 	// JobEndsReceived answers LookUpJobEnds with the ends that could be found out.
-	JobEndsReceived struct{ Ends []JobEnded }
+	JobEndsReceived struct{ Ends []record.JobEnd }
 	// HeartbeatReceived is a heartbeat of a worker; HeartbeatResponse is its effect.
 	HeartbeatReceived struct {
 		Heartbeat *model.Heartbeat
@@ -75,7 +66,7 @@
 	}
 	// CommitCompleted answers Commit.
 	CommitCompleted struct {
-		Changes []Change
+		Changes []record.Change
 		Outcome Outcome
 		Version uint64 // OK: of the records that were written
 	}
@@ -92,6 +83,14 @@
 	}
 )
 
+// JobUpdated returns the event for what has become of a job.
+func JobUpdated(update record.JobUpdate) Event {
+	if update.Added != nil {
+		return JobAdded(*update.Added)
+	}
+	return JobEnded(update.Ended)
+}
+
 func (Tick) isEvent()                {}
 func (JobAdded) isEvent()            {}
 func (JobEnded) isEvent()            {}
--- a/internal/reconciler/faults_test.go
+++ b/internal/reconciler/faults_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // quarantine has two jobs fail on one of three machines, and returns that machine: it gets no more tasks.
@@ -30,7 +31,7 @@
 // is released.
 func TestTaskFailuresAttributeFaultToMachineOrJob(t *testing.T) {
 	t.Run("jobs fail elsewhere too", func(t *testing.T) {
-		s := newWorkerScenario(t, &Snapshot{})
+		s := newWorkerScenario(t, &record.Snapshot{})
 		machine := quarantine(t, s)
 		for _, id := range []string{"wk-1", "wk-2"} {
 			if s.failTask(id) == machine.Name {
@@ -44,7 +45,7 @@
 		}
 	})
 	t.Run("jobs are done elsewhere", func(t *testing.T) {
-		s := newWorkerScenario(t, &Snapshot{})
+		s := newWorkerScenario(t, &record.Snapshot{})
 		machine := quarantine(t, s)
 		for _, id := range []string{"wk-1", "wk-2"} {
 			s.exitTask(time.Second, id, model.CauseDone)
@@ -58,7 +59,7 @@
 
 // A job that failed on many machines and is cancelled counts against none of them.
 func TestCancelledJobExoneratesMachines(t *testing.T) {
-	s := newWorkerScenario(t, &Snapshot{})
+	s := newWorkerScenario(t, &record.Snapshot{})
 	s.core.settings.Backoff, s.core.settings.MachineFaultErrors = time.Second, 2
 	s.register("n-1", "n-2", "n-3", "n-4", "n-5", "n-6")
 	s.addJob("wk-1")
--- a/internal/reconciler/heartbeat_property_test.go
+++ b/internal/reconciler/heartbeat_property_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // Whatever heartbeats and answers say, in whatever order and however often: nothing panics, no task is active twice,
@@ -41,7 +42,7 @@
 }
 
 func newArbitraryWorkers(t *testing.T, r *rapid.T) *arbitraryWorkers {
-	s := &arbitraryWorkers{workerScenario: newWorkerScenario(t, &Snapshot{
+	s := &arbitraryWorkers{workerScenario: newWorkerScenario(t, &record.Snapshot{
 		Machines: []model.MachineInfo{inheritedMachine("n-1", "n-1")},
 	})}
 	shapes := rapid.SampledFrom([]model.Shape{model.Array, model.Service, model.Gang})
--- a/internal/reconciler/jobs.go
+++ b/internal/reconciler/jobs.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // addJob takes an accepted job into the picture.
@@ -24,7 +25,7 @@
 		c.endIfFinished(now, job)
 	}
 	if c.gpus.add(spec.Demand) {
-		c.commits.add(Change{Kind: PutGPUDemand, GPUDemand: spec.Demand})
+		c.commits.add(record.Change{Kind: record.PutGPUDemand, GPUDemand: spec.Demand})
 	}
 	c.passes.request()
 	c.log.Info("job accepted", "id", spec.ID, "class", spec.Class, "team", spec.Team, "shape", spec.Shape.String(),
@@ -66,10 +67,10 @@
 		c.stopAttempt(now, attempt, 0)
 	}
 	for chunk := range job.RecordedChunks {
-		c.commits.add(Change{Kind: DeleteTasks, Job: id, Chunk: chunk})
+		c.commits.add(record.Change{Kind: record.DeleteTasks, Job: id, Chunk: chunk})
 	}
 	for _, key := range job.DependencyKeys {
-		c.commits.add(Change{Kind: DeleteDependencies, Job: id, Key: key})
+		c.commits.add(record.Change{Kind: record.DeleteDependencies, Job: id, Key: key})
 	}
 	if outcome != model.OutcomeDone {
 		c.exonerate(job)
@@ -97,18 +98,18 @@
 // endIfFinished records the end of a job whose tasks are all done, or that depends on a cancelled one. The record of
 // the end covers its finished tasks, so those are not recorded any more.
 func (c *Core) endIfFinished(now time.Time, job *model.Job) {
-	kind := CompleteJob
+	kind := record.CompleteJob
 	switch {
 	case job.State != model.JobActive:
 		return
 	case job.Dependency.State == model.DependencyFailed:
-		kind = CancelDependent
+		kind = record.CancelDependent
 		c.log.Info("job cancelled with its dependency", "id", job.Spec.ID, "dependency", job.Dependency.DecidedBy)
 	case job.Unfinished() > 0:
 		return
 	}
 	if job.Transition(model.JobCompleting) {
-		c.commits.add(Change{
+		c.commits.add(record.Change{
 			Kind: kind, Job: job.Spec.ID, Version: job.RecordVersion, Tasks: job.Spec.Tasks, At: now,
 		})
 		c.finished.remove(job.Spec.ID)
--- a/internal/reconciler/liveness_test.go
+++ b/internal/reconciler/liveness_test.go
@@ -6,10 +6,11 @@
 
 	"github.com/glentiller/glentiller/internal/liveness"
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 func TestDuplicateHeartbeatDoesNotRenewLease(t *testing.T) {
-	s := newWorkerScenario(t, &Snapshot{})
+	s := newWorkerScenario(t, &record.Snapshot{})
 	s.register("n-1")
 	_, task := s.addJob("wk-1")
 	s.heartbeat(2*time.Second, heartbeatOf("n-1", 1, 20, 1, task))
@@ -27,7 +28,7 @@
 }
 
 func TestRestartedMachineIsReconciledByProbe(t *testing.T) {
-	s := newWorkerScenario(t, &Snapshot{})
+	s := newWorkerScenario(t, &record.Snapshot{})
 	s.register("n-1", "n-2")
 	name, task := s.addJob("wk-1")
 	s.completeLaunch(name, task, OK, heartbeatOf(name, 1, 30, 1, task))
@@ -54,7 +55,7 @@
 }
 
 func TestUnansweredLaunchToFormerIncarnationKeepsAttempt(t *testing.T) {
-	s := newWorkerScenario(t, &Snapshot{})
+	s := newWorkerScenario(t, &record.Snapshot{})
 	s.register("n-1")
 	name, task := s.addJob("wk-1")
 	s.completeLaunch(name, task, Unknown, nil)
@@ -68,8 +69,8 @@
 }
 
 func TestHeartbeatOfFormerIncarnationKeepsRunningTask(t *testing.T) {
-	s := newWorkerScenario(t, &Snapshot{
-		Jobs:     []JobAdded{inheritedJob(oneTask("wk-1", model.Array))},
+	s := newWorkerScenario(t, &record.Snapshot{
+		Jobs:     []record.Job{inheritedJob(oneTask("wk-1", model.Array))},
 		Machines: []model.MachineInfo{inheritedMachine("n-1", "n-1")},
 	})
 	task := model.AttemptKey{Task: model.TaskID{Job: "wk-1"}, Number: 7}
@@ -92,7 +93,7 @@
 }
 
 func TestHeartbeatWithLowerTokenStartsNewIncarnation(t *testing.T) {
-	s := newWorkerScenario(t, &Snapshot{})
+	s := newWorkerScenario(t, &record.Snapshot{})
 	s.register("n-1")
 	s.heartbeat(time.Second, heartbeatOf("n-1", 1, 3, 0)) // the third heartbeat of another incarnation
 	if !s.responseRefused() {
@@ -113,7 +114,7 @@
 }
 
 func TestDelayedHeartbeatOfReleasedMachineIsIgnored(t *testing.T) {
-	s := newWorkerScenario(t, &Snapshot{})
+	s := newWorkerScenario(t, &record.Snapshot{})
 	s.core.fencingToken = 5
 	gone := model.AttemptKey{Task: model.TaskID{Job: "wk-1"}, Number: 3}
 	s.heartbeat(0, heartbeatOf("n-9", 2, 400, 4, gone)) // released under an earlier leader
@@ -132,8 +133,8 @@
 }
 
 func TestLaterAttemptSupersedesEarlierOne(t *testing.T) {
-	s := newWorkerScenario(t, &Snapshot{
-		Jobs:     []JobAdded{inheritedJob(oneTask("wk-1", model.Service))},
+	s := newWorkerScenario(t, &record.Snapshot{
+		Jobs:     []record.Job{inheritedJob(oneTask("wk-1", model.Service))},
 		Machines: []model.MachineInfo{inheritedMachine("n-1", ""), inheritedMachine("n-2", "")},
 	})
 	first := model.AttemptKey{Task: model.TaskID{Job: "wk-1"}, Number: 3}
@@ -147,7 +148,7 @@
 }
 
 func TestUnresponsiveMachineReceivesNoTasksAndIsReplaced(t *testing.T) {
-	s := newWorkerScenario(t, &Snapshot{})
+	s := newWorkerScenario(t, &record.Snapshot{})
 	s.register("n-1", "n-2")
 	name, _ := s.addJob("wk-1")
 	s.loseCommands()
@@ -171,7 +172,7 @@
 // An unresponsive worker turns from member to member, so relayed heartbeats show it, and the leader gets direct ones
 // more rarely than the lease lasts.
 func TestUnresponsiveMachineIsDetectedThroughRelayedHeartbeats(t *testing.T) {
-	s := newWorkerScenario(t, &Snapshot{})
+	s := newWorkerScenario(t, &record.Snapshot{})
 	s.register("n-1", "n-2", "n-3", "n-4")
 	state := func(machine string) liveness.State { return s.core.Liveness(machine) }
 	s.step(5*time.Second, HeartbeatReceived{Heartbeat: heartbeatOf("n-1", 1, 3, 1), Relayed: true})
@@ -202,7 +203,7 @@
 }
 
 func TestUnresponsiveMachineIsTrustedAgainAfterAnswer(t *testing.T) {
-	s := newWorkerScenario(t, &Snapshot{})
+	s := newWorkerScenario(t, &record.Snapshot{})
 	s.register("n-1", "n-2", "n-3")
 	name, task := s.addJob("wk-1")
 	s.loseCommands()
@@ -215,7 +216,7 @@
 }
 
 func TestLeaderWithoutReachableWorkersIsIsolated(t *testing.T) {
-	s := newWorkerScenario(t, &Snapshot{})
+	s := newWorkerScenario(t, &record.Snapshot{})
 	names := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6", "n-7", "n-8", "n-9", "n-10"}
 	s.register(names...)
 	for seq := uint64(10); seq < 16; seq++ {
@@ -239,7 +240,7 @@
 // The network may repeat a launch that was sent directly, even after it was answered. The attempt is kept for three
 // leases after it was stopped, so that the repeat finds it.
 func TestEndedAttemptOutlivesDuplicateLaunches(t *testing.T) {
-	s := newWorkerScenario(t, &Snapshot{})
+	s := newWorkerScenario(t, &record.Snapshot{})
 	s.register("n-1")
 	_, task := s.addJob("wk-1")
 	s.completeLaunch("n-1", task, OK, heartbeatOf("n-1", 1, 30, 1, task))
--- a/internal/reconciler/machines.go
+++ b/internal/reconciler/machines.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // maxClockDrift bounds how far the steady clocks of two machines part, as a fraction of the time.
@@ -70,7 +71,7 @@
 
 // recordMachine queues the record of a machine that may hold tasks from now on.
 func (c *Core) recordMachine(machine *model.Machine) {
-	c.commits.add(Change{Kind: PutMachine, Machine: model.MachineInfo{
+	c.commits.add(record.Change{Kind: record.PutMachine, Machine: model.MachineInfo{
 		Name: machine.Name, Addr: machine.Addr, Type: machine.Type.Name, Zone: machine.Zone, Spot: machine.Spot,
 	}})
 }
--- a/internal/reconciler/memory_test.go
+++ b/internal/reconciler/memory_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // liveHeapBytes is how many bytes of the heap are live.
@@ -29,13 +30,13 @@
 		bytesPerMegabyte = 1 << 20
 	)
 	name := func(i int) string { return fmt.Sprintf("n-%06d", i) }
-	snapshot := &Snapshot{NumberedChunkTasks: 64}
+	snapshot := &record.Snapshot{NumberedChunkTasks: 64}
 	for i := range machines {
 		snapshot.Machines = append(snapshot.Machines, inheritedMachine(name(i), "10.1.2.3:9000"))
 	}
 	spec := pipelineStage("wk-000001", time.Second, model.PriorityLow)
 	spec.Tasks = machines * tasksPerMachine
-	snapshot.Jobs = []JobAdded{{Version: 1, SubmittedAt: now, Spec: spec}}
+	snapshot.Jobs = []record.Job{{Version: 1, SubmittedAt: now, Spec: spec}}
 	before := liveHeapBytes()
 	c := newTestLeader(now, snapshot)
 	empty := liveHeapBytes()
--- a/internal/reconciler/releases.go
+++ b/internal/reconciler/releases.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // machineReleases keeps the request that gives machines back to the cloud, and which machines are gone. One request
@@ -75,5 +76,5 @@
 	delete(c.commandsPending, machine)
 	c.liveness.remove(machine)
 	c.releases.released[machine.Name] = now
-	c.commits.add(Change{Kind: DeleteMachine, Machine: model.MachineInfo{Name: machine.Name}})
+	c.commits.add(record.Change{Kind: record.DeleteMachine, Machine: model.MachineInfo{Name: machine.Name}})
 }
--- a/internal/reconciler/scenario_test.go
+++ b/internal/reconciler/scenario_test.go
@@ -9,13 +9,14 @@
 
 	"github.com/glentiller/glentiller/internal/autoscaler"
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
 func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // newTestLeader makes the Core of a leader for a small deployment.
-func newTestLeader(now time.Time, snapshot *Snapshot) *Core {
+func newTestLeader(now time.Time, snapshot *record.Snapshot) *Core {
 	types := []model.MachineType{
 		{Name: "eight", Capacity: model.Resources{CPU: 8, MemGB: 64}, BootTime: 5 * time.Second},
 	}
@@ -44,8 +45,8 @@
 }
 
 // inheritedJob makes a job that was accepted before the takeover.
-func inheritedJob(spec *model.Spec) JobAdded {
-	return JobAdded{Version: 0, SubmittedAt: time.Unix(900, 0), Spec: spec}
+func inheritedJob(spec *model.Spec) record.Job {
+	return record.Job{Version: 0, SubmittedAt: time.Unix(900, 0), Spec: spec}
 }
 
 // inheritedMachine makes a machine that was recorded before the takeover.
@@ -61,7 +62,7 @@
 	effects []Effect // of the last step
 }
 
-func newWorkerScenario(t *testing.T, snapshot *Snapshot) *workerScenario {
+func newWorkerScenario(t *testing.T, snapshot *record.Snapshot) *workerScenario {
 	s := &workerScenario{T: t, now: time.Unix(1000, 0)}
 	s.core = newTestLeader(s.now, snapshot)
 	s.core.settings.MaxUnresponsiveShare = 0.34
--- a/internal/reconciler/settings.go
+++ b/internal/reconciler/settings.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/autoscaler"
-	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
@@ -53,15 +52,3 @@
 	FinishWithin     time.Duration // from becoming eligible to the end of the job
 	DeadlineMultiple float64       // jobs end by this many times their deadline
 }
-
-// Snapshot is what the state service held when the leader took over.
-type Snapshot struct {
-	Revision             uint64
-	Jobs                 []JobAdded
-	FinishedTasks        map[string]map[model.Chunk][]byte // a bit a task, by job
-	NumberedChunkTasks   int                               // tasks in a numbered chunk; 0: not on record
-	OrphanedDependencies []Change                          // delete the dependency lists whose job has ended
-	Machines             []model.MachineInfo
-	GPUDemands           []model.Resources      // demands for GPUs that were seen
-	Accounts             []ledger.StoredAccount // of the teams; empty without a ledger
-}
--- a/internal/reconciler/settlements.go
+++ b/internal/reconciler/settlements.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // What a job has used is on record with its end, or neither is: the end of a job goes in one transaction with a
@@ -14,8 +16,8 @@
 )
 
 // settlingTeam returns the team whose account is settled with a change: that of a job which ends.
-func (c *Core) settlingTeam(change *Change) (team string, ok bool) {
-	if c.accounting == nil || change.Kind != CompleteJob || change.CommitAlone ||
+func (c *Core) settlingTeam(change *record.Change) (team string, ok bool) {
+	if c.accounting == nil || change.Kind != record.CompleteJob || change.CommitAlone ||
 		c.settings.MaxTxnOps < jobEndOps+maxSettlementOps {
 		return "", false
 	}
@@ -28,16 +30,16 @@
 
 // blockedBySettlement reports whether a change has to wait: the end of a job whose team's last settlement is in
 // flight or not reconciled. It returns the index of the settlement to send first; -1: the account is being read.
-func (c *Core) blockedBySettlement(now time.Time, change *Change) (instead int, waits bool) {
-	if c.accounting == nil || change.Kind != CompleteJob || len(c.accounting.rejectedSettlements) > 0 {
+func (c *Core) blockedBySettlement(now time.Time, change *record.Change) (instead int, waits bool) {
+	if c.accounting == nil || change.Kind != record.CompleteJob || len(c.accounting.rejectedSettlements) > 0 {
 		return 0, false
 	}
 	job := c.jobs[change.Job]
 	if job == nil || !c.accounting.ledger.BlocksJobEnd(now, job.Spec.Team) {
 		return 0, false
 	}
-	return slices.IndexFunc(c.commits.changes, func(other Change) bool {
-		return other.Kind == SettleAccount && other.Settlement != nil && other.Team == job.Spec.Team
+	return slices.IndexFunc(c.commits.changes, func(other record.Change) bool {
+		return other.Kind == record.SettleAccount && other.Settlement != nil && other.Team == job.Spec.Team
 	}), true
 }
 
@@ -45,9 +47,9 @@
 // changes. Settlements go together: each has a condition of its own, and where one fails all are read and sent again.
 // A settlement is made here, as its transaction leaves, of all that is charged by then; one that has left before stays
 // as it was.
-func (c *Core) takeOwnCommit(now time.Time, first int) (batch, rest []Change) {
+func (c *Core) takeOwnCommit(now time.Time, first int) (batch, rest []record.Change) {
 	lead := c.commits.changes[first]
-	if lead.Kind == SettleAccount {
+	if lead.Kind == record.SettleAccount {
 		c.chargeAll(now)
 	}
 	batch = c.settleWithJobEnd(now, &lead)
@@ -58,7 +60,7 @@
 			rest = append(rest, change)
 			continue
 		}
-		if change.Kind != SettleAccount {
+		if change.Kind != record.SettleAccount {
 			batch = append(batch, change)
 			continue
 		}
@@ -77,10 +79,12 @@
 }
 
 // sharesCommit reports whether a change may go in one transaction with other settlements.
-func sharesCommit(change *Change) bool { return change.Kind == SettleAccount && !change.CommitAlone }
+func sharesCommit(change *record.Change) bool {
+	return change.Kind == record.SettleAccount && !change.CommitAlone
+}
 
 // settleWithJobEnd makes the settlement that goes with the end of a job, if any.
-func (c *Core) settleWithJobEnd(now time.Time, change *Change) (batch []Change) {
+func (c *Core) settleWithJobEnd(now time.Time, change *record.Change) (batch []record.Change) {
 	team, ok := c.settlingTeam(change)
 	if !ok || c.accounting.ledger.HasPending(team) {
 		return nil
@@ -94,18 +98,18 @@
 		c.accounting.ledger.Discard(team)
 		return nil
 	}
-	return []Change{{Kind: SettleAccount, Team: team, Settlement: settlement}}
+	return []record.Change{{Kind: record.SettleAccount, Team: team, Settlement: settlement}}
 }
 
 // deferRefusedEnds takes a transaction that was refused as a whole although it ended a job and settled its team's
 // account: each may have been the reason. The end waits until the account is known again, and then goes by itself;
 // what the job used is in the settlement before it. It returns the other changes.
-func (a *accounting) deferRefusedEnds(changes []Change) []Change {
+func (a *accounting) deferRefusedEnds(changes []record.Change) []record.Change {
 	if a == nil || len(changes) < 2 {
 		return changes
 	}
-	return slices.DeleteFunc(slices.Clone(changes), func(change Change) bool {
-		if change.Kind != CompleteJob {
+	return slices.DeleteFunc(slices.Clone(changes), func(change record.Change) bool {
+		if change.Kind != record.CompleteJob {
 			return false
 		}
 		change.CommitAlone = true
@@ -116,7 +120,7 @@
 
 // queueHeldEnds queues the ends of jobs whose team's account is known again.
 func (c *Core) queueHeldEnds(now time.Time) {
-	c.accounting.heldEnds = slices.DeleteFunc(c.accounting.heldEnds, func(change Change) bool {
+	c.accounting.heldEnds = slices.DeleteFunc(c.accounting.heldEnds, func(change record.Change) bool {
 		job := c.jobs[change.Job]
 		if job == nil {
 			return true
@@ -130,8 +134,8 @@
 }
 
 // changeCompleted takes the outcome of a settlement or compaction.
-func (a *accounting) changeCompleted(now time.Time, change Change, event CommitCompleted) {
-	if change.Kind == CompactAccount {
+func (a *accounting) changeCompleted(now time.Time, change record.Change, event CommitCompleted) {
+	if change.Kind == record.CompactAccount {
 		a.compactionPending = false
 		if event.Outcome != OK {
 			delete(a.teamsToCompact, change.Compaction.Result.Team) // looked through again with the next closed segment
@@ -155,7 +159,7 @@
 
 // retrySettlementLater keeps a settlement that the state service rejects, and has it tried again at a moment. Until
 // then the team's account is not settled; nothing of it is lost.
-func (a *accounting) retrySettlementLater(change Change, at time.Time) {
+func (a *accounting) retrySettlementLater(change record.Change, at time.Time) {
 	a.rejectedSettlements = append(a.rejectedSettlements, change)
 	a.rejectedRetryAt = at
 }
--- a/internal/reconciler/takeover.go
+++ b/internal/reconciler/takeover.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
@@ -39,8 +40,8 @@
 }
 
 // inherit counts a machine that may hold tasks of earlier leaders.
-func (t *takeover) inherit(machine *model.Machine, record model.MachineInfo) {
-	machine.Registered, machine.Unreconciled, machine.Record = true, true, record
+func (t *takeover) inherit(machine *model.Machine, info model.MachineInfo) {
+	machine.Registered, machine.Unreconciled, machine.Record = true, true, info
 	t.unreconciled++
 	t.kinds[recordedKind(machine)]++
 }
@@ -60,19 +61,19 @@
 func (t *takeover) complete() bool { return t.unreconciled == 0 }
 
 // loadSnapshot takes the records over.
-func (c *Core) loadSnapshot(now time.Time, snapshot *Snapshot) {
+func (c *Core) loadSnapshot(now time.Time, snapshot *record.Snapshot) {
 	chunkTasks := snapshot.NumberedChunkTasks
 	if chunkTasks == 0 {
 		// From here on the number is on record, even if the limit that it was derived from changes.
 		chunkTasks = c.settings.NumberedChunkTasks
-		c.commits.add(Change{Kind: PutChunkLayout, Tasks: chunkTasks})
+		c.commits.add(record.Change{Kind: record.PutChunkLayout, Tasks: chunkTasks})
 	}
 	c.commits.add(snapshot.OrphanedDependencies...)
 	for _, demand := range snapshot.GPUDemands {
 		c.gpus.restore(demand)
 	}
 	for _, job := range snapshot.Jobs {
-		c.addJob(now, job)
+		c.addJob(now, JobAdded(job))
 	}
 	c.loadFinishedTasks(now, snapshot.FinishedTasks, chunkTasks)
 	for _, job := range c.jobs {
@@ -82,8 +83,8 @@
 			job.NoPriorAttempts = job.NoPriorAttempts || c.jobs[id] != nil
 		}
 	}
-	for _, record := range snapshot.Machines {
-		c.takeover.inherit(c.addMachine(now, record, model.MachineInherited), record)
+	for _, info := range snapshot.Machines {
+		c.takeover.inherit(c.addMachine(now, info, model.MachineInherited), info)
 	}
 	c.openAccounts(now, snapshot.Accounts)
 }
@@ -94,7 +95,7 @@
 		job := c.jobs[id]
 		if job == nil {
 			for chunk := range chunks {
-				c.commits.add(Change{Kind: DeleteTasks, Job: id, Chunk: chunk})
+				c.commits.add(record.Change{Kind: record.DeleteTasks, Job: id, Chunk: chunk})
 			}
 			continue
 		}
--- a/internal/reconciler/changes.go
+++ b/internal/record/change.go
@@ -1,4 +1,4 @@
-package reconciler
+package record
 
 import (
 	"time"
@@ -51,18 +51,3 @@
 	Sources []ledger.StoredSegment // in order; the record of the first one becomes that of the result
 	Result  *ledger.Segment
 }
-
-// needsOwnCommit reports whether a change has a condition of its own. Its failure must not keep other changes back, so
-// it goes in a transaction of its own.
-func (change *Change) needsOwnCommit() bool {
-	switch change.Kind {
-	case CompleteJob, CancelDependent, DeleteDependencies, SettleAccount, CompactAccount:
-		return true
-	}
-	return change.CommitAlone
-}
-
-// endsJob reports whether a change records the end of a job.
-func (change *Change) endsJob() bool {
-	return change.Kind == CompleteJob || change.Kind == CancelDependent
-}
--- a/internal/store/changes.go
+++ b/internal/store/changes.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strconv"
 
-	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -13,7 +13,7 @@
 // is still the last one. ok is false if a condition failed. revision is the version of all records
 // that were written. For errors see Commit.
 func (c *Client) CommitFenced(
-	ctx context.Context, tokenVersion uint64, changes []reconciler.Change,
+	ctx context.Context, tokenVersion uint64, changes []record.Change,
 ) (revision uint64, ok bool, err error) {
 	txn := &wire.Txn{Conditions: []wire.Condition{{Key: tokenKey, Version: tokenVersion}}}
 	for i := range changes {
@@ -23,24 +23,24 @@
 }
 
 // addChange adds a leader's change, with its own conditions, to a transaction.
-func addChange(txn *wire.Txn, ch *reconciler.Change) {
+func addChange(txn *wire.Txn, ch *record.Change) {
 	key := changeKey(ch)
 	switch ch.Kind {
-	case reconciler.PutMachine:
+	case record.PutMachine:
 		put(txn, key, wire.AppendMachine(nil, ch.Machine))
-	case reconciler.PutTasks:
+	case record.PutTasks:
 		put(txn, key, wire.AppendTasksDone(nil, ch.FinishedBits))
-	case reconciler.PutChunkLayout:
+	case record.PutChunkLayout:
 		put(txn, key, wire.AppendChunkLayout(nil, ch.Tasks))
-	case reconciler.PutGPUDemand:
+	case record.PutGPUDemand:
 		put(txn, key, wire.AppendGPUDemand(nil, ch.GPUDemand))
-	case reconciler.DeleteMachine, reconciler.DeleteTasks:
+	case record.DeleteMachine, record.DeleteTasks:
 		remove(txn, key)
-	case reconciler.CompleteJob:
+	case record.CompleteJob:
 		addJobEnd(txn, ch, key, wire.StateDone)
-	case reconciler.CancelDependent:
+	case record.CancelDependent:
 		addJobEnd(txn, ch, key, wire.StateCancelled)
-	case reconciler.DeleteDependencies:
+	case record.DeleteDependencies:
 		// Never those of an unfinished job: it may have been accepted since.
 		require(txn, activePrefix+ch.Job, 0)
 		remove(txn, key)
@@ -50,7 +50,7 @@
 }
 
 // addJobEnd moves a job from the active to the ended records.
-func addJobEnd(txn *wire.Txn, ch *reconciler.Change, endedKey string, state wire.JobState) {
+func addJobEnd(txn *wire.Txn, ch *record.Change, endedKey string, state wire.JobState) {
 	require(txn, activePrefix+ch.Job, ch.Version)
 	require(txn, endedKey, 0)
 	remove(txn, activePrefix+ch.Job)
@@ -71,37 +71,37 @@
 }
 
 // changeKey returns the key of the record that a change is about.
-func changeKey(ch *reconciler.Change) string {
+func changeKey(ch *record.Change) string {
 	switch ch.Kind {
-	case reconciler.PutMachine, reconciler.DeleteMachine:
+	case record.PutMachine, record.DeleteMachine:
 		return machinePrefix + ch.Machine.Name
-	case reconciler.PutTasks, reconciler.DeleteTasks:
+	case record.PutTasks, record.DeleteTasks:
 		prefix := numberedTasksPrefix
 		if ch.Chunk.StartsAtTask {
 			prefix = taskSpanPrefix
 		}
 		return prefix + ch.Job + "/" + strconv.Itoa(ch.Chunk.Number)
-	case reconciler.PutChunkLayout:
+	case record.PutChunkLayout:
 		return layoutKey
-	case reconciler.PutGPUDemand:
+	case record.PutGPUDemand:
 		d := &ch.GPUDemand
 		return fmt.Sprintf("%s%g-%g-%g", gpuDemandPrefix, d.CPU, d.GPU, d.MemGB)
-	case reconciler.CompleteJob, reconciler.CancelDependent:
+	case record.CompleteJob, record.CancelDependent:
 		return endedPrefix + ch.Job
-	case reconciler.DeleteDependencies:
+	case record.DeleteDependencies:
 		return ch.Key
-	case reconciler.SettleAccount:
+	case record.SettleAccount:
 		return accountPrefix + teamKey(ch.Settlement.Open.Team)
-	case reconciler.PutUnaccounted:
+	case record.PutUnaccounted:
 		return intervalPrefix + sortableNumber(ch.Unaccounted.FencingToken)
-	case reconciler.CompactAccount:
+	case record.CompactAccount:
 		return segmentKey(ch.Compaction.Result.Team, ch.Compaction.Result.First)
 	}
 	return ""
 }
 
 // ChangeKeys returns the keys of the records that changes are about, for the log.
-func ChangeKeys(changes []reconciler.Change) []string {
+func ChangeKeys(changes []record.Change) []string {
 	var keys []string
 	for i := range changes {
 		keys = append(keys, changeKey(&changes[i]))
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -15,7 +15,7 @@
 	"github.com/glentiller/glentiller/internal/golden"
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/rpc"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/wire"
@@ -89,7 +89,7 @@
 		return newEmptyCache(c, 7, 100, lowestLimits)
 	}
 	ctx := context.Background()
-	commit := func(saves ...reconciler.Change) func(c *store.Client) error {
+	commit := func(saves ...record.Change) func(c *store.Client) error {
 		return func(c *store.Client) error {
 			_, _, err := c.CommitFenced(ctx, 12, saves)
 			return err
@@ -100,27 +100,27 @@
 		call func(c *store.Client) error
 	}{
 		{"machine", commit(
-			reconciler.Change{Kind: reconciler.PutMachine, Machine: machine},
-			reconciler.Change{Kind: reconciler.DeleteMachine, Machine: machine})},
+			record.Change{Kind: record.PutMachine, Machine: machine},
+			record.Change{Kind: record.DeleteMachine, Machine: machine})},
 		{"finished-tasks", commit(
-			reconciler.Change{Kind: reconciler.PutTasks, Job: id, Chunk: numbered, FinishedBits: bits},
-			reconciler.Change{Kind: reconciler.PutTasks, Job: id, Chunk: span, FinishedBits: bits},
-			reconciler.Change{Kind: reconciler.DeleteTasks, Job: id, Chunk: numbered},
-			reconciler.Change{Kind: reconciler.DeleteTasks, Job: id, Chunk: span})},
-		{"layout", commit(reconciler.Change{Kind: reconciler.PutChunkLayout, Tasks: 16384})},
-		{"gpu-request", commit(reconciler.Change{
-			Kind: reconciler.PutGPUDemand, GPUDemand: model.Resources{CPU: 8, GPU: 0.5, MemGB: 1e8}})},
-		{"job-done", commit(reconciler.Change{
-			Kind: reconciler.CompleteJob, Job: id, Version: 3, Tasks: 16, At: at})},
-		{"job-doomed", commit(reconciler.Change{
-			Kind: reconciler.CancelDependent, Job: id, Version: 3, Tasks: 16, At: at})},
-		{"awaits-dropped", commit(reconciler.Change{
-			Kind: reconciler.DeleteDependencies, Job: id, Key: "job/w/wk-000412/ff/0"})},
-		{"ledger-settled", commit(reconciler.Change{Kind: reconciler.SettleAccount,
+			record.Change{Kind: record.PutTasks, Job: id, Chunk: numbered, FinishedBits: bits},
+			record.Change{Kind: record.PutTasks, Job: id, Chunk: span, FinishedBits: bits},
+			record.Change{Kind: record.DeleteTasks, Job: id, Chunk: numbered},
+			record.Change{Kind: record.DeleteTasks, Job: id, Chunk: span})},
+		{"layout", commit(record.Change{Kind: record.PutChunkLayout, Tasks: 16384})},
+		{"gpu-request", commit(record.Change{
+			Kind: record.PutGPUDemand, GPUDemand: model.Resources{CPU: 8, GPU: 0.5, MemGB: 1e8}})},
+		{"job-done", commit(record.Change{
+			Kind: record.CompleteJob, Job: id, Version: 3, Tasks: 16, At: at})},
+		{"job-doomed", commit(record.Change{
+			Kind: record.CancelDependent, Job: id, Version: 3, Tasks: 16, At: at})},
+		{"awaits-dropped", commit(record.Change{
+			Kind: record.DeleteDependencies, Job: id, Key: "job/w/wk-000412/ff/0"})},
+		{"ledger-settled", commit(record.Change{Kind: record.SettleAccount,
 			Settlement: &ledger.Settlement{Version: 5, Open: open, Closed: &page}})},
-		{"ledger-unaccounted", commit(reconciler.Change{Kind: reconciler.PutUnaccounted, Unaccounted: &interval})},
-		{"ledger-folded", commit(reconciler.Change{Kind: reconciler.CompactAccount,
-			Compaction: &reconciler.Compaction{
+		{"ledger-unaccounted", commit(record.Change{Kind: record.PutUnaccounted, Unaccounted: &interval})},
+		{"ledger-folded", commit(record.Change{Kind: record.CompactAccount,
+			Compaction: &record.Compaction{
 				Sources: []ledger.StoredSegment{{Segment: page, Version: 5}, {Segment: next, Version: 6}},
 				Result:  &into,
 			}})},
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -160,17 +160,18 @@
 	return j.active[id]
 }
 
-// EventFor returns the reconciler's event for a change. It goes by what the cache holds now: a job
-// that has ended since must not be added again. A job that the cache no longer holds has ended.
-func (j *JobCache) EventFor(change JobChange) reconciler.Event {
-	record := j.Peek(change.ID)
+// UpdateFor returns what has become of a changed job. It goes by what the cache holds now: a job that
+// has ended since must not be added again. A job that the cache no longer holds has ended.
+func (j *JobCache) UpdateFor(change JobChange) record.JobUpdate {
+	job := j.Peek(change.ID)
 	switch {
-	case record.Spec != nil:
-		return record.AddedEvent()
-	case record.State == wire.StateUnknown:
-		record = change.JobRecord
+	case job.Spec != nil:
+		added := job.unfinished()
+		return record.JobUpdate{Added: &added}
+	case job.State == wire.StateUnknown:
+		job = change.JobRecord
 	}
-	return record.EndedEvent(change.ID)
+	return record.JobUpdate{Ended: job.end(change.ID)}
 }
 
 // logUnreadable logs that a job record cannot be decoded.
--- a/internal/store/job_load.go
+++ b/internal/store/job_load.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -119,19 +119,19 @@
 }
 
 // AddToSnapshot adds all unfinished jobs, as of now, to what a new leader reads.
-func (j *JobCache) AddToSnapshot(snap *reconciler.Snapshot) {
+func (j *JobCache) AddToSnapshot(snap *record.Snapshot) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	snap.Revision = j.revision
-	for id, record := range j.active {
+	for id, job := range j.active {
 		if _, ended := j.ended.records[id]; !ended {
-			snap.Jobs = append(snap.Jobs, record.AddedEvent())
+			snap.Jobs = append(snap.Jobs, job.unfinished())
 		}
 	}
 	for key := range j.dependencyParts {
 		id, _, _ := strings.Cut(key[len(dependencyPrefix):], "/")
 		if _, ok := j.active[id]; !ok {
-			orphan := reconciler.Change{Kind: reconciler.DeleteDependencies, Job: id, Key: key}
+			orphan := record.Change{Kind: record.DeleteDependencies, Job: id, Key: key}
 			snap.OrphanedDependencies = append(snap.OrphanedDependencies, orphan)
 		}
 	}
--- a/internal/store/job_lookup.go
+++ b/internal/store/job_lookup.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -123,8 +123,8 @@
 }
 
 // ReadEnds returns how jobs have ended, of those of which that can be found out.
-func (j *JobCache) ReadEnds(ctx context.Context, ids []string) []reconciler.JobEnded {
-	var ends []reconciler.JobEnded
+func (j *JobCache) ReadEnds(ctx context.Context, ids []string) []record.JobEnd {
+	var ends []record.JobEnd
 	for _, id := range ids {
 		record := j.Peek(id)
 		if !record.State.Ended() {
@@ -135,7 +135,7 @@
 			}
 		}
 		if record.State.Ended() {
-			ends = append(ends, record.EndedEvent(id))
+			ends = append(ends, record.end(id))
 		} else {
 			j.log.Warn("the end of a dependency is not on record", "id", id)
 		}
--- a/internal/store/job_records.go
+++ b/internal/store/job_records.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -48,9 +48,9 @@
 	DependencyKeys []string // keys of the parts of its dependency list
 }
 
-// AddedEvent returns the reconciler's event for an unfinished job.
-func (r JobRecord) AddedEvent() reconciler.JobAdded {
-	return reconciler.JobAdded{
+// unfinished returns the record of an unfinished job as the reconciler takes it.
+func (r JobRecord) unfinished() record.Job {
+	return record.Job{
 		Spec:           r.Spec,
 		SubmittedAt:    r.Timestamp,
 		Version:        r.Version,
@@ -58,9 +58,9 @@
 	}
 }
 
-// EndedEvent returns the reconciler's event for a job that has ended.
-func (r JobRecord) EndedEvent(id string) reconciler.JobEnded {
-	ended := reconciler.JobEnded{ID: id, Outcome: r.State.Outcome()}
+// end returns the end of a job that has ended.
+func (r JobRecord) end(id string) record.JobEnd {
+	ended := record.JobEnd{ID: id, Outcome: r.State.Outcome()}
 	if ended.Outcome != model.OutcomeUnknown {
 		ended.EndedAt = r.Timestamp
 	}
--- a/internal/store/ledger.go
+++ b/internal/store/ledger.go
@@ -7,7 +7,7 @@
 	"net/url"
 
 	"github.com/glentiller/glentiller/internal/ledger"
-	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -41,9 +41,9 @@
 
 // addLedgerChange adds a change of the ledger to a transaction. A settlement and a compaction depend
 // on the version that they replace, so that no duplicate is carried out: docs/safety.md, "Ledger".
-func addLedgerChange(txn *wire.Txn, ch *reconciler.Change, key string) {
+func addLedgerChange(txn *wire.Txn, ch *record.Change, key string) {
 	switch ch.Kind {
-	case reconciler.SettleAccount:
+	case record.SettleAccount:
 		require(txn, key, ch.Settlement.Version)
 		put(txn, key, wire.AppendOpenSegment(nil, &ch.Settlement.Open))
 		if closed := ch.Settlement.Closed; closed != nil {
@@ -51,9 +51,9 @@
 			require(txn, closedKey, 0)
 			put(txn, closedKey, wire.AppendSegment(nil, closed))
 		}
-	case reconciler.PutUnaccounted:
+	case record.PutUnaccounted:
 		put(txn, key, wire.AppendUnaccountedInterval(nil, *ch.Unaccounted))
-	case reconciler.CompactAccount:
+	case record.CompactAccount:
 		for i := range ch.Compaction.Sources {
 			source := &ch.Compaction.Sources[i]
 			sourceKey := segmentKey(source.Team, source.First)
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/wire"
 )
@@ -31,26 +31,26 @@
 	span := model.Chunk{StartsAtTask: true, Number: 98304}
 	machine := model.MachineInfo{Name: "n-" + long[:40], Addr: "100.100.100.100:10000", Type: long, Zone: long}
 	demand := model.Resources{CPU: 1e8, GPU: 1e8, MemGB: 1e8}
-	for name, changes := range map[string][]reconciler.Change{
+	for name, changes := range map[string][]record.Change{
 		"finished tasks": {
-			{Kind: reconciler.PutTasks, Job: id, Chunk: span, FinishedBits: bits},
-			{Kind: reconciler.PutTasks, Job: id, FinishedBits: bits},
-			{Kind: reconciler.DeleteTasks, Job: id, Chunk: model.Chunk{Number: 6}},
-			{Kind: reconciler.DeleteTasks, Job: id, Chunk: span},
+			{Kind: record.PutTasks, Job: id, Chunk: span, FinishedBits: bits},
+			{Kind: record.PutTasks, Job: id, FinishedBits: bits},
+			{Kind: record.DeleteTasks, Job: id, Chunk: model.Chunk{Number: 6}},
+			{Kind: record.DeleteTasks, Job: id, Chunk: span},
 		},
 		"machines": {
-			{Kind: reconciler.PutMachine, Machine: machine},
-			{Kind: reconciler.DeleteMachine, Machine: machine},
+			{Kind: record.PutMachine, Machine: machine},
+			{Kind: record.DeleteMachine, Machine: machine},
 		},
 		"layout and requests": {
-			{Kind: reconciler.PutChunkLayout, Tasks: 16384},
-			{Kind: reconciler.PutGPUDemand, GPUDemand: demand},
+			{Kind: record.PutChunkLayout, Tasks: 16384},
+			{Kind: record.PutGPUDemand, GPUDemand: demand},
 		},
 		"a part of a dependency list": {
-			{Kind: reconciler.DeleteDependencies, Job: "wk-000001", Key: "job/w/wk-000001/ffffffffffffffff/13"},
+			{Kind: record.DeleteDependencies, Job: "wk-000001", Key: "job/w/wk-000001/ffffffffffffffff/13"},
 		},
 		"the end of a job": {
-			{Kind: reconciler.CompleteJob, Job: id, Version: 3, Tasks: 100_000, At: time.Unix(4e9, 0)},
+			{Kind: record.CompleteJob, Job: id, Version: 3, Tasks: 100_000, At: time.Unix(4e9, 0)},
 		},
 	} {
 		if _, ok, err := c.CommitFenced(context.Background(), token, changes); err != nil || !ok {
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -25,8 +25,8 @@
 
 // ReadSnapshot reads what a new leader needs besides the job records, see JobCache.AddToSnapshot. The
 // teams' accounts are read if there is a ledger: they are as many as the teams, however old it is.
-func (c *Client) ReadSnapshot(ctx context.Context, accounts bool) (*reconciler.Snapshot, error) {
-	snap := &reconciler.Snapshot{FinishedTasks: map[string]map[model.Chunk][]byte{}}
+func (c *Client) ReadSnapshot(ctx context.Context, accounts bool) (*record.Snapshot, error) {
+	snap := &record.Snapshot{FinishedTasks: map[string]map[model.Chunk][]byte{}}
 	if accounts {
 		stored, err := c.Accounts(ctx)
 		if err != nil {
@@ -34,7 +34,7 @@
 		}
 		snap.Accounts = stored
 	}
-	for _, read := range []func(context.Context, *reconciler.Snapshot) error{
+	for _, read := range []func(context.Context, *record.Snapshot) error{
 		c.readFinishedTasks,
 		c.readChunkLayout,
 		c.readMachines,
@@ -47,7 +47,7 @@
 	return snap, nil
 }
 
-func (c *Client) readFinishedTasks(ctx context.Context, snap *reconciler.Snapshot) error {
+func (c *Client) readFinishedTasks(ctx context.Context, snap *record.Snapshot) error {
 	for _, prefix := range []string{numberedTasksPrefix, taskSpanPrefix} {
 		entries, _, err := c.List(ctx, prefix)
 		if err != nil {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func (c *Client) readChunkLayout(ctx context.Context, snap *reconciler.Snapshot) error {
+func (c *Client) readChunkLayout(ctx context.Context, snap *record.Snapshot) error {
 	entries, _, err := c.List(ctx, layoutPrefix)
 	if err != nil {
 		return err
@@ -89,7 +89,7 @@
 	return nil
 }
 
-func (c *Client) readMachines(ctx context.Context, snap *reconciler.Snapshot) error {
+func (c *Client) readMachines(ctx context.Context, snap *record.Snapshot) error {
 	entries, _, err := c.List(ctx, machinePrefix)
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func (c *Client) readGPUDemands(ctx context.Context, snap *reconciler.Snapshot) error {
+func (c *Client) readGPUDemands(ctx context.Context, snap *record.Snapshot) error {
 	entries, _, err := c.List(ctx, gpuDemandPrefix)
 	if err != nil {
 		return err
