--- a/internal/reconciler/releases.go
+++ b/internal/reconciler/releases.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // machineReleases keeps the request that gives machines back to the cloud, and which machines are gone. One request
@@ -23,6 +24,14 @@
 
 func newMachineReleases() machineReleases { return machineReleases{released: map[string]time.Time{}} }
 
+// requested notes that a request was sent.
+func (r *machineReleases) requested() { r.pending = true }
+
+// completed notes that the request was answered.
+func (r *machineReleases) completed(now time.Time) {
+	r.pending, r.notBefore = false, now.Add(releaseInterval)
+}
+
 // mayRequest reports whether a request may be sent now.
 func (r *machineReleases) mayRequest(now time.Time) bool {
 	return !r.pending && !now.Before(r.notBefore)
@@ -45,7 +54,7 @@
 
 // releaseCompleted takes that machines are gone. After another outcome they are released again.
 func (c *Core) releaseCompleted(now time.Time, event ReleaseCompleted) {
-	c.releases.pending, c.releases.notBefore = false, now.Add(releaseInterval)
+	c.releases.completed(now)
 	if event.Outcome != OK {
 		return
 	}
@@ -67,5 +76,5 @@
 	delete(c.commandsPending, machine)
 	c.liveness.remove(machine)
 	c.releases.released[machine.Name] = now
-	c.commits.add(Change{Kind: DeleteMachine, Machine: model.MachineInfo{Name: machine.Name}})
+	c.commits.add(record.Change{Kind: record.DeleteMachine, Machine: model.MachineInfo{Name: machine.Name}})
 }
