--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -7,6 +7,7 @@
 	"github.com/glentiller/glentiller/internal/election"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // stepReconciler has the reconciler take an event, if this controller leads, and starts the effects that it
@@ -69,7 +70,7 @@
 		e.Machines = append([]string(nil), e.Machines...)
 		return e
 	case reconciler.Commit:
-		e.Changes = append([]reconciler.Change(nil), e.Changes...)
+		e.Changes = append([]record.Change(nil), e.Changes...)
 		return e
 	}
 	return effect
--- a/internal/effects/effects_test.go
+++ b/internal/effects/effects_test.go
@@ -13,6 +13,7 @@
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/worker"
 )
@@ -33,7 +34,7 @@
 		{"another leader has taken over", services{tokenChanged: true}, reconciler.Refused, true},
 		{"refused, the token cannot be read", services{tokenErr: errLost}, reconciler.Unknown, false},
 	}
-	changes := []reconciler.Change{{Kind: reconciler.PutTasks, Job: "j"}}
+	changes := []record.Change{{Kind: record.PutTasks, Job: "j"}}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			s := &test.services
--- a/internal/effects/executor.go
+++ b/internal/effects/executor.go
@@ -18,6 +18,7 @@
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/worker"
 )
@@ -25,7 +26,7 @@
 // StateService holds the records. *store.Client implements it.
 type StateService interface {
 	CommitFenced(
-		ctx context.Context, tokenVersion uint64, changes []reconciler.Change,
+		ctx context.Context, tokenVersion uint64, changes []record.Change,
 	) (revision uint64, ok bool, err error)
 	TokenUnchanged(ctx context.Context, tokenVersion uint64) (bool, error)
 	RewriteToken(
--- a/internal/effects/helpers_test.go
+++ b/internal/effects/helpers_test.go
@@ -14,7 +14,7 @@
 	"github.com/glentiller/glentiller/internal/fake"
 	"github.com/glentiller/glentiller/internal/ledger"
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/store"
 	"github.com/glentiller/glentiller/internal/worker"
 )
@@ -51,7 +51,7 @@
 
 func (s *services) call(name string) { s.calls = append(s.calls, name) }
 
-func (s *services) CommitFenced(context.Context, uint64, []reconciler.Change) (uint64, bool, error) {
+func (s *services) CommitFenced(context.Context, uint64, []record.Change) (uint64, bool, error) {
 	s.call("commit")
 	return s.version, s.ok, s.err
 }
