--- a/internal/clustersim/electionsim/simulation_test.go
+++ b/internal/clustersim/electionsim/simulation_test.go
@@ -2,65 +2,119 @@
 
 import "testing"
 
+// requireNoViolation explores with settings that must not violate anything.
+func requireNoViolation(t *testing.T, settings Settings) Result {
+	t.Helper()
+	result, err := Run(settings)
+	if err != nil {
+		t.Errorf("got error %v, want none", err)
+	}
+	if result.Violation != "" {
+		t.Errorf("got violation %q by%s, want none", result.Violation, result.Trace)
+	}
+	t.Logf("%+v: %+v", settings, result)
+	return result
+}
+
+// requireAtLeast guards against an exploration that reaches too little to show anything.
+func requireAtLeast(t *testing.T, what string, got, want int) {
+	t.Helper()
+	if got < want {
+		t.Errorf("got %d %s, want %d or more", got, what, want)
+	}
+}
+
+// requireViolation explores with settings whose mutation must be detected.
+func requireViolation(t *testing.T, settings Settings) {
+	t.Helper()
+	result, err := Run(settings)
+	if err != nil {
+		t.Errorf("got error %v, want none", err)
+	}
+	if result.Violation == "" {
+		t.Errorf("got %+v, want a violation", result)
+	}
+	t.Logf("%s: %s, by%s", settings.Mutation, result.Violation, result.Trace)
+}
+
 func TestEveryFaultSequenceLeavesAtMostOneLeader(t *testing.T) {
-	for _, set := range []Settings{{Members: 2, Seconds: 10, MaxFaults: 3}, {Members: 3, Seconds: 10, MaxFaults: 2}} {
-		set.MaxStates = 3_000_000
-		r, err := Run(set)
-		if err != nil || r.Violation != "" {
-			t.Errorf("%+v: %+v, %v", set, r, err)
-		}
-		if r.ByVotes < 100 || r.Claims < 100 {
-			t.Errorf("%+v shows little: %+v", set, r)
-		}
-		t.Logf("%+v: %+v", set, r)
+	for name, settings := range map[string]Settings{
+		"two members":   {Members: 2, Seconds: 10, MaxFaults: 3},
+		"three members": {Members: 3, Seconds: 10, MaxFaults: 2},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings.MaxStates = 3_000_000
+			result := requireNoViolation(t, settings)
+			requireAtLeast(t, "states with a leader by votes", result.ByVotes, 100)
+			requireAtLeast(t, "claims", result.Claims, 100)
+		})
 	}
 }
 
 func TestEachMutationIsDetected(t *testing.T) {
-	for b, faults := range map[Mutation]int{ShortVotes: 2, ForgottenVotes: 3, LateVotes: 3} {
-		r, err := Run(Settings{Members: 2, Seconds: 14, MaxFaults: faults, MaxStates: 1_000_000, Mutation: b})
-		if err != nil || r.Violation == "" {
-			t.Errorf("%s: %+v, %v", b, r, err)
-		}
-		t.Logf("%s: %s, by%s", b, r.Violation, r.Trace)
+	for mutation, faults := range map[Mutation]int{ShortVotes: 2, ForgottenVotes: 3, LateVotes: 3} {
+		t.Run(string(mutation), func(t *testing.T) {
+			requireViolation(t, Settings{
+				Members:   2,
+				Seconds:   14,
+				MaxFaults: faults,
+				MaxStates: 1_000_000,
+				Mutation:  mutation,
+			})
+		})
 	}
 }
 
-// The same with members that end at any step of an election and are back at once, while what their former
-// lives have sent comes late; and it shows what holds them apart.
+// Members crash at any step of an election and restart at once, while messages of their former incarnations
+// arrive late.
 func TestInstantRestartsLeaveAtMostOneLeader(t *testing.T) {
-	for _, set := range []Settings{{Members: 2, Seconds: 10, MaxFaults: 2}, {Members: 3, Seconds: 6, MaxFaults: 2}} {
-		set.MaxStates, set.InstantRestarts = 3_000_000, true
-		if r, err := Run(set); err != nil || r.Violation != "" || r.Claims < 100 {
-			t.Errorf("%+v: %+v, %v", set, r, err)
-		}
-	}
-	r, err := Run(Settings{Members: 2, Seconds: 12, MaxFaults: 4, MaxStates: 3_000_000, Mutation: MixedIncarnations, InstantRestarts: true, OnlyFaults: []string{"crash", "cut", "part", "blink-claiming"}})
-	if err != nil || r.Violation == "" {
-		t.Errorf("lives that are not told apart: %+v, %v", r, err)
+	for name, settings := range map[string]Settings{
+		"two members":   {Members: 2, Seconds: 10, MaxFaults: 2},
+		"three members": {Members: 3, Seconds: 6, MaxFaults: 2},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings.MaxStates, settings.InstantRestarts = 3_000_000, true
+			result := requireNoViolation(t, settings)
+			requireAtLeast(t, "claims", result.Claims, 100)
+		})
 	}
-	t.Logf("%s, by%s", r.Violation, r.Trace)
+	t.Run("mixed incarnations are detected", func(t *testing.T) {
+		requireViolation(t, Settings{
+			Members:         2,
+			Seconds:         12,
+			MaxFaults:       4,
+			MaxStates:       3_000_000,
+			Mutation:        MixedIncarnations,
+			InstantRestarts: true,
+			OnlyFaults:      []FaultKind{Crash, StateUnreachable, PeersUnreachable, RestartClaimInFlight},
+		})
+	})
 }
 
-// The same while members' programs change between one that knows levels and one from before them, and
-// a level is raised: whoever may act knows the level in force, and acts by it.
+// Members' programs change between one with feature gates and one without while a level is raised: whoever may
+// act supports the level in force, and acts by it.
 func TestLeaderNeverActsUnderUnknownLevel(t *testing.T) {
-	for _, set := range []Settings{{Members: 2, Seconds: 9, MaxFaults: 3}, {Members: 3, Seconds: 9, MaxFaults: 2}} {
-		set.MaxStates, set.FeatureGates = 3_000_000, true
-		r, err := Run(set)
-		if err != nil || r.Violation != "" {
-			t.Errorf("%+v: %+v, %v", set, r, err)
-		}
-		if r.Raised < 1000 || r.Claims < 100 {
-			t.Errorf("%+v shows little: %+v", set, r)
-		}
-		t.Logf("%+v: %+v", set, r)
+	for name, settings := range map[string]Settings{
+		"two members":   {Members: 2, Seconds: 9, MaxFaults: 3},
+		"three members": {Members: 3, Seconds: 9, MaxFaults: 2},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings.MaxStates, settings.FeatureGates = 3_000_000, true
+			result := requireNoViolation(t, settings)
+			requireAtLeast(t, "states with a raised level", result.Raised, 1000)
+			requireAtLeast(t, "claims", result.Claims, 100)
+		})
 	}
-	for b, faults := range map[Mutation]int{ReadableLevel: 2, SeparateRaise: 2} {
-		r, err := Run(Settings{Members: 2, Seconds: 14, MaxFaults: faults, MaxStates: 2_000_000, Mutation: b, FeatureGates: true})
-		if err != nil || r.Violation == "" {
-			t.Errorf("%s: %+v, %v", b, r, err)
-		}
-		t.Logf("%s: %s, by%s", b, r.Violation, r.Trace)
+	for mutation, faults := range map[Mutation]int{ReadableLevel: 2, SeparateRaise: 2} {
+		t.Run(string(mutation), func(t *testing.T) {
+			requireViolation(t, Settings{
+				Members:      2,
+				Seconds:      14,
+				MaxFaults:    faults,
+				MaxStates:    2_000_000,
+				Mutation:     mutation,
+				FeatureGates: true,
+			})
+		})
 	}
 }
