--- a/internal/clustersim/capacity/capacity_test.go
+++ b/internal/clustersim/capacity/capacity_test.go
@@ -11,67 +11,94 @@
 	"github.com/glentiller/glentiller/internal/clustersim/scale"
 )
 
-func TestFitRecoversKnownLine(t *testing.T) {
-	q := Quantity{Name: "x", Loads: []Load{Workers, Starts}, Measure: func(r *scale.Result) float64 { return r.LeaderCores }}
+// linearRuns returns runs that lie on a line: an intercept of 0.5, 0.001 a worker and 0.01 a start.
+func linearRuns() (Quantity, []scale.Result) {
+	q := Quantity{
+		Name:    "x",
+		Loads:   []Load{Workers, Starts},
+		Measure: func(r *scale.Result) float64 { return r.LeaderCores },
+	}
 	var runs []scale.Result
 	for i, workers := range []int{1000, 2000, 4000, 8000, 8000} {
 		starts := float64(100 * (i*i + 1))
-		runs = append(
-			runs,
-			scale.Result{
-				Workers:     2 * workers,
-				Regions:     2,
-				Starts:      2 * starts,
-				LeaderCores: 0.5 + 0.001*float64(workers) + 0.01*starts,
-			},
-		)
+		runs = append(runs, scale.Result{
+			Workers:     2 * workers,
+			Regions:     2,
+			Starts:      2 * starts,
+			LeaderCores: 0.5 + 0.001*float64(workers) + 0.01*starts,
+		})
 	}
+	return q, runs
+}
+
+func TestFitRecoversKnownLine(t *testing.T) {
+	q, runs := linearRuns()
 	line, err := Fit(q, runs)
-	if err != nil || math.Abs(line.Intercept-0.5) > 1e-9 || math.Abs(line.Slopes[0]-0.001) > 1e-9 ||
-		math.Abs(line.Slopes[1]-0.01) > 1e-9 ||
-		line.MaxResidual > 1e-9 {
-		t.Errorf("found %+v, %v", line, err)
+	if err != nil {
+		t.Fatalf("got error %v, want none", err)
+	}
+	for name, value := range map[string]struct{ got, want float64 }{
+		"intercept":        {line.Intercept, 0.5},
+		"slope of workers": {line.Slopes[0], 0.001},
+		"slope of starts":  {line.Slopes[1], 0.01},
+		"largest residual": {line.MaxResidual, 0},
+	} {
+		if math.Abs(value.got-value.want) > 1e-9 {
+			t.Errorf("%s: got %v, want %v", name, value.got, value.want)
+		}
 	}
-	if v, beyond := line.At(Size{Loads: map[Load]float64{Workers: 4000, Starts: 100}}); math.Abs(v-5.5) > 1e-9 || beyond {
-		t.Errorf("read as %v, beyond what ran: %v", v, beyond)
+	value, extrapolated := line.At(Size{Loads: map[Load]float64{Workers: 4000, Starts: 100}})
+	if math.Abs(value-5.5) > 1e-9 || extrapolated {
+		t.Errorf("at 4000 workers: got %v, extrapolated %v; want 5.5, false", value, extrapolated)
 	}
-	if _, beyond := line.At(Size{Loads: map[Load]float64{Workers: 9000, Starts: 100}}); !beyond {
-		t.Error("what is extrapolated does not say so")
+	if _, extrapolated := line.At(Size{Loads: map[Load]float64{Workers: 9000, Starts: 100}}); !extrapolated {
+		t.Error("at 9000 workers: got extrapolated false, want true")
 	}
+}
+
+func TestFitReportsResiduals(t *testing.T) {
+	q, runs := linearRuns()
 	runs[2].LeaderCores++
-	if line, err = Fit(q, runs); err != nil || line.Residual < 0.1 || line.MaxResidual < 0.1 {
-		t.Errorf("a run off the line leaves a residual of %v, %v", line.Residual, err)
+	line, err := Fit(q, runs)
+	if err != nil || line.Residual < 0.1 || line.MaxResidual < 0.1 {
+		t.Errorf("got residuals %v and %v, error %v; want 0.1 or more for a run off the line",
+			line.Residual, line.MaxResidual, err)
 	}
-	if _, err := Fit(q, runs[:3]); !errors.Is(err, errTooFewRuns) {
-		t.Errorf("three runs for three numbers: %v", err)
+}
+
+func TestFitRejectsRunsThatDetermineNoLine(t *testing.T) {
+	q, runs := linearRuns()
+	if _, err := Fit(q, runs[:3]); !errors.Is(err, ErrTooFewRuns) {
+		t.Errorf("three runs for three coefficients: got %v, want %v", err, ErrTooFewRuns)
 	}
 	for i := range runs {
 		runs[i].Starts = float64(runs[i].Workers)
 	}
-	if _, err := Fit(q, runs); err == nil {
-		t.Error("loads that the runs do not tell apart were fitted")
+	if _, err := Fit(q, runs); !errors.Is(err, ErrIndistinctLoads) {
+		t.Errorf("two loads in proportion: got %v, want %v", err, ErrIndistinctLoads)
 	}
 }
 
 func TestReadRejectsMalformedRuns(t *testing.T) {
-	for want, text := range map[string]string{
-		"no runs":        "",
-		"runs.jsonl:2:":  "{\"workers\":10,\"regions\":1,\"seconds\":1}\n{",
-		"1: not a run":   "{\"workers\":10}\n",
-		"invalid":        "text\n",
-		"cannot unmarsh": "{\"workers\":\"many\"}\n",
+	for name, test := range map[string]struct{ text, want string }{
+		"empty file":     {"", "no runs"},
+		"truncated line": {"{\"workers\":10,\"regions\":1,\"seconds\":1}\n{", "runs.jsonl:2:"},
+		"missing fields": {"{\"workers\":10}\n", "1: not a run"},
+		"not JSON":       {"text\n", "invalid"},
+		"wrong type":     {"{\"workers\":\"many\"}\n", "cannot unmarsh"},
 	} {
-		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, "runs.jsonl"), []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := Read(dir); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			dir := t.TempDir()
+			if err := os.WriteFile(filepath.Join(dir, "runs.jsonl"), []byte(test.text), 0o644); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := Read(dir); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("got error %v, want one with %q", err, test.want)
+			}
+		})
 	}
 }
 
-// The page's table is what the committed runs say, to the letter.
 func TestCapacityPageMatchesCommittedRuns(t *testing.T) {
 	docs := filepath.Join("..", "..", "..", "docs")
 	runs, err := Read(filepath.Join(docs, "capacity"))
@@ -89,6 +116,6 @@
 	_, rest, ok := strings.Cut(string(page), "<!-- table: go run ./cmd/clustersim capacity -->\n")
 	got, _, end := strings.Cut(rest, "<!-- end of the table -->")
 	if !ok || !end || strings.TrimSpace(got) != strings.TrimSpace(table) {
-		t.Errorf("docs/CAPACITY.md does not hold the table that the runs give:\n%s", table)
+		t.Errorf("docs/CAPACITY.md: got the table\n%s\nwant what the committed runs give:\n%s", got, table)
 	}
 }
--- a/internal/clustersim/capacity/quantities.go
+++ b/internal/clustersim/capacity/quantities.go
@@ -1,109 +1,133 @@
 package capacity
 
-import "github.com/glentiller/glentiller/internal/clustersim/scale"
+import (
+	"slices"
 
-// Quantities are the rows of the table.
+	"github.com/glentiller/glentiller/internal/clustersim/scale"
+)
+
+// bytesPerKB is of the decimal unit.
+const bytesPerKB = 1000
+
+// workersAndStarts are the loads of what grows with a region's machines and their work.
+var workersAndStarts = []Load{Workers, Starts}
+
+// Quantities returns the rows of the table, by role.
 func Quantities() []Quantity {
-	workersStarts := []Load{Workers, Starts}
-	return []Quantity{
-		{
-			Role:      "leader",
-			Name:      "processor, cores",
-			Loads:     workersStarts,
-			Digits:    2,
-			Measure:   func(r *scale.Result) float64 { return r.LeaderCores },
-			Budget:    "1 core: the program uses one",
-			Mechanism: "stands for a region of the mean size; missing for all in one",
-		},
-		{
-			Role:      "leader",
-			Name:      "memory, MB",
-			Loads:     workersStarts,
-			Digits:    0,
-			Measure:   func(r *scale.Result) float64 { return r.LeaderMB },
-			Budget:    "the control machine's",
-			Mechanism: "stands",
-		},
-		{
-			Role:      "leader",
-			Name:      "open files",
-			Loads:     []Load{Workers},
-			Digits:    0,
-			Measure:   func(r *scale.Result) float64 { return float64(r.LeaderSockets) },
-			Budget:    "20,000 a process here",
-			Mechanism: "stands for a region; members that answer workers: missing",
-		},
-		{
-			Role:      "leader",
-			Name:      "longest hold of the loop, ms",
-			Loads:     workersStarts,
-			Digits:    0,
-			Measure:   func(r *scale.Result) float64 { return r.LongestHoldMs },
-			Budget:    "250 (urgent work within 1 s)",
-			Mechanism: "passes that look at what they weigh: chosen now; an index over machines: missing",
-		},
-		{
-			Role:      "leader",
-			Name:      "urgent work, submission to start, p99 ms",
-			Loads:     workersStarts,
-			Digits:    0,
-			Measure:   func(r *scale.Result) float64 { return float64(r.UrgentP99) },
-			Budget:    "1,000",
-			Mechanism: "as the row before",
-		},
-		{
-			Role:      "member",
-			Name:      "processor, cores",
-			Loads:     workersStarts,
-			Digits:    3,
-			Measure:   func(r *scale.Result) float64 { return r.MemberCores },
-			Budget:    "1 core",
-			Mechanism: "stands idle: members that answer workers: missing",
-		},
-		{
-			Role:      "member",
-			Name:      "memory, MB",
-			Loads:     workersStarts,
-			Digits:    0,
-			Measure:   func(r *scale.Result) float64 { return r.MemberMB },
-			Budget:    "the control machine's",
-			Mechanism: "stands",
-		},
-		{
-			Role:      "state service",
-			Name:      "requests/s",
-			Loads:     []Load{Jobs},
-			Digits:    0,
-			Measure:   func(r *scale.Result) float64 { return r.StateRPS },
-			Budget:    "1,000 in the runs",
-			Mechanism: "stands",
-		},
-		{
-			Role:      "state service",
-			Name:      "changes/s",
-			Loads:     []Load{Jobs},
-			Digits:    0,
-			Measure:   func(r *scale.Result) float64 { return r.StateWrites },
-			Budget:    "400 in the runs, of which a leader takes 200",
-			Mechanism: "records of finished tasks wait once each: chosen now",
-		},
-		{
-			Role:      "workers",
-			Name:      "reports/s",
-			Loads:     workersStarts,
-			Digits:    0,
-			Measure:   func(r *scale.Result) float64 { return r.Heartbeats },
-			Budget:    "",
-			Mechanism: "stands",
-		},
-		{
-			Role:      "workers",
-			Name:      "bytes/s of all, KB",
-			Loads:     workersStarts,
-			Digits:    0,
-			Measure:   func(r *scale.Result) float64 { return r.WorkerBytes * float64(r.Machines) / 1000 },
-			Budget:    "9 KB/s for each worker",
-			Mechanism: "stands",
-		},
-	}
+	return slices.Concat(leaderQuantities, memberQuantities, stateServiceQuantities, workerQuantities)
+}
+
+// leaderQuantities are what a region's leader needs.
+var leaderQuantities = []Quantity{
+	{
+		Role:      "leader",
+		Name:      "processor, cores",
+		Loads:     workersAndStarts,
+		Digits:    2,
+		Measure:   func(r *scale.Result) float64 { return r.LeaderCores },
+		Budget:    "1 core: the program uses one",
+		Mechanism: "stands for a region of the mean size; missing for all in one",
+	},
+	{
+		Role:      "leader",
+		Name:      "memory, MB",
+		Loads:     workersAndStarts,
+		Digits:    0,
+		Measure:   func(r *scale.Result) float64 { return r.LeaderMB },
+		Budget:    "the control machine's",
+		Mechanism: "stands",
+	},
+	{
+		Role:      "leader",
+		Name:      "open files",
+		Loads:     []Load{Workers},
+		Digits:    0,
+		Measure:   func(r *scale.Result) float64 { return float64(r.LeaderSockets) },
+		Budget:    "20,000 a process here",
+		Mechanism: "stands for a region; members that answer workers: missing",
+	},
+	{
+		Role:      "leader",
+		Name:      "longest hold of the loop, ms",
+		Loads:     workersAndStarts,
+		Digits:    0,
+		Measure:   func(r *scale.Result) float64 { return r.LongestHoldMs },
+		Budget:    "250 (urgent work within 1 s)",
+		Mechanism: "passes that look at what they weigh: chosen now; an index over machines: missing",
+	},
+	{
+		Role:      "leader",
+		Name:      "urgent work, submission to start, p99 ms",
+		Loads:     workersAndStarts,
+		Digits:    0,
+		Measure:   func(r *scale.Result) float64 { return float64(r.UrgentP99) },
+		Budget:    "1,000",
+		Mechanism: "as the row before",
+	},
+}
+
+// memberQuantities are what a member that does not lead needs.
+var memberQuantities = []Quantity{
+	{
+		Role:      "member",
+		Name:      "processor, cores",
+		Loads:     workersAndStarts,
+		Digits:    3,
+		Measure:   func(r *scale.Result) float64 { return r.MemberCores },
+		Budget:    "1 core",
+		Mechanism: "stands idle: members that answer workers: missing",
+	},
+	{
+		Role:      "member",
+		Name:      "memory, MB",
+		Loads:     workersAndStarts,
+		Digits:    0,
+		Measure:   func(r *scale.Result) float64 { return r.MemberMB },
+		Budget:    "the control machine's",
+		Mechanism: "stands",
+	},
+}
+
+// stateServiceQuantities are what a region asks of its state service.
+var stateServiceQuantities = []Quantity{
+	{
+		Role:      "state service",
+		Name:      "requests/s",
+		Loads:     []Load{Jobs},
+		Digits:    0,
+		Measure:   func(r *scale.Result) float64 { return r.StateRPS },
+		Budget:    "1,000 in the runs",
+		Mechanism: "stands",
+	},
+	{
+		Role:      "state service",
+		Name:      "changes/s",
+		Loads:     []Load{Jobs},
+		Digits:    0,
+		Measure:   func(r *scale.Result) float64 { return r.StateWrites },
+		Budget:    "400 in the runs, of which a leader takes 200",
+		Mechanism: "records of finished tasks wait once each: chosen now",
+	},
+}
+
+// workerQuantities are what a region's workers send.
+var workerQuantities = []Quantity{
+	{
+		Role:      "workers",
+		Name:      "reports/s",
+		Loads:     workersAndStarts,
+		Digits:    0,
+		Measure:   func(r *scale.Result) float64 { return r.Heartbeats },
+		Budget:    "",
+		Mechanism: "stands",
+	},
+	{
+		Role:      "workers",
+		Name:      "bytes/s of all, KB",
+		Loads:     workersAndStarts,
+		Digits:    0,
+		Measure:   func(r *scale.Result) float64 { return r.WorkerBytes * float64(r.Machines) / bytesPerKB },
+		Budget:    "9 KB/s for each worker",
+		Mechanism: "stands",
+	},
 }
