--- a/cmd/clustersim/scale.go
+++ b/cmd/clustersim/scale.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -13,39 +12,39 @@
 )
 
 type scaleCmd struct {
-	Plan        string   `placeholder:"FILE"         help:"A plan (TOML) with the same names as the flags; flags that are given go before it."`
+	Plan        string   `placeholder:"FILE"         help:"A plan (TOML) with the same names as the flags, which override it."`
 	Workers     *int     `placeholder:"N"            help:"Hollow workers over all regions (1000)."`
-	Regions     *int     `placeholder:"R"            help:"Regions: deployments of their own, side by side (1)."`
+	Regions     *int     `placeholder:"R"            help:"Regions: independent deployments (1)."`
 	Zones       *int     `placeholder:"Z"            help:"Zones of each region (3)."`
 	Controllers *int     `placeholder:"C"            help:"Controllers of each region, real processes (3)."`
-	Seconds     *int     `placeholder:"S"            help:"Seconds that are measured, once the fleet is up (40)."`
-	Starts      *float64 `placeholder:"P"            help:"Task starts a second that are asked for (a fortieth of the workers)."               name:"starts-per-second"`
-	Teams       *int     `placeholder:"N"            help:"Teams with limits (140)."`
-	Seed        *uint64  `placeholder:"N"            help:"Of what is drawn (1)."`
-	Churn       *float64 `placeholder:"X"            help:"Machines are replaced at X times the target's daily rate (0: none)."`
-	Fault       []string `placeholder:"KIND@SECONDS" help:"A failure on schedule: leader, rack or zone."`
-	Break       *string  `placeholder:"KIND"         help:"A fault of the stand-ins on purpose, so that a check has to fail: twice."`
-	Program     *string  `placeholder:"FILE"         help:"A controller that is built already; by default it is built here."`
+	Seconds     *int     `placeholder:"S"            help:"Seconds to measure, once all workers are connected (40)."`
+	Starts      *float64 `placeholder:"P"            help:"Requested task starts a second (a fortieth of the workers)."               name:"starts-per-second"`
+	Teams       *int     `placeholder:"N"            help:"Teams with quotas (140)."`
+	Seed        *uint64  `placeholder:"N"            help:"Seed of the random choices (1)."`
+	Churn       *float64 `placeholder:"X"            help:"Replace machines at X times the target's daily rate (0: none)."`
+	Fault       []string `placeholder:"KIND@SECONDS" help:"A scheduled fault: leader, rack or zone."`
+	Break       *string  `placeholder:"KIND"         help:"A deliberate fault of the stand-ins that the checks must detect: twice."`
+	Program     *string  `placeholder:"FILE"         help:"The controller to run; it is built by default."`
 	Operator    *string  `placeholder:"FILE"         help:"The operators' settings of all controllers (deploy/run.xml)."`
-	Profile     *string  `placeholder:"DIR"          help:"Write the controllers' processor profiles there."`
-	Logs        *string  `placeholder:"DIR"          help:"Keep the controllers' logs there."`
-	JSON        bool     `                           help:"Only the result, as one JSON object."`
+	Profile     *string  `placeholder:"DIR"          help:"Where to write the controllers' CPU profiles."`
+	Logs        *string  `placeholder:"DIR"          help:"Where to keep the controllers' logs."`
+	JSON        bool     `                           help:"Print only the result, as one JSON object."`
 }
 
-var errScaleFailed = errors.New("a rule was broken, a controller ended by itself, or nothing was started")
+var errScaleFailed = errors.New("an invariant is violated, a controller ended by itself, or no task started")
 
-// Help tells what a run is.
+// Help returns the detailed help.
 func (*scaleCmd) Help() string {
-	return `Plays real controllers, which it builds and starts as processes, against stand-ins for the state service, the
+	return `Runs real controllers, which it builds and starts as processes, against stand-ins for the state service, the
 cloud and the users on loopback addresses, and against hollow workers: these speak the whole worker protocol (leases,
-sessions, tokens, gangs, images as delays) and do no work. First the fleet comes up and services are placed on it; then
-jobs arrive at the rate that is asked for, and what everything costs is measured. It holds what happens against the rules.
+epochs, fencing tokens, gangs, image fetches as delays) and run nothing. First all workers connect and services are
+placed on them; then jobs arrive at the requested rate, and the load is measured. The invariants are checked all along.
 
-What it takes of the machine is worked out before anything is started, and refused if the machine does not have it.
-The last line is one JSON object; docs/rehearse.md tells what its fields mean. All that it starts ends with it.`
+The resources that a run needs are estimated before anything starts, and the run is refused if the machine lacks them.
+The last line is one JSON object; docs/clustersim.md describes its fields. All processes end with the run.`
 }
 
-// buildPlan puts the defaults, the plan's file and the flags together.
+// buildPlan combines the defaults, the plan's file and the flags.
 func (c *scaleCmd) buildPlan() (scale.Plan, error) {
 	p := scale.DefaultPlan()
 	if c.Plan != "" {
@@ -71,22 +70,23 @@
 		p.Mutation = scale.Mutation(*c.Break)
 	}
 	for _, text := range c.Fault {
-		f, err := scale.ParseFault(text)
+		fault, err := scale.ParseFault(text)
 		if err != nil {
 			return p, err
 		}
-		p.Faults = append(p.Faults, f)
+		p.Faults = append(p.Faults, fault)
 	}
 	return p, nil
 }
 
-func override[T any](to *T, flag *T) {
+// override sets a value from a flag that is given.
+func override[T any](value *T, flag *T) {
 	if flag != nil {
-		*to = *flag
+		*value = *flag
 	}
 }
 
-// Run plays the plan and prints what was measured.
+// Run simulates the plan and prints what was measured.
 func (c *scaleCmd) Run() error {
 	p, err := c.buildPlan()
 	if err != nil {
@@ -94,74 +94,70 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	say := func(format string, args ...any) { fmt.Fprintf(os.Stderr, "scale: "+format+"\n", args...) }
-	if c.JSON && !isTerminal(os.Stderr) {
-		say = func(string, ...any) {}
-	}
-	r, err := scale.Run(ctx, p, say)
+	r, err := scale.Run(ctx, p, c.progress())
 	if err != nil {
 		return err
 	}
 	if !c.JSON {
 		printScale(r)
 	}
-	if err := json.NewEncoder(os.Stdout).Encode(r); err != nil {
-		return err
-	}
-	if !r.Good() {
-		return errScaleFailed
+	return printResult(r, r.Good(), errScaleFailed)
+}
+
+// progress returns the function that prints what a run is doing. With --json it prints only to a terminal.
+func (c *scaleCmd) progress() func(format string, args ...any) {
+	if c.JSON && !isTerminal(os.Stderr) {
+		return func(string, ...any) {}
 	}
-	return nil
+	return func(format string, args ...any) { fmt.Fprintf(os.Stderr, "scale: "+format+"\n", args...) }
 }
 
-// isTerminal tells whether somebody looks on.
+// isTerminal reports whether a file is a terminal.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
+// maxPrintedViolations is how many violations are printed one by one.
+const maxPrintedViolations = 10
+
 // printScale prints a result for people.
 func printScale(r *scale.Result) {
 	fmt.Printf("%d hollow workers in %d regions, real controllers, %.0f s:\n", r.Workers, r.Regions, r.Seconds)
-	fmt.Printf(
-		"  starts       %.1f/s of %.1f/s asked for; urgent tasks start after %d ms (p50), %d ms (p99); other jobs %d, %d ms\n",
-		r.Starts,
-		r.RequestedStarts,
-		r.UrgentP50,
-		r.UrgentP99,
-		r.OthersP50,
-		r.OthersP99,
-	)
-	fmt.Printf(
-		"  reports      %.1f/s; round trip %.1f ms (p50), %.1f ms (p99); %.3f%% later than 4 s; %d leases ran out\n",
-		r.Heartbeats,
-		r.HeartbeatP50,
-		r.HeartbeatP99,
-		100*r.LateHeartbeatShare,
-		r.LeaseExpiries,
-	)
-	fmt.Printf(
-		"  leader       %.2f of a core, %.0f MB, %d open files; its loop was held for %.0f ms at the longest (%s)\n",
-		r.LeaderCores,
-		r.LeaderMB,
-		r.LeaderSockets,
-		r.LongestHoldMs,
-		r.LongestHoldBy,
-	)
+	printLatencies(r)
+	printLoad(r)
+	printViolations(r)
+}
+
+// printLatencies prints how fast tasks started and heartbeats were answered.
+func printLatencies(r *scale.Result) {
+	fmt.Printf("  starts       %.1f/s of %.1f/s asked for; ", r.Starts, r.RequestedStarts)
+	fmt.Printf("urgent tasks start after %d ms (p50), %d ms (p99); ", r.UrgentP50, r.UrgentP99)
+	fmt.Printf("other jobs %d, %d ms\n", r.OthersP50, r.OthersP99)
+	fmt.Printf("  reports      %.1f/s; ", r.Heartbeats)
+	fmt.Printf("round trip %.1f ms (p50), %.1f ms (p99); ", r.HeartbeatP50, r.HeartbeatP99)
+	fmt.Printf("%.3f%% later than 4 s; %d leases ran out\n", 100*r.LateHeartbeatShare, r.LeaseExpiries)
+}
+
+// printLoad prints the load on each role.
+func printLoad(r *scale.Result) {
+	fmt.Printf("  leader       %.2f of a core, %.0f MB, %d open files; ", r.LeaderCores, r.LeaderMB, r.LeaderSockets)
+	fmt.Printf("its loop was held for %.0f ms at the longest (%s)\n", r.LongestHoldMs, r.LongestHoldBy)
 	fmt.Printf("  members      %.3f of a core, %.0f MB, %d open files\n", r.MemberCores, r.MemberMB, r.MemberSockets)
 	fmt.Printf("  state        %.1f requests/s, %.1f changes/s\n", r.StateRPS, r.StateWrites)
 	fmt.Printf("  worker       %.0f bytes/s each\n", r.WorkerBytes)
-	fmt.Printf(
-		"  stand-ins    %.2f cores, %.0f MB (hollow workers, state service, cloud and users in one process)\n",
-		r.StandInCores,
-		r.StandInMB,
-	)
+	fmt.Printf("  stand-ins    %.2f cores, %.0f MB ", r.StandInCores, r.StandInMB)
+	fmt.Print("(hollow workers, state service, cloud and users in one process)\n")
+}
+
+// printViolations prints the first violations and how many there are.
+func printViolations(r *scale.Result) {
 	fmt.Printf("  rules        %d broken; %d controllers ended by themselves\n", len(r.Violations), r.EndedProcesses)
-	for i, b := range r.Violations {
-		if i == 10 {
+	for i, violation := range r.Violations {
+		if i == maxPrintedViolations {
 			fmt.Printf("               and %d more\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Printf("               %s\n", b)
+		fmt.Printf("               %s\n", violation)
 	}
 }
