--- a/internal/reconciler/core.go
+++ b/internal/reconciler/core.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/model"
+	"github.com/glentiller/glentiller/internal/record"
 )
 
 // Core is the picture and the decisions of one leader, for one fencing token. It is discarded when the leadership
@@ -56,7 +57,7 @@
 
 // New makes the Core of a leader that has just taken over.
 func New(
-	now time.Time, settings Settings, token uint64, snapshot *Snapshot, types []model.MachineType, log *slog.Logger,
+	now time.Time, settings Settings, token uint64, snapshot *record.Snapshot, types []model.MachineType, log *slog.Logger,
 ) *Core {
 	c := &Core{
 		settings:        settings,
@@ -142,7 +143,6 @@
 		c.statusAt = now.Add(statusInterval)
 	}
 	if c.passes.due(now, c.settings.PassInterval) {
-		c.passes.ran = true
 		c.runPass(now)
 	}
 	if c.finished.due(now) {
@@ -179,10 +179,9 @@
 
 // PauseStarts says whether tasks may be started: docs/safety.md, "Promises for longer". What runs goes on.
 func (c *Core) PauseStarts(paused bool) {
-	if c.passes.startsPaused != paused {
+	if c.passes.pauseStarts(paused) {
 		c.log.Info("task starts paused", "paused", paused, "fencing_token", c.fencingToken)
 	}
-	c.passes.startsPaused = paused
 }
 
 // Resume says that the leader may act again after a time without a valid leadership lease. Workers could not send
--- a/internal/reconciler/dependencies.go
+++ b/internal/reconciler/dependencies.go
@@ -54,7 +54,7 @@
 	for _, end := range event.Ends {
 		if end.Outcome != model.OutcomeUnknown && c.jobs[end.ID] == nil {
 			found++
-			c.endJob(now, end)
+			c.endJob(now, JobEnded(end))
 		}
 	}
 	if found == 0 {
@@ -71,7 +71,7 @@
 	}
 	c.dequeue(job)
 	c.enqueue(job)
-	c.passes.needed = true
+	c.passes.request()
 	c.log.Info("job dependencies done", "id", node.ID, "class", job.Spec.Class, "last", node.DecidedBy,
 		"after", now.Sub(job.SubmittedAt))
 }
