--- a/internal/clustersim/electionsim/cluster.go
+++ b/internal/clustersim/electionsim/cluster.go
@@ -39,7 +39,7 @@
 }
 
 // cluster is one state of the simulated deployment: its members, the network between them and the state
-// service. A cluster is stepped once and then only cloned.
+// service. The explorer steps a clone, so that a visited state stays as it is.
 type cluster struct {
 	now        time.Time
 	members    []member
@@ -49,7 +49,7 @@
 	trace      string // the faults so far
 
 	highestToken uint64 // the highest fencing token with which a member was allowed to act
-	fault        fault  // of the second that is played
+	fault        fault  // of the second that is simulated
 
 	settings *Settings
 	result   *Result // counts the claims
@@ -103,7 +103,7 @@
 	c.members[i].incarnation++
 }
 
-// clone returns an independent copy.
+// clone returns an independent copy. The queue is empty between steps.
 func (c *cluster) clone() *cluster {
 	out := *c
 	out.members = slices.Clone(c.members)
@@ -157,7 +157,7 @@
 	return b
 }
 
-// step plays one second with a fault in it: leases expire, the fault begins, messages arrive, and each member
+// step simulates one second with a fault in it: leases expire, the fault begins, messages arrive, and each member
 // gets a tick.
 func (c *cluster) step(f fault) {
 	c.now = c.now.Add(time.Second)
--- a/internal/clustersim/electionsim/simulation.go
+++ b/internal/clustersim/electionsim/simulation.go
@@ -3,7 +3,7 @@
 // bounded number of faults allows, and reports the first course on which two members may act at once, or one
 // with an outdated fencing token.
 //
-// Run explores breadth first: in each state it plays every fault that is possible in the next second, checks
+// Run explores breadth first: in each state it simulates every fault that is possible in the next second, checks
 // the invariants, and goes on from the states that it has not seen before. It draws nothing at random.
 package electionsim
 
