--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -208,6 +208,16 @@
 	return !identifier.MatchString(name) && c.contains(name)
 }
 
+// isText tells whether a text of the code is this, or this and details behind a colon.
+func (c *code) isText(name string) bool {
+	for _, text := range c.literals {
+		if text == name || strings.HasPrefix(text, name+":") {
+			return true
+		}
+	}
+	return false
+}
+
 // contains tells whether a text of the code contains a name.
 func (c *code) contains(name string) bool {
 	for _, text := range c.literals {
@@ -302,9 +312,33 @@
 	}
 }
 
+// Log messages and their attributes stand in the first column of the tables of messages.
+func TestLogMessagesInPagesExistInTheCode(t *testing.T) {
+	c := readCode(t)
+	found := 0
+	for _, page := range files(t, ".md") {
+		for _, table := range strings.Split(read(t, page), "\n| message | meaning |\n")[1:] {
+			table, _, _ = strings.Cut(table, "\n\n")
+			for _, row := range strings.Split(table, "\n")[1:] {
+				first, _, _ := strings.Cut(strings.TrimPrefix(row, "|"), "|")
+				for _, m := range codeSpan.FindAllStringSubmatch(first, -1) {
+					found++
+					if name, _, _ := strings.Cut(m[1], "="); !c.isText(name) {
+						t.Errorf("%s: got the log message or attribute `%s`, want one of the code", page, name)
+					}
+				}
+			}
+		}
+	}
+	if found < 60 {
+		t.Errorf("got %d messages and attributes, want the 60 and more that there were", found)
+	}
+}
+
 var (
-	testName = regexp.MustCompile(`(?m)^func ((?:Test|Benchmark|Fuzz)\w+)`)
-	longName = regexp.MustCompile(`^(?:[A-Z]\w{7,}|\w+\.[A-Z]\w*(?:\.\w+)*)$`)
+	testName  = regexp.MustCompile(`(?m)^func ((?:Test|Benchmark|Fuzz)\w+)`)
+	shortPath = regexp.MustCompile(`^\w+/\w+\.go$`)
+	longName  = regexp.MustCompile(`^(?:[A-Z]\w{7,}|\w+\.[A-Z]\w*(?:\.\w+)*)$`)
 )
 
 // Names of types, functions and tests in the other pages; tests may stand there without their Test.
@@ -323,6 +357,9 @@
 			if longName.MatchString(m[1]) && !c.has(m[1]) && !c.contains(m[1]) {
 				t.Errorf("%s: got `%s`, want a name that is in the code", page, m[1])
 			}
+			if shortPath.MatchString(m[1]) && !c.has(m[1]) && !exists(filepath.Join(root, "internal", m[1])) {
+				t.Errorf("%s: got `%s`, want a file of the repository or below internal", page, m[1])
+			}
 		}
 	}
 }
