--- a/internal/fake/scenario_helpers_test.go
+++ b/internal/fake/scenario_helpers_test.go
@@ -73,7 +73,7 @@
 	deployment := &platform.Deployment
 	deployment.Zones = []string{"a", "b"}
 	workers := &deployment.Workers
-	workers.Report, workers.Lease, workers.GangWait, workers.GangPeer, workers.Cancel = 2, 12, 20, 5, 30
+	workers.Heartbeat, workers.Lease, workers.GangWait, workers.GangPeer, workers.Cancel = 2, 12, 20, 5, 30
 	deployment.State.ValueKB, deployment.State.TxnOps = 8, 12
 	deployment.Cloud.ListLag = 5
 	operator := config.Defaults()
