--- a/internal/clustersim/scale/faults.go
+++ b/internal/clustersim/scale/faults.go
@@ -13,7 +13,7 @@
 
 const terminate = syscall.SIGTERM
 
-// What the target says of machines that come and go: in a day, of so many.
+// The churn of the target fleet: machines that fail and that are replaced in a day, of targetWorkers.
 const (
 	targetWorkers  = 21_000
 	targetFailed   = 420
@@ -24,10 +24,10 @@
 	rackMachines = 40
 	rackHangTime = 20 * time.Second // less than a lease
 	zoneHangTime = 45 * time.Second // longer than a lease
-	restartDelay = 5 * time.Second  // a machine that is replaced, and a controller that ended
+	restartDelay = 5 * time.Second  // of a replaced machine, and of a controller that crashed
 )
 
-// faultInjector plays failures.
+// faultInjector injects failures.
 type faultInjector struct {
 	plan    *Plan
 	regions []*region
@@ -35,7 +35,7 @@
 	random  *rand.Rand
 }
 
-// run plays the plan's failures until the context ends; what is measured begins now.
+// run injects the plan's failures until the context ends, on a schedule that begins now.
 func (f *faultInjector) run(ctx context.Context) {
 	began := time.Now()
 	schedule := slices.SortedFunc(
@@ -47,14 +47,14 @@
 		if ctx.Err() != nil {
 			return
 		}
-		r := f.regions[f.random.IntN(len(f.regions))]
+		region := f.regions[f.random.IntN(len(f.regions))]
 		switch fault.Kind {
 		case LeaderCrash:
-			f.crashController(ctx, r.leader())
+			f.crashController(ctx, region.leader())
 		case RackHang:
-			f.hang(ctx, f.rack(r), rackHangTime)
+			f.hang(ctx, f.rack(region), rackHangTime)
 		case ZoneOutage:
-			f.failZone(ctx, r, r.zones[f.random.IntN(len(r.zones))])
+			f.failZone(ctx, region, region.zones[f.random.IntN(len(region.zones))])
 		}
 	}
 }
@@ -73,42 +73,42 @@
 	}
 }
 
-// replace ends a machine; it is back after a while with nothing on it, by the same name.
-func (f *faultInjector) replace(ctx context.Context, r *region) {
+// replace ends a machine. It is back after a delay by the same name, without tasks.
+func (f *faultInjector) replace(ctx context.Context, region *region) {
 	w := f.workers
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, h := range w.byRegion[r] {
-		l := h.listed()
+	for _, h := range w.byRegion[region] {
+		machine := h.listed()
 		w.remove(h)
 		go func() {
 			sleep(ctx, restartDelay)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if ctx.Err() == nil && w.byName[l.Name] == nil {
-				w.add(r, l)
+			if ctx.Err() == nil && w.byName[machine.Name] == nil {
+				w.add(region, machine)
 			}
 		}()
 		return
 	}
 }
 
-// rack chooses the machines of a rack: neighbours by name in one zone.
-func (f *faultInjector) rack(r *region) []*hollowWorker {
+// rack chooses the machines of a rack: neighbors by name in one zone.
+func (f *faultInjector) rack(region *region) []*hollowWorker {
 	w := f.workers
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	zone := r.zones[f.random.IntN(len(r.zones))]
+	zone := region.zones[f.random.IntN(len(region.zones))]
 	var out []*hollowWorker
-	for _, name := range slices.Sorted(maps.Keys(w.byRegion[r])) {
-		if h := w.byRegion[r][name]; h.worker.Zone == zone && len(out) < rackMachines {
+	for _, name := range slices.Sorted(maps.Keys(w.byRegion[region])) {
+		if h := w.byRegion[region][name]; h.worker.Zone == zone && len(out) < rackMachines {
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-// hang has machines stand still for some time.
+// hang has machines hang for some time.
 func (f *faultInjector) hang(ctx context.Context, machines []*hollowWorker, d time.Duration) {
 	set := func(hung bool) {
 		f.workers.mu.Lock()
@@ -124,25 +124,25 @@
 	}()
 }
 
-// failZone has all machines of a zone stand still and ends its controllers.
-func (f *faultInjector) failZone(ctx context.Context, r *region, zone string) {
+// failZone has all machines of a zone hang and crashes its controllers.
+func (f *faultInjector) failZone(ctx context.Context, region *region, zone string) {
 	f.workers.mu.Lock()
 	var machines []*hollowWorker
-	for _, h := range f.workers.byRegion[r] {
+	for _, h := range f.workers.byRegion[region] {
 		if h.worker.Zone == zone {
 			machines = append(machines, h)
 		}
 	}
 	f.workers.mu.Unlock()
 	f.hang(ctx, machines, zoneHangTime)
-	for _, c := range r.controllers {
+	for _, c := range region.controllers {
 		if c.zone == zone {
 			f.crashController(ctx, c)
 		}
 	}
 }
 
-// crashController ends a controller without a word and starts it again after a while.
+// crashController kills a controller and starts it again after a delay.
 func (f *faultInjector) crashController(ctx context.Context, c *controller) {
 	if c == nil {
 		return
@@ -151,20 +151,20 @@
 	go func() {
 		sleep(ctx, restartDelay)
 		if ctx.Err() == nil {
-			_ = c.start() // one that does not start again counts as ended
+			_ = c.start() // a controller that does not start counts as crashed
 		}
 	}()
 }
 
-// initialMachines makes the machines that a region has at the start.
-func initialMachines(r *region, w *workers, count int) []model.MachineInfo {
+// initialMachines are the machines that a region has at the start.
+func initialMachines(region *region, w *workers, count int) []model.MachineInfo {
 	out := make([]model.MachineInfo, count)
 	for i := range out {
 		out[i] = model.MachineInfo{
-			Name: r.cloud.cloud.NextName(),
+			Name: region.cloud.cloud.NextName(),
 			Addr: w.nextAddress(),
 			Type: machineTypeAt(i),
-			Zone: r.zones[(i/gpuShare+i)%len(r.zones)],
+			Zone: region.zones[(i/gpuShare+i)%len(region.zones)],
 		}
 	}
 	return out
--- a/internal/clustersim/scale/needs.go
+++ b/internal/clustersim/scale/needs.go
@@ -9,34 +9,35 @@
 	"syscall"
 )
 
-// Requirements is what a run takes of the machine, worked out before anything is started.
+// Requirements are what a run takes of the machine, estimated before anything is started.
 type Requirements struct {
-	MemoryMB  int // of all processes, with the kernel's part of their sockets
+	MemoryMB  int // of all processes, with the kernel's memory for their sockets
 	Files     int // of this process
 	Processes int
 }
 
-// What runs were seen to hold, with a reserve.
+// What runs were measured to hold, with a reserve.
 const (
 	baseMB         = 400 // this process without workers
 	workerKB       = 70  // a hollow worker with its sockets
 	controllerMB   = 60  // a controller without workers
-	leaderKB       = 110 // a leader's picture, sockets and buffers for each worker
+	leaderKB       = 110 // a leader's state, sockets and buffers for each worker
 	ownFiles       = 200 // this process without workers
-	controllerFree = 64  // a controller's files that are no connections
+	filesForEach   = 64  // this process for each controller
+	controllerFree = 64  // a controller's files that are not connections
 )
 
-// requirements works out what a plan takes.
+// requirements estimates what a plan takes.
 func (p *Plan) requirements() Requirements {
 	controllers := p.Regions * p.Controllers
 	memory := baseMB + controllers*controllerMB + p.Workers*(workerKB+leaderKB)/1024
 	// A worker has one connection to a controller. Controllers' direct commands come in on others, of which a
 	// leader's budget allows a sixth of its connections.
-	files := ownFiles + p.Workers + p.Regions*p.maxConnections()/6 + 64*controllers
+	files := ownFiles + p.Workers + p.Regions*p.maxConnections()/6 + filesForEach*controllers
 	return Requirements{MemoryMB: memory, Files: files, Processes: controllers + 1}
 }
 
-// maxConnections is how many a controller may hold by its settings.
+// maxConnections is how many connections a controller may hold by its settings.
 func (p *Plan) maxConnections() int {
 	want := p.Workers/p.Regions*3/2 + 400
 	if limit, err := fileLimit(); err == nil {
@@ -55,9 +56,10 @@
 	return int(min(l.Max, 1<<30)), nil
 }
 
+// maxProcesses is how many processes a run may start.
 const maxProcesses = 200
 
-// Check refuses what the machine does not have.
+// Check returns what the machine does not have.
 func (n Requirements) Check() error {
 	var errs []error
 	total, available, err := memory()
--- a/internal/clustersim/scale/plan.go
+++ b/internal/clustersim/scale/plan.go
@@ -1,6 +1,7 @@
-// Package scale plays real controllers at a fleet's size: the built program as processes, stand-ins for the state
-// service, the cloud and the users over loopback sockets, and hollow workers, which speak the whole worker protocol
-// and do no work. Everything it measures of machines is of hollow ones.
+// Package scale load-tests real controllers at a fleet's size: the built program as processes, stand-ins for the state
+// service, the cloud and the users on loopback sockets, and hollow workers, which speak the whole worker protocol and
+// do no work. All machines that it measures are hollow. A Plan says what a run simulates; Run checks what the run
+// requires of the machine, carries it out and returns the measurements.
 package scale
 
 import (
@@ -16,7 +17,7 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Plan is what a run plays. Regions are deployments of their own, each with its state service, cloud, users and
+// Plan is what a run simulates. Regions are deployments of their own, each with its state service, cloud, users and
 // controllers; zones and controllers are counted in each region, workers over all.
 type Plan struct {
 	Workers     int      `toml:"workers"`
@@ -24,44 +25,45 @@
 	Zones       int      `toml:"zones"`
 	Controllers int      `toml:"controllers"`
 	Seconds     int      `toml:"seconds"`           // that are measured, after the fleet has come up
-	Starts      float64  `toml:"starts_per_second"` // of tasks that are asked for; 0: a fortieth of the workers
+	Starts      float64  `toml:"starts_per_second"` // requested task starts; 0: a fortieth of the workers
 	Teams       int      `toml:"teams"`
 	Seed        uint64   `toml:"seed"`
 	Churn       float64  `toml:"churn"`    // machines that fail or are replaced, as a multiple of the target's daily rate
 	Faults      []Fault  `toml:"fault"`    // on a schedule
-	Mutation    Mutation `toml:"break"`    // a fault of the stand-ins on purpose, to show that the checks can fail
-	Program     string   `toml:"program"`  // the built controller; "": it is built
+	Mutation    Mutation `toml:"break"`    // a deliberate fault of the stand-ins, to show that the checks can fail
+	Program     string   `toml:"program"`  // the built controller; "": the run builds it
 	Operator    string   `toml:"operator"` // the operators' settings of all controllers
 	Profile     string   `toml:"profile"`  // a folder for the controllers' processor profiles; "": none
-	Logs        string   `toml:"logs"`     // a folder for the controllers' logs; "": they are not kept
+	Logs        string   `toml:"logs"`     // a folder for the controllers' logs; "": none
 }
 
-// Fault is one failure on a schedule.
+// Fault is one scheduled failure.
 type Fault struct {
 	Kind FaultKind `toml:"kind"`
-	At   float64   `toml:"at_s"` // seconds from the beginning of what is measured
+	At   float64   `toml:"at_s"` // seconds from the beginning of the measurement
 }
 
 // FaultKind is what fails.
 type FaultKind string
 
-// The kinds of failures: the leader ends, or machines hang, those of a rack or of a zone with its controllers.
+// The kinds of failures: the leader crashes, or machines hang: those of a rack, or those of a zone, whose controllers
+// crash too.
 const (
 	LeaderCrash FaultKind = "leader"
 	RackHang    FaultKind = "rack"
 	ZoneOutage  FaultKind = "zone"
 )
 
-// Mutation is a fault of the stand-ins on purpose.
+// Mutation is a deliberate fault of the stand-ins.
 type Mutation string
 
-// The faults on purpose.
+// The deliberate faults.
 const (
 	NoMutation  Mutation = ""
-	LaunchTwice Mutation = "twice" // a launch is carried out by another worker too
+	LaunchTwice Mutation = "twice" // another worker carries launches out too
 )
 
-// DefaultPlan is what a run plays where nothing else is said.
+// DefaultPlan is the plan of a run without any setting.
 func DefaultPlan() Plan {
 	return Plan{
 		Workers:     1000,
@@ -81,7 +83,7 @@
 	if err != nil {
 		return p, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	d := toml.NewDecoder(f)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&p); err != nil {
@@ -113,7 +115,7 @@
 	maxFaults      = 100
 )
 
-// Check tells what is wrong with a plan.
+// Check returns what is wrong with a plan.
 func (p *Plan) Check() error {
 	var errs []error
 	within := func(name string, v, low, high float64) {
@@ -145,7 +147,7 @@
 	return errors.Join(errs...)
 }
 
-// startRate is how many task starts a second are asked for.
+// startRate is the requested number of task starts a second.
 func (p *Plan) startRate() float64 {
 	if p.Starts > 0 {
 		return p.Starts
@@ -153,7 +155,7 @@
 	return float64(p.Workers) / workersPerStart
 }
 
-// workersPerStart is how many workers there are for each start a second where the plan says nothing.
+// workersPerStart is the number of workers for each requested start a second where the plan does not say.
 const workersPerStart = 40
 
 // What the published settings of a run's deployments say.
@@ -171,15 +173,23 @@
 	cloudRPS          = 10
 )
 
+// The streams of random numbers that a plan's seed gives.
+const (
+	workerStream = 1
+	userStream   = 2
+	jobStream    = 3
+	faultStream  = 4
+)
+
 // How long things take on hollow workers.
 const (
 	fetchTime         = 200 * time.Millisecond
-	meanTaskTime      = 6 * time.Second // run time of an array's or a gang's task in the mean
+	meanTaskTime      = 6 * time.Second // mean run time of a task of an array or gang
 	bootTime          = 10 * time.Second
 	replicasPerWorker = 0.5 // service replicas for each worker
 )
 
-// The two types of machines: one in gpuShare has accelerators.
+// The two types of machines: one in gpuShare has GPUs.
 const (
 	plainType = "plain-8"
 	gpuType   = "gpu-16"
@@ -187,7 +197,7 @@
 	gpuCards  = 8
 )
 
-// machineTypes are the cloud's.
+// machineTypes are the types that the cloud offers.
 func machineTypes(zones []string) []model.MachineType {
 	return []model.MachineType{
 		{
@@ -213,7 +223,7 @@
 	}
 }
 
-// machineTypeAt is the type of the machine with a number.
+// machineTypeAt is the type of the machine with an index.
 func machineTypeAt(i int) string {
 	if i%gpuShare == 0 {
 		return gpuType
@@ -221,11 +231,11 @@
 	return plainType
 }
 
-// largestGang is the largest gang that is submitted.
+// largestGang bounds the tasks of a gang.
 const largestGang = 256
 
-// teams are the teams of one of several regions: each region has its part of every limit, so that all regions
-// together stay within it whatever they know of each other.
+// teams are the teams of one region. Each region has its share of every quota, so that all regions together stay within
+// it without knowing of each other.
 func (p *Plan) teams() []model.Team {
 	workers := float64(p.Workers) / float64(p.Regions)
 	mean := workers * 9 / float64(p.Teams) // CPUs for each team
--- a/internal/clustersim/scale/process.go
+++ b/internal/clustersim/scale/process.go
@@ -17,7 +17,7 @@
 // controller is one process of the built program.
 type controller struct {
 	name, zone         string
-	httpAddr, peerAddr string // addresses
+	httpAddr, peerAddr string
 	program            string
 	args               []string
 	logPath            string
@@ -25,8 +25,8 @@
 	mu            sync.Mutex
 	cmd           *exec.Cmd
 	ended         chan struct{}
-	stopRequested bool // to end, by this run
-	crashReported bool // an end that this run did not ask for was told
+	stopRequested bool // this run has asked the process to stop
+	crashReported bool // a crash was counted
 }
 
 // start starts the process.
@@ -35,15 +35,15 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }() // the process has its own copy
 	cmd, ended := exec.Command(c.program, c.args...), make(chan struct{})
 	cmd.Stderr = log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it never outlives this run
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it ends with this run
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("controller %s: %w", c.name, err)
 	}
 	go func() {
-		_ = cmd.Wait() // whether it was asked to end is what counts
+		_ = cmd.Wait() // how it ended does not matter, but whether it was asked to
 		close(ended)
 	}()
 	c.mu.Lock()
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// stop ends the process, in order if it does so soon.
+// stop sends the process a signal, and kills it if it does not end soon.
 func (c *controller) stop(signal syscall.Signal) {
 	c.mu.Lock()
 	cmd, ended := c.cmd, c.ended
@@ -72,7 +72,7 @@
 
 const stopTimeout = 5 * time.Second
 
-// process is the running process's number, and whether the process has ended without being asked to.
+// process is the process's number, and whether it has ended without being asked to.
 func (c *controller) process() (pid int, crashed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// reportCrash is true once, for an end that nobody asked for.
+// reportCrash is true once.
 func (c *controller) reportCrash() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +100,7 @@
 	sockets int
 }
 
-// clockTicks is the kernel's unit of processor time a second on Linux.
+// clockTicks is how many units of processor time Linux counts in a second.
 const clockTicks = 100
 
 // usageOf reads what a process has used and holds.
@@ -126,7 +126,7 @@
 	return u, err
 }
 
-// hold is one of a controller's log lines on what held its loop longest.
+// hold is what held a controller's event loop longest, by one of its log lines.
 type hold struct {
 	took time.Duration
 	by   string
@@ -134,14 +134,14 @@
 
 var holdLine = regexp.MustCompile(`msg=loop .*longest_hold=(\S+) by=("[^"]*"|\S+)(?: event=("[^"]*"|\S+))?`)
 
-// longestHold reads what held a controller's loop longest from a place in its log on.
+// longestHold reads what held a controller's event loop longest from an offset in its log on.
 func (c *controller) longestHold(from int64) (hold, error) {
 	var longest hold
 	f, err := os.Open(c.logPath)
 	if err != nil {
 		return longest, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	if _, err := f.Seek(from, 0); err != nil {
 		return longest, err
 	}
@@ -158,7 +158,7 @@
 	return longest, lines.Err()
 }
 
-// logSize is how long the controller's log is by now.
+// logSize is the size of the controller's log; 0: it has none.
 func (c *controller) logSize() int64 {
 	info, err := os.Stat(c.logPath)
 	if err != nil {
--- a/internal/clustersim/scale/region.go
+++ b/internal/clustersim/scale/region.go
@@ -25,8 +25,8 @@
 	clients     []*userClient
 }
 
-// newRegion makes a region's stand-ins and the settings of its controllers. Nothing is started yet but listeners.
-func newRegion(p *Plan, number int, dir, program string, f *workers) (*region, error) {
+// newRegion starts a region's stand-ins and writes the settings of its controllers.
+func newRegion(p *Plan, number int, dir, program string, workers *workers) (*region, error) {
 	r := &region{name: fmt.Sprintf("region-%d", number), number: number}
 	for z := range p.Zones {
 		r.zones = append(r.zones, fmt.Sprintf("%s-%c", r.name, 'a'+z))
@@ -35,7 +35,7 @@
 	if r.state, err = newStateServer(r.address(1)); err != nil {
 		return nil, err
 	}
-	if r.cloud, err = newCloudServer(r.address(2), r, f); err != nil {
+	if r.cloud, err = newCloudServer(r.address(2), r, workers); err != nil {
 		return nil, err
 	}
 	return r, r.writeSettings(p, dir, program)
@@ -47,13 +47,13 @@
 // close ends the region's stand-ins.
 func (r *region) close() { _ = errors.Join(r.state.close(), r.cloud.close()) }
 
-// freePort finds a port that is free on an address.
+// freePort finds a port that is free on an address. Another process may take it before it is used.
 func freePort(addr string) (string, error) {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return "", err
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }() // it was only to find the port
 	return l.Addr().String(), nil
 }
 
@@ -61,12 +61,12 @@
 func (r *region) writeSettings(p *Plan, dir, program string) error {
 	for i := range p.Controllers {
 		c := &controller{name: fmt.Sprintf("%s-%d", r.name, i), zone: r.zones[i%len(r.zones)], program: program}
-		for _, to := range []*string{&c.httpAddr, &c.peerAddr} {
+		for _, target := range []*string{&c.httpAddr, &c.peerAddr} {
 			addr, err := freePort(r.address(10 + i))
 			if err != nil {
 				return err
 			}
-			*to = addr
+			*target = addr
 		}
 		c.logPath = filepath.Join(dir, c.name+".log")
 		path := filepath.Join(dir, c.name+".toml")
@@ -125,9 +125,10 @@
 	return b.String()
 }
 
-// controllerMemory is the memory of a control machine by its settings, in MB.
+// controllerMemory is the memory of a controller's machine by its settings, in MB.
 func (p *Plan) controllerMemory() int { return max(512, p.Workers/p.Regions/8) }
 
+// quoted lists strings in the form of TOML.
 func quoted(list []string) string {
 	out := make([]string, len(list))
 	for i, s := range list {
@@ -157,7 +158,7 @@
 	return nil
 }
 
-// stop ends all controllers, all at once.
+// stop stops all controllers at the same time.
 func (r *region) stop() {
 	var all sync.WaitGroup
 	for _, c := range r.controllers {
@@ -166,14 +167,14 @@
 	all.Wait()
 }
 
-// preload puts the region's machines on record with the state service, as a leader before would have.
+// preload puts the region's machines on record with the state service, as an earlier leader would have.
 func (r *region) preload(machines []model.MachineInfo) {
-	for _, l := range machines {
-		r.state.preload(l)
+	for _, machine := range machines {
+		r.state.preload(machine)
 	}
 }
 
-// newFleet makes the stand-in workers of all regions together: limits hold over all of them.
+// newFleet makes the stand-in workers of all regions: quotas hold over all of them together.
 func newFleet(p *Plan) *fake.Fleet {
 	teams := p.teams()
 	for i := range teams {
--- a/internal/clustersim/scale/run.go
+++ b/internal/clustersim/scale/run.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// run is a run under way.
+// run is a simulation under way.
 type run struct {
 	plan      Plan
 	logf      func(format string, args ...any)
@@ -27,46 +27,43 @@
 	peak      peaks
 }
 
-// peaks are the most that processes were seen to hold while it was measured.
-type peaks struct {
-	total, leader, member, standIns  float64 // MB
-	leaderSockets, memberSockets     int
-	leaderCPU, memberCPU, standInCPU time.Duration
-}
-
-// Run plays a plan. say tells how it goes on. What it starts ends with it, also where the context ends.
-func Run(ctx context.Context, p Plan, say func(format string, args ...any)) (*Result, error) {
+// Run simulates a plan and reports its progress to logf. All that it starts ends with it, also where the context ends.
+func Run(ctx context.Context, p Plan, logf func(format string, args ...any)) (*Result, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	need := p.requirements()
-	if err := need.Check(); err != nil {
+	required := p.requirements()
+	if err := required.Check(); err != nil {
 		return nil, err
 	}
-	say(
-		"%d hollow workers, %d controllers: up to %d MB, %d open files here, %d processes",
-		p.Workers,
-		p.Regions*p.Controllers,
-		need.MemoryMB,
-		need.Files,
-		need.Processes,
-	)
-	dir, err := os.MkdirTemp("", "rehearse-scale-")
+	logf("%d hollow workers, %d controllers: up to %d MB, %d open files here, %d processes",
+		p.Workers, p.Regions*p.Controllers, required.MemoryMB, required.Files, required.Processes)
+	dir, err := os.MkdirTemp("", "clustersim-scale-")
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // what is left is in the system's folder for temporary files
 	r := &run{
 		plan: p,
-		logf: say,
+		logf: logf,
 		dir:  dir,
-		result: &Result{Workers: p.Workers, Hollow: true, Violations: []string{}, Regions: p.Regions, Zones: p.Zones,
-			Controllers: p.Controllers, Teams: p.Teams, Seed: p.Seed, MachineCores: runtime.NumCPU(), Processes: need.Processes},
+		result: &Result{
+			Workers:      p.Workers,
+			Hollow:       true,
+			Violations:   []string{},
+			Regions:      p.Regions,
+			Zones:        p.Zones,
+			Controllers:  p.Controllers,
+			Teams:        p.Teams,
+			Seed:         p.Seed,
+			MachineCores: runtime.NumCPU(),
+			Processes:    required.Processes,
+		},
 	}
 	if err := r.prepare(ctx); err != nil {
 		return nil, err
 	}
-	err = r.play(ctx)
+	err = r.simulate(ctx)
 	r.keepLogs()
 	if err == nil {
 		err = ctx.Err()
@@ -74,7 +71,7 @@
 	return r.result, err
 }
 
-// prepare builds the program and opens all stand-ins.
+// prepare builds the program and makes the stand-ins, the workers and the users.
 func (r *run) prepare(ctx context.Context) error {
 	program := r.plan.Program
 	if program == "" {
@@ -103,7 +100,7 @@
 	return nil
 }
 
-// keepIdle has controllers give no idle machine back: the fleet keeps its size for as long as it is measured.
+// keepIdle has controllers release no idle machine: the fleet keeps its size for as long as it is measured.
 const keepIdle = "<fleet><keep-idle>24h</keep-idle></fleet>"
 
 // writeOperator writes the operators' settings of all controllers.
@@ -123,6 +120,7 @@
 	return os.WriteFile(filepath.Join(r.dir, "operator.xml"), []byte(text), 0o644)
 }
 
+// close ends all stand-ins.
 func (r *run) close() error {
 	for _, region := range r.regions {
 		region.close()
@@ -130,19 +128,19 @@
 	return r.workers.close()
 }
 
-// play brings the deployment up, has it carry its load, and measures.
-func (r *run) play(ctx context.Context) error {
+// simulate brings the deployment up, puts it under load, and measures.
+func (r *run) simulate(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	defer func() {
-		cancel() // users and workers first: controllers answer what is under way as they end
+		cancel() // users and workers first: the controllers still answer what is under way as they stop
 		r.users.pending.Wait()
 		r.workers.closeIdleConns()
 		for _, region := range r.regions {
 			group.Go(region.stop)
 		}
 		group.Wait()
-		_ = r.close() // everything has ended
+		_ = r.close() // the result does not depend on how stand-ins close
 	}()
 	r.startedAt = time.Now()
 	r.startMachines()
@@ -159,7 +157,7 @@
 		plan:    &r.plan,
 		regions: r.regions,
 		workers: r.workers,
-		random:  rand.New(rand.NewPCG(r.plan.Seed, 4)),
+		random:  rand.New(rand.NewPCG(r.plan.Seed, faultStream)),
 	}
 	go r.users.generateLoad(ctx)
 	sleep(ctx, rampUp)
@@ -174,12 +172,12 @@
 const (
 	rampUp           = 5 * time.Second // of the load, before it is measured
 	maxWarmUp        = 3 * time.Minute
-	warmUpShare      = 0.9 // of the services' replicas run before the load begins
+	warmUpShare      = 0.9 // of the services' replicas that run before the load begins
 	sampleInterval   = time.Second
 	progressInterval = 10 * time.Second
 )
 
-// startMachines brings all machines up, on record as if a leader before had rented them.
+// startMachines brings all machines up, with records as if an earlier leader had provisioned them.
 func (r *run) startMachines() {
 	r.workers.mu.Lock()
 	defer r.workers.mu.Unlock()
@@ -190,13 +188,13 @@
 		}
 		listed := initialMachines(region, r.workers, count)
 		region.preload(listed)
-		for _, l := range listed {
-			r.workers.add(region, l)
+		for _, machine := range listed {
+			r.workers.add(region, machine)
 		}
 	}
 }
 
-// warmUp waits until every worker was answered, and then until the services run.
+// warmUp waits until every worker has been answered, and then until the services run.
 func (r *run) warmUp(ctx context.Context) error {
 	until := time.Now().Add(maxWarmUp)
 	answered := func() bool {
@@ -225,7 +223,7 @@
 	return nil
 }
 
-// waitFor waits until something holds or a moment has come. It fails where a controller has ended.
+// waitFor waits until a condition holds or a deadline has passed. It fails where a controller has ended.
 func (r *run) waitFor(ctx context.Context, until time.Time, holds func() bool) error {
 	for !holds() && time.Now().Before(until) && ctx.Err() == nil {
 		sleep(ctx, 200*time.Millisecond)
@@ -240,6 +238,7 @@
 	return ctx.Err()
 }
 
+// lastLine is the last line of a file, or why it cannot be read.
 func lastLine(path string) string {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -249,178 +248,13 @@
 	return lines[len(lines)-1]
 }
 
-// activeTasks tells how many tasks are on machines.
+// activeTasks counts the tasks that are on machines.
 func (r *run) activeTasks() int {
 	r.workers.mu.Lock()
 	defer r.workers.mu.Unlock()
 	return r.workers.fleet.ActiveTasks()
 }
 
-// takeBaseline notes all counts, and empties the histograms.
-func (r *run) takeBaseline() *baseline {
-	m := &baseline{
-		takenAt: time.Now(),
-		logs:    map[*controller]int64{},
-		writes:  map[*region]int{},
-		calls:   map[*region]int{},
-		traffic: r.traffic(),
-	}
-	for _, region := range r.regions {
-		m.writes[region], m.calls[region] = region.state.changeCount(), messageCount(region.state.traffic.snapshot())
-		for _, c := range region.controllers {
-			m.logs[c] = c.logSize()
-		}
-	}
-	r.workers.mu.Lock()
-	m.workers, m.leaseExpiries = r.workers.counts, r.workers.fleet.LeaseExpiries
-	r.workers.roundTrips.Reset()
-	r.workers.mu.Unlock()
-	r.users.mu.Lock()
-	m.users = r.users.counts
-	for _, h := range []interface{ Reset() }{r.users.urgentWaits, r.users.otherWaits, r.users.acceptTimes} {
-		h.Reset()
-	}
-	r.users.mu.Unlock()
-	return m
-}
-
-// traffic sums up the messages of all stand-ins by kind.
-func (r *run) traffic() map[string]Flow {
-	out := map[string]Flow{}
-	all := []*traffic{r.workers.traffic, r.users.traffic}
-	for _, region := range r.regions {
-		all = append(all, region.state.traffic, region.cloud.traffic)
-	}
-	for _, t := range all {
-		for k, f := range t.snapshot() {
-			o := out[k]
-			out[k] = Flow{o.Messages + f.Messages, o.BytesIn + f.BytesIn, o.BytesOut + f.BytesOut}
-		}
-	}
-	return out
-}
-
-func messageCount(flows map[string]Flow) int {
-	n := 0
-	for _, f := range flows {
-		n += f.Messages
-	}
-	return n
-}
-
-// watch lets the load run for some time, and looks at what processes use and hold.
-func (r *run) watch(ctx context.Context, d time.Duration) {
-	last := map[int]time.Duration{}
-	r.sample(last, true)
-	told := time.Now()
-	for end := time.Now().Add(d); time.Now().Before(end) && ctx.Err() == nil; {
-		sleep(ctx, min(sampleInterval, time.Until(end)))
-		r.sample(last, false)
-		if time.Since(told) > progressInterval {
-			told = time.Now()
-			r.logf("%.0f s left, %d tasks run, %.0f MB", time.Until(end).Seconds(), r.activeTasks(), r.peak.total)
-		}
-	}
-}
-
-// sample looks at all processes; first: nothing is counted yet. A process's time since the last look counts for the
-// role that it has now.
-func (r *run) sample(last map[int]time.Duration, first bool) {
-	p := &r.peak
-	total := 0.0
-	look := func(pid int, cpu *time.Duration, mb *float64, sockets *int) {
-		u, err := usageOf(pid)
-		if err != nil {
-			return // it has just ended
-		}
-		total += u.mb
-		if before, known := last[pid]; known && !first {
-			*cpu += u.cpu - before
-			*mb = max(*mb, u.mb)
-			*sockets = max(*sockets, u.sockets)
-		}
-		last[pid] = u.cpu
-	}
-	for _, region := range r.regions {
-		leader := region.leader()
-		for _, c := range region.controllers {
-			pid, crashed := c.process()
-			switch {
-			case crashed:
-				r.countCrash(c)
-			case c == leader:
-				look(pid, &p.leaderCPU, &p.leader, &p.leaderSockets)
-			default:
-				look(pid, &p.memberCPU, &p.member, &p.memberSockets)
-			}
-		}
-	}
-	own := 0
-	look(os.Getpid(), &p.standInCPU, &p.standIns, &own)
-	p.total = max(p.total, total)
-}
-
-// countCrash counts a controller that has ended by itself, once.
-func (r *run) countCrash(c *controller) {
-	if c.reportCrash() {
-		r.result.EndedProcesses++
-		r.logf("controller %s has ended: %s", c.name, lastLine(c.logPath))
-	}
-}
-
-// measure works out the result.
-func (r *run) measure(before *baseline) {
-	out, p := r.result, &r.peak
-	took := time.Since(before.takenAt).Seconds()
-	out.Seconds = took
-	r.workers.mu.Lock()
-	out.Answers = r.workers.counts.since(before.workers)
-	out.LeaseExpiries = r.workers.fleet.LeaseExpiries - before.leaseExpiries
-	out.HeartbeatP50, out.HeartbeatP99 = quantile(r.workers.roundTrips, 50, 1000), quantile(r.workers.roundTrips, 99, 1000)
-	out.Violations = append(out.Violations, r.workers.fleet.Violations...)
-	out.Machines, out.Running = len(r.workers.byName), r.workers.fleet.ActiveTasks()
-	r.workers.mu.Unlock()
-	r.users.mu.Lock()
-	out.Users = r.users.counts.since(before.users)
-	out.UrgentP50, out.UrgentP99 = int64(quantile(r.users.urgentWaits, 50, 1)), int64(quantile(r.users.urgentWaits, 99, 1))
-	out.OthersP50, out.OthersP99 = int64(quantile(r.users.otherWaits, 50, 1)), int64(quantile(r.users.otherWaits, 99, 1))
-	out.AcceptP99 = int64(quantile(r.users.acceptTimes, 99, 1))
-	r.users.mu.Unlock()
-	out.Starts, out.RequestedStarts, out.JobsPerS = float64(
-		out.Users.Starts,
-	)/took, float64(
-		out.Users.RequestedStarts,
-	)/took, float64(
-		out.Users.Submitted,
-	)/took
-	out.Heartbeats = float64(out.Answers.Heartbeats) / took
-	if all := out.Answers.Heartbeats + out.Answers.Failed + out.Answers.Refused + out.Answers.Redirects; all > 0 {
-		out.LateHeartbeatShare = float64(out.Answers.Late) / float64(all)
-	}
-	regions := float64(len(r.regions))
-	out.LeaderCores, out.StandInCores = p.leaderCPU.Seconds()/took/regions, p.standInCPU.Seconds()/took
-	if members := regions * float64(r.plan.Controllers-1); members > 0 {
-		out.MemberCores = p.memberCPU.Seconds() / took / members
-	}
-	out.LeaderMB, out.MemberMB, out.StandInMB, out.PeakMB = p.leader, p.member, p.standIns, p.total
-	out.LeaderSockets, out.MemberSockets = p.leaderSockets, p.memberSockets
-	out.Traffic = trafficSince(r.traffic(), before.traffic)
-	bytes := 0
-	for _, kind := range []string{"report", "commands", "inspect"} {
-		bytes += out.Traffic[kind].BytesIn + out.Traffic[kind].BytesOut
-	}
-	out.WorkerBytes = float64(bytes) / took / float64(max(out.Machines, 1))
-	for _, region := range r.regions {
-		out.StateRPS = max(out.StateRPS, float64(messageCount(region.state.traffic.snapshot())-before.calls[region])/took)
-		out.StateWrites = max(out.StateWrites, float64(region.state.changeCount()-before.writes[region])/took)
-		for _, c := range region.controllers {
-			if h, err := c.longestHold(before.logs[c]); err == nil && h.took.Seconds()*1000 > out.LongestHoldMs {
-				out.LongestHoldMs, out.LongestHoldBy = h.took.Seconds()*1000, h.by
-			}
-		}
-	}
-}
-
 // keepLogs copies the controllers' logs to where the plan wants them.
 func (r *run) keepLogs() {
 	if r.plan.Logs == "" {
--- a/internal/clustersim/scale/scale_test.go
+++ b/internal/clustersim/scale/scale_test.go
@@ -6,10 +6,6 @@
 	"path/filepath"
 	"strings"
 	"testing"
-	"time"
-
-	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/wire"
 )
 
 func TestPlanOutOfRangeIsRejectedBeforeStart(t *testing.T) {
@@ -67,64 +63,14 @@
 	}
 }
 
-// The two ends of the worker protocol understand each other.
-func TestCodecRoundTripsWithWire(t *testing.T) {
-	report := &model.Heartbeat{
-		Machine:      "n-1",
-		Addr:         "127.64.0.1:9000",
-		Type:         plainType,
-		Zone:         "a",
-		Epoch:        2,
-		Seq:          7,
-		FencingToken: 41,
-		Tasks: []model.TaskStatus{
-			{Task: model.TaskID{Job: "wk-000001", Index: 3}, Attempt: 9, Phase: model.PhaseExited, Cause: model.CauseGangMemberLost, Checkpointed: true},
-			{Task: model.TaskID{Job: "wk-000002"}, Attempt: 1, Phase: model.PhaseWaiting},
-		},
-	}
-	got, err := wire.DecodeHeartbeat(appendHeartbeat(nil, report))
-	if err != nil || got.Addr != report.Addr || got.Epoch != 2 || got.Seq != 7 || got.FencingToken != 41 ||
-		len(got.Tasks) != 2 ||
-		got.Tasks[0] != report.Tasks[0] ||
-		got.Tasks[1] != report.Tasks[1] {
-		t.Errorf("read as %+v, %v", got, err)
-	}
-	orders := []model.Command{
-		{Op: model.OpLaunch, Task: model.TaskID{Job: "wk-000001", Index: 4}, Attempt: 5},
-		{Op: model.OpStop, Task: model.TaskID{Job: "wk-000001"}, Attempt: 6, GracePeriod: 10 * time.Second},
-	}
-	m, err := decodeMessage(wire.AppendCommands(nil, 41, 2, orders))
-	if err != nil || m.token != 41 || m.epoch != 2 || len(m.commands) != 2 || m.commands[0] != orders[0] ||
-		m.commands[1] != orders[1] {
-		t.Errorf("read as %+v, %v", m, err)
-	}
-	if decodeLeader(wire.AppendLeader(nil, "tiller-2")) != "tiller-2" || decodeLeader(wire.AppendLeader(nil, "")) != "" {
-		t.Error("whom a 421 names is not read")
-	}
-	if decodeJobState(wire.AppendJobState(nil, "wk-000001", wire.StateCancelled)) != wire.StateCancelled {
-		t.Error("a job's state is not read")
-	}
-	types := machineTypes([]string{"a", "b"})
-	if read, err := wire.DecodeCatalog(appendCatalog(nil, types)); err != nil || len(read) != 2 ||
-		read[1].Capacity != types[1].Capacity ||
-		len(read[0].Zones) != 2 {
-		t.Errorf("the catalogue is read as %+v, %v", read, err)
-	}
-	rental := model.Provisioning{Name: "r-1", Type: gpuType, Zone: "a", Spot: true, Count: 3}
-	if read, err := decodeProvisioning(wire.AppendProvisioning(nil, rental)); err != nil || read != rental {
-		t.Errorf("a rental is read as %+v, %v", read, err)
-	}
-}
-
-// Guards against machines of two regions by one name: the workers of all but one were gone, and their leaders heard
-// nobody.
+// A regression test: machines of two regions had the same names, so that only one region had workers.
 func TestMachineNamesAreUniqueAcrossRegions(t *testing.T) {
 	p := DefaultPlan()
 	w, err := newWorkers(&p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.close()
+	defer func() { _ = w.close() }()
 	names := map[string]bool{}
 	for i := range 3 {
 		r, err := newRegion(&p, i, t.TempDir(), "none", w)
@@ -141,7 +87,7 @@
 	}
 }
 
-// Each region has its part of every limit, so that all together stay within it.
+// Each region has its share of every quota, so that all together stay within it.
 func TestRegionsShareQuota(t *testing.T) {
 	p := DefaultPlan()
 	p.Workers, p.Regions = 10_000, 5
--- a/internal/clustersim/scale/standins.go
+++ b/internal/clustersim/scale/standins.go
@@ -19,45 +19,6 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// traffic counts messages and their bytes by kind.
-type traffic struct {
-	mu    sync.Mutex
-	kinds map[string]*Flow
-}
-
-// Flow is how much of one kind of message has passed.
-type Flow struct {
-	Messages int `json:"messages"`
-	BytesIn  int `json:"bytes_in"`  // to the stand-in
-	BytesOut int `json:"bytes_out"` // from it
-}
-
-func newTraffic() *traffic { return &traffic{kinds: map[string]*Flow{}} }
-
-func (t *traffic) count(kind string, in, out int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	f := t.kinds[kind]
-	if f == nil {
-		f = &Flow{}
-		t.kinds[kind] = f
-	}
-	f.Messages++
-	f.BytesIn += in
-	f.BytesOut += out
-}
-
-// snapshot copies what was counted.
-func (t *traffic) snapshot() map[string]Flow {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	out := map[string]Flow{}
-	for k, f := range t.kinds {
-		out[k] = *f
-	}
-	return out
-}
-
 // serveLoopback serves HTTP on a loopback address until it is closed.
 func serveLoopback(address string, handler fasthttp.RequestHandler) (*fasthttp.Server, net.Listener, error) {
 	l, err := net.Listen("tcp4", address)
@@ -74,13 +35,14 @@
 		Logger:                discardLogger{},
 		ReadTimeout:           2 * time.Minute,
 	}
-	go func() { _ = s.Serve(l) }() // it ends as the listener is closed
+	go func() { _ = s.Serve(l) }() // it ends when the listener is closed
 	return s, l, nil
 }
 
-// discardLogger drops the HTTP library's own log: broken connections are everyday where processes are ended.
+// discardLogger drops the HTTP library's log: connections break whenever a process is ended.
 type discardLogger struct{}
 
+// Printf implements fasthttp.Logger.
 func (discardLogger) Printf(string, ...any) {}
 
 // stateServer is the stand-in of the state service behind a socket.
@@ -91,7 +53,7 @@
 
 	mu      sync.Mutex
 	state   *fake.State
-	changed chan struct{} // closed as keys change
+	changed chan struct{} // closed when keys change
 	changes int           // writes and removals of transactions that were carried out
 	done    chan struct{}
 }
@@ -120,10 +82,10 @@
 	return s.http.Shutdown()
 }
 
-// expireInterval is how late a lease may end.
+// expireInterval is by how much a lease may outlive its time.
 const expireInterval = 50 * time.Millisecond
 
-// expire ends leases as their time comes, so that watches learn of it.
+// expire ends leases when their time is over, so that watches learn of it.
 func (s *stateServer) expire() {
 	every := time.NewTicker(expireInterval)
 	defer every.Stop()
@@ -150,10 +112,10 @@
 }
 
 // preload puts a machine on record.
-func (s *stateServer) preload(l model.MachineInfo) {
+func (s *stateServer) preload(machine model.MachineInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state.Preload("machine/"+l.Name, wire.AppendMachine(nil, l))
+	s.state.Preload("machine/"+machine.Name, wire.AppendMachine(nil, machine))
 }
 
 // leader is the name of the controller that leads; "": none does.
@@ -165,7 +127,14 @@
 	return name
 }
 
-// changeCount tells how many changes were carried out.
+// resetChanges sets the count of changes to zero.
+func (s *stateServer) resetChanges() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.changes = 0
+}
+
+// changeCount counts the changes that were carried out since then.
 func (s *stateServer) changeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,11 +206,11 @@
 	cloud   *fake.Cloud // under the workers' lock
 }
 
-func newCloudServer(address string, r *region, f *workers) (*cloudServer, error) {
-	s := &cloudServer{traffic: newTraffic(), region: r, workers: f}
-	s.cloud = fake.NewCloud(func() int { return f.count(r) })
+func newCloudServer(address string, region *region, workers *workers) (*cloudServer, error) {
+	s := &cloudServer{traffic: newTraffic(), region: region, workers: workers}
+	s.cloud = fake.NewCloud(func() int { return workers.count(region) })
 	s.cloud.BootTime = bootTime
-	s.cloud.NamePrefix = fmt.Sprintf("n-%d-", r.number) // names are told apart over all regions
+	s.cloud.NamePrefix = fmt.Sprintf("n-%d-", region.number) // names are unique over all regions
 	var l net.Listener
 	var err error
 	if s.http, l, err = serveLoopback(address, s.handle); err != nil {
@@ -258,7 +227,7 @@
 	path := string(c.Path())
 	switch {
 	case path == "/catalog":
-		c.SetBody(appendCatalog(nil, machineTypes(s.region.zones)))
+		c.SetBody(wire.AppendCatalog(nil, machineTypes(s.region.zones)))
 	case path == "/rentals" && c.IsGet():
 		s.list(c)
 	case path == "/rentals":
@@ -272,7 +241,7 @@
 }
 
 func (s *cloudServer) provision(c *fasthttp.RequestCtx) {
-	r, err := decodeProvisioning(c.PostBody())
+	r, err := wire.DecodeProvisioning(c.PostBody())
 	if err != nil {
 		c.SetStatusCode(fasthttp.StatusBadRequest)
 		return
@@ -298,7 +267,8 @@
 	c.SetBody([]byte{0x80})
 }
 
-const maxListPage = 500 // machines in a page
+// maxListPage is how many machines a page of the list has at the most.
+const maxListPage = 500
 
 func (s *cloudServer) list(c *fasthttp.RequestCtx) {
 	page, err := strconv.Atoi(string(c.QueryArgs().Peek("page")))
@@ -309,20 +279,20 @@
 	from, _ := slices.BinarySearchFunc(
 		all,
 		string(c.QueryArgs().Peek("after"))+"\x00",
-		func(l model.MachineInfo, name string) int {
-			return strings.Compare(l.Name, name)
+		func(machine model.MachineInfo, name string) int {
+			return strings.Compare(machine.Name, name)
 		},
 	)
 	rest := all[from:]
-	c.SetBody(appendList(nil, rest[:min(page, len(rest))], len(rest) > page))
+	c.SetBody(wire.AppendMachineList(nil, rest[:min(page, len(rest))], len(rest) > page))
 }
 
 // list lists a region's machines in the order of their names.
-func (w *workers) list(r *region, c *fake.Cloud) []model.MachineInfo {
+func (w *workers) list(region *region, c *fake.Cloud) []model.MachineInfo {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []model.MachineInfo
-	for _, h := range w.byRegion[r] {
+	for _, h := range w.byRegion[region] {
 		out = append(out, h.listed())
 	}
 	out = append(out, slices.Collect(maps.Values(c.Booting()))...)
--- a/internal/clustersim/scale/users.go
+++ b/internal/clustersim/scale/users.go
@@ -17,7 +17,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// users submit jobs, ask about them and cancel some, each of them one request after the other.
+// users submit jobs, poll them and cancel some. The user of each job sends one request after the other.
 type users struct {
 	plan    *Plan
 	regions []*region
@@ -26,14 +26,14 @@
 	jobs    atomic.Int64 // ids given out
 	pending sync.WaitGroup
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards all below
 	random      *rand.Rand
-	submittedAt map[string]time.Time // when the submission of a job left first
+	submittedAt map[string]time.Time // when a job was first submitted
 	startedJobs map[string]bool      // jobs of which a task was launched
 	counts      userCounts
-	urgentWaits *hdrhistogram.Histogram // from submission to launch, of each task, in milliseconds
-	otherWaits  *hdrhistogram.Histogram // and to the first launch of other jobs
-	acceptTimes *hdrhistogram.Histogram // of submissions, in milliseconds
+	urgentWaits *hdrhistogram.Histogram // of urgent tasks, from submission to launch, in milliseconds
+	otherWaits  *hdrhistogram.Histogram // of other jobs, to the first launch, in milliseconds
+	acceptTimes *hdrhistogram.Histogram // of submissions until they were accepted, in milliseconds
 }
 
 // userCounts are what requests of users have led to.
@@ -42,11 +42,11 @@
 	Accepted        int `json:"accepted"`
 	Done            int `json:"done"`
 	Cancelled       int `json:"cancelled"`
-	Refused         int `json:"refused"`   // never to be taken
+	Refused         int `json:"refused"`   // as never to be accepted
 	Abandoned       int `json:"given_up"`  // not accepted within a minute
 	Retries         int `json:"retries"`   // of requests that were not answered
 	Starts          int `json:"starts"`    // launches that workers took
-	RequestedStarts int `json:"asked_for"` // tasks of arrays and gangs that were submitted
+	RequestedStarts int `json:"asked_for"` // tasks of the arrays and gangs that were submitted
 }
 
 // userClient sends requests to one controller.
@@ -57,9 +57,12 @@
 const (
 	requestTimeout  = 5 * time.Second
 	pollTimeout     = 2 * time.Second
-	pollInterval    = 5 * time.Second // between two questions about a job
-	submitTimeout   = time.Minute     // a submission
+	pollInterval    = 5 * time.Second // between two polls of a job
+	submitTimeout   = time.Minute     // until a user gives a submission up
 	maxRecordedWait = int64(10 * time.Minute / time.Millisecond)
+	maxConns        = 512 // of all users to one controller
+	idleConnTimeout = 5 * time.Second
+	connTimeout     = time.Second // to get one of these connections
 )
 
 func newWaitHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRecordedWait, 3) }
@@ -70,27 +73,29 @@
 		regions:     regions,
 		workers:     w,
 		traffic:     newTraffic(),
-		random:      rand.New(rand.NewPCG(p.Seed, 2)),
+		random:      rand.New(rand.NewPCG(p.Seed, userStream)),
 		submittedAt: map[string]time.Time{},
 		startedJobs: map[string]bool{},
 		urgentWaits: newWaitHistogram(),
 		otherWaits:  newWaitHistogram(),
 		acceptTimes: newWaitHistogram(),
 	}
-	for _, r := range regions {
-		for _, c := range r.controllers {
-			r.clients = append(
-				r.clients,
-				&userClient{&fasthttp.HostClient{Addr: c.httpAddr, MaxConns: 512, MaxIdleConnDuration: 5 * time.Second,
-					MaxIdemponentCallAttempts: 1, MaxConnWaitTimeout: time.Second}},
-			)
+	for _, region := range regions {
+		for _, c := range region.controllers {
+			region.clients = append(region.clients, &userClient{&fasthttp.HostClient{
+				Addr:                      c.httpAddr,
+				MaxConns:                  maxConns,
+				MaxIdleConnDuration:       idleConnTimeout,
+				MaxIdemponentCallAttempts: 1,
+				MaxConnWaitTimeout:        connTimeout,
+			}})
 		}
 	}
 	w.fleet.OnLaunch = u.taskLaunched
 	return u
 }
 
-// taskLaunched takes that a worker has taken a launch. The workers' lock is held.
+// taskLaunched counts a launch that a worker has taken. The workers' lock is held.
 func (u *users) taskLaunched(t *fake.Task) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -115,8 +120,8 @@
 	const replicas = 20
 	count := int(math.Ceil(replicasPerWorker * float64(u.plan.Workers) / replicas))
 	for i := range count {
-		s := u.newSpec("service", model.Service, model.PriorityNormal, replicas)
-		u.submit(ctx, u.regions[i%len(u.regions)], s, false)
+		spec := u.newSpec("service", model.Service, model.PriorityNormal, replicas)
+		u.submit(ctx, u.regions[i%len(u.regions)], spec, false)
 	}
 }
 
@@ -133,9 +138,9 @@
 			return
 		}
 		for due += u.plan.startRate() * every.Seconds(); due > 0; i++ {
-			s, cancel := u.drawJob()
-			due -= float64(s.Tasks)
-			u.submit(ctx, u.regions[i%len(u.regions)], s, cancel)
+			spec, cancel := u.drawJob()
+			due -= float64(spec.Tasks)
+			u.submit(ctx, u.regions[i%len(u.regions)], spec, cancel)
 		}
 	}
 }
@@ -152,7 +157,7 @@
 )
 
 // drawJob makes the next job, and tells whether its user cancels it soon.
-func (u *users) drawJob() (s *model.Spec, cancel bool) {
+func (u *users) drawJob() (spec *model.Spec, cancel bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	most := min(maxArrayTasks, max(minArrayTasks+1, int(maxBurstSeconds*u.plan.startRate())))
@@ -161,55 +166,58 @@
 		return u.newSpec("urgent", model.Array, model.PriorityHigh, 1+u.random.IntN(maxUrgentTasks)), false
 	case r < urgentShare+gangShare:
 		size := min(1<<(1+u.random.IntN(8)), largestGang, u.plan.Workers/gpuShare*gpuCards/2, 4*most)
-		s := u.newSpec("gang", model.Gang, model.PriorityNormal, max(size, 2))
-		s.Demand = model.Resources{CPU: 1, GPU: 1, MemGB: 8}
-		s.CheckpointInterval, s.CheckpointTime = 2*time.Second, time.Second
-		return s, false
+		spec := u.newSpec("gang", model.Gang, model.PriorityNormal, max(size, 2))
+		spec.Demand = model.Resources{CPU: 1, GPU: 1, MemGB: 8}
+		spec.CheckpointInterval, spec.CheckpointTime = 2*time.Second, time.Second
+		return spec, false
 	}
 	size := minArrayTasks * math.Pow(float64(most)/minArrayTasks, u.random.Float64())
 	return u.newSpec("array", model.Array, model.PriorityLow, int(size)), u.random.Float64() < cancelledShare
 }
 
+// images is how many images the jobs have.
+const images = 50
+
 // newSpec makes a job.
-func (u *users) newSpec(class string, shape model.Shape, rank model.Priority, tasks int) *model.Spec {
-	n := int(u.jobs.Add(1))
-	s := &model.Spec{
-		ID:       fmt.Sprintf("wk-%06d", n),
+func (u *users) newSpec(class string, shape model.Shape, priority model.Priority, tasks int) *model.Spec {
+	number := int(u.jobs.Add(1))
+	spec := &model.Spec{
+		ID:       fmt.Sprintf("wk-%06d", number),
 		Class:    class,
-		Team:     fmt.Sprintf("team-%03d", n%u.plan.Teams),
+		Team:     fmt.Sprintf("team-%03d", number%u.plan.Teams),
 		Shape:    shape,
-		Priority: rank,
+		Priority: priority,
 		Tasks:    tasks,
 		Demand: model.Resources{
 			CPU:   1,
 			MemGB: 1,
 		},
-		Image:            fmt.Sprintf("image-%d", n%50),
+		Image:            fmt.Sprintf("image-%d", number%images),
 		ImageGB:          0.2,
 		EstimatedRunTime: meanTaskTime,
 		AllowSpot:        true,
 	}
 	if shape == model.Service {
-		s.EstimatedRunTime = 0
+		spec.EstimatedRunTime = 0
 	}
-	return s
+	return spec
 }
 
 // submit has a user submit a job and follow it until it has ended or the context does.
-func (u *users) submit(ctx context.Context, r *region, s *model.Spec, cancel bool) {
+func (u *users) submit(ctx context.Context, region *region, spec *model.Spec, cancel bool) {
 	u.workers.mu.Lock()
-	u.workers.fleet.Specs[s.ID] = s
+	u.workers.fleet.Specs[spec.ID] = spec
 	u.workers.mu.Unlock()
 	u.mu.Lock()
-	u.submittedAt[s.ID] = time.Now()
+	u.submittedAt[spec.ID] = time.Now()
 	u.counts.Submitted++
-	if s.Shape != model.Service {
-		u.counts.RequestedStarts += s.Tasks
+	if spec.Shape != model.Service {
+		u.counts.RequestedStarts += spec.Tasks
 	}
-	pick := rand.New(rand.NewPCG(u.random.Uint64(), 3))
+	random := rand.New(rand.NewPCG(u.random.Uint64(), jobStream))
 	u.mu.Unlock()
 	u.pending.Go(func() {
-		j := &userJob{users: u, region: r, spec: s, random: pick}
+		j := &userJob{users: u, region: region, spec: spec, random: random}
 		if j.submit(ctx) {
 			j.follow(ctx, cancel)
 		}
@@ -232,11 +240,12 @@
 		status, answer, by := j.request("submit", fasthttp.MethodPost, "/api/jobs", body, requestTimeout)
 		switch status {
 		case fasthttp.StatusCreated, fasthttp.StatusOK:
+			took := max(time.Since(began).Milliseconds(), 1)
 			j.users.updateCounts(func(c *userCounts) {
 				c.Accepted++
-				_ = j.users.acceptTimes.RecordValue(max(time.Since(began).Milliseconds(), 1)) // it is within the bounds
+				_ = j.users.acceptTimes.RecordValue(took) // it is within the bounds
 			})
-			j.recordAnswer(by, decodeJobState(answer))
+			j.recordAnswer(by, wire.DecodeJobState(answer))
 			return true
 		case fasthttp.StatusBadRequest, fasthttp.StatusUnprocessableEntity:
 			j.users.updateCounts(func(c *userCounts) { c.Refused++ })
@@ -252,7 +261,7 @@
 	return false
 }
 
-// follow asks about the job until it has ended.
+// follow polls the job until it has ended.
 func (j *userJob) follow(ctx context.Context, cancel bool) {
 	if cancel {
 		sleep(ctx, time.Duration((1+2*j.random.Float64())*float64(time.Second)))
@@ -265,7 +274,7 @@
 		state := wire.StateUnknown
 		switch status {
 		case fasthttp.StatusOK:
-			state = decodeJobState(answer)
+			state = wire.DecodeJobState(answer)
 		case fasthttp.StatusNotFound:
 		default:
 			j.users.updateCounts(func(c *userCounts) { c.Retries++ })
@@ -285,34 +294,35 @@
 	}
 }
 
-// cancel asks for the job's end until that is answered.
+// cancel asks to cancel the job until that is answered.
 func (j *userJob) cancel(ctx context.Context) {
 	j.users.workers.mu.Lock()
 	j.users.workers.fleet.RecordCancelRequest(j.spec.ID)
 	j.users.workers.mu.Unlock()
+	path := "/api/jobs/" + j.spec.ID + "/withdraw"
 	for ctx.Err() == nil {
-		status, answer, by := j.request("withdraw", fasthttp.MethodPost, "/api/jobs/"+j.spec.ID+"/withdraw", nil, requestTimeout)
+		status, answer, by := j.request("withdraw", fasthttp.MethodPost, path, nil, requestTimeout)
 		if status == fasthttp.StatusOK {
-			j.recordAnswer(by, decodeJobState(answer))
+			j.recordAnswer(by, wire.DecodeJobState(answer))
 			return
 		}
 		sleep(ctx, time.Second)
 	}
 }
 
-// recordAnswer holds an answer against those before it.
-func (j *userJob) recordAnswer(by string, s wire.JobState) {
+// recordAnswer has an answer checked against those before it.
+func (j *userJob) recordAnswer(by string, state wire.JobState) {
 	w := j.users.workers
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fleet.RecordAnswer(by, j.spec.ID, s)
-	if s == wire.StateCancelled {
+	w.fleet.RecordAnswer(by, j.spec.ID, state)
+	if state == wire.StateCancelled {
 		w.fleet.SetNow(time.Now())
 		w.fleet.RecordCancelled(j.spec.ID)
 	}
 }
 
-// request sends a request to a controller that answers; status 0: it was not answered.
+// request sends a request to one of the controllers, drawn at random; status 0: it was not answered.
 func (j *userJob) request(
 	kind, method, path string,
 	body []byte,
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -95,8 +95,9 @@
 	cloudMachineAge       = "heldS"
 )
 
-// The statuses of the cloud's machines that matter.
+// The statuses of the cloud's machines. A controller goes by those of machines that are not running.
 const (
+	cloudStatusRunning = "running"
 	cloudStatusBooting = "starting"
 	cloudStatusFailed  = "failed"
 )
