--- /dev/null
+++ b/internal/clustersim/faults/world.go
@@ -0,0 +1,63 @@
+package faults
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+
+	"github.com/glentiller/glentiller/internal/config"
+	"github.com/glentiller/glentiller/internal/fake"
+	"github.com/glentiller/glentiller/internal/model"
+)
+
+const (
+	machineType    = "eight"
+	machineCPUs    = 8
+	machineMemory  = 64 // GB
+	bootTime       = 20 * second
+	outageVotes    = 10 * second
+	starvation     = 240 * second
+	retainedCopies = 40 // heartbeats that the network keeps, for each machine
+)
+
+// newWorld is a deployment of some members with two zones and two teams. The team red may use three quarters of the
+// machines, the team blue has no quota; each is guaranteed a quarter.
+func newWorld(members, machines int) *fake.World {
+	platform := &config.Platform{Member: "tiller-0"}
+	deployment := &platform.Deployment
+	deployment.Zones = []string{"a", "b"}
+	workers := &deployment.Workers
+	workers.Heartbeat, workers.Lease, workers.GangWait, workers.GangPeer, workers.Cancel = 2.5, 14, 35, 5, 34
+	deployment.State.ValueKB, deployment.State.TxnOps, deployment.Cloud.ListLag = 8, 12, 6
+	operator := config.Defaults()
+	operator.Scheduler.StarvationBound = config.Duration(starvation)
+	operator.Votes = &config.Votes{Outage: config.Duration(outageVotes)}
+	settings := config.ReconcilerSettings(platform, operator)
+	cpus := machineCPUs * float64(machines)
+	guarantee := model.Resources{CPU: cpus / 4}
+	settings.Teams = []model.Team{
+		{Name: "red", Guarantee: guarantee, Quota: model.NewQuota(cpus*3/4, 0)},
+		{Name: "blue", Guarantee: guarantee},
+	}
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	electionSettings := config.ElectionSettings(platform, operator)
+	w := fake.NewWorld(members, settings, electionSettings, config.StoreLimits(platform), log)
+	w.Tick, w.FetchTime, w.BootTime = tick, second, bootTime
+	w.Capacity, w.MaxRetainedHeartbeats = machines*5/4, retainedCopies*machines
+	w.Types = []model.MachineType{{
+		Name:             machineType,
+		Capacity:         model.Resources{CPU: machineCPUs, MemGB: machineMemory},
+		PricePerHour:     1,
+		SpotPricePerHour: 0.3,
+		BootTime:         bootTime,
+		Zones:            deployment.Zones,
+	}}
+	for i := range machines {
+		w.AddMachine(model.MachineInfo{
+			Name: fmt.Sprintf("m-%06d", i),
+			Type: machineType,
+			Zone: deployment.Zones[i%len(deployment.Zones)],
+		})
+	}
+	return w
+}
