--- a/internal/election/step.go
+++ b/internal/election/step.go
@@ -198,7 +198,7 @@
 }
 
 // newClaim claims the leadership with a lease, and raises the feature level where it may. A record
-// of the level that was lost or put back is written again: docs/safety.md, "Feature levels".
+// of the level that was lost or put back is written again: docs/safety.md, "Levels".
 func (m *StateMachine) newClaim(leaseID uint64) Claim {
 	claim := Claim{
 		LeaseID:      leaseID,
--- a/internal/featuregate/gate.go
+++ b/internal/featuregate/gate.go
@@ -5,7 +5,7 @@
 // Gate takes these announcements with Gate.Step; once all members have supported the
 // next level for some time, Gate.NextLevel returns the level that the next claim of
 // the leadership may raise the deployment to. The package does no input or output and
-// reads no clock. docs/safety.md, "Feature levels", shows why no older program can
+// reads no clock. docs/safety.md, "Levels", shows why no older program can
 // lead under a level that it does not know.
 package featuregate
 
--- a/internal/model/dependency_graph.go
+++ b/internal/model/dependency_graph.go
@@ -19,7 +19,7 @@
 type DependencyState uint8
 
 // The states of a job in the graph. Only the durable end of a job changes the
-// states of the jobs downstream of it: docs/safety.md, "Job dependencies".
+// states of the jobs downstream of it: docs/safety.md, "Pipelines".
 const (
 	DependencyReferenced DependencyState = iota + 1 // a job depends on it; nothing else is known of it
 	DependencyWaiting                               // depends on jobs that are not known to be done
--- a/internal/store/job_lookup.go
+++ b/internal/store/job_lookup.go
@@ -15,7 +15,7 @@
 // Lookup returns the present state of a job. An end that is remembered is returned at once; for
 // anything else the cache is brought up to the present. A job that depends on a cancelled one is
 // cancelled, whether its own end is on record yet or not: all controllers derive that from the one
-// record of the cancellation (docs/safety.md, "Job dependencies").
+// record of the cancellation (docs/safety.md, "Pipelines").
 func (j *JobCache) Lookup(ctx context.Context, id string) (JobRecord, error) {
 	if record := j.Peek(id); record.State.Ended() {
 		return record, nil
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -89,7 +89,7 @@
 
 // AppendFeatureLevel appends the record of the feature level in force. It must never
 // have both fields of a leader's record: programs before feature levels take it for
-// one, fail, and so never become leader (docs/safety.md, "Feature levels").
+// one, fail, and so never become leader (docs/safety.md, "Levels").
 func AppendFeatureLevel(b []byte, level uint32, raisedBy string) []byte {
 	b = msgp.AppendMapHeader(b, 2)
 	b = appendUint(b, recordFeatureLevel, uint64(level))
