--- a/cmd/glentiller/output.go
+++ b/cmd/glentiller/output.go
@@ -60,7 +60,7 @@
 	}
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range append([][]string{t.head}, t.rows...) {
-		fmt.Fprintln(out, strings.TrimRight(strings.Join(row, "\t"), "\t"))
+		_, _ = fmt.Fprintln(out, strings.TrimRight(strings.Join(row, "\t"), "\t"))
 	}
 	return out.Flush()
 }
