--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"github.com/glentiller/glentiller/internal/cloud"
+	"github.com/glentiller/glentiller/internal/model"
 	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// catalog is the cloud's answer with one machine type, g8 of 8 cores.
-const catalog = "\x81\xa6breeds\x91\x82\xa5label\xa2g8\xa5cores\x08"
-
 func TestCatalogIsPublishedOnceRead(t *testing.T) {
+	catalog := wire.AppendCatalog(nil, []model.MachineType{{Name: "g8", Capacity: model.Resources{CPU: 8}}})
 	tests := map[string]struct {
 		status        int
 		wantPublished bool
@@ -25,7 +25,7 @@
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(test.status)
-				if _, err := w.Write([]byte(catalog)); err != nil {
+				if _, err := w.Write(catalog); err != nil {
 					t.Error(err)
 				}
 			}))
@@ -35,8 +35,9 @@
 			if _, ok := term.execute(reconciler.FetchCatalog{}).(reconciler.CatalogReceived); !ok {
 				t.Error("got another event, want CatalogReceived")
 			}
-			if got := term.machineTypes.Load() != nil; got != test.wantPublished {
-				t.Errorf("got published=%v, want %v", got, test.wantPublished)
+			types := term.MachineTypes()
+			if got := len(types) == 1 && types[0].Name == "g8"; got != test.wantPublished {
+				t.Errorf("got types %v, want them published=%v", types, test.wantPublished)
 			}
 		})
 	}
