--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -338,6 +338,7 @@
 var (
 	testName  = regexp.MustCompile(`(?m)^func ((?:Test|Benchmark|Fuzz)\w+)`)
 	shortPath = regexp.MustCompile(`^\w+/\w+\.go$`)
+	fullPath  = regexp.MustCompile(`^(?:internal|cmd|deploy|docs|scripts|tools)/[\w/.-]+$`)
 	longName  = regexp.MustCompile(`^(?:[A-Z]\w{7,}|\w+\.[A-Z]\w*(?:\.\w+)*)$`)
 )
 
@@ -357,6 +358,9 @@
 			if longName.MatchString(m[1]) && !c.has(m[1]) && !c.contains(m[1]) {
 				t.Errorf("%s: got `%s`, want a name that is in the code", page, m[1])
 			}
+			if fullPath.MatchString(m[1]) && !c.has(m[1]) {
+				t.Errorf("%s: got `%s`, want a file or folder of the repository", page, m[1])
+			}
 			if shortPath.MatchString(m[1]) && !c.has(m[1]) && !exists(filepath.Join(root, "internal", m[1])) {
 				t.Errorf("%s: got `%s`, want a file of the repository or below internal", page, m[1])
 			}
