--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -10,6 +10,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
