--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -10,6 +10,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -335,9 +336,44 @@
 	}
 }
 
+// protocolNames are those of the protocol that are no words of this field.
+var protocolNames = []string{
+	"baton", "foreman", "tiller", "tillers", "shift", "tick", "verb", "windDownS", "recallS", "loaners", "pulling",
+	"gathering", "mates_gone", "markS", "storeS", "jobclass", "ensemble", "daemon", "breed", "breeds", "scatter",
+	"expectS", "dueS", "withdrawn", "hire", "heldS", "startupS", "lowPrice", "stamp", "tenancy", "lifeMs",
+}
+
+// protocolFiles are where they may stand: the codecs, the state service's stand-in, and a command's flags that have
+// the names of a submission's fields.
+var protocolFiles = []string{
+	"/internal/wire/", "/internal/fake/state_protocol.go", "/cmd/glentiller/constraints.go",
+}
+
+func TestProtocolNamesStayAtTheEdge(t *testing.T) {
+	for _, path := range files(t, ".go") {
+		if strings.HasSuffix(path, "_test.go") || slices.ContainsFunc(protocolFiles, func(edge string) bool {
+			return strings.Contains(filepath.ToSlash(path), edge)
+		}) {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		c := code{names: map[string]bool{}}
+		c.addFile(file)
+		for _, name := range protocolNames {
+			if slices.Contains(c.literals, name) {
+				t.Errorf("%s: got the protocol's name %q, want it at the edge alone", path, name)
+			}
+		}
+	}
+}
+
 var (
 	testName  = regexp.MustCompile(`(?m)^func ((?:Test|Benchmark|Fuzz)\w+)`)
 	shortPath = regexp.MustCompile(`^\w+/\w+\.go$`)
+	fullPath  = regexp.MustCompile(`^(?:internal|cmd|deploy|docs|scripts|tools)/[\w/.-]+$`)
 	longName  = regexp.MustCompile(`^(?:[A-Z]\w{7,}|\w+\.[A-Z]\w*(?:\.\w+)*)$`)
 )
 
@@ -357,6 +393,9 @@
 			if longName.MatchString(m[1]) && !c.has(m[1]) && !c.contains(m[1]) {
 				t.Errorf("%s: got `%s`, want a name that is in the code", page, m[1])
 			}
+			if fullPath.MatchString(m[1]) && !c.has(m[1]) {
+				t.Errorf("%s: got `%s`, want a file or folder of the repository", page, m[1])
+			}
 			if shortPath.MatchString(m[1]) && !c.has(m[1]) && !exists(filepath.Join(root, "internal", m[1])) {
 				t.Errorf("%s: got `%s`, want a file of the repository or below internal", page, m[1])
 			}
