--- a/internal/clustersim/ledgersim/audit.go
+++ b/internal/clustersim/ledgersim/audit.go
@@ -9,131 +9,155 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
+// tokenBits is the place of the launching leader's fencing token in the number of an attempt.
+const tokenBits = 24
+
 // Amount is an amount of run time: CPU-, GPU- and GB-microseconds.
 type Amount struct{ CPU, GPU, Mem uint64 }
 
-func (s *Amount) add(o Amount) { s.CPU, s.GPU, s.Mem = s.CPU+o.CPU, s.GPU+o.GPU, s.Mem+o.Mem }
+// add adds another amount.
+func (a *Amount) add(o Amount) { a.CPU, a.GPU, a.Mem = a.CPU+o.CPU, a.GPU+o.GPU, a.Mem+o.Mem }
 
-// audit is the account that the stand-ins keep by themselves. It knows the definition of
-// run time in docs/ledger.md and nothing of package ledger: it hears which messages of
-// workers a leader takes and what they show, and sees when a leader's settlement leaves
-// for the state service and when that carries it out. It never looks at an amount in
-// one.
+// audit is the account that the stand-ins keep by themselves. It knows the definition of run time in docs/ledger.md and
+// nothing of package ledger: it sees which heartbeats a leader accepts and what they show, when a leader's settlement
+// leaves for the state service, and when that carries it out. It never looks at an amount in one.
 type audit struct {
 	world           *fake.World
-	leaders         map[uint64]*leaderView // by token
-	inFlight        map[settlement]Amount  // not carried out (yet)
+	leaders         map[uint64]*leaderView // by fencing token
+	inFlight        map[settlement]Amount  // settlements that were not carried out so far
 	seen            map[settlement]bool
-	settledByTeam   map[string]Amount // by team: what has to be in the ledger
-	endRevisions    map[string]uint64
-	settlementCount int // settlements that were carried out
-	ledgerOps       int // changes of the ledger's records
-	allOps          int
+	settledByTeam   map[string]Amount // what has to be in the ledger
+	endRevisions    map[string]uint64 // by job: the revision of its end
+	settlementCount int               // that were carried out
+	ledgerOps       int               // changes of the ledger's records
 }
 
-// leaderView is what one leader has heard of workers.
+// leaderView is what one leader has seen of workers.
 type leaderView struct {
 	machines map[string]*observation
 	pending  map[string]Amount // by team, since its last settlement
 }
 
-// observation is the newest one of a machine that a leader has taken.
+// observation is the newest heartbeat of a machine that a leader has accepted.
 type observation struct {
 	epoch, seq uint64
 	receivedAt time.Time
 	running    map[model.AttemptKey]bool
 }
 
+// settlement names a settlement of a leader.
 type settlement struct {
 	team         string
 	token, count uint64
 }
 
+// newAudit begins an account of a world.
 func newAudit(w *fake.World) *audit {
-	a := &audit{world: w, leaders: map[uint64]*leaderView{}, inFlight: map[settlement]Amount{}, seen: map[settlement]bool{}, settledByTeam: map[string]Amount{}, endRevisions: map[string]uint64{}}
+	a := &audit{
+		world:         w,
+		leaders:       map[uint64]*leaderView{},
+		inFlight:      map[settlement]Amount{},
+		seen:          map[settlement]bool{},
+		settledByTeam: map[string]Amount{},
+		endRevisions:  map[string]uint64{},
+	}
 	w.Observer, w.State.OnCommit = a, a.committed
 	return a
 }
 
-// launchToken is the token under which an attempt was launched: the upper part of its number.
-func launchToken(try uint64) uint64 { return try >> 24 }
+// launchToken is the fencing token under which an attempt was launched.
+func launchToken(attempt uint64) uint64 { return attempt >> tokenBits }
 
-// HeartbeatAccepted: a leader takes a message. What the message before showed running, and this one
-// still shows, has run in between.
-func (a *audit) HeartbeatAccepted(c *fake.Controller, token uint64, r *model.Heartbeat) {
-	l := a.leaders[token]
-	if l == nil {
-		l = &leaderView{machines: map[string]*observation{}, pending: map[string]Amount{}}
-		a.leaders[token] = l
+// HeartbeatAccepted counts the run time between two heartbeats of a machine: of an attempt that the one before showed
+// running and that this one still shows.
+func (a *audit) HeartbeatAccepted(c *fake.Controller, token uint64, heartbeat *model.Heartbeat) {
+	view := a.leaders[token]
+	if view == nil {
+		view = &leaderView{machines: map[string]*observation{}, pending: map[string]Amount{}}
+		a.leaders[token] = view
 	}
-	last := l.machines[r.Machine]
-	if last != nil && (r.Epoch < last.epoch || r.Epoch == last.epoch && r.Seq <= last.seq) {
-		return // overtaken on the way
+	last := view.machines[heartbeat.Machine]
+	if last != nil && !last.precedes(heartbeat) {
+		return // it was overtaken on its way
 	}
-	next := &observation{epoch: r.Epoch, seq: r.Seq, receivedAt: a.world.Now(), running: map[model.AttemptKey]bool{}}
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
+	next := &observation{
+		epoch:      heartbeat.Epoch,
+		seq:        heartbeat.Seq,
+		receivedAt: a.world.Now(),
+		running:    map[model.AttemptKey]bool{},
+	}
+	for i := range heartbeat.Tasks {
+		t := &heartbeat.Tasks[i]
 		key := model.AttemptKey{Task: t.Task, Number: t.Attempt}
-		before := last != nil && last.epoch == r.Epoch && last.running[key]
-		if before {
-			s := a.world.Specs[t.Task.Job]
-			p := l.pending[s.Team]
-			p.add(usageOver(s.Demand, next.receivedAt.Sub(last.receivedAt)))
-			l.pending[s.Team] = p
+		ranBefore := last != nil && last.epoch == heartbeat.Epoch && last.running[key]
+		if ranBefore {
+			spec := a.world.Specs[t.Task.Job]
+			pending := view.pending[spec.Team]
+			pending.add(usageOver(spec.Demand, next.receivedAt.Sub(last.receivedAt)))
+			view.pending[spec.Team] = pending
 		}
 		if t.Phase != model.PhaseRunning && t.Phase != model.PhaseCheckpointing {
 			continue
 		}
-		// Of a job whose end a leader has read before it sees the attempt, it knows
-		// neither team nor request; that is not run time.
-		end, over := a.endRevisions[t.Task.Job]
-		if before || launchToken(t.Attempt) == token || !over || end > c.ReadRevision {
+		if ranBefore || launchToken(t.Attempt) == token || !a.readEnd(c, t.Task.Job) {
 			next.running[key] = true
 		}
 	}
-	l.machines[r.Machine] = next
+	view.machines[heartbeat.Machine] = next
+}
+
+// precedes tells whether a heartbeat is newer than an observation.
+func (o *observation) precedes(heartbeat *model.Heartbeat) bool {
+	return heartbeat.Epoch > o.epoch || heartbeat.Epoch == o.epoch && heartbeat.Seq > o.seq
+}
+
+// readEnd tells whether a leader has read a job's end. Of an attempt that it sees only then it knows neither team nor
+// demand: that is not run time.
+func (a *audit) readEnd(c *fake.Controller, job string) bool {
+	end, ended := a.endRevisions[job]
+	return ended && end <= c.ReadRevision
 }
 
-// usageOver is what a request uses in some time.
-func usageOver(need model.Resources, d time.Duration) Amount {
-	of := func(v float64) uint64 { return uint64(math.Round(v*1000)) * uint64(d.Milliseconds()) }
-	return Amount{of(need.CPU), of(need.GPU), of(need.MemGB)}
+// usageOver is what a demand uses in some time.
+func usageOver(demand model.Resources, d time.Duration) Amount {
+	over := func(v float64) uint64 { return uint64(math.Round(v*1000)) * uint64(d.Milliseconds()) }
+	return Amount{over(demand.CPU), over(demand.GPU), over(demand.MemGB)}
 }
 
 // settlements finds the settlements among the changes of a transaction.
-func settlements(ops []fake.Operation) (out []settlement) {
+func settlements(ops []fake.Operation) (found []settlement) {
 	for _, op := range ops {
-		if v, ok := op.Value.(map[string]any); ok && strings.HasPrefix(op.Write, "use/o/") {
-			team, _ := v["team"].(string)
-			out = append(out, settlement{team, fake.DecodeUint(v["token"]), fake.DecodeUint(v["settled"])})
+		if record, ok := op.Value.(map[string]any); ok && strings.HasPrefix(op.Write, "use/o/") {
+			team, _ := record["team"].(string)
+			token, count := fake.DecodeUint(record["token"]), fake.DecodeUint(record["settled"])
+			found = append(found, settlement{team, token, count})
 		}
 	}
-	return out
+	return found
 }
 
-// TransactionSent: a transaction leaves a controller. The first time that a settlement does, it is
-// about all that its leader has heard by now.
+// TransactionSent notes what a settlement is about when it is sent for the first time: all that its leader has seen by
+// now.
 func (a *audit) TransactionSent(ops []fake.Operation) {
 	for _, s := range settlements(ops) {
 		if a.seen[s] {
 			continue
 		}
 		a.seen[s] = true
-		if l := a.leaders[s.token]; l != nil {
-			a.inFlight[s] = l.pending[s.team]
-			delete(l.pending, s.team)
+		if view := a.leaders[s.token]; view != nil {
+			a.inFlight[s] = view.pending[s.team]
+			delete(view.pending, s.team)
 		}
 	}
 }
 
-// committed: the state service carries a transaction out. What its settlements are about
-// is on record from now on.
+// committed notes a transaction that the state service carries out. What its settlements are about is on record from
+// now on.
 func (a *audit) committed(ops []fake.Operation) {
-	a.allOps += len(ops)
 	for _, s := range settlements(ops) {
-		t := a.settledByTeam[s.team]
-		t.add(a.inFlight[s])
-		a.settledByTeam[s.team] = t
+		settled := a.settledByTeam[s.team]
+		settled.add(a.inFlight[s])
+		a.settledByTeam[s.team] = settled
 		delete(a.inFlight, s)
 		a.settlementCount++
 	}
--- a/internal/clustersim/ledgersim/simulation_test.go
+++ b/internal/clustersim/ledgersim/simulation_test.go
@@ -9,24 +9,35 @@
 func TestLedgerMatchesStandInsAfterFaultyDay(t *testing.T) {
 	r := Run(1, 3, nil)
 	if !r.Good() || r.LedgerCPU == 0 || r.LedgerGPU == 0 || len(r.Teams) != len(teams) {
-		t.Fatalf("%+v", r)
+		t.Fatalf("got %+v, want equal amounts that are not zero for %d teams", r, len(teams))
 	}
-	if r.Failovers < 3 || r.FullRestarts == 0 || r.Outages == 0 || r.LateTransactions == 0 || r.UnansweredTransactions == 0 || r.ClockJumps == 0 || r.UnaccountedIntervals == 0 {
-		t.Errorf("a day without trouble shows nothing: %+v", r)
+	for what, count := range map[string]int{
+		"full restarts":           r.FullRestarts,
+		"outages":                 r.Outages,
+		"late transactions":       r.LateTransactions,
+		"unanswered transactions": r.UnansweredTransactions,
+		"clock jumps":             r.ClockJumps,
+		"unaccounted intervals":   r.UnaccountedIntervals,
+	} {
+		if count == 0 {
+			t.Errorf("%s: got none, without which the day shows nothing: %+v", what, r)
+		}
 	}
-	// What runs unseen or is not settled when its leader dies is small, and there is some.
+	if r.Failovers < 3 {
+		t.Errorf("failovers: got %d, want 3 at least", r.Failovers)
+	}
+	// What runs unseen, or is not settled when its leader crashes, is little, but not nothing.
 	if r.RuntimeCPU >= r.PhysicalCPU || float64(r.RuntimeCPU) < 0.97*float64(r.PhysicalCPU) {
-		t.Errorf("accounted %d of %d CPU-us", r.RuntimeCPU, r.PhysicalCPU)
+		t.Errorf("accounted CPU-us: got %d, want between 97%% and 100%% of %d", r.RuntimeCPU, r.PhysicalCPU)
 	}
 }
 
-// A comparison that cannot fail would show nothing: an account that a settlement misses,
-// or has twice, is told apart.
+// The comparison has to find an amount that the ledger lacks, and one that it has twice.
 func TestComparisonDetectsDifferences(t *testing.T) {
-	k := &simulation{result: &Result{}, audit: &audit{settledByTeam: map[string]Amount{}}}
-	k.audit.settledByTeam["red"] = Amount{CPU: 10, GPU: 5}
-	k.compareTeam("red", ledger.Usage{CPU: 12, GPU: 1})
-	if k.result.Overcharged != 2 || k.result.Undercharged != 4 || k.result.Good() {
-		t.Errorf("%+v", k.result)
+	s := &simulation{result: &Result{}, audit: &audit{settledByTeam: map[string]Amount{}}}
+	s.audit.settledByTeam["red"] = Amount{CPU: 10, GPU: 5}
+	s.compareTeam("red", ledger.Usage{CPU: 12, GPU: 1})
+	if s.result.Overcharged != 2 || s.result.Undercharged != 4 || s.result.Good() {
+		t.Errorf("got %+v, want 2 overcharged, 4 undercharged, and not good", s.result)
 	}
 }
