--- a/cmd/clustersim/scale.go
+++ b/cmd/clustersim/scale.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -32,17 +31,17 @@
 	JSON        bool     `                           help:"Only the result, as one JSON object."`
 }
 
-var errScaleFailed = errors.New("a rule was broken, a controller ended by itself, or nothing was started")
+var errScaleFailed = errors.New("an invariant was broken, a controller crashed, or no task was started")
 
-// Help tells what a run is.
+// Help describes a run.
 func (*scaleCmd) Help() string {
-	return `Plays real controllers, which it builds and starts as processes, against stand-ins for the state service, the
+	return `Runs real controllers, which it builds and starts as processes, against stand-ins for the state service, the
 cloud and the users on loopback addresses, and against hollow workers: these speak the whole worker protocol (leases,
-sessions, tokens, gangs, images as delays) and do no work. First the fleet comes up and services are placed on it; then
-jobs arrive at the rate that is asked for, and what everything costs is measured. It holds what happens against the rules.
+epochs, fencing tokens, gangs, images as delays) and do no work. First the fleet comes up and services are placed on it;
+then jobs arrive at the requested rate, and what everything costs is measured. The invariants are checked all along.
 
-What it takes of the machine is worked out before anything is started, and refused if the machine does not have it.
-The last line is one JSON object; docs/rehearse.md tells what its fields mean. All that it starts ends with it.`
+What a run requires of the machine is estimated before anything is started, and refused if the machine does not have it.
+The last line is one JSON object; docs/clustersim.md describes its fields. All that a run starts ends with it.`
 }
 
 // buildPlan puts the defaults, the plan's file and the flags together.
@@ -80,13 +79,14 @@
 	return p, nil
 }
 
-func override[T any](to *T, flag *T) {
+// override sets a setting to a flag's value if the flag was given.
+func override[T any](setting *T, flag *T) {
 	if flag != nil {
-		*to = *flag
+		*setting = *flag
 	}
 }
 
-// Run plays the plan and prints what was measured.
+// Run carries the plan out and prints what was measured.
 func (c *scaleCmd) Run() error {
 	p, err := c.buildPlan()
 	if err != nil {
@@ -94,18 +94,18 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	say := func(format string, args ...any) { fmt.Fprintf(os.Stderr, "scale: "+format+"\n", args...) }
+	logf := func(format string, args ...any) { fmt.Fprintf(os.Stderr, "scale: "+format+"\n", args...) }
 	if c.JSON && !isTerminal(os.Stderr) {
-		say = func(string, ...any) {}
+		logf = func(string, ...any) {}
 	}
-	r, err := scale.Run(ctx, p, say)
+	r, err := scale.Run(ctx, p, logf)
 	if err != nil {
 		return err
 	}
 	if !c.JSON {
 		printScale(r)
 	}
-	if err := json.NewEncoder(os.Stdout).Encode(r); err != nil {
+	if err := printJSON(r); err != nil {
 		return err
 	}
 	if !r.Good() {
@@ -114,54 +114,36 @@
 	return nil
 }
 
-// isTerminal tells whether somebody looks on.
+// isTerminal tells whether a file is a terminal.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
+// maxPrinted is how many violations are printed.
+const maxPrinted = 10
+
 // printScale prints a result for people.
 func printScale(r *scale.Result) {
 	fmt.Printf("%d hollow workers in %d regions, real controllers, %.0f s:\n", r.Workers, r.Regions, r.Seconds)
-	fmt.Printf(
-		"  starts       %.1f/s of %.1f/s asked for; urgent tasks start after %d ms (p50), %d ms (p99); other jobs %d, %d ms\n",
-		r.Starts,
-		r.RequestedStarts,
-		r.UrgentP50,
-		r.UrgentP99,
-		r.OthersP50,
-		r.OthersP99,
-	)
-	fmt.Printf(
-		"  reports      %.1f/s; round trip %.1f ms (p50), %.1f ms (p99); %.3f%% later than 4 s; %d leases ran out\n",
-		r.Heartbeats,
-		r.HeartbeatP50,
-		r.HeartbeatP99,
-		100*r.LateHeartbeatShare,
-		r.LeaseExpiries,
-	)
-	fmt.Printf(
-		"  leader       %.2f of a core, %.0f MB, %d open files; its loop was held for %.0f ms at the longest (%s)\n",
-		r.LeaderCores,
-		r.LeaderMB,
-		r.LeaderSockets,
-		r.LongestHoldMs,
-		r.LongestHoldBy,
-	)
+	fmt.Printf("  starts       %.1f/s of %.1f/s requested; ", r.Starts, r.RequestedStarts)
+	fmt.Printf("urgent tasks start after %d ms (p50), %d ms (p99); other jobs %d, %d ms\n",
+		r.UrgentP50, r.UrgentP99, r.OthersP50, r.OthersP99)
+	fmt.Printf("  heartbeats   %.1f/s; round trip %.1f ms (p50), %.1f ms (p99); ", r.Heartbeats, r.HeartbeatP50, r.HeartbeatP99)
+	fmt.Printf("%.3f%% later than 4 s; %d leases expired\n", 100*r.LateHeartbeatShare, r.LeaseExpiries)
+	fmt.Printf("  leader       %.2f of a core, %.0f MB, %d open files; ", r.LeaderCores, r.LeaderMB, r.LeaderSockets)
+	fmt.Printf("its loop was held for %.0f ms at the longest (%s)\n", r.LongestHoldMs, r.LongestHoldBy)
 	fmt.Printf("  members      %.3f of a core, %.0f MB, %d open files\n", r.MemberCores, r.MemberMB, r.MemberSockets)
 	fmt.Printf("  state        %.1f requests/s, %.1f changes/s\n", r.StateRPS, r.StateWrites)
 	fmt.Printf("  worker       %.0f bytes/s each\n", r.WorkerBytes)
-	fmt.Printf(
-		"  stand-ins    %.2f cores, %.0f MB (hollow workers, state service, cloud and users in one process)\n",
-		r.StandInCores,
-		r.StandInMB,
-	)
-	fmt.Printf("  rules        %d broken; %d controllers ended by themselves\n", len(r.Violations), r.EndedProcesses)
-	for i, b := range r.Violations {
-		if i == 10 {
+	fmt.Printf("  stand-ins    %.2f cores, %.0f MB (hollow workers, state service, cloud and users in one process)\n",
+		r.StandInCores, r.StandInMB)
+	fmt.Printf("  invariants   %d broken; %d controllers crashed\n", len(r.Violations), r.EndedProcesses)
+	for i, violation := range r.Violations {
+		if i == maxPrinted {
 			fmt.Printf("               and %d more\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Printf("               %s\n", b)
+		fmt.Printf("               %s\n", violation)
 	}
 }
--- a/internal/clustersim/capacity/capacity_test.go
+++ b/internal/clustersim/capacity/capacity_test.go
@@ -12,7 +12,11 @@
 )
 
 func TestFitRecoversKnownLine(t *testing.T) {
-	q := Quantity{Name: "x", Loads: []Load{Workers, Starts}, Measure: func(r *scale.Result) float64 { return r.LeaderCores }}
+	q := Quantity{
+		Name:    "x",
+		Loads:   []Load{Workers, Starts},
+		Measure: func(r *scale.Result) float64 { return r.LeaderCores },
+	}
 	var runs []scale.Result
 	for i, workers := range []int{1000, 2000, 4000, 8000, 8000} {
 		starts := float64(100 * (i*i + 1))
@@ -30,26 +34,26 @@
 	if err != nil || math.Abs(line.Intercept-0.5) > 1e-9 || math.Abs(line.Slopes[0]-0.001) > 1e-9 ||
 		math.Abs(line.Slopes[1]-0.01) > 1e-9 ||
 		line.MaxResidual > 1e-9 {
-		t.Errorf("found %+v, %v", line, err)
+		t.Errorf("line: got %+v, %v, want 0.5 + 0.001 for each worker + 0.01 for each start", line, err)
 	}
 	if v, beyond := line.At(Size{Loads: map[Load]float64{Workers: 4000, Starts: 100}}); math.Abs(v-5.5) > 1e-9 || beyond {
-		t.Errorf("read as %v, beyond what ran: %v", v, beyond)
+		t.Errorf("value: got %v, beyond all runs %v, want 5.5 and false", v, beyond)
 	}
 	if _, beyond := line.At(Size{Loads: map[Load]float64{Workers: 9000, Starts: 100}}); !beyond {
-		t.Error("what is extrapolated does not say so")
+		t.Error("more workers than in any run: got a value within the runs, want it marked as beyond")
 	}
 	runs[2].LeaderCores++
 	if line, err = Fit(q, runs); err != nil || line.Residual < 0.1 || line.MaxResidual < 0.1 {
-		t.Errorf("a run off the line leaves a residual of %v, %v", line.Residual, err)
+		t.Errorf("residual with a run off the line: got %v, %v, want 0.1 at least", line.Residual, err)
 	}
-	if _, err := Fit(q, runs[:3]); !errors.Is(err, errTooFewRuns) {
-		t.Errorf("three runs for three numbers: %v", err)
+	if _, err := Fit(q, runs[:3]); !errors.Is(err, ErrTooFewRuns) {
+		t.Errorf("three runs for three coefficients: got %v, want %v", err, ErrTooFewRuns)
 	}
 	for i := range runs {
 		runs[i].Starts = float64(runs[i].Workers)
 	}
 	if _, err := Fit(q, runs); err == nil {
-		t.Error("loads that the runs do not tell apart were fitted")
+		t.Error("loads that the runs do not tell apart: got a line, want an error")
 	}
 }
 
@@ -71,7 +75,7 @@
 	}
 }
 
-// The page's table is what the committed runs say, to the letter.
+// The table on the page is the one that the committed runs give, byte by byte.
 func TestCapacityPageMatchesCommittedRuns(t *testing.T) {
 	docs := filepath.Join("..", "..", "..", "docs")
 	runs, err := Read(filepath.Join(docs, "capacity"))
--- a/internal/clustersim/capacity/quantities.go
+++ b/internal/clustersim/capacity/quantities.go
@@ -2,7 +2,7 @@
 
 import "github.com/glentiller/glentiller/internal/clustersim/scale"
 
-// Quantities are the rows of the table.
+// Quantities are the rows of the table, with the text of its pages.
 func Quantities() []Quantity {
 	workersStarts := []Load{Workers, Starts}
 	return []Quantity{
