--- a/internal/clustersim/capacity/capacity.go
+++ b/internal/clustersim/capacity/capacity.go
@@ -1,25 +1,25 @@
-// Package capacity predicts what each part of a deployment takes at sizes that were not run: it fits straight lines by
-// least squares to the results of scale runs, and says how far the runs lie off them. Read reads the results, Table
-// writes the fits as a table in Markdown; Fit and Line.At give the numbers.
+// Package capacity extrapolates what each role of a deployment needs to other sizes. It fits straight lines, by
+// least squares, to the results of scale simulations: Read reads the results, Fit fits one quantity, and Table
+// writes the table of docs/CAPACITY.md. It reads no clock and measures nothing.
 package capacity
 
 import "github.com/glentiller/glentiller/internal/clustersim/scale"
 
-// Load is something that a quantity may grow with.
+// Load is what a quantity may grow with.
 type Load uint8
 
-// The loads: workers of a region, task starts a second in it, jobs a second in it, and teams.
+// The loads. The first three are of one region.
 const (
 	Workers Load = iota
-	Starts
-	Jobs
+	Starts       // of tasks, a second
+	Jobs         // a second
 	Teams
 )
 
-// String is the unit of the load.
+// String returns the unit of the load.
 func (l Load) String() string { return [...]string{"worker", "start/s", "job/s", "team"}[l] }
 
-// value is the load of a run, in one region.
+// value returns the load of a run.
 func (l Load) value(r *scale.Result) float64 {
 	regions := float64(r.Regions)
 	switch l {
@@ -29,8 +29,9 @@
 		return r.Starts / regions
 	case Jobs:
 		return r.JobsPerS / regions
+	default:
+		return float64(r.Teams)
 	}
-	return float64(r.Teams)
 }
 
 // Size is a deployment for which the lines are evaluated.
@@ -39,7 +40,7 @@
 	Loads map[Load]float64
 }
 
-// The target deployment. Jobs a second follow from the starts by an assumed mix of jobs.
+// The target size. Jobs a second follow from the starts by an assumed mix of jobs.
 const (
 	targetWorkers = 21_000
 	targetStarts  = 11_000
@@ -48,18 +49,34 @@
 	startsPerJob  = 120
 )
 
-// Sizes are a region of the mean size, one of twice that, and all in one.
+// Sizes returns a region of the mean size, one of twice that, and all regions in one.
 func Sizes() []Size {
-	size := func(name string, part float64) Size {
-		return Size{
-			name,
-			map[Load]float64{
-				Workers: part * targetWorkers,
-				Starts:  part * targetStarts,
-				Jobs:    part * targetStarts / startsPerJob,
-				Teams:   targetTeams,
-			},
-		}
+	return []Size{
+		newSize("a mean region", 1.0/targetRegions),
+		newSize("twice that", 2.0/targetRegions),
+		newSize("all in one", 1),
 	}
-	return []Size{size("a mean region", 1.0/targetRegions), size("twice that", 2.0/targetRegions), size("all in one", 1)}
+}
+
+// newSize returns a region with a fraction of the target.
+func newSize(name string, fraction float64) Size {
+	return Size{
+		Name: name,
+		Loads: map[Load]float64{
+			Workers: fraction * targetWorkers,
+			Starts:  fraction * targetStarts,
+			Jobs:    fraction * targetStarts / startsPerJob,
+			Teams:   targetTeams,
+		},
+	}
+}
+
+// Quantity is something that runs measure.
+type Quantity struct {
+	Role, Name string
+	Loads      []Load // what it grows with
+	Measure    func(r *scale.Result) float64
+	Digits     int    // after the decimal point, in the table
+	Budget     string // what there is of it
+	Mechanism  string // what the table says about the design
 }
--- a/internal/store/job_lookup.go
+++ b/internal/store/job_lookup.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"github.com/glentiller/glentiller/internal/model"
-	"github.com/glentiller/glentiller/internal/reconciler"
+	"github.com/glentiller/glentiller/internal/record"
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
@@ -15,7 +15,7 @@
 // Lookup returns the present state of a job. An end that is remembered is returned at once; for
 // anything else the cache is brought up to the present. A job that depends on a cancelled one is
 // cancelled, whether its own end is on record yet or not: all controllers derive that from the one
-// record of the cancellation (docs/safety.md, "Job dependencies").
+// record of the cancellation (docs/safety.md, "Pipelines").
 func (j *JobCache) Lookup(ctx context.Context, id string) (JobRecord, error) {
 	if record := j.Peek(id); record.State.Ended() {
 		return record, nil
@@ -123,8 +123,8 @@
 }
 
 // ReadEnds returns how jobs have ended, of those of which that can be found out.
-func (j *JobCache) ReadEnds(ctx context.Context, ids []string) []reconciler.JobEnded {
-	var ends []reconciler.JobEnded
+func (j *JobCache) ReadEnds(ctx context.Context, ids []string) []record.JobEnd {
+	var ends []record.JobEnd
 	for _, id := range ids {
 		record := j.Peek(id)
 		if !record.State.Ended() {
@@ -135,7 +135,7 @@
 			}
 		}
 		if record.State.Ended() {
-			ends = append(ends, record.EndedEvent(id))
+			ends = append(ends, record.end(id))
 		} else {
 			j.log.Warn("the end of a dependency is not on record", "id", id)
 		}
