--- a/internal/clustersim/scale/standins.go
+++ b/internal/clustersim/scale/standins.go
@@ -122,9 +122,11 @@
 func (s *stateServer) leader() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m, _ := s.state.Value("leader/holder").(map[string]any)
-	name, _ := m["member"].(string)
-	return name
+	_, member, err := wire.DecodeLeaderRecord(s.state.RawValue("leader/holder"))
+	if err != nil {
+		return "" // the key does not exist
+	}
+	return member
 }
 
 // resetChanges sets the count of changes to zero.
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -8,6 +8,8 @@
 
 	"github.com/tidwall/btree"
 	"github.com/tinylib/msgp/msgp"
+
+	"github.com/glentiller/glentiller/internal/wire"
 )
 
 const (
@@ -22,8 +24,8 @@
 	now               func() time.Time
 	Down              bool // answers 503 to all requests
 	revision          uint64
-	keys              *btree.Map[string, *stateEntry]
-	log               []stateEntry // the last changes in their order
+	keys              *btree.Map[string, *wire.Entry]
+	log               []wire.Entry // the last changes in their order
 	compactedRevision uint64       // changes up to this revision are not kept any more
 	leases            map[uint64]*stateLease
 	lastLease         uint64
@@ -40,18 +42,10 @@
 type Operation struct {
 	Write  string // key that is written; "": none
 	Remove string // key that is removed; "": none
-	Value  any    // that is written, as msgp decodes it
+	Value  any    // that is written, decoded
 	Lease  uint64 // that the written key belongs to; 0: none
 }
 
-type stateEntry struct {
-	key     string
-	value   any
-	version uint64
-	lease   uint64
-	removed bool
-}
-
 type stateLease struct {
 	duration  time.Duration
 	renewedAt time.Time
@@ -59,7 +53,7 @@
 
 // NewState makes an empty state service.
 func NewState(now func() time.Time) *State {
-	return &State{now: now, revision: 1, keys: &btree.Map[string, *stateEntry]{}, leases: map[uint64]*stateLease{}}
+	return &State{now: now, revision: 1, keys: &btree.Map[string, *wire.Entry]{}, leases: map[uint64]*stateLease{}}
 }
 
 // Revision counts the changes.
@@ -67,37 +61,36 @@
 
 // Preload sets a key to a value that stands there from before. It panics where the value is not MessagePack.
 func (s *State) Preload(key string, value []byte) {
-	v, _, err := msgp.ReadIntfBytes(value)
-	if err != nil {
+	if _, err := msgp.Skip(value); err != nil {
 		panic(err)
 	}
 	s.revision++
-	s.put(stateEntry{key: key, value: v, version: s.revision})
+	s.put(wire.Entry{Key: key, Value: value, Version: s.revision})
 }
 
 // put sets a key.
-func (s *State) put(e stateEntry) {
-	s.keys.Set(e.key, &e)
+func (s *State) put(e wire.Entry) {
+	s.keys.Set(e.Key, &e)
 	s.appendLog(e)
 }
 
 // removeKey removes a key.
 func (s *State) removeKey(key string) {
 	s.keys.Delete(key)
-	s.appendLog(stateEntry{key: key, version: s.revision, removed: true})
+	s.appendLog(wire.Entry{Key: key, Version: s.revision, Removed: true})
 }
 
 // appendLog notes a change and lets the oldest ones go.
-func (s *State) appendLog(e stateEntry) {
+func (s *State) appendLog(e wire.Entry) {
 	if s.log = append(s.log, e); len(s.log) >= 2*maxLogEntries {
-		s.compactedRevision = s.log[len(s.log)-maxLogEntries-1].version
-		s.log = append([]stateEntry(nil), s.log[len(s.log)-maxLogEntries:]...)
+		s.compactedRevision = s.log[len(s.log)-maxLogEntries-1].Version
+		s.log = append([]wire.Entry(nil), s.log[len(s.log)-maxLogEntries:]...)
 	}
 }
 
 // logAfter is the part of the log that follows a revision.
-func (s *State) logAfter(revision uint64) []stateEntry {
-	first := sort.Search(len(s.log), func(i int) bool { return s.log[i].version > revision })
+func (s *State) logAfter(revision uint64) []wire.Entry {
+	first := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > revision })
 	return s.log[first:]
 }
 
@@ -107,7 +100,7 @@
 		return true
 	}
 	for _, e := range s.logAfter(after) {
-		if strings.HasPrefix(e.key, prefix) {
+		if strings.HasPrefix(e.Key, prefix) {
 			return true
 		}
 	}
@@ -115,23 +108,32 @@
 }
 
 // entry finds a key; nil: it does not exist.
-func (s *State) entry(key string) *stateEntry {
+func (s *State) entry(key string) *wire.Entry {
 	e, _ := s.keys.Get(key)
 	return e
 }
 
-// Value is what a key holds; nil: it does not exist.
-func (s *State) Value(key string) any {
+// RawValue is what a key holds, in MessagePack; nil: it does not exist.
+func (s *State) RawValue(key string) []byte {
 	if e := s.entry(key); e != nil {
-		return e.value
+		return e.Value
 	}
 	return nil
 }
 
+// Value is what a key holds, decoded; nil: it does not exist.
+func (s *State) Value(key string) any {
+	value, _, err := msgp.ReadIntfBytes(s.RawValue(key))
+	if err != nil {
+		return nil
+	}
+	return value
+}
+
 // Keys lists the keys with a prefix.
 func (s *State) Keys(prefix string) []string {
 	var keys []string
-	s.keys.Ascend(prefix, func(key string, _ *stateEntry) bool {
+	s.keys.Ascend(prefix, func(key string, _ *wire.Entry) bool {
 		if strings.HasPrefix(key, prefix) {
 			keys = append(keys, key)
 			return true
@@ -142,7 +144,7 @@
 }
 
 // withinLimits tells whether a transaction keeps within the limits.
-func (s *State) withinLimits(conditions []any, ops []Operation) bool {
+func (s *State) withinLimits(conditions []wire.Condition, ops []Operation) bool {
 	if s.MaxOps > 0 && (len(ops) > s.MaxOps || len(conditions) > conditionsPerOp*s.MaxOps) {
 		return false
 	}
@@ -158,15 +160,15 @@
 	return true
 }
 
-// apply carries a transaction's changes out.
-func (s *State) apply(ops []Operation) {
+// apply carries a transaction's changes out; ops are the same ones, decoded.
+func (s *State) apply(changes []wire.Change, ops []Operation) {
 	s.revision++
 	s.Transactions++
-	for _, op := range ops {
-		if op.Remove == "" {
-			s.put(stateEntry{key: op.Write, value: op.Value, version: s.revision, lease: op.Lease})
-		} else if s.entry(op.Remove) != nil {
-			s.removeKey(op.Remove)
+	for _, change := range changes {
+		if change.Value != nil {
+			s.put(wire.Entry{Key: change.Key, Value: change.Value, Version: s.revision, Lease: change.Lease})
+		} else if s.entry(change.Key) != nil {
+			s.removeKey(change.Key)
 		}
 	}
 	if s.OnCommit != nil {
@@ -199,8 +201,8 @@
 func (s *State) revokeLease(id uint64) {
 	delete(s.leases, id)
 	var keys []string
-	s.keys.Scan(func(key string, e *stateEntry) bool {
-		if e.lease == id {
+	s.keys.Scan(func(key string, e *wire.Entry) bool {
+		if e.Lease == id {
 			keys = append(keys, key)
 		}
 		return true
--- a/internal/fake/state_protocol.go
+++ b/internal/fake/state_protocol.go
@@ -12,6 +12,7 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"github.com/glentiller/glentiller/internal/rpc"
+	"github.com/glentiller/glentiller/internal/wire"
 )
 
 // defaultPage is how many keys a page of a list has where the request does not say.
@@ -20,24 +21,18 @@
 // errNoSuchPath is returned for a request of a path that the protocol does not have.
 var errNoSuchPath = errors.New("no such path")
 
+// emptyMap is the body of an answer that says nothing more than its status.
+func emptyMap() []byte { return msgp.AppendMapHeader(nil, 0) }
+
 // Call answers one request of the state service's protocol. An answer other than 200 is an rpc.StatusError.
 func (s *State) Call(method, uri string, body []byte, _ time.Duration) ([]byte, error) {
 	s.Expire()
 	if s.Down {
-		return response(http.StatusServiceUnavailable, map[string]any{})
+		return failure(http.StatusServiceUnavailable, emptyMap())
 	}
 	u, err := url.Parse(uri)
 	if err != nil {
-		return response(http.StatusBadRequest, map[string]any{})
-	}
-	var request map[string]any
-	if len(body) > 0 {
-		v, _, err := msgp.ReadIntfBytes(body)
-		fields, ok := v.(map[string]any)
-		if err != nil || !ok {
-			return response(http.StatusBadRequest, map[string]any{})
-		}
-		request = fields
+		return failure(http.StatusBadRequest, emptyMap())
 	}
 	query := u.Query()
 	switch path := u.Path; {
@@ -48,43 +43,27 @@
 	case path == "/changes":
 		return s.changes(query.Get("prefix"), query.Get("after"))
 	case path == "/commit":
-		return s.commit(request)
+		return s.commit(body)
 	case path == "/grants":
-		return s.grantLease(request)
+		return s.grantLease(body)
 	case strings.HasPrefix(path, "/grants/"):
 		return s.updateLease(method, strings.TrimSuffix(path[len("/grants/"):], "/touch"))
 	}
 	return nil, fmt.Errorf("%w: %s", errNoSuchPath, uri)
 }
 
-// response encodes an answer.
-func response(code int, body any) ([]byte, error) {
-	b, err := msgp.AppendIntf(nil, body)
-	if err != nil {
-		return nil, err
-	}
-	if code != http.StatusOK {
-		return nil, &rpc.StatusError{Status: code, Body: b}
-	}
-	return b, nil
+// failure is an answer with another status than 200.
+func failure(status int, body []byte) ([]byte, error) {
+	return nil, &rpc.StatusError{Status: status, Body: body}
 }
 
 // read answers what a key holds.
 func (s *State) read(key string) ([]byte, error) {
 	e := s.entry(key)
 	if e == nil {
-		return response(http.StatusNotFound, map[string]any{"epoch": s.revision})
+		return failure(http.StatusNotFound, wire.AppendRevision(nil, s.revision))
 	}
-	return response(http.StatusOK, e.asMap())
-}
-
-// asMap is an entry as the protocol has it.
-func (e *stateEntry) asMap() map[string]any {
-	m := map[string]any{"k": e.key, "value": e.value, "stamp": e.version}
-	if e.lease != 0 {
-		m["tenancy"] = e.lease
-	}
-	return m
+	return wire.AppendEntry(nil, e), nil
 }
 
 // list answers a page of the keys with a prefix.
@@ -94,83 +73,82 @@
 		most = defaultPage
 	}
 	var keys []string
-	s.keys.Ascend(max(prefix, after), func(key string, _ *stateEntry) bool {
+	s.keys.Ascend(max(prefix, after), func(key string, _ *wire.Entry) bool {
 		if key > after && strings.HasPrefix(key, prefix) {
 			keys = append(keys, key)
 		}
 		return strings.HasPrefix(key, prefix) && len(keys) <= most
 	})
-	more := len(keys) > most
-	entries := []any{}
+	answer := wire.Page{More: len(keys) > most, Revision: s.revision}
 	for _, key := range keys[:min(most, len(keys))] {
-		entries = append(entries, s.entry(key).asMap())
+		answer.Entries = append(answer.Entries, *s.entry(key))
 	}
-	return response(http.StatusOK, map[string]any{"entries": entries, "more": more, "epoch": s.revision})
+	return wire.AppendPage(nil, &answer), nil
 }
 
 // changes answers the changes after a revision of keys with a prefix.
 func (s *State) changes(prefix, after string) ([]byte, error) {
 	revision, _ := strconv.ParseUint(after, 10, 64) // malformed: all changes
 	if revision < s.compactedRevision {
-		return response(http.StatusGone, map[string]any{})
+		return failure(http.StatusGone, emptyMap())
 	}
-	log := []any{}
+	answer := wire.Page{Revision: s.revision}
 	for _, e := range s.logAfter(revision) {
-		if !strings.HasPrefix(e.key, prefix) {
-			continue
-		}
-		if e.removed {
-			log = append(log, map[string]any{"remove": e.key, "stamp": e.version})
-		} else {
-			log = append(log, map[string]any{"write": e.key, "value": e.value, "stamp": e.version})
+		if strings.HasPrefix(e.Key, prefix) {
+			answer.Entries = append(answer.Entries, e)
 		}
 	}
-	return response(http.StatusOK, map[string]any{"epoch": s.revision, "log": log})
+	return wire.AppendLog(nil, &answer), nil
 }
 
 // commit carries a transaction out if its conditions hold.
-func (s *State) commit(request map[string]any) ([]byte, error) {
-	conditions, _ := request["if"].([]any)
-	ops := decodeOperations(request)
-	if !s.withinLimits(conditions, ops) {
-		return response(http.StatusBadRequest, map[string]any{"error": "too large"})
-	}
-	if failed := s.failedConditions(conditions); len(failed) > 0 {
-		return response(http.StatusConflict, map[string]any{"failed": failed, "epoch": s.revision})
-	}
-	for _, op := range ops {
-		if op.Lease != 0 && s.leases[op.Lease] == nil {
-			return response(http.StatusBadRequest, map[string]any{"error": "no such lease"})
+func (s *State) commit(body []byte) ([]byte, error) {
+	txn, err := wire.DecodeTxn(body)
+	if err != nil {
+		return failure(http.StatusBadRequest, emptyMap())
+	}
+	ops := decodeOperations(txn.Changes)
+	if !s.withinLimits(txn.Conditions, ops) {
+		return failure(http.StatusBadRequest, wire.AppendError(nil, "too large"))
+	}
+	if failed := s.failedConditions(txn.Conditions); len(failed) > 0 {
+		return failure(http.StatusConflict, wire.AppendConflict(nil, failed, s.revision))
+	}
+	for _, change := range txn.Changes {
+		if change.Lease != 0 && s.leases[change.Lease] == nil {
+			return failure(http.StatusBadRequest, wire.AppendError(nil, "no such lease"))
 		}
 	}
-	s.apply(ops)
-	return response(http.StatusOK, map[string]any{"epoch": s.revision})
+	s.apply(txn.Changes, ops)
+	return wire.AppendRevision(nil, s.revision), nil
 }
 
 // failedConditions lists the keys whose version is not the one that a transaction expects.
-func (s *State) failedConditions(conditions []any) []any {
-	failed := []any{}
-	for _, c := range conditions {
-		fields := c.(map[string]any)
+func (s *State) failedConditions(conditions []wire.Condition) (failed []string) {
+	for _, condition := range conditions {
 		var version uint64
-		if e := s.entry(fields["k"].(string)); e != nil {
-			version = e.version
+		if e := s.entry(condition.Key); e != nil {
+			version = e.Version
 		}
-		if version != DecodeUint(fields["stamp"]) {
-			failed = append(failed, fields["k"])
+		if version != condition.Version {
+			failed = append(failed, condition.Key)
 		}
 	}
 	return failed
 }
 
 // grantLease makes a lease.
-func (s *State) grantLease(request map[string]any) ([]byte, error) {
+func (s *State) grantLease(body []byte) ([]byte, error) {
+	milliseconds, err := wire.DecodeLeaseRequest(body)
+	if err != nil {
+		return failure(http.StatusBadRequest, emptyMap())
+	}
 	s.lastLease++
 	s.leases[s.lastLease] = &stateLease{
-		duration:  time.Duration(DecodeUint(request["lifeMs"])) * time.Millisecond,
+		duration:  time.Duration(milliseconds) * time.Millisecond,
 		renewedAt: s.now(),
 	}
-	return response(http.StatusOK, map[string]any{"tenancy": s.lastLease})
+	return wire.AppendLeaseID(nil, s.lastLease), nil
 }
 
 // updateLease renews a lease, or revokes it on DELETE.
@@ -178,36 +156,35 @@
 	id, _ := strconv.ParseUint(number, 10, 64) // malformed: 0, which no lease has
 	lease := s.leases[id]
 	if lease == nil {
-		return response(http.StatusNotFound, map[string]any{})
+		return failure(http.StatusNotFound, emptyMap())
 	}
 	if method == http.MethodDelete {
 		s.revokeLease(id)
 	} else {
 		lease.renewedAt = s.now()
 	}
-	return response(http.StatusOK, map[string]any{})
+	return emptyMap(), nil
 }
 
 // TransactionOps are the changes of a transaction's request; none where it is malformed.
 func TransactionOps(body []byte) []Operation {
-	v, _, err := msgp.ReadIntfBytes(body)
-	request, ok := v.(map[string]any)
-	if err != nil || !ok {
+	txn, err := wire.DecodeTxn(body)
+	if err != nil {
 		return nil
 	}
-	return decodeOperations(request)
+	return decodeOperations(txn.Changes)
 }
 
-// decodeOperations reads the changes of a transaction's request.
-func decodeOperations(request map[string]any) []Operation {
-	list, _ := request["apply"].([]any)
-	ops := make([]Operation, len(list))
-	for i, v := range list {
-		fields := v.(map[string]any)
-		op := &ops[i]
-		op.Write, _ = fields["write"].(string)
-		op.Remove, _ = fields["remove"].(string)
-		op.Value, op.Lease = fields["value"], DecodeUint(fields["tenancy"])
+// decodeOperations decodes the changes of a transaction.
+func decodeOperations(changes []wire.Change) []Operation {
+	ops := make([]Operation, len(changes))
+	for i, change := range changes {
+		if change.Value == nil {
+			ops[i].Remove = change.Key
+			continue
+		}
+		value, _, _ := msgp.ReadIntfBytes(change.Value) // it was skipped over as MessagePack already
+		ops[i] = Operation{Write: change.Key, Value: value, Lease: change.Lease}
 	}
 	return ops
 }
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -117,6 +117,7 @@
 	stateMore       = "more"
 	stateEntries    = "entries"
 	stateLog        = "log"
+	stateFailed     = "failed"
 )
 
 // Fields of the records of jobs. Their names, and those of all records below, are
