--- a/internal/reconciler/liveness_test.go
+++ b/internal/reconciler/liveness_test.go
@@ -163,7 +163,7 @@
 	}
 	s.unresponsive(8*time.Second, name, 20)
 	m := s.core.machines[name]
-	if m.State != model.MachineReleasing || m.StateReason != reasonUnresponsive || m.ActiveCount != 1 {
+	if m.State != model.MachineReleasing || m.StateReason != "deaf" || m.ActiveCount != 1 {
 		t.Errorf("got %v (%s), %d attempts; want %v (%s), 1",
 			m.State, m.StateReason, m.ActiveCount, model.MachineReleasing, reasonUnresponsive)
 	}
