--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -105,6 +105,33 @@
 	}
 }
 
+// commentReference is a page of this folder in a comment, with the title of a section if one stands behind it.
+var commentReference = regexp.MustCompile(`\b(docs/[\w/-]+\.md)(?:, "([^"]+)")?`)
+
+func TestCommentsNamePagesAndSectionsThatExist(t *testing.T) {
+	found := 0
+	for _, path := range files(t, ".go") {
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ParseComments)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, comment := range file.Comments {
+			for _, m := range commentReference.FindAllStringSubmatch(spaces.ReplaceAllString(comment.Text(), " "), -1) {
+				found++
+				page := filepath.Join(root, m[1])
+				if !exists(page) {
+					t.Errorf("%s: got a comment that names %s, want a page that exists", path, m[1])
+				} else if m[2] != "" && !hasSection(t, page, m[2]) {
+					t.Errorf("%s: got a comment that names %s, %q, want a section that exists", path, m[1], m[2])
+				}
+			}
+		}
+	}
+	if found < 40 {
+		t.Errorf("got %d pages in comments, want the 40 and more that there were", found)
+	}
+}
+
 // code is what the sources outside tests declare.
 type code struct {
 	names    map[string]bool // plain, and with package, type or both before them
--- a/internal/liveness/doc.go
+++ b/internal/liveness/doc.go
@@ -5,6 +5,6 @@
 // what heartbeats show and lack, and from answers to probes, it tells whether the machine receives anything.
 //
 // The package is pure: message numbers and moments go in, verdicts come out. The caller keeps one Incarnation and one
-// Detector for each machine, passes every message to them, and sends the probes. docs/safety.md, "Copies and lives",
-// argues why delayed copies are harmless.
+// Detector for each machine, passes every message to them, and sends the probes. docs/safety.md, "Duplicates and
+// incarnations", argues why delayed copies are harmless.
 package liveness
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -56,7 +56,7 @@
 
 // appendCommands appends the commands that bring one attempt to where it should be. An unwanted attempt that no
 // heartbeat has shown yet is launched and stopped: then the worker knows it, and a delayed duplicate of its launch
-// has no effect (docs/safety.md, "Late launches").
+// has no effect (docs/safety.md, "Delayed launches").
 func appendCommands(commands []model.Command, attempt *model.Attempt) []model.Command {
 	stopping := attempt.State == model.AttemptStopping
 	if attempt.State == model.AttemptLaunching || stopping && attempt.Phase == 0 {
--- a/internal/reconciler/commits.go
+++ b/internal/reconciler/commits.go
@@ -249,7 +249,7 @@
 // fenceCompleted takes the outcome of a fence. A transaction that was not answered may be carried out late, after
 // newer ones; it could make finished tasks unfinished again, or bring back machines that are gone. So a fence goes
 // before the next transaction: it writes the token's record anew, and what was sent under the former version of that
-// record fails from then on (docs/safety.md, "Late transactions").
+// record fails from then on (docs/safety.md, "Delayed transactions").
 func (c *Core) fenceCompleted(now time.Time, event FenceCompleted) {
 	c.commits.inFlight = false
 	if event.Outcome == OK {
--- a/internal/reconciler/core.go
+++ b/internal/reconciler/core.go
@@ -177,7 +177,7 @@
 // pass. After a long pass the next one is put off in proportion.
 func (c *Core) ObserveStepDuration(d time.Duration) (passed bool) { return c.passes.observe(d) }
 
-// PauseStarts says whether tasks may be started: docs/safety.md, "Promises for longer". What runs goes on.
+// PauseStarts sets whether the starting of tasks is paused: docs/safety.md, "Extended votes". What runs goes on.
 func (c *Core) PauseStarts(paused bool) {
 	if c.passes.pauseStarts(paused) {
 		c.log.Info("task starts paused", "paused", paused, "fencing_token", c.fencingToken)
--- a/internal/reconciler/heartbeats.go
+++ b/internal/reconciler/heartbeats.go
@@ -12,8 +12,8 @@
 	return model.AttemptKey{Task: status.Task, Number: status.Attempt}
 }
 
-// heartbeatReceived takes a worker's heartbeat and answers it, unless its worker certainly waits for no answer any
-// more: docs/safety.md, "Copies and lives".
+// heartbeatReceived applies a worker's heartbeat and answers it, unless its worker certainly no longer waits for the
+// answer: docs/safety.md, "Duplicates and incarnations".
 func (c *Core) heartbeatReceived(now time.Time, event HeartbeatReceived) {
 	heartbeat := event.Heartbeat
 	machine := c.machines[heartbeat.Machine]
--- a/internal/reconciler/pass.go
+++ b/internal/reconciler/pass.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// launch starts one task of a request. From here on it counts as being on the machine: see docs/safety.md, "What is
+// launch starts one task of a request. From here on it counts as being on the machine: see docs/safety.md, "Attempts
 // on a machine".
 func (c *Core) launch(now time.Time, placement scheduler.Placement, number uint64) {
 	job, machine := placement.Request.Job, placement.Node.Machine
--- a/internal/reconciler/takeover.go
+++ b/internal/reconciler/takeover.go
@@ -9,7 +9,8 @@
 )
 
 // takeover is what a new leader does not know yet of the time before it: which tasks earlier leaders have started on
-// the machines that it inherits. docs/safety.md, "Rebuilding", argues why what it starts meanwhile is safe.
+// the machines that it inherits. docs/safety.md, "Reconciliation after failover", argues why what it starts meanwhile
+// is safe.
 type takeover struct {
 	startedAt        time.Time
 	revision         uint64              // jobs with a later version were accepted after the takeover
@@ -134,8 +135,9 @@
 
 // reconcileUnrenewed takes a fresh heartbeat of a machine that has sent heartbeats since the takeover but has not
 // taken this leader's token for more than a lease. Nothing that an earlier leader started is on it, apart from what
-// its heartbeats have shown (docs/safety.md, "Rebuilding"). Without this, tasks from before the takeover would wait
-// for as long as the machine receives nothing, since each of its heartbeats puts off the end of its lease.
+// its heartbeats have shown (docs/safety.md, "Reconciliation after failover"). Without this, tasks from before the
+// takeover would wait for as long as the machine receives nothing, since each of its heartbeats puts off the end of
+// its lease.
 func (c *Core) reconcileUnrenewed(now time.Time, machine *model.Machine) {
 	if machine.Detector.TokenNotTaken(now) {
 		c.livenessChanged(machine)
@@ -174,7 +176,7 @@
 
 // mayAlreadyRun reports whether a waiting task of a job may already be on a machine that is not reconciled since the
 // takeover; then it is not started. It cannot be if the job was accepted since, nor if no leader could have placed it
-// on a machine of any kind that is not reconciled (docs/safety.md, "Rebuilding").
+// on a machine of any kind that is not reconciled (docs/safety.md, "Reconciliation after failover").
 func (c *Core) mayAlreadyRun(job *model.Job) bool {
 	if c.takeover.complete() || job.RecordVersion > c.takeover.revision || job.NoPriorAttempts {
 		return false
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -3,8 +3,8 @@
 //
 // Any member confirms cancellations to users, and the leader may be the one that the state service does not answer:
 // then it goes by what the other members report. A leader keeps a Tracker, tells it of each reading of the records and
-// each report of a member, and compares the age of Tracker.KnownAsOf with a Bound. The package reads no clock.
-// docs/safety.md, "Cancelled is gone in time", has the argument.
+// each report of a member, and compares the age of Tracker.KnownAsOf with a Bound. The package reads no clock. The
+// safety argument is in docs/safety.md, "Bounded staleness of cancellations".
 package staleness
 
 import "time"
