--- a/internal/reconciler/accounting.go
+++ b/internal/reconciler/accounting.go
@@ -29,7 +29,7 @@
 )
 
 // accounting charges teams for what their tasks use and wait. It is nil where no ledger is kept: the methods that are
-// called on the way of every event do nothing then.
+// called for every event do nothing then.
 type accounting struct {
 	settings *LedgerSettings
 	log      *slog.Logger
@@ -53,7 +53,7 @@
 }
 
 // openAccounts continues the accounts on record. The time since the last leader settled them is not accounted: what
-// it saw after that nobody knows.
+// it observed after that is on no record.
 func (c *Core) openAccounts(now time.Time, accounts []ledger.StoredAccount) {
 	settings := c.settings.Ledger
 	if settings == nil {
@@ -69,7 +69,7 @@
 	}
 	last := c.accounting.lastSettled(accounts)
 	if last.FencingToken == 0 || last.FencingToken >= c.fencingToken {
-		return // the ledger begins here, or somebody has put another one in its place
+		return // the ledger begins here, or its records were replaced
 	}
 	interval := &ledger.Interval{
 		Start: last.SettledAt, End: settings.TimeOfDay(now),
--- a/internal/reconciler/attempts.go
+++ b/internal/reconciler/attempts.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// updateAttempt takes what a heartbeat says of one attempt.
+// updateAttempt applies the status of one attempt in a heartbeat.
 func (c *Core) updateAttempt(now time.Time, attempt *model.Attempt, status *model.TaskStatus) {
 	if attempt.State == model.AttemptEnded || attempt.State == model.AttemptDropped {
 		return
@@ -102,7 +102,7 @@
 	c.accounting.beginCharging(now, attempt, status.Phase, false)
 }
 
-// attemptExited takes the end of an attempt.
+// attemptExited handles the exit of an attempt.
 func (c *Core) attemptExited(now time.Time, attempt *model.Attempt, status *model.TaskStatus) {
 	attempt.Cause, attempt.Phase, attempt.EndedAt = status.Cause, model.PhaseExited, now
 	c.log.Debug("attempt ended", "task", attempt.Task, "attempt", attempt.Number, "machine", attempt.Machine.Name,
@@ -112,13 +112,13 @@
 		c.accounting.chargeWasted(now, attempt)
 	}
 	if job := attempt.Job; job != nil && job.State != model.JobEnded {
-		c.takeExitCause(now, attempt)
+		c.handleExitCause(now, attempt)
 	}
 	c.releaseAttempt(now, attempt, model.AttemptEnded)
 }
 
-// takeExitCause takes what the end of an attempt means for its task, job and machine.
-func (c *Core) takeExitCause(now time.Time, attempt *model.Attempt) {
+// handleExitCause applies the cause of an exit to the task, job and machine of the attempt.
+func (c *Core) handleExitCause(now time.Time, attempt *model.Attempt) {
 	job, index := attempt.Job, attempt.Task.Index
 	switch attempt.Cause {
 	case model.CauseDone:
@@ -178,7 +178,7 @@
 	}
 }
 
-// loseAttempt takes an attempt as gone although its end was not reported.
+// loseAttempt drops an attempt that is gone although its exit was not reported.
 func (c *Core) loseAttempt(now time.Time, attempt *model.Attempt) {
 	if attempt.Active() {
 		c.accounting.chargeUntil(now, attempt, attempt.Machine.LastSeen)
@@ -189,7 +189,7 @@
 	}
 }
 
-// loseAttempts takes everything on a machine as gone.
+// loseAttempts drops all attempts on a machine.
 func (c *Core) loseAttempts(now time.Time, machine *model.Machine, reason string) {
 	if count := machine.ActiveCount; count > 0 {
 		c.log.Info("attempts lost", "machine", machine.Name, "count", count, "reason", reason)
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -209,7 +209,7 @@
 	}
 }
 
-// hasUnsentCommands reports whether a worker was not told yet of a launch or a stop.
+// hasUnsentCommands reports whether a launch or a stop has not been sent to its worker yet.
 func hasUnsentCommands(machine *model.Machine) bool {
 	for _, attempt := range machine.Attempts {
 		if attempt.CommandedState == attempt.State {
--- a/internal/reconciler/commits.go
+++ b/internal/reconciler/commits.go
@@ -203,7 +203,7 @@
 		return
 	}
 	if event.Outcome != OK {
-		return // a job's end: another leader or the user has recorded it, and the watch tells
+		return // a job's end: another leader or the user has recorded it, and the watch will report it
 	}
 	switch change.Kind {
 	case record.PutMachine:
@@ -223,8 +223,8 @@
 }
 
 // commitRejected takes changes that the state service will not carry out as they stand. Of several, each is tried
-// alone; one that was alone is dropped, or tried again much later where a job's end hangs on it. So one record that
-// is too large does not block all others.
+// alone; one that was alone is dropped, or tried again much later where the end of a job depends on it. So one record
+// that is too large does not block all others.
 func (c *Core) commitRejected(now time.Time, changes []record.Change) {
 	if len(changes) > 1 {
 		for i := range changes {
--- a/internal/reconciler/core.go
+++ b/internal/reconciler/core.go
@@ -8,14 +8,14 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// Core is the picture and the decisions of one leader, for one fencing token. It is discarded when the leadership
-// ends. It is not safe for concurrent use.
+// Core holds the view and makes the decisions of one leader, for one fencing token. It is discarded when the
+// leadership ends. It is not safe for concurrent use.
 type Core struct {
 	settings     Settings
 	log          *slog.Logger
 	fencingToken uint64
 
-	// The picture: what waits and runs, as far as this leader knows.
+	// The view: what waits and runs, as far as this leader knows.
 	machineTypes []model.MachineType
 	machines     map[string]*model.Machine
 	teams        map[string]*model.Team
@@ -55,7 +55,8 @@
 	statusInterval = 10 * time.Second
 )
 
-// New makes the Core of a leader that has just taken over.
+// New makes the Core of a leader that has just taken over. The Core keeps what snapshot and types refer to, so the
+// caller must not change that afterwards.
 func New(
 	now time.Time, settings Settings, token uint64, snapshot *record.Snapshot, types []model.MachineType, log *slog.Logger,
 ) *Core {
@@ -92,7 +93,7 @@
 	return c
 }
 
-// Step takes an event and returns the effects that follow from it. The slice is valid until the next Step.
+// Step applies an event and returns the effects to perform, in order. The slice is valid until the next Step.
 func (c *Core) Step(now time.Time, event Event) []Effect {
 	c.effects = c.effects[:0]
 	switch event := event.(type) {
@@ -130,9 +131,9 @@
 }
 
 // runTimers does what is due by time: it sweeps the machines, runs a scheduling pass and queries the cloud. Only a
-// Tick leads here; the controller sends it once all other events are taken in, and only while it may act. So neither
-// heartbeats, whose answers renew workers' leases, wait behind a pass; nor does a leader that has stood still take
-// its own silence for that of its workers.
+// Tick leads here; the controller sends it after all other events that have come in, and only while the leadership
+// lease is valid. So no heartbeat, whose answer renews a worker's lease, waits behind a pass; and a leader that was
+// suspended does not count heartbeats as missing that it has only not read yet.
 func (c *Core) runTimers(now time.Time) {
 	if !now.Before(c.sweepAt) {
 		c.sweep(now)
@@ -173,8 +174,8 @@
 	return next
 }
 
-// ObserveStepDuration takes how long the last Step took by the controller's clock, and reports whether it held a
-// pass. After a long pass the next one is put off in proportion.
+// ObserveStepDuration records how long the last Step took by the controller's clock, and reports whether it ran a
+// pass. After a long pass the next one is delayed in proportion.
 func (c *Core) ObserveStepDuration(d time.Duration) (passed bool) { return c.passes.observe(d) }
 
 // PauseStarts sets whether the starting of tasks is paused: docs/safety.md, "Extended votes". What runs goes on.
@@ -184,11 +185,12 @@
 	}
 }
 
-// Resume says that the leader may act again after a time without a valid leadership lease. Workers could not send
-// heartbeats meanwhile, so their silence says nothing.
+// Resume is called when the leadership lease is valid again after it had expired. Heartbeats could not be answered
+// meanwhile, so missing ones do not count against their workers.
 func (c *Core) Resume(now time.Time) { c.partitions.restart(now, c.settings.UnresponsiveAfter) }
 
-// Progress returns how many tasks of an active job are done and run, for display.
+// Progress returns how many tasks of an active job are done and running, for display; ok is false if there is no
+// such job.
 func (c *Core) Progress(id string) (done, running int, ok bool) {
 	job := c.jobs[id]
 	if job == nil {
--- a/internal/reconciler/dependencies.go
+++ b/internal/reconciler/dependencies.go
@@ -103,7 +103,7 @@
 			continue
 		}
 		c.updateCriticalPath(next, visited)
-		// Production stands above all guarantees since a user waits for it. That is not inherited.
+		// Production has precedence over all guarantees, since users wait for it. That is not inherited.
 		job.EffectivePriority = max(job.EffectivePriority, min(next.EffectivePriority, model.PriorityHigh))
 		job.DownstreamDeadlines = earliestEach(job.DownstreamDeadlines, c.latestStarts(next))
 	}
--- a/internal/reconciler/explain.go
+++ b/internal/reconciler/explain.go
@@ -55,8 +55,8 @@
 	e.Remedies = append(e.Remedies, fmt.Sprintf(format, args...))
 }
 
-// Explain says why a job's tasks wait. It plans a pass without carrying it out and asks the functions that decide, so
-// it says what the next pass would find; nil: the job is not among the unfinished ones.
+// Explain says why a job's tasks wait. It plans a pass without carrying it out and calls the functions that decide,
+// so it says what the next pass would find; nil: the job is not among the unfinished ones.
 func (c *Core) Explain(now time.Time, id string) *Explanation {
 	job := c.jobs[id]
 	if job == nil {
--- a/internal/reconciler/faults.go
+++ b/internal/reconciler/faults.go
@@ -17,8 +17,8 @@
 	maxBackoffShift  = 6                // the backoff doubles at most this often
 )
 
-// taskFailed takes that a task ended with an error. Errors of several jobs show that the machine is faulty; errors on
-// several machines put the job off.
+// taskFailed records that a task ended with an error. Errors of several jobs show that the machine is faulty; errors
+// on several machines put the job off.
 func (c *Core) taskFailed(now time.Time, attempt *model.Attempt) {
 	job, machine := attempt.Job, attempt.Machine
 	machine.ErrorsByJob[job.Spec.ID]++
@@ -70,7 +70,7 @@
 	return failingJobs
 }
 
-// clearFaults takes that a task has completed on a machine. If it was started after the last failure there, the
+// clearFaults records that a task has completed on a machine. If it was started after the last failure there, the
 // machine is healthy.
 func clearFaults(attempt *model.Attempt) {
 	if machine := attempt.Machine; attempt.LaunchedAt.After(machine.LastFailure) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// exonerate drops the failures of a job that was cancelled from its machines: they tell nothing any more.
+// exonerate drops the failures of a cancelled job from its machines: they are no evidence any more.
 func (c *Core) exonerate(job *model.Job) {
 	for name := range job.MachinesWithErrors {
 		if machine := c.machines[name]; machine != nil {
--- a/internal/reconciler/heartbeats.go
+++ b/internal/reconciler/heartbeats.go
@@ -45,7 +45,7 @@
 	case liveness.Unordered:
 		c.probe(now, machine)
 	case liveness.Fresh:
-		c.takeFreshHeartbeat(now, machine, event)
+		c.handleFreshHeartbeat(now, machine, event)
 	}
 	if kind != liveness.Duplicate {
 		// A heartbeat that an answer to a command has overtaken renews the worker's lease too. A duplicate was sent
@@ -58,8 +58,8 @@
 	}
 }
 
-// addUnexpectedMachine takes a machine into the picture that nobody here has provisioned. No leader launches anything
-// on a machine without a record, so it holds nothing; the heartbeat may be of long ago.
+// addUnexpectedMachine adds a machine that this leader has not provisioned. No leader launches anything on a machine
+// without a record, so no task runs on it; the heartbeat may be old.
 func (c *Core) addUnexpectedMachine(now time.Time, heartbeat *model.Heartbeat) *model.Machine {
 	machine := c.addMachine(now, model.MachineInfo{
 		Name: heartbeat.Machine, Addr: heartbeat.Addr, Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot,
@@ -94,7 +94,7 @@
 		"zone", heartbeat.Zone, "spot", heartbeat.Spot, "known_type", machine.Type.Name, "known_zone", machine.Zone)
 }
 
-// classifyHeartbeat tells by its numbers whether a heartbeat is new, and notes whether the machine has restarted.
+// classifyHeartbeat classifies a heartbeat by its numbers, and notes whether the machine has restarted.
 func (c *Core) classifyHeartbeat(
 	now time.Time, machine *model.Machine, heartbeat *model.Heartbeat,
 ) liveness.HeartbeatKind {
@@ -109,9 +109,9 @@
 	return kind
 }
 
-// takeFreshHeartbeat applies a heartbeat that is newer than all before, and takes what it tells of the machine's
-// liveness.
-func (c *Core) takeFreshHeartbeat(now time.Time, machine *model.Machine, event HeartbeatReceived) {
+// handleFreshHeartbeat applies a heartbeat that is newer than all before, and passes its evidence to the machine's
+// failure detector.
+func (c *Core) handleFreshHeartbeat(now time.Time, machine *model.Machine, event HeartbeatReceived) {
 	heartbeat := event.Heartbeat
 	epoch := machine.Epoch
 	evidence := liveness.Evidence{
@@ -141,7 +141,7 @@
 	machine.LastHeartbeat = now
 }
 
-// applyHeartbeat takes what a worker says of itself, unless something newer is known. answersProbe says that it
+// applyHeartbeat applies the state that a worker reports, unless a newer one is known. answersProbe says that it
 // answers a command or probe, so that it is no delayed copy. It reports whether the heartbeat shows a launch of this
 // leader for the first time.
 func (c *Core) applyHeartbeat(
@@ -176,12 +176,12 @@
 		c.markReconciled(now, machine, "heartbeat")
 	}
 	if heartbeat.InterruptionNotice {
-		c.takeInterruptionNotice(now, machine, heartbeat.InterruptionIn)
+		c.handleInterruptionNotice(now, machine, heartbeat.InterruptionIn)
 	}
 	return showsLaunch
 }
 
-// beginEpoch takes that a worker has begun a new epoch, since its lease had expired or it was restarted. All its
+// beginEpoch records that a worker has begun a new epoch, because its lease had expired or it was restarted. All its
 // attempts are gone.
 func (c *Core) beginEpoch(now time.Time, machine *model.Machine, epoch uint64) {
 	if machine.Epoch != 0 {
@@ -196,8 +196,8 @@
 	machine.ErrorsByJob = map[string]int{}
 }
 
-// applyTasks takes what a heartbeat says of attempts, and returns those that it shows. showsLaunch reports that an
-// attempt is among them that this leader has launched and no heartbeat has shown before.
+// applyTasks applies the statuses of attempts in a heartbeat, and returns the attempts that it shows. showsLaunch
+// reports that an attempt is among them that this leader has launched and no heartbeat has shown before.
 func (c *Core) applyTasks(
 	now time.Time, machine *model.Machine, tasks []model.TaskStatus,
 ) (shown map[model.AttemptKey]bool, showsLaunch bool) {
@@ -236,7 +236,7 @@
 			attempt.Transition(model.AttemptDropped)
 			delete(machine.Attempts, key)
 		case attempt.Phase != 0 && !answersProbe:
-			// Workers show attempts until they are told to forget them, so one of the two messages is of another
+			// Workers list attempts until they are commanded to forget them, so one of the two messages is of another
 			// incarnation. A delayed copy must not make a running task start elsewhere.
 			c.probe(now, machine)
 		case attempt.Phase != 0 && !machine.UnansweredLaunches.MayArrive(key):
@@ -251,8 +251,8 @@
 	}
 }
 
-// takeInterruptionNotice takes that the cloud is about to take a spot machine.
-func (c *Core) takeInterruptionNotice(now time.Time, machine *model.Machine, in time.Duration) {
+// handleInterruptionNotice drains and evacuates a spot machine that the cloud is about to reclaim.
+func (c *Core) handleInterruptionNotice(now time.Time, machine *model.Machine, in time.Duration) {
 	if machine.InterruptionAt.IsZero() {
 		c.log.Info("spot interruption notice", "machine", machine.Name, "in", in)
 		machine.InterruptionAt = now.Add(in)
--- a/internal/reconciler/inventory.go
+++ b/internal/reconciler/inventory.go
@@ -29,7 +29,7 @@
 	return inventory
 }
 
-// refreshInventory asks the cloud for what is due.
+// refreshInventory requests the machine list and the catalog when they are due.
 func (c *Core) refreshInventory(now time.Time) {
 	inventory := &c.inventory
 	if !inventory.machineListPending && !now.Before(inventory.machineListAt) {
--- a/internal/reconciler/jobs.go
+++ b/internal/reconciler/jobs.go
@@ -8,7 +8,7 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// addJob takes an accepted job into the picture.
+// addJob adds an accepted job to the view.
 func (c *Core) addJob(now time.Time, event JobAdded) {
 	spec := event.Spec
 	if c.jobs[spec.ID] != nil {
@@ -33,8 +33,8 @@
 		"dependency_state", job.Dependency.State.String())
 }
 
-// endJob takes a job that is done or cancelled out of the picture, and passes its end on to the jobs that depend on
-// it. Attempts of it count on their machines until they are gone.
+// endJob removes a job that is done or cancelled, and passes its end on to the jobs that depend on it. Attempts of
+// it count on their machines until they are gone.
 func (c *Core) endJob(now time.Time, event JobEnded) {
 	if job := c.jobs[event.ID]; job != nil {
 		c.removeJob(now, job, event.Outcome)
@@ -54,7 +54,7 @@
 	}
 }
 
-// removeJob takes a job out of the picture: it stops its attempts and deletes its records.
+// removeJob removes a job: it stops its attempts and deletes its records.
 func (c *Core) removeJob(now time.Time, job *model.Job, outcome model.Outcome) {
 	id := job.Spec.ID
 	c.log.Info("job ended", "id", id, "done", job.Count(model.TaskDone), "active", len(job.ActiveAttempts),
--- a/internal/reconciler/liveness.go
+++ b/internal/reconciler/liveness.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// observeLiveness takes what a heartbeat tells of a machine's liveness.
+// observeLiveness passes the evidence of a heartbeat to the machine's failure detector.
 func (c *Core) observeLiveness(now time.Time, machine *model.Machine, evidence liveness.Evidence) {
 	if evidence.Acknowledges {
 		c.liveness.lastProofAt = now
@@ -117,7 +117,7 @@
 	}
 }
 
-// proveAlive takes a proof that a machine receives what this leader sends.
+// proveAlive records a proof that a machine receives what this leader sends.
 func (c *Core) proveAlive(now time.Time, machine *model.Machine, reason string) {
 	c.liveness.lastProofAt = now
 	if machine.Detector.ProveAlive(now, reason) {
--- a/internal/reconciler/machines.go
+++ b/internal/reconciler/machines.go
@@ -28,7 +28,7 @@
 	reasonRestarted    = "began anew"
 )
 
-// addMachine takes a machine into the picture.
+// addMachine adds a machine to the view.
 func (c *Core) addMachine(now time.Time, info model.MachineInfo, state model.MachineState) *model.Machine {
 	machine := &model.Machine{
 		Name:          info.Name,
--- a/internal/reconciler/memory_test.go
+++ b/internal/reconciler/memory_test.go
@@ -18,8 +18,8 @@
 	return m.HeapAlloc
 }
 
-// What a leader's picture holds for each machine and each active task is stated in docs/operators.md, and bounded here
-// so that it does not grow unnoticed.
+// What a leader's view holds for each machine and each active task is stated in docs/operators.md, and bounded here so
+// that it does not grow unnoticed.
 func TestMemoryPerMachineAndTaskIsBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const (
--- a/internal/reconciler/pass.go
+++ b/internal/reconciler/pass.go
@@ -10,10 +10,10 @@
 // passTimer says when scheduling passes run. A pass looks at everything that waits, so passes leave most of the time
 // to heartbeats and to the renewal of the leadership lease.
 type passTimer struct {
-	needed        bool          // the picture has changed since the last pass
+	needed        bool          // the view has changed since the last pass
 	lastAt        time.Time     // when the last pass began
 	pause         time.Duration // least time from one pass to the next, by how long the last one took
-	ran           bool          // the last step held a pass
+	ran           bool          // the last step ran a pass
 	startsPaused  bool          // no task may be started
 	consolidateAt time.Time     // no replica is moved before this
 }
@@ -41,20 +41,20 @@
 	return ok && !now.Before(at)
 }
 
-// request has a pass run when it is due: the picture has changed.
+// request requests a pass, as the view has changed.
 func (p *passTimer) request() { p.needed = true }
 
 // begin notes that a pass runs now.
 func (p *passTimer) begin(now time.Time) { p.needed, p.lastAt, p.ran = false, now, true }
 
-// pauseStarts says whether tasks may be started, and reports whether that has changed.
+// pauseStarts sets whether the starting of tasks is paused, and reports whether that has changed.
 func (p *passTimer) pauseStarts(paused bool) (changed bool) {
 	changed = p.startsPaused != paused
 	p.startsPaused = paused
 	return changed
 }
 
-// observe takes how long a step took, and reports whether it held a pass.
+// observe records how long a step took, and reports whether it ran a pass.
 func (p *passTimer) observe(d time.Duration) (passed bool) {
 	if passed, p.ran = p.ran, false; passed {
 		p.pause = min(passTimeDivisor*d, maxPassPause)
--- a/internal/reconciler/releases.go
+++ b/internal/reconciler/releases.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// releaseCompleted takes that machines are gone. After another outcome they are released again.
+// releaseCompleted removes the machines that the cloud has released. After any outcome but OK their release is
+// requested again.
 func (c *Core) releaseCompleted(now time.Time, event ReleaseCompleted) {
 	c.releases.completed(now)
 	if event.Outcome != OK {
@@ -65,7 +66,7 @@
 	}
 }
 
-// removeMachine takes a machine out of the picture: it and everything on it are gone.
+// removeMachine removes a machine that is gone, with everything on it.
 func (c *Core) removeMachine(now time.Time, machine *model.Machine) {
 	c.loseAttempts(now, machine, "released")
 	if machine.Unreconciled {
--- a/internal/reconciler/status.go
+++ b/internal/reconciler/status.go
@@ -9,7 +9,7 @@
 // nearQuota is the fraction of its quota from which on a team is named in the status.
 const nearQuota = 0.9
 
-// logStatus writes a summary of the picture to the log.
+// logStatus logs a summary of the view.
 func (c *Core) logStatus() {
 	var states [model.MachineReleased + 1]int
 	var total, used model.Resources
--- a/internal/reconciler/sweep.go
+++ b/internal/reconciler/sweep.go
@@ -10,8 +10,8 @@
 // maxPassAge: a pass is run at least this often, since slack and waiting times change by time alone.
 const maxPassAge = time.Second
 
-// sweep looks after what changes by time alone: leases that expire, machines that do not come up, fall silent or
-// stand empty, requests to the cloud that are repeated, and jobs whose backoff is over.
+// sweep handles what changes by time alone: leases that expire, machines that do not come up, fall silent or stand
+// empty, requests to the cloud that are repeated, and jobs whose backoff is over.
 func (c *Core) sweep(now time.Time) {
 	c.sweepMachines(now)
 	c.probeUnreconciled(now)
--- a/internal/reconciler/takeover.go
+++ b/internal/reconciler/takeover.go
@@ -145,7 +145,7 @@
 	c.markReconciled(now, machine, "lease not renewed since the takeover")
 }
 
-// fewUnreconciled reports that nearly all machines are reconciled: the others are likely dead.
+// fewUnreconciled reports that nearly all machines are reconciled: the others have likely failed.
 func (c *Core) fewUnreconciled() bool { return isMinority(c.takeover.unreconciled, len(c.machines)) }
 
 // The probing of inherited machines.
@@ -154,7 +154,7 @@
 	maxReconcileProbes       = 8 // machines at a time
 )
 
-// probeUnreconciled probes the machines that have not reported to a new leader, once most have. So a few dead
+// probeUnreconciled probes the machines that have not reported to a new leader, once most have. So a few failed
 // machines do not keep all tasks from before the takeover waiting until they are silent for long enough.
 func (c *Core) probeUnreconciled(now time.Time) {
 	earliest := c.settings.HeartbeatInterval * reconcileProbeHeartbeats
