--- a/internal/autoscaler/snapshot.go
+++ b/internal/autoscaler/snapshot.go
@@ -20,7 +20,7 @@
 	// ReservedForGPU reports whether machines of a kind are reserved for GPU work.
 	ReservedForGPU func(machineType *model.MachineType, spot bool) bool
 
-	// CapacityInZone tells how many tasks fit on running machines in a zone. nil: none.
+	// CapacityInZone returns how many tasks fit on running machines in a zone. nil: none.
 	CapacityInZone func(pending *scheduler.Request, zone string) int
 
 	kinds          []machineKind      // of Incoming, by Incoming.kindIndex
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -21,7 +21,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Platform is what the platform hands over. Fields that are not known are ignored.
+// Platform is the content of the platform's file. Fields that are not known are
+// ignored.
 type Platform struct {
 	Member     string     `toml:"member"`
 	Zone       string     `toml:"domain"`
@@ -76,7 +77,7 @@
 	Times  float64 `toml:"times"`
 }
 
-// WorkerTimes are the times that workers go by, in seconds.
+// WorkerTimes are the timings of the workers, in seconds.
 type WorkerTimes struct {
 	Heartbeat float64 `toml:"report_s"` // between heartbeats
 	Lease     float64 `toml:"lease_s"`  // after the answer to a heartbeat
@@ -85,13 +86,13 @@
 	Cancel    float64 `toml:"cancel_s"` // from a cancellation to the end of the job's tasks, at the most
 }
 
-// StateService says what the state service takes, now and later.
+// StateService holds the limits of the state service, present and upcoming.
 type StateService struct {
 	StateLimits
 	Next StateLimits `toml:"next"` // from some moment on; a limit that is missing stays
 }
 
-// CloudService says what the cloud takes.
+// CloudService holds the limits of the cloud.
 type CloudService struct {
 	RPS     float64 `toml:"rps"`
 	ListLag float64 `toml:"list_lag_s"`
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -19,7 +19,7 @@
 	machinesPerRequest = 50
 )
 
-// ReconcilerSettings returns what a leader's reconciler goes by.
+// ReconcilerSettings returns the settings of a leader's reconciler.
 func ReconcilerSettings(p *Platform, o *Operator) reconciler.Settings {
 	d := &p.Deployment
 	return reconciler.Settings{
--- a/internal/config/settings_ledger.go
+++ b/internal/config/settings_ledger.go
@@ -24,7 +24,7 @@
 	minWriteRPS = 1e-3
 )
 
-// LedgerSettings returns what the accounting goes by; nil: no ledger is kept.
+// LedgerSettings returns the settings of the accounting; nil: no ledger is kept.
 func LedgerSettings(p *Platform, o *Operator) *reconciler.LedgerSettings {
 	if o.Ledger == nil {
 		return nil
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// AdminSettings returns what the operators' interface goes by.
+// AdminSettings returns the settings of the operators' interface.
 func AdminSettings(p *Platform, o *Operator) admin.Settings {
 	s := admin.Settings{
 		BearerToken:      o.Admin.Token,
--- a/internal/config/settings_members.go
+++ b/internal/config/settings_members.go
@@ -27,7 +27,7 @@
 	relayRetryAfter       = 8 * time.Second
 )
 
-// ElectionSettings returns what the election goes by.
+// ElectionSettings returns the settings of the election.
 func ElectionSettings(p *Platform, o *Operator) election.Settings {
 	s := election.Settings{
 		Member:        p.Member,
@@ -71,8 +71,8 @@
 	return staleness.BoundFor(Seconds(w.Cancel), Seconds(w.Lease))
 }
 
-// RoutingSettings returns what users' requests are routed by; nil: they are answered
-// by the member that receives them.
+// RoutingSettings returns the settings of the routing of users' requests; nil: they are
+// answered by the member that receives them.
 func RoutingSettings(p *Platform, o *Operator) *route.Settings {
 	if o.Routing == nil {
 		return nil
@@ -85,8 +85,8 @@
 	}
 }
 
-// RelaySettings returns what the relay of heartbeats through the state service goes
-// by; nil: heartbeats are not relayed that way.
+// RelaySettings returns the settings of the relay of heartbeats through the state
+// service; nil: heartbeats are not relayed that way.
 func RelaySettings(p *Platform, o *Operator) *relay.Settings {
 	if o.Relay == nil {
 		return nil
--- a/internal/connquota/memory.go
+++ b/internal/connquota/memory.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// MemoryMonitor tells whether there is memory for more jobs. Jobs that are known
+// MemoryMonitor reports whether there is memory for more jobs. Jobs that are known
 // already are served whatever it says; only new submissions wait.
 type MemoryMonitor struct {
 	limit    uint64 // bytes that the process may hold; 0: unknown, never under pressure
@@ -24,7 +24,7 @@
 	return &MemoryMonitor{limit: limit, onChange: onChange}
 }
 
-// Observe takes how many bytes are in use by stacks, and by the heap after its last
+// Observe records how many bytes are in use by stacks, and by the heap after its last
 // garbage collection. It must be called by one goroutine only.
 func (m *MemoryMonitor) Observe(used uint64) {
 	before := m.pressure.Load()
--- a/internal/connquota/quotas.go
+++ b/internal/connquota/quotas.go
@@ -3,9 +3,9 @@
 //
 // Quotas.Acquire counts a socket in before it is opened and returns its Slot;
 // Slot.Release counts it out. Listener and Quotas.Dialer do both for connections. The
-// server tells a Slot its class once a request shows it, and when the connection is
-// busy or idle: idle connections of users are closed to make room. The package opens
-// no socket and reads no clock.
+// server sets the class of a Slot once a request shows it, and marks it busy or idle
+// with its connection: idle connections of users are closed to make room. The package
+// opens no socket and reads no clock.
 package connquota
 
 import (
--- a/internal/connquota/slot.go
+++ b/internal/connquota/slot.go
@@ -38,14 +38,14 @@
 	return true
 }
 
-// MarkBusy says that a request is being answered on the connection.
+// MarkBusy records that a request is being answered on the connection.
 func (s *Slot) MarkBusy() {
 	s.quotas.mu.Lock()
 	defer s.quotas.mu.Unlock()
 	s.quotas.removeIdle(s)
 }
 
-// MarkIdle says that the connection waits for its next request.
+// MarkIdle records that the connection waits for its next request.
 func (s *Slot) MarkIdle(now time.Time) {
 	q := s.quotas
 	q.mu.Lock()
--- a/internal/constraint/check.go
+++ b/internal/constraint/check.go
@@ -30,7 +30,7 @@
 type Environment struct {
 	Types []model.MachineType
 
-	// JobZones tells in which zones another job's tasks may be; ok is false for a job that is not bound to any. nil:
+	// JobZones returns in which zones another job's tasks may be; ok is false for a job that is not bound to any. nil:
 	// nothing is known of other jobs.
 	JobZones func(job string) (zones []string, ok bool)
 }
--- a/internal/ledger/fold.go
+++ b/internal/ledger/fold.go
@@ -39,7 +39,7 @@
 	return nil, 0, 0
 }
 
-// foldRun folds the first of some segments with as many of those behind it as belong to it, and tells how many it
+// foldRun folds the first of some segments with as many of those behind it as belong to it, and returns how many it
 // folded.
 func foldRun(settings *Settings, segments []StoredSegment, now time.Time) (folded *Segment, count int) {
 	result := segments[0].Segment
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -13,12 +13,13 @@
 	Failed               // it was a suspect for long: it is to be replaced
 )
 
+// String returns the name of the state.
 func (s State) String() string { return [...]string{"alive", "probing", "suspect", "failed"}[s] }
 
 // Settings are the times that a Detector works by.
 type Settings struct {
 	Lease        time.Duration // of the workers
-	HeartbeatGap time.Duration // between two heartbeats: its worker has waited for an answer in vain
+	HeartbeatGap time.Duration // a gap of this between two heartbeats shows that the worker got no answer
 	ReplaceAfter time.Duration // a suspect on which nothing is known to run fails after this
 }
 
@@ -51,21 +52,22 @@
 	return true
 }
 
-// ProveAlive takes a proof that something that was sent lately has reached the machine. It reports whether the state
+// ProveAlive records a proof that something that was sent lately has reached the machine. It reports whether the state
 // has changed, as the other methods do.
 func (d *Detector) ProveAlive(now time.Time, reason string) bool {
 	d.unacknowledged, d.selfEvident = 0, false
 	return d.transition(now, Alive, reason)
 }
 
-// TokenNotTaken takes that a machine sends heartbeats but has not taken the leader's fencing token in more than a
+// TokenNotTaken records that a machine sends heartbeats but has not taken the leader's fencing token in more than a
 // lease.
 func (d *Detector) TokenNotTaken(now time.Time) bool {
 	d.selfEvident = true
 	return d.State < Suspect && d.transition(now, Suspect, "it has not taken this leader's token")
 }
 
-// Probe has a machine probed. One that is probed already, or a suspect, stays in its state.
+// Probe begins the probing of a machine; the caller sends the probe. One that is probed already, or a suspect, stays
+// in its state.
 func (d *Detector) Probe(now time.Time, reason string) bool {
 	return d.State == Alive && d.transition(now, Probing, reason)
 }
@@ -74,12 +76,12 @@
 // alone.
 func (d *Detector) Conclusive() bool { return d.unacknowledged >= maxUnacknowledged || d.selfEvident }
 
-// MarkUnexpected takes that this leader has not provisioned the machine: it is a suspect until it has answered.
+// MarkUnexpected records that this leader has not provisioned the machine: it is a suspect until it has answered.
 func (d *Detector) MarkUnexpected(now time.Time) {
 	d.transition(now, Suspect, "nobody here has rented it")
 }
 
-// Evidence is what a heartbeat tells of a machine's liveness.
+// Evidence is what a heartbeat shows of a machine's liveness.
 type Evidence struct {
 	Direct          bool // it came from the worker itself, not by way of another member
 	Acknowledges    bool // it shows for the first time something that was sent to the machine
@@ -88,10 +90,11 @@
 	ZonePartitioned bool // many machines of the zone are silent: a network partition explains gaps
 }
 
-// ObserveHeartbeat takes a fresh heartbeat that is answered, and reports whether the state has changed.
+// ObserveHeartbeat applies the evidence of a fresh heartbeat that is answered, and reports whether the state has
+// changed.
 //
 // Only answers to direct heartbeats count against a machine, since a relayed one may be answered too late. A worker
-// that waits for an answer in vain turns to another member, so the heartbeat that shows it is mostly a relayed one.
+// that gets no answer turns to another member, so the heartbeat that shows it is mostly a relayed one.
 func (d *Detector) ObserveHeartbeat(now time.Time, evidence Evidence, settings Settings) (changed bool) {
 	gap, relayedSince := now.Sub(d.lastDirect), d.relayedSince
 	known := !d.lastDirect.IsZero()
@@ -124,7 +127,7 @@
 	return false
 }
 
-// commandsMissed takes that a machine did not carry out the commands of an answer.
+// commandsMissed records that a machine did not carry out the commands of an answer.
 func (d *Detector) commandsMissed(now time.Time) bool {
 	if d.unacknowledged++; d.unacknowledged >= maxUnacknowledged {
 		return d.State <= Probing && d.transition(now, Suspect, "it does not do what it is told")
@@ -138,13 +141,14 @@
 	return now.Sub(d.Since) > lease+lease/epochMarginDivisor
 }
 
-// ProbeTimedOut takes that a probe was not answered.
+// ProbeTimedOut records that a probe was not answered.
 func (d *Detector) ProbeTimedOut(now time.Time) bool {
 	return d.State == Probing && d.transition(now, Suspect, d.Reason+", and it does not answer")
 }
 
-// CheckTimeout takes that time passes. running says that something is known to run on the machine: that goes on until
-// the worker's lease has expired, and the machine is not replaced before.
+// CheckTimeout fails a machine that has been a suspect for too long, and reports whether the state has changed.
+// running says that something is known to run on the machine: that goes on until the worker's lease has expired, and
+// the machine is not replaced before.
 func (d *Detector) CheckTimeout(now time.Time, running bool, settings Settings) bool {
 	suspected := now.Sub(d.Since)
 	if d.State != Suspect || suspected < settings.ReplaceAfter || running && suspected < settings.Lease {
--- a/internal/liveness/doc.go
+++ b/internal/liveness/doc.go
@@ -2,9 +2,9 @@
 //
 // An Incarnation orders messages by their numbers: which heartbeat is newer than what is known, which is a duplicate
 // or a delayed copy, and whether the machine has restarted with lower numbers. A Detector is a failure detector: from
-// what heartbeats show and lack, and from answers to probes, it tells whether the machine receives anything.
+// what heartbeats show and lack, and from answers to probes, it decides whether the machine receives anything.
 //
-// The package is pure: message numbers and moments go in, verdicts come out. The caller keeps one Incarnation and one
+// The package is pure: message numbers and times go in, states come out. The caller keeps one Incarnation and one
 // Detector for each machine, passes every message to them, and sends the probes. docs/safety.md, "Duplicates and
 // incarnations", argues why delayed copies are harmless.
 package liveness
--- a/internal/liveness/incarnation.go
+++ b/internal/liveness/incarnation.go
@@ -8,7 +8,7 @@
 	return m.Epoch < other.Epoch || m.Epoch == other.Epoch && m.Seq < other.Seq
 }
 
-// Numbering is what a leader makes of a machine's message numbers.
+// Numbering is how a leader interprets a machine's message numbers.
 type Numbering uint8
 
 // The numberings. Restarted holds until the leader changes.
@@ -17,6 +17,7 @@
 	Restarted                   // they have begun again lower: only answers to commands and probes are trusted
 )
 
+// String returns the name of the numbering.
 func (n Numbering) String() string { return [...]string{"increasing", "restarted"}[n] }
 
 // HeartbeatKind is what a heartbeat is, by its numbers.
@@ -25,11 +26,12 @@
 // The kinds of a heartbeat.
 const (
 	Fresh     HeartbeatKind = iota // newer than every heartbeat before
-	Duplicate                      // the newest one again, by another way: its worker may still wait for the answer
+	Duplicate                      // the newest one again, over another path: its worker may still wait for the answer
 	Stale                          // its worker waits for no answer: a delayed copy, or of another incarnation
-	Unordered                      // of a machine that has restarted: its numbers tell nothing
+	Unordered                      // of a machine that has restarted: its numbers show no order
 )
 
+// String returns the name of the kind.
 func (k HeartbeatKind) String() string {
 	return [...]string{"fresh", "duplicate", "stale", "unordered"}[k]
 }
@@ -49,11 +51,11 @@
 // LatestHeartbeat returns the number of the newest heartbeat.
 func (i *Incarnation) LatestHeartbeat() MessageNumber { return i.lastHeartbeat }
 
-// ClassifyHeartbeat takes the numbers of a heartbeat and tells what it is.
+// ClassifyHeartbeat classifies a heartbeat by its numbers, and records them.
 //
-// A worker has one heartbeat in flight: when it sends the next one it has given the former up. So nobody waits for the
-// answer to an older one, and it renews no lease. A worker never forgets a fencing token, so a newer heartbeat with a
-// lower token is of another incarnation than what is known.
+// A worker has one heartbeat in flight: when it sends the next one it has abandoned the former. So no worker waits for
+// the answer to an older one, which renews no lease. A worker never forgets a fencing token, so a newer heartbeat with
+// a lower token is of another incarnation than what is known.
 func (i *Incarnation) ClassifyHeartbeat(epoch, seq, token uint64) HeartbeatKind {
 	number := MessageNumber{epoch, seq}
 	switch {
@@ -74,9 +76,9 @@
 // CommandSent notes that a command or probe leaves now.
 func (i *Incarnation) CommandSent() { i.lastBeforeCommand = i.LatestMessage() }
 
-// CommandAnswered takes the numbers of the answer to the last command, and reports whether the machine has restarted.
-// In one incarnation an answer has a higher number than everything that was sent before it, and it was sent after all
-// that was known when the command left.
+// CommandAnswered records the numbers of the answer to the last command, and reports whether the machine has
+// restarted. In one incarnation an answer has a higher number than everything that was sent before it, and it was sent
+// after all that was known when the command left.
 func (i *Incarnation) CommandAnswered(epoch, seq uint64) (restarted bool) {
 	if i.lastBeforeCommand.Before(MessageNumber{epoch, seq}) {
 		return false
--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -19,7 +19,7 @@
 	AttemptPresent                           // a heartbeat has shown it on its machine
 	AttemptStopping                          // its stop was sent, or is about to be
 	AttemptEnded                             // a heartbeat has shown its exit; the worker still lists it
-	AttemptDropped                           // it is certainly not on the machine, or the worker was told to forget it
+	AttemptDropped                           // certainly not on the machine, or the worker was commanded to forget it
 )
 
 // String returns the state's name for logs and explanations.
@@ -71,8 +71,7 @@
 	activeIndex int // its index in Machine.activeAttempts
 }
 
-// AttemptDelivery is what the leader knows of how far the worker has heard of
-// the attempt's state.
+// AttemptDelivery is how far the worker is known to be informed of the attempt's state.
 type AttemptDelivery struct {
 	CommandedState   AttemptState // the state that the last direct command has conveyed
 	LaunchedDirectly bool         // its launch was sent as a direct command
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -16,8 +16,8 @@
 	MachineInherited                         // from before the failover; may run tasks that this leader does not know
 	MachineReady                             // what runs on it is known
 	MachineDraining                          // nothing more is placed on it
-	MachineReleasing                         // the cloud was asked to take it back
-	MachineReleased                          // the cloud has taken it back
+	MachineReleasing                         // its release was requested from the cloud
+	MachineReleased                          // the cloud has released it
 )
 
 // String returns the state's name for logs and explanations.
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,5 +1,5 @@
-// Package record has the records of a leader as both the reconciler and the client of the state service speak of them:
-// what a new leader reads, and the changes that it commits. Package store knows their keys and encodings; package
+// Package record holds the records of a leader that both the reconciler and the client of the state service use: what
+// a new leader reads, and the changes that it commits. Package store knows their keys and encodings; package
 // reconciler decides what is written and when. Neither depends on the other.
 package record
 
--- a/internal/relay/envelope.go
+++ b/internal/relay/envelope.go
@@ -12,7 +12,7 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// Envelope is a heartbeat on its way, or the response to one.
+// Envelope is a heartbeat in flight, or the response to one.
 type Envelope struct {
 	ID   uint64
 	Body []byte
--- a/internal/relay/outbox.go
+++ b/internal/relay/outbox.go
@@ -13,7 +13,7 @@
 
 	path              Path
 	pathSince         time.Time
-	pathChanged       func(from, to Path, why string) // nil: nobody is told
+	pathChanged       func(from, to Path, why string) // nil: not called
 	noLeader          bool                            // nobody leads: heartbeats wait for the next leader
 	unansweredBatches int                             // batches in a row that got no response in time
 
@@ -32,7 +32,8 @@
 	envelopes []Envelope
 }
 
-// New returns an empty outbox. pathChanged is told of each change of the path, with the reason.
+// New returns an empty outbox. pathChanged, if not nil, is called with each change of the path and
+// the reason.
 func New(settings Settings, pathChanged func(from, to Path, why string)) *Outbox {
 	return &Outbox{
 		settings:    settings,
@@ -56,8 +57,8 @@
 	o.path, o.pathSince, o.unansweredBatches = to, now, 0
 }
 
-// ObserveContact takes whether this member reaches the leader itself, and returns the path. A leader
-// that is reachable is never relayed to.
+// ObserveContact records whether this member reaches the leader itself, and returns the path. A
+// leader that is reachable is never relayed to.
 func (o *Outbox) ObserveContact(now time.Time, reached bool) Path {
 	switch {
 	case reached:
--- a/internal/route/reachability.go
+++ b/internal/route/reachability.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ReachabilityState tells what a member reaches.
+// ReachabilityState is what a member reaches.
 type ReachabilityState uint8
 
 // The states.
@@ -25,10 +25,10 @@
 	isolatedAfter   = 3 * time.Second // without any peer: two probes, and time for a lost packet
 )
 
-// PeerReachability tells whether a member is cut off from the state service and from
+// PeerReachability decides whether a member is cut off from the state service and from
 // all other members. A member that lacks only the state service forwards users'
-// requests; an isolated one cannot serve them and should report itself unhealthy. It
-// is safe for concurrent use; the zero value is Connected.
+// requests; an isolated one cannot serve them and should report itself unhealthy. It is
+// safe for concurrent use; the zero value is Connected.
 type PeerReachability struct {
 	mu          sync.Mutex // guards the fields below
 	state       ReachabilityState
@@ -43,8 +43,9 @@
 	return from != to
 }
 
-// Evaluate takes for how long the state service has not answered. It reports whether
-// the peers are to be probed now, and whether the state has changed.
+// Evaluate is called regularly; stateDown is how long the state service has not
+// answered. It reports whether the peers are to be probed now, and whether the state
+// has changed.
 func (r *PeerReachability) Evaluate(now time.Time, stateDown time.Duration) (probe, changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind is what a user asks for. Members tell each other kinds by number.
+// Kind is what a user requests. Members send it to each other as its number.
 type Kind uint8
 
 // The kinds of requests. All are idempotent: attempts at more than one member, or
@@ -24,8 +24,8 @@
 	Body []byte // of a submission, encoded
 }
 
-// Outcome tells whether a member answered a request, and if not, why. Members tell
-// each other outcomes by number.
+// Outcome says whether a member answered a request, and if not, why. Members send it to
+// each other as its number.
 type Outcome uint8
 
 // The outcomes.
--- a/internal/route/retry_budget.go
+++ b/internal/route/retry_budget.go
@@ -10,8 +10,8 @@
 
 // retryBudget bounds the retries of the whole process by a fraction of the requests
 // that succeed, and a few a second in any case (retry budgets; Finagle). Without it, a
-// member in trouble would turn each request into two for the others. The router's
-// mutex guards it.
+// failing member would turn each request into two for the others. The router's mutex
+// guards it.
 type retryBudget struct {
 	ratio      float64 // retries earned by each success
 	balance    float64
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -2,7 +2,7 @@
 // cancellations.
 //
 // Any member confirms cancellations to users, and the leader may be the one that the state service does not answer:
-// then it goes by what the other members report. A leader keeps a Tracker, tells it of each reading of the records and
+// then it relies on the reports of the other members. A leader keeps a Tracker, passes it each read of the records and
 // each report of a member, and compares the age of Tracker.KnownAsOf with a Bound. The package reads no clock. The
 // safety argument is in docs/safety.md, "Bounded staleness of cancellations".
 package staleness
@@ -22,8 +22,9 @@
 	maxStartBound = 4 * time.Second         // enough to ask every member twice, if all is well
 )
 
-// BoundFor returns the bound by which the tasks of a cancelled job end within a time, where workers' leases last for
-// another. ok is false where no bound ensures that; the least bound that a leader can work with is returned then.
+// BoundFor returns the bound with which the tasks of a cancelled job end within cancelWithin, where workers' leases
+// last for lease. ok is false where no bound ensures that; then the least bound that a leader can work with is
+// returned.
 func BoundFor(cancelWithin, lease time.Duration) (bound Bound, ok bool) {
 	keep := time.Duration(float64(cancelWithin)/(1+maxClockDrift)) - lease - stopSlack
 	ok = keep >= minBound
@@ -31,13 +32,14 @@
 	return Bound{KeepLeases: keep, StartTasks: min(keep, maxStartBound)}, ok
 }
 
-// Tracker keeps as of when a leader knows all cancellations that users were told of.
+// Tracker tracks as of when a leader knows all cancellations that were acknowledged to users. It is not safe for
+// concurrent use.
 type Tracker struct {
 	readAt         time.Time            // as of when it has read the records
 	acknowledgedAt map[string]time.Time // by member: as of when it has reported all; zero: not yet
 }
 
-// NewTracker makes the tracker of a leader that has read the records as of a moment.
+// NewTracker returns the tracker of a leader that has read the records as of readAt; others names the other members.
 func NewTracker(others []string, readAt time.Time) *Tracker {
 	tracker := &Tracker{readAt: readAt, acknowledgedAt: make(map[string]time.Time, len(others))}
 	for _, member := range others {
@@ -46,11 +48,11 @@
 	return tracker
 }
 
-// RecordsRead notes that the records were read; requestedAt is when the reading was asked for.
+// RecordsRead notes that the records were read; requestedAt is when the read was requested.
 func (t *Tracker) RecordsRead(requestedAt time.Time) { t.readAt = laterOf(t.readAt, requestedAt) }
 
-// Acknowledged notes that a member has reported all cancellations that it has confirmed; requestedAt is when it was
-// asked. A name that is no member's is ignored.
+// Acknowledged notes that a member has reported all cancellations that it has confirmed; requestedAt is when the
+// report was requested. A name that is no member's is ignored.
 func (t *Tracker) Acknowledged(member string, requestedAt time.Time) {
 	if at, ok := t.acknowledgedAt[member]; ok {
 		t.acknowledgedAt[member] = laterOf(at, requestedAt)
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -3,9 +3,11 @@
 // comes in.
 //
 // An Append function appends the encoded form of a message or record to a slice; the
-// Decode function of the same name reads it back. Decoders skip fields that they do
-// not know, so that later versions may add some. The names that only the outside
-// protocols use are mapped to the usual terms in names.go and nowhere else.
+// Decode function of the same name reads it back. Decoders skip fields that they do not
+// know, so that later versions may add some. The names that only the outside protocols
+// use are mapped to the usual terms in names.go and nowhere else. The errors of Decode
+// functions say what is malformed, for display; callers do not tell kinds of them
+// apart.
 package wire
 
 import (
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -95,7 +95,7 @@
 	cloudMachineAge       = "heldS"
 )
 
-// The statuses of the cloud's machines. A controller goes by those of machines that are not running.
+// The statuses of the cloud's machines. A controller uses those of machines that are not running.
 const (
 	cloudStatusRunning = "running"
 	cloudStatusBooting = "starting"
--- a/internal/wire/standin.go
+++ b/internal/wire/standin.go
@@ -116,7 +116,7 @@
 	return c, rest, err
 }
 
-// DecodeLeader reads whom a 421 names; "": nobody, or it is malformed.
+// DecodeLeader reads the leader that a 421 names; "": it names none, or is malformed.
 func DecodeLeader(b []byte) string {
 	leader, err := decodeField(b, answerLeader, readString)
 	if err != nil {
