--- a/internal/controller/backend.go
+++ b/internal/controller/backend.go
@@ -10,10 +10,10 @@
 	"github.com/glentiller/glentiller/internal/reconciler"
 )
 
-// A controller is what the HTTP interface asks for all that is not in the job records.
+// Controller gives the HTTP interface what is not in the job records.
 var _ httpapi.Backend = (*Controller)(nil)
 
-// HandleHeartbeat has the reconciler take a worker's heartbeat, if this controller leads.
+// HandleHeartbeat passes a worker's heartbeat to the reconciler, if this controller leads.
 func (c *Controller) HandleHeartbeat(ctx context.Context, heartbeat *model.Heartbeat) httpapi.HeartbeatResult {
 	return c.handleHeartbeat(ctx, reconciler.HeartbeatReceived{Heartbeat: heartbeat})
 }
@@ -90,10 +90,10 @@
 // Healthy reports whether a load balancer should send requests here.
 //
 // A controller without the state service can serve nobody, but while the state service is down for all of
-// them there is no better one either. So it reports itself unhealthy only while it hears a leader, whose
-// lease proves that the state service answers others: in an outage for all that lease expires before this
-// controller has been without the state service for long enough. A leader that acts on votes alone proves
-// nothing of the kind.
+// them there is no better one either. So it reports itself unhealthy only while it receives messages of a
+// leader, whose lease proves that the state service answers others: in an outage for all that lease
+// expires before this controller has been without the state service for long enough. A leader that acts
+// on votes alone proves nothing of the kind.
 //
 // A controller that reaches no other member is unhealthy too, or users would stay with the one controller
 // that can do nothing for them. If all members are cut off from each other while the state service is
--- a/internal/controller/explain.go
+++ b/internal/controller/explain.go
@@ -12,7 +12,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// A controller is what the operators' interface asks for all that is not in the ledger's records.
+// Controller gives the operators' interface what is not in the ledger's records.
 var _ admin.Controller = (*Controller)(nil)
 
 // ErrNoLeader is returned for questions that only a leader can answer, if none is reachable.
@@ -71,7 +71,7 @@
 	return answer
 }
 
-// JobState returns how a job stands by the state service's records.
+// JobState returns the state of a job by the state service's records.
 func (c *Controller) JobState(ctx context.Context, id string) (wire.JobState, error) {
 	view, err := c.jobs.Lookup(ctx, id)
 	return view.State, err
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -14,10 +14,10 @@
 	"github.com/glentiller/glentiller/internal/route"
 )
 
-// forwardMargin is by how much sooner than its user another member gives a forwarded request up.
+// forwardMargin is by how much sooner than its user another member abandons a forwarded request.
 const forwardMargin = 50 * time.Millisecond
 
-// newRouter makes what decides where users' requests are answered; nil: where they arrive.
+// newRouter returns the router of users' requests; nil: they are answered where they arrive.
 func newRouter(p *config.Platform, o *config.Operator, log *slog.Logger) *route.Router {
 	settings := config.RoutingSettings(p, o)
 	if settings == nil {
--- a/internal/controller/job_changes.go
+++ b/internal/controller/job_changes.go
@@ -40,7 +40,7 @@
 	return changes
 }
 
-// applyJobChanges has the reconciler take the changes of the job records that wait.
+// applyJobChanges passes the queued changes of the job records to the reconciler.
 func (c *Controller) applyJobChanges(now time.Time) {
 	for _, change := range c.jobChanges.take() {
 		c.stepReconciler(now, reconciler.JobUpdated(c.jobs.UpdateFor(change)))
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -31,7 +31,7 @@
 	return ""
 }
 
-// update takes whom the election knows to lead, and reports whether that has changed.
+// update records the leader that the election knows, and reports whether it has changed.
 func (v *leaderView) update(now time.Time, leader string) bool {
 	if old := v.name.Swap(&leader); old != nil && *old == leader {
 		return false
@@ -40,13 +40,13 @@
 	return true
 }
 
-// observe takes a message of a leader.
+// observe records a message of a leader.
 func (v *leaderView) observe(leader string, now time.Time, onVotes bool) {
 	v.contact.Store(&leaderContact{leader: leader, at: now, onVotes: onVotes})
 }
 
-// heardRecently reports whether this very leader has sent something lately.
-func (v *leaderView) heardRecently(leader string, now time.Time) bool {
+// contactedRecently reports whether the given leader has sent a message within leaderTimeout.
+func (v *leaderView) contactedRecently(leader string, now time.Time) bool {
 	contact := v.contact.Load()
 	return contact != nil && contact.leader == leader && now.Sub(contact.at) < leaderTimeout
 }
@@ -56,7 +56,7 @@
 // may relay their heartbeats. One that has just become known has had no time to send anything yet.
 func (v *leaderView) redirectTarget(leader string, now time.Time) string {
 	since := v.since.Load()
-	if since == nil || now.Sub(*since) < leaderTimeout || v.heardRecently(leader, now) {
+	if since == nil || now.Sub(*since) < leaderTimeout || v.contactedRecently(leader, now) {
 		return leader
 	}
 	return ""
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -17,13 +17,13 @@
 	readSnapshotRetry = 200 * time.Millisecond
 )
 
-// postElectionEvent has the election take an event, before all other messages.
+// postElectionEvent passes an event to the election, ahead of all other messages.
 func (c *Controller) postElectionEvent(ev election.Event) {
 	c.loop.postUrgent(func(now time.Time) { c.stepElection(now, ev) })
 }
 
-// stepElection has the election take an event, starts the effects that it asks for, and publishes what has
-// become of the leadership.
+// stepElection passes an event to the election, starts the effects that it returns, and publishes the state
+// of the leadership.
 func (c *Controller) stepElection(now time.Time, ev election.Event) {
 	for _, effect := range c.election.Step(now, ev) {
 		c.performElection(effect)
@@ -53,7 +53,7 @@
 	case election.RequestVotes:
 		c.requestVotes(c.term, e)
 	case election.QueryLeadership:
-		c.askWhoLeads()
+		c.queryLeadership()
 	case election.ReleaseVotes:
 		c.releaseVotes(e.FencingToken)
 	case election.Elected:
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -79,7 +79,7 @@
 
 func (h *leaseHolder) clear() { h.current.Store(nil) }
 
-// extend prolongs the lease of the leadership with this token. One that was given up stays so.
+// extend prolongs the lease of the leadership with this token. One that was cleared stays cleared.
 func (h *leaseHolder) extend(token uint64, until time.Time) {
 	for {
 		lease := h.load()
@@ -127,7 +127,7 @@
 	lease = lease.withLeaseUntil(former.leaseUntil)
 	if onVotes := lease.restsOnVotes(now); former.restsOnVotes(now) != onVotes {
 		c.log.Info("leadership lease",
-			"token", lease.fencingToken, "on_votes", onVotes, "remaining", lease.grantedUntil().Sub(now))
+			"fencing_token", lease.fencingToken, "on_votes", onVotes, "remaining", lease.grantedUntil().Sub(now))
 	}
 	return lease
 }
@@ -138,8 +138,8 @@
 	since time.Time
 }
 
-// observe takes the lease that was just published. The reconciler resumes only while the lease is valid: a
-// renewal's response that was delayed may prove a lease that has expired already.
+// observe records the lease that was just published. The reconciler resumes only while the lease is valid:
+// a renewal's response that was delayed may prove a lease that has expired already.
 func (l *leaseLapse) observe(now time.Time, lease *leadershipLease, core *reconciler.Core, log *slog.Logger) {
 	if l.token == 0 && !lease.valid() {
 		l.token, l.since = lease.fencingToken, lease.validUntil()
@@ -148,15 +148,15 @@
 		return
 	}
 	if l.token == lease.fencingToken && core != nil {
-		log.Info("leadership lease valid again", "token", lease.fencingToken, "lapsed", now.Sub(l.since))
+		log.Info("leadership lease valid again", "fencing_token", lease.fencingToken, "lapsed", now.Sub(l.since))
 		core.Resume(now)
 	}
 	l.token = 0
 }
 
 // renewLease renews the lease at the state service and publishes at once what that proves, so that nothing
-// that holds the event loop keeps the leadership lease from being renewed. The election hears of it too,
-// and counts the same time from the sending (docs/safety.md).
+// that holds the event loop keeps the leadership lease from being renewed. The election learns of it too,
+// and counts the same time from the sending (docs/safety.md, "Leadership lease").
 func (c *Controller) renewLease(token, leaseID uint64) {
 	renewed := c.electionExecutor().RenewLease(leaseID)
 	if renewed.Err == nil {
@@ -179,7 +179,7 @@
 				return
 			}
 			if sent := c.lease.lastRenewalSent.Load(); sent != nil && time.Since(*sent) > late {
-				c.log.Debug("renewing the lease beside the event loop", "token", token, "last", time.Since(*sent))
+				c.log.Debug("renewing the lease beside the event loop", "fencing_token", token, "last", time.Since(*sent))
 				c.renewLease(token, leaseID)
 			}
 		}
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -15,7 +15,7 @@
 	minTimer    = time.Millisecond
 )
 
-// work is what another goroutine has the event loop do.
+// work is a function that the event loop runs for another goroutine.
 type work func(now time.Time)
 
 // eventLoop is the input of the goroutine that owns the state machines.
@@ -51,7 +51,7 @@
 	}
 }
 
-// drainUrgent does all urgent work that waits.
+// drainUrgent runs all urgent work that waits.
 func (l *eventLoop) drainUrgent() {
 	for {
 		select {
@@ -63,7 +63,7 @@
 	}
 }
 
-// drainInbox does what else waits in the inbox, until a moment.
+// drainInbox runs the work that waits in the inbox, until a given time at most.
 func (l *eventLoop) drainInbox(until time.Time) {
 	for time.Now().Before(until) {
 		l.drainUrgent()
@@ -76,7 +76,8 @@
 	}
 }
 
-// runInLoop has the event loop compute something; inbox is one of the loop's two.
+// runInLoop runs f in the event loop and returns its result; inbox is one of the loop's two. An error is
+// the context's.
 func runInLoop[T any](ctx context.Context, inbox chan<- work, f func(now time.Time) T) (result T, err error) {
 	done := make(chan T, 1)
 	select {
@@ -120,7 +121,7 @@
 }
 
 // tick steps both state machines with the time. It returns when it is due again; ok is false if this
-// controller has just stepped down as it hears no worker, and only input wakes the loop then.
+// controller has just stepped down because it reaches no worker; only input wakes the loop then.
 func (c *Controller) tick(now time.Time) (wake time.Time, ok bool) {
 	c.refreshCancellations(now)
 	c.stepElection(now, election.Tick{})
@@ -135,7 +136,7 @@
 	c.reconciler.PauseStarts(!c.lease.load().mayStartTasks(now))
 	c.loop.hold.measure("pass", c.runPass)
 	if c.reconciler != nil && c.reconciler.Isolated(now) && len(c.peers) > 0 {
-		c.log.Warn("stepping down: no worker is heard")
+		c.log.Warn("stepping down: no worker is reachable")
 		c.stepElection(now, election.Resign{})
 		return time.Time{}, false
 	}
--- a/internal/controller/member_status.go
+++ b/internal/controller/member_status.go
@@ -8,7 +8,7 @@
 	"github.com/glentiller/glentiller/internal/election"
 )
 
-// MemberStatus returns where this controller stands, for the operators' interface.
+// MemberStatus returns this controller's status for the operators' interface.
 func (c *Controller) MemberStatus(ctx context.Context) (*admin.MemberStatus, error) {
 	var hold loopHold
 	member, err := runInLoop(ctx, c.loop.urgent, func(time.Time) election.Status {
--- a/internal/controller/peer_handler.go
+++ b/internal/controller/peer_handler.go
@@ -9,14 +9,14 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// peerHandler serves the other controllers. Each of its methods stands beside the code that sends the
-// message: heartbeats here, progress in progress.go, votes in votes.go, explanations in explain.go and
-// users' requests in forward.go.
+// peerHandler serves the other controllers. Each of its methods is in the file with the code that sends the
+// message: heartbeats here, progress in progress.go, votes in votes.go, explanations in explain.go and users'
+// requests in forward.go.
 type peerHandler struct{ controller *Controller }
 
 var _ peer.Handler = peerHandler{}
 
-// HandleHeartbeat takes a worker's heartbeat that another member relays.
+// HandleHeartbeat answers a worker's heartbeat that another member relays.
 func (h peerHandler) HandleHeartbeat(ctx context.Context, heartbeat []byte) *peerpb.RelayAnswer {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -24,8 +24,9 @@
 	return &peerpb.RelayAnswer{Act: response != nil, Body: response, Leader: leader}
 }
 
-// handleRelayed takes an encoded heartbeat that another member relays and returns the encoded response. It is
-// nil if the heartbeat is malformed or this controller must not answer; leader then names who does, if known.
+// handleRelayed processes an encoded heartbeat that another member relays and returns the encoded response.
+// It is nil if the heartbeat is malformed or this controller must not answer; leader then names who does, if
+// known.
 func (c *Controller) handleRelayed(ctx context.Context, heartbeat []byte) (response []byte, leader string) {
 	decoded, err := wire.DecodeHeartbeat(heartbeat)
 	if err != nil {
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -28,7 +28,7 @@
 	return 0, 0
 }
 
-// replace takes the leader's message.
+// replace replaces the progress by that in a leader's message.
 func (v *progressView) replace(p *peerpb.Progress) {
 	jobs := make(map[string]jobProgress, len(p.GetJobs()))
 	for _, j := range p.GetJobs() {
@@ -76,7 +76,7 @@
 	return p
 }
 
-// HandleProgress takes a leader's progress message. It also shows that the leader is reachable.
+// HandleProgress records a leader's progress message. It also shows that the leader is reachable.
 func (h peerHandler) HandleProgress(p *peerpb.Progress) {
 	c := h.controller
 	c.leader.observe(p.GetMember(), time.Now(), p.GetOnPromises())
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -13,7 +13,7 @@
 	peerProbeTimeout  = 800 * time.Millisecond
 )
 
-// probePeers asks the other members whether they are there, while the state service is unreachable.
+// probePeers probes the other members while the state service is unreachable.
 func (c *Controller) probePeers() error {
 	for c.tasks.running() {
 		c.tasks.sleep(peerProbeInterval)
--- a/internal/controller/relay_direct.go
+++ b/internal/controller/relay_direct.go
@@ -91,27 +91,28 @@
 	leader := c.leader.current()
 	viaStore := c.storeRelay
 	if c.store.UnreachableFor(time.Now()) > storeDownLimit {
-		// Nobody would answer what this member cannot write: workers had better try another one at once
-		// than spend their leases here.
+		// What this member cannot write is never answered: workers had better try another one at once than spend
+		// their leases here.
 		viaStore = nil
 	}
 	if viaStore != nil && leader == "" && viaStore.active() {
-		return viaStore.send(ctx, heartbeat) // for whoever will lead
+		return viaStore.send(ctx, heartbeat) // for the next leader
 	}
 	if c.peers[leader] == nil {
 		return nil, false
 	}
 	now := time.Now()
-	// A leader that is new here may be unreachable: workers are not redirected to it before it is heard.
-	unheard := viaStore != nil && !c.leader.heardRecently(leader, now)
+	// A leader that is new here may be unreachable: workers are not redirected to it before it has sent a
+	// message.
+	noContact := viaStore != nil && !c.leader.contactedRecently(leader, now)
 	unreachable := c.leader.redirectTarget(leader, now) == ""
 	switch {
 	case unreachable && viaStore == nil:
 		return nil, false
-	case unreachable, unheard && viaStore.active():
+	case unreachable, noContact && viaStore.active():
 		// What this member does not reach, its workers likely do not reach either.
 		return viaStore.send(ctx, heartbeat)
-	case !unheard && !c.relayTracker.shouldRelay(machine, now):
+	case !noContact && !c.relayTracker.shouldRelay(machine, now):
 		return nil, false
 	}
 	relayCtx, cancel := context.WithTimeout(ctx, relayTimeout)
@@ -120,7 +121,7 @@
 	switch {
 	case err == nil && answer.GetAct():
 		return answer.GetBody(), true
-	case err != nil && unheard:
+	case err != nil && noContact:
 		// Not reached now either, and the worker's lease may not last until the leader counts as unreachable.
 		return viaStore.send(ctx, heartbeat)
 	}
--- a/internal/controller/relay_leader.go
+++ b/internal/controller/relay_leader.go
@@ -21,7 +21,8 @@
 	watchBatchesRetry = 300 * time.Millisecond
 )
 
-// watchRelayedBatches has a leader take the heartbeats that members relay by way of the state service.
+// watchRelayedBatches answers, while this controller leads, the heartbeats that members relay through
+// the state service.
 func (c *Controller) watchRelayedBatches() error {
 	var revision, token uint64
 	for c.tasks.running() {
@@ -67,8 +68,8 @@
 	c.putResponses(batch, c.batchResponses(envelopes))
 }
 
-// batchResponses has the event loop take all heartbeats of a batch, and returns the responses in their
-// order. A worker whose heartbeat is malformed or not answered in time is left out.
+// batchResponses processes all heartbeats of a batch in the event loop, and returns the responses in
+// their order. A worker whose heartbeat is malformed or not answered in time is left out.
 func (c *Controller) batchResponses(envelopes []relay.Envelope) []relay.Envelope {
 	ctx, cancel := context.WithTimeout(c.tasks.ctx, batchResponseTimeout)
 	defer cancel()
--- a/internal/controller/relay_store.go
+++ b/internal/controller/relay_store.go
@@ -56,8 +56,8 @@
 	if settings == nil || len(p.Members) == 0 {
 		return nil
 	}
-	onPathChange := func(from, to relay.Path, why string) {
-		log.Info("heartbeat path", "from", from.String(), "to", to.String(), "why", why)
+	onPathChange := func(from, to relay.Path, reason string) {
+		log.Info("heartbeat path", "from", from.String(), "to", to.String(), "reason", reason)
 	}
 	return &storeRelay{
 		store:          state,
@@ -133,7 +133,8 @@
 	return r.outbox.Idle()
 }
 
-// leaderReached notes that the leader is reachable again: nobody waits any more, and workers are redirected.
+// leaderReached notes that the leader is reachable again: no worker waits any more, and workers are
+// redirected.
 func (r *storeRelay) leaderReached() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,11 +142,11 @@
 	r.rejectWaiters()
 }
 
-// leaderChanged notes that another member leads, or nobody.
-func (r *storeRelay) leaderChanged(nobody bool) {
+// leaderChanged notes that another member leads, or for now none.
+func (r *storeRelay) leaderChanged(noLeader bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.outbox.LeaderChanged(time.Now(), nobody)
+	r.outbox.LeaderChanged(time.Now(), noLeader)
 }
 
 // rejectWaiters has all workers that wait ask again. mu is held.
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	rolloutInterval = 5 * time.Second  // between two looks at what the members announce
+	rolloutInterval = 5 * time.Second  // between two reads of what the members announce
 	announcementTTL = 30 * time.Second // of what a member announces of itself
-	resignInterval  = time.Minute      // a leader resigns for the sake of a level no more often than this
+	resignInterval  = time.Minute      // a leader resigns to raise a level no more often than this
 )
 
 // rolloutView is what this member knows of the feature level. The event loop writes it, and all read it.
@@ -25,15 +25,15 @@
 	status atomic.Pointer[rolloutStatus]
 }
 
-// rolloutStatus is how the way to the next level stands.
+// rolloutStatus is the progress towards the next level.
 type rolloutStatus struct {
 	state   featuregate.State
 	reason  string
 	members map[string]featuregate.Member
 }
 
-// constraintsInForce returns what tells the HTTP interface whether all members know the rules of jobs; nil:
-// the operators have seen to it, as no rollout is watched.
+// constraintsInForce returns a function that reports whether all members support the rules of jobs; nil: no
+// rollout is watched, so the operators answer for it.
 func (c *Controller) constraintsInForce() func() bool {
 	if c.operator.Rollout == nil {
 		return nil
@@ -41,7 +41,7 @@
 	return func() bool { return featuregate.Level(c.rollout.level.Load()) >= featuregate.Constraints }
 }
 
-// runRollout announces what this member's program supports, and has the election raise the feature level
+// runRollout announces what this member's program supports, and lets the election raise the feature level
 // once all members support the next one.
 func (c *Controller) runRollout() error {
 	self := featuregate.Member{
@@ -73,9 +73,9 @@
 	return nil
 }
 
-// evaluateRollout has the gate take what the members announce, and proposes the level that follows from it
-// to the election. A leader resigns for it, so that the next claim raises the level; not while it acts on
-// votes alone, as nobody could claim then.
+// evaluateRollout passes the members' announcements to the gate, and proposes the level that follows from
+// them to the election. A leader resigns for it, so that the next claim raises the level; not while it acts
+// on votes alone, as nobody could claim then.
 func (c *Controller) evaluateRollout(
 	now time.Time, gate *featuregate.Gate, members map[string]featuregate.Member, resignedAt *time.Time,
 ) {
@@ -84,7 +84,7 @@
 	state, reason := gate.State()
 	if changed {
 		c.log.Info("rollout",
-			"state", state.String(), "level", inForce, "supported", featuregate.Supported, "why", reason)
+			"state", state.String(), "level", inForce, "supported", featuregate.Supported, "reason", reason)
 	}
 	c.rollout.status.Store(&rolloutStatus{state: state, reason: reason, members: members})
 	next := gate.NextLevel(inForce)
@@ -94,14 +94,14 @@
 	proposal := election.ProposeLevel{Level: next}
 	lease := c.lease.load()
 	if next > 0 && lease.valid() && !lease.restsOnVotes(now) && now.Sub(*resignedAt) > resignInterval {
-		c.log.Info("resigning to raise the feature level", "level", next, "token", lease.fencingToken)
+		c.log.Info("resigning to raise the feature level", "level", next, "fencing_token", lease.fencingToken)
 		*resignedAt, proposal.StepDown = now, true
 	}
 	c.stepElection(now, proposal)
 }
 
-// announce keeps alive what this member announces of itself. It returns the lease at the state service that
-// the announcement is bound to; 0: it has to be announced anew.
+// announce renews this member's announcement of itself. It returns the lease at the state service that the
+// announcement is bound to; 0: it has to be announced anew.
 func (c *Controller) announce(leaseID uint64, self featuregate.Member) (uint64, error) {
 	if leaseID != 0 {
 		err := c.store.RenewLease(leaseID)
@@ -124,7 +124,7 @@
 	return leaseID, nil
 }
 
-// rolloutStatus returns how the rollout stands, for the operators' interface; nil: none is watched, or
+// rolloutStatus returns the progress of the rollout for the operators' interface; nil: none is watched, or
 // nothing is known yet.
 func (c *Controller) rolloutStatus() *admin.Rollout {
 	status := c.rollout.status.Load()
--- a/internal/controller/staleness.go
+++ b/internal/controller/staleness.go
@@ -14,9 +14,9 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// cancellationKnowledge bounds a leader by how old its knowledge of cancellations is: users hear of a
-// cancellation from any member, and its tasks have to end in time (docs/safety.md). The event loop owns
-// it, but for the bound, which never changes.
+// cancellationKnowledge bounds a leader by how old its knowledge of cancellations is: any member
+// acknowledges a cancellation to its user, and the tasks have to end in time (docs/safety.md, "Bounded
+// staleness of cancellations"). The event loop owns it, but for the bound, which never changes.
 type cancellationKnowledge struct {
 	bound        staleness.Bound
 	tracker      *staleness.Tracker // nil: the leader has no reconciler yet
@@ -45,14 +45,14 @@
 // end stops to track: this controller leads no more.
 func (k *cancellationKnowledge) end() { k.tracker, k.tooStale = nil, false }
 
-// acknowledge takes up to where a member has sent its cancellations, when it was asked, and whether these
-// are all that it knows.
+// acknowledge records how far a member has reported the cancellations that it knows of, when the report
+// was requested, and whether it was complete.
 func (k *cancellationKnowledge) acknowledge(
-	member string, cursor store.CancellationCursor, complete bool, asked time.Time,
+	member string, cursor store.CancellationCursor, complete bool, requested time.Time,
 ) {
 	k.acknowledged[member] = cursor
 	if k.tracker != nil && complete {
-		k.tracker.Acknowledged(member, asked)
+		k.tracker.Acknowledged(member, requested)
 	}
 }
 
@@ -72,18 +72,19 @@
 	}
 	k.tooStale = tooStale
 	k.log.Warn("cancellation knowledge",
-		"too_stale", tooStale, "age", now.Sub(knownAsOf), "limit", k.bound.KeepLeases, "token", lease.fencingToken)
+		"too_stale", tooStale, "age", now.Sub(knownAsOf), "limit", k.bound.KeepLeases,
+		"fencing_token", lease.fencingToken)
 }
 
-// tooStaleToLead reports whether the state service serves this leader and still it has not come to know of
-// cancellations for so long that it may not act: another member may do better.
+// tooStaleToLead reports whether the lease at the state service is valid, and yet the knowledge of
+// cancellations is too stale to act on: another member may do better.
 func (k *cancellationKnowledge) tooStaleToLead(now time.Time, machine *election.StateMachine) bool {
 	return k.tooStale && now.Before(machine.LeaseValidUntil())
 }
 
-// learnCancellations takes the cancellations in another member's answer to a request for its vote. The
-// reconciler has them before the knowledge counts as newer.
-func (c *Controller) learnCancellations(now, asked time.Time, member string, answer *peerpb.PromiseAnswer) {
+// applyReportedCancellations applies the cancellations in another member's answer to a request for its
+// vote. The reconciler has them before the knowledge counts as newer.
+func (c *Controller) applyReportedCancellations(now, requested time.Time, member string, answer *peerpb.PromiseAnswer) {
 	ids, versions := answer.GetCancelled(), answer.GetVersions()
 	cancelled := make([]store.Cancellation, len(ids))
 	for i, id := range ids {
@@ -96,7 +97,7 @@
 	c.jobs.ApplyCancellations(cancelled)
 	c.applyJobChanges(now)
 	cursor := store.CancellationCursor{Incarnation: answer.GetLife(), Count: answer.GetTold()}
-	c.cancellations.acknowledge(member, cursor, answer.GetWhole(), asked)
+	c.cancellations.acknowledge(member, cursor, answer.GetWhole(), requested)
 }
 
 // refreshCancellations notes as of when the job records were read, after the reconciler has what that
--- a/internal/controller/tasks.go
+++ b/internal/controller/tasks.go
@@ -42,7 +42,7 @@
 	})
 }
 
-// running reports whether the context still lives.
+// running reports whether the context has not ended yet.
 func (t *taskGroup) running() bool { return t.ctx.Err() == nil }
 
 // sleep waits for d, or until the context ends.
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -16,10 +16,10 @@
 	// maxVoteDuration bounds what a request may ask for.
 	maxVoteDuration = time.Minute
 
-	// maxContactLead is by how much more recently than a leader this member may have heard from the state
-	// service and still vote for it, while the state service serves this member. With more, the leader alone
-	// is cut off, and another member had better lead. If the state service is down for this member too,
-	// nobody could take over, and the vote keeps alive what runs.
+	// maxContactLead is by how much more recently than a leader this member may have had an answer of the
+	// state service and still vote for it, while the state service serves this member. With more, the leader
+	// alone is cut off, and another member had better lead. If the state service is down for this member too,
+	// no member could take over, and the vote keeps running tasks alive.
 	maxContactLead = 2 * time.Second
 )
 
@@ -49,7 +49,8 @@
 	}
 }
 
-// requestVote asks one member, and has the election take its vote if the same leadership still lasts.
+// requestVote requests the vote of one member, and passes it to the election if the same leadership still
+// lasts.
 func (c *Controller) requestVote(term uint64, name string, client *peer.Client, request *peerpb.PromiseAsk) {
 	ctx, cancel := context.WithTimeout(c.tasks.ctx, voteTimeout)
 	defer cancel()
@@ -65,7 +66,7 @@
 		// The loop's time may be from before the answer came. With it a vote could count after the lease has
 		// expired, if the process was suspended in between.
 		now := time.Now()
-		c.learnCancellations(now, sent, name, answer)
+		c.applyReportedCancellations(now, sent, name, answer)
 		if !answer.GetGranted() {
 			return
 		}
@@ -79,8 +80,8 @@
 	})
 }
 
-// askWhoLeads asks the other members whether they lead, for a member that has just started.
-func (c *Controller) askWhoLeads() {
+// queryLeadership asks the other members whether they lead, for a member that has just started.
+func (c *Controller) queryLeadership() {
 	for name, client := range c.peers {
 		c.tasks.spawn(func() {
 			ctx, cancel := context.WithTimeout(c.tasks.ctx, voteTimeout)
@@ -155,8 +156,8 @@
 // grantVote decides for how long this member votes for a leader, which is how long it claims nothing
 // itself; 0: it does not vote.
 func (c *Controller) grantVote(now time.Time, q *peerpb.PromiseAsk) time.Duration {
-	// Before this process has read the records, it may have told users of cancellations in an earlier
-	// incarnation that neither it nor the leader knows.
+	// Before this process has read the records, an earlier incarnation may have acknowledged cancellations to
+	// users that neither this one nor the leader knows of.
 	if c.jobs.Revision() == 0 {
 		return 0
 	}
