--- a/internal/model/job.go
+++ b/internal/model/job.go
@@ -41,8 +41,8 @@
 	State         JobState
 	Gang          GangState
 
-	// EligibleAt is when the job was submitted, or when its last dependency was
-	// done. Its age and all its dates but the deadline count from here.
+	// EligibleAt is when the job was submitted, or when its last dependency was done. Its
+	// age and its objectives, but not its deadline, count from here.
 	EligibleAt        time.Time
 	WaitingSince      time.Time // when a task of it began to wait
 	EffectivePriority Priority  // its own, or the highest of the jobs that depend on it
--- a/internal/reconciler/gpu.go
+++ b/internal/reconciler/gpu.go
@@ -16,7 +16,7 @@
 	return gpuReservations{demands: map[model.Resources]bool{}, reserved: map[*model.MachineType]bool{}}
 }
 
-// add keeps a demand in mind, and reports whether it is for GPUs and new.
+// add records a demand, and reports whether it is for GPUs and new.
 func (g *gpuReservations) add(demand model.Resources) bool {
 	if demand.GPU <= 0 || g.demands[demand] || len(g.demands) >= maxGPUDemands {
 		return false
@@ -25,7 +25,7 @@
 	return true
 }
 
-// restore takes a demand that is on record.
+// restore adds a demand that is on record.
 func (g *gpuReservations) restore(demand model.Resources) { g.demands[demand] = true }
 
 // beginPass forgets which types are reserved: the catalog and the demands may have changed.
--- a/internal/reconciler/partitions.go
+++ b/internal/reconciler/partitions.go
@@ -38,8 +38,8 @@
 }
 
 // update takes the present counts and returns the zones that count as partitioned. A zone does so for some time after
-// most of it was silent: most of its workers may have found another way while the last ones are still looking for
-// theirs.
+// most of it was silent: most of its workers may have found another path while the last ones are still looking for
+// one.
 func (d *partitionDetector) update(
 	now time.Time, zones map[string]*zoneSilence, maxShare float64, hold time.Duration,
 ) map[string]bool {
@@ -65,7 +65,7 @@
 }
 
 // partitionedZones returns the zones that are likely cut off. Their machines are not released for their silence:
-// their workers are likely healthy and about to find another way to a controller.
+// their workers are likely healthy and about to find another path to a controller.
 func (c *Core) partitionedZones(now time.Time) map[string]bool {
 	zones := map[string]*zoneSilence{allZones: {}}
 	all := zones[allZones]
--- a/internal/reconciler/takeover.go
+++ b/internal/reconciler/takeover.go
@@ -35,7 +35,7 @@
 	return takeover{startedAt: now, revision: revision, kinds: map[machineKind]int{}}
 }
 
-// recordedKind is the kind that a machine's record states: earlier leaders went by that.
+// recordedKind is the kind that a machine's record states: earlier leaders decided by that.
 func recordedKind(machine *model.Machine) machineKind {
 	return machineKind{machine.Record.Type, machine.Record.Zone, machine.Record.Spot}
 }
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -106,7 +106,7 @@
 }
 
 // collectTargets lists the nodes that could take a replica. It is done once for all replicas, of which each may be on
-// an expensive machine: a look at all nodes for each of them held up a leader of 3,300 machines for over a second.
+// an expensive machine: a scan of all nodes for each of them held up a leader of 3,300 machines for over a second.
 func (c *consolidation) collectTargets() {
 	spec := c.job.Spec
 	for _, node := range c.snapshot.nodesWithImage(spec.Image) {
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -14,7 +14,7 @@
 // Drain finds a replica to move off a machine that could be emptied altogether: the machine holds nothing but replicas
 // that may move, and all of them fit on busier machines that cost no more and hold their images. It returns nil if
 // there is none. Replicas move one at a time and only ever to a busier machine, so that no two machines exchange them
-// over and over.
+// repeatedly.
 func Drain(settings *Settings, now time.Time, snapshot *Snapshot) *model.Attempt {
 	var nodes []*Node
 	for _, node := range snapshot.Nodes {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -95,7 +95,7 @@
 
 // reserveQuota claims, for a request over quota, what its team is releasing and the free quota that is too small as
 // yet. Otherwise lower-priority work would take the first part of what was freed and be preempted again in the next
-// pass, over and over.
+// pass, repeatedly.
 func (p *pass) reserveQuota(team string, claim model.Resources) {
 	releasing := p.snapshot.Releasing[team]
 	p.snapshot.Releasing[team] = releasing.Sub(claim).AtLeastZero()
--- a/internal/store/job_sync.go
+++ b/internal/store/job_sync.go
@@ -62,8 +62,8 @@
 		}
 		batch.err = j.CatchUp(context.Background())
 		close(batch.done)
-		// Polls must not use up the rate limits: submissions, and the watch that tells of the jobs
-		// they depend on, would wait behind them.
+		// Polls must not use up the rate limits: submissions, and the watch that reports the jobs they
+		// depend on, would wait behind them.
 		j.client.sleep(max(minSyncInterval, j.client.MinReadInterval()))
 	}
 }
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -124,7 +124,7 @@
 		return 0, false, readErr
 	}
 	if !found {
-		return 0, false, nil // the record is lost: whoever finds none begins anew
+		return 0, false, nil // the record is lost: the next claim begins anew
 	}
 	lastToken, _, decodeErr := wire.DecodeLeaderRecord(entry.Value)
 	switch {
