--- a/internal/scheduler/feasible.go
+++ b/internal/scheduler/feasible.go
@@ -95,7 +95,7 @@
 	return Feasible
 }
 
-// Feasibility tells why a node, as the pass sees it, does not take one more task of a request, in a zone ("": any).
+// Feasibility returns why a node, as the pass sees it, does not take one more task of a request, in a zone ("": any).
 func (n *Node) Feasibility(request *Request, zone string) Infeasibility {
 	if reason := n.checkStatic(request.Job, request.Rules, zone); reason != Feasible {
 		return reason
--- a/internal/scheduler/nofit.go
+++ b/internal/scheduler/nofit.go
@@ -76,7 +76,7 @@
 	return key
 }
 
-// maxFitting tells how many tasks with a demand fit at the most, as far as is known; -1: nothing is known.
+// maxFitting returns how many tasks with a demand fit at the most, as far as is known; -1: nothing is known.
 func (c noFitCache) maxFitting(key noFitKey, demand model.Resources) int {
 	most := -1
 	for _, entry := range c[key] {
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -10,7 +10,7 @@
 	preemptionsLeft int
 	reservations    int // starving requests that nodes are reserved for
 	served          servedSummary
-	nodeOptions     []nodeOption // buffer of roomSearch, used for one request after the other
+	nodeOptions     []nodeOption // buffer of preemptionSearch, used for one request after the other
 }
 
 // MakePlan decides one pass: it serves the pending requests in their order.
@@ -72,17 +72,17 @@
 	p.plan.Shortages = append(p.plan.Shortages, shortage)
 }
 
-// placeAndPreempt places tasks of a request on the nodes that it prefers first, then on any, and tells how many are
-// missing. Room that is made on any node is not taken off: those tasks are still short of capacity.
+// placeAndPreempt places tasks of a request on the nodes that it prefers first, then on any, and returns how many
+// are missing. Capacity that is freed on any node is not subtracted: those tasks are still short of it.
 func (p *pass) placeAndPreempt(request *Request, tasks int) (missing int) {
 	missing = tasks
 	for _, filter := range p.preferredNodes(request) {
 		missing -= p.place(request, missing, filter)
-		missing -= p.makeRoom(request, missing, filter)
+		missing -= p.preemptAndReserve(request, missing, filter)
 	}
 	missing -= p.place(request, missing, nodeFilter{})
 	if missing > 0 && p.mayPreemptAnywhere(request) {
-		p.makeRoom(request, missing, nodeFilter{})
+		p.preemptAndReserve(request, missing, nodeFilter{})
 	}
 	return missing
 }
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -6,8 +6,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// place puts up to n tasks of a request on the nodes that a filter accepts, and tells how many. A gang is placed whole
-// or not at all; what has to be in one zone goes to the zone that takes most of it.
+// place puts up to n tasks of a request on the nodes that a filter accepts, and returns how many. A gang is placed
+// whole or not at all; what has to be in one zone goes to the zone that takes most of it.
 func (p *pass) place(request *Request, n int, filter nodeFilter) int {
 	if n <= 0 {
 		return 0
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -91,7 +91,7 @@
 }
 
 // mayPreemptFor reports whether any of the candidates might be stopped for a request; Request.mayPreempt decides on
-// each. It saves a look at all candidates of thousands of nodes for requests that nothing may be stopped for.
+// each. It spares the scan of all candidates of thousands of nodes for requests that nothing may be stopped for.
 func (s *preemptibleSummary) mayPreemptFor(request *Request) bool {
 	if !s.nonEmpty || request.position.compare(s.lastPosition) >= 0 {
 		return false
@@ -99,24 +99,25 @@
 	return s.lowestPriority < request.Job.EffectivePriority || request.Guaranteed && s.anyBeyondGuarantee
 }
 
-// makeRoom preempts for tasks that fit nowhere, and tells for how many it has found room. What they will start with
+// preemptAndReserve preempts for tasks that fit nowhere, and returns for how many it has freed capacity. Their demand
 // counts towards their team's quota from now on. Otherwise lower-priority work of the team would take the quota
-// meanwhile and be preempted in the next pass, and the request would find the node's room taken in the one after.
-func (p *pass) makeRoom(request *Request, missing int, filter nodeFilter) int {
+// meanwhile and be preempted in the next pass, and the request would find the node's capacity taken in the one after.
+func (p *pass) preemptAndReserve(request *Request, missing int, filter nodeFilter) int {
 	found := p.preempt(request, missing, filter)
 	spec := request.Job.Spec
 	p.snapshot.addUsage(spec.Team, spec.Demand.Times(found))
 	return found
 }
 
-// preempt makes room for tasks that fit nowhere: it first claims what is being released already, then stops what costs
-// least among the attempts that may be stopped for this request. It tells for how many tasks it has found room.
+// preempt frees capacity for tasks that fit nowhere: it first claims what is being released already, then stops what
+// costs least among the attempts that may be stopped for this request. It returns for how many tasks it has freed
+// capacity.
 func (p *pass) preempt(request *Request, missing int, filter nodeFilter) int {
 	spec := request.Job.Spec
 	if missing <= 0 || spec.Shape == model.Gang && spec.Tasks > 1 {
 		return 0
 	}
-	search := newRoomSearch(p, request)
+	search := newPreemptionSearch(p, request)
 	key := noFitKeyOf(request, search.lockedZone, filter)
 	key.preemption = preemptionKeyOf(request, len(p.plan.Preemptions))
 	if p.snapshot.noFit.maxFitting(key, spec.Demand) == 0 {
@@ -137,13 +138,13 @@
 	return missing
 }
 
-// nodeOption is a node on which something could be preempted for a request. What it would cost is evaluated when it is
-// first asked for, and again after it changes.
+// nodeOption is a node on which something could be preempted for a request. Its cost is evaluated when it is first
+// needed, and again after the node changes.
 type nodeOption struct {
 	node           *Node
-	evaluated      bool  // the fields below hold
+	evaluated      bool  // the fields below are set
 	fitsWithout    bool  // what is being released is enough
-	feasible       bool  // stopping what is chosen makes room
+	feasible       bool  // stopping the chosen ones frees enough
 	chosen         []int // of Node.Candidates
 	preemptionCost time.Duration
 }
@@ -164,18 +165,18 @@
 	}
 }
 
-// roomSearch looks for room for the tasks of one request, one after the other.
-type roomSearch struct {
+// preemptionSearch searches nodes where capacity can be freed for the tasks of one request, one after the other.
+type preemptionSearch struct {
 	pass        *pass
 	request     *Request
 	lockedZone  string         // the only zone that tasks may go to; "": any
-	tasksByZone map[string]int // with the tasks that room was found for
+	tasksByZone map[string]int // with the tasks that capacity was found for
 	options     []nodeOption
-	taken       []*Node // on which room was found
+	taken       []*Node // on which capacity was found
 }
 
-func newRoomSearch(p *pass, request *Request) *roomSearch {
-	search := &roomSearch{pass: p, request: request, tasksByZone: map[string]int{}}
+func newPreemptionSearch(p *pass, request *Request) *preemptionSearch {
+	search := &preemptionSearch{pass: p, request: request, tasksByZone: map[string]int{}}
 	maps.Copy(search.tasksByZone, request.TasksByZone)
 	if request.Job.Spec.SingleZone {
 		if zones := occupiedZones(search.tasksByZone); len(zones) > 0 {
@@ -186,7 +187,7 @@
 }
 
 // collectOptions lists the nodes that come into question.
-func (s *roomSearch) collectOptions(filter nodeFilter) {
+func (s *preemptionSearch) collectOptions(filter nodeFilter) {
 	s.options = s.pass.nodeOptions[:0]
 	feasible := s.pass.snapshot.feasibilityFilter(s.request, s.lockedZone, filter)
 	for _, node := range s.pass.snapshot.Nodes {
@@ -198,7 +199,7 @@
 }
 
 // admits reports whether the zone and the number of the job's tasks there allow one more of them on a machine.
-func (s *roomSearch) admits(machine *model.Machine) bool {
+func (s *preemptionSearch) admits(machine *model.Machine) bool {
 	if s.lockedZone != "" && machine.Zone != s.lockedZone {
 		return false
 	}
@@ -207,7 +208,7 @@
 
 // cheapestOption is the first node where nothing has to be stopped for one more task, or else the one where stopping
 // costs least; nil: there is none.
-func (s *roomSearch) cheapestOption() *nodeOption {
+func (s *preemptionSearch) cheapestOption() *nodeOption {
 	var best *nodeOption
 	for i := range s.options {
 		option := &s.options[i]
@@ -228,8 +229,8 @@
 	return best
 }
 
-// take stops what an option has chosen, and claims the room for one task.
-func (s *roomSearch) take(option *nodeOption) {
+// take preempts the candidates that an option has chosen, and claims the capacity for one task.
+func (s *preemptionSearch) take(option *nodeOption) {
 	node := option.node
 	for _, i := range option.chosen {
 		candidate := node.Candidates[i]
@@ -248,8 +249,8 @@
 	option.evaluated = false
 }
 
-// close forgets the tasks that room was found for: they do not start in this pass.
-func (s *roomSearch) close() {
+// close removes the tasks that capacity was found for from the counts: they do not start in this pass.
+func (s *preemptionSearch) close() {
 	for _, node := range s.taken {
 		s.request.Rules.addTasks(node.Machine, -1)
 	}
@@ -275,17 +276,17 @@
 	}
 }
 
-// chooseCandidates chooses attempts, at most a number of them, whose end makes room for one task: what costs least
-// first. ok tells that there is enough room then.
+// chooseCandidates chooses at most maxCount attempts whose end frees capacity for one task, the cheapest first. ok
+// reports that the capacity is enough then.
 func (n *Node) chooseCandidates(
-	request *Request, free model.Resources, most int,
+	request *Request, free model.Resources, maxCount int,
 ) (chosen []int, cost time.Duration, ok bool) {
-	if most <= 0 {
+	if maxCount <= 0 {
 		return nil, 0, false
 	}
 	demand := request.Job.Spec.Demand
 	for _, i := range n.candidatesByCost(request) {
-		if demand.Fits(free) || len(chosen) >= most {
+		if demand.Fits(free) || len(chosen) >= maxCount {
 			break
 		}
 		chosen = append(chosen, i)
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -7,7 +7,7 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// admit tells how many tasks of a request its team's quota allows to start, and notes the shortage where it allows
+// admit returns how many tasks of a request its team's quota allows to start, and notes the shortage where it allows
 // none. Gangs and services start whole or not at all.
 func (p *pass) admit(request *Request) int {
 	spec := request.Job.Spec
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -49,7 +49,7 @@
 
 // pickNodes chooses nodes in a zone ("": any) for up to n tasks, one by one: of the feasible ones the one whose power
 // efficiency with the task, plus what the job's preferences add, is highest; of equal ones one that holds the image.
-// The resources are taken. permanent tells that the caller does not give them back.
+// The resources are taken; permanent says that the caller does not return them.
 func (s *Snapshot) pickNodes(
 	settings *Settings, request *Request, n int, zone string, filter nodeFilter, permanent bool,
 ) []Placement {
