--- a/internal/httpapi/constraints.go
+++ b/internal/httpapi/constraints.go
@@ -26,7 +26,7 @@
 	}
 	if s.settings.ConstraintsInForce != nil && !s.settings.ConstraintsInForce() {
 		// A leader of an older version would place the job anywhere.
-		return new(notTaken(route.NotReady, "rules: not every controller knows them yet"))
+		return new(declined(route.NotReady, "rules: not every controller knows them yet"))
 	}
 	set, err := constraint.Parse(spec.Rules)
 	if err != nil {
--- a/internal/httpapi/forwarding.go
+++ b/internal/httpapi/forwarding.go
@@ -105,7 +105,7 @@
 	defer func() {
 		if r := recover(); r != nil {
 			s.log.Error("request failed", "panic", r, "stack", string(debug.Stack()))
-			response = notTaken(route.NotReady, "internal error")
+			response = declined(route.NotReady, "internal error")
 		}
 	}()
 	return attempt()
@@ -126,8 +126,8 @@
 }
 
 // replaceStale answers anew if the job's end has become known here while the request
-// was under way: the end is newer than what another member may have read, and users
-// may have been told of it (docs/safety.md, "Forwarded requests").
+// was under way: the end is newer than what another member may have read, and may have
+// been acknowledged to users (docs/safety.md, "Forwarded requests").
 func (s *Server) replaceStale(request route.Request, response route.Response) route.Response {
 	ended := s.jobs.Peek(request.ID).State.Ended()
 	if !ended || response.Status != fasthttp.StatusOK && response.Status != fasthttp.StatusCreated {
@@ -149,7 +149,7 @@
 		if err != nil {
 			// The member that forwards it found it well-formed: the versions differ. A
 			// final response could call a job malformed that the other has accepted.
-			return notTaken(route.NotReady, err.Error())
+			return declined(route.NotReady, err.Error())
 		}
 		request.ID = id
 	}
--- a/internal/httpapi/response.go
+++ b/internal/httpapi/response.go
@@ -30,8 +30,8 @@
 	return new(rejected(fasthttp.StatusUnprocessableEntity, reason))
 }
 
-// notTaken returns the response to a request that this member cannot answer now.
-func notTaken(outcome route.Outcome, reason string) route.Response {
+// declined returns the response to a request that this member cannot answer now.
+func declined(outcome route.Outcome, reason string) route.Response {
 	return route.Response{
 		Outcome: outcome,
 		Status:  fasthttp.StatusServiceUnavailable,
@@ -43,7 +43,7 @@
 func stateServiceFailure(err error) route.Response {
 	const reason = "the state service does not answer"
 	if errors.Is(err, store.ErrRateLimited) {
-		return notTaken(route.Overloaded, reason)
+		return declined(route.Overloaded, reason)
 	}
-	return notTaken(route.StateUnavailable, reason)
+	return declined(route.StateUnavailable, reason)
 }
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -32,14 +32,15 @@
 	Peek(id string) store.JobRecord
 	// Lookup returns a job's present record.
 	Lookup(ctx context.Context, id string) (store.JobRecord, error)
-	// ResolveDependencies drops completed jobs from the dependencies of spec. It
-	// reports whether one of them was cancelled, so that the job can never run.
-	ResolveDependencies(ctx context.Context, spec *model.Spec) (doomed bool, err error)
+	// ResolveDependencies drops completed jobs from the dependencies of spec. It reports
+	// whether one of them was cancelled, so that the job can never run. With
+	// store.ErrUnknownDependency and store.ErrServiceDependency no repetition can succeed.
+	ResolveDependencies(ctx context.Context, spec *model.Spec) (dependencyCancelled bool, err error)
 	// CheckSize returns an error if spec is too large for the state service.
 	CheckSize(spec *model.Spec) error
 	// Accept writes the record of a new job. It reports whether this call created
 	// the record, and returns the job's record either way.
-	Accept(ctx context.Context, spec *model.Spec, doomed bool, now time.Time) (bool, store.JobRecord, error)
+	Accept(ctx context.Context, spec *model.Spec, dependencyCancelled bool, now time.Time) (bool, store.JobRecord, error)
 	// Cancel cancels a job and returns its record.
 	Cancel(ctx context.Context, id string, now time.Time) (store.JobRecord, error)
 }
@@ -161,5 +162,5 @@
 	})
 }
 
-// Shutdown stops serving.
+// Shutdown closes the listener and waits until all connections are idle.
 func (s *Server) Shutdown() error { return s.httpServer.Shutdown() }
--- a/internal/httpapi/submission.go
+++ b/internal/httpapi/submission.go
@@ -38,7 +38,7 @@
 	if record := s.jobs.Peek(id); record.State.Ended() {
 		return finalResponse(fasthttp.StatusOK, wire.AppendJobState(nil, id, record.State))
 	}
-	spec, doomed, refusal := s.checkSubmission(ctx, request)
+	spec, dependencyCancelled, refusal := s.checkSubmission(ctx, request)
 	if refusal != nil || s.jobs.Peek(id).State != wire.StateUnknown {
 		return s.answerRefused(ctx, id, refusal)
 	}
@@ -47,14 +47,14 @@
 		response.Outcome, response.RetryAfter = route.OutOfMemory, memoryRetryAfter
 		return response
 	}
-	return s.accept(ctx, id, spec, doomed)
+	return s.accept(ctx, id, spec, dependencyCancelled)
 }
 
-// checkSubmission decodes a submission and checks whether its job could ever run. A
-// job that is known already is checked no further. doomed is set if a dependency
-// was cancelled; refusal, if not nil, says why the job cannot be accepted.
+// checkSubmission decodes a submission and checks whether its job could ever run. A job that
+// is known already is checked no further. refusal, if not nil, says why the job cannot be
+// accepted.
 func (s *Server) checkSubmission(ctx context.Context, request route.Request) (
-	spec *model.Spec, doomed bool, refusal *route.Response,
+	spec *model.Spec, dependencyCancelled bool, refusal *route.Response,
 ) {
 	spec, err := wire.DecodeJob(request.Body)
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 	types := s.backend.MachineTypes()
 	if len(types) == 0 {
-		return nil, false, new(notTaken(route.NotReady, "the machine types are not known yet"))
+		return nil, false, new(declined(route.NotReady, "the machine types are not known yet"))
 	}
 	if ok, reason := model.CheckFeasibility(spec, s.backend.Team(spec.Team), types); !ok {
 		return nil, false, infeasible(reason)
@@ -73,8 +73,8 @@
 	if refusal = s.checkConstraints(ctx, spec, types); refusal != nil {
 		return nil, false, refusal
 	}
-	doomed, refusal = s.resolveDependencies(ctx, spec)
-	return spec, doomed, refusal
+	dependencyCancelled, refusal = s.resolveDependencies(ctx, spec)
+	return spec, dependencyCancelled, refusal
 }
 
 // answerRefused answers a submission that is not to be accepted, since it was
@@ -90,13 +90,13 @@
 	case refusal != nil:
 		return *refusal
 	default:
-		return notTaken(route.NotReady, "try again")
+		return declined(route.NotReady, "try again")
 	}
 }
 
 // accept writes the job's record and answers the submission.
-func (s *Server) accept(ctx context.Context, id string, spec *model.Spec, doomed bool) route.Response {
-	created, record, err := s.jobs.Accept(ctx, spec, doomed, s.now())
+func (s *Server) accept(ctx context.Context, id string, spec *model.Spec, dependencyCancelled bool) route.Response {
+	created, record, err := s.jobs.Accept(ctx, spec, dependencyCancelled, s.now())
 	switch {
 	case errors.Is(err, store.ErrRejected):
 		// A final response: the state service would reject each retry as well.
@@ -115,8 +115,10 @@
 // resolveDependencies looks up the jobs that a submission depends on, and checks
 // whether its record fits into the state service. refusal, if not nil, says why the
 // job cannot be accepted.
-func (s *Server) resolveDependencies(ctx context.Context, spec *model.Spec) (doomed bool, refusal *route.Response) {
-	doomed, err := s.jobs.ResolveDependencies(ctx, spec)
+func (s *Server) resolveDependencies(ctx context.Context, spec *model.Spec) (
+	dependencyCancelled bool, refusal *route.Response,
+) {
+	dependencyCancelled, err := s.jobs.ResolveDependencies(ctx, spec)
 	switch {
 	case errors.Is(err, store.ErrUnknownDependency), errors.Is(err, store.ErrServiceDependency):
 		return false, infeasible(err.Error())
@@ -126,7 +128,7 @@
 	if err := s.jobs.CheckSize(spec); err != nil {
 		return false, infeasible(err.Error())
 	}
-	return doomed, nil
+	return dependencyCancelled, nil
 }
 
 // answerKnownJob answers a repeated submission with the job's state.
--- a/internal/store/cancellations.go
+++ b/internal/store/cancellations.go
@@ -53,7 +53,7 @@
 	return report
 }
 
-// ApplyCancellations learns the cancellations that another member has reported.
+// ApplyCancellations records the cancellations that another member has reported.
 func (j *JobCache) ApplyCancellations(cancelled []Cancellation) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -62,6 +62,6 @@
 			continue
 		}
 		tasks := j.active[c.ID].Tasks
-		j.learnEnd(c.ID, JobRecord{State: wire.StateCancelled, Tasks: tasks, Version: c.Version})
+		j.recordEndAndNotify(c.ID, JobRecord{State: wire.StateCancelled, Tasks: tasks, Version: c.Version})
 	}
 }
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -43,6 +43,7 @@
 	Err           error // what went wrong; nil: nothing more is known
 }
 
+// Error returns the outcome and what went wrong as text.
 func (e *CommitError) Error() string {
 	outcome := "commit: outcome unknown"
 	if e.NeverExecuted {
@@ -66,6 +67,7 @@
 	Err error // nil: the key itself is malformed
 }
 
+// Error returns the key and what is wrong as text.
 func (e *RecordError) Error() string {
 	if e.Err == nil {
 		return "unreadable record " + e.Key
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -13,8 +13,8 @@
 )
 
 // JobCache is this controller's copy of the job records. Run keeps it up to date; Sync and Lookup
-// bring it up to the present for an answer that must not be older than what any other controller
-// has told a user.
+// bring it up to the present for an answer that must not be older than what any other controller has
+// answered a user. Its methods are safe for concurrent use.
 type JobCache struct {
 	client      *Client
 	log         *slog.Logger
@@ -46,8 +46,8 @@
 )
 
 // NewJobCache returns an empty cache. incarnation is a number that no other incarnation of the
-// process has; maxEnded is how many ended jobs are kept. notify is told of changes, in order; it is
-// called with the cache locked, so it must not call back.
+// process has; maxEnded is how many ended jobs are kept. notify is called with the changes, in order,
+// while the cache is locked, so it must not call the cache.
 func NewJobCache(
 	client *Client, incarnation uint64, maxEnded int, limits Limits, notify func([]JobChange), log *slog.Logger,
 ) *JobCache {
--- a/internal/store/job_changes.go
+++ b/internal/store/job_changes.go
@@ -129,10 +129,10 @@
 	j.ended.add(id, record)
 }
 
-// learnEnd is recordEnd for an end that did not come with the changes. It notifies at once: while the
-// state service is unreachable, a leader may hear of a cancellation only by its own answer to the
-// user.
-func (j *JobCache) learnEnd(id string, record JobRecord) {
+// recordEndAndNotify is recordEnd for an end that did not come with the changes. It notifies at once:
+// while the state service is unreachable, a leader may learn of a cancellation only from its own
+// answer to the user.
+func (j *JobCache) recordEndAndNotify(id string, record JobRecord) {
 	_, wasActive := j.active[id]
 	j.recordEnd(id, record)
 	if wasActive {
--- a/internal/store/job_lookup.go
+++ b/internal/store/job_lookup.go
@@ -106,7 +106,7 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.learnEnd(id, record)
+	j.recordEndAndNotify(id, record)
 	return record, nil
 }
 
@@ -122,7 +122,8 @@
 	return record, nil
 }
 
-// ReadEnds returns how jobs have ended, of those of which that can be found out.
+// ReadEnds returns the ends of the given jobs as far as they can be read; it stops at the first
+// request that fails.
 func (j *JobCache) ReadEnds(ctx context.Context, ids []string) []record.JobEnd {
 	var ends []record.JobEnd
 	for _, id := range ids {
--- a/internal/store/job_submission.go
+++ b/internal/store/job_submission.go
@@ -13,12 +13,12 @@
 // maxCancelAttempts is how often Cancel tries to end a job whose record changes meanwhile.
 const maxCancelAttempts = 4
 
-// ResolveDependencies finds out how the jobs that a submission depends on stand, and removes those
-// that are done from its list, for good. doomed reports that one is cancelled. A job that the cache
-// holds was accepted, and an end that it may have had since reaches the new job like any other; only
-// of other jobs the present state is read. For the errors that are for good see ErrUnknownDependency
-// and ErrServiceDependency.
-func (j *JobCache) ResolveDependencies(ctx context.Context, spec *model.Spec) (doomed bool, err error) {
+// ResolveDependencies looks up the jobs that a submission depends on, and removes those that are done
+// from spec.Dependencies, for good. dependencyCancelled reports that one of them is cancelled. A job
+// that the cache holds was accepted, and an end that it may have had since reaches the new job like
+// any other; only of other jobs the present state is read. With ErrUnknownDependency and
+// ErrServiceDependency no repetition can succeed; with any other error it may.
+func (j *JobCache) ResolveDependencies(ctx context.Context, spec *model.Spec) (dependencyCancelled bool, err error) {
 	var unfinished []string
 	for _, id := range spec.Dependencies {
 		if id == spec.ID {
@@ -34,7 +34,7 @@
 		case record.State == wire.StateUnknown:
 			return false, ErrUnknownDependency
 		case record.State == wire.StateCancelled:
-			doomed = true
+			dependencyCancelled = true
 		case record.State == wire.StateDone:
 		case record.Spec.Shape == model.Service:
 			return false, ErrServiceDependency
@@ -43,7 +43,7 @@
 		}
 	}
 	spec.Dependencies = unfinished
-	return doomed, nil
+	return dependencyCancelled, nil
 }
 
 // CheckSize returns ErrTooLarge if the records of a new job exceed the limits.
@@ -52,16 +52,17 @@
 	return err
 }
 
-// Accept writes the record of a new job, unless the job is known already. A doomed job, which depends
-// on a cancelled one, is accepted and cancelled at once. created reports whether this call has
-// accepted the job; if it has not, and there is no error, record is the known job's.
+// Accept writes the record of a new job, unless the job is known already. A job that depends on a
+// cancelled one is accepted and cancelled at once. created reports whether this call has accepted the
+// job; if it has not, and there is no error, record is the known job's. With ErrNotExecuted and
+// ErrTooLarge this call has not accepted the job; with any other error it may have.
 func (j *JobCache) Accept(
-	ctx context.Context, spec *model.Spec, doomed bool, now time.Time,
+	ctx context.Context, spec *model.Spec, dependencyCancelled bool, now time.Time,
 ) (created bool, record JobRecord, err error) {
 	txn := &wire.Txn{}
 	require(txn, activePrefix+spec.ID, 0)
 	require(txn, endedPrefix+spec.ID, 0)
-	if doomed {
+	if dependencyCancelled {
 		put(txn, endedPrefix+spec.ID, wire.AppendEndedJob(nil, wire.StateCancelled, spec.Tasks, now))
 	} else {
 		parts, active, err := encodeNewJob(spec, now, j.limits)
@@ -82,7 +83,7 @@
 	if errors.Is(err, ErrNotExecuted) {
 		return false, JobRecord{}, err
 	}
-	record, err = j.settleAccept(ctx, spec.ID, err)
+	record, err = j.resolveAccept(ctx, spec.ID, err)
 	return false, record, err
 }
 
@@ -104,9 +105,9 @@
 	return nil
 }
 
-// settleAccept returns the present state of a job whose acceptance has failed: it is known already,
+// resolveAccept returns the present state of a job whose acceptance has failed: it is known already,
 // or the outcome is unknown. commitErr is nil in the first case.
-func (j *JobCache) settleAccept(ctx context.Context, id string, commitErr error) (JobRecord, error) {
+func (j *JobCache) resolveAccept(ctx context.Context, id string, commitErr error) (JobRecord, error) {
 	record, err := j.Lookup(ctx, id)
 	if err != nil {
 		return record, err
@@ -141,7 +142,7 @@
 			cancelled := JobRecord{State: wire.StateCancelled, Tasks: record.Tasks, Version: revision, Timestamp: now}
 			j.mu.Lock()
 			defer j.mu.Unlock()
-			j.learnEnd(id, cancelled)
+			j.recordEndAndNotify(id, cancelled)
 			return cancelled, nil
 		}
 	}
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -14,7 +14,8 @@
 // Requests about leases count against the rate limits, but never wait for them: the leadership
 // depends on them.
 
-// GrantLease returns a new lease.
+// GrantLease acquires a lease that expires unless it is renewed within duration, and returns
+// its id. After an error the lease may exist; it then expires.
 func (c *Client) GrantLease(duration time.Duration) (uint64, error) {
 	c.requestLimiter.Allow()
 	body := wire.AppendLeaseRequest(nil, uint64(duration.Milliseconds()))
@@ -29,7 +30,8 @@
 	return id, nil
 }
 
-// RenewLease renews a lease. It returns ErrLeaseExpired if the service says that it is over.
+// RenewLease renews a lease. It returns ErrLeaseExpired if the service says that it is over;
+// after any other error the lease may have been renewed.
 func (c *Client) RenewLease(id uint64) error {
 	c.requestLimiter.Allow()
 	_, err := c.call(fasthttp.MethodPost, "/grants/"+strconv.FormatUint(id, 10)+"/touch", nil)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -22,7 +22,9 @@
 }
 
 // Client sends requests to the state service, within limits on requests and on changes. It may be
-// used from several goroutines once its clock and limits are set.
+// used from several goroutines once its clock is set. Reads fail with ErrRateLimited where the
+// limits do not admit them within the timeout, and else with the wrapped error of the Transport or
+// of the decoder. For writes see Commit.
 type Client struct {
 	requests, watches Transport
 	timeout           time.Duration // of a request, and of the wait until the limits admit it
@@ -56,7 +58,8 @@
 )
 
 // New returns a client of the service at an address. wrapDial may put the making of connections
-// under a condition, see rpc.New.
+// under a condition, see rpc.New; nil: there is none. timeout bounds each request, and the wait
+// until the limits admit it.
 func New(addr string, timeout time.Duration, wrapDial func(rpc.DialFunc) rpc.DialFunc) *Client {
 	return NewOver(rpc.New(addr, requestConns, wrapDial), rpc.New(addr, watchConns, wrapDial), timeout)
 }
