--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -34,15 +34,18 @@
 
 const maxConns = 8
 
-// Client talks to the cloud within a rate limit. It may be used from several
-// goroutines.
+// Client sends requests to the cloud within a rate limit. It may be used from several
+// goroutines. Its errors are those of package rpc, of a malformed answer, or of a
+// context that ended while a read waited for the rate limit.
 type Client struct {
 	rpc     *rpc.Client
 	limiter *rate.Limiter
 	timeout time.Duration
 }
 
-// New returns a client. The rate is this controller's share of the published limit.
+// New returns a client of the cloud at addr (host:port). perSecond is this controller's
+// share of the published limit; timeout bounds each request without the wait for the
+// rate limit.
 func New(addr string, perSecond float64, timeout time.Duration, wrapDial rpc.DialWrapper) *Client {
 	return &Client{
 		rpc:     rpc.New(addr, maxConns, wrapDial),
@@ -76,8 +79,10 @@
 	return wire.DecodeCatalog(body)
 }
 
-// Provision asks for machines. It reports whether the cloud refuses this kind of
-// machine, for now or for good. After any error the outcome is unknown.
+// Provision requests machines and returns their names. refused reports that the cloud
+// refuses this kind of machine, for now or for good. After an error without it the
+// outcome is unknown; a repetition under the same Provisioning.Name provisions nothing
+// twice.
 func (c *Client) Provision(p model.Provisioning) (names []string, refused bool, err error) {
 	body, err := c.rpc.Call(fasthttp.MethodPost, provisionPath, wire.AppendProvisioning(nil, p), c.timeout)
 	var status *rpc.StatusError
@@ -95,7 +100,8 @@
 	return nil, false, err
 }
 
-// Release gives machines back. Without an error they are gone.
+// Release releases machines. Without an error they are gone; after one the outcome is
+// unknown.
 func (c *Client) Release(names []string) error {
 	_, err := c.rpc.Call(fasthttp.MethodPost, releasePath, wire.AppendMachineNames(nil, names), c.timeout)
 	return err
--- a/internal/controller/explain.go
+++ b/internal/controller/explain.go
@@ -77,11 +77,11 @@
 	return view.State, err
 }
 
-// HandleExplain answers an operator's question that another controller forwards.
-func (h peerHandler) HandleExplain(ctx context.Context, q *peerpb.Ask) *peerpb.AskAnswer {
+// HandleExplain answers an operator's request that another controller forwards.
+func (h peerHandler) HandleExplain(ctx context.Context, request *peerpb.Ask) *peerpb.AskAnswer {
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
-	if answer := h.controller.explainLocally(ctx, q.GetExplain()); answer != nil {
+	if answer := h.controller.explainLocally(ctx, request.GetExplain()); answer != nil {
 		return answer
 	}
 	return &peerpb.AskAnswer{}
--- a/internal/controller/member_status.go
+++ b/internal/controller/member_status.go
@@ -27,7 +27,7 @@
 		LeadershipSeconds:      member.ValidRemaining.Seconds(),
 		VoteSeconds:            member.VoteDuration.Seconds(),
 		VotesSeconds:           map[string]float64{},
-		BoundSeconds:           member.ClaimBlockedFor.Seconds(),
+		ClaimBlockedSeconds:    member.ClaimBlockedFor.Seconds(),
 		StateUnansweredSeconds: c.store.UnreachableFor(time.Now()).Seconds(),
 		Load: admin.Load{
 			LongestHoldSeconds: hold.duration.Seconds(),
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -136,7 +136,7 @@
 		Supported: uint32(featuregate.Supported),
 		State:     status.state.String(),
 		Reason:    status.reason,
-		Held:      c.operator.Rollout.Paused,
+		Paused:    c.operator.Rollout.Paused,
 	}
 	for level := featuregate.Level(1); level <= featuregate.Supported; level++ {
 		out.Features = append(out.Features, admin.Feature{
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -110,9 +110,11 @@
 }
 
 // HandleVoteRequest answers a leader that asks for this member's vote, and a member that asks who leads.
-func (h peerHandler) HandleVoteRequest(ctx context.Context, q *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
+func (h peerHandler) HandleVoteRequest(ctx context.Context, request *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
 	c := h.controller
-	answer, err := runInLoop(ctx, c.loop.urgent, func(time.Time) *peerpb.PromiseAnswer { return c.answerVote(ctx, q) })
+	answer, err := runInLoop(ctx, c.loop.urgent, func(time.Time) *peerpb.PromiseAnswer {
+		return c.answerVote(ctx, request)
+	})
 	if err != nil {
 		return &peerpb.PromiseAnswer{Leads: true} // it may lead: nothing is known
 	}
@@ -121,19 +123,19 @@
 
 // answerVote answers within the event loop. The loop's time may be from before the request was sent, and a
 // vote that is counted from there would end too early, so the clock is read anew.
-func (c *Controller) answerVote(ctx context.Context, q *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
+func (c *Controller) answerVote(ctx context.Context, request *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
 	now := time.Now()
 	answer := &peerpb.PromiseAnswer{Member: c.platform.Member}
 	switch {
-	case q.GetToken() == 0:
+	case request.GetToken() == 0:
 		state := c.election.State()
 		answer.Leads = state == election.Leading || state == election.Claiming
-	case q.GetRelease():
-		c.election.HandleVoteRelease(q.GetToken())
+	case request.GetRelease():
+		c.election.HandleVoteRelease(request.GetToken())
 	case ctx.Err() == nil:
-		complete := c.addCancellations(answer, q)
-		if complete || q.GetWords() {
-			duration := c.grantVote(now, q)
+		complete := c.addCancellations(answer, request)
+		if complete || request.GetWords() {
+			duration := c.grantVote(now, request)
 			answer.Granted, answer.ForMs = duration > 0, uint64(duration.Milliseconds())
 		}
 	}
@@ -142,9 +144,9 @@
 
 // addCancellations adds to an answer the cancellations that the leader may not know yet, and reports
 // whether these are all.
-func (c *Controller) addCancellations(answer *peerpb.PromiseAnswer, q *peerpb.PromiseAsk) (complete bool) {
-	cursor := store.CancellationCursor{Incarnation: q.GetToldLife(), Count: q.GetTold()}
-	batch := c.jobs.CancellationsAfter(q.GetRevision(), cursor)
+func (c *Controller) addCancellations(answer *peerpb.PromiseAnswer, request *peerpb.PromiseAsk) (complete bool) {
+	cursor := store.CancellationCursor{Incarnation: request.GetToldLife(), Count: request.GetTold()}
+	batch := c.jobs.CancellationsAfter(request.GetRevision(), cursor)
 	answer.Life, answer.Told, answer.Whole = batch.Cursor.Incarnation, batch.Cursor.Count, batch.Complete
 	for _, cancelled := range batch.Cancelled {
 		answer.Cancelled = append(answer.Cancelled, cancelled.ID)
@@ -155,21 +157,21 @@
 
 // grantVote decides for how long this member votes for a leader, which is how long it claims nothing
 // itself; 0: it does not vote.
-func (c *Controller) grantVote(now time.Time, q *peerpb.PromiseAsk) time.Duration {
+func (c *Controller) grantVote(now time.Time, request *peerpb.PromiseAsk) time.Duration {
 	// Before this process has read the records, an earlier incarnation may have acknowledged cancellations to
 	// users that neither this one nor the leader knows of.
 	if c.jobs.Revision() == 0 {
 		return 0
 	}
-	leaderContact := now.Add(-time.Duration(q.GetSilentMs()) * time.Millisecond)
+	leaderContact := now.Add(-time.Duration(request.GetSilentMs()) * time.Millisecond)
 	if c.store.LastContact().Sub(leaderContact) > maxContactLead && c.store.UnreachableFor(now) == 0 {
 		return 0
 	}
 	return c.election.HandleVoteRequest(now, election.VoteRequest{
-		Leader:       q.GetMember(),
-		FencingToken: q.GetToken(),
-		Seq:          q.GetSeq(),
-		Supersedes:   q.GetInstead(),
-		Duration:     time.Duration(min(q.GetForMs(), uint64(maxVoteDuration.Milliseconds()))) * time.Millisecond,
+		Leader:       request.GetMember(),
+		FencingToken: request.GetToken(),
+		Seq:          request.GetSeq(),
+		Supersedes:   request.GetInstead(),
+		Duration:     time.Duration(min(request.GetForMs(), uint64(maxVoteDuration.Milliseconds()))) * time.Millisecond,
 	})
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,7 +1,8 @@
 // Package election decides which controller leads. It is a pure state machine: the caller passes
 // each event to StateMachine.Step together with the present time, performs the effects that Step
 // returns, and passes their outcomes in as further events. Between events it sends a Tick whenever
-// NextTick says so. Before anything is done in the name of the leader, LeadershipValid must hold.
+// NextTick says so. Before anything is done in the name of the leader, the caller checks
+// LeadershipValid.
 //
 // A leader holds a lease at the state service. Votes of all other members, each of which promises
 // not to claim for a time, keep its leadership valid while the state service is unreachable. The
--- a/internal/election/events.go
+++ b/internal/election/events.go
@@ -43,12 +43,12 @@
 	Fenced struct{ FencingToken uint64 }
 	// TokenRewritten says that this leader has rewritten the record of its own token.
 	TokenRewritten struct{ FencingToken, TokenVersion uint64 }
-	// Resign asks a leader to step down in order.
+	// Resign has a leader release its lease and step down.
 	Resign struct{}
 	// ProposeLevel says to which feature level the next claim may raise the deployment; 0: to none.
 	ProposeLevel struct {
 		Level    featuregate.Level
-		StepDown bool // a leader gives up the leadership for it, and claims again at once
+		StepDown bool // a leader steps down for it, and claims again at once
 	}
 	// VoteReceived carries a member's vote for this leader: not to claim for a time.
 	VoteReceived struct {
@@ -97,7 +97,7 @@
 	}
 	// RenewLease renews the leader's lease; LeaseRenewed answers.
 	RenewLease struct{ LeaseID uint64 }
-	// RevokeLease ends a lease, and with it a leader's key that hangs on it.
+	// RevokeLease ends a lease, and with it a leader's key that is attached to it.
 	RevokeLease struct{ LeaseID uint64 }
 	// Elected says that this controller leads from now on.
 	Elected struct{ FencingToken, TokenVersion uint64 }
--- a/internal/election/step.go
+++ b/internal/election/step.go
@@ -149,8 +149,8 @@
 func (m *StateMachine) claimIfVacant(now time.Time, r Record) []Effect {
 	switch {
 	case r.Held && r.Leader == m.settings.Member:
-		// An earlier incarnation of this process has left its lease behind. That process is dead,
-		// so there is no need to wait until the lease expires.
+		// An earlier incarnation of this process has left its lease behind. That process has ended, so
+		// there is no need to wait until the lease expires.
 		m.leader = ""
 		m.transition(Following, now.Add(m.settings.RetryInterval/4))
 		return []Effect{RevokeLease{r.LeaseID}}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -12,8 +12,9 @@
 )
 
 // Client sends requests to one other controller over one connection, which it makes when it needs it.
-// Its methods may be called concurrently. An old version of the other controller leaves requests that
-// it does not know unanswered.
+// Its methods may be called concurrently, and return a *RequestError where there is no answer. The
+// context bounds the wait for it, not the making of a connection. An old version of the other
+// controller leaves requests that it does not know unanswered.
 type Client struct {
 	addr      string
 	dial      rpc.DialFunc
@@ -47,63 +48,66 @@
 // RelayHeartbeat relays a worker's heartbeat and returns the answer to it.
 func (c *Client) RelayHeartbeat(ctx context.Context, heartbeat []byte) (*peerpb.RelayAnswer, error) {
 	body := &peerpb.Envelope_Relay{Relay: &peerpb.Relay{Report: heartbeat}}
-	a, err := c.roundTrip(ctx, &peerpb.Envelope{Body: body})
-	return a.GetRelayAnswer(), err
+	answer, err := c.roundTrip(ctx, &peerpb.Envelope{Body: body})
+	return answer.GetRelayAnswer(), err
 }
 
-// Explain passes on an operator's question and returns the answer.
-func (c *Client) Explain(ctx context.Context, q *peerpb.Ask) (*peerpb.AskAnswer, error) {
-	a, err := c.roundTrip(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_Ask{Ask: q}})
-	return a.GetAskAnswer(), err
+// Explain forwards an operator's request to explain why a job waits, and returns the answer.
+func (c *Client) Explain(ctx context.Context, request *peerpb.Ask) (*peerpb.AskAnswer, error) {
+	answer, err := c.roundTrip(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_Ask{Ask: request}})
+	return answer.GetAskAnswer(), err
 }
 
-// RequestVote requests a vote, or asks whether the other controller leads.
-func (c *Client) RequestVote(ctx context.Context, q *peerpb.PromiseAsk) (*peerpb.PromiseAnswer, error) {
-	a, err := c.roundTrip(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_PromiseAsk{PromiseAsk: q}})
-	return a.GetPromiseAnswer(), err
+// RequestVote requests a vote, releases one, or asks whether the other controller leads.
+func (c *Client) RequestVote(ctx context.Context, request *peerpb.PromiseAsk) (*peerpb.PromiseAnswer, error) {
+	answer, err := c.roundTrip(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_PromiseAsk{PromiseAsk: request}})
+	return answer.GetPromiseAnswer(), err
 }
 
 // ForwardRequest forwards a user's request and returns the answer. If it comes too late, the
 // connection is closed only if nothing else has arrived on it meanwhile: one late request says
 // nothing about the others.
-func (c *Client) ForwardRequest(ctx context.Context, q *peerpb.Hand) (*peerpb.HandAnswer, error) {
+func (c *Client) ForwardRequest(ctx context.Context, request *peerpb.Hand) (*peerpb.HandAnswer, error) {
 	responses := c.responses.Load()
-	a, late, err := c.exchange(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_Hand{Hand: q}})
+	answer, late, err := c.exchange(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_Hand{Hand: request}})
 	if late && c.responses.Load() == responses {
 		c.closeCurrent()
 	}
-	return a.GetHandAnswer(), err
+	return answer.GetHandAnswer(), err
 }
 
-// SendProgress sends the leader's figures of unfinished jobs, without an answer.
+// SendProgress sends the leader's progress of unfinished jobs. It waits for no answer: without an
+// error it was written to the connection.
 func (c *Client) SendProgress(p *peerpb.Progress) error {
 	return c.send(&peerpb.Envelope{Body: &peerpb.Envelope_Progress{Progress: p}})
 }
 
 // roundTrip sends a request and waits for its answer. If none comes in time the connection is closed:
 // it may be dead although it has not been reset.
-func (c *Client) roundTrip(ctx context.Context, q *peerpb.Envelope) (*peerpb.Envelope, error) {
-	a, late, err := c.exchange(ctx, q)
+func (c *Client) roundTrip(ctx context.Context, request *peerpb.Envelope) (*peerpb.Envelope, error) {
+	answer, late, err := c.exchange(ctx, request)
 	if late {
 		c.closeCurrent()
 	}
-	return a, err
+	return answer, err
 }
 
 // exchange sends a request and waits for its answer. late reports that none came in time.
-func (c *Client) exchange(ctx context.Context, q *peerpb.Envelope) (a *peerpb.Envelope, late bool, err error) {
+func (c *Client) exchange(
+	ctx context.Context, request *peerpb.Envelope,
+) (answer *peerpb.Envelope, late bool, err error) {
 	id, response := c.register()
 	defer c.unregister(id)
-	q.Id = id
-	if err := c.send(q); err != nil {
+	request.Id = id
+	if err := c.send(request); err != nil {
 		return nil, false, err
 	}
 	select {
-	case a, ok := <-response:
+	case answer, ok := <-response:
 		if !ok {
 			return nil, false, &RequestError{Addr: c.addr, Err: ErrConnectionLost}
 		}
-		return a, false, nil
+		return answer, false, nil
 	case <-ctx.Done():
 		return nil, true, &RequestError{Addr: c.addr, Err: ctx.Err()}
 	}
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -20,6 +20,7 @@
 	Err     error
 }
 
+// Error returns the address and what went wrong as text.
 func (e *RequestError) Error() string {
 	if e.NotSent {
 		return "request to " + e.Addr + ": " + ErrNotSent.Error() + ": " + e.Err.Error()
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -16,13 +16,13 @@
 type Handler interface {
 	// HandleHeartbeat answers a worker's heartbeat that another controller relays.
 	HandleHeartbeat(ctx context.Context, heartbeat []byte) *peerpb.RelayAnswer
-	// HandleExplain answers an operator's question that another controller passes on.
-	HandleExplain(ctx context.Context, q *peerpb.Ask) *peerpb.AskAnswer
+	// HandleExplain answers an operator's request for an explanation that another controller forwards.
+	HandleExplain(ctx context.Context, request *peerpb.Ask) *peerpb.AskAnswer
 	// HandleVoteRequest answers a leader that requests a vote, or a member that asks who leads.
-	HandleVoteRequest(ctx context.Context, q *peerpb.PromiseAsk) *peerpb.PromiseAnswer
+	HandleVoteRequest(ctx context.Context, request *peerpb.PromiseAsk) *peerpb.PromiseAnswer
 	// HandleForwardedRequest answers a user's request that another controller cannot serve.
-	HandleForwardedRequest(ctx context.Context, q *peerpb.Hand) *peerpb.HandAnswer
-	// HandleProgress takes the leader's figures of unfinished jobs, for display. The next message of
+	HandleForwardedRequest(ctx context.Context, request *peerpb.Hand) *peerpb.HandAnswer
+	// HandleProgress records the leader's progress of unfinished jobs, for display. The next message of
 	// the connection is read only when it has returned.
 	HandleProgress(p *peerpb.Progress)
 }
@@ -102,7 +102,8 @@
 }
 
 // refuse turns away a request that exceeds maxConcurrentRequests. A user waits for a forwarded one,
-// so the sender is told at once; with any other its wait runs out, and it tries again.
+// so the sender gets an answer at once; any other request is not answered, and its sender tries again
+// after its timeout.
 func (s *serverConn) refuse(e *peerpb.Envelope) error {
 	if e.GetHand() == nil {
 		return nil
@@ -114,19 +115,19 @@
 // answer calls the handler and writes its answer.
 func (s *serverConn) answer(ctx context.Context, e *peerpb.Envelope) {
 	defer func() { <-s.slots }()
-	a := &peerpb.Envelope{Id: e.GetId()}
+	answer := &peerpb.Envelope{Id: e.GetId()}
 	switch body := e.Body.(type) {
 	case *peerpb.Envelope_PromiseAsk:
-		a.Body = &peerpb.Envelope_PromiseAnswer{PromiseAnswer: s.handler.HandleVoteRequest(ctx, body.PromiseAsk)}
+		answer.Body = &peerpb.Envelope_PromiseAnswer{PromiseAnswer: s.handler.HandleVoteRequest(ctx, body.PromiseAsk)}
 	case *peerpb.Envelope_Hand:
-		a.Body = &peerpb.Envelope_HandAnswer{HandAnswer: s.handler.HandleForwardedRequest(ctx, body.Hand)}
+		answer.Body = &peerpb.Envelope_HandAnswer{HandAnswer: s.handler.HandleForwardedRequest(ctx, body.Hand)}
 	case *peerpb.Envelope_Ask:
-		a.Body = &peerpb.Envelope_AskAnswer{AskAnswer: s.handler.HandleExplain(ctx, body.Ask)}
+		answer.Body = &peerpb.Envelope_AskAnswer{AskAnswer: s.handler.HandleExplain(ctx, body.Ask)}
 	case *peerpb.Envelope_Relay:
-		answer := s.handler.HandleHeartbeat(ctx, body.Relay.GetReport())
-		a.Body = &peerpb.Envelope_RelayAnswer{RelayAnswer: answer}
+		response := s.handler.HandleHeartbeat(ctx, body.Relay.GetReport())
+		answer.Body = &peerpb.Envelope_RelayAnswer{RelayAnswer: response}
 	}
-	if s.write(a) != nil {
+	if s.write(answer) != nil {
 		_ = s.conn.Close() // the reader ends by it
 	}
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -87,8 +87,8 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Call sends a request and returns the body of a 200. Any other answer is a
-// *StatusError.
+// Call sends a request and returns the body of a 200, which belongs to the caller. Any
+// other answer is a *StatusError; for other errors see the package comment.
 func (c *Client) Call(method, uri string, body []byte, timeout time.Duration) ([]byte, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -52,7 +52,8 @@
 	lastUrgent    bool // the last call is urgent
 }
 
-// New returns a client. The wrapper may be nil.
+// New returns a client. timeout bounds each request; wrapDial may put the making of
+// connections under a condition, and may be nil.
 func New(timeout time.Duration, wrapDial rpc.DialWrapper) *Client {
 	return &Client{
 		timeout:      timeout,
@@ -155,10 +156,12 @@
 	Executed  bool             // the commands were executed
 	Heartbeat *model.Heartbeat // the worker's heartbeat after them; nil where none came
 	NotSent   bool             // the commands were not executed and never will be
-	Err       error
+	Err       error            // why the commands were not executed, or their heartbeat cannot be read
 }
 
-// Send sends commands. The caller checks its leadership lease right before.
+// Send sends commands to the worker at addr (host:port) and waits for its reply;
+// without commands it is a probe. An urgent call may close idle connections to other
+// workers to get a socket. The caller checks its leadership lease right before.
 func (c *Client) Send(addr string, fencingToken, epoch uint64, commands []model.Command, urgent bool) Reply {
 	w := c.acquire(addr, urgent, time.Now())
 	defer c.release(w)
