--- a/cmd/glentiller/main.go
+++ b/cmd/glentiller/main.go
@@ -1,5 +1,5 @@
-// Command glentiller is a cluster scheduler's controller, and the commands by which operators ask a running
-// one. The README tells how to run it.
+// Command glentiller is a cluster scheduler's controller, and the commands by which operators query a
+// running one. README.md shows how to run it.
 package main
 
 import (
--- a/cmd/glentiller/member.go
+++ b/cmd/glentiller/member.go
@@ -16,7 +16,7 @@
 	JSON bool `help:"Write JSON."`
 }
 
-// Run prints where a controller stands.
+// Run prints the status of a controller.
 func (c *memberCmd) Run() error {
 	status, err := c.memberStatus()
 	if err != nil {
@@ -49,8 +49,8 @@
 	for _, voter := range slices.Sorted(maps.Keys(s.VotesSeconds)) {
 		fmt.Printf("promised by %s for %.1f s\n", voter, s.VotesSeconds[voter])
 	}
-	if s.BoundSeconds > 0 {
-		fmt.Printf("claims nothing for %.1f s, for what it has promised\n", s.BoundSeconds)
+	if s.ClaimBlockedSeconds > 0 {
+		fmt.Printf("claims nothing for %.1f s, for what it has promised\n", s.ClaimBlockedSeconds)
 	}
 	if s.StateUnansweredSeconds > 0 {
 		fmt.Printf("the state service has not answered it for %.1f s\n", s.StateUnansweredSeconds)
--- a/cmd/glentiller/output.go
+++ b/cmd/glentiller/output.go
@@ -13,7 +13,7 @@
 	"github.com/glentiller/glentiller/internal/config"
 )
 
-// adminFlags say which operators' interface a command asks.
+// adminFlags say which operators' interface a command queries.
 type adminFlags struct {
 	Admin     string `default:"127.0.0.1:18090" env:"GLENTILLER_ADMIN" placeholder:"ADDR" help:"The operators' interface of any controller."`
 	TokenFile string `required:"" env:"GLENTILLER_TOKEN_FILE" placeholder:"FILE" help:"File with its bearer token."`
@@ -24,7 +24,7 @@
 	return &admin.Client{Addr: f.Admin, Token: token}, err
 }
 
-// memberStatus asks a controller where it stands.
+// memberStatus requests the status of a controller.
 func (f *adminFlags) memberStatus() (*admin.MemberStatus, error) {
 	client, err := f.connect()
 	if err != nil {
--- a/cmd/glentiller/rollout.go
+++ b/cmd/glentiller/rollout.go
@@ -39,7 +39,7 @@
 	}
 	fmt.Printf("level %d is in force, %s knows %d; %s: %s\n",
 		rollout.Level, status.Member, rollout.Supported, rollout.State, rollout.Reason)
-	if rollout.Held {
+	if rollout.Paused {
 		fmt.Println("this member is held: it raises nothing")
 	}
 	for _, feature := range rollout.Features {
--- a/cmd/glentiller/serve.go
+++ b/cmd/glentiller/serve.go
@@ -65,7 +65,7 @@
 	Profile string `placeholder:"FILE" help:"Write a profile of the processor's time there, from the start to the end."`
 }
 
-// Run serves until the process is told to end.
+// Run serves until the process gets an interrupt or SIGTERM.
 func (c *serveCmd) Run() error {
 	platform, operator, err := c.load()
 	if err != nil {
@@ -125,7 +125,7 @@
 	written := make(chan struct{})
 	context.AfterFunc(ctx, func() {
 		pprof.StopCPUProfile()
-		_ = f.Close() // whoever reads a profile that was cut short is told so
+		_ = f.Close() // the reader of a profile that was cut short reports it
 		close(written)
 	})
 	return func() { <-written }, nil
--- a/internal/admin/status_api.go
+++ b/internal/admin/status_api.go
@@ -21,9 +21,9 @@
 	VoteSeconds float64 `json:"promise_s"`
 	// VotesSeconds is what is left of the votes for this leader, by member.
 	VotesSeconds map[string]float64 `json:"promises_s"`
-	// BoundSeconds is how long this member must not claim the leadership because of a
-	// vote that it has given.
-	BoundSeconds float64 `json:"bound_s"`
+	// ClaimBlockedSeconds is how long this member must not claim the leadership because of
+	// a vote that it has given.
+	ClaimBlockedSeconds float64 `json:"bound_s"`
 	// StateUnansweredSeconds is for how long the state service has not answered.
 	StateUnansweredSeconds float64 `json:"state_unanswered_s"`
 
@@ -39,7 +39,7 @@
 	Supported uint32               `json:"knows"` // the highest that the controller that is asked supports
 	State     string               `json:"state"` // featuregate.State
 	Reason    string               `json:"why"`
-	Held      bool                 `json:"held"` // the settings keep the level from being raised
+	Paused    bool                 `json:"held"` // the settings keep the level from being raised
 	Features  []Feature            `json:"features"`
 	Members   []featuregate.Member `json:"members"` // that have announced themselves lately
 }
