--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,8 +1,8 @@
 // Package autoscaler decides which machines to provision and which to release. Like package scheduler it is pure.
 //
-// After a pass of the scheduler a leader builds a Snapshot of the machines that are booting or will soon have room,
-// calls ScaleOut with the pass's shortages, and sends the requests that it returns to the cloud. Settings.ShouldRelease
-// and Settings.BootTimeout decide on single machines.
+// After a pass of the scheduler a leader builds a Snapshot of the machines that are booting or will soon have free
+// capacity, calls ScaleOut with the pass's shortages, and sends the requests that it returns to the cloud.
+// Settings.ShouldRelease and Settings.BootTimeout decide on single machines.
 package autoscaler
 
 import (
@@ -26,14 +26,15 @@
 	// MinBilledTime is the time that a machine is paid for at least; it is not released before.
 	MinBilledTime time.Duration
 
-	// A machine is given up that has not come up after BootTimeoutFactor boot times plus BootTimeoutExtra.
+	// BootTimeoutFactor and BootTimeoutExtra limit the time to boot: a machine that has not come up after so many boot
+	// times of its type plus the extra is released.
 	BootTimeoutFactor float64
 	BootTimeoutExtra  time.Duration
 
 	// RefusalBackoff is the time after which an offer that the cloud refused is requested again.
 	RefusalBackoff time.Duration
 
-	// LookaheadBoots is the time, in boot times, within which room on running machines counts as incoming if it is
+	// LookaheadBoots is the time, in boot times, within which capacity on running machines counts as incoming if it is
 	// likely to become free.
 	LookaheadBoots float64
 
@@ -53,8 +54,8 @@
 	return empty > timeout && age >= s.MinBilledTime
 }
 
-// BootTimeout is the time after which a machine that has not come up is given up. A type that states no boot time gets
-// a default one: otherwise its machines would be given up over and over before any of them can come up.
+// BootTimeout is the time after which a machine that has not come up is released. A type that states no boot time gets
+// a default one: otherwise its machines would be released again and again before any of them can come up.
 func (s *Settings) BootTimeout(machineType *model.MachineType) time.Duration {
 	boot := machineType.BootTime
 	if boot == 0 {
@@ -63,14 +64,14 @@
 	return time.Duration(s.BootTimeoutFactor*float64(boot)) + s.BootTimeoutExtra
 }
 
-// Offer is a kind of machine that the cloud can be asked for.
+// Offer is a kind of machine that can be requested from the cloud.
 type Offer struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// Request asks the cloud for a number of machines of one kind.
+// Request is a request to the cloud for a number of machines of one kind.
 type Request struct {
 	Offer
 	Count    int
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -9,9 +9,9 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// ScaleOut decides which machines to request for tasks that fit on no running machine. Tasks first fill incoming room;
-// for the rest the cheapest feasible offer is requested that was not refused lately. Zones that are likely cut off are
-// used only where no other will do: since their machines do not count, they seem to have the fewest.
+// ScaleOut decides which machines to request for tasks that fit on no running machine. Tasks first fill incoming
+// capacity; for the rest the cheapest feasible offer is requested that was not refused lately. Zones that are likely
+// cut off are used only where no other will do: since their machines do not count, they seem to have the fewest.
 func ScaleOut(settings *Settings, now time.Time, snapshot *Snapshot, shortages []scheduler.Shortage) []Request {
 	snapshot.prepare()
 	var requests []Request
@@ -67,10 +67,10 @@
 	return p
 }
 
-// fillIncoming puts tasks on incoming machines, as far as there is room.
+// fillIncoming puts tasks on incoming machines, as far as there is capacity.
 func (p *packing) fillIncoming(full fullCache) {
 	for index := full.startIndex(p.pending); p.missing > 0; p.missing-- {
-		index = p.nextWithRoom(index)
+		index = p.nextWithCapacity(index)
 		if index == len(p.snapshot.Incoming) {
 			full.add(p.pending, p.lockedZone, index)
 			return
@@ -81,19 +81,19 @@
 	}
 }
 
-// nextWithRoom is the index of the first incoming machine, from an index on, with room for one more task; the number of
-// incoming machines: none has room.
-func (p *packing) nextWithRoom(index int) int {
+// nextWithCapacity is the index of the first incoming machine, from an index on, with capacity for one more task; the
+// number of incoming machines: none has.
+func (p *packing) nextWithCapacity(index int) int {
 	for ; index < len(p.snapshot.Incoming); index++ {
-		if p.hasRoom(p.snapshot.Incoming[index]) {
+		if p.hasCapacity(p.snapshot.Incoming[index]) {
 			break
 		}
 	}
 	return index
 }
 
-// hasRoom reports whether incoming room takes one more task.
-func (p *packing) hasRoom(incoming *Incoming) bool {
+// hasCapacity reports whether an incoming machine takes one more task.
+func (p *packing) hasCapacity(incoming *Incoming) bool {
 	switch {
 	case !p.snapshot.fits(p.pending, incoming):
 		return false
@@ -137,8 +137,9 @@
 // maxFullEntries bounds the entries of one kind of request.
 const maxFullEntries = 32
 
-// fullCache remembers up to which index of Snapshot.Incoming there is no room for requests of a kind, so that ScaleOut
-// does not look at all incoming machines for each task of hundreds of pending jobs. Room there only shrinks.
+// fullCache remembers up to which index of Snapshot.Incoming there is no capacity for requests of a kind, so that
+// ScaleOut does not look at all incoming machines for each task of hundreds of pending jobs. Capacity there only
+// shrinks.
 type fullCache map[requestKind][]fullEntry
 
 // requestKind is what decides, besides their demand, where tasks without rules may go.
@@ -165,7 +166,7 @@
 	}
 }
 
-// startIndex is the index from which on there may be room for tasks of a pending request.
+// startIndex is the index from which on there may be capacity for tasks of a pending request.
 func (c fullCache) startIndex(pending *scheduler.Request) int {
 	start := 0
 	for _, entry := range c[requestKindOf(pending)] {
@@ -176,8 +177,8 @@
 	return start
 }
 
-// add notes that there is no room for tasks of a pending request before an index. Where rules, spreading or a locked
-// zone bound the request too, that says nothing of other requests and is not noted.
+// add notes that there is no capacity for tasks of a pending request before an index. Where rules, spreading or a
+// locked zone bound the request too, that says nothing of other requests and is not noted.
 func (c fullCache) add(pending *scheduler.Request, lockedZone string, endIndex int) {
 	if pending.Rules != nil || pending.Job.Spec.Spread || lockedZone != "" {
 		return
--- a/internal/autoscaler/snapshot.go
+++ b/internal/autoscaler/snapshot.go
@@ -28,8 +28,8 @@
 	feasibleByKind []bool             // whether its tasks may use machines of the kind
 }
 
-// Incoming is room that becomes available without a request: a machine that is booting or was requested, or the part of
-// a running one that is likely free within a boot time.
+// Incoming is capacity that becomes available without a request: a machine that is booting or was requested, or the
+// part of a running one that is likely free within a boot time.
 type Incoming struct {
 	Type     *model.MachineType
 	Zone     string
@@ -43,7 +43,7 @@
 	lastRequestTasks int // tasks of lastRequest that it was filled with
 }
 
-// available is the room that is left.
+// available is the capacity that is left.
 func (i *Incoming) available() model.Resources {
 	if !i.computed {
 		i.computed = true
@@ -62,7 +62,7 @@
 	return i.lastRequestTasks
 }
 
-// addTask takes the room of one task of a pending request.
+// addTask takes the capacity for one task of a pending request.
 func (i *Incoming) addTask(pending *scheduler.Request) {
 	i.lastRequest, i.lastRequestTasks = pending, i.hasTasksOf(pending)+1
 	i.free = i.free.Sub(pending.Job.Spec.Demand)
@@ -84,7 +84,7 @@
 	}
 }
 
-// assignKind sets the kind index of incoming room.
+// assignKind sets the kind index of incoming capacity.
 func (s *Snapshot) assignKind(incoming *Incoming) {
 	kind := machineKind{incoming.Type, incoming.Zone, incoming.Spot, incoming.FreeSoon != nil}
 	if incoming.kindIndex = slices.Index(s.kinds, kind); incoming.kindIndex < 0 {
@@ -108,13 +108,13 @@
 	return machine
 }
 
-// fits reports whether tasks of a pending request may use incoming room, and one of them fits.
+// fits reports whether tasks of a pending request may use incoming capacity, and one of them fits.
 func (s *Snapshot) fits(pending *scheduler.Request, incoming *Incoming) bool {
 	return s.feasible(pending, incoming) && pending.Job.Spec.Demand.Fits(incoming.available())
 }
 
-// feasible reports whether tasks of a pending request may use incoming room, however much there is. It is judged once a
-// machine kind for each request, rather than for each of thousands of machines.
+// feasible reports whether tasks of a pending request may use incoming capacity, however much there is. It is judged
+// once a machine kind for each request, rather than for each of thousands of machines.
 func (s *Snapshot) feasible(pending *scheduler.Request, incoming *Incoming) bool {
 	if s.judgedRequest != pending {
 		s.judgedRequest, s.feasibleByKind = pending, s.feasibleByKind[:0]
--- a/internal/ledger/usage.go
+++ b/internal/ledger/usage.go
@@ -16,7 +16,7 @@
 const (
 	WaitQuota        WaitCause = iota // the team's quota is used up
 	WaitGuarantee                     // production and work within other teams' guarantees are served first
-	WaitCapacity                      // no feasible machine has room
+	WaitCapacity                      // no feasible machine has capacity
 	WaitFairShare                     // teams further below their fair share are served first
 	WaitDependencies                  // other jobs have to be done first
 	WaitBackoff                       // a failed task is retried later
--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -61,7 +61,7 @@
 	StopRequestedAt time.Time
 	EndedAt         time.Time // when a heartbeat showed its exit
 	GracePeriod     time.Duration
-	Preempted       bool // it was stopped to make room for other work
+	Preempted       bool // it was stopped to free capacity for other work
 
 	AttemptDelivery
 	AttemptCharge
--- a/internal/model/tasks.go
+++ b/internal/model/tasks.go
@@ -8,7 +8,7 @@
 	TaskNew       TaskState = iota // never started
 	TaskActive                     // it has an active attempt
 	TaskRetry                      // waits to be started again after a failure
-	TaskPreempted                  // was stopped to make room for other work, and queues like new tasks
+	TaskPreempted                  // was stopped to free capacity for other work, and queues like new tasks
 	TaskDone
 )
 
--- a/internal/reconciler/accounting.go
+++ b/internal/reconciler/accounting.go
@@ -184,7 +184,7 @@
 	}
 }
 
-// accountsReceived takes accounts as they are on record, to find out what became of settlements.
+// accountsReceived handles accounts as they are on record, to find out what became of settlements.
 func (c *Core) accountsReceived(now time.Time, event AccountsReceived) {
 	accounting := c.accounting
 	accounting.readPending = false
@@ -204,7 +204,7 @@
 	}
 }
 
-// segmentsReceived takes a team's oldest closed segments and queues a compaction of those that are old enough.
+// segmentsReceived handles a team's oldest closed segments and queues a compaction of those that are old enough.
 func (c *Core) segmentsReceived(now time.Time, event SegmentsReceived) {
 	accounting := c.accounting
 	settings := accounting.settings
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -175,7 +175,7 @@
 	})
 }
 
-// commandCompleted takes the answer to direct commands or a probe, or that there was none.
+// commandCompleted handles the answer to direct commands or a probe, or that there was none.
 func (c *Core) commandCompleted(now time.Time, event CommandCompleted) {
 	isProbe := len(event.Commands) == 0
 	if isProbe {
@@ -222,7 +222,7 @@
 	return false
 }
 
-// commandAnswered takes a worker's state that answers a command or probe: it was sent after the command.
+// commandAnswered applies a worker's state that answers a command or probe: it was sent after the command.
 func (c *Core) commandAnswered(now time.Time, machine *model.Machine, heartbeat *model.Heartbeat) {
 	c.proveAlive(now, machine, "it has answered")
 	if known := machine.LatestMessage(); machine.CommandAnswered(heartbeat.Epoch, heartbeat.Seq) {
--- a/internal/reconciler/commits.go
+++ b/internal/reconciler/commits.go
@@ -173,7 +173,7 @@
 	return true
 }
 
-// commitCompleted takes the outcome of a transaction.
+// commitCompleted handles the outcome of a transaction.
 func (c *Core) commitCompleted(now time.Time, event CommitCompleted) {
 	c.commits.inFlight = false
 	changes := event.Changes
@@ -196,7 +196,7 @@
 	}
 }
 
-// changeCompleted takes the outcome of a transaction, OK or Refused, for one of its changes.
+// changeCompleted handles the outcome of a transaction, OK or Refused, for one of its changes.
 func (c *Core) changeCompleted(now time.Time, change record.Change, event CommitCompleted) {
 	if change.Kind == record.SettleAccount || change.Kind == record.CompactAccount {
 		c.accounting.changeCompleted(now, change, event)
@@ -222,7 +222,7 @@
 	}
 }
 
-// commitRejected takes changes that the state service will not carry out as they stand. Of several, each is tried
+// commitRejected handles changes that the state service will not carry out as they are. Of several, each is tried
 // alone; one that was alone is dropped, or tried again much later where the end of a job depends on it. So one record
 // that is too large does not block all others.
 func (c *Core) commitRejected(now time.Time, changes []record.Change) {
@@ -246,7 +246,7 @@
 	}
 }
 
-// fenceCompleted takes the outcome of a fence. A transaction that was not answered may be carried out late, after
+// fenceCompleted handles the outcome of a fence. A transaction that was not answered may be carried out late, after
 // newer ones; it could make finished tasks unfinished again, or bring back machines that are gone. So a fence goes
 // before the next transaction: it writes the token's record anew, and what was sent under the former version of that
 // record fails from then on (docs/safety.md, "Delayed transactions").
--- a/internal/reconciler/deadlines.go
+++ b/internal/reconciler/deadlines.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// earliestEach returns the earlier one of two lists of moments, place by place. The last moment of a shorter list
-// stands for the places that it lacks.
+// earliestEach returns the earlier one of two lists of moments, place by place. The last moment of a shorter list is
+// used for the places that it lacks.
 func earliestEach(a, b []time.Time) []time.Time {
 	if len(a) == 0 {
 		return b
--- a/internal/reconciler/dependencies.go
+++ b/internal/reconciler/dependencies.go
@@ -32,8 +32,8 @@
 // graphChanged has the critical paths worked out with the next pass.
 func (d *dependencyTracker) graphChanged(now time.Time) { d.criticalPathsAt = now }
 
-// lookUpJobEnds asks how the jobs ended that others depend on and that are not among the unfinished ones. A job starts
-// only once the ends of all its dependencies are known.
+// lookUpJobEnds requests the ends of the jobs that others depend on and that are not among the unfinished ones. A job
+// starts only once the ends of all its dependencies are known.
 func (c *Core) lookUpJobEnds(now time.Time) {
 	if c.dependencies.lookupPending || now.Before(c.dependencies.lookupAt) {
 		return
@@ -47,7 +47,7 @@
 	c.emit(LookUpJobEnds{ids[:min(len(ids), maxEndLookups)]})
 }
 
-// jobEndsReceived takes the ends that were found.
+// jobEndsReceived applies the ends that were found.
 func (c *Core) jobEndsReceived(now time.Time, event JobEndsReceived) {
 	c.dependencies.lookupPending = false
 	found := 0
--- a/internal/reconciler/effects.go
+++ b/internal/reconciler/effects.go
@@ -25,23 +25,23 @@
 		Commands      []model.Command
 		Urgent        bool // a launch of high or production priority is among them
 	}
-	// Provision asks the cloud for machines. After an unknown outcome it is repeated under the same name only.
+	// Provision requests machines from the cloud. After an unknown outcome it is repeated under the same name only.
 	Provision struct{ Provisioning model.Provisioning }
-	// Release gives machines back to the cloud.
+	// Release releases machines to the cloud.
 	Release struct{ Machines []string }
-	// ListMachines asks for the machine list.
+	// ListMachines requests the machine list.
 	ListMachines struct{}
-	// FetchCatalog asks for the machine types.
+	// FetchCatalog requests the machine types.
 	FetchCatalog struct{}
-	// LookUpJobEnds asks how jobs ended that others depend on.
+	// LookUpJobEnds requests the ends of jobs that others depend on.
 	LookUpJobEnds struct{ IDs []string }
 	// Commit writes changes in one transaction.
 	Commit struct{ Changes []record.Change }
 	// Fence makes sure that no transaction is carried out any more that was sent before and not answered.
 	Fence struct{}
-	// ReadAccounts asks for accounts as they are on record.
+	// ReadAccounts requests accounts as they are on record.
 	ReadAccounts struct{ Teams []string }
-	// ReadSegments asks for the oldest closed segments of a team's account.
+	// ReadSegments requests the oldest closed segments of a team's account.
 	ReadSegments struct{ Team string }
 )
 
--- a/internal/reconciler/explain.go
+++ b/internal/reconciler/explain.go
@@ -248,7 +248,7 @@
 	}
 }
 
-// offerClass returns the class of machines that the cloud is asked for.
+// offerClass returns the class of machines of an offer.
 func (c *Core) offerClass(machineType, zone string, spot bool) constraint.Class {
 	return constraint.Class{Type: c.machineType(machineType), Zone: zone, Spot: spot}
 }
--- a/internal/reconciler/inventory.go
+++ b/internal/reconciler/inventory.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// catalogReceived takes the machine types.
+// catalogReceived applies the machine types.
 func (c *Core) catalogReceived(now time.Time, event CatalogReceived) {
 	c.inventory.catalogPending = false
 	if len(event.Types) == 0 {
@@ -58,8 +58,8 @@
 	c.passes.request()
 }
 
-// machineListReceived takes the cloud's machine list. Machines that are not known here were provisioned by an earlier
-// leader.
+// machineListReceived applies the cloud's machine list. Machines that are not known here were provisioned by an
+// earlier leader.
 func (c *Core) machineListReceived(now time.Time, event MachineListReceived) {
 	c.inventory.machineListPending = false
 	c.inventory.machineListAt = now.Add(c.settings.MachineListInterval)
--- a/internal/reconciler/liveness.go
+++ b/internal/reconciler/liveness.go
@@ -74,8 +74,8 @@
 	return !machine.CommandInFlight && machine.Addr != "" && machine.State < model.MachineReleasing
 }
 
-// probe asks a machine for its state where its messages leave it uncertain. One probe is in flight for a machine, and
-// few altogether: the next heartbeat asks for it again. It reports whether a probe was sent.
+// probe requests the state of a machine where its messages leave it uncertain. One probe is in flight for a machine,
+// and few altogether: the next heartbeat requests it again. It reports whether a probe was sent.
 func (c *Core) probe(now time.Time, machine *model.Machine) bool {
 	if !canProbe(machine) || c.liveness.probesInFlight >= maxProbes || now.Sub(machine.ProbedAt) < probeInterval {
 		return false
--- a/internal/reconciler/machines.go
+++ b/internal/reconciler/machines.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// startRelease gives a machine back to the cloud with one of the next Release effects.
+// startRelease marks a machine to be released with one of the next Release effects.
 func (c *Core) startRelease(now time.Time, machine *model.Machine, reason string) {
 	if machine.Transition(now, model.MachineReleasing, reason) {
 		c.log.Info("releasing machine", "machine", machine.Name, "type", machine.Type.Name, "reason", reason,
--- a/internal/reconciler/partitions.go
+++ b/internal/reconciler/partitions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// allZones stands for all zones together, where zones are named.
+// allZones is the name of all zones together, where zones are named.
 const allZones = ""
 
 // isolationMargin is how much longer than a single machine all machines have to be silent before the leader takes
--- a/internal/reconciler/pass.go
+++ b/internal/reconciler/pass.go
@@ -142,7 +142,7 @@
 		"restart", placement.Request.Restart)
 }
 
-// preempt stops a task to make room for another one.
+// preempt stops a task to free capacity for another one.
 func (c *Core) preempt(now time.Time, preemption *scheduler.Preemption) {
 	attempt, preemptor := preemption.Attempt, preemption.Preemptor
 	c.log.Info("preempting task", "task", attempt.Task, "machine", attempt.Machine.Name,
--- a/internal/reconciler/preemption.go
+++ b/internal/reconciler/preemption.go
@@ -15,9 +15,9 @@
 	hasDeadline   bool
 }
 
-// preemptionLister returns a function that lists the attempts on one machine that may be stopped to make room, and
-// what is being released there already. A pass calls it for the machines that it considers, and only where capacity
-// is short: working out what each of tens of thousands of attempts would lose takes long.
+// preemptionLister returns a function that lists the attempts on one machine that may be preempted, and what is
+// being released there already. A pass calls it for the machines that it considers, and only where capacity is
+// short: working out what each of tens of thousands of attempts would lose takes long.
 func (c *Core) preemptionLister(now time.Time, guaranteed map[*model.Job]bool) func(*scheduler.Node) {
 	known := map[*model.Job]*preemptionFacts{}
 	factsOf := func(job *model.Job) *preemptionFacts {
@@ -47,7 +47,7 @@
 	}
 }
 
-// preemptionCandidate describes an attempt that may be stopped to make room.
+// preemptionCandidate describes an attempt that may be preempted.
 func (c *Core) preemptionCandidate(
 	now time.Time, attempt *model.Attempt, facts *preemptionFacts,
 ) scheduler.PreemptionCandidate {
--- a/internal/reconciler/provisioning.go
+++ b/internal/reconciler/provisioning.go
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("%s-%d-%d", c.settings.Member, c.fencingToken, c.provisioning.counter)
 }
 
-// scaleOut asks the cloud for machines for what fits nowhere.
+// scaleOut requests machines from the cloud for the tasks that fit nowhere.
 func (c *Core) scaleOut(now time.Time, input *scheduler.Snapshot, shortages []scheduler.Shortage) {
 	if len(shortages) == 0 || c.provisioning.full() {
 		return
@@ -157,7 +157,7 @@
 	}
 }
 
-// provisionCompleted takes the answer to a request for machines.
+// provisionCompleted handles the answer to a request for machines.
 func (c *Core) provisionCompleted(now time.Time, event ProvisionCompleted) {
 	request := event.Provisioning
 	if event.Outcome == Unknown || event.Outcome == NotSent {
--- a/internal/reconciler/releases.go
+++ b/internal/reconciler/releases.go
@@ -7,7 +7,7 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// machineReleases keeps the request that gives machines back to the cloud, and which machines are gone. One request
+// machineReleases keeps the request that releases machines to the cloud, and which machines are gone. One request
 // is in flight at a time, and none is repeated before it was answered. Otherwise a queue would grow faster than the
 // cloud's rate limit lets it drain: idle machines would be billed for, and requests for new ones wait behind.
 type machineReleases struct {
--- a/internal/reconciler/settlements.go
+++ b/internal/reconciler/settlements.go
@@ -102,8 +102,8 @@
 }
 
 // deferRefusedEnds takes a transaction that was refused as a whole although it ended a job and settled its team's
-// account: each may have been the reason. The end waits until the account is known again, and then goes by itself;
-// what the job used is in the settlement before it. It returns the other changes.
+// account: each may have been the reason. The end waits until the account is known again, and then goes in a
+// transaction of its own; what the job used is in the settlement before it. It returns the other changes.
 func (a *accounting) deferRefusedEnds(changes []record.Change) []record.Change {
 	if a == nil || len(changes) < 2 {
 		return changes
@@ -133,7 +133,7 @@
 	})
 }
 
-// changeCompleted takes the outcome of a settlement or compaction.
+// changeCompleted handles the outcome of a settlement or compaction.
 func (a *accounting) changeCompleted(now time.Time, change record.Change, event CommitCompleted) {
 	if change.Kind == record.CompactAccount {
 		a.compactionPending = false
--- a/internal/reconciler/sweep.go
+++ b/internal/reconciler/sweep.go
@@ -10,8 +10,8 @@
 // maxPassAge: a pass is run at least this often, since slack and waiting times change by time alone.
 const maxPassAge = time.Second
 
-// sweep handles what changes by time alone: leases that expire, machines that do not come up, fall silent or stand
-// empty, requests to the cloud that are repeated, and jobs whose backoff is over.
+// sweep handles what changes by time alone: leases that expire, machines that do not come up, become unresponsive or
+// stay empty, requests to the cloud that are repeated, and jobs whose backoff is over.
 func (c *Core) sweep(now time.Time) {
 	c.sweepMachines(now)
 	c.probeUnreconciled(now)
@@ -29,7 +29,7 @@
 	}
 }
 
-// sweepMachines checks each machine, and asks the cloud to take back those that are to be released.
+// sweepMachines checks each machine, and requests the release of those that are no longer wanted.
 func (c *Core) sweepMachines(now time.Time) {
 	partitioned := c.partitionedZones(now)
 	mayRelease := c.releases.mayRequest(now)
@@ -59,7 +59,7 @@
 	}
 }
 
-// expireLease takes the tasks of a machine as gone once its worker's lease has certainly expired.
+// expireLease drops the attempts on a machine once its worker's lease has certainly expired.
 func (c *Core) expireLease(now time.Time, machine *model.Machine) {
 	if machine.State == model.MachineBooting || !now.After(machine.LeaseExpiry) {
 		return
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -8,10 +8,10 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Consolidate finds a replica of a job that is worth moving, for when nothing is pending that the room would help: one
-// on an expensive machine although a cheap one has room and its image, or one that is alone on its machine although a
-// busier one that costs no more has both. The move is short, since no image is fetched. It returns nil if there is
-// none, or while any replica of the job has only just started.
+// Consolidate finds a replica of a job that is worth moving, for when nothing is pending that the capacity would help:
+// one on an expensive machine although a cheap one has capacity and its image, or one that is alone on its machine
+// although a busier one that costs no more has both. The move is short, since no image is fetched. It returns nil if
+// there is none, or while any replica of the job has only just started.
 func Consolidate(settings *Settings, now time.Time, snapshot *Snapshot, job *model.Job) *model.Attempt {
 	if !mayMoveReplicas(job) {
 		return nil
@@ -68,7 +68,7 @@
 	tasksByZone map[string]int
 	expensive   []*model.Attempt // replicas on machines that are too expensive
 	alone       []*model.Attempt // the other replicas that are alone on their machine
-	targets     []*Node          // nodes with room and the image
+	targets     []*Node          // nodes with capacity and the image
 }
 
 func newConsolidation(settings *Settings, snapshot *Snapshot, job *model.Job) *consolidation {
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -48,8 +48,8 @@
 	return true
 }
 
-// drainNode finds room elsewhere for all that is on a node, and returns the replica to move first; nil: there is not
-// room for all.
+// drainNode finds capacity elsewhere for all that is on a node, and returns the replica to move first; nil: there is
+// not enough for all.
 func (s *Snapshot) drainNode(source *Node) *model.Attempt {
 	attempts := slices.Clone(source.Machine.ActiveAttempts())
 	slices.SortFunc(attempts, func(a, b *model.Attempt) int {
@@ -69,7 +69,7 @@
 	return attempts[0]
 }
 
-// drainSearch looks for room for the replicas of one node.
+// drainSearch looks for capacity for the replicas of one node.
 type drainSearch struct {
 	snapshot    *Snapshot
 	source      *Node
@@ -106,7 +106,7 @@
 func (d *drainSearch) target(attempt *model.Attempt, rules *Rules, tasksByZone map[string]int) *Node {
 	var best *Node
 	for _, node := range d.snapshot.nodesWithImage(attempt.Job.Spec.Image) {
-		if !d.hasRoom(node, attempt, rules) || !d.busier(node) {
+		if !d.hasCapacity(node, attempt, rules) || !d.busier(node) {
 			continue
 		}
 		if tasksByZone[node.Machine.Zone] >= maxPerZone(attempt.Job.Spec, rules) || rules.machineFull(node.Machine) {
@@ -119,8 +119,8 @@
 	return best
 }
 
-// hasRoom reports whether a node could take a replica besides those that have it as their target.
-func (d *drainSearch) hasRoom(node *Node, attempt *model.Attempt, rules *Rules) bool {
+// hasCapacity reports whether a node could take a replica besides those that have it as their target.
+func (d *drainSearch) hasCapacity(node *Node, attempt *model.Attempt, rules *Rules) bool {
 	return node != d.source && attempt.Demand.Fits(node.Free.Sub(d.claimed[node])) &&
 		node.checkStatic(attempt.Job, rules, "") == Feasible
 }
--- a/internal/scheduler/explain.go
+++ b/internal/scheduler/explain.go
@@ -5,7 +5,7 @@
 
 // The reasons for which requests wait.
 const (
-	WaitCapacity  WaitReason = iota // no feasible machine has room
+	WaitCapacity  WaitReason = iota // no feasible machine has capacity
 	WaitQuota                       // the team's quota is used up
 	WaitGuarantee                   // production and work within other teams' guarantees were served first
 	WaitFairShare                   // teams further below their fair share were served first
@@ -36,7 +36,7 @@
 	return s.teams[0] != "" && s.teams[0] != team || s.teams[1] != "" && s.teams[1] != team
 }
 
-// waitReason says why a request waits that no node has room for.
+// waitReason says why a request waits that no node has capacity for.
 func (s *servedSummary) waitReason(request *Request) WaitReason {
 	switch {
 	case request.qosClass() != qosBestEffort:
--- a/internal/scheduler/feasible.go
+++ b/internal/scheduler/feasible.go
@@ -82,7 +82,7 @@
 	return Feasible
 }
 
-// checkCapacity checks whether there is room for one more task of a request.
+// checkCapacity checks whether there is capacity for one more task of a request.
 func (n *Node) checkCapacity(request *Request) Infeasibility {
 	switch {
 	case !request.Job.Spec.Demand.Fits(n.Free):
--- a/internal/scheduler/nofit.go
+++ b/internal/scheduler/nofit.go
@@ -9,9 +9,9 @@
 // maxNoFitEntries bounds the entries of one key.
 const maxNoFitEntries = 32
 
-// noFitCache remembers which tasks a pass found no room for, so that it does not look at every node again for each of
-// hundreds of pending jobs. Within a pass free resources only shrink, except by preemptions; so tasks that demand as
-// much or more, and may use the same nodes or fewer, do not fit either.
+// noFitCache remembers which tasks a pass found no capacity for, so that it does not look at every node again for
+// each of hundreds of pending jobs. Within a pass free resources only shrink, except by preemptions; so tasks that
+// demand as much or more, and may use the same nodes or fewer, do not fit either.
 type noFitCache map[noFitKey][]noFitEntry
 
 // noFitKey is what decides, besides their demand, which nodes tasks may use.
@@ -31,7 +31,7 @@
 	priority, ownPriority model.Priority // with what was inherited from dependent jobs, and without
 	guaranteed            bool
 	promoted              bool // served ahead of its place in the order
-	preemptions           int  // planned so far: what they release is room
+	preemptions           int  // planned so far: what they release is capacity
 }
 
 // noFitEntry says that of tasks with a demand no more than maxTasks fit.
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -97,7 +97,7 @@
 	request.Rules.addTasks(node.Machine, 1)
 }
 
-// unassign gives the resources of placements back.
+// unassign returns the resources of placements to their nodes.
 func (s *Snapshot) unassign(request *Request, placements []Placement) {
 	for _, placement := range placements {
 		node := placement.Node
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -67,14 +67,14 @@
 	if len(placements) < n {
 		fitting := len(placements)
 		if permanent {
-			fitting = 0 // none of the room is left
+			fitting = 0 // none of the capacity is left
 		}
 		s.noFit.add(key, spec.Demand, fitting)
 	}
 	return placements
 }
 
-// feasibleNodes lists the nodes in a zone ("": any) that have room for a task.
+// feasibleNodes lists the nodes in a zone ("": any) that have capacity for a task.
 func (s *Snapshot) feasibleNodes(request *Request, zone string, filter nodeFilter) []*Node {
 	var nodes []*Node
 	feasible := s.feasibilityFilter(request, zone, filter)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -3,7 +3,7 @@
 //
 // A leader builds a Snapshot of its nodes and pending requests, calls MakePlan, and carries the Plan out: it launches
 // the placements, stops the preempted attempts and requests machines for the shortages. Where nothing is pending it
-// asks Consolidate and Drain for a service replica that is worth moving.
+// calls Consolidate and Drain to find a service replica that is worth moving.
 //
 // The order of requests and the ranking of nodes follow the paper's POFARE and POFAME as docs/design.md reads them.
 //
@@ -75,7 +75,7 @@
 	preemptible preemptibleSummary // of Candidates
 }
 
-// PreemptionCandidate is an attempt on a node that could be stopped to make room.
+// PreemptionCandidate is an attempt on a node that could be preempted.
 type PreemptionCandidate struct {
 	Attempt         *model.Attempt
 	Priority        model.Priority
@@ -169,7 +169,7 @@
 	model.Choice
 }
 
-// Preemption stops an attempt to make room.
+// Preemption stops an attempt to free capacity.
 type Preemption struct {
 	PreemptionCandidate
 	Preemptor *Request
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -45,8 +45,8 @@
 	return split
 }
 
-// reserveNodes reserves up to n nodes for the tasks of a starving request that found no room: those that are the most
-// free already, in one zone where the tasks have to be in one. It reports whether it reserved any.
+// reserveNodes reserves up to n nodes for the tasks of a starving request that found no capacity: those that are the
+// most free already, in one zone where the tasks have to be in one. It reports whether it reserved any.
 func (s *Snapshot) reserveNodes(request *Request, n int) bool {
 	byZone := s.reservableNodes(request)
 	var best []*Node
