--- a/internal/admin/ledger_entries.go
+++ b/internal/admin/ledger_entries.go
@@ -73,7 +73,7 @@
 }
 
 // appendEntries appends the entries of the cursor's team for one segment, as far as the
-// query asks for them.
+// query requests them.
 func (q *entriesQuery) appendEntries(
 	entries []Entry, unit ledger.Unit, start time.Time, usage []ledger.ClassUsage,
 ) []Entry {
--- a/internal/admin/status_api.go
+++ b/internal/admin/status_api.go
@@ -67,7 +67,7 @@
 	Rejected uint64 `json:"turned_away"` // since the start
 }
 
-// Load tells how busy a controller's event loop is.
+// Load describes how busy a controller's event loop is.
 type Load struct {
 	// LongestHoldSeconds is the longest that one event took since the last log line
 	// about it, and LongestHoldEvent that event.
--- a/internal/controller/backend.go
+++ b/internal/controller/backend.go
@@ -89,15 +89,15 @@
 
 // Healthy reports whether a load balancer should send requests here.
 //
-// A controller without the state service can serve nobody, but while the state service is down for all of
-// them there is no better one either. So it reports itself unhealthy only while it receives messages of a
-// leader, whose lease proves that the state service answers others: in an outage for all that lease
+// A controller without the state service can serve no user, but while the state service is down for all
+// of them there is no better one either. So it reports itself unhealthy only while it receives messages
+// of a leader, whose lease proves that the state service answers others: in an outage for all that lease
 // expires before this controller has been without the state service for long enough. A leader that acts
 // on votes alone proves nothing of the kind.
 //
 // A controller that reaches no other member is unhealthy too, or users would stay with the one controller
 // that can do nothing for them. If all members are cut off from each other while the state service is
-// down, that costs about two probes after the outage, in which nobody could be served anyway.
+// down, that costs about two probes after the outage, in which no user could be served anyway.
 func (c *Controller) Healthy() bool {
 	now := time.Now()
 	if !c.jobs.Loaded() || len(c.MachineTypes()) == 0 || c.isolated() {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -3,7 +3,7 @@
 //
 // New builds a controller from its settings and Run serves until its context ends. One goroutine, the
 // event loop (loop.go), owns both state machines. Every other goroutine hands it work through one of its
-// two inboxes, and the loop has the effects that the state machines ask for carried out by goroutines of
+// two inboxes, and the loop has the effects that the state machines return performed by goroutines of
 // their own, whose results come back as events. What handlers of requests need without waiting for the
 // loop, such as the leadership lease, is published through atomic pointers.
 package controller
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -75,7 +75,7 @@
 	return effects.ElectionExecutor{Member: c.platform.Member, State: c.store, Now: time.Now}
 }
 
-// revokeLease gives a lease up. One that cannot be revoked expires.
+// revokeLease revokes a lease. One that cannot be revoked expires.
 func (c *Controller) revokeLease(leaseID uint64) {
 	for range revokeAttempts {
 		if c.store.RevokeLease(leaseID) == nil {
@@ -85,7 +85,8 @@
 	}
 }
 
-// stepDown gives the leadership up as the process ends, so that nobody has to wait for its lease to expire.
+// stepDown ends the leadership as the process ends, so that the next leader need not wait for its lease to
+// expire.
 func (c *Controller) stepDown(now time.Time) {
 	for _, effect := range c.election.Step(now, election.Resign{}) {
 		revoke, ok := effect.(election.RevokeLease)
--- a/internal/controller/relay_store.go
+++ b/internal/controller/relay_store.go
@@ -149,7 +149,7 @@
 	r.outbox.LeaderChanged(time.Now(), noLeader)
 }
 
-// rejectWaiters has all workers that wait ask again. mu is held.
+// rejectWaiters ends the wait of all workers, which then try another member. mu is held.
 func (r *storeRelay) rejectWaiters() {
 	for id, waiter := range r.waiters {
 		waiter <- nil
--- a/internal/controller/staleness.go
+++ b/internal/controller/staleness.go
@@ -57,7 +57,7 @@
 }
 
 // limit bounds a lease by what this leader knows of cancellations. Before it has a reconciler it answers
-// nobody, so nothing bounds it.
+// no heartbeat, so nothing bounds it.
 func (k *cancellationKnowledge) limit(now time.Time, lease *leadershipLease) {
 	if k.tracker == nil {
 		lease.freshUntil = lease.grantedUntil()
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -23,8 +23,8 @@
 	maxContactLead = 2 * time.Second
 )
 
-// requestVotes asks all other members to vote for this leader. Their answers also carry the cancellations
-// that they know of.
+// requestVotes requests the votes of all other members for this leader. Their answers also carry the
+// cancellations that they know of.
 func (c *Controller) requestVotes(term uint64, e election.RequestVotes) {
 	now := time.Now()
 	var silence time.Duration // of the state service
@@ -95,7 +95,7 @@
 	}
 }
 
-// releaseVotes tells the other members that this leader needs their votes no more.
+// releaseVotes releases the votes of the other members, which this leader no longer needs.
 func (c *Controller) releaseVotes(token uint64) {
 	for _, client := range c.peers {
 		c.tasks.spawn(func() {
@@ -109,7 +109,8 @@
 	}
 }
 
-// HandleVoteRequest answers a leader that asks for this member's vote, and a member that asks who leads.
+// HandleVoteRequest answers a leader that requests or releases this member's vote, and a member that asks
+// who leads.
 func (h peerHandler) HandleVoteRequest(ctx context.Context, request *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
 	c := h.controller
 	answer, err := runInLoop(ctx, c.loop.urgent, func(time.Time) *peerpb.PromiseAnswer {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -25,7 +25,7 @@
 	ReadingLeader               // reading the leader's keys
 	AcquiringLease              // waiting for a lease
 	Claiming                    // trying to take the leader's key with that lease
-	Leading                     // holds the leader's key; LeadershipValid tells whether it may act
+	Leading                     // holds the leader's key; LeadershipValid reports whether it may act
 )
 
 // String returns the name that operators are shown.
--- a/internal/election/events.go
+++ b/internal/election/events.go
@@ -11,7 +11,7 @@
 
 // The events. Sent is always the local time at which the request was sent that the event answers.
 type (
-	// Tick says that time has passed; NextTick tells when it is due.
+	// Tick reports that time has passed; NextTick returns when it is due.
 	Tick struct{}
 	// RecordRead carries the leader's keys, from a ReadRecord or from a watch.
 	RecordRead struct {
@@ -79,14 +79,14 @@
 func (VoteReceived) electionEvent()       {}
 func (NotLeadingReceived) electionEvent() {}
 
-// Effect is an action that the state machine asks its caller to perform.
+// Effect is an action that the caller of the state machine has to perform.
 type Effect interface{ electionEffect() }
 
 // The effects. ReadRecord, GrantLease, Claim and RenewLease are each answered by one event.
 type (
 	// ReadRecord reads the leader's keys; RecordRead answers.
 	ReadRecord struct{}
-	// GrantLease asks the state service for a lease; LeaseGranted answers.
+	// GrantLease requests a lease from the state service; LeaseGranted answers.
 	GrantLease struct{ Duration time.Duration }
 	// Claim writes the leader's key and the next fencing token in one transaction, on condition that
 	// the records still have the versions that were read; ClaimCompleted answers.
@@ -103,7 +103,7 @@
 	Elected struct{ FencingToken, TokenVersion uint64 }
 	// Deposed says that this controller leads no longer.
 	Deposed struct{}
-	// RequestVotes asks all other members to vote for this leader.
+	// RequestVotes requests the votes of all other members for this leader.
 	RequestVotes struct {
 		FencingToken, Seq uint64
 		Duration          time.Duration
@@ -111,7 +111,7 @@
 	}
 	// QueryLeadership asks all other members whether they lead.
 	QueryLeadership struct{}
-	// ReleaseVotes tells all other members that this leader no longer needs their votes.
+	// ReleaseVotes releases the votes of all other members, which this leader no longer needs.
 	ReleaseVotes struct{ FencingToken uint64 }
 )
 
--- a/internal/election/voter.go
+++ b/internal/election/voter.go
@@ -40,7 +40,7 @@
 }
 
 // HandleVoteRelease ends this member's vote for the leader with a given fencing token, which needs
-// it no longer. A vote for a later leader stands.
+// it no longer. A vote for a later leader stays.
 func (m *StateMachine) HandleVoteRelease(fencingToken uint64) {
 	if m.votes.state == voteCast && m.votes.castToken == fencingToken {
 		m.votes.withdraw()
--- a/internal/election/votes.go
+++ b/internal/election/votes.go
@@ -117,10 +117,10 @@
 
 // nextRequest returns the next request to all peers; renewed is as of when the lease is renewed.
 //
-// While the state service is unreachable nobody can take over, whoever votes for whom. Votes are
+// While the state service is unreachable no member can take over, whatever the votes. Votes are
 // then requested for longer, so that the leadership survives a member that crashes in the outage:
 // it remembers no vote, and casts none until it has read the records. Once the lease is renewed,
-// the longer votes are waived before anything else is requested, so that they bind nobody.
+// the longer votes are waived before anything else is requested, so that they block no claim.
 func (v *votes) nextRequest(now, renewed time.Time, s *Settings, fencingToken uint64) RequestVotes {
 	v.nextRequestAt = now.Add(s.VoteDuration / requestsPerVote)
 	v.requestSeq++
--- a/internal/featuregate/gate.go
+++ b/internal/featuregate/gate.go
@@ -16,12 +16,12 @@
 	"time"
 )
 
-// State is where a deployment stands on its way to the next level, as one member sees it.
+// State is the progress of a deployment towards the next level, as one member sees it.
 type State uint8
 
 // The states.
 const (
-	Blocked     State = iota // a member is not heard of, or does not support the next level
+	Blocked     State = iota // a member announces nothing, or does not support the next level
 	Settling                 // all members support it, but not for long enough yet
 	MayRaise                 // whoever claims the leadership next may raise the level
 	InForce                  // the highest level that this program supports is in force
@@ -56,7 +56,7 @@
 	}
 }
 
-// State returns where the deployment stands, and the reason for display.
+// State returns the state, and the reason for it for display.
 func (g *Gate) State() (state State, reason string) { return g.state, g.reason }
 
 // transition changes the state, and reports whether it was another one. Nothing else
--- a/internal/httpapi/connections.go
+++ b/internal/httpapi/connections.go
@@ -14,7 +14,7 @@
 // rejectWriteTimeout bounds the write of a response to a connection beyond the quotas.
 const rejectWriteTimeout = 100 * time.Millisecond
 
-// trackConnState returns a hook that tells the quotas when a connection becomes busy
+// trackConnState returns a hook that informs the quotas when a connection becomes busy
 // or idle.
 func trackConnState(now func() time.Time) func(net.Conn, fasthttp.ConnState) {
 	return func(c net.Conn, state fasthttp.ConnState) {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -211,7 +211,7 @@
 // closeAndFailPending closes a connection and fails the requests on it at once: a member that has just
 // crashed must not hold a request up for all of its time.
 func (c *Client) closeAndFailPending(conn net.Conn) {
-	_ = conn.Close() // nobody could act on the error
+	_ = conn.Close() // there is nothing to do about the error
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn == conn {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -67,7 +67,7 @@
 func serveConn(ctx context.Context, conn net.Conn, h Handler) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	closeConn := func() { _ = conn.Close() } // nobody could act on the error
+	closeConn := func() { _ = conn.Close() } // there is nothing to do about the error
 	stop := context.AfterFunc(ctx, closeConn)
 	defer stop()
 	defer closeConn()
--- a/internal/store/cancellations.go
+++ b/internal/store/cancellations.go
@@ -2,8 +2,8 @@
 
 import "github.com/glentiller/glentiller/internal/wire"
 
-// CancellationReport tells a leader which cancellations a member may have acknowledged to users, for
-// the case that the leader cannot read the records itself.
+// CancellationReport reports to a leader which cancellations a member may have acknowledged to users,
+// for the case that the leader cannot read the records itself.
 type CancellationReport struct {
 	Cancelled []Cancellation
 	Cursor    CancellationCursor // where the next report goes on
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -160,8 +160,8 @@
 	return j.active[id]
 }
 
-// UpdateFor returns what has become of a changed job. It goes by what the cache holds now: a job that
-// has ended since must not be added again. A job that the cache no longer holds has ended.
+// UpdateFor returns what has become of a changed job. It is derived from what the cache holds now: a
+// job that has ended since must not be added again. A job that the cache no longer holds has ended.
 func (j *JobCache) UpdateFor(change JobChange) record.JobUpdate {
 	job := j.Peek(change.ID)
 	switch {
--- a/internal/store/job_lookup.go
+++ b/internal/store/job_lookup.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// cachedState returns the state of a job as far as the cache tells it, and the dependencies whose
+// cachedState returns the state of a job as far as the cache holds it, and the dependencies whose
 // state could change it.
 func (j *JobCache) cachedState(id string) (record JobRecord, unresolved []string) {
 	j.mu.Lock()
--- a/internal/store/job_submission.go
+++ b/internal/store/job_submission.go
@@ -119,7 +119,7 @@
 }
 
 // Cancel ends a job as cancelled, unless it is done. It returns the state in which the job has ended,
-// or StateUnknown if nobody has submitted it.
+// or StateUnknown if it was never submitted.
 func (j *JobCache) Cancel(ctx context.Context, id string, now time.Time) (JobRecord, error) {
 	for range maxCancelAttempts {
 		if record := j.Peek(id); record.State.Ended() {
--- a/internal/store/job_sync.go
+++ b/internal/store/job_sync.go
@@ -7,7 +7,7 @@
 
 // syncState coalesces calls of Sync. JobCache.mu guards it.
 type syncState struct {
-	pending *syncBatch // served by the next read; nil: nobody waits for it
+	pending *syncBatch // served by the next read; nil: no caller waits for it
 	running bool       // syncLoop runs
 }
 
@@ -53,7 +53,7 @@
 	return j.sync.pending, nil
 }
 
-// syncLoop reads for one batch after the other, and ends when nobody waits any more.
+// syncLoop reads for one batch after the other, and ends when no caller waits any more.
 func (j *JobCache) syncLoop() {
 	for {
 		batch := j.nextSync()
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -55,8 +55,8 @@
 	return record, nil
 }
 
-// WatchLeader waits for a change of the election's keys after a revision. vacant reports that nobody
-// leads any more; leader is the name of a new leader, if there is one.
+// WatchLeader waits for a change of the election's keys after a revision. vacant reports that no
+// controller leads any more; leader is the name of a new leader, if there is one.
 func (c *Client) WatchLeader(
 	ctx context.Context, after uint64,
 ) (revision uint64, vacant bool, leader string, err error) {
@@ -81,7 +81,7 @@
 }
 
 // ClaimLeadership writes the leader's key and the next fencing token in one transaction, on condition
-// that nobody holds the key and that the feature level in force is the one that was read. A new
+// that the key does not exist and that the feature level in force is the one that was read. A new
 // level is written with it. version is that of the token's record.
 func (c *Client) ClaimLeadership(
 	ctx context.Context, member string, claim election.Claim,
@@ -108,7 +108,7 @@
 // RewriteToken writes the record of a leader's fencing token again, on condition of the version that
 // it has. Transactions that were sent under that version and are carried out later fail. It returns
 // the version to go on with; ok is false if the leader has been replaced. If the outcome is unknown
-// the record tells it, since nobody else writes that token.
+// it is read from the record, since no other controller writes that token.
 func (c *Client) RewriteToken(
 	ctx context.Context, member string, token, tokenVersion uint64,
 ) (version uint64, ok bool, err error) {
