--- a/internal/fake/answers_test.go
+++ b/internal/fake/answers_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"strings"
@@ -14,149 +15,172 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-func TestMemberAnswersUnderFaultsAreNeverStale(t *testing.T) {
-	type fault struct {
-		name   string
-		begins func(w *World, random *rand.Rand) (each func()) // each is called every tick
-	}
-	nothing := func() {}
-	for _, f := range []fault{
-		{"no other fault", func(*World, *rand.Rand) func() { return nothing }},
-		{"answers to transactions are lost", func(w *World, random *rand.Rand) func() {
-			loseCommitAnswers(w, random, 0.3, true)
-			return nothing
-		}},
-		{"transactions are late", func(w *World, random *rand.Rand) func() {
-			later := loseCommitAnswers(w, random, 0.3, false)
-			return func() {
-				if n := len(*later); n > 0 && random.IntN(40) == 0 {
-					i := random.IntN(n)
-					(*later)[i]()
-					*later = slices.Delete(*later, i, i+1)
-				}
+// answerFaults are the faults under which answers are checked. Each begins with a function that is called every tick
+// from then on.
+var answerFaults = map[string]func(w *World, random *rand.Rand) (each func()){
+	"no other fault": func(*World, *rand.Rand) func() { return func() {} },
+	"answers to transactions are lost": func(w *World, random *rand.Rand) func() {
+		loseCommitAnswers(w, random, 0.3, true)
+		return func() {}
+	},
+	"transactions are late": func(w *World, random *rand.Rand) func() {
+		later := loseCommitAnswers(w, random, 0.3, false)
+		return func() {
+			if n := len(*later); n > 0 && random.IntN(40) == 0 {
+				i := random.IntN(n)
+				(*later)[i]()
+				*later = slices.Delete(*later, i, i+1)
 			}
-		}},
-		{"members end and are back at once", func(w *World, random *rand.Rand) func() {
-			return func() {
-				if random.IntN(60) == 0 {
-					restartController(w.Controllers[random.IntN(3)])
-				}
+		}
+	},
+	"members restart at once": func(w *World, random *rand.Rand) func() {
+		return func() {
+			if random.IntN(60) == 0 {
+				restartController(w.Controllers[random.IntN(3)])
 			}
-		}},
-		{"a member is refused at a time", func(w *World, random *rand.Rand) func() {
-			return func() {
-				if random.IntN(60) == 0 {
-					for _, c := range w.Controllers {
-						c.StateUnreachable = false
-					}
-					w.Controllers[random.IntN(3)].StateUnreachable = true
+		}
+	},
+	"one member at a time does not reach the state service": func(w *World, random *rand.Rand) func() {
+		return func() {
+			if random.IntN(60) == 0 {
+				for _, c := range w.Controllers {
+					c.StateUnreachable = false
 				}
+				w.Controllers[random.IntN(3)].StateUnreachable = true
 			}
-		}},
-		{"leaders hand over", func(w *World, random *rand.Rand) func() {
-			return func() {
-				if leader := w.Leader(); leader != nil && random.IntN(80) == 0 {
-					w.StepElection(leader, election.Resign{})
-				}
+		}
+	},
+	"leaders resign": func(w *World, random *rand.Rand) func() {
+		return func() {
+			if leader := w.Leader(); leader != nil && random.IntN(80) == 0 {
+				w.StepElection(leader, election.Resign{})
 			}
-		}},
-	} {
-		t.Run(f.name, func(t *testing.T) {
+		}
+	},
+}
+
+func TestMemberAnswersUnderFaultsAreNeverStale(t *testing.T) {
+	for _, name := range slices.Sorted(maps.Keys(answerFaults)) {
+		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(7, 7))
 			w := newVotingMembers(t, 3, 4)
 			w.RunTime = 1500 * time.Millisecond
 			w.PollOnCommit = true
-			each := f.begins(w, random)
-			outcomes := playAnswers(t, w, random, each)
-			if outcomes[wire.StateDone] < 5 || outcomes[wire.StateCancelled] < 5 || w.AnsweredPolls < 500 {
-				t.Errorf("cancellations at the end: %d were answered done, %d cancelled; %d questions were answered",
-					outcomes[wire.StateDone], outcomes[wire.StateCancelled], w.AnsweredPolls)
+			outcomes := playAnswers(t, w, random, answerFaults[name](w, random))
+			done, cancelled := outcomes[wire.StateDone], outcomes[wire.StateCancelled]
+			if done < 5 || cancelled < 5 || w.AnsweredPolls < 500 {
+				t.Errorf("cancellations at the end: got %d done, %d cancelled, %d answered polls, want 5, 5 and 500 at least",
+					done, cancelled, w.AnsweredPolls)
 			}
 		})
 	}
 }
 
-// playAnswers submits jobs of one and two tasks for a minute and cancels some of them at once, while they run, or as
-// their last task ends. It counts what the last kind of cancellation was answered. In the end all jobs have a final
-// state and keep it.
+// answerPlay is jobs of one and two tasks that users submit, poll and cancel while there is a fault.
+type answerPlay struct {
+	*World
+	random   *rand.Rand
+	jobs     []*model.Spec
+	atEnd    map[string]bool       // jobs that are to be cancelled as their last task ends
+	outcomes map[wire.JobState]int // what these cancellations were answered
+}
+
+// playAnswers submits jobs for a minute and cancels some of them at once, while they run, or as their last task ends.
+// It counts what the last kind of cancellation was answered. In the end all jobs have a final state and keep it. each
+// is called every tick.
 func playAnswers(t *testing.T, w *World, random *rand.Rand, each func()) map[wire.JobState]int {
 	t.Helper()
-	outcomes := map[wire.JobState]int{}
-	any := func() *Controller { return w.Controllers[random.IntN(len(w.Controllers))] }
-	var jobs []*model.Spec
-	try := func(spec *model.Spec, do func(c *Controller) error) bool {
-		for range 3 { // as a user retries
-			if c := any(); c.Up && do(c) == nil {
-				return true
-			}
-		}
-		return false
-	}
-	atEnd := map[string]bool{}
+	p := &answerPlay{World: w, random: random, atEnd: map[string]bool{}, outcomes: map[wire.JobState]int{}}
 	for tick := range 1200 {
 		each()
 		if tick%8 == 0 {
-			spec := newJob(model.Array, 1+random.IntN(2), func(spec *model.Spec) {
-				spec.Demand = model.Resources{CPU: 0.2, MemGB: 0.2}
-			})
-			take := func(c *Controller) error { return w.Submit(c, spec) }
-			if try(spec, take) {
-				jobs = append(jobs, spec)
-				w.PollAll(spec.ID)
-				_ = try(spec, take) // a repeated submission
-				switch random.IntN(6) {
-				case 0:
-					_ = try(spec, func(c *Controller) error { _, err := w.Cancel(c, spec.ID); return err })
-					_ = try(spec, take)
-					w.PollAll(spec.ID)
-				case 1, 2, 3:
-					atEnd[spec.ID] = true
-				}
-			}
+			p.submitNext()
 		}
 		w.Advance(w.Tick)
-		for _, spec := range jobs {
-			if w.AllCompleted(spec.ID) {
-				if atEnd[spec.ID] && random.IntN(6) == 0 {
-					atEnd[spec.ID] = false
-					_ = try(spec, func(c *Controller) error {
-						v, err := w.Cancel(c, spec.ID)
-						if err == nil {
-							outcomes[v.State]++
-						}
-						return err
-					})
-					_ = try(spec, func(c *Controller) error { return w.Submit(c, spec) })
-					w.PollAll(spec.ID)
-				}
-			}
-		}
+		p.cancelAtEnd()
 	}
 	w.InterceptCommit = nil
-	for _, c := range w.Controllers {
-		if c.StateUnreachable = false; !c.Up {
-			c.Start()
-		}
-	}
+	restoreControllers(w)
 	waitForLeader(t, w, 60*second)
 	w.MarkFaultsEnded()
-	waitUntil(t, w, 120*second, "all jobs are over", func() bool {
-		for _, spec := range jobs {
-			if st, err := w.Poll(any(), spec.ID); err != nil || !st.Ended() {
-				return false
-			}
+	waitUntil(t, w, 120*second, "all jobs have ended", p.allEnded)
+	for _, spec := range p.jobs {
+		_, _ = w.Cancel(p.randomController(), spec.ID) // the answers are checked
+		_ = w.Submit(p.randomController(), spec)
+		w.PollAll(spec.ID)
+	}
+	if len(p.jobs) < 40 {
+		t.Errorf("accepted jobs: got %d, want 40 at least: %s", len(p.jobs), fmt.Sprint(p.outcomes))
+	}
+	return p.outcomes
+}
+
+func (p *answerPlay) randomController() *Controller {
+	return p.Controllers[p.random.IntN(len(p.Controllers))]
+}
+
+// try sends a request to random controllers, up to three times, as a user retries.
+func (p *answerPlay) try(request func(c *Controller) error) bool {
+	for range 3 {
+		if c := p.randomController(); c.Up && request(c) == nil {
+			return true
 		}
-		return true
+	}
+	return false
+}
+
+// submitNext submits a job twice, and cancels it at once, or later, or never.
+func (p *answerPlay) submitNext() {
+	spec := newJob(model.Array, 1+p.random.IntN(2), func(spec *model.Spec) {
+		spec.Demand = model.Resources{CPU: 0.2, MemGB: 0.2}
 	})
-	for _, spec := range jobs {
-		_, _ = w.Cancel(any(), spec.ID)
-		_ = w.Submit(any(), spec)
-		w.PollAll(spec.ID)
+	submit := func(c *Controller) error { return p.Submit(c, spec) }
+	if !p.try(submit) {
+		return
+	}
+	p.jobs = append(p.jobs, spec)
+	p.PollAll(spec.ID)
+	_ = p.try(submit) // a repeated submission
+	switch p.random.IntN(6) {
+	case 0:
+		_ = p.try(func(c *Controller) error {
+			_, err := p.Cancel(c, spec.ID)
+			return err
+		})
+		_ = p.try(submit)
+		p.PollAll(spec.ID)
+	case 1, 2, 3:
+		p.atEnd[spec.ID] = true
+	}
+}
+
+// cancelAtEnd cancels some jobs whose last task has ended, and submits them again.
+func (p *answerPlay) cancelAtEnd() {
+	for _, spec := range p.jobs {
+		if !p.AllCompleted(spec.ID) || !p.atEnd[spec.ID] || p.random.IntN(6) != 0 {
+			continue
+		}
+		p.atEnd[spec.ID] = false
+		_ = p.try(func(c *Controller) error {
+			record, err := p.Cancel(c, spec.ID)
+			if err == nil {
+				p.outcomes[record.State]++
+			}
+			return err
+		})
+		_ = p.try(func(c *Controller) error { return p.Submit(c, spec) })
+		p.PollAll(spec.ID)
 	}
-	if len(jobs) < 40 {
-		t.Errorf("only %d jobs were accepted: %s", len(jobs), fmt.Sprint(outcomes))
+}
+
+// allEnded polls all jobs at random controllers until one has not ended.
+func (p *answerPlay) allEnded() bool {
+	for _, spec := range p.jobs {
+		if state, err := p.Poll(p.randomController(), spec.ID); err != nil || !state.Ended() {
+			return false
+		}
 	}
-	return outcomes
+	return true
 }
 
 // The check of answers has to find each kind of contradiction alone.
--- a/internal/fake/cancellation_test.go
+++ b/internal/fake/cancellation_test.go
@@ -292,6 +292,7 @@
 
 // playRandomCancellations plays one seed and counts the cancellations that were confirmed.
 func playRandomCancellations(t *testing.T, seed uint64) (confirmed int) {
+	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
 	w := newVotingMembers(t, []int{2, 3, 3, 5}[random.IntN(4)], 4)
 	var open []*model.Spec
@@ -313,33 +314,9 @@
 		if leader := w.Leader(); leader != nil && random.IntN(2) == 0 {
 			c = leader
 		}
-		switch random.IntN(15) {
-		case 0, 1, 2:
-			c.StateUnreachable = !c.StateUnreachable
-		case 3:
-			c.ReadsBlocked = !c.ReadsBlocked
-		case 4:
-			c.PeersUnreachable = !c.PeersUnreachable
-		case 5:
-			restartController(c)
-		case 6:
-			if c.Up {
-				c.Crash()
-			} else {
-				c.Start()
-			}
-		case 7, 8:
-			w.State.SetDown(!w.State.Down)
-		case 9:
-			worker := w.Workers[names[random.IntN(len(names))]]
-			if worker != nil {
-				worker.InboundBlocked = !worker.InboundBlocked
-			}
-		default:
-			if len(open) > 0 && c.Up {
-				if _, err := w.Cancel(c, open[0].ID); err == nil {
-					open, confirmed = open[1:], confirmed+1
-				}
+		if !toggleRandomFault(w, random, c, names) && len(open) > 0 && c.Up {
+			if _, err := w.Cancel(c, open[0].ID); err == nil {
+				open, confirmed = open[1:], confirmed+1
 			}
 		}
 		pause := time.Duration(random.IntN(2000)) * time.Millisecond
@@ -350,15 +327,9 @@
 	}
 	w.Advance(w.CancelDeadline) // with whatever faults there are
 	w.State.SetDown(false)
-	for _, c := range w.Controllers {
-		if c.StateUnreachable, c.ReadsBlocked, c.PeersUnreachable = false, false, false; !c.Up {
-			c.Start()
-		}
-	}
-	for _, n := range names {
-		if worker := w.Workers[n]; worker != nil {
-			worker.InboundBlocked = false
-		}
+	restoreControllers(w)
+	for _, worker := range w.Workers {
+		worker.InboundBlocked = false
 	}
 	w.Advance(2 * w.CancelDeadline)
 	for _, spec := range open {
@@ -368,3 +339,33 @@
 	}
 	return confirmed
 }
+
+// toggleRandomFault begins or ends a fault of a controller, the state service or one of some workers. It is false where
+// it has drawn none.
+func toggleRandomFault(w *World, random *rand.Rand, c *Controller, names []string) bool {
+	switch random.IntN(15) {
+	case 0, 1, 2:
+		c.StateUnreachable = !c.StateUnreachable
+	case 3:
+		c.ReadsBlocked = !c.ReadsBlocked
+	case 4:
+		c.PeersUnreachable = !c.PeersUnreachable
+	case 5:
+		restartController(c)
+	case 6:
+		if c.Up {
+			c.Crash()
+		} else {
+			c.Start()
+		}
+	case 7, 8:
+		w.State.SetDown(!w.State.Down)
+	case 9:
+		if worker := w.Workers[names[random.IntN(len(names))]]; worker != nil {
+			worker.InboundBlocked = !worker.InboundBlocked
+		}
+	default:
+		return false
+	}
+	return true
+}
--- a/internal/fake/duplicates_test.go
+++ b/internal/fake/duplicates_test.go
@@ -21,177 +21,222 @@
 	}
 	setRapidFlags(t, flags)
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newTestWorld(2, 1)
-		w.RunTime, w.FetchTime, w.Tick = 6*second, 100*time.Millisecond, 100*time.Millisecond
-		w.cloudExhausted = true // what is preempted on one machine starts on another
-		w.MaxRetainedHeartbeats = 200
-		drawWorker := func(rt *rapid.T) *Worker {
-			if names := w.WorkerNames(); len(names) > 0 {
-				return w.Workers[rapid.SampledFrom(names).Draw(rt, "worker")]
-			}
-			return &Worker{} // all were released
+		d := newDisturbedWorld()
+		// The order of the names is part of what a seed draws.
+		rt.Repeat(map[string]func(*rapid.T){
+			"":                                    d.expectNoViolations,
+			"a job comes":                         d.submit,
+			"a job is cancelled":                  d.cancel,
+			"a machine is back at once":           d.restartWorker,
+			"a machine is inbound-blocked or not": d.toggleInbound,
+			"a machine reaches no controller or does": d.toggleOutbound,
+			"answered commands are repeated":          d.repeatCommands,
+			"answers are lost or not":                 d.toggleAllInbound,
+			"copies of heartbeats come late":          d.replayHeartbeats,
+			"held commands arrive":                    d.deliverHeldCommands,
+			"somebody polls":                          d.poll,
+			"something fails or comes back":           d.toggleFault,
+			"time passes":                             d.advance,
+		})
+		d.endFaults()
+		d.expectNoViolations(rt)
+	})
+}
+
+// disturbedWorld is a deployment whose messages and members are disturbed at random.
+type disturbedWorld struct {
+	*World
+	delivery func() Delivery
+	jobs     []string
+}
+
+func newDisturbedWorld() *disturbedWorld {
+	d := &disturbedWorld{World: newTestWorld(2, 1), delivery: func() Delivery { return Delivered }}
+	d.RunTime, d.FetchTime, d.Tick = 6*second, 100*time.Millisecond, 100*time.Millisecond
+	d.cloudExhausted = true // what is preempted on one machine starts on another
+	d.MaxRetainedHeartbeats = 200
+	for _, c := range d.Controllers {
+		c.settings.CommandHoldOff = 300 * time.Millisecond // so that a retry follows soon
+	}
+	d.NextDelivery = func() Delivery { return d.delivery() }
+	d.Advance(6 * second)
+	return d
+}
+
+func (d *disturbedWorld) drawWorker(rt *rapid.T) *Worker {
+	if names := d.WorkerNames(); len(names) > 0 {
+		return d.Workers[rapid.SampledFrom(names).Draw(rt, "worker")]
+	}
+	return &Worker{} // all were released
+}
+
+func (d *disturbedWorld) drawController(rt *rapid.T) *Controller {
+	return d.Controllers[rapid.IntRange(0, len(d.Controllers)-1).Draw(rt, "controller")]
+}
+
+func (d *disturbedWorld) advance(rt *rapid.T) {
+	deliveries := []Delivery{Delivered, Delivered, AnswerLost, Delayed, Dropped}
+	d.delivery = func() Delivery { return rapid.SampledFrom(deliveries).Draw(rt, "way") }
+	d.Advance(time.Duration(rapid.IntRange(1, 40).Draw(rt, "tenths")) * 100 * time.Millisecond)
+	for len(d.Workers) < 2 {
+		addMachine(d.World, "a", false)
+	}
+}
+
+func (d *disturbedWorld) submit(rt *rapid.T) {
+	c := d.drawController(rt)
+	shapes := []model.Shape{model.Array, model.Array, model.Service}
+	shape, tasks := rapid.SampledFrom(shapes).Draw(rt, "shape"), rapid.IntRange(1, 3).Draw(rt, "tasks")
+	spec := newJob(shape, tasks, func(spec *model.Spec) {
+		priorities := []model.Priority{model.PriorityLow, model.PriorityNormal, model.PriorityProduction}
+		spec.Priority = rapid.SampledFrom(priorities).Draw(rt, "rank")
+		spec.Demand.CPU = float64(rapid.SampledFrom([]int{2, 4, 8}).Draw(rt, "cpus"))
+		if rapid.Bool().Draw(rt, "saves") {
+			spec.CheckpointInterval, spec.CheckpointTime = 2*second, second
 		}
-		drawController := func(rt *rapid.T) *Controller {
-			return w.Controllers[rapid.IntRange(0, len(w.Controllers)-1).Draw(rt, "controller")]
+	})
+	if c.Up && d.Submit(c, spec) == nil {
+		d.jobs = append(d.jobs, spec.ID)
+	}
+}
+
+// cancel cancels one of the last four jobs.
+func (d *disturbedWorld) cancel(rt *rapid.T) {
+	if c := d.drawController(rt); c.Up && len(d.jobs) > 0 {
+		last := len(d.jobs) - 1
+		_, _ = d.Cancel(c, d.jobs[last-min(rapid.IntRange(0, 3).Draw(rt, "job"), last)]) // it need not be answered
+	}
+}
+
+// poll polls a job: answers are checked against each other.
+func (d *disturbedWorld) poll(rt *rapid.T) {
+	if c := d.drawController(rt); c.Up && len(d.jobs) > 0 {
+		_, _ = d.Poll(c, rapid.SampledFrom(d.jobs).Draw(rt, "job")) // it need not be answered
+	}
+}
+
+// deliverHeldCommands delivers some of the held commands, in any order.
+func (d *disturbedWorld) deliverHeldCommands(rt *rapid.T) {
+	for range rapid.IntRange(0, 3).Draw(rt, "how many") {
+		if len(d.HeldCommands) == 0 {
+			return
 		}
-		for _, c := range w.Controllers {
-			c.settings.CommandHoldOff = 300 * time.Millisecond // so that a retry follows soon
+		i := rapid.IntRange(0, len(d.HeldCommands)-1).Draw(rt, "which")
+		deliver := d.HeldCommands[i]
+		d.HeldCommands = append(d.HeldCommands[:i:i], d.HeldCommands[i+1:]...)
+		deliver()
+		d.CheckInvariants()
+	}
+}
+
+// repeatCommands repeats commands that were answered within the last three leases.
+func (d *disturbedWorld) repeatCommands(rt *rapid.T) {
+	for range rapid.IntRange(0, 3).Draw(rt, "how many") {
+		if len(d.RepeatableCommands) == 0 {
+			continue
 		}
-		delivery := func() Delivery { return Delivered }
-		w.NextDelivery = func() Delivery { return delivery() }
-		w.Advance(6 * second)
-		var ids []string
-		poll := func(rt *rapid.T) {
-			if c := drawController(rt); c.Up && len(ids) > 0 {
-				_, _ = w.Poll(c, rapid.SampledFrom(ids).Draw(rt, "job")) // answers are checked against each other
-			}
+		command := d.RepeatableCommands[rapid.IntRange(0, len(d.RepeatableCommands)-1).Draw(rt, "which")]
+		if d.Now().Sub(command.DeliveredAt) < 3*d.Lease {
+			command.Repeat()
+			d.CheckInvariants()
 		}
-		rt.Repeat(map[string]func(*rapid.T){
-			"time passes": func(rt *rapid.T) {
-				delivery = func() Delivery {
-					return rapid.SampledFrom([]Delivery{Delivered, Delivered, AnswerLost, Delayed, Dropped}).Draw(rt, "way")
-				}
-				w.Advance(time.Duration(rapid.IntRange(1, 40).Draw(rt, "tenths")) * 100 * time.Millisecond)
-				for len(w.Workers) < 2 {
-					addMachine(w, "a", false)
-				}
-			},
-			"a job comes": func(rt *rapid.T) {
-				c := drawController(rt)
-				shapes := []model.Shape{model.Array, model.Array, model.Service}
-				shape, tasks := rapid.SampledFrom(shapes).Draw(rt, "shape"), rapid.IntRange(1, 3).Draw(rt, "tasks")
-				spec := newJob(shape, tasks, func(spec *model.Spec) {
-					priorities := []model.Priority{model.PriorityLow, model.PriorityNormal, model.PriorityProduction}
-					spec.Priority = rapid.SampledFrom(priorities).Draw(rt, "rank")
-					spec.Demand.CPU = float64(rapid.SampledFrom([]int{2, 4, 8}).Draw(rt, "cpus"))
-					if rapid.Bool().Draw(rt, "saves") {
-						spec.CheckpointInterval, spec.CheckpointTime = 2*second, second
-					}
-				})
-				if c.Up && w.Submit(c, spec) == nil {
-					ids = append(ids, spec.ID)
-				}
-			},
-			"a job is cancelled": func(rt *rapid.T) {
-				if c := drawController(rt); c.Up && len(ids) > 0 {
-					_, _ = w.Cancel(c, ids[len(ids)-1-min(rapid.IntRange(0, 3).Draw(rt, "job"), len(ids)-1)])
-				}
-			},
-			"somebody polls": poll,
-			"held commands arrive": func(rt *rapid.T) {
-				for range rapid.IntRange(0, 3).Draw(rt, "how many") {
-					if len(w.HeldCommands) == 0 {
-						return
-					}
-					i := rapid.IntRange(0, len(w.HeldCommands)-1).Draw(rt, "which")
-					f := w.HeldCommands[i]
-					w.HeldCommands = append(w.HeldCommands[:i:i], w.HeldCommands[i+1:]...)
-					f()
-					w.CheckInvariants()
-				}
-			},
-			"answers are lost or not": func(rt *rapid.T) {
-				lost := rapid.Bool().Draw(rt, "lost")
-				for _, worker := range w.Workers {
-					worker.InboundBlocked = lost
-				}
-			},
-			"a machine is inbound-blocked or not": func(rt *rapid.T) {
-				worker := drawWorker(rt)
-				worker.InboundBlocked = !worker.InboundBlocked
-			},
-			"a machine reaches no controller or does": func(rt *rapid.T) {
-				worker := drawWorker(rt)
-				worker.OutboundBlocked = !worker.OutboundBlocked
-			},
-			"copies of heartbeats come late": func(rt *rapid.T) {
-				for range rapid.IntRange(0, 4).Draw(rt, "how many") {
-					if len(w.RetainedHeartbeats) > 0 {
-						c := drawController(rt)
-						which := rapid.IntRange(0, len(w.RetainedHeartbeats)-1).Draw(rt, "which")
-						w.ReplayHeartbeat(c, w.RetainedHeartbeats[which])
-					}
-				}
-			},
-			"answered commands are repeated": func(rt *rapid.T) {
-				for range rapid.IntRange(0, 3).Draw(rt, "how many") {
-					if n := len(w.RepeatableCommands); n > 0 {
-						if a := w.RepeatableCommands[rapid.IntRange(0, n-1).Draw(rt, "which")]; w.Now().Sub(a.DeliveredAt) < 3*w.Lease {
-							a.Repeat()
-							w.CheckInvariants()
-						}
-					}
-				}
-			},
-			"a machine is back at once": func(rt *rapid.T) {
-				worker := drawWorker(rt)
-				if worker.env == nil {
-					return
-				}
-				w.RestartWorker(worker)
-				// Heartbeats of its former epoch arrive in between, while leaders change or not.
-				crash := rapid.IntRange(0, 20).Draw(rt, "crash")
-				for i := range rapid.IntRange(0, 60).Draw(rt, "then") {
-					w.Advance(100 * time.Millisecond)
-					if leader := w.Leader(); leader != nil && i == crash {
-						leader.Crash()
-						leader.Start()
-					}
-					if n := len(w.RetainedHeartbeats); n > 0 && rapid.IntRange(0, 2).Draw(rt, "copy") == 0 {
-						if c := w.RetainedHeartbeats[n-1-rapid.IntRange(0, min(n-1, 40)).Draw(rt, "which")]; c.Machine == worker.Name {
-							w.ReplayHeartbeat(drawController(rt), c)
-						}
-					}
-				}
-			},
-			"something fails or comes back": func(rt *rapid.T) {
-				switch c := drawController(rt); rapid.IntRange(0, 16).Draw(rt, "what") {
-				case 4, 5:
-					if c.Up {
-						restartController(c)
-					}
-				case 6:
-					c.StateUnreachable, c.PeersUnreachable = !c.StateUnreachable, !c.StateUnreachable
-				case 0:
-					worker := drawWorker(rt)
-					worker.Partitioned = !worker.Partitioned
-				case 1:
-					c.StateUnreachable = !c.StateUnreachable
-				case 2:
-					if c.Up {
-						c.Crash()
-					}
-				case 3:
-					if !c.Up {
-						c.Start()
-					}
-				}
-			},
-			"": func(rt *rapid.T) {
-				for _, violation := range w.Violations {
-					rt.Fatalf("broken: %s", violation)
-				}
-			},
-		})
-		// All faults end, and the commands that are still held arrive last.
-		delivery = func() Delivery { return Delivered }
-		for _, c := range w.Controllers {
-			if c.StateUnreachable, c.PeersUnreachable = false, false; !c.Up {
-				c.Start()
+	}
+}
+
+func (d *disturbedWorld) replayHeartbeats(rt *rapid.T) {
+	for range rapid.IntRange(0, 4).Draw(rt, "how many") {
+		if len(d.RetainedHeartbeats) > 0 {
+			c := d.drawController(rt)
+			which := rapid.IntRange(0, len(d.RetainedHeartbeats)-1).Draw(rt, "which")
+			d.ReplayHeartbeat(c, d.RetainedHeartbeats[which])
+		}
+	}
+}
+
+func (d *disturbedWorld) toggleAllInbound(rt *rapid.T) {
+	blocked := rapid.Bool().Draw(rt, "lost")
+	for _, worker := range d.Workers {
+		worker.InboundBlocked = blocked
+	}
+}
+
+func (d *disturbedWorld) toggleInbound(rt *rapid.T) {
+	worker := d.drawWorker(rt)
+	worker.InboundBlocked = !worker.InboundBlocked
+}
+
+func (d *disturbedWorld) toggleOutbound(rt *rapid.T) {
+	worker := d.drawWorker(rt)
+	worker.OutboundBlocked = !worker.OutboundBlocked
+}
+
+// restartWorker restarts a machine. Heartbeats of its former incarnation arrive in between, while leaders change or
+// not.
+func (d *disturbedWorld) restartWorker(rt *rapid.T) {
+	worker := d.drawWorker(rt)
+	if worker.env == nil {
+		return
+	}
+	d.RestartWorker(worker)
+	crash := rapid.IntRange(0, 20).Draw(rt, "crash")
+	for i := range rapid.IntRange(0, 60).Draw(rt, "then") {
+		d.Advance(100 * time.Millisecond)
+		if leader := d.Leader(); leader != nil && i == crash {
+			restartController(leader)
+		}
+		if n := len(d.RetainedHeartbeats); n > 0 && rapid.IntRange(0, 2).Draw(rt, "copy") == 0 {
+			heartbeat := d.RetainedHeartbeats[n-1-rapid.IntRange(0, min(n-1, 40)).Draw(rt, "which")]
+			if heartbeat.Machine == worker.Name {
+				d.ReplayHeartbeat(d.drawController(rt), heartbeat)
 			}
 		}
-		for _, worker := range w.Workers {
-			worker.InboundBlocked, worker.Partitioned, worker.OutboundBlocked = false, false, false
+	}
+}
+
+// toggleFault begins or ends a fault of a controller or a worker.
+func (d *disturbedWorld) toggleFault(rt *rapid.T) {
+	c := d.drawController(rt)
+	switch rapid.IntRange(0, 16).Draw(rt, "what") {
+	case 0:
+		worker := d.drawWorker(rt)
+		worker.Partitioned = !worker.Partitioned
+	case 1:
+		c.StateUnreachable = !c.StateUnreachable
+	case 2:
+		if c.Up {
+			c.Crash()
 		}
-		w.Advance(w.CancelDeadline + 10*second)
-		for _, f := range w.HeldCommands {
-			f()
-			w.CheckInvariants()
+	case 3:
+		if !c.Up {
+			c.Start()
 		}
-		w.MarkFaultsEnded()
-		w.Advance(maxWaitWithRoom + 5*second)
-		for _, violation := range w.Violations {
-			rt.Fatalf("broken: %s", violation)
+	case 4, 5:
+		if c.Up {
+			restartController(c)
 		}
-	})
+	case 6:
+		c.StateUnreachable, c.PeersUnreachable = !c.StateUnreachable, !c.StateUnreachable
+	}
+}
+
+// endFaults ends all faults. The commands that are still held arrive last.
+func (d *disturbedWorld) endFaults() {
+	d.delivery = func() Delivery { return Delivered }
+	restoreControllers(d.World)
+	for _, worker := range d.Workers {
+		worker.InboundBlocked, worker.Partitioned, worker.OutboundBlocked = false, false, false
+	}
+	d.Advance(d.CancelDeadline + 10*second)
+	for _, deliver := range d.HeldCommands {
+		deliver()
+		d.CheckInvariants()
+	}
+	d.MarkFaultsEnded()
+	d.Advance(maxWaitWithRoom + 5*second)
+}
+
+func (d *disturbedWorld) expectNoViolations(rt *rapid.T) {
+	for _, violation := range d.Violations {
+		rt.Fatalf("broken: %s", violation)
+	}
 }
--- a/internal/fake/failover_test.go
+++ b/internal/fake/failover_test.go
@@ -35,72 +35,68 @@
 func TestTenFailoversInTwoMinutesKeepJobsRunning(t *testing.T) {
 	for _, how := range []string{"crashes", "is back at once", "hands over", "all end, one is back", "is refused"} {
 		for _, outage := range []bool{false, true} {
-			t.Run(fmt.Sprint(how, ", outage ", outage), func(t *testing.T) {
-				random := rand.New(rand.NewPCG(3, 3))
-				w := newVotingMembers(t, 3, 12)
-				w.PollOnCommit = true
-				w.Capacity = 20
-				few := func(spec *model.Spec) { spec.Team = "blue" }
-				long, serve, gang := newJob(model.Array, 8, nil), newJob(model.Service, 4, few), newJob(model.Gang, 4, nil)
-				startJobs(t, w, long, serve, gang)
-				for _, n := range w.WorkerNames()[:2] {
-					w.Workers[n].Partitioned = true // earlier tasks wait until these are known to be empty
-				}
-				provisioned := w.ProvisionedTotal()
-				took, at := 0, w.Now()
-				var gone []*model.Spec
-				for range 10 {
-					leader := w.Leader()
-					if leader == nil {
-						waitForLeader(t, w, 40*second)
-						leader = w.Leader()
-					}
-					took++
-					spec := newJob(model.Array, 1, few)
-					if w.Submit(leader, spec) == nil {
-						gone = append(gone, spec)
-					}
-					w.Advance(time.Duration(random.IntN(3000)) * time.Millisecond)
-					if outage && took == 5 {
-						w.State.SetDown(true)
-					}
-					leaderChanges[how](w, leader)
-					if len(gone) > 0 {
-						if c := nonLeader(w, leader); c.Up {
-							_, _ = w.Cancel(c, gone[0].ID) // it need not be answered
-						}
-					}
-					w.Advance(time.Duration(3000+random.IntN(4000)) * time.Millisecond)
-					if outage && took == 5 {
-						leaderChanges[how](w, leader)
-						w.Advance(8 * second)
-						w.State.SetDown(false)
-					}
-					for _, c := range w.Controllers {
-						if c.StateUnreachable, c.PeersUnreachable = false, false; !c.Up {
-							c.Start()
-						}
-					}
-				}
-				if spell := w.Now().Sub(at); spell > 150*second {
-					t.Errorf("%d changes took %v", took, spell)
-				}
-				for _, n := range w.WorkerNames() {
-					w.Workers[n].Partitioned = false
-				}
-				w.MarkFaultsEnded()
-				waitUntil(t, w, 90*second, "all runs", func() bool {
-					return activeTasks(w, long) == 8 && activeTasks(w, serve) == 4 && activeTasks(w, gang) == 4
-				})
-				w.Advance(w.CancelDeadline)
-				if n := w.ProvisionedTotal() - provisioned; n > 12 {
-					t.Errorf("provisioned machines: got %d, want 12 at most", n)
-				}
-			})
+			t.Run(fmt.Sprint(how, ", outage ", outage), func(t *testing.T) { playTenFailovers(t, leaderChanges[how], outage) })
 		}
 	}
 }
 
+// playTenFailovers plays ten changes of the leader, perhaps one of them in an outage.
+func playTenFailovers(t *testing.T, change func(w *World, leader *Controller), outage bool) {
+	t.Helper()
+	random := rand.New(rand.NewPCG(3, 3))
+	w := newVotingMembers(t, 3, 12)
+	w.PollOnCommit = true
+	w.Capacity = 20
+	blue := func(spec *model.Spec) { spec.Team = "blue" }
+	long, serve, gang := newJob(model.Array, 8, nil), newJob(model.Service, 4, blue), newJob(model.Gang, 4, nil)
+	startJobs(t, w, long, serve, gang)
+	for _, name := range w.WorkerNames()[:2] {
+		w.Workers[name].Partitioned = true // earlier tasks wait until these are known to be empty
+	}
+	provisioned, began := w.ProvisionedTotal(), w.Now()
+	var cancelled []*model.Spec
+	for i := range 10 {
+		inOutage := outage && i == 4
+		if w.Leader() == nil {
+			waitForLeader(t, w, 40*second)
+		}
+		leader := w.Leader()
+		spec := newJob(model.Array, 1, blue)
+		if w.Submit(leader, spec) == nil {
+			cancelled = append(cancelled, spec)
+		}
+		w.Advance(time.Duration(random.IntN(3000)) * time.Millisecond)
+		if inOutage {
+			w.State.SetDown(true)
+		}
+		change(w, leader)
+		if c := nonLeader(w, leader); len(cancelled) > 0 && c.Up {
+			_, _ = w.Cancel(c, cancelled[0].ID) // it need not be answered
+		}
+		w.Advance(time.Duration(3000+random.IntN(4000)) * time.Millisecond)
+		if inOutage {
+			change(w, leader)
+			w.Advance(8 * second)
+			w.State.SetDown(false)
+		}
+		restoreControllers(w)
+	}
+	if took := w.Now().Sub(began); took > 150*second {
+		t.Errorf("ten failovers: got %v, want 150 s at most", took)
+	}
+	for _, worker := range w.Workers {
+		worker.Partitioned = false
+	}
+	w.MarkFaultsEnded()
+	waitUntil(t, w, 90*second, "all tasks run", func() bool {
+		return activeTasks(w, long) == 8 && activeTasks(w, serve) == 4 && activeTasks(w, gang) == 4
+	})
+	w.Advance(w.CancelDeadline)
+	if n := w.ProvisionedTotal() - provisioned; n > 12 {
+		t.Errorf("provisioned machines: got %d, want 12 at most", n)
+	}
+}
+
 // All controllers are down or frozen for longer than a lease. Jobs that were cancelled right before are stopped in
 // time, those that were accepted are known, and all that was running runs again.
 func TestJobsResumeAfterAllControllersAwayBeyondLease(t *testing.T) {
--- a/internal/fake/fleet_test.go
+++ b/internal/fake/fleet_test.go
@@ -68,85 +68,93 @@
 	}
 }
 
-// The faults that operators' fleets have seen, on forty machines: afterwards all replicas run again, and no invariant
-// was broken meanwhile.
-func TestFleetRecoversFromEachFault(t *testing.T) {
-	crash := func(w *World, back time.Duration) {
-		for _, c := range w.Controllers {
-			c.Crash()
-		}
-		w.Advance(back)
-		for _, c := range w.Controllers {
-			c.Start()
-		}
+// crashAllFor ends all controllers for some time.
+func crashAllFor(w *World, downtime time.Duration) {
+	for _, c := range w.Controllers {
+		c.Crash()
 	}
-	outage := func(w *World, d time.Duration, during func()) {
-		w.State.SetDown(true)
-		during()
-		w.Advance(d)
-		w.State.SetDown(false)
+	w.Advance(downtime)
+	for _, c := range w.Controllers {
+		c.Start()
 	}
-	cut := func(w *World, one int, cut bool) {
-		for i, n := range w.WorkerNames() {
-			if i%one == 0 {
-				w.Workers[n].Partitioned = cut
-			}
+}
+
+// outageFor has the state service down while something happens, and for some time after it.
+func outageFor(w *World, d time.Duration, during func()) {
+	w.State.SetDown(true)
+	during()
+	w.Advance(d)
+	w.State.SetDown(false)
+}
+
+// partitionOneIn partitions one machine in a number of them, or ends that.
+func partitionOneIn(w *World, number int, partitioned bool) {
+	for i, name := range w.WorkerNames() {
+		if i%number == 0 {
+			w.Workers[name].Partitioned = partitioned
 		}
 	}
-	for _, c := range []struct {
-		name   string
-		within time.Duration // of the end of the fault
-		do     func(w *World)
-	}{
-		{"all controllers crash, twice", 10 * second, func(w *World) {
-			crash(w, 3*second)
-			w.Advance(4 * second)
-			crash(w, 3*second)
-		}},
-		{"a roll during an outage", 12 * second, func(w *World) {
-			outage(w, 2*second, func() {
-				for _, c := range w.Controllers {
-					c.Crash()
-					w.Advance(3 * second)
-					c.Start()
-				}
-			})
-		}},
-		{"an outage just after all have crashed", 10 * second, func(w *World) {
-			crash(w, second)
-			outage(w, 14*second, func() {})
-		}},
-		{"half of all machines go and return in one moment", 5 * second, func(w *World) {
-			cut(w, 2, true)
-			w.Advance(9 * second)
-			cut(w, 2, false)
-		}},
-		{"half of all machines are gone for longer than their leases", 20 * second, func(w *World) {
-			cut(w, 2, true)
-			w.Advance(w.Lease + 3*second)
-			cut(w, 2, false)
-		}},
-		{"machines go, and then all controllers crash", 20 * second, func(w *World) {
-			cut(w, 4, true)
-			w.Advance(2 * second)
-			crash(w, 3*second)
-			w.Advance(10 * second)
-			cut(w, 4, false)
-		}},
-		{"members that do not reach each other", 10 * second, func(w *World) {
-			w.ControllersPartitioned = true
-			w.Leader().Crash()
-			w.Advance(20 * second)
-			w.ControllersPartitioned = false
-		}},
-		{"the leader stands still and goes on", 10 * second, func(w *World) {
-			old := w.Leader()
-			old.Up = false
-			w.Advance(20 * second)
-			old.Up = true
-		}},
-	} {
-		t.Run(c.name, func(t *testing.T) {
+}
+
+// fleetFaults are faults that operators' fleets have seen.
+var fleetFaults = []struct {
+	name   string
+	within time.Duration // after the fault all replicas run again
+	play   func(w *World)
+}{
+	{"all controllers crash, twice", 10 * second, func(w *World) {
+		crashAllFor(w, 3*second)
+		w.Advance(4 * second)
+		crashAllFor(w, 3*second)
+	}},
+	{"a roll during an outage", 12 * second, func(w *World) {
+		outageFor(w, 2*second, func() {
+			for _, c := range w.Controllers {
+				c.Crash()
+				w.Advance(3 * second)
+				c.Start()
+			}
+		})
+	}},
+	{"an outage just after all have crashed", 10 * second, func(w *World) {
+		crashAllFor(w, second)
+		outageFor(w, 14*second, func() {})
+	}},
+	{"half of all machines go and return in one moment", 5 * second, func(w *World) {
+		partitionOneIn(w, 2, true)
+		w.Advance(9 * second)
+		partitionOneIn(w, 2, false)
+	}},
+	{"half of all machines are gone for longer than their leases", 20 * second, func(w *World) {
+		partitionOneIn(w, 2, true)
+		w.Advance(w.Lease + 3*second)
+		partitionOneIn(w, 2, false)
+	}},
+	{"machines go, and then all controllers crash", 20 * second, func(w *World) {
+		partitionOneIn(w, 4, true)
+		w.Advance(2 * second)
+		crashAllFor(w, 3*second)
+		w.Advance(10 * second)
+		partitionOneIn(w, 4, false)
+	}},
+	{"members that do not reach each other", 10 * second, func(w *World) {
+		w.ControllersPartitioned = true
+		w.Leader().Crash()
+		w.Advance(20 * second)
+		w.ControllersPartitioned = false
+	}},
+	{"the leader stands still and goes on", 10 * second, func(w *World) {
+		old := w.Leader()
+		old.Up = false
+		w.Advance(20 * second)
+		old.Up = true
+	}},
+}
+
+// After each fault, on forty machines, all replicas run again, and no invariant was broken meanwhile.
+func TestFleetRecoversFromEachFault(t *testing.T) {
+	for _, fault := range fleetFaults {
+		t.Run(fault.name, func(t *testing.T) {
 			w := newScaledDeployment(t, 40, 40)
 			w.cloudExhausted, w.RunTime = true, 20*second
 			var services []*model.Spec
@@ -156,7 +164,7 @@
 				submitJob(t, w, spec)
 				submitJob(t, w, newJob(model.Array, 3, func(spec *model.Spec) { spec.Priority = model.PriorityLow }))
 			}
-			all := func() bool {
+			allRun := func() bool {
 				for _, spec := range services {
 					if activeTasks(w, spec) != spec.Tasks {
 						return false
@@ -164,10 +172,10 @@
 				}
 				return true
 			}
-			waitUntil(t, w, 30*second, "all replicas run", all)
-			c.do(w)
-			waitUntil(t, w, c.within, "a controller leads and all replicas run", func() bool {
-				return w.Leader() != nil && all()
+			waitUntil(t, w, 30*second, "all replicas run", allRun)
+			fault.play(w)
+			waitUntil(t, w, fault.within, "a controller leads and all replicas run", func() bool {
+				return w.Leader() != nil && allRun()
 			})
 			w.Advance(5 * second)
 		})
--- a/internal/fake/operations_test.go
+++ b/internal/fake/operations_test.go
@@ -60,10 +60,9 @@
 	}
 }
 
-// A guest team without a guarantee submits a swarm of small jobs with near deadlines, a huge array, and jobs of low
-// priority. The other teams' production and what is within their guarantees starts soon, and the guests are not
-// starved.
-func TestGuestTeamSwarmDoesNotStarveOthers(t *testing.T) {
+// newGuestDeployment is a deployment with a third team, guest, that has neither a guarantee nor a quota.
+func newGuestDeployment(t *testing.T) *World {
+	t.Helper()
 	w := newTestWorldOf(3, 12, 4)
 	expectNoViolations(t, w)
 	for _, c := range w.Controllers {
@@ -75,68 +74,85 @@
 	w.Teams["guest"] = model.Team{Name: "guest"}
 	waitForLeader(t, w, 20*second)
 	w.Capacity, w.RunTime = 16, 6*second
-	guest := func(class string, rank model.Priority, due time.Duration) func(spec *model.Spec) {
-		return func(spec *model.Spec) {
-			spec.Team, spec.Class, spec.Priority, spec.Deadline, spec.EstimatedRunTime = "guest", class, rank, due, 6*second
-			spec.Demand = model.Resources{CPU: 2, MemGB: 1}
-		}
-	}
-	atlas := newJob(model.Array, 600, guest("atlas", model.PriorityLow, 0))
+	return w
+}
+
+// newGuestJob makes a job of the team guest.
+func newGuestJob(tasks int, class string, priority model.Priority, deadline time.Duration) *model.Spec {
+	return newJob(model.Array, tasks, func(spec *model.Spec) {
+		spec.Team, spec.Class, spec.Priority = "guest", class, priority
+		spec.Deadline, spec.EstimatedRunTime = deadline, 6*second
+		spec.Demand = model.Resources{CPU: 2, MemGB: 1}
+	})
+}
+
+// A guest team without a guarantee submits a swarm of small jobs with near deadlines, a huge array, and jobs of low
+// priority. The other teams' production and what is within their guarantees starts soon, and the guests are not
+// starved.
+func TestGuestTeamSwarmDoesNotStarveOthers(t *testing.T) {
+	w := newGuestDeployment(t)
+	atlas := newGuestJob(600, "atlas", model.PriorityLow, 0)
 	submitJob(t, w, atlas)
-	begun := map[string]int{}
-	count := map[string]int{}
-	var own, swarm, idle []*model.Spec
-	at := map[string]time.Time{}
-	submitted := func(spec *model.Spec) *model.Spec {
+	guests := []*model.Spec{atlas}
+	var own []*model.Spec
+	submittedAt := map[string]time.Time{}
+	submit := func(spec *model.Spec) *model.Spec {
 		submitJob(t, w, spec)
-		at[spec.ID] = w.Now()
+		submittedAt[spec.ID] = w.Now()
 		return spec
 	}
-	late := 0
-	waitsFor := map[string]bool{}
+	late, waiting := 0, map[string]bool{}
 	for tick := range 1600 {
 		if tick%4 == 0 {
-			swarm = append(swarm, submitted(newJob(model.Array, 1, guest("swarm", model.PriorityNormal, 8*second))))
+			guests = append(guests, submit(newGuestJob(1, "swarm", model.PriorityNormal, 8*second)))
 		}
 		if tick%100 == 0 {
-			idle = append(idle, submitted(newJob(model.Array, 4, guest("idle", model.PriorityLow, 0))))
+			guests = append(guests, submit(newGuestJob(4, "idle", model.PriorityLow, 0)))
 		}
 		if tick%160 == 80 && len(own) < 10 {
 			spec := newJob(model.Array, 2, nil)
 			if len(own)%3 == 0 {
 				spec = newJob(model.Service, 2, func(spec *model.Spec) { spec.Priority = model.PriorityProduction })
 			}
-			own = append(own, submitted(spec))
-			waitsFor[spec.ID] = true
+			own = append(own, submit(spec))
+			waiting[spec.ID] = true
 		}
 		w.Advance(100 * time.Millisecond)
 		for _, spec := range own {
-			if waitsFor[spec.ID] && startCount(w, spec) >= spec.Tasks {
-				delete(waitsFor, spec.ID)
-				if w.Now().Sub(at[spec.ID]) > 10*second {
+			if waiting[spec.ID] && startCount(w, spec) >= spec.Tasks {
+				delete(waiting, spec.ID)
+				if w.Now().Sub(submittedAt[spec.ID]) > 10*second {
 					late++
 				}
 			}
 		}
 	}
-	if late > 1 || len(waitsFor) > 1 {
-		t.Errorf("of %d jobs within a guarantee %d started after 10 s, and %d did not", len(own), late, len(waitsFor))
+	if late > 1 || len(waiting) > 1 {
+		t.Errorf("of %d jobs within a guarantee %d started after 10 s, and %d did not", len(own), late, len(waiting))
 	}
 	w.MarkFaultsEnded()
 	w.Advance(95 * second)
-	for _, spec := range append(append(swarm, idle...), atlas) {
-		if count[spec.Class]++; startCount(w, spec) > 0 {
-			begun[spec.Class]++
+	expectHalfStarted(t, w, guests)
+	if started := startCount(w, atlas); started < 60 {
+		t.Errorf("started tasks of the huge array: got %d, want 60 at least", started)
+	}
+}
+
+// expectHalfStarted expects half of the jobs of each class to have started.
+func expectHalfStarted(t *testing.T, w *World, specs []*model.Spec) {
+	t.Helper()
+	started, count := map[string]int{}, map[string]int{}
+	for _, spec := range specs {
+		count[spec.Class]++
+		if startCount(w, spec) > 0 {
+			started[spec.Class]++
 		}
 	}
 	for class, n := range count {
-		if 2*begun[class] < n {
-			t.Errorf("%s: %d of %d have begun", class, begun[class], n)
+		if 2*started[class] < n {
+			t.Errorf("started jobs of the class %s: got %d of %d, want half of them", class, started[class], n)
 		}
 	}
-	if startCount(w, atlas) < 60 {
-		t.Errorf("%d of the huge array's tasks have started", startCount(w, atlas))
-	}
 }
 
 // faultyMachineRecorder is a log handler that notes which machines a leader drains as faulty.
--- a/internal/fake/quota_test.go
+++ b/internal/fake/quota_test.go
@@ -67,64 +67,66 @@
 		for _, leaderFault := range []string{"stays", "ends", "ends first", "is refused, and the state service is out"} {
 			for _, long := range []time.Duration{5 * second, 11 * second, 40 * second} {
 				t.Run(fmt.Sprint(way.name, " ", long, ", the leader ", leaderFault), func(t *testing.T) {
-					w, run, wait := newDeploymentAtLimits(t)
-					gone := []*model.Spec{run[0], run[1], run[16], run[17]}
-					var far []*Worker
-					for _, spec := range gone {
-						for _, worker := range workersOf(w, spec) {
-							way.set(worker, true)
-							far = append(far, worker)
-						}
-					}
-					leader := w.Leader()
-					switch leaderFault {
-					case "ends first":
-						leader.Crash()
-						waitForLeader(t, w, 20*second)
-						cancelJobs(t, w, w.Leader(), gone...)
-					case "is refused, and the state service is out":
-						leader.StateUnreachable = true
-						cancelJobs(t, w, nonLeader(w, leader), gone...)
-						w.Advance(second)
-						w.State.SetDown(true)
-					case "ends":
-						cancelJobs(t, w, leader, gone...)
-						leader.Crash()
-					default:
-						cancelJobs(t, w, leader, gone...)
-					}
-					w.Advance(long)
-					for _, worker := range far {
-						way.set(worker, false)
-					}
-					w.DeliverHeldCommands()
-					w.Advance(w.CancelDeadline + 5*second - long%w.CancelDeadline)
-					w.State.SetDown(false)
-					for _, c := range w.Controllers {
-						if c.StateUnreachable = false; !c.Up {
-							c.Start()
-						}
-					}
-					w.Advance(second)
-					w.MarkFaultsEnded()
-					waitUntil(t, w, 90*second, "the jobs that waited use the freed quota", func() bool {
-						n := 0
-						for _, spec := range wait {
-							n += activeTasks(w, spec)
-						}
-						return n >= 8
-					})
-					for _, spec := range gone {
-						if activeTasks(w, spec) > 0 {
-							t.Errorf("%s runs", spec.ID)
-						}
-					}
+					playCancellationAtQuota(t, way, leaderFault, long)
 				})
 			}
 		}
 	}
 }
 
+// playCancellationAtQuota cancels jobs whose machines are out of reach for some time.
+func playCancellationAtQuota(t *testing.T, way disconnection, leaderFault string, long time.Duration) {
+	t.Helper()
+	w, run, wait := newDeploymentAtLimits(t)
+	gone := []*model.Spec{run[0], run[1], run[16], run[17]}
+	var far []*Worker
+	for _, spec := range gone {
+		for _, worker := range workersOf(w, spec) {
+			way.set(worker, true)
+			far = append(far, worker)
+		}
+	}
+	leader := w.Leader()
+	switch leaderFault {
+	case "ends first":
+		leader.Crash()
+		waitForLeader(t, w, 20*second)
+		cancelJobs(t, w, w.Leader(), gone...)
+	case "is refused, and the state service is out":
+		leader.StateUnreachable = true
+		cancelJobs(t, w, nonLeader(w, leader), gone...)
+		w.Advance(second)
+		w.State.SetDown(true)
+	case "ends":
+		cancelJobs(t, w, leader, gone...)
+		leader.Crash()
+	default:
+		cancelJobs(t, w, leader, gone...)
+	}
+	w.Advance(long)
+	for _, worker := range far {
+		way.set(worker, false)
+	}
+	w.DeliverHeldCommands()
+	w.Advance(w.CancelDeadline + 5*second - long%w.CancelDeadline)
+	w.State.SetDown(false)
+	restoreControllers(w)
+	w.Advance(second)
+	w.MarkFaultsEnded()
+	waitUntil(t, w, 90*second, "the jobs that waited use the freed quota", func() bool {
+		active := 0
+		for _, spec := range wait {
+			active += activeTasks(w, spec)
+		}
+		return active >= 8
+	})
+	for _, spec := range gone {
+		if active := activeTasks(w, spec); active > 0 {
+			t.Errorf("tasks of the cancelled job %s: got %d, want none", spec.ID, active)
+		}
+	}
+}
+
 // A machine hangs while a task of a cancelled job saves its checkpoint, or right after it has answered the stop, and
 // goes on within its lease: the task is stopped in time all the same.
 func TestCancelledCheckpointingTaskOnHungMachineStopsInTime(t *testing.T) {
--- a/internal/fake/scenario_helpers_test.go
+++ b/internal/fake/scenario_helpers_test.go
@@ -350,6 +350,16 @@
 	c.Start()
 }
 
+// restoreControllers ends the faults of all controllers, and starts those that are down.
+func restoreControllers(w *World) {
+	for _, c := range w.Controllers {
+		c.ControllerFaults = ControllerFaults{}
+		if !c.Up {
+			c.Start()
+		}
+	}
+}
+
 // restartAll ends all controllers and starts them again under the world's limits; chunkTasks is the number of tasks of
 // a chunk in the legacy layout, 0: the current layout.
 func restartAll(t *testing.T, w *World, chunkTasks int) {
