--- a/internal/fake/zones_test.go
+++ b/internal/fake/zones_test.go
@@ -14,7 +14,7 @@
 // Every heartbeat of the last seconds arrives again at every controller just as a new leader takes over, and again
 // when it acts. The tasks of a job end far apart. Each task starts once.
 func TestReplayedHeartbeatsAtFailoverStartTasksOnce(t *testing.T) {
-	for _, session := range []bool{false, true} {
+	for _, expireLeases := range []bool{false, true} {
 		w := newVotingMembers(t, 3, 4)
 		w.PollOnCommit, w.MaxRetainedHeartbeats = true, 1000
 		w.RunTimeOf = func(id model.TaskID) time.Duration { return time.Duration(3+18*id.Index) * second }
@@ -34,7 +34,7 @@
 		var killed int
 		for range 4 {
 			w.Advance(7 * second)
-			if session && killed == 0 { // heartbeats of an earlier epoch are among them
+			if expireLeases && killed == 0 { // heartbeats of an earlier epoch are among them
 				for _, worker := range w.Workers {
 					worker.Partitioned = true
 				}
@@ -56,13 +56,13 @@
 			w.Advance(second)
 			again()
 		}
-		if len(w.RetainedHeartbeats) < 100 || session && killed == 0 {
+		if len(w.RetainedHeartbeats) < 100 || expireLeases && killed == 0 {
 			t.Errorf("%d copies, %d tasks killed by their leases", len(w.RetainedHeartbeats), killed)
 		}
 		w.MarkFaultsEnded()
 		for _, spec := range jobs {
 			waitUntil(t, w, 120*second, "done", jobDone(t, w, spec))
-			if n := startCount(w, spec); !session && n != spec.Tasks {
+			if n := startCount(w, spec); !expireLeases && n != spec.Tasks {
 				t.Errorf("%d starts of %d tasks", n, spec.Tasks)
 			}
 		}
