--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -17,13 +17,13 @@
 	readSnapshotRetry = 200 * time.Millisecond
 )
 
-// postElectionEvent has the election take an event, before all other messages.
+// postElectionEvent passes an event to the election, ahead of all other messages.
 func (c *Controller) postElectionEvent(ev election.Event) {
 	c.loop.postUrgent(func(now time.Time) { c.stepElection(now, ev) })
 }
 
-// stepElection has the election take an event, starts the effects that it asks for, and publishes what has
-// become of the leadership.
+// stepElection passes an event to the election, starts the effects that it returns, and publishes the state
+// of the leadership.
 func (c *Controller) stepElection(now time.Time, ev election.Event) {
 	for _, effect := range c.election.Step(now, ev) {
 		c.performElection(effect)
@@ -53,7 +53,7 @@
 	case election.RequestVotes:
 		c.requestVotes(c.term, e)
 	case election.QueryLeadership:
-		c.askWhoLeads()
+		c.queryLeadership()
 	case election.ReleaseVotes:
 		c.releaseVotes(e.FencingToken)
 	case election.Elected:
@@ -75,7 +75,7 @@
 	return effects.ElectionExecutor{Member: c.platform.Member, State: c.store, Now: time.Now}
 }
 
-// revokeLease gives a lease up. One that cannot be revoked expires.
+// revokeLease revokes a lease. One that cannot be revoked expires.
 func (c *Controller) revokeLease(leaseID uint64) {
 	for range revokeAttempts {
 		if c.store.RevokeLease(leaseID) == nil {
@@ -85,7 +85,8 @@
 	}
 }
 
-// stepDown gives the leadership up as the process ends, so that nobody has to wait for its lease to expire.
+// stepDown ends the leadership as the process ends, so that the next leader need not wait for its lease to
+// expire.
 func (c *Controller) stepDown(now time.Time) {
 	for _, effect := range c.election.Step(now, election.Resign{}) {
 		revoke, ok := effect.(election.RevokeLease)
--- a/internal/controller/member_status.go
+++ b/internal/controller/member_status.go
@@ -8,7 +8,7 @@
 	"github.com/glentiller/glentiller/internal/election"
 )
 
-// MemberStatus returns where this controller stands, for the operators' interface.
+// MemberStatus returns this controller's status for the operators' interface.
 func (c *Controller) MemberStatus(ctx context.Context) (*admin.MemberStatus, error) {
 	var hold loopHold
 	member, err := runInLoop(ctx, c.loop.urgent, func(time.Time) election.Status {
@@ -27,7 +27,7 @@
 		LeadershipSeconds:      member.ValidRemaining.Seconds(),
 		VoteSeconds:            member.VoteDuration.Seconds(),
 		VotesSeconds:           map[string]float64{},
-		BoundSeconds:           member.ClaimBlockedFor.Seconds(),
+		ClaimBlockedSeconds:    member.ClaimBlockedFor.Seconds(),
 		StateUnansweredSeconds: c.store.UnreachableFor(time.Now()).Seconds(),
 		Load: admin.Load{
 			LongestHoldSeconds: hold.duration.Seconds(),
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -16,15 +16,15 @@
 	// maxVoteDuration bounds what a request may ask for.
 	maxVoteDuration = time.Minute
 
-	// maxContactLead is by how much more recently than a leader this member may have heard from the state
-	// service and still vote for it, while the state service serves this member. With more, the leader alone
-	// is cut off, and another member had better lead. If the state service is down for this member too,
-	// nobody could take over, and the vote keeps alive what runs.
+	// maxContactLead is by how much more recently than a leader this member may have had an answer of the
+	// state service and still vote for it, while the state service serves this member. With more, the leader
+	// alone is cut off, and another member had better lead. If the state service is down for this member too,
+	// no member could take over, and the vote keeps running tasks alive.
 	maxContactLead = 2 * time.Second
 )
 
-// requestVotes asks all other members to vote for this leader. Their answers also carry the cancellations
-// that they know of.
+// requestVotes requests the votes of all other members for this leader. Their answers also carry the
+// cancellations that they know of.
 func (c *Controller) requestVotes(term uint64, e election.RequestVotes) {
 	now := time.Now()
 	var silence time.Duration // of the state service
@@ -49,7 +49,8 @@
 	}
 }
 
-// requestVote asks one member, and has the election take its vote if the same leadership still lasts.
+// requestVote requests the vote of one member, and passes it to the election if the same leadership still
+// lasts.
 func (c *Controller) requestVote(term uint64, name string, client *peer.Client, request *peerpb.PromiseAsk) {
 	ctx, cancel := context.WithTimeout(c.tasks.ctx, voteTimeout)
 	defer cancel()
@@ -65,7 +66,7 @@
 		// The loop's time may be from before the answer came. With it a vote could count after the lease has
 		// expired, if the process was suspended in between.
 		now := time.Now()
-		c.learnCancellations(now, sent, name, answer)
+		c.applyReportedCancellations(now, sent, name, answer)
 		if !answer.GetGranted() {
 			return
 		}
@@ -79,8 +80,8 @@
 	})
 }
 
-// askWhoLeads asks the other members whether they lead, for a member that has just started.
-func (c *Controller) askWhoLeads() {
+// queryLeadership asks the other members whether they lead, for a member that has just started.
+func (c *Controller) queryLeadership() {
 	for name, client := range c.peers {
 		c.tasks.spawn(func() {
 			ctx, cancel := context.WithTimeout(c.tasks.ctx, voteTimeout)
@@ -94,7 +95,7 @@
 	}
 }
 
-// releaseVotes tells the other members that this leader needs their votes no more.
+// releaseVotes releases the votes of the other members, which this leader no longer needs.
 func (c *Controller) releaseVotes(token uint64) {
 	for _, client := range c.peers {
 		c.tasks.spawn(func() {
@@ -108,10 +109,13 @@
 	}
 }
 
-// HandleVoteRequest answers a leader that asks for this member's vote, and a member that asks who leads.
-func (h peerHandler) HandleVoteRequest(ctx context.Context, q *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
+// HandleVoteRequest answers a leader that requests or releases this member's vote, and a member that asks
+// who leads.
+func (h peerHandler) HandleVoteRequest(ctx context.Context, request *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
 	c := h.controller
-	answer, err := runInLoop(ctx, c.loop.urgent, func(time.Time) *peerpb.PromiseAnswer { return c.answerVote(ctx, q) })
+	answer, err := runInLoop(ctx, c.loop.urgent, func(time.Time) *peerpb.PromiseAnswer {
+		return c.answerVote(ctx, request)
+	})
 	if err != nil {
 		return &peerpb.PromiseAnswer{Leads: true} // it may lead: nothing is known
 	}
@@ -120,19 +124,19 @@
 
 // answerVote answers within the event loop. The loop's time may be from before the request was sent, and a
 // vote that is counted from there would end too early, so the clock is read anew.
-func (c *Controller) answerVote(ctx context.Context, q *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
+func (c *Controller) answerVote(ctx context.Context, request *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
 	now := time.Now()
 	answer := &peerpb.PromiseAnswer{Member: c.platform.Member}
 	switch {
-	case q.GetToken() == 0:
+	case request.GetToken() == 0:
 		state := c.election.State()
 		answer.Leads = state == election.Leading || state == election.Claiming
-	case q.GetRelease():
-		c.election.HandleVoteRelease(q.GetToken())
+	case request.GetRelease():
+		c.election.HandleVoteRelease(request.GetToken())
 	case ctx.Err() == nil:
-		complete := c.addCancellations(answer, q)
-		if complete || q.GetWords() {
-			duration := c.grantVote(now, q)
+		complete := c.addCancellations(answer, request)
+		if complete || request.GetWords() {
+			duration := c.grantVote(now, request)
 			answer.Granted, answer.ForMs = duration > 0, uint64(duration.Milliseconds())
 		}
 	}
@@ -141,9 +145,9 @@
 
 // addCancellations adds to an answer the cancellations that the leader may not know yet, and reports
 // whether these are all.
-func (c *Controller) addCancellations(answer *peerpb.PromiseAnswer, q *peerpb.PromiseAsk) (complete bool) {
-	cursor := store.CancellationCursor{Incarnation: q.GetToldLife(), Count: q.GetTold()}
-	batch := c.jobs.CancellationsAfter(q.GetRevision(), cursor)
+func (c *Controller) addCancellations(answer *peerpb.PromiseAnswer, request *peerpb.PromiseAsk) (complete bool) {
+	cursor := store.CancellationCursor{Incarnation: request.GetToldLife(), Count: request.GetTold()}
+	batch := c.jobs.CancellationsAfter(request.GetRevision(), cursor)
 	answer.Life, answer.Told, answer.Whole = batch.Cursor.Incarnation, batch.Cursor.Count, batch.Complete
 	for _, cancelled := range batch.Cancelled {
 		answer.Cancelled = append(answer.Cancelled, cancelled.ID)
@@ -154,21 +158,21 @@
 
 // grantVote decides for how long this member votes for a leader, which is how long it claims nothing
 // itself; 0: it does not vote.
-func (c *Controller) grantVote(now time.Time, q *peerpb.PromiseAsk) time.Duration {
-	// Before this process has read the records, it may have told users of cancellations in an earlier
-	// incarnation that neither it nor the leader knows.
+func (c *Controller) grantVote(now time.Time, request *peerpb.PromiseAsk) time.Duration {
+	// Before this process has read the records, an earlier incarnation may have acknowledged cancellations to
+	// users that neither this one nor the leader knows of.
 	if c.jobs.Revision() == 0 {
 		return 0
 	}
-	leaderContact := now.Add(-time.Duration(q.GetSilentMs()) * time.Millisecond)
+	leaderContact := now.Add(-time.Duration(request.GetSilentMs()) * time.Millisecond)
 	if c.store.LastContact().Sub(leaderContact) > maxContactLead && c.store.UnreachableFor(now) == 0 {
 		return 0
 	}
 	return c.election.HandleVoteRequest(now, election.VoteRequest{
-		Leader:       q.GetMember(),
-		FencingToken: q.GetToken(),
-		Seq:          q.GetSeq(),
-		Supersedes:   q.GetInstead(),
-		Duration:     time.Duration(min(q.GetForMs(), uint64(maxVoteDuration.Milliseconds()))) * time.Millisecond,
+		Leader:       request.GetMember(),
+		FencingToken: request.GetToken(),
+		Seq:          request.GetSeq(),
+		Supersedes:   request.GetInstead(),
+		Duration:     time.Duration(min(request.GetForMs(), uint64(maxVoteDuration.Milliseconds()))) * time.Millisecond,
 	})
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,7 +1,8 @@
 // Package election decides which controller leads. It is a pure state machine: the caller passes
 // each event to StateMachine.Step together with the present time, performs the effects that Step
 // returns, and passes their outcomes in as further events. Between events it sends a Tick whenever
-// NextTick says so. Before anything is done in the name of the leader, LeadershipValid must hold.
+// NextTick says so. Before anything is done in the name of the leader, the caller checks
+// LeadershipValid.
 //
 // A leader holds a lease at the state service. Votes of all other members, each of which promises
 // not to claim for a time, keep its leadership valid while the state service is unreachable. The
@@ -24,7 +25,7 @@
 	ReadingLeader               // reading the leader's keys
 	AcquiringLease              // waiting for a lease
 	Claiming                    // trying to take the leader's key with that lease
-	Leading                     // holds the leader's key; LeadershipValid tells whether it may act
+	Leading                     // holds the leader's key; LeadershipValid reports whether it may act
 )
 
 // String returns the name that operators are shown.
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -56,7 +56,7 @@
 
 // appendCommands appends the commands that bring one attempt to where it should be. An unwanted attempt that no
 // heartbeat has shown yet is launched and stopped: then the worker knows it, and a delayed duplicate of its launch
-// has no effect (docs/safety.md, "Late launches").
+// has no effect (docs/safety.md, "Delayed launches").
 func appendCommands(commands []model.Command, attempt *model.Attempt) []model.Command {
 	stopping := attempt.State == model.AttemptStopping
 	if attempt.State == model.AttemptLaunching || stopping && attempt.Phase == 0 {
@@ -175,7 +175,7 @@
 	})
 }
 
-// commandCompleted takes the answer to direct commands or a probe, or that there was none.
+// commandCompleted handles the answer to direct commands or a probe, or that there was none.
 func (c *Core) commandCompleted(now time.Time, event CommandCompleted) {
 	isProbe := len(event.Commands) == 0
 	if isProbe {
@@ -209,7 +209,7 @@
 	}
 }
 
-// hasUnsentCommands reports whether a worker was not told yet of a launch or a stop.
+// hasUnsentCommands reports whether a launch or a stop has not been sent to its worker yet.
 func hasUnsentCommands(machine *model.Machine) bool {
 	for _, attempt := range machine.Attempts {
 		if attempt.CommandedState == attempt.State {
@@ -222,7 +222,7 @@
 	return false
 }
 
-// commandAnswered takes a worker's state that answers a command or probe: it was sent after the command.
+// commandAnswered applies a worker's state that answers a command or probe: it was sent after the command.
 func (c *Core) commandAnswered(now time.Time, machine *model.Machine, heartbeat *model.Heartbeat) {
 	c.proveAlive(now, machine, "it has answered")
 	if known := machine.LatestMessage(); machine.CommandAnswered(heartbeat.Epoch, heartbeat.Seq) {
--- a/internal/reconciler/explain.go
+++ b/internal/reconciler/explain.go
@@ -55,8 +55,8 @@
 	e.Remedies = append(e.Remedies, fmt.Sprintf(format, args...))
 }
 
-// Explain says why a job's tasks wait. It plans a pass without carrying it out and asks the functions that decide, so
-// it says what the next pass would find; nil: the job is not among the unfinished ones.
+// Explain says why a job's tasks wait. It plans a pass without carrying it out and calls the functions that decide,
+// so it says what the next pass would find; nil: the job is not among the unfinished ones.
 func (c *Core) Explain(now time.Time, id string) *Explanation {
 	job := c.jobs[id]
 	if job == nil {
@@ -248,7 +248,7 @@
 	}
 }
 
-// offerClass returns the class of machines that the cloud is asked for.
+// offerClass returns the class of machines of an offer.
 func (c *Core) offerClass(machineType, zone string, spot bool) constraint.Class {
 	return constraint.Class{Type: c.machineType(machineType), Zone: zone, Spot: spot}
 }
--- a/internal/reconciler/pass.go
+++ b/internal/reconciler/pass.go
@@ -10,10 +10,10 @@
 // passTimer says when scheduling passes run. A pass looks at everything that waits, so passes leave most of the time
 // to heartbeats and to the renewal of the leadership lease.
 type passTimer struct {
-	needed        bool          // the picture has changed since the last pass
+	needed        bool          // the view has changed since the last pass
 	lastAt        time.Time     // when the last pass began
 	pause         time.Duration // least time from one pass to the next, by how long the last one took
-	ran           bool          // the last step held a pass
+	ran           bool          // the last step ran a pass
 	startsPaused  bool          // no task may be started
 	consolidateAt time.Time     // no replica is moved before this
 }
@@ -41,20 +41,20 @@
 	return ok && !now.Before(at)
 }
 
-// request has a pass run when it is due: the picture has changed.
+// request requests a pass, as the view has changed.
 func (p *passTimer) request() { p.needed = true }
 
 // begin notes that a pass runs now.
 func (p *passTimer) begin(now time.Time) { p.needed, p.lastAt, p.ran = false, now, true }
 
-// pauseStarts says whether tasks may be started, and reports whether that has changed.
+// pauseStarts sets whether the starting of tasks is paused, and reports whether that has changed.
 func (p *passTimer) pauseStarts(paused bool) (changed bool) {
 	changed = p.startsPaused != paused
 	p.startsPaused = paused
 	return changed
 }
 
-// observe takes how long a step took, and reports whether it held a pass.
+// observe records how long a step took, and reports whether it ran a pass.
 func (p *passTimer) observe(d time.Duration) (passed bool) {
 	if passed, p.ran = p.ran, false; passed {
 		p.pause = min(passTimeDivisor*d, maxPassPause)
@@ -110,7 +110,7 @@
 	}
 }
 
-// launch starts one task of a request. From here on it counts as being on the machine: see docs/safety.md, "What is
+// launch starts one task of a request. From here on it counts as being on the machine: see docs/safety.md, "Attempts
 // on a machine".
 func (c *Core) launch(now time.Time, placement scheduler.Placement, number uint64) {
 	job, machine := placement.Request.Job, placement.Node.Machine
@@ -142,7 +142,7 @@
 		"restart", placement.Request.Restart)
 }
 
-// preempt stops a task to make room for another one.
+// preempt stops a task to free capacity for another one.
 func (c *Core) preempt(now time.Time, preemption *scheduler.Preemption) {
 	attempt, preemptor := preemption.Attempt, preemption.Preemptor
 	c.log.Info("preempting task", "task", attempt.Task, "machine", attempt.Machine.Name,
--- a/internal/reconciler/takeover.go
+++ b/internal/reconciler/takeover.go
@@ -9,7 +9,8 @@
 )
 
 // takeover is what a new leader does not know yet of the time before it: which tasks earlier leaders have started on
-// the machines that it inherits. docs/safety.md, "Rebuilding", argues why what it starts meanwhile is safe.
+// the machines that it inherits. docs/safety.md, "Reconciliation after failover", argues why what it starts meanwhile
+// is safe.
 type takeover struct {
 	startedAt        time.Time
 	revision         uint64              // jobs with a later version were accepted after the takeover
@@ -34,7 +35,7 @@
 	return takeover{startedAt: now, revision: revision, kinds: map[machineKind]int{}}
 }
 
-// recordedKind is the kind that a machine's record states: earlier leaders went by that.
+// recordedKind is the kind that a machine's record states: earlier leaders decided by that.
 func recordedKind(machine *model.Machine) machineKind {
 	return machineKind{machine.Record.Type, machine.Record.Zone, machine.Record.Spot}
 }
@@ -134,8 +135,9 @@
 
 // reconcileUnrenewed takes a fresh heartbeat of a machine that has sent heartbeats since the takeover but has not
 // taken this leader's token for more than a lease. Nothing that an earlier leader started is on it, apart from what
-// its heartbeats have shown (docs/safety.md, "Rebuilding"). Without this, tasks from before the takeover would wait
-// for as long as the machine receives nothing, since each of its heartbeats puts off the end of its lease.
+// its heartbeats have shown (docs/safety.md, "Reconciliation after failover"). Without this, tasks from before the
+// takeover would wait for as long as the machine receives nothing, since each of its heartbeats puts off the end of
+// its lease.
 func (c *Core) reconcileUnrenewed(now time.Time, machine *model.Machine) {
 	if machine.Detector.TokenNotTaken(now) {
 		c.livenessChanged(machine)
@@ -143,7 +145,7 @@
 	c.markReconciled(now, machine, "lease not renewed since the takeover")
 }
 
-// fewUnreconciled reports that nearly all machines are reconciled: the others are likely dead.
+// fewUnreconciled reports that nearly all machines are reconciled: the others have likely failed.
 func (c *Core) fewUnreconciled() bool { return isMinority(c.takeover.unreconciled, len(c.machines)) }
 
 // The probing of inherited machines.
@@ -152,7 +154,7 @@
 	maxReconcileProbes       = 8 // machines at a time
 )
 
-// probeUnreconciled probes the machines that have not reported to a new leader, once most have. So a few dead
+// probeUnreconciled probes the machines that have not reported to a new leader, once most have. So a few failed
 // machines do not keep all tasks from before the takeover waiting until they are silent for long enough.
 func (c *Core) probeUnreconciled(now time.Time) {
 	earliest := c.settings.HeartbeatInterval * reconcileProbeHeartbeats
@@ -174,7 +176,7 @@
 
 // mayAlreadyRun reports whether a waiting task of a job may already be on a machine that is not reconciled since the
 // takeover; then it is not started. It cannot be if the job was accepted since, nor if no leader could have placed it
-// on a machine of any kind that is not reconciled (docs/safety.md, "Rebuilding").
+// on a machine of any kind that is not reconciled (docs/safety.md, "Reconciliation after failover").
 func (c *Core) mayAlreadyRun(job *model.Job) bool {
 	if c.takeover.complete() || job.RecordVersion > c.takeover.revision || job.NoPriorAttempts {
 		return false
--- a/internal/scheduler/feasible.go
+++ b/internal/scheduler/feasible.go
@@ -82,7 +82,7 @@
 	return Feasible
 }
 
-// checkCapacity checks whether there is room for one more task of a request.
+// checkCapacity checks whether there is capacity for one more task of a request.
 func (n *Node) checkCapacity(request *Request) Infeasibility {
 	switch {
 	case !request.Job.Spec.Demand.Fits(n.Free):
@@ -95,7 +95,7 @@
 	return Feasible
 }
 
-// Feasibility tells why a node, as the pass sees it, does not take one more task of a request, in a zone ("": any).
+// Feasibility returns why a node, as the pass sees it, does not take one more task of a request, in a zone ("": any).
 func (n *Node) Feasibility(request *Request, zone string) Infeasibility {
 	if reason := n.checkStatic(request.Job, request.Rules, zone); reason != Feasible {
 		return reason
--- a/internal/store/cancellations.go
+++ b/internal/store/cancellations.go
@@ -2,8 +2,8 @@
 
 import "github.com/glentiller/glentiller/internal/wire"
 
-// CancellationReport tells a leader which cancellations a member may have acknowledged to users, for
-// the case that the leader cannot read the records itself.
+// CancellationReport reports to a leader which cancellations a member may have acknowledged to users,
+// for the case that the leader cannot read the records itself.
 type CancellationReport struct {
 	Cancelled []Cancellation
 	Cursor    CancellationCursor // where the next report goes on
@@ -53,7 +53,7 @@
 	return report
 }
 
-// ApplyCancellations learns the cancellations that another member has reported.
+// ApplyCancellations records the cancellations that another member has reported.
 func (j *JobCache) ApplyCancellations(cancelled []Cancellation) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -62,6 +62,6 @@
 			continue
 		}
 		tasks := j.active[c.ID].Tasks
-		j.learnEnd(c.ID, JobRecord{State: wire.StateCancelled, Tasks: tasks, Version: c.Version})
+		j.recordEndAndNotify(c.ID, JobRecord{State: wire.StateCancelled, Tasks: tasks, Version: c.Version})
 	}
 }
