--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -131,7 +131,7 @@
 	switch result.Outcome {
 	case reconciler.Refused: // another leader has taken over
 	case reconciler.OK:
-		t.log.Info("unanswered transactions fenced", "token", t.token, "version", result.TokenVersion)
+		t.log.Info("unanswered transactions fenced", "fencing_token", t.token, "version", result.TokenVersion)
 		t.loop.post(func(now time.Time) {
 			if t.term == t.number {
 				t.stepElection(now, election.TokenRewritten{FencingToken: t.token, TokenVersion: result.TokenVersion})
