--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -2,10 +2,7 @@
 
 import (
 	"context"
-	"fmt"
-	"io"
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
@@ -15,22 +12,15 @@
 )
 
 func TestRequestsToTheCloudKeepTheirBytes(t *testing.T) {
-	var requests strings.Builder
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b, err := io.ReadAll(r.Body)
-		fmt.Fprintf(&requests, "%s %s %q %x\n", r.Method, r.RequestURI, r.Header.Get("Content-Type"), b)
-		if err != nil {
-			t.Error(err)
-		}
+	requests := golden.LogRequests(t, func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.RequestURI, "after") {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		// One machine, and others behind it.
 		_, _ = w.Write([]byte("\x82\xa4more\xc3\xa7tillers\x91\x81\xa3ref\xa3n 1"))
-	}))
-	defer s.Close()
-	c := New(s.Listener.Addr().String(), 1e6, 5*time.Second, nil)
+	})
+	c := New(requests.Addr, 1e6, 5*time.Second, nil)
 	if _, err := c.ListMachines(context.Background()); err == nil {
 		t.Error("the second page was refused, and the list is taken as whole")
 	}
@@ -44,5 +34,5 @@
 	if err := c.Release([]string{"n-000231", "n-000232"}); err != nil {
 		t.Error(err)
 	}
-	golden.Check(t, "requests.txt", []byte(requests.String()))
+	golden.Check(t, "requests.txt", requests.Bytes())
 }
--- /dev/null
+++ b/internal/golden/requests.go
@@ -0,0 +1,50 @@
+package golden
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// RequestLog is an HTTP server that notes the requests it receives. It is safe for concurrent use.
+type RequestLog struct {
+	Addr string // of the server
+
+	mu    sync.Mutex // guards lines
+	lines strings.Builder
+}
+
+// LogRequests starts a RequestLog that answers by a handler; it ends with the test.
+func LogRequests(t *testing.T, respond http.HandlerFunc) *RequestLog {
+	t.Helper()
+	log := &RequestLog{}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		log.add(fmt.Sprintf("%s %s %q %x\n", r.Method, r.RequestURI, r.Header.Get("Content-Type"), body))
+		respond(w, r)
+	}))
+	t.Cleanup(server.Close)
+	log.Addr = server.Listener.Addr().String()
+	return log
+}
+
+func (l *RequestLog) add(line string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lines.WriteString(line)
+}
+
+// Bytes returns the requests in the order of their arrival, one a line: method, URI, content type, and the body as
+// hexadecimal digits.
+func (l *RequestLog) Bytes() []byte {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return []byte(l.lines.String())
+}
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -1,11 +1,7 @@
 package worker
 
 import (
-	"fmt"
-	"io"
 	"net/http"
-	"net/http/httptest"
-	"strings"
 	"testing"
 	"time"
 
@@ -14,15 +10,7 @@
 )
 
 func TestRequestsToWorkersKeepTheirBytes(t *testing.T) {
-	var requests strings.Builder
-	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		b, err := io.ReadAll(r.Body)
-		fmt.Fprintf(&requests, "%s %s %q %x\n", r.Method, r.RequestURI, r.Header.Get("Content-Type"), b)
-		if err != nil {
-			t.Error(err)
-		}
-	}))
-	defer s.Close()
+	requests := golden.LogRequests(t, func(http.ResponseWriter, *http.Request) {})
 	c := New(5*time.Second, nil)
 	task := model.TaskID{Job: "wk-000412", Index: 3}
 	commands := []model.Command{
@@ -30,9 +18,9 @@
 		{Op: model.OpStop, Task: task, Attempt: 3, GracePeriod: 7500 * time.Millisecond},
 		{Op: model.OpForget, Task: task, Attempt: 4},
 	}
-	r := c.Send(s.Listener.Addr().String(), 41, 1<<63, commands, true)
+	r := c.Send(requests.Addr, 41, 1<<63, commands, true)
 	if !r.Executed || r.Heartbeat != nil {
 		t.Errorf("an empty answer of 200: got %+v, want executed, without a heartbeat", r)
 	}
-	golden.Check(t, "requests.txt", []byte(requests.String()))
+	golden.Check(t, "requests.txt", requests.Bytes())
 }
