--- a/internal/controller/backend.go
+++ b/internal/controller/backend.go
@@ -68,7 +68,7 @@
 func neverValid() bool { return false }
 
 // Progress returns how many tasks of an unfinished job are done and running.
-func (c *Controller) Progress(id string) (done, running int) { return c.progress.of(id) }
+func (c *Controller) Progress(id string) (done, running int) { return c.progress.ofJob(id) }
 
 // MachineTypes returns the cloud's machine types; empty: they are not known yet.
 func (c *Controller) MachineTypes() []model.MachineType {
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -19,8 +19,8 @@
 // jobProgress counts tasks of a job.
 type jobProgress struct{ done, running int }
 
-// of returns how many tasks of a job are done and running.
-func (v *progressView) of(id string) (done, running int) {
+// ofJob returns how many tasks of a job are done and running.
+func (v *progressView) ofJob(id string) (done, running int) {
 	if jobs := v.jobs.Load(); jobs != nil {
 		p := (*jobs)[id]
 		return p.done, p.running
--- a/internal/reconciler/attempts.go
+++ b/internal/reconciler/attempts.go
@@ -40,7 +40,7 @@
 		c.adoptOrphan(now, attempt)
 		return attempt
 	}
-	attempt.Demand, attempt.Team, attempt.Usage = job.Spec.Demand, job.Spec.Team, c.usage.of(job.Spec.Team)
+	attempt.Demand, attempt.Team, attempt.Usage = job.Spec.Demand, job.Spec.Team, c.usage.ofTeam(job.Spec.Team)
 	attempt.Transition(model.AttemptPresent)
 	machine.CachedImages[job.Spec.Image] = now
 	if status.Phase == model.PhaseExited {
--- a/internal/reconciler/deadlines.go
+++ b/internal/reconciler/deadlines.go
@@ -24,8 +24,8 @@
 	return multiples
 }
 
-// of yields a job's deadline and then the multiples of it that users look at; nothing without a deadline.
-func (d deadlineMultiples) of(job *model.Job) iter.Seq[time.Time] {
+// ofJob yields a job's deadline and then the multiples of it that users look at; nothing without a deadline.
+func (d deadlineMultiples) ofJob(job *model.Job) iter.Seq[time.Time] {
 	return func(yield func(time.Time) bool) {
 		deadline := job.Spec.Deadline
 		if deadline <= 0 || !yield(job.SubmittedAt.Add(deadline)) {
@@ -74,7 +74,7 @@
 			slack = left
 		}
 	}
-	for deadline := range c.deadlines.of(job) {
+	for deadline := range c.deadlines.ofJob(job) {
 		consider(deadline.Sub(now) - estimate)
 	}
 	for _, deadline := range job.DownstreamDeadlines {
--- a/internal/reconciler/dependencies.go
+++ b/internal/reconciler/dependencies.go
@@ -111,7 +111,7 @@
 
 // latestStarts returns by when a job must start to meet its deadlines and those downstream.
 func (c *Core) latestStarts(job *model.Job) []time.Time {
-	deadlines := earliestEach(slices.Collect(c.deadlines.of(job)), job.DownstreamDeadlines)
+	deadlines := earliestEach(slices.Collect(c.deadlines.ofJob(job)), job.DownstreamDeadlines)
 	estimate := c.runTimes.estimate(job.Spec)
 	starts := make([]time.Time, len(deadlines))
 	for i, deadline := range deadlines {
--- a/internal/reconciler/pass.go
+++ b/internal/reconciler/pass.go
@@ -129,7 +129,7 @@
 		Epoch:      machine.Epoch,
 		Demand:     job.Spec.Demand,
 		Team:       job.Spec.Team,
-		Usage:      c.usage.of(job.Spec.Team),
+		Usage:      c.usage.ofTeam(job.Spec.Team),
 		LaunchedAt: now,
 		Choice:     placement.Choice,
 	}
--- a/internal/reconciler/usage.go
+++ b/internal/reconciler/usage.go
@@ -18,9 +18,9 @@
 	return usage
 }
 
-// of returns the usage of a team. A team that the settings do not name has one too: its jobs may have been accepted
+// ofTeam returns the usage of a team. A team that the settings do not name has one too: its jobs may have been accepted
 // under other settings.
-func (usage *teamUsage) of(team string) *model.Usage {
+func (usage *teamUsage) ofTeam(team string) *model.Usage {
 	u := usage.byTeam[team]
 	if u == nil {
 		u = &model.Usage{}
