--- a/internal/reconciler/accounting.go
+++ b/internal/reconciler/accounting.go
@@ -11,49 +11,54 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// LedgerSettings are what the accounting works by. docs/ledger.md defines what counts as run time; docs/safety.md,
-// "Ledger", argues why nothing is charged twice.
+// LedgerSettings configures the usage accounting of a Core. docs/ledger.md defines what counts as run time;
+// docs/safety.md, "Ledger", argues why nothing is charged twice.
 type LedgerSettings struct {
 	ledger.Settings
-	FairShare bool                          // teams' shares order what goes beyond guarantees
-	Weights   map[string]float64            // by team
-	TimeOfDay func(now time.Time) time.Time // at a moment of the steady clock; it names segments
+	// FairShare orders requests beyond the teams' guarantees by the teams' fair shares.
+	FairShare bool
+	// Weights are the fair-share weights by team name.
+	Weights map[string]float64
+	// TimeOfDay converts a time of the monotonic clock to the time of day, which names ledger segments.
+	TimeOfDay func(now time.Time) time.Time
 }
 
-// MaxSegmentsRead is how many closed segments are read to find those that are old enough to be compacted.
+// MaxSegmentsRead bounds the closed segments that one ReadSegments effect reads in order to find those that are old
+// enough to be compacted.
 const MaxSegmentsRead = 400
 
 const (
-	compactionInterval  = 5 * time.Second        // between looks through teams' closed segments
-	accountReadInterval = 500 * time.Millisecond // between readings of accounts that are not reconciled
+	compactionInterval  = 5 * time.Second        // minimum time between reads of closed segments for compaction
+	accountReadInterval = 500 * time.Millisecond // minimum time between reads of unreconciled accounts
 )
 
-// accounting charges teams for what their tasks use and wait. It is nil where no ledger is kept: the methods that are
-// called for every event do nothing then.
+// accounting charges the run time and the waiting time of tasks to their teams. It is nil if no ledger is kept. The
+// methods that are called for every event do nothing on a nil receiver.
 type accounting struct {
 	settings *LedgerSettings
 	log      *slog.Logger
 	ledger   *ledger.Accounts
 
-	waiting   map[*model.Job]waitingTasks
-	waitingAt time.Time // waiting is not charged before this
+	waiting             map[*model.Job]waitingPeriod
+	nextWaitingChargeAt time.Time // earliest time of the next charge for waiting
 
-	fairShareBands map[string]int // by team
-	fairSharesAt   time.Time      // bands are not updated before this
+	fairShareBands        map[string]int // by team name
+	nextFairShareUpdateAt time.Time      // earliest time of the next update of fairShareBands
 
-	readPending         bool            // accounts that are not reconciled are being read
-	readAt              time.Time       // none is read before this
-	heldEnds            []record.Change // ends of jobs whose settlement's outcome is unknown
-	rejectedSettlements []record.Change // by the state service; tried again later
-	rejectedRetryAt     time.Time
+	accountReadPending  bool            // a ReadAccounts effect for unreconciled accounts is unanswered
+	nextAccountReadAt   time.Time       // earliest time of the next ReadAccounts effect
+	deferredJobEnds     []record.Change // job ends that wait until their team's account is reconciled
+	rejectedSettlements []record.Change // settlements that the state service rejected, to be retried
+	rejectedRetryAt     time.Time       // rejectedSettlements are retried after this time
 
-	teamsToCompact    map[string]bool // teams whose segments may have become old enough
-	compactionPending bool
-	compactionAt      time.Time // none is looked through before this
+	teamsToCompact    map[string]bool // teams that may have segments old enough to be compacted
+	compactionPending bool            // a read of segments or a compaction is in progress
+	nextCompactionAt  time.Time       // earliest time of the next read of segments
 }
 
-// openAccounts continues the accounts on record. The time since the last leader settled them is not accounted: what
-// it observed after that is on no record.
+// openAccounts restores the teams' accounts from their stored records. Usage between the previous leader's last
+// settlement and this takeover is not accounted, because what the previous leader observed in that interval was never
+// written. The interval itself is recorded.
 func (c *Core) openAccounts(now time.Time, accounts []ledger.StoredAccount) {
 	settings := c.settings.Ledger
 	if settings == nil {
@@ -63,29 +68,30 @@
 		settings:       settings,
 		log:            c.log,
 		ledger:         ledger.NewAccounts(now, settings.Settings, c.fencingToken, accounts),
-		waiting:        map[*model.Job]waitingTasks{},
+		waiting:        map[*model.Job]waitingPeriod{},
 		fairShareBands: map[string]int{},
 		teamsToCompact: map[string]bool{},
 	}
 	last := c.accounting.lastSettled(accounts)
 	if last.FencingToken == 0 || last.FencingToken >= c.fencingToken {
-		return // the ledger begins here, or its records were replaced
+		return // the ledger starts with this leader, or its records were replaced
 	}
 	interval := &ledger.Interval{
 		Start: last.SettledAt, End: settings.TimeOfDay(now),
 		FencingToken: c.fencingToken, UnsettledLeaders: c.fencingToken - last.FencingToken - 1,
 	}
-	c.log.Info("interval not accounted", "from", interval.Start, "to", interval.End,
+	c.log.Info("usage between leaders not accounted", "from", interval.Start, "to", interval.End,
 		"leaders_without_ledger", interval.UnsettledLeaders)
 	c.commits.add(record.Change{Kind: record.PutUnaccounted, Unaccounted: interval})
 }
 
-// lastSettled returns the latest fencing token and settlement among the accounts on record.
+// lastSettled returns an OpenSegment that holds the highest fencing token among the stored accounts and the time of
+// the last settlement under it. Unreadable accounts are logged and skipped.
 func (a *accounting) lastSettled(accounts []ledger.StoredAccount) (last ledger.OpenSegment) {
 	for _, account := range accounts {
 		open := &account.Open
 		if account.Err != nil {
-			a.log.Error("team account unreadable", "team", open.Team,
+			a.log.Error("cannot read stored team account", "team", open.Team,
 				"err", account.Err)
 			continue
 		}
@@ -99,8 +105,9 @@
 	return last
 }
 
-// beginCharging takes the first message that shows an attempt running: from here on it is charged. What the leader
-// did not launch itself, or had running before, is counted as taken over.
+// beginCharging starts to charge an attempt for run time at the first message that shows it running. takenOver states
+// that the attempt was adopted from a worker's report, because another leader launched it or this leader had dropped
+// it; it is then counted as taken over instead of started. Later calls for the same attempt have no effect.
 func (a *accounting) beginCharging(now time.Time, attempt *model.Attempt, phase model.Phase, takenOver bool) {
 	if a == nil || !attempt.ChargedUntil.IsZero() || attempt.Job == nil {
 		return
@@ -116,7 +123,8 @@
 	a.ledger.Charge(now, attempt.Team, attempt.Job.Spec.Class, usage)
 }
 
-// chargeUntil charges an attempt's run time up to the moment of a message.
+// chargeUntil charges the run time of an attempt up to the time of a message about it. It does nothing if the attempt
+// is not being charged or is already charged up to that time.
 func (a *accounting) chargeUntil(now time.Time, attempt *model.Attempt, until time.Time) {
 	if a == nil || attempt.ChargedUntil.IsZero() || !until.After(attempt.ChargedUntil) {
 		return
@@ -126,8 +134,9 @@
 	a.ledger.Charge(now, attempt.Team, attempt.Job.Spec.Class, ledger.RateOf(attempt.Demand).Usage(milliseconds))
 }
 
-// chargeWasted notes the run time of an attempt that has to be repeated, since it neither completed nor saved a
-// checkpoint: all of it, or what came after its last periodic checkpoint.
+// chargeWasted charges as lost the run time that has to be repeated because the attempt neither completed nor saved a
+// checkpoint on exit. That is all of its run time or, if the job saves periodic checkpoints, the time since the last
+// of them. Nothing is charged for services and for jobs that have ended.
 func (a *accounting) chargeWasted(now time.Time, attempt *model.Attempt) {
 	if a == nil || attempt.ChargedUntil.IsZero() {
 		return
@@ -145,7 +154,7 @@
 	attempt.ChargedFrom = attempt.ChargedUntil
 }
 
-// chargeAll charges what runs up to the last message of its machine.
+// chargeAll charges each active attempt up to the last message from its machine.
 func (c *Core) chargeAll(now time.Time) {
 	for _, machine := range c.machines {
 		for _, attempt := range machine.ActiveAttempts() {
@@ -154,7 +163,7 @@
 	}
 }
 
-// runAccounting queues what is due to be settled, read or compacted.
+// runAccounting queues the settlements that are due and requests the account and segment records that are to be read.
 func (c *Core) runAccounting(now time.Time) {
 	accounting := c.accounting
 	if accounting == nil {
@@ -170,29 +179,30 @@
 		c.commits.add(accounting.rejectedSettlements...)
 		accounting.rejectedSettlements = nil
 	}
-	c.queueHeldEnds(now)
-	if !accounting.readPending && !now.Before(accounting.readAt) {
+	c.queueDeferredJobEnds(now)
+	if !accounting.accountReadPending && !now.Before(accounting.nextAccountReadAt) {
 		if teams := accounting.ledger.Unreconciled(); len(teams) > 0 {
-			accounting.readPending = true
+			accounting.accountReadPending = true
 			c.emit(ReadAccounts{teams})
 		}
 	}
-	if len(accounting.teamsToCompact) > 0 && !accounting.compactionPending && !now.Before(accounting.compactionAt) {
-		// Segments of all teams are closed at the same time. They are not all read at once.
-		accounting.compactionPending, accounting.compactionAt = true, now.Add(compactionInterval)
+	if len(accounting.teamsToCompact) > 0 && !accounting.compactionPending && !now.Before(accounting.nextCompactionAt) {
+		// All teams close their segments at the turn of the hour, so the reads are spread over time.
+		accounting.compactionPending, accounting.nextCompactionAt = true, now.Add(compactionInterval)
 		c.emit(ReadSegments{slices.Min(slices.Collect(maps.Keys(accounting.teamsToCompact)))})
 	}
 }
 
-// accountsReceived handles accounts as they are on record, to find out what became of settlements.
+// accountsReceived compares stored accounts with the pending settlements to determine whether each settlement was
+// committed. A settlement that was not committed is queued again.
 func (c *Core) accountsReceived(now time.Time, event AccountsReceived) {
 	accounting := c.accounting
-	accounting.readPending = false
-	accounting.readAt = now.Add(accountReadInterval)
+	accounting.accountReadPending = false
+	accounting.nextAccountReadAt = now.Add(accountReadInterval)
 	for team, account := range event.Accounts {
 		settlement, foreign := accounting.ledger.Reconcile(team, account)
 		if foreign {
-			c.log.Error("team account of unknown origin", "team", team,
+			c.log.Error("team account record does not match the pending settlement", "team", team,
 				"settlements", account.Open.Settlements, "fencing_token", account.Open.FencingToken)
 			continue
 		}
@@ -204,7 +214,8 @@
 	}
 }
 
-// segmentsReceived handles a team's oldest closed segments and queues a compaction of those that are old enough.
+// segmentsReceived queues a compaction of the first run of a team's closed segments that are old enough. If there is
+// none, or the segments could not be read, the team is not considered again until it closes another segment.
 func (c *Core) segmentsReceived(now time.Time, event SegmentsReceived) {
 	accounting := c.accounting
 	settings := accounting.settings
--- a/internal/reconciler/accounting_test.go
+++ b/internal/reconciler/accounting_test.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	busyMachines = 400
-	busyTeams    = 16
-	busyJobs     = 64
+	busyMachineCount = 400
+	busyTeamCount    = 16
+	busyJobCount     = 64
 )
 
-// busyLeader is a leader of 400 machines and 16 teams, with five tasks running on each machine and jobs waiting at
-// their teams' quotas.
+// busyLeader simulates a leader of 400 machines and 16 teams, with five tasks running on each machine and jobs whose
+// remaining tasks wait because their teams have reached their quotas.
 type busyLeader struct {
-	core       *Core
-	now        time.Time
-	machines   []model.MachineInfo
-	heartbeats []*model.Heartbeat // the last one of each machine; nil: none yet
-	tasks      map[string]map[model.AttemptKey]model.Phase
-	next       int // whose heartbeat comes next
+	core        *Core
+	now         time.Time
+	machines    []model.MachineInfo
+	heartbeats  []*model.Heartbeat // last heartbeat by machine index, or nil if the machine has sent none
+	tasks       map[string]map[model.AttemptKey]model.Phase
+	nextMachine int // counts heartbeats; modulo busyMachineCount, the index of the next machine to send one
 }
 
 func newBusyLeader(ledgerSettings *LedgerSettings) *busyLeader {
 	l := &busyLeader{
-		now: time.Unix(1e9, 0), heartbeats: make([]*model.Heartbeat, busyMachines),
+		now: time.Unix(1e9, 0), heartbeats: make([]*model.Heartbeat, busyMachineCount),
 		tasks: map[string]map[model.AttemptKey]model.Phase{},
 	}
 	zones := []string{"a", "b"}
@@ -41,15 +41,15 @@
 	types := []model.MachineType{{
 		Name: "five", Capacity: model.Resources{CPU: 5, MemGB: 64}, PricePerHour: 1, SpotPricePerHour: 1, Zones: zones,
 	}}
-	for i := range busyMachines {
+	for i := range busyMachineCount {
 		l.machines = append(l.machines, model.MachineInfo{
 			Name: fmt.Sprintf("n-%06d", i), Addr: "x", Type: "five", Zone: zones[i%2],
 		})
 	}
-	snapshot := &record.Snapshot{NumberedChunkTasks: 16384, Machines: l.machines, Revision: busyJobs}
-	for i := range busyJobs {
+	snapshot := &record.Snapshot{NumberedChunkTasks: 16384, Machines: l.machines, Revision: busyJobCount}
+	for i := range busyJobCount {
 		spec := &model.Spec{
-			ID: fmt.Sprintf("wk-%06d", i), Class: "work", Team: settings.Teams[i%busyTeams].Name, Shape: model.Array,
+			ID: fmt.Sprintf("wk-%06d", i), Class: "work", Team: settings.Teams[i%busyTeamCount].Name, Shape: model.Array,
 			Priority: model.PriorityNormal, Tasks: 40, Demand: model.Resources{CPU: 1, MemGB: 1}, Image: "i",
 			EstimatedRunTime: time.Hour,
 		}
@@ -57,7 +57,7 @@
 	}
 	l.core = New(l.now, settings, 7, snapshot, types, discardLog())
 	for range 10 {
-		l.second()
+		l.runOneSecond()
 	}
 	return l
 }
@@ -79,7 +79,7 @@
 			IdlePowerFraction: 0.7, PromoteAfter: time.Minute, PromoteLateAfter: 15 * time.Minute,
 		},
 	}
-	for i := range busyTeams {
+	for i := range busyTeamCount {
 		settings.Teams = append(settings.Teams, model.Team{
 			Name: fmt.Sprintf("team-%02d", i), Quota: model.NewQuota(125, 0),
 		})
@@ -87,17 +87,17 @@
 	return settings
 }
 
-// second drives one second of heartbeats: each machine sends one every 2 s.
-func (l *busyLeader) second() {
-	for range busyMachines / 2 {
+// runOneSecond simulates one second, in which half of the machines send a heartbeat: each sends one every 2 s.
+func (l *busyLeader) runOneSecond() {
+	for range busyMachineCount / 2 {
 		l.step(HeartbeatReceived{Heartbeat: l.nextHeartbeat()})
 		l.now = l.now.Add(5 * time.Millisecond)
 	}
 }
 
 func (l *busyLeader) nextHeartbeat() *model.Heartbeat {
-	i := l.next % busyMachines
-	l.next++
+	i := l.nextMachine % busyMachineCount
+	l.nextMachine++
 	name := l.machines[i].Name
 	heartbeat := l.heartbeats[i]
 	if heartbeat == nil {
@@ -114,7 +114,7 @@
 	return heartbeat
 }
 
-// step has an event happen; transactions and commands are carried out at once.
+// step applies an event. Transactions and commands that result from it complete immediately.
 func (l *busyLeader) step(event Event) {
 	for _, effect := range slices.Clone(l.core.Step(l.now, event)) {
 		switch effect := effect.(type) {
@@ -143,20 +143,20 @@
 		Weights:   map[string]float64{},
 		TimeOfDay: func(now time.Time) time.Time { return now },
 	}
-	for i := range busyTeams {
+	for i := range busyTeamCount {
 		settings.Weights[fmt.Sprintf("team-%02d", i)] = 1
 	}
 	return settings
 }
 
-// BenchmarkOneSecondOf400Machines measures what a leader's second of heartbeats and passes costs, without a ledger and
-// with one.
+// BenchmarkOneSecondOf400Machines measures the cost of one second of heartbeats and scheduling passes on a leader,
+// with and without a ledger.
 func BenchmarkOneSecondOf400Machines(b *testing.B) {
 	for name, settings := range map[string]*LedgerSettings{"off": nil, "on": testLedgerSettings()} {
 		b.Run(name, func(b *testing.B) {
 			leader := newBusyLeader(settings)
 			for b.Loop() {
-				leader.second()
+				leader.runOneSecond()
 			}
 		})
 	}
--- a/internal/reconciler/constraints.go
+++ b/internal/reconciler/constraints.go
@@ -6,35 +6,35 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// constraintRegistry keeps the placement constraints of the unfinished jobs that have any, and numbers the classes of
-// machines that they are evaluated for.
+// constraintRegistry holds the placement constraints of unfinished jobs and numbers the machine classes that the
+// constraints are evaluated for. Jobs without constraints have no entry.
 type constraintRegistry struct {
 	byJob   map[*model.Job]*jobConstraints
 	classes machineClasses
 }
 
-// jobConstraints are the constraints of one job: parsed once, and evaluated once a class of machines.
+// jobConstraints holds the constraints of one job. They are parsed once, and evaluated once for each machine class.
 type jobConstraints struct {
-	set            *constraint.Set // nil: this version cannot read them, so none of the job's tasks starts
-	err            error           // why it cannot
-	catalogVersion int             // that the following two hold for
-	allowed        []bool          // by number of a class
-	preferences    [2][]float64    // by number of a class; the second for machines that hold the job's image
-	unsatisfiable  bool            // it was logged that nothing in the catalog satisfies them
+	set            *constraint.Set // nil if this program version cannot parse them; then no task of the job starts
+	err            error           // the parse error if set is nil
+	catalogVersion int             // the machineClasses.catalogVersion that allowed and preferences were computed for
+	allowed        []bool          // whether the constraints allow a machine class, by class number
+	preferences    [2][]float64    // preference weights by class number: [0] without, [1] with the job's image cached
+	unsatisfiable  bool            // whether the constraints were last logged as unsatisfiable by the catalog
 }
 
-// machineClasses numbers the classes of machines of one catalog.
+// machineClasses assigns consecutive numbers, starting at 0, to the machine classes of one catalog.
 type machineClasses struct {
-	catalogVersion int // counts catalogs
+	catalogVersion int // incremented by every new catalog
 	numbers        map[constraint.Class]int
-	list           []constraint.Class
+	byNumber       []constraint.Class
 }
 
 func newConstraintRegistry() constraintRegistry {
 	return constraintRegistry{byJob: map[*model.Job]*jobConstraints{}}
 }
 
-// readable reports whether a job's constraints, if it has any, can be read.
+// readable reports whether the constraints of a job could be parsed. It is true for a job without constraints.
 func (r *constraintRegistry) readable(job *model.Job) bool {
 	constraints := r.byJob[job]
 	return constraints == nil || constraints.set != nil
@@ -42,30 +42,30 @@
 
 func (r *constraintRegistry) remove(job *model.Job) { delete(r.byJob, job) }
 
-// number returns the number of a class.
-func (m *machineClasses) number(class constraint.Class) int {
+// numberOf returns the number of a class, and assigns one to a new class.
+func (m *machineClasses) numberOf(class constraint.Class) int {
 	number, ok := m.numbers[class]
 	if !ok {
 		if m.numbers == nil {
 			m.numbers = map[constraint.Class]int{}
 		}
-		number = len(m.list)
+		number = len(m.byNumber)
 		m.numbers[class] = number
-		m.list = append(m.list, class)
+		m.byNumber = append(m.byNumber, class)
 	}
 	return number
 }
 
-// reset forgets the classes: the catalog has changed.
+// reset removes all classes after a change of the catalog.
 func (m *machineClasses) reset() { *m = machineClasses{catalogVersion: m.catalogVersion + 1} }
 
-// evaluate evaluates constraints for the classes that they were not evaluated for yet.
+// evaluate extends allowed and preferences to all numbered classes. It starts over if the catalog has changed.
 func (j *jobConstraints) evaluate(classes *machineClasses) {
 	if j.catalogVersion != classes.catalogVersion || j.allowed == nil {
 		j.catalogVersion, j.allowed, j.preferences = classes.catalogVersion, []bool{}, [2][]float64{}
 	}
-	for len(j.allowed) < len(classes.list) {
-		class := classes.list[len(j.allowed)]
+	for len(j.allowed) < len(classes.byNumber) {
+		class := classes.byNumber[len(j.allowed)]
 		_, ok := j.set.Allows(class)
 		j.allowed = append(j.allowed, ok)
 		for i := range j.preferences {
@@ -75,27 +75,26 @@
 	}
 }
 
-// classOf returns the class that a machine belongs to.
 func classOf(machine *model.Machine) constraint.Class {
 	return constraint.Class{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
 }
 
-// addConstraints parses the constraints of a job that was accepted with some. A later version may have accepted a job
-// whose constraints this one cannot read; such a job is not started.
+// addConstraints parses the constraints of an accepted job, if it has any. A later program version may have accepted
+// constraints that this version cannot parse; no task of such a job is started.
 func (c *Core) addConstraints(job *model.Job) {
 	if job.Spec.Rules == "" {
 		return
 	}
 	constraints := &jobConstraints{}
 	if constraints.set, constraints.err = constraint.Parse(job.Spec.Rules); constraints.err != nil {
-		c.log.Error("job constraints unreadable", "id", job.Spec.ID, "err", constraints.err)
+		c.log.Error("cannot parse job constraints", "id", job.Spec.ID, "err", constraints.err)
 	}
 	c.constraints.byJob[job] = constraints
 	c.checkSatisfiable(job, constraints)
 }
 
-// checkSatisfiable logs once when nothing in the catalog satisfies a job's constraints any more, and once when
-// something does again. The job stays accepted.
+// checkSatisfiable logs when a new catalog makes a job's constraints unsatisfiable, and when a later one makes them
+// satisfiable again. The job remains accepted in either case.
 func (c *Core) checkSatisfiable(job *model.Job, constraints *jobConstraints) {
 	if constraints.set == nil || len(c.machineTypes) == 0 {
 		return
@@ -107,13 +106,13 @@
 	}
 	constraints.unsatisfiable = unsatisfiable
 	if unsatisfiable {
-		c.log.Warn("job constraints unsatisfiable", "id", job.Spec.ID, "err", err)
+		c.log.Warn("no machine in the catalog satisfies the job constraints", "id", job.Spec.ID, "err", err)
 	} else {
 		c.log.Info("job constraints satisfiable again", "id", job.Spec.ID)
 	}
 }
 
-// recheckConstraints checks all constraints when the catalog was read anew.
+// recheckConstraints discards all evaluations and checks all constraints against a new catalog.
 func (c *Core) recheckConstraints() {
 	c.constraints.classes.reset()
 	for job, constraints := range c.constraints.byJob {
@@ -121,17 +120,18 @@
 	}
 }
 
-// classifyNodes numbers the classes of the machines of a pass, where any job has constraints.
+// classifyNodes sets the machine class of each node of a pass. It does nothing if no job has constraints.
 func (c *Core) classifyNodes(nodes []*scheduler.Node) {
 	if len(c.constraints.byJob) == 0 {
 		return
 	}
 	for _, node := range nodes {
-		node.MachineClass = c.constraints.classes.number(classOf(node.Machine))
+		node.MachineClass = c.constraints.classes.numberOf(classOf(node.Machine))
 	}
 }
 
-// constraintsOf returns what a job's constraints say of the machines of this pass; nil: it has none.
+// constraintsOf returns the constraints of a job in the scheduler's form, evaluated for the machine classes numbered
+// so far. It returns nil if the job has no constraints or they could not be parsed.
 func (c *Core) constraintsOf(job *model.Job) *scheduler.Rules {
 	constraints := c.constraints.byJob[job]
 	if constraints == nil || constraints.set == nil {
@@ -161,9 +161,9 @@
 	return rules
 }
 
-// addAffinity adds where another job is that an affinity names. While that job is on no machine it counts as where it
-// may be, so that this one does not start in another zone while the other one moves. Once it has ended the affinity
-// has no effect.
+// addAffinity adds the current location of the job that an affinity names to the rules. While that job is on no
+// machine, an affinity for its zone uses the zones in which it may run, so that this job does not start in another
+// zone while the other one is being moved. An affinity has no effect once the named job has ended.
 func (c *Core) addAffinity(rules *scheduler.Rules, affinity *constraint.Affinity) {
 	other := c.jobs[affinity.Job]
 	if other == nil {
@@ -202,7 +202,7 @@
 	}
 }
 
-// union adds the elements of a set to another one, which is made if it is nil and there are any.
+// union adds the elements of more to set and returns set. A nil set is allocated if more is not empty.
 func union[K comparable](set, more map[K]bool) map[K]bool {
 	for element := range more {
 		if set == nil {
@@ -214,7 +214,7 @@
 }
 
 // affinityHolds reports whether a placement still satisfies the affinities of its job. The same pass may have started
-// the job that they name elsewhere, after they were evaluated. Of a gang all placements have to satisfy them.
+// the named job elsewhere after the affinities were evaluated. For a gang, all placements have to satisfy them.
 func (c *Core) affinityHolds(placement scheduler.Placement, all []scheduler.Placement) bool {
 	job := placement.Request.Job
 	constraints := c.constraints.byJob[job]
--- a/internal/reconciler/constraints_test.go
+++ b/internal/reconciler/constraints_test.go
@@ -19,9 +19,9 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// constraintCase is one line of the table: a job with constraints, and what has to come of it. The expectations were
-// worked out independently of this code, each constraint by a predicate of its own and the smallest contradicting sets
-// by trying all of them. The names of the job's fields are those of the protocol.
+// constraintCase is one line of the test table: a job with constraints, and the expected result. The expectations
+// were computed independently of this code, with a separate predicate for each constraint and with an exhaustive
+// search for the smallest contradicting sets. The job's fields have the names that the protocol gives them.
 type constraintCase struct {
 	N       int
 	Catalog string
@@ -34,10 +34,10 @@
 		Field                     string
 	}
 	Rules     string
-	Images    []int      // classes whose machine holds the image
-	Place     []string   // where the first task goes, with one empty machine of each class: any of them
-	Refused   [][]string // the smallest sets that exclude each other: any of them
-	Malformed string     // a part of the message
+	Images    []int      // indexes of the classes whose machine has the job's image cached
+	Place     []string   // acceptable classes for the first task, given one empty machine of each class
+	Refused   [][]string // acceptable smallest sets of contradicting clauses
+	Malformed string     // substring of the expected syntax error message
 }
 
 func (test *constraintCase) spec() *model.Spec {
@@ -56,7 +56,7 @@
 	}
 }
 
-// readConstraintCases reads the table and its catalogs.
+// readConstraintCases reads the test table and the machine catalogs that its cases name.
 func readConstraintCases(t *testing.T) (cases []constraintCase, catalogs map[string]json.RawMessage) {
 	t.Helper()
 	raw, err := os.ReadFile("../constraint/testdata/catalogs.json")
@@ -143,7 +143,7 @@
 		t.Errorf("%d: %q: got %v, want no contradiction", test.N, test.Rules, err)
 		return
 	}
-	c, now := idleLeader(types)
+	c, now := newIdleLeader(types)
 	for _, i := range test.Images {
 		c.machines[fmt.Sprintf("n-%06d", i)].CachedImages["img"] = now
 	}
@@ -163,8 +163,8 @@
 	}
 }
 
-// idleLeader is a leader with one empty machine of each class, in their order.
-func idleLeader(types []model.MachineType) (*Core, time.Time) {
+// newIdleLeader returns a leader with one empty machine of each machine class, in the order of constraint.Classes.
+func newIdleLeader(types []model.MachineType) (*Core, time.Time) {
 	now := time.Unix(1e9, 0)
 	settings := Settings{
 		Member:             "tiller-0",
@@ -186,7 +186,7 @@
 	return c, now
 }
 
-// addReadyMachine adds an empty machine that tasks may be placed on.
+// addReadyMachine adds an empty, registered machine in the ready state.
 func addReadyMachine(c *Core, now time.Time, name string, class constraint.Class) *model.Machine {
 	machine := c.addMachine(now, model.MachineInfo{
 		Name: name, Type: class.Type.Name, Zone: class.Zone, Spot: class.Spot,
@@ -196,8 +196,8 @@
 	return machine
 }
 
-// BenchmarkPassOf500Machines measures what a pass costs that finds little capacity, with and without constraints on
-// all that waits.
+// BenchmarkPassOf500Machines measures the cost of a scheduling pass that finds little free capacity, with and without
+// constraints on all waiting jobs.
 func BenchmarkPassOf500Machines(b *testing.B) {
 	types := []model.MachineType{
 		{Name: "small", Capacity: model.Resources{CPU: 8, MemGB: 64}, PricePerHour: 1, SpotPricePerHour: 0.3,
@@ -213,7 +213,7 @@
 require at most 4 per machine`},
 	} {
 		b.Run(test.name, func(b *testing.B) {
-			c, now := idleLeader(types)
+			c, now := newIdleLeader(types)
 			classes := constraint.Classes(types)
 			for i := range 500 {
 				machine := addReadyMachine(c, now, fmt.Sprintf("m-%06d", i), classes[i%len(classes)])
--- a/internal/reconciler/deadlines.go
+++ b/internal/reconciler/deadlines.go
@@ -8,7 +8,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// deadlineMultiples are, by job class, the multiples of jobs' deadlines (other than 1) by which they are to be done.
+// deadlineMultiples holds, by job class and in ascending order, the multiples of a job's deadline other than 1 by
+// which the objectives of the class expect the job to finish.
 type deadlineMultiples map[string][]float64
 
 func newDeadlineMultiples(objectives map[string][]Objective) deadlineMultiples {
@@ -24,8 +25,9 @@
 	return multiples
 }
 
-// ofJob yields a job's deadline and then the multiples of it that users look at; nothing without a deadline.
-func (d deadlineMultiples) ofJob(job *model.Job) iter.Seq[time.Time] {
+// deadlinesOf yields the deadline of a job and then the multiples of it that the objectives of its class name. It
+// yields nothing for a job without a deadline.
+func (d deadlineMultiples) deadlinesOf(job *model.Job) iter.Seq[time.Time] {
 	return func(yield func(time.Time) bool) {
 		deadline := job.Spec.Deadline
 		if deadline <= 0 || !yield(job.SubmittedAt.Add(deadline)) {
@@ -39,9 +41,9 @@
 	}
 }
 
-// earliestEach returns the earlier one of two lists of moments, place by place. The last moment of a shorter list is
-// used for the places that it lacks.
-func earliestEach(a, b []time.Time) []time.Time {
+// earliestByIndex returns the earlier of a[i] and b[i] for each index i. A shorter list is extended by its last
+// element; an empty one is ignored.
+func earliestByIndex(a, b []time.Time) []time.Time {
 	if len(a) == 0 {
 		return b
 	}
@@ -58,10 +60,10 @@
 	return earliest
 }
 
-// slack is the time that a job's tasks have left to the next of its deadlines that can still be met, less the
-// estimated run time that is left. The tasks wait, or were started and have run for some time. Deadlines are the
-// job's own, the objectives of its class, and those of the jobs downstream. hasDeadline reports that there is any; the
-// slack is negative once none can be met.
+// slack returns the time until the nearest deadline that the tasks of a job can still meet, less their estimated
+// remaining run time. The tasks have either been waiting (started is false) or were started and have run for the
+// duration ran. The deadlines are those of the job itself, the objectives of its class, and those of the jobs
+// downstream of it. hasDeadline is false if there are none. The slack is negative if no deadline can be met any more.
 func (c *Core) slack(
 	now time.Time, job *model.Job, started bool, ran time.Duration,
 ) (slack time.Duration, hasDeadline bool) {
@@ -74,7 +76,7 @@
 			slack = left
 		}
 	}
-	for deadline := range c.deadlines.ofJob(job) {
+	for deadline := range c.deadlines.deadlinesOf(job) {
 		consider(deadline.Sub(now) - estimate)
 	}
 	for _, deadline := range job.DownstreamDeadlines {
--- a/internal/reconciler/dependencies_test.go
+++ b/internal/reconciler/dependencies_test.go
@@ -23,14 +23,14 @@
 	}
 	slackOfFirst := func() (time.Duration, bool) { return c.slack(now, c.jobs["wk-000001"], false, 0) }
 	c.updateCriticalPaths(now)
-	// 100 s, less its own 10, the 20 of the longer way and the 8 of the last stage.
+	// The deadline of 100 s, less 10 s for the first stage, 20 s for the longer branch and 8 s for the last stage.
 	if slack, hasDeadline := slackOfFirst(); !hasDeadline || slack != 62*time.Second {
 		t.Errorf("slack of the first stage: got %v, %v; want 62s, true", slack, hasDeadline)
 	}
 	if got := c.jobs["wk-000001"].EffectivePriority; got != model.PriorityHigh {
 		t.Errorf("priority of the first stage: got %v, want %v", got, model.PriorityHigh)
 	}
-	// The deadline is past: 1.5 times the deadline counts.
+	// The deadline can no longer be met, so the objective of 1.5 times the deadline determines the slack.
 	now = now.Add(90 * time.Second)
 	if slack, hasDeadline := slackOfFirst(); !hasDeadline || slack != 22*time.Second {
 		t.Errorf("slack to the later deadline: got %v, %v; want 22s, true", slack, hasDeadline)
@@ -44,7 +44,7 @@
 	}
 }
 
-// Production does not wait for a pipeline: only its own jobs stand above guarantees.
+// Only production jobs themselves take precedence over guarantees, not the jobs that they depend on.
 func TestProductionPriorityIsNotInherited(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(now, &record.Snapshot{})
@@ -87,13 +87,13 @@
 	if startable(job) {
 		t.Fatal("startable although the end of a dependency is not known")
 	}
-	// The end is of a former version: it states no moment.
+	// The end was recorded by an earlier program version, which stored no end time.
 	c.Step(now, JobEndsReceived{Ends: []record.JobEnd{{ID: "wk-000009", Outcome: model.OutcomeDone}}})
 	if !startable(job) || !job.EligibleAt.Equal(now) {
 		t.Errorf("got startable %v, eligible at %v; want true, %v", startable(job), job.EligibleAt, now)
 	}
 	if c.jobsByAge[len(c.jobsByAge)-1] != job {
-		t.Error("it does not stand behind the jobs that could start before it")
+		t.Error("job is not last in the queue, behind the jobs that became eligible before it")
 	}
 	if got := c.guaranteedJobs(); !got[c.jobs["wk-000003"]] || got[job] {
 		t.Errorf("got guarantees %v and %v, want them for the job that could start first",
@@ -101,7 +101,7 @@
 	}
 }
 
-// A lookup that finds nothing is not repeated at once, and starts nothing.
+// A lookup that finds no job end is repeated only after a delay, and does not make the dependent job startable.
 func TestUnknownJobEndIsLookedUpAgainAfterDelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(now, &record.Snapshot{})
--- a/internal/reconciler/explain.go
+++ b/internal/reconciler/explain.go
@@ -12,7 +12,7 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// Explanation says why a job's tasks wait, and why those that run are where they are.
+// Explanation describes why tasks of a job are waiting, and why its running tasks were placed on their machines.
 type Explanation struct {
 	Job         string            `json:"job"`
 	Class       string            `json:"class"`
@@ -23,20 +23,21 @@
 	Done        int               `json:"done"`
 	OnMachines  int               `json:"on_machines"`
 	Waiting     int               `json:"waiting"`
-	Reasons     []string          `json:"why,omitempty"`      // what keeps its tasks waiting, for people
-	Machines    []MachineCount    `json:"machines,omitempty"` // how many machines do not take one more task, and why
-	Coming      []string          `json:"coming,omitempty"`   // machines that come up and could take it
-	Remedies    []string          `json:"change,omitempty"`   // what would have to change
-	Placements  []PlacementReason `json:"placed,omitempty"`   // at most maxPlacements
+	Reasons     []string          `json:"why,omitempty"`      // human-readable reasons why tasks are waiting
+	Machines    []MachineCount    `json:"machines,omitempty"` // whether machines can run one more task, and why not
+	Coming      []string          `json:"coming,omitempty"`   // booting or requested machines that could run a task
+	Remedies    []string          `json:"change,omitempty"`   // human-readable changes that would let tasks start
+	Placements  []PlacementReason `json:"placed,omitempty"`   // the first maxPlacements tasks that are on machines
 }
 
-// MachineCount counts the machines that do not take a task for the same reason.
+// MachineCount is the number of machines for which the same reason states why they cannot, or that they can, run one
+// more task of the job.
 type MachineCount struct {
 	Reason string `json:"why"`
 	Count  int    `json:"count"`
 }
 
-// PlacementReason says why a task is on its machine.
+// PlacementReason describes why a task was placed on its machine.
 type PlacementReason struct {
 	Task    int    `json:"task"`
 	Machine string `json:"machine"`
@@ -44,7 +45,7 @@
 	Reason  string `json:"why"`
 }
 
-// maxPlacements bounds the explanation of a large array.
+// maxPlacements bounds the placements in the explanation of a large job array.
 const maxPlacements = 20
 
 func (e *Explanation) addReason(format string, args ...any) {
@@ -55,8 +56,9 @@
 	e.Remedies = append(e.Remedies, fmt.Sprintf(format, args...))
 }
 
-// Explain says why a job's tasks wait. It plans a pass without carrying it out and calls the functions that decide,
-// so it says what the next pass would find; nil: the job is not among the unfinished ones.
+// Explain returns an explanation of why tasks of a job are waiting, or nil if the job is not among the unfinished
+// ones. It plans a scheduling pass without carrying it out, using the same functions as a real pass, so the
+// explanation shows what the next pass would find.
 func (c *Core) Explain(now time.Time, id string) *Explanation {
 	job := c.jobs[id]
 	if job == nil {
@@ -81,7 +83,7 @@
 	return explanation
 }
 
-// explainBlocked says why no pass considers a job's tasks, and reports whether that is so.
+// explainBlocked adds the reason why scheduling passes skip the tasks of a job. It reports whether there is one.
 func (c *Core) explainBlocked(now time.Time, job *model.Job, explanation *Explanation) bool {
 	switch constraints := c.constraints.byJob[job]; {
 	case job.State != model.JobActive:
@@ -108,21 +110,21 @@
 	return true
 }
 
-// explainWaiting plans a pass and says what it finds.
+// explainWaiting plans a pass and adds what it finds for the waiting tasks of a job.
 func (c *Core) explainWaiting(now time.Time, job *model.Job, explanation *Explanation) {
 	input := c.schedulerInput(now)
-	ofJob := func(request *scheduler.Request) bool { return request.Job == job }
-	first := slices.IndexFunc(input.Requests, ofJob)
+	isOfJob := func(request *scheduler.Request) bool { return request.Job == job }
+	first := slices.IndexFunc(input.Requests, isOfJob)
 	if first < 0 {
 		return
 	}
 	request := input.Requests[first]
 	plan := scheduler.MakePlan(&c.settings.Scheduler, input)
-	// Only now, as MakePlan has put the requests into the order in which it serves them.
-	ahead := slices.Index(input.Requests, request)
+	// MakePlan has sorted the requests into the order in which it serves them.
+	requestsAhead := slices.Index(input.Requests, request)
 	c.explainPlan(job, request, input, plan, explanation)
-	if ahead > 0 {
-		explanation.addReason("%d others stand before it in the order", ahead)
+	if requestsAhead > 0 {
+		explanation.addReason("%d others stand before it in the order", requestsAhead)
 	}
 	c.explainMachines(now, request, input, explanation)
 	c.explainIncoming(now, request, explanation)
@@ -138,7 +140,7 @@
 	}
 }
 
-// explainPlan says how many tasks the next pass places, and what the others lack.
+// explainPlan adds how many tasks the planned pass places, and why it does not place the others.
 func (c *Core) explainPlan(
 	job *model.Job, request *scheduler.Request, input *scheduler.Snapshot, plan *scheduler.Plan,
 	explanation *Explanation,
@@ -155,7 +157,7 @@
 	team := job.Spec.Team
 	i := slices.IndexFunc(plan.Shortages, func(s scheduler.Shortage) bool { return s.Request.Job == job })
 	if i < 0 {
-		if placed < explanation.Waiting && c.hasQuota(job) {
+		if placed < explanation.Waiting && c.teamHasQuota(job) {
 			explanation.addReason("team %s has room for no more of its tasks under its limit", team)
 			explanation.addRemedy("tasks of the team have to end, or its limit has to be raised")
 		}
@@ -175,7 +177,7 @@
 	}
 }
 
-// explainMachines counts why machines do not take one more task.
+// explainMachines counts all machines by whether they can run one more task of a request and, if not, why.
 func (c *Core) explainMachines(
 	now time.Time, request *scheduler.Request, input *scheduler.Snapshot, explanation *Explanation,
 ) {
@@ -199,7 +201,7 @@
 	})
 }
 
-// explainNode says whether a machine that tasks may be placed on takes one more task, and if not, why.
+// explainNode describes whether a node of the pass can run one more task of a request and, if not, why.
 func (c *Core) explainNode(request *scheduler.Request, node *scheduler.Node) string {
 	feasibility := node.Feasibility(request, "")
 	switch feasibility {
@@ -213,47 +215,47 @@
 	return feasibility.String()
 }
 
-// explainIncoming says which machines come up that could take a task, and which the cloud has refused.
+// explainIncoming adds the booting and requested machines that could run a task of a request, and the machine classes
+// that could but that the cloud has recently refused to provision.
 func (c *Core) explainIncoming(now time.Time, request *scheduler.Request, explanation *Explanation) {
 	job := request.Job
-	useful := func(class constraint.Class) bool {
+	canHostTask := func(class constraint.Class) bool {
 		return constraint.SpecAllows(job.Spec, class) &&
 			request.Rules.AcceptsOffer(class.Type, class.Zone, class.Spot) &&
 			(job.Spec.Demand.GPU > 0 || job.MayUseGPUMachines || !c.gpus.reserves(class.Type, class.Spot))
 	}
-	coming := map[string]int{}
+	incoming := map[string]int{}
 	for _, machine := range c.machines {
-		if class := classOf(machine); machine.State == model.MachineBooting && useful(class) {
-			coming["booting "+class.String()]++
+		if class := classOf(machine); machine.State == model.MachineBooting && canHostTask(class) {
+			incoming["booting "+class.String()]++
 		}
 	}
-	for _, r := range c.provisioning.requests {
-		if class := c.offerClass(r.Type, r.Zone, r.Spot); useful(class) {
-			coming["asked for "+class.String()] += r.Count
+	for _, pending := range c.provisioning.requests {
+		if class := c.offerClass(pending.Type, pending.Zone, pending.Spot); canHostTask(class) {
+			incoming["asked for "+class.String()] += pending.Count
 		}
 	}
-	for what, count := range coming {
-		explanation.Coming = append(explanation.Coming, fmt.Sprintf("%d %s", count, what))
+	for description, count := range incoming {
+		explanation.Coming = append(explanation.Coming, fmt.Sprintf("%d %s", count, description))
 	}
 	slices.Sort(explanation.Coming)
-	var refused []string
+	var refusedClasses []string
 	for offer, until := range c.provisioning.refusedUntil {
-		if class := c.offerClass(offer.Type, offer.Zone, offer.Spot); now.Before(until) && useful(class) {
-			refused = append(refused, class.String())
+		if class := c.offerClass(offer.Type, offer.Zone, offer.Spot); now.Before(until) && canHostTask(class) {
+			refusedClasses = append(refusedClasses, class.String())
 		}
 	}
-	if len(refused) > 0 {
-		slices.Sort(refused)
-		explanation.addReason("the cloud has just refused %v; it is asked again soon", refused)
+	if len(refusedClasses) > 0 {
+		slices.Sort(refusedClasses)
+		explanation.addReason("the cloud has just refused %v; it is asked again soon", refusedClasses)
 	}
 }
 
-// offerClass returns the class of machines of an offer.
 func (c *Core) offerClass(machineType, zone string, spot bool) constraint.Class {
 	return constraint.Class{Type: c.machineType(machineType), Zone: zone, Spot: spot}
 }
 
-// explainPlacement says why an attempt is on its machine.
+// explainPlacement describes why the scheduler chose the machine of an attempt.
 func explainPlacement(attempt *model.Attempt) PlacementReason {
 	placement := PlacementReason{
 		Task: attempt.Task.Index, Machine: attempt.Machine.Name, Class: classOf(attempt.Machine).String(),
--- a/internal/reconciler/explain_test.go
+++ b/internal/reconciler/explain_test.go
@@ -9,8 +9,8 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// An explanation counts the requests ahead of a job in the order of the pass, which is not that of the jobs' ages: a
-// former version counted before the pass had ordered them.
+// An explanation counts the requests ahead of a job in the order in which a pass serves them, which differs from the
+// order of the jobs' ages. An earlier version counted them before the pass had sorted the requests.
 func TestExplanationCountsRequestsAheadInPassOrder(t *testing.T) {
 	const oneAhead = "1 others stand before it in the order"
 	now := time.Unix(1000, 0)
--- a/internal/reconciler/finished.go
+++ b/internal/reconciler/finished.go
@@ -6,15 +6,17 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// finishedTasks knows the jobs whose finished tasks are not on record yet. They are recorded in batches.
+// finishedTasks tracks the jobs that have finished tasks not yet written to the state store. These tasks are written
+// in batches.
 type finishedTasks struct {
-	dirtyJobs map[string]bool
-	flushAt   time.Time // of what is dirty
+	dirtyJobs map[string]bool // by job ID
+	flushAt   time.Time       // when the next batch is due; valid if dirtyJobs is not empty
 }
 
 func newFinishedTasks() finishedTasks { return finishedTasks{dirtyJobs: map[string]bool{}} }
 
-// markDirty notes that a task of a job has finished; flushAt holds unless a batch is due earlier.
+// markDirty records that a task of a job has finished. The batch is written at flushAt unless one is already
+// scheduled.
 func (f *finishedTasks) markDirty(job string, flushAt time.Time) {
 	if len(f.dirtyJobs) == 0 {
 		f.flushAt = flushAt
@@ -22,17 +24,17 @@
 	f.dirtyJobs[job] = true
 }
 
-// remove drops a job: its end is on record or about to be.
+// remove removes a job whose end is recorded or is about to be. Its finished tasks need no records of their own.
 func (f *finishedTasks) remove(job string) { delete(f.dirtyJobs, job) }
 
-// next is when the next batch is due; !ok: nothing waits.
+// next returns the time at which the next batch is due. ok is false if there is nothing to write.
 func (f *finishedTasks) next() (at time.Time, ok bool) { return f.flushAt, len(f.dirtyJobs) > 0 }
 
 func (f *finishedTasks) due(now time.Time) bool {
 	return len(f.dirtyJobs) > 0 && !now.Before(f.flushAt)
 }
 
-// queueDirtyChunks queues the changed chunks of the finished-task records.
+// queueDirtyChunks queues the changed chunks of finished-task records for the next transactions.
 func (c *Core) queueDirtyChunks(now time.Time) {
 	for id := range c.finished.dirtyJobs {
 		c.finished.remove(id)
--- a/internal/reconciler/golden_test.go
+++ b/internal/reconciler/golden_test.go
@@ -6,7 +6,7 @@
 	"github.com/glentiller/glentiller/internal/golden"
 )
 
-// Controllers hand an explanation to each other, and to operators.
+// The JSON encoding of an explanation is exchanged between controllers and shown to operators.
 func TestExplanationKeepsItsJSON(t *testing.T) {
 	golden.CheckJSON[Explanation](t, "explanation")
 }
--- a/internal/reconciler/gpu.go
+++ b/internal/reconciler/gpu.go
@@ -2,21 +2,23 @@
 
 import "github.com/glentiller/glentiller/internal/model"
 
-// gpuReservations are the machine types that are reserved for GPU tasks. Demands for GPUs are on record, so that a new
-// leader that has no GPU job at the moment does not fill, or provision, the most expensive machines for anything.
+// gpuReservations determines the machine types that are reserved for GPU tasks. The GPU demands that were seen are
+// kept in the state store. Otherwise a new leader without a current GPU job would use, or provision, the most
+// expensive machines for tasks that need no GPU.
 type gpuReservations struct {
-	demands  map[model.Resources]bool    // demands for GPUs that were seen
-	reserved map[*model.MachineType]bool // by type, as far as was asked since the last pass began
+	demands        map[model.Resources]bool    // distinct resource demands that include GPUs
+	reservedByType map[*model.MachineType]bool // results of reserves, cached since the start of the last pass
 }
 
-// maxGPUDemands bounds the demands that are kept.
+// maxGPUDemands bounds the number of distinct GPU demands that are kept.
 const maxGPUDemands = 64
 
 func newGPUReservations() gpuReservations {
-	return gpuReservations{demands: map[model.Resources]bool{}, reserved: map[*model.MachineType]bool{}}
+	return gpuReservations{demands: map[model.Resources]bool{}, reservedByType: map[*model.MachineType]bool{}}
 }
 
-// add records a demand, and reports whether it is for GPUs and new.
+// add adds a demand if it includes GPUs, and reports whether it was added. It ignores known demands, and new ones
+// beyond maxGPUDemands.
 func (g *gpuReservations) add(demand model.Resources) bool {
 	if demand.GPU <= 0 || g.demands[demand] || len(g.demands) >= maxGPUDemands {
 		return false
@@ -25,31 +27,33 @@
 	return true
 }
 
-// restore adds a demand that is on record.
+// restore adds a demand that was read from the state store.
 func (g *gpuReservations) restore(demand model.Resources) { g.demands[demand] = true }
 
-// beginPass forgets which types are reserved: the catalog and the demands may have changed.
-func (g *gpuReservations) beginPass() { clear(g.reserved) }
+// beginPass clears the cached results, because the catalog and the demands may have changed.
+func (g *gpuReservations) beginPass() { clear(g.reservedByType) }
 
-// reserves reports whether machines of a type are reserved for GPU tasks: a demand for GPUs was seen that fits them.
-// Spot machines are not, since GPU tasks that may use them are rare, and their CPUs are the cheapest.
+// reserves reports whether machines of a type are reserved for GPU tasks. That is the case if any known GPU demand
+// fits the type. Spot machines are never reserved, because few GPU tasks may use them and their CPUs are the
+// cheapest.
 func (g *gpuReservations) reserves(machineType *model.MachineType, spot bool) bool {
 	if spot || machineType.Capacity.GPU == 0 {
 		return false
 	}
-	reserved, known := g.reserved[machineType]
+	reserved, known := g.reservedByType[machineType]
 	if !known {
 		for demand := range g.demands {
 			reserved = reserved || demand.Fits(machineType.Capacity)
 		}
-		g.reserved[machineType] = reserved
+		g.reservedByType[machineType] = reserved
 	}
 	return reserved
 }
 
-// needsGPUMachines reports whether a job that demands no GPU can run only on machines that are reserved for GPU
-// tasks, since no other type takes it as an on-demand machine. Otherwise it would wait for ever for machines that do
-// not exist. Spot machines do not count, as there may never be any.
+// needsGPUMachines reports whether a job that demands no GPU can run only on machine types that are reserved for GPU
+// tasks, because no other type can run it on an on-demand machine. Such a job may use the reserved types; otherwise
+// it would wait forever for machines that do not exist. Spot machines are not considered as an alternative, because
+// they may never become available.
 func (c *Core) needsGPUMachines(job *model.Job) bool {
 	spec := job.Spec
 	if spec.Demand.GPU > 0 {
--- a/internal/reconciler/jobs.go
+++ b/internal/reconciler/jobs.go
@@ -8,7 +8,7 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// addJob adds an accepted job to the view.
+// addJob adds an accepted job to the view. It does nothing if the job is already known.
 func (c *Core) addJob(now time.Time, event JobAdded) {
 	spec := event.Spec
 	if c.jobs[spec.ID] != nil {
@@ -21,7 +21,7 @@
 	job.Dependency = c.dependencies.graph.Add(spec.ID, spec.Dependencies, event.SubmittedAt)
 	c.enqueue(job)
 	if len(spec.Dependencies) > 0 {
-		c.dependencies.graphChanged(now)
+		c.dependencies.invalidateCriticalPaths(now)
 		c.endIfFinished(now, job)
 	}
 	if c.gpus.add(spec.Demand) {
@@ -33,8 +33,8 @@
 		"dependency_state", job.Dependency.State.String())
 }
 
-// endJob removes a job that is done or cancelled, and passes its end on to the jobs that depend on it. Attempts of
-// it count on their machines until they are gone.
+// endJob removes a job that has completed or was cancelled, and propagates its end to the jobs that depend on it. Its
+// attempts still count towards the usage of their machines until they have exited.
 func (c *Core) endJob(now time.Time, event JobEnded) {
 	if job := c.jobs[event.ID]; job != nil {
 		c.removeJob(now, job, event.Outcome)
@@ -54,7 +54,8 @@
 	}
 }
 
-// removeJob removes a job: it stops its attempts and deletes its records.
+// removeJob removes a job from the view, stops its attempts, and queues the deletion of its task and dependency
+// records.
 func (c *Core) removeJob(now time.Time, job *model.Job, outcome model.Outcome) {
 	id := job.Spec.ID
 	c.log.Info("job ended", "id", id, "done", job.Count(model.TaskDone), "active", len(job.ActiveAttempts),
@@ -79,11 +80,12 @@
 	c.dequeue(job)
 	c.passes.request()
 	if len(job.Dependency.Upstream) > 0 {
-		c.dependencies.graphChanged(now)
+		c.dependencies.invalidateCriticalPaths(now)
 	}
 }
 
-// completeTask notes that a task has completed.
+// completeTask marks a task as done, schedules its record to be written, and ends the job if it was the last task.
+// Tasks of services never complete.
 func (c *Core) completeTask(now time.Time, job *model.Job, index int) {
 	if job.Task(index) == model.TaskDone || job.Spec.Shape == model.Service {
 		return
@@ -95,8 +97,8 @@
 	c.endIfFinished(now, job)
 }
 
-// endIfFinished records the end of a job whose tasks are all done, or that depends on a cancelled one. The record of
-// the end covers its finished tasks, so those are not recorded any more.
+// endIfFinished records the end of an active job if all its tasks are done or a job upstream of it was cancelled.
+// That record covers the finished tasks of the job, so they need no further records.
 func (c *Core) endIfFinished(now time.Time, job *model.Job) {
 	kind := record.CompleteJob
 	switch {
@@ -104,7 +106,8 @@
 		return
 	case job.Dependency.State == model.DependencyFailed:
 		kind = record.CancelDependent
-		c.log.Info("job cancelled with its dependency", "id", job.Spec.ID, "dependency", job.Dependency.DecidedBy)
+		c.log.Info("cancelling job because its dependency was cancelled", "id", job.Spec.ID,
+			"dependency", job.Dependency.DecidedBy)
 	case job.Unfinished() > 0:
 		return
 	}
@@ -116,17 +119,18 @@
 	}
 }
 
-// enqueue puts a job into the order by the moment from which its age counts, behind those of the same moment.
+// enqueue inserts a job into jobsByAge, which is sorted by the time at which jobs became eligible. The job goes
+// behind others with the same time.
 func (c *Core) enqueue(job *model.Job) {
 	job.EligibleAt = job.Dependency.SatisfiedAt
 	job.WaitingSince = job.EligibleAt
-	at, _ := slices.BinarySearchFunc(c.jobsByAge, job, func(a, b *model.Job) int {
+	position, _ := slices.BinarySearchFunc(c.jobsByAge, job, func(a, b *model.Job) int {
 		if order := a.EligibleAt.Compare(b.EligibleAt); order != 0 {
 			return order
 		}
 		return -1
 	})
-	c.jobsByAge = slices.Insert(c.jobsByAge, at, job)
+	c.jobsByAge = slices.Insert(c.jobsByAge, position, job)
 }
 
 func (c *Core) dequeue(job *model.Job) {
@@ -135,7 +139,8 @@
 	}
 }
 
-// startable reports whether tasks of a job may start at all: docs/safety.md, "Pipelines".
+// startable reports whether tasks of a job may start: it is active and all its dependencies are satisfied. See
+// docs/safety.md, "Pipelines".
 func startable(job *model.Job) bool {
 	return job.State == model.JobActive && job.Dependency.State == model.DependencySatisfied
 }
--- a/internal/reconciler/pass.go
+++ b/internal/reconciler/pass.go
@@ -7,33 +7,33 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// passTimer says when scheduling passes run. A pass looks at everything that waits, so passes leave most of the time
-// to heartbeats and to the renewal of the leadership lease.
+// passTimer determines when scheduling passes run. A pass examines all waiting jobs, so passes are spaced out to
+// leave most of the time for heartbeats and for the renewal of the leadership lease.
 type passTimer struct {
-	needed        bool          // the view has changed since the last pass
-	lastAt        time.Time     // when the last pass began
-	pause         time.Duration // least time from one pass to the next, by how long the last one took
-	ran           bool          // the last step ran a pass
-	startsPaused  bool          // no task may be started
-	consolidateAt time.Time     // no replica is moved before this
+	needed              bool          // the view has changed since the last pass
+	lastAt              time.Time     // start of the last pass
+	minPause            time.Duration // minimum time between the starts of two passes, derived from the last duration
+	ranPass             bool          // the last step ran a pass
+	startsPaused        bool          // no task may be started
+	nextConsolidationAt time.Time     // earliest time of the next move of a service replica
 }
 
 const (
-	passTimeDivisor = 3               // passes take no more than one part in so many of the time
-	maxPassPause    = 3 * time.Second // but waiting tasks do not wait longer than this for the next one
+	passTimeDivisor = 3               // passes take at most 1/passTimeDivisor of the time, unless maxPassPause applies
+	maxPassPause    = 3 * time.Second // bounds minPause, and so the delay of waiting tasks after a long pass
 )
 
-// earliest is when the next pass may begin; interval is the least time between passes.
-func (p *passTimer) earliest(interval time.Duration) time.Time {
-	return p.lastAt.Add(max(interval, p.pause))
+// earliestStart returns the earliest start of the next pass. interval is the configured minimum time between passes.
+func (p *passTimer) earliestStart(interval time.Duration) time.Time {
+	return p.lastAt.Add(max(interval, p.minPause))
 }
 
-// next is when the next pass is to begin; !ok: none is needed.
+// next returns the time at which the next pass is due. ok is false if no pass is needed or starts are paused.
 func (p *passTimer) next(interval time.Duration) (at time.Time, ok bool) {
 	if !p.needed || p.startsPaused {
 		return time.Time{}, false
 	}
-	return p.earliest(interval), true
+	return p.earliestStart(interval), true
 }
 
 func (p *passTimer) due(now time.Time, interval time.Duration) bool {
@@ -41,28 +41,30 @@
 	return ok && !now.Before(at)
 }
 
-// request requests a pass, as the view has changed.
+// request requests a pass after a change of the view.
 func (p *passTimer) request() { p.needed = true }
 
-// begin notes that a pass runs now.
-func (p *passTimer) begin(now time.Time) { p.needed, p.lastAt, p.ran = false, now, true }
+// begin records the start of a pass.
+func (p *passTimer) begin(now time.Time) { p.needed, p.lastAt, p.ranPass = false, now, true }
 
-// pauseStarts sets whether the starting of tasks is paused, and reports whether that has changed.
+// pauseStarts pauses or resumes the starting of tasks, and reports whether that is a change.
 func (p *passTimer) pauseStarts(paused bool) (changed bool) {
 	changed = p.startsPaused != paused
 	p.startsPaused = paused
 	return changed
 }
 
-// observe records how long a step took, and reports whether it ran a pass.
+// observe records the duration of a step and reports whether the step ran a pass. The pause after a pass is
+// proportional to that duration.
 func (p *passTimer) observe(d time.Duration) (passed bool) {
-	if passed, p.ran = p.ran, false; passed {
-		p.pause = min(passTimeDivisor*d, maxPassPause)
+	if passed, p.ranPass = p.ranPass, false; passed {
+		p.minPause = min(passTimeDivisor*d, maxPassPause)
 	}
 	return passed
 }
 
-// runPass starts waiting tasks, preempts others for them, and scales out for the rest.
+// runPass runs a scheduling pass: it starts waiting tasks, preempts others for them, and scales out for the tasks
+// that do not fit. If no task can be considered, it consolidates service replicas instead.
 func (c *Core) runPass(now time.Time) {
 	c.passes.begin(now)
 	if len(c.machineTypes) == 0 {
@@ -81,7 +83,8 @@
 		c.preempt(now, &plan.Preemptions[i])
 	}
 	if plan.Truncated {
-		// The rest comes with the next pass. What is lacking then is not known yet, so nothing is provisioned for it.
+		// The next pass handles the remaining requests. Their shortages are not known yet, so no machines are
+		// provisioned.
 		c.passes.request()
 		return
 	}
@@ -89,29 +92,29 @@
 	c.scaleOut(now, input, plan.Shortages)
 }
 
-// launchPlacements starts the tasks that a pass has placed. All tasks of a gang share an attempt number.
+// launchPlacements launches the tasks that a pass has placed. All tasks of a gang share an attempt number.
 func (c *Core) launchPlacements(now time.Time, placements []scheduler.Placement) {
-	var gang *scheduler.Request
+	var gangRequest *scheduler.Request
 	var gangAttempt uint64
 	for _, placement := range placements {
 		request := placement.Request
 		if request.Rules != nil && !c.affinityHolds(placement, placements) {
-			c.passes.request() // the next pass finds another place
+			c.passes.request() // the next pass looks for another machine
 			continue
 		}
 		if request.Job.Spec.Shape != model.Gang {
 			c.launch(now, placement, c.nextAttemptNumber())
 			continue
 		}
-		if request != gang {
-			gang, gangAttempt = request, c.nextAttemptNumber()
+		if request != gangRequest {
+			gangRequest, gangAttempt = request, c.nextAttemptNumber()
 		}
 		c.launch(now, placement, gangAttempt)
 	}
 }
 
-// launch starts one task of a request. From here on it counts as being on the machine: see docs/safety.md, "Attempts
-// on a machine".
+// launch launches one pending task of a request. From then on the attempt counts as being on its machine, even before
+// the worker confirms it: see docs/safety.md, "Attempts on a machine".
 func (c *Core) launch(now time.Time, placement scheduler.Placement, number uint64) {
 	job, machine := placement.Request.Job, placement.Node.Machine
 	if !startable(job) {
@@ -142,7 +145,8 @@
 		"restart", placement.Request.Restart)
 }
 
-// preempt stops a task to free capacity for another one.
+// preempt stops an attempt to free capacity for another job. The attempt may save a checkpoint first, unless the
+// preemption is immediate. Gangs are always stopped as a whole, with time for a checkpoint.
 func (c *Core) preempt(now time.Time, preemption *scheduler.Preemption) {
 	attempt, preemptor := preemption.Attempt, preemption.Preemptor
 	c.log.Info("preempting task", "task", attempt.Task, "machine", attempt.Machine.Name,
@@ -158,16 +162,18 @@
 	}
 }
 
-// consolidate moves one service replica off a machine that is expensive, or that it has to itself.
+// consolidate moves at most one service replica per ConsolidateInterval to another machine: off an expensive machine,
+// or off one that it has to itself. If there is none and Scheduler.Drain is set, it moves a replica to empty its
+// machine.
 func (c *Core) consolidate(now time.Time, input *scheduler.Snapshot) {
-	if !c.takeover.complete() || c.settings.ConsolidateInterval == 0 || now.Before(c.passes.consolidateAt) {
+	if !c.takeover.complete() || c.settings.ConsolidateInterval == 0 || now.Before(c.passes.nextConsolidationAt) {
 		return
 	}
-	c.passes.consolidateAt = now.Add(c.settings.ConsolidateInterval)
+	c.passes.nextConsolidationAt = now.Add(c.settings.ConsolidateInterval)
 	for _, job := range c.jobsByAge {
 		if attempt := scheduler.Consolidate(&c.settings.Scheduler, now, input, job); attempt != nil {
-			c.log.Info("moving replica", "task", attempt.Task, "machine", attempt.Machine.Name,
-				"type", attempt.Machine.Type.Name)
+			c.log.Info("moving service replica to consolidate machines", "task", attempt.Task,
+				"machine", attempt.Machine.Name, "type", attempt.Machine.Type.Name)
 			c.stopGracefully(now, attempt)
 			return
 		}
@@ -176,7 +182,7 @@
 		return
 	}
 	if attempt := scheduler.Drain(&c.settings.Scheduler, now, input); attempt != nil {
-		c.log.Info("draining replica", "task", attempt.Task, "machine", attempt.Machine.Name,
+		c.log.Info("moving service replica to drain its machine", "task", attempt.Task, "machine", attempt.Machine.Name,
 			"type", attempt.Machine.Type.Name, "attempts", attempt.Machine.ActiveCount)
 		c.stopGracefully(now, attempt)
 	}
--- a/internal/reconciler/preemption.go
+++ b/internal/reconciler/preemption.go
@@ -7,27 +7,27 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// preemptionFacts are what all attempts of a job have in common in one pass.
-type preemptionFacts struct {
-	guaranteed    bool
+// preemptionJobFacts holds the attributes for preemption that all attempts of a job share during one pass.
+type preemptionJobFacts struct {
+	guaranteed    bool // the job is within its team's guarantee
 	fairShareBand int
-	slack         time.Duration // of an attempt that has to do all its work again
+	slack         time.Duration // slack of an attempt that has to repeat all its work
 	hasDeadline   bool
 }
 
-// preemptionLister returns a function that lists the attempts on one machine that may be preempted, and what is
-// being released there already. A pass calls it for the machines that it considers, and only where capacity is
-// short: working out what each of tens of thousands of attempts would lose takes long.
+// preemptionLister returns a function that fills in the preemption candidates of a node and the resources that are
+// already being released there. A pass calls it only for nodes that it considers while capacity is short, because
+// computing the lost work of tens of thousands of attempts is expensive.
 func (c *Core) preemptionLister(now time.Time, guaranteed map[*model.Job]bool) func(*scheduler.Node) {
-	known := map[*model.Job]*preemptionFacts{}
-	factsOf := func(job *model.Job) *preemptionFacts {
-		facts := known[job]
+	factsByJob := map[*model.Job]*preemptionJobFacts{}
+	factsOf := func(job *model.Job) *preemptionJobFacts {
+		facts := factsByJob[job]
 		if facts == nil {
-			facts = &preemptionFacts{
+			facts = &preemptionJobFacts{
 				guaranteed: guaranteed[job], fairShareBand: c.accounting.fairShareBand(job.Spec.Team),
 			}
 			facts.slack, facts.hasDeadline = c.slack(now, job, true, 0)
-			known[job] = facts
+			factsByJob[job] = facts
 		}
 		return facts
 	}
@@ -47,9 +47,9 @@
 	}
 }
 
-// preemptionCandidate describes an attempt that may be preempted.
+// preemptionCandidate returns an attempt as a candidate for preemption, with the work that it would lose.
 func (c *Core) preemptionCandidate(
-	now time.Time, attempt *model.Attempt, facts *preemptionFacts,
+	now time.Time, attempt *model.Attempt, facts *preemptionJobFacts,
 ) scheduler.PreemptionCandidate {
 	spec := attempt.Job.Spec
 	candidate := scheduler.PreemptionCandidate{
@@ -65,18 +65,19 @@
 	if savesCheckpoints {
 		candidate.CheckpointTime = gracePeriod(attempt)
 	}
-	ran := time.Duration(0)
+	runTime := time.Duration(0)
 	if !attempt.RunningAt.IsZero() {
-		ran = now.Sub(attempt.RunningAt)
-		candidate.LostWork = ran
+		runTime = now.Sub(attempt.RunningAt)
+		candidate.LostWork = runTime
 		if savesCheckpoints {
-			// Where between two checkpoints it is depends on its machine's speed and on what it had done before.
-			candidate.LostWork = min(ran, spec.CheckpointInterval/2)
+			// The time since the last checkpoint is not known exactly: it depends on the speed of the machine and on
+			// the work done before this attempt. Half an interval is the expected value.
+			candidate.LostWork = min(runTime, spec.CheckpointInterval/2)
 		}
 	}
-	candidate.RecentlyStarted = ran < c.settings.Scheduler.MinRuntime
-	if candidate.LostWork < ran {
-		candidate.Slack, candidate.HasDeadline = c.slack(now, attempt.Job, true, ran-candidate.LostWork)
+	candidate.RecentlyStarted = runTime < c.settings.Scheduler.MinRuntime
+	if candidate.LostWork < runTime {
+		candidate.Slack, candidate.HasDeadline = c.slack(now, attempt.Job, true, runTime-candidate.LostWork)
 	}
 	return candidate
 }
--- a/internal/reconciler/provisioning.go
+++ b/internal/reconciler/provisioning.go
@@ -9,20 +9,20 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// provisioner keeps the requests for machines to the cloud.
+// provisioner tracks the requests for machines that were sent to the cloud.
 type provisioner struct {
-	counter      uint64                        // requests that this leader has named
-	requests     map[string]model.Provisioning // not answered yet, by name
-	retryAt      map[string]time.Time          // of those whose outcome is unknown
-	refusedUntil map[autoscaler.Offer]time.Time
-	scaledOutAt  time.Time // when scaling out was last considered
+	requestCounter uint64                         // number of request names that this leader has generated
+	requests       map[string]model.Provisioning  // unanswered requests by name
+	retryAt        map[string]time.Time           // retry times by name of requests with an unknown outcome
+	refusedUntil   map[autoscaler.Offer]time.Time // ends of the back-off for offers that the cloud has refused
+	lastScaleOutAt time.Time                      // when scaling out was last considered
 }
 
 const (
-	maxProvisionsInFlight  = 4                      // the cloud takes few requests a second
-	scaleOutInterval       = 200 * time.Millisecond // between considerations of scaling out
-	provisionRetryDelay    = time.Second            // after an unknown outcome
-	provisionAnswerTimeout = time.Minute            // of a repeated request, before it is repeated again
+	maxProvisionsInFlight  = 4                      // the cloud accepts only a few requests per second
+	scaleOutInterval       = 200 * time.Millisecond // minimum time between two evaluations of the scale-out
+	provisionRetryDelay    = time.Second            // delay of a retry after an unknown outcome
+	provisionAnswerTimeout = time.Minute            // time that a retry may take before the next one is sent
 )
 
 func newProvisioner() provisioner {
@@ -33,31 +33,32 @@
 	}
 }
 
-// full reports that no further request may be sent now.
-func (p *provisioner) full() bool { return len(p.requests) >= maxProvisionsInFlight }
+// atRequestLimit reports whether maxProvisionsInFlight requests are unanswered, so that no more may be sent.
+func (p *provisioner) atRequestLimit() bool { return len(p.requests) >= maxProvisionsInFlight }
 
-// remove forgets a request that was answered.
+// remove removes a request that was answered.
 func (p *provisioner) remove(name string) {
 	delete(p.requests, name)
 	delete(p.retryAt, name)
 }
 
-// nextProvisionName returns a name for a request that no controller uses again.
+// nextProvisionName returns a unique name for a request. No controller uses the name for another request.
 func (c *Core) nextProvisionName() string {
-	c.provisioning.counter++
-	return fmt.Sprintf("%s-%d-%d", c.settings.Member, c.fencingToken, c.provisioning.counter)
+	c.provisioning.requestCounter++
+	return fmt.Sprintf("%s-%d-%d", c.settings.Member, c.fencingToken, c.provisioning.requestCounter)
 }
 
-// scaleOut requests machines from the cloud for the tasks that fit nowhere.
+// scaleOut requests machines from the cloud for the tasks that fit on no existing machine. It is evaluated at most
+// once per scaleOutInterval.
 func (c *Core) scaleOut(now time.Time, input *scheduler.Snapshot, shortages []scheduler.Shortage) {
-	if len(shortages) == 0 || c.provisioning.full() {
+	if len(shortages) == 0 || c.provisioning.atRequestLimit() {
 		return
 	}
-	if now.Before(c.provisioning.scaledOutAt.Add(scaleOutInterval)) {
-		c.passes.request() // considered in a later pass
+	if now.Before(c.provisioning.lastScaleOutAt.Add(scaleOutInterval)) {
+		c.passes.request() // a later pass evaluates the scale-out
 		return
 	}
-	c.provisioning.scaledOutAt = now
+	c.provisioning.lastScaleOutAt = now
 	snapshot := &autoscaler.Snapshot{
 		Types:          c.machineTypes,
 		Incoming:       c.incomingCapacity(now),
@@ -71,7 +72,7 @@
 		snapshot.MachinesByZone[machine.Zone]++
 	}
 	for _, request := range autoscaler.ScaleOut(&c.settings.Autoscaler, now, snapshot, shortages) {
-		if c.provisioning.full() {
+		if c.provisioning.atRequestLimit() {
 			break
 		}
 		provisioning := model.Provisioning{
@@ -84,7 +85,8 @@
 	}
 }
 
-// incomingCapacity is the capacity that becomes available without provisioning.
+// incomingCapacity returns the capacity that becomes available without new requests to the cloud: booting machines,
+// requested machines, and resources that attempts are about to release.
 func (c *Core) incomingCapacity(now time.Time) []*autoscaler.Incoming {
 	var incoming []*autoscaler.Incoming
 	for _, machine := range c.machines {
@@ -95,7 +97,7 @@
 		if !machine.Unreconciled && machine.ActiveCount > 0 && c.placeable(now, machine) {
 			incoming = append(incoming, &autoscaler.Incoming{
 				Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot,
-				FreeSoon: func() model.Resources { return c.freeSoon(now, machine) },
+				FreeSoon: func() model.Resources { return c.resourcesFreeSoon(now, machine) },
 			})
 		}
 	}
@@ -109,22 +111,23 @@
 	return incoming
 }
 
-// freeSoon is what is likely free on a machine within a boot time. It is nothing where no attempt ends soon, since
-// what is free now has been considered already.
-func (c *Core) freeSoon(now time.Time, machine *model.Machine) model.Resources {
-	var soon model.Resources
+// resourcesFreeSoon returns the resources that will likely be free on a machine before a new machine could boot. It
+// returns no resources if no attempt ends soon, because the pass has already considered the currently free resources.
+func (c *Core) resourcesFreeSoon(now time.Time, machine *model.Machine) model.Resources {
+	var freeing model.Resources
 	for _, attempt := range machine.ActiveAttempts() {
 		if attempt.Job != nil && c.endsSoon(now, attempt) {
-			soon = soon.Add(attempt.Demand)
+			freeing = freeing.Add(attempt.Demand)
 		}
 	}
-	if soon == (model.Resources{}) {
-		return soon
+	if freeing == (model.Resources{}) {
+		return freeing
 	}
-	return soon.Add(machine.Free())
+	return freeing.Add(machine.Free())
 }
 
-// endsSoon reports whether an attempt has likely ended by the time that a machine like its own would be up.
+// endsSoon reports whether an attempt will likely have ended by the time a new machine of the same type could be
+// ready.
 func (c *Core) endsSoon(now time.Time, attempt *model.Attempt) bool {
 	if attempt.State == model.AttemptStopping {
 		return true
@@ -142,12 +145,12 @@
 			left += max(0, fetch-now.Sub(attempt.LaunchedAt))
 		}
 	} else if left < 0 {
-		left = estimate / 2 // it takes longer than estimated
+		left = estimate / 2 // the task has exceeded its estimate, so its remaining time is a guess
 	}
 	return left < time.Duration(c.settings.Autoscaler.LookaheadBoots*float64(machineType.BootTime))
 }
 
-// retryProvisioning repeats the requests whose outcome is unknown, under their own names.
+// retryProvisioning repeats requests whose outcome is unknown, under their original names.
 func (c *Core) retryProvisioning(now time.Time) {
 	for name, at := range c.provisioning.retryAt {
 		if now.After(at) {
@@ -157,7 +160,8 @@
 	}
 }
 
-// provisionCompleted handles the answer to a request for machines.
+// provisionCompleted handles the outcome of a request for machines. A request with an unknown outcome is repeated. If
+// the cloud provides fewer machines than requested, the offer is not requested again during the back-off period.
 func (c *Core) provisionCompleted(now time.Time, event ProvisionCompleted) {
 	request := event.Provisioning
 	if event.Outcome == Unknown || event.Outcome == NotSent {
--- a/internal/reconciler/runtimes_test.go
+++ b/internal/reconciler/runtimes_test.go
@@ -22,7 +22,7 @@
 	if got := estimates.estimate(spec); got < 19*time.Second || got > 21*time.Second {
 		t.Errorf("tasks run twice as long as estimated: got %v, want 19s to 21s", got)
 	}
-	estimates.observe(spec, time.Hour) // one that hung
+	estimates.observe(spec, time.Hour) // a task that hung
 	if got := estimates.estimate(spec); got > 22*time.Second {
 		t.Errorf("after a single outlier: got %v, want 22s at most", got)
 	}
--- a/internal/reconciler/scenario_test.go
+++ b/internal/reconciler/scenario_test.go
@@ -15,7 +15,7 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// newTestLeader makes the Core of a leader for a small deployment.
+// newTestLeader returns the Core of a leader for a deployment with one machine type and one team.
 func newTestLeader(now time.Time, snapshot *record.Snapshot) *Core {
 	types := []model.MachineType{
 		{Name: "eight", Capacity: model.Resources{CPU: 8, MemGB: 64}, BootTime: 5 * time.Second},
@@ -36,7 +36,7 @@
 	return New(now, settings, 1, snapshot, types, discardLog())
 }
 
-// oneTask makes the spec of a job of one task that takes half a machine.
+// oneTask returns the spec of a job with one task that uses half of a machine's CPUs.
 func oneTask(id string, shape model.Shape) *model.Spec {
 	return &model.Spec{
 		ID: id, Team: "red", Shape: shape, Priority: model.PriorityNormal, Tasks: 1,
@@ -44,22 +44,22 @@
 	}
 }
 
-// inheritedJob makes a job that was accepted before the takeover.
+// inheritedJob returns the record of a job that was accepted before the takeover.
 func inheritedJob(spec *model.Spec) record.Job {
 	return record.Job{Version: 0, SubmittedAt: time.Unix(900, 0), Spec: spec}
 }
 
-// inheritedMachine makes a machine that was recorded before the takeover.
+// inheritedMachine returns the record of a machine that was known before the takeover.
 func inheritedMachine(name, addr string) model.MachineInfo {
 	return model.MachineInfo{Name: name, Addr: addr, Type: "eight", Zone: "a"}
 }
 
-// workerScenario drives a leader with machines whose messages the test writes.
+// workerScenario drives a leader in simulated time. The test supplies the messages of the workers.
 type workerScenario struct {
 	*testing.T
 	core    *Core
 	now     time.Time
-	effects []Effect // of the last step
+	effects []Effect // effects of the last step
 }
 
 func newWorkerScenario(t *testing.T, snapshot *record.Snapshot) *workerScenario {
@@ -69,7 +69,7 @@
 	return s
 }
 
-// step has an event happen after a time; transactions are carried out at once.
+// step advances the clock and applies an event. Transactions that result from it complete immediately.
 func (s *workerScenario) step(after time.Duration, event Event) {
 	s.now = s.now.Add(after)
 	s.effects = slices.Clone(s.core.Step(s.now, event))
@@ -80,7 +80,7 @@
 	}
 }
 
-// heartbeatOf makes a machine's heartbeat that shows running attempts.
+// heartbeatOf returns a heartbeat of a machine that reports the given attempts as running.
 func heartbeatOf(machine string, epoch, seq, token uint64, running ...model.AttemptKey) *model.Heartbeat {
 	heartbeat := &model.Heartbeat{
 		Machine: machine, Addr: machine, Type: "eight", Zone: "a", Epoch: epoch, Seq: seq, FencingToken: token,
@@ -93,7 +93,7 @@
 	return heartbeat
 }
 
-// exitOf makes a heartbeat that shows the end of an attempt.
+// exitOf returns a heartbeat of a machine that reports the exit of an attempt.
 func exitOf(machine string, epoch, seq uint64, key model.AttemptKey, cause model.ExitCause) *model.Heartbeat {
 	heartbeat := heartbeatOf(machine, epoch, seq, 1, key)
 	heartbeat.Tasks[0].Phase, heartbeat.Tasks[0].Cause = model.PhaseExited, cause
@@ -104,7 +104,7 @@
 	s.step(after, HeartbeatReceived{Heartbeat: heartbeat})
 }
 
-// register has machines send two heartbeats, the second with this leader's token.
+// register registers machines with the leader. Each one sends two heartbeats, both with this leader's fencing token.
 func (s *workerScenario) register(machines ...string) {
 	for _, machine := range machines {
 		s.heartbeat(0, heartbeatOf(machine, 1, 1, 1))
@@ -112,7 +112,8 @@
 	}
 }
 
-// answerProbe has a machine answer the probe that the last step has sent it.
+// answerProbe delivers a heartbeat as the machine's answer to the probe that the last step sent to it. The test fails
+// if there was no probe.
 func (s *workerScenario) answerProbe(heartbeat *model.Heartbeat) {
 	s.Helper()
 	for _, effect := range s.effects {
@@ -123,10 +124,10 @@
 			return
 		}
 	}
-	s.Fatalf("%s was not probed", heartbeat.Machine)
+	s.Fatalf("machine %s: got no probe, want one", heartbeat.Machine)
 }
 
-// completeLaunch gives the outcome of the launch of an attempt.
+// completeLaunch delivers the outcome of the command that launches an attempt.
 func (s *workerScenario) completeLaunch(
 	machine string, key model.AttemptKey, outcome Outcome, answer *model.Heartbeat,
 ) {
@@ -136,7 +137,7 @@
 	})
 }
 
-// loseCommands has the commands and probes of the last step go unanswered.
+// loseCommands completes the commands and probes of the last step with an unknown outcome, as if no answer had come.
 func (s *workerScenario) loseCommands() {
 	for _, effect := range s.effects {
 		if sent, ok := effect.(SendCommands); ok {
@@ -147,7 +148,8 @@
 	}
 }
 
-// unresponsive has a machine send heartbeats for a time, while it carries out no command and answers no probe.
+// unresponsive simulates a machine that sends heartbeats for a duration but carries out no commands and answers no
+// probes. seq is the sequence number of the first heartbeat.
 func (s *workerScenario) unresponsive(d time.Duration, machine string, seq uint64, running ...model.AttemptKey) {
 	for end := s.now.Add(d); s.now.Before(end); seq++ {
 		s.heartbeat(2*time.Second, heartbeatOf(machine, 1, seq, 1, running...))
@@ -167,7 +169,7 @@
 	return false
 }
 
-// forgets reports whether the worker of the last step is told to forget an attempt.
+// forgets reports whether the response to the heartbeat of the last step tells the worker to forget an attempt.
 func (s *workerScenario) forgets(key model.AttemptKey) bool {
 	for _, effect := range s.effects {
 		if response, ok := effect.(HeartbeatResponse); ok {
@@ -181,7 +183,7 @@
 	return false
 }
 
-// addJob adds a job of one task and returns where it is placed.
+// addJob adds a job with one task and returns the machine and the attempt of its placement.
 func (s *workerScenario) addJob(id string) (machine string, key model.AttemptKey) {
 	s.Helper()
 	s.step(0, JobAdded{Version: 9, SubmittedAt: s.now, Spec: oneTask(id, model.Array)})
@@ -189,7 +191,7 @@
 	return s.placementOf(id)
 }
 
-// placementOf returns where a job's task is; no machine: nowhere.
+// placementOf returns the machine and the key of a job's active attempt. The machine is empty if there is none.
 func (s *workerScenario) placementOf(id string) (machine string, key model.AttemptKey) {
 	for _, machine := range s.core.machines {
 		for key, attempt := range machine.Attempts {
@@ -201,25 +203,25 @@
 	return "", model.AttemptKey{}
 }
 
-// failTask has a task of a job fail on the machine that it was placed on, and returns that machine.
+// failTask simulates the failure of a job's task on the machine that it was placed on, and returns that machine.
 func (s *workerScenario) failTask(id string) (machine string) {
 	s.Helper()
 	machine, _ = s.placementOf(id)
 	if machine == "" {
-		s.Fatalf("%s is on no machine", id)
+		s.Fatalf("job %s has no active attempt, want one", id)
 	}
 	s.exitTask(100*time.Millisecond, id, model.CauseError)
 	return machine
 }
 
-// exitTask has the task of a job exit after a time.
+// exitTask advances the clock and simulates the exit of a job's task.
 func (s *workerScenario) exitTask(after time.Duration, id string, cause model.ExitCause) {
 	name, key := s.placementOf(id)
 	machine := s.core.machines[name]
 	s.heartbeat(after, exitOf(name, machine.Epoch, machine.Seq+1, key, cause))
 }
 
-// pipelineStage makes an array of a pipeline.
+// pipelineStage returns the spec of a job array of two tasks that is one stage of a pipeline.
 func pipelineStage(
 	id string, estimate time.Duration, priority model.Priority, dependencies ...string,
 ) *model.Spec {
--- a/internal/reconciler/schedulerinput.go
+++ b/internal/reconciler/schedulerinput.go
@@ -7,9 +7,9 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// schedulerInput shows the scheduler what there is. It looks at machines, not at what runs on them: usage is kept as
-// attempts change, and candidates for preemption are listed only where capacity is short. So the cost of a pass does
-// not grow with the number of running tasks.
+// schedulerInput builds the scheduler's snapshot of the cluster for a pass. Its cost does not grow with the number of
+// running tasks, because it does not examine what runs on each machine: usage is updated as attempts change state,
+// and candidates for preemption are collected only where capacity is short.
 func (c *Core) schedulerInput(now time.Time) *scheduler.Snapshot {
 	input := &scheduler.Snapshot{
 		Used:      make(map[string]model.Resources, len(c.usage.byTeam)),
@@ -20,7 +20,7 @@
 	c.updateCriticalPaths(now)
 	c.accounting.updateFairShares(now)
 	guaranteed := c.guaranteedJobs()
-	unknown := c.addNodes(now, input)
+	unattributed := c.addNodes(now, input)
 	c.classifyNodes(input.Nodes)
 	if len(c.constraints.byJob) > 0 {
 		input.RulesOf = c.constraintsOf
@@ -30,21 +30,22 @@
 		c.addRequests(now, input, job, guaranteed[job])
 	}
 	for team, usage := range c.usage.byTeam {
-		input.Used[team], input.Releasing[team] = usage.Allocated.Add(unknown), usage.Stopping
+		input.Used[team], input.Releasing[team] = usage.Allocated.Add(unattributed), usage.Stopping
 	}
 	input.LoadCandidates = c.preemptionLister(now, guaranteed)
 	return input
 }
 
-// addNodes adds the machines that tasks may be placed on. It returns what attempts may use whose team is not known:
-// that counts against every team. A machine that is not reconciled counts with its whole capacity.
-func (c *Core) addNodes(now time.Time, input *scheduler.Snapshot) (unknown model.Resources) {
-	unknown = c.usage.orphans.Allocated
+// addNodes adds the machines that tasks may be placed on. It returns the resources that attempts of unknown teams may
+// use, which count against the quota of every team. A machine that is not reconciled yet counts with its whole
+// capacity.
+func (c *Core) addNodes(now time.Time, input *scheduler.Snapshot) (unattributed model.Resources) {
+	unattributed = c.usage.orphans.Allocated
 	input.Nodes = make([]*scheduler.Node, 0, len(c.machines))
 	nodes := make([]scheduler.Node, 0, len(c.machines))
 	for _, machine := range c.machines {
 		if machine.Unreconciled {
-			unknown = unknown.Add(machine.Type.Capacity)
+			unattributed = unattributed.Add(machine.Type.Capacity)
 		} else if c.placeable(now, machine) {
 			nodes = append(nodes, scheduler.Node{
 				Machine: machine, Free: machine.Free(), ReservedForGPU: c.gpus.reserves(machine.Type, machine.Spot),
@@ -52,11 +53,11 @@
 			input.Nodes = append(input.Nodes, &nodes[len(nodes)-1])
 		}
 	}
-	return unknown
+	return unattributed
 }
 
-// guaranteedJobs returns the jobs that fit into their team's guarantee together with the team's earlier unfinished
-// jobs. A job that waits for its dependencies holds no part of the guarantee.
+// guaranteedJobs reports which jobs fit into their team's guarantee together with the team's earlier unfinished jobs.
+// A job that waits for its dependencies uses no part of the guarantee.
 func (c *Core) guaranteedJobs() map[*model.Job]bool {
 	demand := map[string]model.Resources{}
 	guaranteed := make(map[*model.Job]bool, len(c.jobsByAge))
@@ -72,7 +73,8 @@
 	return guaranteed
 }
 
-// addRequests adds the tasks of a job that wait and may be started now.
+// addRequests adds requests for the waiting tasks of a job that may be started now. Each task state gets a request of
+// its own; a gang is a single request.
 func (c *Core) addRequests(now time.Time, input *scheduler.Snapshot, job *model.Job, guaranteed bool) {
 	if !startable(job) || job.Waiting() == 0 || !c.constraints.readable(job) {
 		return
@@ -82,7 +84,7 @@
 	}
 	isGang := job.Spec.Shape == model.Gang
 	if isGang && len(job.ActiveAttempts) > 0 {
-		return // the attempt before is not gone yet
+		return // tasks of the previous attempt are still active
 	}
 	template := scheduler.Request{
 		Job: job, Waited: now.Sub(job.WaitingSince), Guaranteed: guaranteed, TasksByZone: map[string]int{},
@@ -110,8 +112,8 @@
 	}
 }
 
-// waitingGangState returns the state that the tasks of a gang wait in. They start together, so all are put into the
-// same state.
+// waitingGangState returns the state in which the tasks of a gang wait. The tasks start together, so if any of them
+// is to be restarted, it moves the new ones to the same state.
 func waitingGangState(job *model.Job) model.TaskState {
 	if job.Count(model.TaskRetry) == 0 {
 		return model.TaskNew
@@ -127,7 +129,8 @@
 	return c.placementObstacle(now, machine) == ""
 }
 
-// placementObstacle says, for people, why nothing is placed on a machine now; empty: tasks may be.
+// placementObstacle returns a human-readable reason why no task may be placed on a machine now. It returns "" if
+// tasks may be placed there.
 func (c *Core) placementObstacle(now time.Time, machine *model.Machine) string {
 	switch {
 	case machine.State == model.MachineBooting:
--- a/internal/reconciler/settlements.go
+++ b/internal/reconciler/settlements.go
@@ -7,15 +7,16 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// What a job has used is on record with its end, or neither is: the end of a job goes in one transaction with a
-// settlement of its team's account. docs/safety.md, "Ledger".
+// The end of a job and the usage of the job are recorded atomically: the job's end shares a transaction with a
+// settlement of its team's account. See docs/safety.md, "Ledger".
 
 const (
-	jobEndOps        = 2 // changes that the end of a job makes
-	maxSettlementOps = 2 // changes that a settlement makes at most
+	jobEndOps        = 2 // operations in a transaction for the end of a job
+	maxSettlementOps = 2 // maximum operations in a transaction for one settlement
 )
 
-// settlingTeam returns the team whose account is settled with a change: that of a job which ends.
+// settlingTeam returns the team whose account is settled in the same transaction as a change. ok is false unless the
+// change completes a job, may share a transaction, and fits into one together with a settlement.
 func (c *Core) settlingTeam(change *record.Change) (team string, ok bool) {
 	if c.accounting == nil || change.Kind != record.CompleteJob || change.CommitAlone ||
 		c.settings.MaxTxnOps < jobEndOps+maxSettlementOps {
@@ -28,9 +29,10 @@
 	return job.Spec.Team, true
 }
 
-// blockedBySettlement reports whether a change has to wait: the end of a job whose team's last settlement is in
-// flight or not reconciled. It returns the index of the settlement to send first; -1: the account is being read.
-func (c *Core) blockedBySettlement(now time.Time, change *record.Change) (instead int, waits bool) {
+// blockedBySettlement reports whether a change has to wait because it completes a job whose team has a settlement
+// that is not committed or not reconciled. sendFirst is then the index of that settlement among the queued changes,
+// or -1 if it is not queued.
+func (c *Core) blockedBySettlement(now time.Time, change *record.Change) (sendFirst int, blocked bool) {
 	if c.accounting == nil || change.Kind != record.CompleteJob || len(c.accounting.rejectedSettlements) > 0 {
 		return 0, false
 	}
@@ -43,19 +45,21 @@
 	}), true
 }
 
-// takeOwnCommit takes a change that needs its own transaction, and returns what goes with it and the rest of the
-// changes. Settlements go together: each has a condition of its own, and where one fails all are read and sent again.
-// A settlement is made here, as its transaction leaves, of all that is charged by then; one that has left before stays
-// as it was.
+// takeOwnCommit takes the queued change at index first, which needs its own transaction, and returns the changes of
+// that transaction and the remaining ones. Settlements share a transaction. Each of them has its own condition; if
+// one condition fails, all their accounts are read and the settlements are sent again. A settlement is created here,
+// when its transaction is about to be sent, from everything charged so far. A settlement that was sent before is not
+// changed.
 func (c *Core) takeOwnCommit(now time.Time, first int) (batch, rest []record.Change) {
-	lead := c.commits.changes[first]
-	if lead.Kind == record.SettleAccount {
+	firstChange := c.commits.changes[first]
+	if firstChange.Kind == record.SettleAccount {
 		c.chargeAll(now)
 	}
-	batch = c.settleWithJobEnd(now, &lead)
-	room := c.settings.MaxTxnOps
+	batch = c.settleWithJobEnd(now, &firstChange)
+	remainingOps := c.settings.MaxTxnOps
 	for i, change := range c.commits.changes {
-		joins := i == first || i > first && room >= maxSettlementOps && sharesCommit(&lead) && sharesCommit(&change)
+		joins := i == first || i > first && remainingOps >= maxSettlementOps &&
+			sharesCommit(&firstChange) && sharesCommit(&change)
 		if !joins {
 			rest = append(rest, change)
 			continue
@@ -71,19 +75,20 @@
 			continue // nothing to settle
 		}
 		batch = append(batch, change)
-		if room--; change.Settlement.Closed != nil {
-			room--
+		if remainingOps--; change.Settlement.Closed != nil {
+			remainingOps--
 		}
 	}
 	return batch, rest
 }
 
-// sharesCommit reports whether a change may go in one transaction with other settlements.
+// sharesCommit reports whether a change is a settlement that may share a transaction with other settlements.
 func sharesCommit(change *record.Change) bool {
 	return change.Kind == record.SettleAccount && !change.CommitAlone
 }
 
-// settleWithJobEnd makes the settlement that goes with the end of a job, if any.
+// settleWithJobEnd creates the settlement that shares the transaction of a job's end. It returns nil if the change
+// does not settle an account, a settlement is pending already, or there is nothing to settle.
 func (c *Core) settleWithJobEnd(now time.Time, change *record.Change) (batch []record.Change) {
 	team, ok := c.settlingTeam(change)
 	if !ok || c.accounting.ledger.HasPending(team) {
@@ -101,9 +106,10 @@
 	return []record.Change{{Kind: record.SettleAccount, Team: team, Settlement: settlement}}
 }
 
-// deferRefusedEnds takes a transaction that was refused as a whole although it ended a job and settled its team's
-// account: each may have been the reason. The end waits until the account is known again, and then goes in a
-// transaction of its own; what the job used is in the settlement before it. It returns the other changes.
+// deferRefusedEnds handles a refused transaction that contained the end of a job and a settlement of its team's
+// account. Either may have caused the refusal. The end of the job is deferred until the account is reconciled and
+// then committed in its own transaction; the usage of the job is part of the settlement before it. deferRefusedEnds
+// returns the remaining changes.
 func (a *accounting) deferRefusedEnds(changes []record.Change) []record.Change {
 	if a == nil || len(changes) < 2 {
 		return changes
@@ -113,14 +119,15 @@
 			return false
 		}
 		change.CommitAlone = true
-		a.heldEnds = append(a.heldEnds, change)
+		a.deferredJobEnds = append(a.deferredJobEnds, change)
 		return true
 	})
 }
 
-// queueHeldEnds queues the ends of jobs whose team's account is known again.
-func (c *Core) queueHeldEnds(now time.Time) {
-	c.accounting.heldEnds = slices.DeleteFunc(c.accounting.heldEnds, func(change record.Change) bool {
+// queueDeferredJobEnds queues the deferred job ends whose team's account is reconciled. It drops those of jobs that
+// have ended in the meantime.
+func (c *Core) queueDeferredJobEnds(now time.Time) {
+	c.accounting.deferredJobEnds = slices.DeleteFunc(c.accounting.deferredJobEnds, func(change record.Change) bool {
 		job := c.jobs[change.Job]
 		if job == nil {
 			return true
@@ -138,7 +145,7 @@
 	if change.Kind == record.CompactAccount {
 		a.compactionPending = false
 		if event.Outcome != OK {
-			delete(a.teamsToCompact, change.Compaction.Result.Team) // looked through again with the next closed segment
+			delete(a.teamsToCompact, change.Compaction.Result.Team) // reconsidered when the next segment is closed
 		}
 		return
 	}
@@ -148,7 +155,7 @@
 		return
 	}
 	a.ledger.SettlementCompleted(open.Team, event.Version)
-	a.log.Debug("ledger settled", "team", open.Team, "settlements", open.Settlements,
+	a.log.Debug("team account settled", "team", open.Team, "settlements", open.Settlements,
 		"with_job_end", len(event.Changes) > 1, "closed", closed != nil)
 	if closed != nil {
 		a.log.Info("ledger segment closed", "team", open.Team, "segment", closed.First, "hour", closed.Start,
@@ -157,8 +164,8 @@
 	}
 }
 
-// retrySettlementLater keeps a settlement that the state service rejects, and has it tried again at a moment. Until
-// then the team's account is not settled; nothing of it is lost.
+// retrySettlementLater schedules a retry of a settlement that the state service has rejected. Until then the team's
+// account is not settled, but no charges are lost.
 func (a *accounting) retrySettlementLater(change record.Change, at time.Time) {
 	a.rejectedSettlements = append(a.rejectedSettlements, change)
 	a.rejectedRetryAt = at
--- a/internal/reconciler/usage.go
+++ b/internal/reconciler/usage.go
@@ -2,11 +2,11 @@
 
 import "github.com/glentiller/glentiller/internal/model"
 
-// teamUsage keeps what the teams' attempts hold on machines.
+// teamUsage tracks the resources that attempts hold on machines.
 type teamUsage struct {
-	byTeam map[string]*model.Usage
-	// orphans is what attempts hold whose job has ended. Their demand and team are not known any more, so they count
-	// against every team.
+	byTeam map[string]*model.Usage // by team name
+	// orphans is the usage of attempts that were found on a machine after their job had ended. Their demands and
+	// teams are no longer known, so they count against every team.
 	orphans model.Usage
 }
 
@@ -18,8 +18,8 @@
 	return usage
 }
 
-// ofTeam returns the usage of a team. A team that the settings do not name has one too: its jobs may have been accepted
-// under other settings.
+// ofTeam returns the usage of a team, and creates it for a team that is not in the settings: jobs of such a team may
+// have been accepted under other settings.
 func (usage *teamUsage) ofTeam(team string) *model.Usage {
 	u := usage.byTeam[team]
 	if u == nil {
--- a/internal/reconciler/waiting.go
+++ b/internal/reconciler/waiting.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	waitingInterval   = 250 * time.Millisecond // between charges of waiting; passes come up to twenty times a second
-	fairShareInterval = time.Second            // between updates of teams' bands
+	waitingInterval   = 250 * time.Millisecond // minimum time between charges; passes run up to 20 times per second
+	fairShareInterval = time.Second            // minimum time between updates of the teams' fair-share bands
 )
 
-// waitingTasks is why a job's tasks have been waiting since when.
-type waitingTasks struct {
+// waitingPeriod is a period, not charged yet, in which a constant number of a job's tasks waits for the same cause.
+type waitingPeriod struct {
 	cause ledger.WaitCause
-	tasks uint64
+	tasks uint64 // number of waiting tasks
 	since time.Time
 }
 
-// chargeWaiting charges what has waited since the last pass to the causes of that time, and notes what keeps each job
-// waiting from now on.
+// chargeWaiting charges the waiting time of all jobs since the last charge to the causes that were found then, and
+// determines from the shortages of this pass why each job waits from now on. It has no effect if waitingInterval has
+// not passed since the last charge.
 func (c *Core) chargeWaiting(now time.Time, shortages []scheduler.Shortage) {
-	if c.accounting == nil || now.Before(c.accounting.waitingAt) {
+	if c.accounting == nil || now.Before(c.accounting.nextWaitingChargeAt) {
 		return
 	}
-	c.accounting.waitingAt = now.Add(waitingInterval)
+	c.accounting.nextWaitingChargeAt = now.Add(waitingInterval)
 	reasons := make(map[*model.Job]scheduler.WaitReason, len(shortages))
 	for _, shortage := range shortages {
 		if _, ok := reasons[shortage.Request.Job]; !ok {
@@ -39,17 +40,18 @@
 			c.accounting.stopWaiting(now, job)
 			continue
 		}
-		c.accounting.continueWaiting(now, job, waitingTasks{
+		c.accounting.restartWaiting(now, job, waitingPeriod{
 			cause: c.waitingCause(now, job, reasons), tasks: uint64(tasks), since: now,
 		})
 	}
 }
 
-// waitingCause says what keeps a job's tasks waiting.
+// waitingCause returns the cause for which the tasks of a job wait. reasons holds the jobs for which the last pass
+// found a shortage.
 func (c *Core) waitingCause(
 	now time.Time, job *model.Job, reasons map[*model.Job]scheduler.WaitReason,
 ) ledger.WaitCause {
-	reason, short := reasons[job]
+	reason, hasShortage := reasons[job]
 	switch {
 	case !startable(job):
 		return ledger.WaitDependencies
@@ -57,8 +59,8 @@
 		return ledger.WaitBackoff
 	case c.mayAlreadyRun(job):
 		return ledger.WaitFailover
-	case reason == scheduler.WaitQuota, !short && c.hasQuota(job):
-		return ledger.WaitQuota // what a pass neither lacks capacity for nor places is beyond the quota
+	case reason == scheduler.WaitQuota, !hasShortage && c.teamHasQuota(job):
+		return ledger.WaitQuota // tasks that a pass neither places nor reports as a shortage exceed the quota
 	case reason == scheduler.WaitGuarantee:
 		return ledger.WaitGuarantee
 	case reason == scheduler.WaitFairShare:
@@ -67,21 +69,21 @@
 	return ledger.WaitCapacity
 }
 
-// hasQuota reports whether a job's team has a quota that its tasks may wait under.
-func (c *Core) hasQuota(job *model.Job) bool {
+// teamHasQuota reports whether the team of a job is limited by a quota.
+func (c *Core) teamHasQuota(job *model.Job) bool {
 	team := c.teams[job.Spec.Team]
 	return team != nil && team.Quota.Limited()
 }
 
-// continueWaiting charges what a job's tasks have waited, and begins to count anew.
-func (a *accounting) continueWaiting(now time.Time, job *model.Job, next waitingTasks) {
+// restartWaiting charges the current waiting period of a job and starts the given one.
+func (a *accounting) restartWaiting(now time.Time, job *model.Job, period waitingPeriod) {
 	if a != nil {
 		a.chargeWait(now, job)
-		a.waiting[job] = next
+		a.waiting[job] = period
 	}
 }
 
-// stopWaiting charges what a job's tasks have waited; none waits any more.
+// stopWaiting charges the current waiting period of a job, none of whose tasks waits any more.
 func (a *accounting) stopWaiting(now time.Time, job *model.Job) {
 	if a != nil {
 		a.chargeWait(now, job)
@@ -90,19 +92,19 @@
 }
 
 func (a *accounting) chargeWait(now time.Time, job *model.Job) {
-	waited, ok := a.waiting[job]
+	period, ok := a.waiting[job]
 	if !ok {
 		return
 	}
-	if milliseconds := a.ledger.Instant(now) - a.ledger.Instant(waited.since); milliseconds > 0 {
+	if milliseconds := a.ledger.Instant(now) - a.ledger.Instant(period.since); milliseconds > 0 {
 		var usage ledger.Usage
-		usage.Wait[waited.cause] = milliseconds * waited.tasks
+		usage.Wait[period.cause] = milliseconds * period.tasks
 		a.ledger.Charge(now, job.Spec.Team, job.Spec.Class, usage)
 	}
 }
 
-// fairShareBand returns a team's band by fair share: teams in a lower one go first. Without fair share all are in the
-// same.
+// fairShareBand returns the fair-share band of a team. Teams in lower bands are served first. All teams are in band 0
+// if fair share is disabled.
 func (a *accounting) fairShareBand(team string) int {
 	if a == nil || !a.settings.FairShare {
 		return 0
@@ -110,16 +112,17 @@
 	return a.fairShareBands[team]
 }
 
-// updateFairShares works teams' bands out anew by what they have used.
+// updateFairShares recomputes the teams' fair-share bands from their decayed usage, at most once per
+// fairShareInterval.
 func (a *accounting) updateFairShares(now time.Time) {
-	if a == nil || !a.settings.FairShare || now.Before(a.fairSharesAt) {
+	if a == nil || !a.settings.FairShare || now.Before(a.nextFairShareUpdateAt) {
 		return
 	}
-	a.fairSharesAt = now.Add(fairShareInterval)
+	a.nextFairShareUpdateAt = now.Add(fairShareInterval)
 	usage := func(team string) uint64 { return a.ledger.DecayedUsage(now, team) }
 	for _, share := range ledger.FairShares(a.settings.Weights, usage) {
 		if a.fairShareBands[share.Team] != share.Band {
-			a.log.Info("fair share band", "team", share.Team, "band", share.Band, "factor", share.Factor,
+			a.log.Info("team fair-share band changed", "team", share.Team, "band", share.Band, "factor", share.Factor,
 				"usage_fraction", share.UsageFraction, "weight", share.Weight)
 			a.fairShareBands[share.Team] = share.Band
 		}
