--- a/internal/reconciler/attempts.go
+++ b/internal/reconciler/attempts.go
@@ -6,29 +6,31 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// attemptTokenShift: the fencing token is in an attempt number's upper bits, so that no two leaders give the same.
+// attemptTokenShift is the position of the fencing token in an attempt number. The token occupies the upper bits, so
+// two leaders never assign the same number.
 const attemptTokenShift = 24
 
-// checkpointMargin is the time beyond what saving a checkpoint takes.
+// checkpointMargin is added to a job's checkpoint time to give the grace period of a stop.
 const checkpointMargin = 2 * time.Second
 
-// nextAttemptNumber returns an attempt number that no leader gives again.
+// nextAttemptNumber returns a new attempt number. Neither this leader nor any other assigns it again.
 func (c *Core) nextAttemptNumber() uint64 {
 	c.attemptCounter++
 	return c.lastAttemptNumber()
 }
 
-// lastAttemptNumber is the highest number that this or an earlier leader can have given.
+// lastAttemptNumber returns the highest number that this leader or an earlier one can have assigned.
 func (c *Core) lastAttemptNumber() uint64 {
 	return c.fencingToken<<attemptTokenShift + c.attemptCounter
 }
 
-// attemptKey names an attempt on its machine.
+// attemptKey returns the key of an attempt in Machine.Attempts.
 func attemptKey(attempt *model.Attempt) model.AttemptKey {
 	return model.AttemptKey{Task: attempt.Task, Number: attempt.Number}
 }
 
-// adoptAttempt enters an attempt that only the worker knew.
+// adoptAttempt adds an attempt that a worker reports and that this leader has not launched. An attempt that is not
+// needed is stopped at once.
 func (c *Core) adoptAttempt(now time.Time, machine *model.Machine, status *model.TaskStatus) *model.Attempt {
 	attempt := &model.Attempt{
 		Task: status.Task, Number: status.Attempt, Machine: machine, Epoch: machine.Epoch,
@@ -48,13 +50,14 @@
 	}
 	c.accounting.beginCharging(now, attempt, status.Phase, true)
 	if old := job.ActiveAttempts[index]; old != nil && old.Number < status.Attempt && job.Spec.Shape != model.Gang {
-		// The attempts of a task have rising numbers, and each was started only when the one before was gone. So a
-		// delayed heartbeat has shown the earlier one, and the later one runs.
+		// A task's attempts have increasing numbers, and each one is started only after the previous one is gone. The older
+		// attempt was therefore reported by a delayed heartbeat, and the newer one is running.
 		c.stopAttempt(now, old, 0)
 		delete(job.ActiveAttempts, index)
 	}
 	if job.ActiveAttempts[index] != nil || job.Task(index) == model.TaskDone {
-		c.log.Warn("unwanted attempt", "task", status.Task, "attempt", status.Attempt, "machine", machine.Name)
+		c.log.Warn("stopping unwanted attempt",
+			"task", status.Task, "attempt", status.Attempt, "machine", machine.Name)
 		c.stopAttempt(now, attempt, 0)
 		return attempt
 	}
@@ -62,8 +65,8 @@
 	return attempt
 }
 
-// adoptOrphan enters an attempt whose job has ended. Its demand is not known any more, so it counts as taking the
-// whole machine, for every team, until it is gone.
+// adoptOrphan adds an attempt whose job has ended and stops it if it is still running. Its demand and its team are no
+// longer known, so until it is gone it counts as occupying the whole machine, for every team.
 func (c *Core) adoptOrphan(now time.Time, attempt *model.Attempt) {
 	attempt.Job, attempt.Demand, attempt.Usage = nil, attempt.Machine.Type.Capacity, &c.usage.orphans
 	attempt.Transition(model.AttemptPresent)
@@ -72,7 +75,7 @@
 	}
 }
 
-// activateTask makes an attempt the active one of its task.
+// activateTask makes attempt the active attempt of its task.
 func activateTask(job *model.Job, attempt *model.Attempt) {
 	job.ActiveAttempts[attempt.Task.Index] = attempt
 	job.SetTask(attempt.Task.Index, model.TaskActive)
@@ -81,7 +84,8 @@
 	}
 }
 
-// updateAttempt applies the status of one attempt in a heartbeat.
+// updateAttempt applies the status of an attempt that a worker has reported. The status of an attempt that has ended
+// is ignored.
 func (c *Core) updateAttempt(now time.Time, attempt *model.Attempt, status *model.TaskStatus) {
 	if attempt.State == model.AttemptEnded || attempt.State == model.AttemptDropped {
 		return
@@ -102,7 +106,7 @@
 	c.accounting.beginCharging(now, attempt, status.Phase, false)
 }
 
-// attemptExited handles the exit of an attempt.
+// attemptExited ends an attempt whose exit a worker has reported, and settles its charges.
 func (c *Core) attemptExited(now time.Time, attempt *model.Attempt, status *model.TaskStatus) {
 	attempt.Cause, attempt.Phase, attempt.EndedAt = status.Cause, model.PhaseExited, now
 	c.log.Debug("attempt ended", "task", attempt.Task, "attempt", attempt.Number, "machine", attempt.Machine.Name,
@@ -117,7 +121,7 @@
 	c.releaseAttempt(now, attempt, model.AttemptEnded)
 }
 
-// handleExitCause applies the cause of an exit to the task, job and machine of the attempt.
+// handleExitCause applies the cause of an attempt's exit to its task, job and machine.
 func (c *Core) handleExitCause(now time.Time, attempt *model.Attempt) {
 	job, index := attempt.Job, attempt.Task.Index
 	switch attempt.Cause {
@@ -126,7 +130,7 @@
 			c.runTimes.observe(job.Spec, now.Sub(attempt.RunningAt))
 		}
 		if job.Spec.Shape == model.Gang {
-			// When one task of a gang is done, all are.
+			// A gang runs as one unit: when one of its tasks is done, all of them are.
 			for i := range job.Spec.Tasks {
 				c.completeTask(now, job, i)
 			}
@@ -138,13 +142,14 @@
 	case model.CauseError:
 		c.taskFailed(now, attempt)
 	case model.CauseNoCapacity, model.CauseAttemptConflict, model.CauseUnknownJob:
-		c.log.Warn("start refused", "task", attempt.Task, "machine", attempt.Machine.Name,
+		c.log.Warn("start command refused by worker", "task", attempt.Task, "machine", attempt.Machine.Name,
 			"cause", attempt.Cause.String())
 		job.RetryNotBefore = now.Add(c.settings.Backoff / 4)
 	}
 }
 
-// releaseAttempt takes an attempt off its machine. Its task waits again unless it is done.
+// releaseAttempt frees what an attempt holds on its machine and moves the attempt to the given state. Unless its task
+// is done, the task goes back to the queue. A gang that has lost a task is stopped.
 func (c *Core) releaseAttempt(now time.Time, attempt *model.Attempt, state model.AttemptState) {
 	attempt.Transition(state)
 	if attempt.Machine.ActiveCount == 0 {
@@ -178,7 +183,8 @@
 	}
 }
 
-// loseAttempt drops an attempt that is gone although its exit was not reported.
+// dropAttempt drops an attempt that is gone although its worker has not reported its exit. It charges the run time up
+// to the machine's last message, and records as wasted the part that has to be repeated.
 func (c *Core) loseAttempt(now time.Time, attempt *model.Attempt) {
 	if attempt.Active() {
 		c.accounting.chargeUntil(now, attempt, attempt.Machine.LastSeen)
@@ -189,7 +195,7 @@
 	}
 }
 
-// loseAttempts drops all attempts on a machine.
+// dropAttempts drops all attempts on a machine.
 func (c *Core) loseAttempts(now time.Time, machine *model.Machine, reason string) {
 	if count := machine.ActiveCount; count > 0 {
 		c.log.Info("attempts lost", "machine", machine.Name, "count", count, "reason", reason)
@@ -200,7 +206,8 @@
 	}
 }
 
-// stopAttempt requests that an attempt stops.
+// stopAttempt marks an attempt as stopping and schedules its stop command. The grace period is the time that the
+// attempt has to save a checkpoint.
 func (c *Core) stopAttempt(now time.Time, attempt *model.Attempt, grace time.Duration) {
 	if attempt.RequestStop(now, grace) {
 		attempt.CommandedState = 0
@@ -208,7 +215,7 @@
 	}
 }
 
-// stopGracefully stops an attempt with time for a checkpoint. Of a gang all tasks are stopped together.
+// stopGracefully stops an attempt and leaves it time to save a checkpoint. The tasks of a gang are stopped together.
 func (c *Core) stopGracefully(now time.Time, attempt *model.Attempt) {
 	job := attempt.Job
 	if job == nil || job.Spec.Shape != model.Gang {
@@ -223,7 +230,8 @@
 	}
 }
 
-// gracePeriod is how long an attempt may take to save a checkpoint when it is stopped.
+// gracePeriod returns the time that an attempt has to save a checkpoint when it is stopped. It is zero if the job has
+// ended or saves no checkpoints.
 func gracePeriod(attempt *model.Attempt) time.Duration {
 	if attempt.Job == nil || attempt.Job.Spec.CheckpointInterval == 0 {
 		return 0
@@ -231,8 +239,8 @@
 	return attempt.Job.Spec.CheckpointTime + checkpointMargin
 }
 
-// breakGang stops what is left of a gang that has lost a task: the others make no progress, and the next attempt
-// starts when all of them are gone.
+// breakGang stops the remaining tasks of a gang that has lost a task, since they make no progress without it. The
+// gang's next attempt starts after all of them are gone.
 func (c *Core) breakGang(now time.Time, job *model.Job) {
 	if job.Gang == model.GangBroken || job.Gang == model.GangStopping {
 		return
@@ -243,7 +251,8 @@
 	}
 }
 
-// gangComplete reports whether all unfinished tasks of a gang are active with one attempt number.
+// gangComplete reports whether all unfinished tasks of a gang are active, have the same attempt number and are not
+// being stopped.
 func gangComplete(job *model.Job) bool {
 	var number uint64
 	for _, attempt := range job.ActiveAttempts {
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -7,30 +7,31 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// maxCommands bounds the commands of one message, which keeps it far below the published size limit.
+// maxCommands limits the commands in one message, so that the message stays far below the published size limit.
 const maxCommands = 200
 
-// duplicateRetentionLeases is for how many leases an ended attempt is kept that was launched directly: the network
-// may repeat its launch.
+// duplicateRetentionLeases is the number of leases for which a directly launched attempt is kept after it has ended,
+// since the network may repeat its launch.
 const duplicateRetentionLeases = 3
 
-// maxUnansweredLaunches bounds of how many attempts on a machine unanswered launches may be out. The worker keeps
-// these attempts in its heartbeats until its epoch ends. Beyond the bound launches go with responses to heartbeats,
-// which are never carried out late. So a network that swallows answers for hours does not make heartbeats exceed the
+// maxUnansweredLaunches limits the attempts on one machine whose direct launch has not been answered. A worker lists
+// these attempts in its heartbeats until its epoch ends. Above the limit, launches are sent in heartbeat responses,
+// which are never executed late. A network that loses answers for hours therefore cannot make heartbeats exceed the
 // published size limit.
 const maxUnansweredLaunches = 64
 
-// maxDirectLaunches bounds how many attempts that were launched directly are known on a machine. Beyond it, too,
-// launches go with responses to heartbeats: those are not repeated, so their attempts need not be kept.
+// maxDirectLaunches limits the directly launched attempts that are kept for one machine. Above the limit, launches
+// are sent in heartbeat responses. The network does not repeat those, so their attempts need not be kept after they
+// end.
 const maxDirectLaunches = 256
 
-// responseCommands lists everything that a worker is to do, for the response to a heartbeat. direct says that the
-// heartbeat came from the worker itself and not by way of another member.
+// responseCommands returns all commands that a worker has to execute, for the response to its heartbeat. direct is
+// true if the heartbeat came from the worker itself and was not relayed by another member.
 func (c *Core) responseCommands(now time.Time, machine *model.Machine, direct bool) []model.Command {
 	var commands []model.Command
 	for _, attempt := range machine.Attempts {
-		// Stops go first: a response that is full before them would renew the lease of a machine that still holds
-		// tasks of a cancelled job.
+		// Stops come first. If launches filled the response, it would renew the lease of a machine that still holds tasks
+		// of a cancelled job, without stopping them.
 		if attempt.State == model.AttemptStopping && len(commands) < maxCommands {
 			commands = appendCommands(commands, attempt)
 		}
@@ -54,9 +55,9 @@
 	return commands
 }
 
-// appendCommands appends the commands that bring one attempt to where it should be. An unwanted attempt that no
-// heartbeat has shown yet is launched and stopped: then the worker knows it, and a delayed duplicate of its launch
-// has no effect (docs/safety.md, "Delayed launches").
+// appendCommands appends the commands that bring one attempt to its wanted state. An unwanted attempt that no
+// heartbeat has reported yet is first launched and then stopped. The worker knows it from then on, so a delayed
+// duplicate of its launch has no effect (docs/safety.md, "Delayed launches").
 func appendCommands(commands []model.Command, attempt *model.Attempt) []model.Command {
 	stopping := attempt.State == model.AttemptStopping
 	if attempt.State == model.AttemptLaunching || stopping && attempt.Phase == 0 {
@@ -70,10 +71,10 @@
 	return commands
 }
 
-// canForget reports whether the worker may forget an ended attempt: what it did is durable, and no copy of its launch
-// can arrive any more. The network may repeat a launch that was sent directly even after it was answered, so that
-// attempt is kept for some leases. Otherwise the repeat could start a stopped task beside its next attempt, or one of
-// a cancelled job.
+// canForget reports whether the worker may forget an ended attempt: its completion is durable, and no copy of its
+// launch can arrive any more. The network may repeat a direct launch even after it was answered, so a directly
+// launched attempt is kept for duplicateRetentionLeases. Otherwise the repeated launch could start a stopped task in
+// parallel with its next attempt, or start a task of a cancelled job.
 func (c *Core) canForget(now time.Time, attempt *model.Attempt) bool {
 	retention := duplicateRetentionLeases * c.settings.WorkerLease
 	if attempt.LaunchedDirectly && now.Sub(attempt.EndedAt) < retention {
@@ -90,14 +91,15 @@
 	return job.IsDurable(attempt.Task.Index)
 }
 
-// canCommandDirectly reports whether commands may be sent directly to a machine now. If not, the response to its next
-// heartbeat carries them.
+// canCommandDirectly reports whether commands may be sent directly to a machine now. If not, they are sent in the
+// response to its next heartbeat.
 func canCommandDirectly(now time.Time, machine *model.Machine) bool {
 	return !now.Before(machine.NoDirectCommandBefore) && machine.Epoch != 0 && machine.Epoch > machine.ExpiredEpoch &&
 		machine.Addr != "" && machine.State < model.MachineReleasing
 }
 
-// sendDirectCommands sends new launches and stops directly to a worker.
+// sendDirectCommands sends the launches and stops of a machine that no direct command has conveyed yet. It does
+// nothing while another command to the machine is in flight.
 func (c *Core) sendDirectCommands(now time.Time, machine *model.Machine) {
 	if machine.CommandInFlight {
 		return
@@ -117,7 +119,7 @@
 		commands = appendCommands(commands, attempt)
 		if len(commands) > before && commands[before].Op == model.OpLaunch {
 			if !launches.take(attempt) {
-				commands = commands[:before] // the response to the next heartbeat carries it
+				commands = commands[:before] // the launch goes with the response to the next heartbeat
 				continue
 			}
 			urgent = urgent || attempt.Job != nil && attempt.Job.EffectivePriority >= model.PriorityHigh
@@ -129,13 +131,14 @@
 	}
 }
 
-// launchBudget bounds the direct launches on one machine.
+// launchBudget enforces maxUnansweredLaunches and maxDirectLaunches for one machine.
 type launchBudget struct {
 	machine  *model.Machine
-	launched int // attempts on it that were launched directly; below zero: not counted yet
+	launched int // directly launched attempts on the machine; -1 before they are counted
 }
 
-// take notes that a launch leaves directly, and reports false where that is one too many.
+// tryLaunch records that the launch of an attempt is about to be sent directly. It returns false, and records
+// nothing, if that would exceed a limit.
 func (b *launchBudget) take(attempt *model.Attempt) bool {
 	if b.launched < 0 {
 		b.launched = countDirectLaunches(b.machine)
@@ -155,7 +158,7 @@
 	return true
 }
 
-// countDirectLaunches counts the attempts on a machine that were launched directly.
+// countDirectLaunches returns the number of attempts on a machine that were launched directly.
 func countDirectLaunches(machine *model.Machine) int {
 	count := 0
 	for _, attempt := range machine.Attempts {
@@ -166,7 +169,7 @@
 	return count
 }
 
-// sendCommands sends commands directly to a worker; without any it is a probe.
+// sendCommands sends commands directly to a worker. A message without commands is a probe.
 func (c *Core) sendCommands(machine *model.Machine, commands []model.Command, urgent bool) {
 	machine.CommandInFlight = true
 	machine.CommandSent()
@@ -175,7 +178,7 @@
 	})
 }
 
-// commandCompleted handles the answer to direct commands or a probe, or that there was none.
+// commandCompleted handles the outcome of direct commands or of a probe.
 func (c *Core) commandCompleted(now time.Time, event CommandCompleted) {
 	isProbe := len(event.Commands) == 0
 	if isProbe {
@@ -209,7 +212,7 @@
 	}
 }
 
-// hasUnsentCommands reports whether a launch or a stop has not been sent to its worker yet.
+// hasUnsentCommands reports whether a machine has a launch or stop that no direct command has conveyed yet.
 func hasUnsentCommands(machine *model.Machine) bool {
 	for _, attempt := range machine.Attempts {
 		if attempt.CommandedState == attempt.State {
@@ -222,22 +225,23 @@
 	return false
 }
 
-// commandAnswered applies a worker's state that answers a command or probe: it was sent after the command.
+// commandAnswered applies the worker state that answers a command or a probe. The worker sent it after it received
+// the command.
 func (c *Core) commandAnswered(now time.Time, machine *model.Machine, heartbeat *model.Heartbeat) {
-	c.proveAlive(now, machine, "it has answered")
+	c.proveAlive(now, machine, "it answered a command or probe")
 	if known := machine.LatestMessage(); machine.CommandAnswered(heartbeat.Epoch, heartbeat.Seq) {
 		c.log.Warn("machine restarted", "machine", machine.Name, "latest", known, "epoch", heartbeat.Epoch,
 			"seq", heartbeat.Seq, "attempts", machine.ActiveCount,
 			"unanswered_launches", machine.UnansweredLaunches.Len())
 		machine.ErrorsByJob = map[string]int{}
 		if machine.UnansweredLaunches.Len() > 0 {
-			// Launches that were sent to its former incarnation may reach the present one, which does not know them.
-			// Their attempts count on the machine until it is gone.
+			// Launches that were sent to the former incarnation may reach the present one, which does not know their attempts.
+			// The attempts stay allocated on the machine until it is released.
 			c.startRelease(now, machine, reasonRestarted)
 		}
 	}
-	// If it has restarted with higher numbers than were known, its lease may have begun as late as now. The deadline
-	// of the former lease must not free tasks of the new incarnation.
+	// If the machine restarted with higher message numbers than were known, its lease may have begun as late as now. The
+	// former lease's expiry must not free tasks of the new incarnation.
 	machine.LeaseExpiry = c.leaseExpiry(now)
 	if heartbeat.Epoch > machine.ExpiredEpoch {
 		c.applyHeartbeat(now, machine, heartbeat, true)
--- a/internal/reconciler/commits.go
+++ b/internal/reconciler/commits.go
@@ -8,24 +8,24 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// pendingCommits are the changes of records that wait for their transaction. One transaction is in flight at a time.
+// pendingCommits holds the record changes that wait to be written. One transaction is in flight at a time.
 type pendingCommits struct {
 	changes      []record.Change
-	queuedChunks map[chunkKey]bool // the PutTasks among the changes
-	inFlight     bool              // a transaction or a fence is not answered yet
-	fenceNeeded  bool              // a transaction that was not answered may yet be carried out
-	lastAlone    bool              // the last transaction was for a change that needs its own
-	notBefore    time.Time         // of the next transaction
+	queuedChunks map[chunkKey]bool // the chunks that have a PutTasks among the changes
+	inFlight     bool              // a transaction or fence has been sent and not answered
+	fenceNeeded  bool              // an unanswered transaction may still be executed
+	lastAlone    bool              // the last transaction carried a change that needs its own commit
+	notBefore    time.Time         // earliest time of the next transaction
 }
 
-// chunkKey names a chunk of a job's finished-task record.
+// chunkKey identifies a chunk of a job's finished-task record.
 type chunkKey struct {
 	job   string
 	chunk model.Chunk
 }
 
-// needsOwnCommit reports whether a change has a condition of its own. Its failure must not keep other changes back, so
-// it goes in a transaction of its own.
+// needsOwnCommit reports whether a change is written in its own transaction because it has its own condition. If that
+// condition fails, the other changes are not held up.
 func needsOwnCommit(change *record.Change) bool {
 	switch change.Kind {
 	case record.CompleteJob, record.CancelDependent, record.DeleteDependencies, record.SettleAccount,
@@ -35,21 +35,21 @@
 	return change.CommitAlone
 }
 
-// endsJob reports whether a change records the end of a job.
+// endsJob reports whether a change records that a job has ended.
 func endsJob(change *record.Change) bool {
 	return change.Kind == record.CompleteJob || change.Kind == record.CancelDependent
 }
 
-// commitRetryDelay is the pause after a transaction that was not carried out, or not answered.
+// commitRetryDelay is the delay after a transaction or fence that was not executed or not answered.
 const commitRetryDelay = 300 * time.Millisecond
 
 func newPendingCommits() pendingCommits { return pendingCommits{queuedChunks: map[chunkKey]bool{}} }
 
 func (p *pendingCommits) add(changes ...record.Change) { p.changes = append(p.changes, changes...) }
 
-// queueChunk queues a chunk of a finished-task record unless it waits already: its content is taken from the job when
-// its transaction leaves. Otherwise the queue would grow with every state that a chunk ever had, for as long as tasks
-// finish faster than the state service writes.
+// queueChunk queues a chunk of a finished-task record unless it is already queued. Its content is read from the job
+// when the transaction is sent. Otherwise the queue would hold every state of a chunk, and would keep growing while
+// tasks finish faster than the state service writes.
 func (p *pendingCommits) queueChunk(job string, chunk model.Chunk) {
 	key := chunkKey{job, chunk}
 	if !p.queuedChunks[key] {
@@ -58,8 +58,8 @@
 	}
 }
 
-// requeue puts changes that may not have been carried out in front of the others. A chunk that waits again already is
-// not put back: the later change holds as much and more.
+// requeue puts changes that may not have been executed at the front of the queue. A chunk that has been queued again
+// in the meantime is skipped, since the later change includes its content.
 func (p *pendingCommits) requeue(changes []record.Change) {
 	front := make([]record.Change, 0, len(changes)+len(p.changes))
 	for _, change := range changes {
@@ -75,18 +75,18 @@
 	p.changes = append(front, p.changes...)
 }
 
-// retryLater puts the next transaction off.
+// retryLater delays the next transaction by commitRetryDelay.
 func (p *pendingCommits) retryLater(now time.Time) { p.notBefore = now.Add(commitRetryDelay) }
 
-// ready reports whether a transaction may leave now.
+// ready reports whether a transaction may be sent now.
 func (p *pendingCommits) ready(now time.Time) bool {
 	return !p.inFlight && len(p.changes) > 0 && !now.Before(p.notBefore)
 }
 
-// next is the index of the change that the next transaction is for; -1: all wait. Completed jobs and new machines go
-// first, since users and tasks wait for them; then changes that need their own transaction take turns with batches of
-// the others. blocked says of a change whether it has to wait, and the index of the change that goes instead (-1:
-// none).
+// next returns the index of the change that the next transaction is for, or -1 if all changes are blocked. Completed
+// jobs and new machines come first, since users and tasks wait for them. After them, changes that need their own
+// commit alternate with batches of the others. blocked reports whether a change has to wait, and returns the index of
+// the change to send in its place, or -1 if there is none.
 func (p *pendingCommits) next(blocked func(*record.Change) (instead int, waits bool)) int {
 	other := -1
 	for i := range p.changes {
@@ -108,8 +108,9 @@
 	return other
 }
 
-// takeBatch takes up to limit of the changes that may share a transaction, new machines first. fill completes a
-// change as it leaves, and reports false where nothing is to be written any more. The rest stay in their order.
+// takeBatch removes up to limit changes that can share a transaction from the queue and returns them, new machines
+// first. fill completes a change that is about to be sent, and returns false if the change is no longer needed. The
+// changes that remain keep their order.
 func (p *pendingCommits) takeBatch(limit int, fill func(*record.Change) bool) []record.Change {
 	var batch []record.Change
 	take := func(machines bool) {
@@ -128,7 +129,7 @@
 	return batch
 }
 
-// startCommit sends the next transaction, or a fence where one is needed first.
+// startCommit sends the next transaction, or a fence if one is needed first.
 func (c *Core) startCommit(now time.Time) {
 	if !c.commits.ready(now) {
 		return
@@ -156,8 +157,8 @@
 	c.emit(Commit{batch})
 }
 
-// fillChunk gives a chunk that leaves its present content. It reports false where the job has ended: the record of
-// the end covers its tasks.
+// fillChunk sets the current content of a chunk that is about to be sent. It returns false if the job has ended,
+// since the record of the job's end covers its tasks.
 func (c *Core) fillChunk(change *record.Change) bool {
 	if change.Kind != record.PutTasks || change.CommitAlone {
 		return true
@@ -179,8 +180,8 @@
 	changes := event.Changes
 	switch event.Outcome {
 	case Unknown, NotSent:
-		// Each change may be repeated: it writes whole values, under the condition that this leader's token is still
-		// the last one.
+		// Each change can be repeated: it writes whole values, on the condition that no later fencing token has been
+		// assigned.
 		c.commits.requeue(changes)
 		c.commits.retryLater(now)
 		c.commits.fenceNeeded = c.commits.fenceNeeded || event.Outcome == Unknown
@@ -196,14 +197,14 @@
 	}
 }
 
-// changeCompleted handles the outcome of a transaction, OK or Refused, for one of its changes.
+// changeCompleted handles one change of a transaction whose outcome is OK or Refused.
 func (c *Core) changeCompleted(now time.Time, change record.Change, event CommitCompleted) {
 	if change.Kind == record.SettleAccount || change.Kind == record.CompactAccount {
 		c.accounting.changeCompleted(now, change, event)
 		return
 	}
 	if event.Outcome != OK {
-		return // a job's end: another leader or the user has recorded it, and the watch will report it
+		return // the end of a job was already recorded by another leader or the user, and the watch will report it
 	}
 	switch change.Kind {
 	case record.PutMachine:
@@ -222,9 +223,9 @@
 	}
 }
 
-// commitRejected handles changes that the state service will not carry out as they are. Of several, each is tried
-// alone; one that was alone is dropped, or tried again much later where the end of a job depends on it. So one record
-// that is too large does not block all others.
+// commitRejected handles changes that the state service will never write as they stand. If there are several, each is
+// retried in its own transaction. A change that was on its own is dropped, or retried after Settings.MaxBackoff if it
+// settles an account or ends a job. One record that is too large therefore does not block the others.
 func (c *Core) commitRejected(now time.Time, changes []record.Change) {
 	if len(changes) > 1 {
 		for i := range changes {
@@ -246,10 +247,10 @@
 	}
 }
 
-// fenceCompleted handles the outcome of a fence. A transaction that was not answered may be carried out late, after
-// newer ones; it could make finished tasks unfinished again, or bring back machines that are gone. So a fence goes
-// before the next transaction: it writes the token's record anew, and what was sent under the former version of that
-// record fails from then on (docs/safety.md, "Delayed transactions").
+// fenceCompleted handles the outcome of a fence. An unanswered transaction may be executed late, after newer ones,
+// and could mark finished tasks as unfinished or restore the records of released machines. A fence is therefore sent
+// before the next transaction. It rewrites the record of the fencing token, and a transaction that was sent under the
+// former version of that record then fails (docs/safety.md, "Delayed transactions").
 func (c *Core) fenceCompleted(now time.Time, event FenceCompleted) {
 	c.commits.inFlight = false
 	if event.Outcome == OK {
--- a/internal/reconciler/core.go
+++ b/internal/reconciler/core.go
@@ -8,22 +8,22 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// Core holds the view and makes the decisions of one leader, for one fencing token. It is discarded when the
-// leadership ends. It is not safe for concurrent use.
+// Core holds one leader's view of the cluster and makes its decisions. It serves one fencing token and is discarded
+// when that leadership ends. It is not safe for concurrent use.
 type Core struct {
 	settings     Settings
 	log          *slog.Logger
 	fencingToken uint64
 
-	// The view: what waits and runs, as far as this leader knows.
+	// The view: the jobs, machines and usage that this leader knows.
 	machineTypes []model.MachineType
 	machines     map[string]*model.Machine
 	teams        map[string]*model.Team
 	jobs         map[string]*model.Job
-	jobsByAge    []*model.Job // by the moment from which their ages count
+	jobsByAge    []*model.Job // ordered by the time from which the job's age counts, oldest first
 	usage        teamUsage
 
-	// The parts. Each is changed in its own file only.
+	// The components. Each one is changed only in its own file.
 	takeover       takeover
 	passes         passTimer
 	commits        pendingCommits
@@ -38,25 +38,25 @@
 	provisioning   provisioner
 	releases       machineReleases
 	inventory      cloudInventory
-	accounting     *accounting // nil: no ledger is kept
-	attemptCounter uint64      // attempts that this leader has numbered
+	accounting     *accounting // nil if no ledger is kept
+	attemptCounter uint64      // number of attempt numbers that this leader has assigned
 
-	commandsPending map[*model.Machine]bool // machines with commands to send directly
+	commandsPending map[*model.Machine]bool // machines that may have commands to send directly
 
 	sweepAt  time.Time
 	statusAt time.Time
 
-	effects []Effect // of the present step
+	effects []Effect // of the current Step
 }
 
-// The intervals of what every leader does regularly.
+// Intervals of the periodic work of every leader.
 const (
 	sweepInterval  = 250 * time.Millisecond
 	statusInterval = 10 * time.Second
 )
 
-// New makes the Core of a leader that has just taken over. The Core keeps what snapshot and types refer to, so the
-// caller must not change that afterwards.
+// New returns the Core of a leader that has just taken over with the given fencing token. The Core keeps what
+// snapshot and types refer to, so the caller must not modify it afterwards.
 func New(
 	now time.Time, settings Settings, token uint64, snapshot *record.Snapshot, types []model.MachineType, log *slog.Logger,
 ) *Core {
@@ -93,7 +93,7 @@
 	return c
 }
 
-// Step applies an event and returns the effects to perform, in order. The slice is valid until the next Step.
+// Step applies an event and returns the effects to perform, in order. The slice is valid until the next call of Step.
 func (c *Core) Step(now time.Time, event Event) []Effect {
 	c.effects = c.effects[:0]
 	switch event := event.(type) {
@@ -130,10 +130,10 @@
 	return c.effects
 }
 
-// runTimers does what is due by time: it sweeps the machines, runs a scheduling pass and queries the cloud. Only a
-// Tick leads here; the controller sends it after all other events that have come in, and only while the leadership
-// lease is valid. So no heartbeat, whose answer renews a worker's lease, waits behind a pass; and a leader that was
-// suspended does not count heartbeats as missing that it has only not read yet.
+// runTimers does the periodic work that is due: it sweeps the machines, runs a scheduling pass and queries the cloud.
+// It runs only on a Tick. The controller sends a Tick after all other events that have been received, and only while
+// the leadership lease is valid. A heartbeat, whose response renews a worker's lease, therefore never waits behind a
+// pass, and a leader that was suspended does not count heartbeats as missing that it merely has not read yet.
 func (c *Core) runTimers(now time.Time) {
 	if !now.Before(c.sweepAt) {
 		c.sweep(now)
@@ -153,7 +153,7 @@
 	c.refreshInventory(now)
 }
 
-// dispatch sends what is ready: transactions, lookups and commands to workers.
+// dispatch emits what is ready to be sent: transactions, lookups of job ends, and commands to workers.
 func (c *Core) dispatch(now time.Time) {
 	c.startCommit(now)
 	c.lookUpJobEnds(now)
@@ -162,7 +162,7 @@
 	}
 }
 
-// NextTick is when the next Tick is due.
+// NextTick returns the time at which the next Tick is due.
 func (c *Core) NextTick() time.Time {
 	next := c.sweepAt
 	if passAt, ok := c.passes.next(c.settings.PassInterval); ok && passAt.Before(next) {
@@ -174,22 +174,22 @@
 	return next
 }
 
-// ObserveStepDuration records how long the last Step took by the controller's clock, and reports whether it ran a
-// pass. After a long pass the next one is delayed in proportion.
+// ObserveStepDuration records how long the last Step took by the controller's clock, and reports whether that Step
+// ran a scheduling pass. The longer a pass took, the longer the next one is delayed.
 func (c *Core) ObserveStepDuration(d time.Duration) (passed bool) { return c.passes.observe(d) }
 
-// PauseStarts sets whether the starting of tasks is paused: docs/safety.md, "Extended votes". What runs goes on.
+// PauseStarts pauses or resumes the starting of tasks (docs/safety.md, "Extended votes"). Running tasks continue.
 func (c *Core) PauseStarts(paused bool) {
 	if c.passes.pauseStarts(paused) {
-		c.log.Info("task starts paused", "paused", paused, "fencing_token", c.fencingToken)
+		c.log.Info("task start pause changed", "paused", paused, "fencing_token", c.fencingToken)
 	}
 }
 
-// Resume is called when the leadership lease is valid again after it had expired. Heartbeats could not be answered
-// meanwhile, so missing ones do not count against their workers.
+// Resume must be called when the leadership lease is valid again after it had expired. Heartbeats could not be
+// answered in the meantime, so missing ones do not count against their workers.
 func (c *Core) Resume(now time.Time) { c.partitions.restart(now, c.settings.UnresponsiveAfter) }
 
-// Progress returns how many tasks of an active job are done and running, for display; ok is false if there is no
+// Progress returns the number of done and running tasks of an active job, for display. ok is false if there is no
 // such job.
 func (c *Core) Progress(id string) (done, running int, ok bool) {
 	job := c.jobs[id]
@@ -199,7 +199,7 @@
 	return job.Count(model.TaskDone), job.Running(), true
 }
 
-// EachProgress calls f for each active job.
+// EachProgress calls f for each active job, in no particular order.
 func (c *Core) EachProgress(f func(id string, done, running int)) {
 	for id, job := range c.jobs {
 		f(id, job.Count(model.TaskDone), job.Running())
--- a/internal/reconciler/effects.go
+++ b/internal/reconciler/effects.go
@@ -6,40 +6,40 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// Effect is something that a leader wants done. Core.Step returns it.
+// Effect is an action that the caller of Core.Step has to perform.
 type Effect interface{ isEffect() }
 
-// The effects. All but HeartbeatResponse are answered by an event.
+// The effects. Each of them except HeartbeatResponse is answered by an event.
 type (
-	// HeartbeatResponse answers the heartbeat of this Step. It is refused where the worker certainly waits for no
-	// answer, or its machine is gone.
+	// HeartbeatResponse answers the heartbeat of this Step. It is refused if the worker certainly no longer waits for
+	// the answer, if the heartbeat is of another machine with the same name, or if its machine has been released.
 	HeartbeatResponse struct {
 		Commands []model.Command
 		Refused  bool
 	}
-	// SendCommands sends commands directly to a worker. Without commands it is a probe: the worker answers with its
-	// state.
+	// SendCommands sends commands directly to a worker. Without commands it is a probe, which the worker answers with
+	// its state.
 	SendCommands struct {
 		Machine, Addr string
 		Epoch         uint64
 		Commands      []model.Command
-		Urgent        bool // a launch of high or production priority is among them
+		Urgent        bool // Commands contains a launch of high or production priority
 	}
-	// Provision requests machines from the cloud. After an unknown outcome it is repeated under the same name only.
+	// Provision requests machines from the cloud. If its outcome is unknown, it is only repeated under the same name.
 	Provision struct{ Provisioning model.Provisioning }
-	// Release releases machines to the cloud.
+	// Release returns machines to the cloud.
 	Release struct{ Machines []string }
-	// ListMachines requests the machine list.
+	// ListMachines requests the cloud's list of machines.
 	ListMachines struct{}
-	// FetchCatalog requests the machine types.
+	// FetchCatalog requests the cloud's catalog of machine types.
 	FetchCatalog struct{}
-	// LookUpJobEnds requests the ends of jobs that others depend on.
+	// LookUpJobEnds requests the recorded ends of jobs that other jobs depend on.
 	LookUpJobEnds struct{ IDs []string }
 	// Commit writes changes in one transaction.
 	Commit struct{ Changes []record.Change }
-	// Fence makes sure that no transaction is carried out any more that was sent before and not answered.
+	// Fence ensures that no earlier transaction that was not answered is executed from now on.
 	Fence struct{}
-	// ReadAccounts requests accounts as they are on record.
+	// ReadAccounts requests the stored accounts of teams.
 	ReadAccounts struct{ Teams []string }
 	// ReadSegments requests the oldest closed segments of a team's account.
 	ReadSegments struct{ Team string }
--- a/internal/reconciler/events.go
+++ b/internal/reconciler/events.go
@@ -8,37 +8,38 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// Event is something that happens to a leader. Core.Step takes it.
+// Event is an input to Core.Step: a message, the outcome of an effect, or the passage of time.
 type Event interface{ isEvent() }
 
-// Outcome is what became of a request to a worker, the cloud or the state service.
+// Outcome is the result of a request to a worker, the cloud or the state service.
 type Outcome uint8
 
-// The outcomes. Only after Unknown the request may still be carried out.
+// The outcomes. Only after Unknown may the request still be executed.
 const (
 	OK       Outcome = iota + 1
-	Refused          // it was answered with a refusal
-	NotSent          // certainly not carried out, now or later
-	Unknown          // may have been carried out, or may be carried out later
-	Rejected         // never to be carried out as it stands: too large, or malformed
+	Refused          // answered with a refusal
+	NotSent          // not executed, and never will be
+	Unknown          // may have been executed, or may be executed later
+	Rejected         // can never be executed as it stands: too large, or malformed
 )
 
 // The events.
 type (
-	// Tick is due at Core.NextTick.
+	// Tick triggers the periodic work. It is due at Core.NextTick.
 	Tick struct{}
-	// JobAdded says that a job was accepted.
+	// JobAdded reports that a job was accepted.
 	JobAdded record.Job
-	// JobEnded says that the state service holds the end of a job.
+	// JobEnded reports that the end of a job is recorded in the state service.
 	JobEnded record.JobEnd
-	// JobEndsReceived answers LookUpJobEnds with the ends that could be found out.
+	// JobEndsReceived answers LookUpJobEnds. It holds the ends that could be determined.
 	JobEndsReceived struct{ Ends []record.JobEnd }
-	// HeartbeatReceived is a heartbeat of a worker; HeartbeatResponse is its effect.
+	// HeartbeatReceived is a worker's heartbeat. Its Step returns a HeartbeatResponse.
 	HeartbeatReceived struct {
 		Heartbeat *model.Heartbeat
-		Relayed   bool // by another member
+		Relayed   bool // true if another member forwarded it
 	}
-	// CommandCompleted answers SendCommands. Heartbeat is the worker's state after the commands, where it sent it.
+	// CommandCompleted answers SendCommands. Heartbeat is the worker's state after the commands, or nil if the worker
+	// sent none.
 	CommandCompleted struct {
 		Machine   string
 		Epoch     uint64
@@ -46,20 +47,20 @@
 		Outcome   Outcome
 		Heartbeat *model.Heartbeat
 	}
-	// CatalogReceived answers FetchCatalog; without types the request failed.
+	// CatalogReceived answers FetchCatalog. Types is empty if the request failed.
 	CatalogReceived struct{ Types []model.MachineType }
 	// MachineListReceived answers ListMachines.
 	MachineListReceived struct {
 		Machines    []model.MachineInfo
 		RequestedAt time.Time
 	}
-	// ProvisionCompleted answers Provision with the names of the machines that are coming up.
+	// ProvisionCompleted answers Provision with the names of the machines that are booting.
 	ProvisionCompleted struct {
 		Provisioning model.Provisioning
 		Outcome      Outcome
 		Machines     []string
 	}
-	// ReleaseCompleted answers Release: the machines are gone, or the outcome is unknown.
+	// ReleaseCompleted answers Release. The machines are gone if Outcome is OK.
 	ReleaseCompleted struct {
 		Machines []string
 		Outcome  Outcome
@@ -68,22 +69,23 @@
 	CommitCompleted struct {
 		Changes []record.Change
 		Outcome Outcome
-		Version uint64 // OK: of the records that were written
+		Version uint64 // of the written records, if Outcome is OK
 	}
-	// FenceCompleted answers Fence. OK: no transaction that was sent before will be carried out any more.
+	// FenceCompleted answers Fence. If Outcome is OK, no transaction that was sent before the fence will be executed.
 	FenceCompleted struct{ Outcome Outcome }
 	// AccountsReceived answers ReadAccounts with the accounts that could be read.
 	AccountsReceived struct {
 		Accounts map[string]ledger.StoredAccount
 	}
-	// SegmentsReceived answers ReadSegments with the oldest closed segments, in order; none: they could not be read.
+	// SegmentsReceived answers ReadSegments with the oldest closed segments, in order. Segments is empty if they could
+	// not be read.
 	SegmentsReceived struct {
 		Team     string
 		Segments []ledger.StoredSegment
 	}
 )
 
-// JobUpdated returns the event for what has become of a job.
+// JobUpdated returns the event that reports an update of a job's records: JobAdded or JobEnded.
 func JobUpdated(update record.JobUpdate) Event {
 	if update.Added != nil {
 		return JobAdded(*update.Added)
--- a/internal/reconciler/faults.go
+++ b/internal/reconciler/faults.go
@@ -6,19 +6,19 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// A task that fails is the fault of its machine or of its job. A job that was submitted with a mistake fails on every
-// machine, and a faulty machine fails every task. The fault is attributed by what else is known of both. Where that is
-// not enough, the machine is quarantined until more is known.
+// When a task fails, either its machine or its job is at fault. A job that was submitted with a mistake fails on
+// every machine, and a faulty machine fails every task. The fault is attributed by what else is known of the two. If
+// that is not enough, the machine is quarantined until more is known.
 
 const (
-	maxQuarantine    = 45 * time.Second // then a machine counts as faulty, if nothing more became known
-	wellRunningAfter = 15 * time.Second // a task that runs this long does well
-	faultyJobStrikes = 2                // so many machines on which a job failed put it off
-	maxBackoffShift  = 6                // the backoff doubles at most this often
+	maxQuarantine    = 45 * time.Second // the machine then counts as faulty, if nothing more has become known
+	wellRunningAfter = 15 * time.Second // a task that has run for this long is considered healthy
+	faultyJobStrikes = 2                // a job that failed on this many machines is delayed
+	maxBackoffShift  = 6                // the backoff doubles at most this many times
 )
 
-// taskFailed records that a task ended with an error. Errors of several jobs show that the machine is faulty; errors
-// on several machines put the job off.
+// taskFailed records that a task ended with an error. Errors of several jobs indicate that the machine is faulty.
+// Errors on several machines delay the job.
 func (c *Core) taskFailed(now time.Time, attempt *model.Attempt) {
 	job, machine := attempt.Job, attempt.Machine
 	machine.ErrorsByJob[job.Spec.ID]++
@@ -33,10 +33,10 @@
 		"failing_jobs", failingJobs)
 }
 
-// attributeFaults decides about a machine on which tasks have failed, and returns how many jobs fail there that are
-// not faulty themselves. The machine is faulty if jobs fail there that do well elsewhere. If nothing is known of the
-// jobs yet it is quarantined until they have run elsewhere. So healthy machines are not released, one after the other,
-// since two jobs with a mistake fail on them.
+// attributeFaults decides whether a machine on which tasks have failed is faulty, and returns the number of jobs that
+// fail there and are not faulty themselves. The machine is faulty if jobs fail there that run well elsewhere. While
+// too little is known of the jobs, the machine is quarantined until they have run elsewhere. Otherwise two jobs with
+// a mistake would cause healthy machines to be released, one after the other.
 func (c *Core) attributeFaults(now time.Time, machine *model.Machine) (failingJobs int) {
 	threshold := c.settings.MachineFaultErrors
 	goodJobs, repeated := 0, false
@@ -70,15 +70,15 @@
 	return failingJobs
 }
 
-// clearFaults records that a task has completed on a machine. If it was started after the last failure there, the
-// machine is healthy.
+// clearFaults is called when a task has completed on its machine. If the task was started after the last failure
+// there, the machine is healthy, and its recorded errors are cleared.
 func clearFaults(attempt *model.Attempt) {
 	if machine := attempt.Machine; attempt.LaunchedAt.After(machine.LastFailure) {
 		clear(machine.ErrorsByJob)
 	}
 }
 
-// exonerate drops the failures of a cancelled job from its machines: they are no evidence any more.
+// exonerate removes the errors of a cancelled job from its machines, since they are no longer evidence against them.
 func (c *Core) exonerate(job *model.Job) {
 	for name := range job.MachinesWithErrors {
 		if machine := c.machines[name]; machine != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// runsElsewhere reports whether a job does well on another machine.
+// runsElsewhere reports whether a task of a job runs well on another machine.
 func runsElsewhere(now time.Time, job *model.Job, machine *model.Machine) bool {
 	for _, attempt := range job.ActiveAttempts {
 		if attempt.Machine != machine && attempt.Phase == model.PhaseRunning &&
--- a/internal/reconciler/heartbeats.go
+++ b/internal/reconciler/heartbeats.go
@@ -7,19 +7,19 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// statusKey names the attempt that a heartbeat reports on.
+// statusKey returns the key of the attempt that a status in a heartbeat is about.
 func statusKey(status *model.TaskStatus) model.AttemptKey {
 	return model.AttemptKey{Task: status.Task, Number: status.Attempt}
 }
 
-// heartbeatReceived applies a worker's heartbeat and answers it, unless its worker certainly no longer waits for the
-// answer: docs/safety.md, "Duplicates and incarnations".
+// heartbeatReceived applies a worker's heartbeat and answers it. The answer is a refusal if the worker certainly no
+// longer waits for it (docs/safety.md, "Duplicates and incarnations").
 func (c *Core) heartbeatReceived(now time.Time, event HeartbeatReceived) {
 	heartbeat := event.Heartbeat
 	machine := c.machines[heartbeat.Machine]
 	if machine == nil {
 		if c.releases.isReleased(heartbeat.Machine) {
-			c.emit(HeartbeatResponse{Refused: true}) // it was delayed until its machine was gone
+			c.emit(HeartbeatResponse{Refused: true}) // a heartbeat that was delayed until its machine was released
 			return
 		}
 		machine = c.addUnexpectedMachine(now, heartbeat)
@@ -37,7 +37,7 @@
 	kind := c.classifyHeartbeat(now, machine, heartbeat)
 	switch kind {
 	case liveness.Stale:
-		c.log.Debug("stale heartbeat", "machine", machine.Name, "epoch", heartbeat.Epoch, "seq", heartbeat.Seq,
+		c.log.Debug("stale heartbeat refused", "machine", machine.Name, "epoch", heartbeat.Epoch, "seq", heartbeat.Seq,
 			"latest", machine.LatestMessage())
 		c.probe(now, machine)
 		c.emit(HeartbeatResponse{Refused: true})
@@ -48,8 +48,8 @@
 		c.handleFreshHeartbeat(now, machine, event)
 	}
 	if kind != liveness.Duplicate {
-		// A heartbeat that an answer to a command has overtaken renews the worker's lease too. A duplicate was sent
-		// before it first came.
+		// A heartbeat that was overtaken by the answer to a command also renews the worker's lease. A duplicate does not,
+		// since the worker sent it before its first copy arrived.
 		c.renewLease(now, machine)
 	}
 	c.emit(HeartbeatResponse{Commands: c.responseCommands(now, machine, !event.Relayed)})
@@ -58,27 +58,29 @@
 	}
 }
 
-// addUnexpectedMachine adds a machine that this leader has not provisioned. No leader launches anything on a machine
-// without a record, so no task runs on it; the heartbeat may be old.
+// addUnexpectedMachine adds a machine that this leader has not provisioned. The heartbeat may be an old one. No task
+// runs on the machine, since no leader launches anything on a machine without a record.
 func (c *Core) addUnexpectedMachine(now time.Time, heartbeat *model.Heartbeat) *model.Machine {
 	machine := c.addMachine(now, model.MachineInfo{
 		Name: heartbeat.Machine, Addr: heartbeat.Addr, Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot,
 	}, model.MachineBooting)
 	machine.Detector.MarkUnexpected(now)
-	c.log.Info("heartbeat of an unexpected machine", "machine", machine.Name, "type", heartbeat.Type,
+	c.log.Info("heartbeat from machine that this leader did not provision",
+		"machine", machine.Name, "type", heartbeat.Type,
 		"zone", heartbeat.Zone)
 	return machine
 }
 
-// mayBeOfReleasedMachine reports that a heartbeat may be a delayed copy from a machine that an earlier leader has
-// released. Tasks would be placed on it until it was silent for long enough, so it has to answer a probe first.
+// mayBeOfReleasedMachine reports whether a heartbeat may be a delayed copy from a machine that an earlier leader has
+// released. Such a machine has to answer a probe first. Otherwise tasks would be placed on it until it had been
+// silent for long enough to be released.
 func (c *Core) mayBeOfReleasedMachine(machine *model.Machine, heartbeat *model.Heartbeat) bool {
 	return machine.State == model.MachineBooting && machine.Detector.State >= liveness.Suspect &&
 		heartbeat.FencingToken < c.fencingToken
 }
 
-// isForeign reports that a heartbeat states another type, zone or kind than its machine is known to have. None of
-// them ever changes. Accepting them would break limits by zone.
+// isForeign reports whether a heartbeat differs from its machine in type, zone or spot flag. A machine never changes
+// these, so the heartbeat is of another machine with the same name. Accepting it would violate limits per zone.
 func isForeign(machine *model.Machine, heartbeat *model.Heartbeat) bool {
 	if machine.State == model.MachineBooting || machine.Epoch == 0 {
 		return false
@@ -90,18 +92,19 @@
 	if !c.liveness.mayLogForeign(now) {
 		return
 	}
-	c.log.Warn("heartbeat of another machine by the same name", "machine", machine.Name, "type", heartbeat.Type,
+	c.log.Warn("heartbeat refused: type, zone or spot flag differs from known machine",
+		"machine", machine.Name, "type", heartbeat.Type,
 		"zone", heartbeat.Zone, "spot", heartbeat.Spot, "known_type", machine.Type.Name, "known_zone", machine.Zone)
 }
 
-// classifyHeartbeat classifies a heartbeat by its numbers, and notes whether the machine has restarted.
+// classifyHeartbeat classifies a heartbeat by its message number, and records whether the machine has restarted.
 func (c *Core) classifyHeartbeat(
 	now time.Time, machine *model.Machine, heartbeat *model.Heartbeat,
 ) liveness.HeartbeatKind {
 	before := machine.Numbering
 	kind := machine.ClassifyHeartbeat(heartbeat.Epoch, heartbeat.Seq, heartbeat.FencingToken)
 	if machine.Numbering != before {
-		machine.LeaseExpiry = c.leaseExpiry(now) // of the new incarnation, which has begun before now
+		machine.LeaseExpiry = c.leaseExpiry(now) // the new incarnation began before now
 		c.log.Warn("machine restarted", "machine", machine.Name, "latest", machine.LatestMessage(),
 			"epoch", heartbeat.Epoch, "seq", heartbeat.Seq,
 			"known_token", machine.FencingToken, "heartbeat_token", heartbeat.FencingToken)
@@ -109,8 +112,8 @@
 	return kind
 }
 
-// handleFreshHeartbeat applies a heartbeat that is newer than all before, and passes its evidence to the machine's
-// failure detector.
+// handleFreshHeartbeat applies a heartbeat that is newer than all earlier ones, and passes its evidence to the
+// machine's failure detector.
 func (c *Core) handleFreshHeartbeat(now time.Time, machine *model.Machine, event HeartbeatReceived) {
 	heartbeat := event.Heartbeat
 	epoch := machine.Epoch
@@ -130,20 +133,20 @@
 	}
 }
 
-// renewLease notes that a heartbeat is answered, which renews the worker's lease. An answer to a command does not: a
-// machine that reaches no controller, while commands reach it, would get tasks again and again that end with its
-// lease.
+// renewLease records that a heartbeat is being answered, which renews the worker's lease. An answer to a command does
+// not count. Otherwise a machine that receives commands but reaches no controller would be given tasks again and
+// again, and they would end each time its lease expires.
 func (c *Core) renewLease(now time.Time, machine *model.Machine) {
 	machine.LeaseExpiry = c.leaseExpiry(now)
 	if machine.ActiveCount == 0 && now.Sub(machine.LastHeartbeat) > c.settings.UnresponsiveAfter {
-		machine.EmptySince = now // it could not be used before
+		machine.EmptySince = now // no task could be placed on it before
 	}
 	machine.LastHeartbeat = now
 }
 
-// applyHeartbeat applies the state that a worker reports, unless a newer one is known. answersProbe says that it
-// answers a command or probe, so that it is no delayed copy. It reports whether the heartbeat shows a launch of this
-// leader for the first time.
+// applyHeartbeat applies the state that a worker reports, unless a newer one is known. answersProbe is true if the
+// state answers a command or probe and is therefore not a delayed copy. The result reports whether the heartbeat
+// shows a launch of this leader for the first time.
 func (c *Core) applyHeartbeat(
 	now time.Time, machine *model.Machine, heartbeat *model.Heartbeat, answersProbe bool,
 ) (showsLaunch bool) {
@@ -165,7 +168,7 @@
 	shown, showsLaunch := c.applyTasks(now, machine, heartbeat.Tasks)
 	c.checkMissingAttempts(now, machine, shown, lastSeen, answersProbe)
 	if machine.State == model.MachineBooting && machine.Transition(now, model.MachineReady, "") {
-		// It gets a record only now: a booting machine holds nothing, and a new leader need not wait for it.
+		// The machine is recorded only now. A booting machine holds no tasks, so a new leader need not wait for it.
 		c.recordMachine(machine)
 		machine.EmptySince = now
 		c.passes.request()
@@ -181,8 +184,8 @@
 	return showsLaunch
 }
 
-// beginEpoch records that a worker has begun a new epoch, because its lease had expired or it was restarted. All its
-// attempts are gone.
+// beginEpoch records that a worker has begun a new epoch, because its lease had expired or it was restarted. All of
+// its attempts are gone.
 func (c *Core) beginEpoch(now time.Time, machine *model.Machine, epoch uint64) {
 	if machine.Epoch != 0 {
 		c.log.Warn("worker began a new epoch", "machine", machine.Name, "epoch", epoch)
@@ -190,14 +193,14 @@
 		machine.UnansweredLaunches.Clear()
 	}
 	machine.ExpiredEpoch = epoch - 1
-	// The new epoch has a lease of its own, which began before now. With the expiry of the former one, tasks of the
-	// new epoch would be started elsewhere while they run.
+	// The new epoch has its own lease, which began before now. With the expiry of the former lease, tasks of the new
+	// epoch would be started elsewhere while they are still running.
 	machine.LeaseExpiry = c.leaseExpiry(now)
 	machine.ErrorsByJob = map[string]int{}
 }
 
-// applyTasks applies the statuses of attempts in a heartbeat, and returns the attempts that it shows. showsLaunch
-// reports that an attempt is among them that this leader has launched and no heartbeat has shown before.
+// applyTasks applies the attempt statuses of a heartbeat and returns the keys of the reported attempts. showsLaunch
+// is true if one of them was launched by this leader and is reported for the first time.
 func (c *Core) applyTasks(
 	now time.Time, machine *model.Machine, tasks []model.TaskStatus,
 ) (shown map[model.AttemptKey]bool, showsLaunch bool) {
@@ -205,8 +208,8 @@
 	for i := range tasks {
 		status := &tasks[i]
 		if status.Attempt > c.lastAttemptNumber() {
-			// Nobody up to this leader has given this number; it would collide with a later attempt. If a later
-			// leader has, nothing that this one does counts any more.
+			// No leader up to this one has assigned this number, so it would collide with that of a later attempt. If a later
+			// leader has assigned it, nothing that this leader does has an effect any more.
 			continue
 		}
 		key := statusKey(status)
@@ -222,8 +225,8 @@
 	return shown, showsLaunch
 }
 
-// checkMissingAttempts looks at the attempts that a heartbeat does not show. lastSeen is when the machine's message
-// before it came.
+// checkMissingAttempts handles the attempts that a heartbeat does not list. lastSeen is the time at which the
+// machine's previous message was received.
 func (c *Core) checkMissingAttempts(
 	now time.Time, machine *model.Machine, shown map[model.AttemptKey]bool, lastSeen time.Time, answersProbe bool,
 ) {
@@ -236,11 +239,11 @@
 			attempt.Transition(model.AttemptDropped)
 			delete(machine.Attempts, key)
 		case attempt.Phase != 0 && !answersProbe:
-			// Workers list attempts until they are commanded to forget them, so one of the two messages is of another
-			// incarnation. A delayed copy must not make a running task start elsewhere.
+			// Workers list attempts until they are commanded to forget them, so either this heartbeat or the earlier one is of
+			// another incarnation. A delayed copy must not cause a running task to be started elsewhere.
 			c.probe(now, machine)
 		case attempt.Phase != 0 && !machine.UnansweredLaunches.MayArrive(key):
-			c.log.Warn("attempt missing on its machine", "task", attempt.Task, "attempt", attempt.Number,
+			c.log.Warn("running attempt missing from worker's report", "task", attempt.Task, "attempt", attempt.Number,
 				"machine", machine.Name)
 			c.accounting.chargeUntil(now, attempt, lastSeen)
 			c.accounting.chargeWasted(now, attempt)
@@ -251,10 +254,11 @@
 	}
 }
 
-// handleInterruptionNotice drains and evacuates a spot machine that the cloud is about to reclaim.
+// handleInterruptionNotice drains and evacuates a spot machine that the cloud is about to reclaim. timeLeft is the
+// time until then.
 func (c *Core) handleInterruptionNotice(now time.Time, machine *model.Machine, in time.Duration) {
 	if machine.InterruptionAt.IsZero() {
-		c.log.Info("spot interruption notice", "machine", machine.Name, "in", in)
+		c.log.Info("spot interruption notice received", "machine", machine.Name, "in", in)
 		machine.InterruptionAt = now.Add(in)
 		c.drain(now, machine, reasonInterruption)
 	}
--- a/internal/reconciler/inventory.go
+++ b/internal/reconciler/inventory.go
@@ -6,21 +6,22 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// cloudInventory is when the cloud's machine list and catalog of machine types are read.
+// cloudInventory schedules the requests for the cloud's machine list and for its catalog of machine types.
 type cloudInventory struct {
-	machineListAt      time.Time // when the list is due
+	machineListAt      time.Time // earliest time of the next list request
 	machineListPending bool
-	catalogAt          time.Time // when the catalog is due
+	catalogAt          time.Time // earliest time of the next catalog request
 	catalogPending     bool
 }
 
 const (
 	catalogRetryDelay = 2 * time.Second
-	listLagFactor     = 3                // a machine list may be behind by so many times the stated lag,
-	listLagMargin     = 10 * time.Second // and this much more
+	listLagFactor     = 3                // a machine list may lag by this multiple of the stated lag,
+	listLagMargin     = 10 * time.Second // plus this margin
 )
 
-// newCloudInventory has the machine list read at once, and the catalog too unless its types are known.
+// newCloudInventory returns an inventory that requests the machine list at once, and also the catalog unless types
+// are already known.
 func newCloudInventory(now time.Time, types []model.MachineType, settings *Settings) cloudInventory {
 	inventory := cloudInventory{machineListAt: now, catalogAt: now}
 	if len(types) > 0 {
@@ -42,7 +43,7 @@
 	}
 }
 
-// catalogReceived applies the machine types.
+// catalogReceived applies a new catalog of machine types.
 func (c *Core) catalogReceived(now time.Time, event CatalogReceived) {
 	c.inventory.catalogPending = false
 	if len(event.Types) == 0 {
@@ -58,8 +59,8 @@
 	c.passes.request()
 }
 
-// machineListReceived applies the cloud's machine list. Machines that are not known here were provisioned by an
-// earlier leader.
+// machineListReceived applies the cloud's machine list. Listed machines that this leader does not know were
+// provisioned by an earlier leader.
 func (c *Core) machineListReceived(now time.Time, event MachineListReceived) {
 	c.inventory.machineListPending = false
 	c.inventory.machineListAt = now.Add(c.settings.MachineListInterval)
@@ -75,7 +76,8 @@
 			if unexpected++; first == "" {
 				first = info.Name
 			}
-			c.log.Debug("unexpected machine listed", "machine", info.Name, "type", info.Type, "zone", info.Zone)
+			c.log.Debug("cloud lists machine that this leader did not provision",
+				"machine", info.Name, "type", info.Type, "zone", info.Zone)
 		}
 		if machine.Addr == "" {
 			machine.Addr = info.Addr
@@ -85,11 +87,12 @@
 		}
 	}
 	if unexpected > 0 {
-		c.log.Info("unexpected machines listed", "count", unexpected, "first", first)
+		c.log.Info("cloud lists machines that this leader did not provision", "count", unexpected, "first", first)
 	}
 }
 
-// mayListReleased reports that a list of some moment may still hold a machine that is gone, since lists lag.
+// mayListReleased reports whether a machine list that was requested at requestedAt may still contain a released
+// machine, since the cloud's list lags behind.
 func (c *Core) mayListReleased(name string, requestedAt time.Time) bool {
 	releasedAt, ok := c.releases.released[name]
 	return ok && requestedAt.Sub(releasedAt) < listLagFactor*c.settings.MachineListLag+listLagMargin
--- a/internal/reconciler/liveness.go
+++ b/internal/reconciler/liveness.go
@@ -7,27 +7,28 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// livenessTracker is what a leader knows of its machines' liveness beyond the failure detector of each of them.
+// livenessTracker holds the state that concerns the liveness of all machines together. Each machine has a failure
+// detector of its own.
 type livenessTracker struct {
 	settings        liveness.Settings
-	suspects        map[*model.Machine]bool // machines that seem to receive nothing from this leader
-	lastProofAt     time.Time               // when any machine last proved that it receives something
+	suspects        map[*model.Machine]bool // machines that appear to receive nothing from this leader
+	lastProofAt     time.Time               // when a machine last proved that it receives messages
 	probesInFlight  int
-	foreignLoggedAt time.Time // when a heartbeat of another machine by a known name was last logged
+	foreignLoggedAt time.Time // when a heartbeat refused by isForeign was last logged
 }
 
-// The probing of machines. Their answers prove what they show; a heartbeat may be a delayed copy.
+// Limits on probes. The answer to a probe is proof of the state it shows, whereas a heartbeat may be a delayed copy.
 const (
-	maxProbes            = 32                     // in flight
-	probeInterval        = 500 * time.Millisecond // between probes to one machine
-	suspectProbeInterval = 2 * time.Second        // between probes to a suspect
+	maxProbes            = 32                     // probes in flight
+	probeInterval        = 500 * time.Millisecond // minimum time between two probes of a machine
+	suspectProbeInterval = 2 * time.Second        // minimum time between two probes of a suspect
 )
 
-// foreignLogInterval is the time between log lines about heartbeats of another machine by a known name.
+// foreignLogInterval is the minimum time between two log records about heartbeats refused by isForeign.
 const foreignLogInterval = 10 * time.Second
 
-// responseTimeout is how long a worker waits for the answer to a heartbeat, by the protocol. Heartbeats are late by a
-// quarter of their interval at most.
+// responseTimeout is the time that a worker waits for the response to a heartbeat, as the protocol defines it. A
+// heartbeat is late by at most a quarter of the heartbeat interval.
 const responseTimeout = 4 * time.Second
 
 func newLivenessTracker(now time.Time, settings *Settings) livenessTracker {
@@ -42,7 +43,8 @@
 	}
 }
 
-// update counts a machine among the suspects or not, and reports whether it was or is one.
+// update adds a machine to the suspects or removes it, by the state of its failure detector. It reports whether the
+// machine was or is a suspect.
 func (t *livenessTracker) update(machine *model.Machine) (wasOrIs bool) {
 	was, is := t.suspects[machine], machine.Detector.State >= liveness.Suspect
 	if is {
@@ -53,11 +55,11 @@
 	return was || is
 }
 
-// probeSent and probeCompleted count the probes in flight.
+// probeSent and probeCompleted maintain the number of probes in flight.
 func (t *livenessTracker) probeSent()      { t.probesInFlight++ }
 func (t *livenessTracker) probeCompleted() { t.probesInFlight-- }
 
-// mayLogForeign reports whether a heartbeat of another machine by a known name is to be logged now.
+// mayLogForeign reports whether a heartbeat refused by isForeign may be logged now, and if so, records it as logged.
 func (t *livenessTracker) mayLogForeign(now time.Time) bool {
 	if now.Sub(t.foreignLoggedAt) <= foreignLogInterval {
 		return false
@@ -66,16 +68,17 @@
 	return true
 }
 
-// remove forgets a machine that is gone.
+// remove removes a released machine from the suspects.
 func (t *livenessTracker) remove(machine *model.Machine) { delete(t.suspects, machine) }
 
-// canProbe reports whether a probe can be sent to a machine.
+// canProbe reports whether a probe can be sent to a machine now.
 func canProbe(machine *model.Machine) bool {
 	return !machine.CommandInFlight && machine.Addr != "" && machine.State < model.MachineReleasing
 }
 
-// probe requests the state of a machine where its messages leave it uncertain. One probe is in flight for a machine,
-// and few altogether: the next heartbeat requests it again. It reports whether a probe was sent.
+// probe sends a probe to a machine whose messages leave its state uncertain, and reports whether it did. It sends
+// none if one is in flight to the machine, if the last one was sent less than probeInterval ago, or if maxProbes are
+// in flight. The next heartbeat then triggers another try.
 func (c *Core) probe(now time.Time, machine *model.Machine) bool {
 	if !canProbe(machine) || c.liveness.probesInFlight >= maxProbes || now.Sub(machine.ProbedAt) < probeInterval {
 		return false
@@ -90,7 +93,8 @@
 	c.sendCommands(machine, nil, false)
 }
 
-// checkSuspect probes a machine that is not alive again, and has it replaced if that lasts.
+// checkSuspect probes a machine that is not considered alive, and marks it as failed if it stays a suspect for too
+// long.
 func (c *Core) checkSuspect(now time.Time, machine *model.Machine) {
 	if now.Sub(machine.ProbedAt) >= suspectProbeInterval {
 		c.probe(now, machine)
@@ -117,7 +121,7 @@
 	}
 }
 
-// proveAlive records a proof that a machine receives what this leader sends.
+// proveAlive records a proof that a machine receives this leader's messages.
 func (c *Core) proveAlive(now time.Time, machine *model.Machine, reason string) {
 	c.liveness.lastProofAt = now
 	if machine.Detector.ProveAlive(now, reason) {
@@ -125,16 +129,16 @@
 	}
 }
 
-// livenessChanged notes that the state of a machine's failure detector has changed.
+// livenessChanged records that the state of a machine's failure detector has changed.
 func (c *Core) livenessChanged(machine *model.Machine) {
 	if c.liveness.update(machine) {
 		c.passes.request()
-		c.log.Info("machine liveness", "machine", machine.Name, "state", machine.Detector.State.String(),
+		c.log.Info("machine liveness changed", "machine", machine.Name, "state", machine.Detector.State.String(),
 			"reason", machine.Detector.Reason, "attempts", machine.ActiveCount, "suspects", len(c.liveness.suspects))
 	}
 }
 
-// missesCommands reports whether a heartbeat lacks the launches that the response to an earlier one held.
+// missesCommands reports whether a heartbeat shows none of the launches that the response to an earlier one contained.
 func missesCommands(machine *model.Machine, heartbeat *model.Heartbeat) bool {
 	number := liveness.MessageNumber{Epoch: heartbeat.Epoch, Seq: heartbeat.Seq}
 	commanded := 0
@@ -150,28 +154,28 @@
 	for i := range heartbeat.Tasks {
 		key := statusKey(&heartbeat.Tasks[i])
 		if attempt := machine.Attempts[key]; attempt != nil && attempt.State == model.AttemptLaunching {
-			return false // it shows some of it: the heartbeat and the response have crossed
+			return false // it shows some of the launches: the heartbeat and the response have crossed
 		}
 	}
 	return true
 }
 
-// trustedAlive reports whether tasks may be placed on a machine as far as its liveness goes. Unanswered probes alone
-// do not count against many machines at once: then the fault is likely this controller's.
+// trustedAlive reports whether a machine's liveness allows tasks to be placed on it. If many machines are suspects at
+// once, unanswered probes alone do not count against them, since the fault is then likely this controller's.
 func (c *Core) trustedAlive(machine *model.Machine) bool {
 	limit := max(1, c.settings.MaxUnresponsiveShare*float64(len(c.machines)))
 	many := float64(len(c.liveness.suspects)) > limit
 	return machine.Detector.State < liveness.Suspect || !machine.Detector.Conclusive() && many
 }
 
-// needsProof reports that there are suspects, and that no machine has proved lately that it receives anything. Then
-// one that is alive is probed. Otherwise a leader would take itself for isolated when half of all machines receive
-// nothing, while the others had no reason to prove that they do.
+// needsProof reports whether there are several suspects while no machine has recently proved that it receives
+// messages. A machine that is alive is then probed. Otherwise, if half of the machines received nothing, the leader
+// would consider itself isolated, because the other half had no occasion to prove that they receive its messages.
 func (c *Core) needsProof(now time.Time) bool {
 	return len(c.liveness.suspects) > 1 && now.Sub(c.liveness.lastProofAt) > c.settings.UnresponsiveAfter/2
 }
 
-// Liveness returns the state of a machine's failure detector; a machine that is not known counts as alive.
+// Liveness returns the state of a machine's failure detector. An unknown machine counts as alive.
 func (c *Core) Liveness(machine string) liveness.State {
 	if m := c.machines[machine]; m != nil {
 		return m.Detector.State
--- a/internal/reconciler/machines.go
+++ b/internal/reconciler/machines.go
@@ -7,16 +7,16 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// maxClockDrift bounds how far the steady clocks of two machines part, as a fraction of the time.
+// maxClockDrift bounds the difference in rate between the monotonic clocks of two machines, as a fraction of the time.
 const maxClockDrift = 0.001
 
 const (
-	unknownCPUs = 1e-9 // of a machine type that the catalog does not list: no task fits
-	minCPUs     = 1e-6 // of any type in the catalog
+	unknownCPUs = 1e-9 // capacity of a machine type that the catalog does not list, so that no task fits
+	minCPUs     = 1e-6 // every type in the catalog has more CPUs than this
 )
 
-// The reasons why a machine is drained or released. Logs and explanations show these values; docs/operators.md lists
-// them.
+// The reasons for draining or releasing a machine. Logs and explanations show these values, and docs/operators.md
+// lists them.
 const (
 	reasonBootTimeout  = "boot"
 	reasonSilent       = "silent"
@@ -28,7 +28,7 @@
 	reasonRestarted    = "began anew"
 )
 
-// addMachine adds a machine to the view.
+// addMachine adds a machine to the view in the given state. Its worker's lease is assumed to have been renewed now.
 func (c *Core) addMachine(now time.Time, info model.MachineInfo, state model.MachineState) *model.Machine {
 	machine := &model.Machine{
 		Name:          info.Name,
@@ -49,7 +49,8 @@
 	return machine
 }
 
-// machineType finds a machine type by name. A type that the catalog does not list (yet) has no capacity.
+// machineType returns the machine type with the given name. A type that the catalog does not list, or not yet, has
+// almost no capacity.
 func (c *Core) machineType(name string) *model.MachineType {
 	for i := range c.machineTypes {
 		if c.machineTypes[i].Name == name {
@@ -59,24 +60,25 @@
 	return &model.MachineType{Name: name, Capacity: model.Resources{CPU: unknownCPUs}}
 }
 
-// inCatalog reports whether the catalog lists a type that machineType has returned.
+// inCatalog reports whether the catalog lists a type that machineType returned.
 func inCatalog(machineType *model.MachineType) bool { return machineType.Capacity.CPU > minCPUs }
 
-// leaseExpiry is when the lease of a worker whose last answered heartbeat came at a moment has certainly expired. The
-// worker counts from when it sent the heartbeat, which was earlier.
+// leaseExpiry returns the time at which a worker's lease has certainly expired if its last answered heartbeat was
+// received at the given time. The worker counts its lease from when it sent the heartbeat, which was earlier.
 func (c *Core) leaseExpiry(heartbeat time.Time) time.Time {
 	lease := c.settings.WorkerLease
 	return heartbeat.Add(lease + time.Duration(float64(lease)*maxClockDrift) + c.settings.LeaseMargin)
 }
 
-// recordMachine queues the record of a machine that may hold tasks from now on.
+// recordMachine queues the record of a machine that may hold tasks from now on. It must be durable before tasks are
+// placed on the machine, so that a new leader knows the machine.
 func (c *Core) recordMachine(machine *model.Machine) {
 	c.commits.add(record.Change{Kind: record.PutMachine, Machine: model.MachineInfo{
 		Name: machine.Name, Addr: machine.Addr, Type: machine.Type.Name, Zone: machine.Zone, Spot: machine.Spot,
 	}})
 }
 
-// isUp reports whether a machine's worker is expected to send heartbeats.
+// isUp reports whether heartbeats are expected from a machine's worker.
 func isUp(machine *model.Machine) bool {
 	switch machine.State {
 	case model.MachineReady, model.MachineDraining, model.MachineInherited:
@@ -85,7 +87,7 @@
 	return false
 }
 
-// drain places nothing more on a machine. It is released when it is empty.
+// drain stops placing tasks on a machine. The machine is released when it is empty.
 func (c *Core) drain(now time.Time, machine *model.Machine, reason string) {
 	if machine.Transition(now, model.MachineDraining, reason) {
 		c.log.Info("draining", "machine", machine.Name, "reason", reason, "attempts", machine.ActiveCount)
@@ -93,8 +95,8 @@
 	}
 }
 
-// evacuate stops the tasks of a machine that the cloud is about to take: those that can save a checkpoint, and those
-// that will not finish in time.
+// evacuate stops the tasks on a spot machine that the cloud is about to reclaim. An array task that saves no
+// checkpoints keeps running if it is expected to finish in time.
 func (c *Core) evacuate(now time.Time, machine *model.Machine) {
 	left := machine.InterruptionAt.Sub(now)
 	for _, attempt := range machine.Attempts {
@@ -114,7 +116,7 @@
 	}
 }
 
-// startRelease marks a machine to be released with one of the next Release effects.
+// startRelease marks a machine as releasing. One of the next Release effects returns it to the cloud.
 func (c *Core) startRelease(now time.Time, machine *model.Machine, reason string) {
 	if machine.Transition(now, model.MachineReleasing, reason) {
 		c.log.Info("releasing machine", "machine", machine.Name, "type", machine.Type.Name, "reason", reason,
--- a/internal/reconciler/partitions.go
+++ b/internal/reconciler/partitions.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// allZones is the name of all zones together, where zones are named.
+// allZones is the key under which all zones together are counted.
 const allZones = ""
 
-// isolationMargin is how much longer than a single machine all machines have to be silent before the leader takes
-// itself for isolated.
+// isolationMargin is the time by which the silence of all machines has to exceed the limit for a single machine
+// before the leader considers itself isolated.
 const isolationMargin = 2 * time.Second
 
-// partitionDetector knows the zones of which so many machines are silent that a network partition is likelier than
-// their death.
+// partitionDetector detects zones in which so many machines are silent that a network partition is more likely than
+// their failure.
 type partitionDetector struct {
-	detectedAt         map[string]time.Time // by zone: when most of it was silent last
-	silenceCountsAfter time.Time            // no machine counts as silent before this
+	detectedAt         map[string]time.Time // by zone: the last time at which most of its machines were silent
+	silenceCountsAfter time.Time            // silence is not counted against machines until this time
 }
 
-// zoneSilence counts the machines of a zone that are up, and those of them that have sent no heartbeat lately.
+// zoneSilence counts the machines of a zone that are up, and how many of them have not sent a heartbeat recently.
 type zoneSilence struct{ up, silent int }
 
 func newPartitionDetector(now time.Time, settings *Settings) partitionDetector {
@@ -25,21 +25,21 @@
 	return detector
 }
 
-// restart has silence count anew: workers could not send heartbeats until now.
+// restart disregards all silence until now, since workers could not send heartbeats.
 func (d *partitionDetector) restart(now time.Time, unresponsiveAfter time.Duration) {
 	d.silenceCountsAfter = now.Add(unresponsiveAfter)
 }
 
 func (d *partitionDetector) silenceCounts(now time.Time) bool { return now.After(d.silenceCountsAfter) }
 
-// recently reports whether a zone was partitioned within a time.
+// recently reports whether a zone, or all zones together, showed a partition less than the given time ago.
 func (d *partitionDetector) recently(now time.Time, zone string, within time.Duration) bool {
 	return now.Sub(d.detectedAt[zone]) < within || now.Sub(d.detectedAt[allZones]) < within
 }
 
-// update takes the present counts and returns the zones that count as partitioned. A zone does so for some time after
-// most of it was silent: most of its workers may have found another path while the last ones are still looking for
-// one.
+// update evaluates the current counts and returns the partitioned zones. maxShare is the share of a zone's machines
+// above which their silence indicates a partition. A zone counts as partitioned until hold has passed since the last
+// indication, because most of its workers may have found another path while the last ones are still looking for one.
 func (d *partitionDetector) update(
 	now time.Time, zones map[string]*zoneSilence, maxShare float64, hold time.Duration,
 ) map[string]bool {
@@ -64,8 +64,8 @@
 	}
 }
 
-// partitionedZones returns the zones that are likely cut off. Their machines are not released for their silence:
-// their workers are likely healthy and about to find another path to a controller.
+// partitionedZones returns the zones that are probably cut off. Their machines are not released for being silent,
+// since their workers are probably healthy and about to find another path to a controller.
 func (c *Core) partitionedZones(now time.Time) map[string]bool {
 	zones := map[string]*zoneSilence{allZones: {}}
 	all := zones[allZones]
@@ -87,8 +87,8 @@
 	return c.partitions.update(now, zones, c.settings.MaxUnresponsiveShare, c.settings.WorkerLease)
 }
 
-// Isolated reports that no worker has sent a heartbeat for long, or that none seems to receive anything, although
-// there are several. Then this controller is likely the one that is cut off, and another would lead better.
+// Isolated reports whether this controller is probably cut off, so that another one should lead: there are several
+// machines, and either none has sent a heartbeat for a long time, or none appears to receive this leader's messages.
 func (c *Core) Isolated(now time.Time) bool {
 	if c.outboundIsolated(now) {
 		return true
@@ -109,8 +109,9 @@
 	return up > 1
 }
 
-// outboundIsolated reports that nothing that this controller sends seems to arrive anywhere, although heartbeats come
-// in: then it is the one at fault.
+// outboundIsolated reports whether this controller's messages appear to reach no machine although heartbeats arrive:
+// no machine has recently proved that it receives any, and at least half of the reporting machines are suspects. The
+// fault is then probably this controller's.
 func (c *Core) outboundIsolated(now time.Time) bool {
 	suspects := len(c.liveness.suspects)
 	return suspects > 1 &&
@@ -118,7 +119,7 @@
 		suspects >= c.countReporting(now)/2
 }
 
-// countReporting counts the machines that are up and send heartbeats.
+// countReporting returns the number of machines that are up and have sent a heartbeat recently.
 func (c *Core) countReporting(now time.Time) int {
 	count := 0
 	for _, machine := range c.machines {
--- a/internal/reconciler/releases.go
+++ b/internal/reconciler/releases.go
@@ -7,27 +7,28 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// machineReleases keeps the request that releases machines to the cloud, and which machines are gone. One request
-// is in flight at a time, and none is repeated before it was answered. Otherwise a queue would grow faster than the
-// cloud's rate limit lets it drain: idle machines would be billed for, and requests for new ones wait behind.
+// machineReleases tracks the request that returns machines to the cloud, and the machines that have been released.
+// One request is in flight at a time, and it is not repeated before it is answered. Otherwise the requests would
+// queue up faster than the cloud's rate limit admits them. Idle machines would then be billed, and requests for new
+// machines would have to wait.
 type machineReleases struct {
-	pending   bool                 // a request is not answered yet
-	notBefore time.Time            // of the next request
-	released  map[string]time.Time // machines that the cloud has taken back, and when
+	pending   bool                 // a request has been sent and not answered
+	notBefore time.Time            // earliest time of the next request
+	released  map[string]time.Time // by name: the time at which the cloud confirmed a machine's release
 }
 
 const (
 	maxReleaseBatch   = 100              // machines in one request
-	releaseInterval   = time.Second      // between requests
-	releasedRetention = 15 * time.Minute // for which the names of released machines are known
+	releaseInterval   = time.Second      // from the answer to one request until the next request
+	releasedRetention = 15 * time.Minute // how long the names of released machines are kept
 )
 
 func newMachineReleases() machineReleases { return machineReleases{released: map[string]time.Time{}} }
 
-// requested notes that a request was sent.
+// requested records that a request has been sent.
 func (r *machineReleases) requested() { r.pending = true }
 
-// completed notes that the request was answered.
+// completed records that the request has been answered.
 func (r *machineReleases) completed(now time.Time) {
 	r.pending, r.notBefore = false, now.Add(releaseInterval)
 }
@@ -37,13 +38,13 @@
 	return !r.pending && !now.Before(r.notBefore)
 }
 
-// isReleased reports whether the cloud has taken a machine back.
+// isReleased reports whether the cloud has released a machine. Names are kept for releasedRetention.
 func (r *machineReleases) isReleased(machine string) bool {
 	_, ok := r.released[machine]
 	return ok
 }
 
-// forgetOld drops the names of machines that are gone for long.
+// forgetOld removes the names of machines that were released more than releasedRetention ago.
 func (r *machineReleases) forgetOld(now time.Time) {
 	for name, at := range r.released {
 		if now.Sub(at) > releasedRetention {
@@ -52,8 +53,8 @@
 	}
 }
 
-// releaseCompleted removes the machines that the cloud has released. After any outcome but OK their release is
-// requested again.
+// releaseCompleted removes the machines that the cloud has released. After any outcome other than OK, the release is
+// requested again by a later sweep.
 func (c *Core) releaseCompleted(now time.Time, event ReleaseCompleted) {
 	c.releases.completed(now)
 	if event.Outcome != OK {
@@ -66,7 +67,7 @@
 	}
 }
 
-// removeMachine removes a machine that is gone, with everything on it.
+// removeMachine removes a released machine from the view, drops its attempts, and deletes its record.
 func (c *Core) removeMachine(now time.Time, machine *model.Machine) {
 	c.loseAttempts(now, machine, "released")
 	if machine.Unreconciled {
--- a/internal/reconciler/settings.go
+++ b/internal/reconciler/settings.go
@@ -8,47 +8,47 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// Settings are what a Core works by. The platform and the operators set them; package config fills them in.
+// Settings configures a Core. The values come from the platform and the operators. Package config fills them in.
 type Settings struct {
-	Member     string // the name of this controller; requests to the cloud carry it
+	Member     string // name of this controller, which requests to the cloud carry
 	Teams      []model.Team
 	Objectives map[string][]Objective // by job class
 
-	// What the platform says of its workers. The Core itself uses the first two; the others are carried for the
-	// in-memory cluster of the tests.
+	// The platform's guarantees about its workers. The Core itself uses the first two. The others are only carried for
+	// the in-memory cluster of the tests.
 	HeartbeatInterval time.Duration
 	WorkerLease       time.Duration
 	GangWait          time.Duration
 	GangPeer          time.Duration
 	CancelWithin      time.Duration
 
-	MachineListLag time.Duration // how far the cloud's machine list may be behind
+	MachineListLag time.Duration // maximum lag of the cloud's machine list
 
 	Scheduler  scheduler.Settings
 	Autoscaler autoscaler.Settings
 
-	LeaseMargin          time.Duration // beyond a worker's lease before it counts as expired
-	PassInterval         time.Duration // least time between scheduling passes
-	FlushInterval        time.Duration // between batches of finished tasks
+	LeaseMargin          time.Duration // time after the end of a worker's lease until it counts as expired
+	PassInterval         time.Duration // minimum time between scheduling passes
+	FlushInterval        time.Duration // time between batches of finished tasks
 	MachineListInterval  time.Duration
 	CatalogInterval      time.Duration
-	UnresponsiveAfter    time.Duration // a machine without a heartbeat for this long is released
+	UnresponsiveAfter    time.Duration // a machine that sends no heartbeat for this long is released,
 	MaxUnresponsiveShare float64       // unless more than this share of the machines has sent none
-	Backoff              time.Duration // after a failed task, doubling
+	Backoff              time.Duration // delay of a job after failed tasks, which doubles with further failures
 	MaxBackoff           time.Duration
-	MachineFaultErrors   int           // so many jobs that fail on a machine show that it is faulty
-	CommandHoldOff       time.Duration // without direct commands to a machine that did not answer one
-	ConsolidateInterval  time.Duration // between moves off expensive machines; 0: none
-	MaxTxnOps            int           // changes in one transaction
-	NumberedChunkTasks   int           // tasks in a numbered chunk, where no record says how many
+	MachineFaultErrors   int           // number of failing jobs that show that a machine is faulty
+	CommandHoldOff       time.Duration // pause in direct commands to a machine that did not answer one
+	ConsolidateInterval  time.Duration // time between moves off expensive machines; 0 disables them
+	MaxTxnOps            int           // maximum number of changes in one transaction
+	NumberedChunkTasks   int           // tasks in a numbered chunk, used if no record states the number
 
-	Ledger *LedgerSettings // nil: no ledger is kept
+	Ledger *LedgerSettings // nil if no ledger is kept
 }
 
-// Objective is what users expect of a class of jobs, as far as the order of waiting tasks depends on it. A field that
-// is zero states no objective.
+// Objective is a service-level objective of a class of jobs, as far as it affects the order of waiting tasks. A zero
+// field states no objective.
 type Objective struct {
-	StartWithin      time.Duration // from becoming eligible to the start of a task
-	FinishWithin     time.Duration // from becoming eligible to the end of the job
-	DeadlineMultiple float64       // jobs end by this many times their deadline
+	StartWithin      time.Duration // from when a job becomes eligible until one of its tasks starts
+	FinishWithin     time.Duration // from when a job becomes eligible until it ends
+	DeadlineMultiple float64       // a job should end within this multiple of its deadline
 }
--- a/internal/reconciler/sweep.go
+++ b/internal/reconciler/sweep.go
@@ -7,11 +7,11 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// maxPassAge: a pass is run at least this often, since slack and waiting times change by time alone.
+// maxPassAge is the maximum time between scheduling passes, since slack and waiting times change with time alone.
 const maxPassAge = time.Second
 
-// sweep handles what changes by time alone: leases that expire, machines that do not come up, become unresponsive or
-// stay empty, requests to the cloud that are repeated, and jobs whose backoff is over.
+// sweep handles everything that changes with time alone: leases that expire, machines that do not come up, become
+// unresponsive or stay empty, requests to the cloud that are due for a retry, and jobs whose backoff has ended.
 func (c *Core) sweep(now time.Time) {
 	c.sweepMachines(now)
 	c.probeUnreconciled(now)
@@ -29,7 +29,7 @@
 	}
 }
 
-// sweepMachines checks each machine, and requests the release of those that are no longer wanted.
+// sweepMachines checks each machine, and requests the release of those that are marked as releasing.
 func (c *Core) sweepMachines(now time.Time) {
 	partitioned := c.partitionedZones(now)
 	mayRelease := c.releases.mayRequest(now)
@@ -75,7 +75,7 @@
 	}
 }
 
-// releaseReason says why a machine is to be released; !ok: it is not.
+// releaseReason returns the reason why a machine has to be released. ok is false if it is kept.
 func (c *Core) releaseReason(
 	now time.Time, machine *model.Machine, partitioned map[string]bool,
 ) (reason string, ok bool) {
@@ -104,9 +104,9 @@
 	return reasonIdle, c.settings.Autoscaler.ShouldRelease(machine.Type, machine.Spot, empty, age)
 }
 
-// mayReconnect reports that an empty machine cannot be reached and may come back, so that it is not idle for lack of
-// tasks. Otherwise a whole zone would be released during a network partition and provisioned anew. It is kept for as
-// long as a replacement would be billed for at least.
+// mayReconnect reports whether an empty machine is unreachable at present and may come back. Such a machine is not
+// idle for lack of tasks. Otherwise a whole zone would be released during a network partition and provisioned again.
+// The machine is kept for as long as a replacement would be billed at least.
 func (c *Core) mayReconnect(now time.Time, machine *model.Machine) bool {
 	silent := now.Sub(machine.LastHeartbeat)
 	longest := c.settings.UnresponsiveAfter + c.settings.Autoscaler.MinBilledTime
--- a/internal/reconciler/takeover.go
+++ b/internal/reconciler/takeover.go
@@ -8,46 +8,47 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// takeover is what a new leader does not know yet of the time before it: which tasks earlier leaders have started on
-// the machines that it inherits. docs/safety.md, "Reconciliation after failover", argues why what it starts meanwhile
-// is safe.
+// takeover tracks what a new leader does not know yet about the time before its failover: which tasks earlier leaders
+// started on the machines that it inherits. docs/safety.md, "Reconciliation after failover", argues why it is safe to
+// start other tasks in the meantime.
 type takeover struct {
 	startedAt        time.Time
 	revision         uint64              // jobs with a later version were accepted after the takeover
-	unreconciled     int                 // machines that may hold tasks that this leader does not know
-	kinds            map[machineKind]int // how many machines of each kind those are
-	servicesRestored bool                // no urgent task from before the takeover waits any more
+	unreconciled     int                 // number of machines that may hold tasks that this leader does not know
+	kinds            map[machineKind]int // number of unreconciled machines of each kind
+	servicesRestored bool                // no urgent task from before the takeover is waiting any more
 }
 
-// machineKind is what decides whether a job may ever have been placed on a machine.
+// machineKind is the set of machine properties that decide whether a job can have been placed on a machine.
 type machineKind struct {
 	machineType, zone string
 	spot              bool
 }
 
-// minorityDivisor: so few machines are a minority that one part of this many of all machines is as many.
+// minorityDivisor defines a minority: at most one machine in this many.
 const minorityDivisor = 10
 
-// isMinority reports whether some machines are so few of all that the fault is likely theirs and not this leader's.
+// isMinority reports whether count machines are so few of all that the fault is probably theirs and not this
+// leader's. A single machine always is a minority.
 func isMinority(count, all int) bool { return count <= max(1, all/minorityDivisor) }
 
 func newTakeover(now time.Time, revision uint64) takeover {
 	return takeover{startedAt: now, revision: revision, kinds: map[machineKind]int{}}
 }
 
-// recordedKind is the kind that a machine's record states: earlier leaders decided by that.
+// recordedKind returns the kind that is stated in a machine's record, which earlier leaders used for placement.
 func recordedKind(machine *model.Machine) machineKind {
 	return machineKind{machine.Record.Type, machine.Record.Zone, machine.Record.Spot}
 }
 
-// inherit counts a machine that may hold tasks of earlier leaders.
+// inherit marks a machine as inherited. It may hold tasks of earlier leaders.
 func (t *takeover) inherit(machine *model.Machine, info model.MachineInfo) {
 	machine.Registered, machine.Unreconciled, machine.Record = true, true, info
 	t.unreconciled++
 	t.kinds[recordedKind(machine)]++
 }
 
-// reconciled counts an inherited machine as known.
+// reconciled marks an inherited machine as reconciled.
 func (t *takeover) reconciled(machine *model.Machine) {
 	machine.Unreconciled = false
 	t.unreconciled--
@@ -58,14 +59,14 @@
 	}
 }
 
-// complete reports whether everything on inherited machines is known.
+// complete reports whether all inherited machines are reconciled.
 func (t *takeover) complete() bool { return t.unreconciled == 0 }
 
-// loadSnapshot takes the records over.
+// loadSnapshot initializes the view from the records of a snapshot.
 func (c *Core) loadSnapshot(now time.Time, snapshot *record.Snapshot) {
 	chunkTasks := snapshot.NumberedChunkTasks
 	if chunkTasks == 0 {
-		// From here on the number is on record, even if the limit that it was derived from changes.
+		// The number is recorded now, and stays valid even if the limit from which it was derived changes.
 		chunkTasks = c.settings.NumberedChunkTasks
 		c.commits.add(record.Change{Kind: record.PutChunkLayout, Tasks: chunkTasks})
 	}
@@ -79,8 +80,8 @@
 	c.loadFinishedTasks(now, snapshot.FinishedTasks, chunkTasks)
 	for _, job := range c.jobs {
 		for id := range job.Dependency.Upstream {
-			// What it depends on was not done when this leader took over, so no leader before can have started it:
-			// docs/safety.md, "Pipelines".
+			// A dependency that is still active was not done when this leader took over, so no earlier leader can have started
+			// this job (docs/safety.md, "Pipelines").
 			job.NoPriorAttempts = job.NoPriorAttempts || c.jobs[id] != nil
 		}
 	}
@@ -90,7 +91,7 @@
 	c.openAccounts(now, snapshot.Accounts)
 }
 
-// loadFinishedTasks takes over the records of finished tasks; those whose job has ended are deleted.
+// loadFinishedTasks loads the records of finished tasks. Those of jobs that have ended are deleted.
 func (c *Core) loadFinishedTasks(now time.Time, finished map[string]map[model.Chunk][]byte, chunkTasks int) {
 	for id, chunks := range finished {
 		job := c.jobs[id]
@@ -110,7 +111,8 @@
 	}
 }
 
-// markReconciled notes that everything on an inherited machine is known, and repairs gangs once all machines are.
+// markReconciled records that everything on an inherited machine is known. When this holds for all machines,
+// incomplete gangs are stopped. how states for the log what showed it.
 func (c *Core) markReconciled(now time.Time, machine *model.Machine, how string) {
 	c.takeover.reconciled(machine)
 	if machine.State == model.MachineInherited {
@@ -133,11 +135,11 @@
 	}
 }
 
-// reconcileUnrenewed takes a fresh heartbeat of a machine that has sent heartbeats since the takeover but has not
-// taken this leader's token for more than a lease. Nothing that an earlier leader started is on it, apart from what
-// its heartbeats have shown (docs/safety.md, "Reconciliation after failover"). Without this, tasks from before the
-// takeover would wait for as long as the machine receives nothing, since each of its heartbeats puts off the end of
-// its lease.
+// reconcileUnrenewed reconciles a machine that has sent heartbeats since the takeover, but has not taken this
+// leader's fencing token for more than a lease. The machine has just sent a fresh heartbeat. It holds nothing that an
+// earlier leader started, apart from what its heartbeats have shown (docs/safety.md, "Reconciliation after
+// failover"). Without this rule, tasks from before the takeover would wait for as long as the machine receives
+// nothing, because each of its heartbeats postpones the expiry of its lease.
 func (c *Core) reconcileUnrenewed(now time.Time, machine *model.Machine) {
 	if machine.Detector.TokenNotTaken(now) {
 		c.livenessChanged(machine)
@@ -145,17 +147,17 @@
 	c.markReconciled(now, machine, "lease not renewed since the takeover")
 }
 
-// fewUnreconciled reports that nearly all machines are reconciled: the others have likely failed.
+// fewUnreconciled reports whether nearly all machines are reconciled. The remaining ones have probably failed.
 func (c *Core) fewUnreconciled() bool { return isMinority(c.takeover.unreconciled, len(c.machines)) }
 
-// The probing of inherited machines.
+// Limits on the probing of inherited machines.
 const (
-	reconcileProbeHeartbeats = 1 // it begins so many heartbeat intervals after the takeover
-	maxReconcileProbes       = 8 // machines at a time
+	reconcileProbeHeartbeats = 1 // heartbeat intervals from the takeover to the first probes
+	maxReconcileProbes       = 8 // probes per sweep
 )
 
-// probeUnreconciled probes the machines that have not reported to a new leader, once most have. So a few failed
-// machines do not keep all tasks from before the takeover waiting until they are silent for long enough.
+// probeUnreconciled probes the machines that have not reported to a new leader, once most others have. A few failed
+// machines therefore do not hold up all tasks from before the takeover until their silence is long enough.
 func (c *Core) probeUnreconciled(now time.Time) {
 	earliest := c.settings.HeartbeatInterval * reconcileProbeHeartbeats
 	if c.takeover.complete() || now.Sub(c.takeover.startedAt) < earliest || !c.fewUnreconciled() {
@@ -174,9 +176,10 @@
 	}
 }
 
-// mayAlreadyRun reports whether a waiting task of a job may already be on a machine that is not reconciled since the
-// takeover; then it is not started. It cannot be if the job was accepted since, nor if no leader could have placed it
-// on a machine of any kind that is not reconciled (docs/safety.md, "Reconciliation after failover").
+// mayAlreadyRun reports whether a waiting task of a job may already be running on a machine that has not been
+// reconciled since the takeover, so that it must not be started. It cannot be if the job was accepted after the
+// takeover, or if no leader can have placed it on any of the unreconciled kinds of machines (docs/safety.md,
+// "Reconciliation after failover").
 func (c *Core) mayAlreadyRun(job *model.Job) bool {
 	if c.takeover.complete() || job.RecordVersion > c.takeover.revision || job.NoPriorAttempts {
 		return false
@@ -189,8 +192,8 @@
 	return false
 }
 
-// couldRunOn reports whether a job's tasks may have been placed on a kind of machines. A type that the catalog lacks
-// may have any capacity.
+// couldRunOn reports whether a job's tasks may have been placed on machines of a kind. A type that is not in the
+// catalog may have any capacity.
 func (c *Core) couldRunOn(spec *model.Spec, kind machineKind) bool {
 	machineType := c.machineType(kind.machineType)
 	return spec.AllowsType(kind.machineType) &&
@@ -199,7 +202,7 @@
 		(!inCatalog(machineType) || spec.Demand.Fits(machineType.Capacity))
 }
 
-// logServicesRestored logs once after a takeover that no urgent task from before it waits any more.
+// logServicesRestored logs, once after a takeover, that no urgent task from before it is waiting any more.
 func (c *Core) logServicesRestored(now time.Time, requests []*scheduler.Request) {
 	if c.takeover.servicesRestored || !c.takeover.complete() {
 		return
@@ -210,5 +213,6 @@
 		}
 	}
 	c.takeover.servicesRestored = true
-	c.log.Info("services restored", "fencing_token", c.fencingToken, "after", now.Sub(c.takeover.startedAt))
+	c.log.Info("urgent tasks restored after failover",
+		"fencing_token", c.fencingToken, "after", now.Sub(c.takeover.startedAt))
 }
