--- a/internal/reconciler/attempts.go
+++ b/internal/reconciler/attempts.go
@@ -49,10 +49,11 @@
 		return attempt
 	}
 	c.accounting.beginCharging(now, attempt, status.Phase, true)
-	if old := job.ActiveAttempts[index]; old != nil && old.Number < status.Attempt && job.Spec.Shape != model.Gang {
-		// A task's attempts have increasing numbers, and each one is started only after the previous one is gone. The older
-		// attempt was therefore reported by a delayed heartbeat, and the newer one is running.
-		c.stopAttempt(now, old, 0)
+	if previous := job.ActiveAttempts[index]; previous != nil && previous.Number < status.Attempt &&
+		job.Spec.Shape != model.Gang {
+		// A task's attempts have increasing numbers, and each one is started only after the previous one is gone. The
+		// older attempt was therefore reported by a delayed heartbeat, and the newer one is running.
+		c.stopAttempt(now, previous, 0)
 		delete(job.ActiveAttempts, index)
 	}
 	if job.ActiveAttempts[index] != nil || job.Task(index) == model.TaskDone {
@@ -138,7 +139,7 @@
 			c.completeTask(now, job, index)
 		}
 		attempt.Machine.ErrorsByJob[job.Spec.ID] = 0
-		clearFaults(attempt)
+		clearMachineErrors(attempt)
 	case model.CauseError:
 		c.taskFailed(now, attempt)
 	case model.CauseNoCapacity, model.CauseAttemptConflict, model.CauseUnknownJob:
@@ -184,8 +185,9 @@
 }
 
 // dropAttempt drops an attempt that is gone although its worker has not reported its exit. It charges the run time up
-// to the machine's last message, and records as wasted the part that has to be repeated.
-func (c *Core) loseAttempt(now time.Time, attempt *model.Attempt) {
+// to the machine's last message, and records as wasted the part that has to be repeated. An attempt whose exit was
+// reported has already been charged.
+func (c *Core) dropAttempt(now time.Time, attempt *model.Attempt) {
 	if attempt.Active() {
 		c.accounting.chargeUntil(now, attempt, attempt.Machine.LastSeen)
 		c.accounting.chargeWasted(now, attempt)
@@ -196,13 +198,13 @@
 }
 
 // dropAttempts drops all attempts on a machine.
-func (c *Core) loseAttempts(now time.Time, machine *model.Machine, reason string) {
+func (c *Core) dropAttempts(now time.Time, machine *model.Machine, reason string) {
 	if count := machine.ActiveCount; count > 0 {
 		c.log.Info("attempts lost", "machine", machine.Name, "count", count, "reason", reason)
 	}
 	for key, attempt := range machine.Attempts {
 		delete(machine.Attempts, key)
-		c.loseAttempt(now, attempt)
+		c.dropAttempt(now, attempt)
 	}
 }
 
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -30,8 +30,8 @@
 func (c *Core) responseCommands(now time.Time, machine *model.Machine, direct bool) []model.Command {
 	var commands []model.Command
 	for _, attempt := range machine.Attempts {
-		// Stops come first. If launches filled the response, it would renew the lease of a machine that still holds tasks
-		// of a cancelled job, without stopping them.
+		// Stops come first. If launches filled the response, it would renew the lease of a machine that still holds
+		// tasks of a cancelled job, without stopping them.
 		if attempt.State == model.AttemptStopping && len(commands) < maxCommands {
 			commands = appendCommands(commands, attempt)
 		}
@@ -110,7 +110,7 @@
 	}
 	var commands []model.Command
 	urgent := false
-	launches := launchBudget{machine: machine, launched: -1}
+	launches := launchBudget{machine: machine, directLaunches: -1}
 	for _, attempt := range machine.Attempts {
 		if !attempt.Active() || attempt.CommandedState == attempt.State || len(commands) >= maxCommands {
 			continue
@@ -118,7 +118,7 @@
 		before := len(commands)
 		commands = appendCommands(commands, attempt)
 		if len(commands) > before && commands[before].Op == model.OpLaunch {
-			if !launches.take(attempt) {
+			if !launches.tryLaunch(attempt) {
 				commands = commands[:before] // the launch goes with the response to the next heartbeat
 				continue
 			}
@@ -133,26 +133,26 @@
 
 // launchBudget enforces maxUnansweredLaunches and maxDirectLaunches for one machine.
 type launchBudget struct {
-	machine  *model.Machine
-	launched int // directly launched attempts on the machine; -1 before they are counted
+	machine        *model.Machine
+	directLaunches int // directly launched attempts on the machine; -1 before they are counted
 }
 
 // tryLaunch records that the launch of an attempt is about to be sent directly. It returns false, and records
 // nothing, if that would exceed a limit.
-func (b *launchBudget) take(attempt *model.Attempt) bool {
-	if b.launched < 0 {
-		b.launched = countDirectLaunches(b.machine)
+func (b *launchBudget) tryLaunch(attempt *model.Attempt) bool {
+	if b.directLaunches < 0 {
+		b.directLaunches = countDirectLaunches(b.machine)
 	}
 	key, unanswered := attemptKey(attempt), &b.machine.UnansweredLaunches
 	if unanswered.Len() >= maxUnansweredLaunches && !unanswered.MayArrive(key) {
 		return false
 	}
-	if b.launched >= maxDirectLaunches && !attempt.LaunchedDirectly {
+	if b.directLaunches >= maxDirectLaunches && !attempt.LaunchedDirectly {
 		return false
 	}
 	if !attempt.LaunchedDirectly {
 		attempt.LaunchedDirectly = true
-		b.launched++
+		b.directLaunches++
 	}
 	unanswered.Add(key)
 	return true
@@ -235,13 +235,13 @@
 			"unanswered_launches", machine.UnansweredLaunches.Len())
 		machine.ErrorsByJob = map[string]int{}
 		if machine.UnansweredLaunches.Len() > 0 {
-			// Launches that were sent to the former incarnation may reach the present one, which does not know their attempts.
-			// The attempts stay allocated on the machine until it is released.
+			// Launches that were sent to the former incarnation may reach the present one, which does not know their
+			// attempts. The attempts stay allocated on the machine until it is released.
 			c.startRelease(now, machine, reasonRestarted)
 		}
 	}
-	// If the machine restarted with higher message numbers than were known, its lease may have begun as late as now. The
-	// former lease's expiry must not free tasks of the new incarnation.
+	// If the machine restarted with higher message numbers than were known, its lease may have begun as late as now.
+	// The former lease's expiry must not free tasks of the new incarnation.
 	machine.LeaseExpiry = c.leaseExpiry(now)
 	if heartbeat.Epoch > machine.ExpiredEpoch {
 		c.applyHeartbeat(now, machine, heartbeat, true)
--- a/internal/reconciler/commits.go
+++ b/internal/reconciler/commits.go
@@ -10,12 +10,12 @@
 
 // pendingCommits holds the record changes that wait to be written. One transaction is in flight at a time.
 type pendingCommits struct {
-	changes      []record.Change
-	queuedChunks map[chunkKey]bool // the chunks that have a PutTasks among the changes
-	inFlight     bool              // a transaction or fence has been sent and not answered
-	fenceNeeded  bool              // an unanswered transaction may still be executed
-	lastAlone    bool              // the last transaction carried a change that needs its own commit
-	notBefore    time.Time         // earliest time of the next transaction
+	changes          []record.Change
+	queuedChunks     map[chunkKey]bool // the chunks that have a PutTasks among the changes
+	inFlight         bool              // a transaction or fence has been sent and not answered
+	fenceNeeded      bool              // an unanswered transaction may still be executed
+	lastWasOwnCommit bool              // the last transaction carried a change that needs its own commit
+	notBefore        time.Time         // earliest time of the next transaction
 }
 
 // chunkKey identifies a chunk of a job's finished-task record.
@@ -87,25 +87,25 @@
 // jobs and new machines come first, since users and tasks wait for them. After them, changes that need their own
 // commit alternate with batches of the others. blocked reports whether a change has to wait, and returns the index of
 // the change to send in its place, or -1 if there is none.
-func (p *pendingCommits) next(blocked func(*record.Change) (instead int, waits bool)) int {
-	other := -1
+func (p *pendingCommits) next(blocked func(*record.Change) (substitute int, waits bool)) int {
+	candidate := -1
 	for i := range p.changes {
 		change := &p.changes[i]
-		instead, waits := blocked(change)
-		if waits && instead < 0 {
+		substitute, waits := blocked(change)
+		if waits && substitute < 0 {
 			continue
 		}
 		if change.Kind == record.CompleteJob || change.Kind == record.PutMachine {
 			if waits {
-				return instead
+				return substitute
 			}
 			return i
 		}
-		if other < 0 || p.lastAlone && needsOwnCommit(&p.changes[other]) && !needsOwnCommit(change) {
-			other = i
+		if candidate < 0 || p.lastWasOwnCommit && needsOwnCommit(&p.changes[candidate]) && !needsOwnCommit(change) {
+			candidate = i
 		}
 	}
-	return other
+	return candidate
 }
 
 // takeBatch removes up to limit changes that can share a transaction from the queue and returns them, new machines
@@ -144,8 +144,8 @@
 		return
 	}
 	var batch []record.Change
-	c.commits.lastAlone = needsOwnCommit(&c.commits.changes[next])
-	if c.commits.lastAlone {
+	c.commits.lastWasOwnCommit = needsOwnCommit(&c.commits.changes[next])
+	if c.commits.lastWasOwnCommit {
 		batch, c.commits.changes = c.takeOwnCommit(now, next)
 	} else {
 		batch = c.commits.takeBatch(c.settings.MaxTxnOps, c.fillChunk)
--- a/internal/reconciler/commits_test.go
+++ b/internal/reconciler/commits_test.go
@@ -10,16 +10,16 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// slowStore is a leader of one machine on which the tasks of one job finish one after the other, and a state service
-// whose answers the test gives.
-type slowStore struct {
+// slowStoreScenario is a leader with one machine, on which the tasks of one job finish one by one. The test itself
+// answers the transactions that the leader sends to the state service.
+type slowStoreScenario struct {
 	core     *Core
 	now      time.Time
-	inFlight []record.Change // of the last transaction that was not answered yet
+	inFlight []record.Change // the changes of the unanswered transaction
 }
 
-func newSlowStore() *slowStore {
-	s := &slowStore{now: time.Unix(1000, 0)}
+func newSlowStoreScenario() *slowStoreScenario {
+	s := &slowStoreScenario{now: time.Unix(1000, 0)}
 	spec := pipelineStage("wk-000001", time.Second, model.PriorityLow)
 	spec.Tasks = 3 * model.ChunkTasks
 	s.core = newTestLeader(s.now, &record.Snapshot{
@@ -30,7 +30,7 @@
 	return s
 }
 
-func (s *slowStore) step(event Event) {
+func (s *slowStoreScenario) step(event Event) {
 	for _, effect := range s.core.Step(s.now, event) {
 		if commit, ok := effect.(Commit); ok {
 			s.inFlight = slices.Clone(commit.Changes)
@@ -38,22 +38,22 @@
 	}
 }
 
-// complete gives the outcome of the transaction in flight.
-func (s *slowStore) complete(outcome Outcome) {
+// complete answers the transaction in flight with the given outcome.
+func (s *slowStoreScenario) complete(outcome Outcome) {
 	changes := s.inFlight
 	s.inFlight = nil
 	s.step(CommitCompleted{Changes: changes, Outcome: outcome, Version: 9})
 }
 
-// finishTask has a task finish, with some time for its record to be queued.
-func (s *slowStore) finishTask(index int) {
+// finishTask completes a task and lets enough time pass for its record to be queued.
+func (s *slowStoreScenario) finishTask(index int) {
 	s.now = s.now.Add(time.Second)
 	s.core.completeTask(s.now, s.core.jobs["wk-000001"], index)
 	s.step(Tick{})
 }
 
-// finishedIn counts the finished tasks of each change in flight.
-func (s *slowStore) finishedIn() (counts []int) {
+// finishedCounts returns the number of finished tasks in each change in flight.
+func (s *slowStoreScenario) finishedCounts() (counts []int) {
 	for _, change := range s.inFlight {
 		count := 0
 		for _, b := range change.FinishedBits {
@@ -64,23 +64,23 @@
 	return counts
 }
 
-// A queue that holds every state that a chunk ever had grows to tens of thousands of changes on a large deployment,
-// and each transaction goes through all of them.
+// Guards against a queue that holds every state of a changed chunk. On a large deployment such a queue grew to tens
+// of thousands of changes, all of which were scanned for each transaction.
 func TestChangedChunkIsQueuedOnce(t *testing.T) {
-	s := newSlowStore()
+	s := newSlowStoreScenario()
 	s.finishTask(0)
-	if got, want := s.finishedIn(), []int{1}; !slices.Equal(got, want) {
+	if got, want := s.finishedCounts(), []int{1}; !slices.Equal(got, want) {
 		t.Fatalf("first transaction: got chunks with %v finished tasks, want %v", got, want)
 	}
 	for i := 1; i < 300; i++ {
 		s.finishTask(i)
 	}
-	s.finishTask(model.ChunkTasks) // of the second chunk
+	s.finishTask(model.ChunkTasks) // the first task of the second chunk
 	if got := len(s.core.commits.changes); got != 2 {
-		t.Fatalf("got %d changes for two chunks, want 2", got)
+		t.Fatalf("got %d queued changes for two chunks, want 2", got)
 	}
 	s.complete(OK)
-	if got, want := s.finishedIn(), []int{300, 1}; !slices.Equal(got, want) {
+	if got, want := s.finishedCounts(), []int{300, 1}; !slices.Equal(got, want) {
 		t.Errorf("next transaction: got chunks with %v finished tasks, want %v", got, want)
 	}
 }
@@ -91,7 +91,7 @@
 		outcome Outcome
 	}{{"unknown", Unknown}, {"not sent", NotSent}} {
 		t.Run(test.name, func(t *testing.T) {
-			s := newSlowStore()
+			s := newSlowStoreScenario()
 			s.finishTask(0)
 			s.finishTask(1)
 			s.complete(test.outcome)
@@ -101,9 +101,9 @@
 			}
 			s.finishTask(2)
 			s.finishTask(3)
-			counts, waiting := s.finishedIn(), len(s.core.commits.changes)
+			counts, waiting := s.finishedCounts(), len(s.core.commits.changes)
 			if len(counts) != 1 || counts[0] < 2 || waiting > 1 {
-				t.Fatalf("got chunks with %v finished tasks, %d more changes; want one with at least 2, at most 1 more",
+				t.Fatalf("got chunks with %v finished tasks, %d queued changes; want 1 chunk with at least 2, at most 1 change",
 					counts, waiting)
 			}
 			s.complete(OK)
@@ -117,14 +117,14 @@
 }
 
 func TestChunkOfEndedJobIsNotWritten(t *testing.T) {
-	s := newSlowStore()
+	s := newSlowStoreScenario()
 	s.finishTask(0)
-	s.finishTask(1) // waits behind the first
+	s.finishTask(1) // queued behind the transaction of the first
 	s.step(JobEnded{ID: "wk-000001", Outcome: model.OutcomeCancelled, EndedAt: s.now})
 	s.complete(OK)
 	for _, change := range s.inFlight {
 		if change.Kind == record.PutTasks {
-			t.Errorf("%+v is written", change)
+			t.Errorf("got %+v in a transaction, want no chunk of the ended job", change)
 		}
 	}
 	if got := len(s.core.commits.queuedChunks); got != 0 {
--- a/internal/reconciler/core.go
+++ b/internal/reconciler/core.go
@@ -43,8 +43,8 @@
 
 	commandsPending map[*model.Machine]bool // machines that may have commands to send directly
 
-	sweepAt  time.Time
-	statusAt time.Time
+	nextSweepAt  time.Time
+	nextStatusAt time.Time
 
 	effects []Effect // of the current Step
 }
@@ -83,7 +83,7 @@
 		releases:        newMachineReleases(),
 		inventory:       newCloudInventory(now, types, &settings),
 		commandsPending: map[*model.Machine]bool{},
-		sweepAt:         now,
+		nextSweepAt:     now,
 	}
 	for i := range settings.Teams {
 		c.teams[settings.Teams[i].Name] = &settings.Teams[i]
@@ -135,13 +135,13 @@
 // the leadership lease is valid. A heartbeat, whose response renews a worker's lease, therefore never waits behind a
 // pass, and a leader that was suspended does not count heartbeats as missing that it merely has not read yet.
 func (c *Core) runTimers(now time.Time) {
-	if !now.Before(c.sweepAt) {
+	if !now.Before(c.nextSweepAt) {
 		c.sweep(now)
-		c.sweepAt = now.Add(sweepInterval)
+		c.nextSweepAt = now.Add(sweepInterval)
 	}
-	if !now.Before(c.statusAt) {
+	if !now.Before(c.nextStatusAt) {
 		c.logStatus()
-		c.statusAt = now.Add(statusInterval)
+		c.nextStatusAt = now.Add(statusInterval)
 	}
 	if c.passes.due(now, c.settings.PassInterval) {
 		c.runPass(now)
@@ -164,7 +164,7 @@
 
 // NextTick returns the time at which the next Tick is due.
 func (c *Core) NextTick() time.Time {
-	next := c.sweepAt
+	next := c.nextSweepAt
 	if passAt, ok := c.passes.next(c.settings.PassInterval); ok && passAt.Before(next) {
 		next = passAt
 	}
@@ -187,7 +187,7 @@
 
 // Resume must be called when the leadership lease is valid again after it had expired. Heartbeats could not be
 // answered in the meantime, so missing ones do not count against their workers.
-func (c *Core) Resume(now time.Time) { c.partitions.restart(now, c.settings.UnresponsiveAfter) }
+func (c *Core) Resume(now time.Time) { c.partitions.resetSilence(now, c.settings.UnresponsiveAfter) }
 
 // Progress returns the number of done and running tasks of an active job, for display. ok is false if there is no
 // such job.
--- a/internal/reconciler/epoch_test.go
+++ b/internal/reconciler/epoch_test.go
@@ -9,9 +9,10 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// A task was once started twice after a long outage of the state service: the answer to a command showed a worker's
-// new epoch, a task was started in it, and then the expiry of the former epoch's lease was taken for the new one's.
-// Only a machine that has sent a heartbeat lately gets tasks, so the answer comes soon after the last heartbeat here.
+// Guards against a task that is started twice after a worker has begun a new epoch. The answer to a command shows the
+// new epoch, and a task is started in it. The expiry of the former epoch's lease must not be taken for that of the
+// new one, which happened after a long outage of the state service. Tasks are placed only on machines that have sent
+// a heartbeat recently, so in this test the answer follows soon after the last heartbeat.
 func TestNewEpochHasItsOwnLease(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(now, &record.Snapshot{})
@@ -24,7 +25,7 @@
 			step(0, CommitCompleted{Changes: commit.Changes, Outcome: OK})
 		}
 	}
-	step(time.Second, HeartbeatReceived{Heartbeat: heartbeatOf("n-1", 1, 2, 1)}) // the last one that is answered
+	step(time.Second, HeartbeatReceived{Heartbeat: heartbeatOf("n-1", 1, 2, 1)}) // the last one to be answered
 	step(time.Second, JobAdded{Version: 9, SubmittedAt: now, Spec: oneTask("wk-1", model.Array)})
 	launches := func(effects []Effect) (count int) {
 		for _, effect := range effects {
@@ -35,14 +36,14 @@
 		}
 		return count
 	}
-	// The launch hangs; its answer shows that the worker has begun a new epoch.
+	// The launch is delayed. Its answer shows that the worker has begun a new epoch.
 	first := step(500*time.Millisecond, CommandCompleted{
 		Machine: "n-1", Epoch: 1, Outcome: Refused, Heartbeat: heartbeatOf("n-1", 2, 1, 1),
 	})
 	if got := launches(first) + launches(step(100*time.Millisecond, Tick{})); got != 1 {
 		t.Fatalf("got %d launches in the new epoch, want 1", got)
 	}
-	for range 48 { // past the expiry of the former lease, which is 12.5 s after its last heartbeat
+	for range 48 { // until after the former lease has expired, 12.5 s after its last heartbeat
 		if got := launches(step(250*time.Millisecond, Tick{})); got != 0 {
 			t.Fatalf("got %d more launches, want none", got)
 		}
--- a/internal/reconciler/events.go
+++ b/internal/reconciler/events.go
@@ -77,8 +77,8 @@
 	AccountsReceived struct {
 		Accounts map[string]ledger.StoredAccount
 	}
-	// SegmentsReceived answers ReadSegments with the oldest closed segments, in order. Segments is empty if they could
-	// not be read.
+	// SegmentsReceived answers ReadSegments with the oldest closed segments, in order. Segments is empty if they
+	// could not be read.
 	SegmentsReceived struct {
 		Team     string
 		Segments []ledger.StoredSegment
--- a/internal/reconciler/faults.go
+++ b/internal/reconciler/faults.go
@@ -11,10 +11,10 @@
 // that is not enough, the machine is quarantined until more is known.
 
 const (
-	maxQuarantine    = 45 * time.Second // the machine then counts as faulty, if nothing more has become known
-	wellRunningAfter = 15 * time.Second // a task that has run for this long is considered healthy
-	faultyJobStrikes = 2                // a job that failed on this many machines is delayed
-	maxBackoffShift  = 6                // the backoff doubles at most this many times
+	maxQuarantine               = 45 * time.Second // the machine then counts as faulty, if nothing more has become known
+	healthyRunTime              = 15 * time.Second // a task that has run for this long is considered healthy
+	failedMachinesBeforeBackoff = 2                // a job that failed on this many machines is delayed
+	maxBackoffShift             = 6                // the backoff doubles at most this many times
 )
 
 // taskFailed records that a task ended with an error. Errors of several jobs indicate that the machine is faulty.
@@ -24,8 +24,8 @@
 	machine.ErrorsByJob[job.Spec.ID]++
 	machine.LastFailure = now
 	job.RecordFailure(machine.Name)
-	if job.FailedMachineCount >= faultyJobStrikes && !job.KnownGood {
-		backoff := c.settings.Backoff << min(job.FailedMachineCount-faultyJobStrikes, maxBackoffShift)
+	if job.FailedMachineCount >= failedMachinesBeforeBackoff && !job.KnownGood {
+		backoff := c.settings.Backoff << min(job.FailedMachineCount-failedMachinesBeforeBackoff, maxBackoffShift)
 		job.RetryNotBefore = now.Add(min(backoff, c.settings.MaxBackoff))
 	}
 	failingJobs := c.attributeFaults(now, machine)
@@ -39,7 +39,7 @@
 // a mistake would cause healthy machines to be released, one after the other.
 func (c *Core) attributeFaults(now time.Time, machine *model.Machine) (failingJobs int) {
 	threshold := c.settings.MachineFaultErrors
-	goodJobs, repeated := 0, false
+	healthyJobs, repeatedErrors := 0, false
 	for id, errors := range machine.ErrorsByJob {
 		job := c.jobs[id]
 		if errors == 0 || job != nil && job.Faulty() {
@@ -47,14 +47,14 @@
 		}
 		failingJobs++
 		if job == nil || job.KnownGood || runsElsewhere(now, job, machine) {
-			goodJobs++
-			repeated = repeated || errors >= threshold
+			healthyJobs++
+			repeatedErrors = repeatedErrors || errors >= threshold
 		}
 	}
 	quarantined := !machine.QuarantinedSince.IsZero()
-	tooLong := quarantined && now.Sub(machine.QuarantinedSince) > maxQuarantine
+	quarantineExpired := quarantined && now.Sub(machine.QuarantinedSince) > maxQuarantine
 	switch {
-	case goodJobs >= threshold || repeated, failingJobs >= threshold && tooLong:
+	case healthyJobs >= threshold || repeatedErrors, failingJobs >= threshold && quarantineExpired:
 		machine.QuarantinedSince = time.Time{}
 		c.drain(now, machine, reasonFaulty)
 	case failingJobs < threshold:
@@ -70,9 +70,9 @@
 	return failingJobs
 }
 
-// clearFaults is called when a task has completed on its machine. If the task was started after the last failure
-// there, the machine is healthy, and its recorded errors are cleared.
-func clearFaults(attempt *model.Attempt) {
+// clearMachineErrors is called when a task has completed on its machine. If the task was started after the last
+// failure there, the machine is healthy, and its recorded errors are cleared.
+func clearMachineErrors(attempt *model.Attempt) {
 	if machine := attempt.Machine; attempt.LaunchedAt.After(machine.LastFailure) {
 		clear(machine.ErrorsByJob)
 	}
@@ -91,7 +91,7 @@
 func runsElsewhere(now time.Time, job *model.Job, machine *model.Machine) bool {
 	for _, attempt := range job.ActiveAttempts {
 		if attempt.Machine != machine && attempt.Phase == model.PhaseRunning &&
-			now.Sub(attempt.RunningAt) > wellRunningAfter {
+			now.Sub(attempt.RunningAt) > healthyRunTime {
 			return true
 		}
 	}
--- a/internal/reconciler/faults_test.go
+++ b/internal/reconciler/faults_test.go
@@ -8,13 +8,13 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// quarantine has two jobs fail on one of three machines, and returns that machine: it gets no more tasks.
+// quarantine makes two jobs fail on one of three machines and returns that machine. It must get no more tasks.
 func quarantine(t *testing.T, s *workerScenario) *model.Machine {
 	t.Helper()
 	s.core.settings.MachineFaultErrors = 2
 	s.register("n-1", "n-2", "n-3")
 	s.addJob("wk-1")
-	s.addJob("wk-2") // the most efficient fit: on the same machine
+	s.addJob("wk-2") // most efficient on the same machine
 	machine := s.core.machines[s.failTask("wk-1")]
 	if other := s.failTask("wk-2"); other != machine.Name {
 		t.Fatalf("the jobs were on %s and %s, want the same machine", machine.Name, other)
@@ -27,8 +27,8 @@
 	return machine
 }
 
-// Two jobs fail on one machine. When they have failed elsewhere too it is used again; when they do well elsewhere it
-// is released.
+// Two jobs fail on one machine. The machine is used again once both have failed elsewhere too, and is released if
+// they run well elsewhere.
 func TestTaskFailuresAttributeFaultToMachineOrJob(t *testing.T) {
 	t.Run("jobs fail elsewhere too", func(t *testing.T) {
 		s := newWorkerScenario(t, &record.Snapshot{})
@@ -57,7 +57,7 @@
 	})
 }
 
-// A job that failed on many machines and is cancelled counts against none of them.
+// The failures of a cancelled job do not count against the machines on which it ran.
 func TestCancelledJobExoneratesMachines(t *testing.T) {
 	s := newWorkerScenario(t, &record.Snapshot{})
 	s.core.settings.Backoff, s.core.settings.MachineFaultErrors = time.Second, 2
--- a/internal/reconciler/heartbeat_property_test.go
+++ b/internal/reconciler/heartbeat_property_test.go
@@ -11,8 +11,8 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// Whatever heartbeats and answers say, in whatever order and however often: nothing panics, no task is active twice,
-// and the usage is what the attempts hold.
+// Checks that arbitrary heartbeats and command answers, in any order and with any number of duplicates, cause no
+// panic, that no task is active twice, and that the usage equals what the active attempts hold.
 func TestArbitraryHeartbeatsKeepUsageConsistent(t *testing.T) {
 	for name, value := range map[string]string{
 		"rapid.seed": "20261204", "rapid.checks": "400", "rapid.steps": "60", "rapid.nofailfile": "true",
@@ -34,10 +34,10 @@
 	})
 }
 
-// arbitraryWorkers are machines whose heartbeats and answers are drawn at random.
+// arbitraryWorkers is a scenario whose heartbeats and command answers are drawn at random.
 type arbitraryWorkers struct {
 	*workerScenario
-	sent       []*model.Heartbeat // copies of these may come again
+	sent       []*model.Heartbeat // copies of these may be delivered again
 	unanswered []SendCommands
 }
 
@@ -83,7 +83,7 @@
 	s.step(0, completed)
 }
 
-// drawHeartbeat draws a new heartbeat, or a copy of a former one.
+// drawHeartbeat draws a new heartbeat, or a copy of an earlier one.
 func (s *arbitraryWorkers) drawHeartbeat(r *rapid.T) *model.Heartbeat {
 	if len(s.sent) > 0 && rapid.IntRange(0, 2).Draw(r, "copy") == 0 {
 		return rapid.SampledFrom(s.sent).Draw(r, "which")
@@ -120,7 +120,7 @@
 	}
 }
 
-// check checks what holds after each step.
+// check collects the commands of the last step, and verifies the invariants that hold after every step.
 func (s *arbitraryWorkers) check(r *rapid.T) {
 	for _, effect := range s.effects {
 		if sent, ok := effect.(SendCommands); ok {
@@ -142,12 +142,12 @@
 				continue
 			}
 			if active[attempt.Task] != nil {
-				r.Fatalf("%v is active twice", attempt.Task)
+				r.Fatalf("task %v is active twice", attempt.Task)
 			}
 			active[attempt.Task] = attempt
 		}
 		if count != machine.ActiveCount {
-			r.Fatalf("%s: got %d active attempts counted, want %d", machine.Name, machine.ActiveCount, count)
+			r.Fatalf("%s: got ActiveCount %d, want %d active attempts", machine.Name, machine.ActiveCount, count)
 		}
 	}
 	used := s.core.usage.orphans.Allocated
@@ -155,6 +155,6 @@
 		used = used.Add(usage.Allocated)
 	}
 	if d := used.CPU - held.CPU; d > 1e-6 || d < -1e-6 {
-		r.Fatalf("got usage %v, want what attempts hold: %v", used, held)
+		r.Fatalf("got total usage %v, want %v, the sum of the active attempts' demands", used, held)
 	}
 }
--- a/internal/reconciler/heartbeats.go
+++ b/internal/reconciler/heartbeats.go
@@ -24,13 +24,13 @@
 		}
 		machine = c.addUnexpectedMachine(now, heartbeat)
 	}
-	if c.mayBeOfReleasedMachine(machine, heartbeat) {
+	if c.mayBeFromReleasedMachine(machine, heartbeat) {
 		c.probe(now, machine)
 		c.emit(HeartbeatResponse{})
 		return
 	}
-	if isForeign(machine, heartbeat) {
-		c.logForeign(now, machine, heartbeat)
+	if hasIdentityMismatch(machine, heartbeat) {
+		c.logIdentityMismatch(now, machine, heartbeat)
 		c.emit(HeartbeatResponse{Refused: true})
 		return
 	}
@@ -48,8 +48,8 @@
 		c.handleFreshHeartbeat(now, machine, event)
 	}
 	if kind != liveness.Duplicate {
-		// A heartbeat that was overtaken by the answer to a command also renews the worker's lease. A duplicate does not,
-		// since the worker sent it before its first copy arrived.
+		// A heartbeat that was overtaken by the answer to a command also renews the worker's lease. A duplicate does
+		// not, since the worker sent it before its first copy arrived.
 		c.renewLease(now, machine)
 	}
 	c.emit(HeartbeatResponse{Commands: c.responseCommands(now, machine, !event.Relayed)})
@@ -66,35 +66,35 @@
 	}, model.MachineBooting)
 	machine.Detector.MarkUnexpected(now)
 	c.log.Info("heartbeat from machine that this leader did not provision",
-		"machine", machine.Name, "type", heartbeat.Type,
-		"zone", heartbeat.Zone)
+		"machine", machine.Name, "type", heartbeat.Type, "zone", heartbeat.Zone)
 	return machine
 }
 
-// mayBeOfReleasedMachine reports whether a heartbeat may be a delayed copy from a machine that an earlier leader has
-// released. Such a machine has to answer a probe first. Otherwise tasks would be placed on it until it had been
+// mayBeFromReleasedMachine reports whether a heartbeat may be a delayed copy from a machine that an earlier leader
+// has released. Such a machine has to answer a probe first. Otherwise tasks would be placed on it until it had been
 // silent for long enough to be released.
-func (c *Core) mayBeOfReleasedMachine(machine *model.Machine, heartbeat *model.Heartbeat) bool {
+func (c *Core) mayBeFromReleasedMachine(machine *model.Machine, heartbeat *model.Heartbeat) bool {
 	return machine.State == model.MachineBooting && machine.Detector.State >= liveness.Suspect &&
 		heartbeat.FencingToken < c.fencingToken
 }
 
-// isForeign reports whether a heartbeat differs from its machine in type, zone or spot flag. A machine never changes
-// these, so the heartbeat is of another machine with the same name. Accepting it would violate limits per zone.
-func isForeign(machine *model.Machine, heartbeat *model.Heartbeat) bool {
+// hasIdentityMismatch reports whether a heartbeat differs from its machine in type, zone or spot flag. A machine
+// never changes these, so the heartbeat is of another machine with the same name. Accepting it would violate limits
+// per zone.
+func hasIdentityMismatch(machine *model.Machine, heartbeat *model.Heartbeat) bool {
 	if machine.State == model.MachineBooting || machine.Epoch == 0 {
 		return false
 	}
 	return heartbeat.Type != machine.Type.Name || heartbeat.Zone != machine.Zone || heartbeat.Spot != machine.Spot
 }
 
-func (c *Core) logForeign(now time.Time, machine *model.Machine, heartbeat *model.Heartbeat) {
-	if !c.liveness.mayLogForeign(now) {
+func (c *Core) logIdentityMismatch(now time.Time, machine *model.Machine, heartbeat *model.Heartbeat) {
+	if !c.liveness.mayLogIdentityMismatch(now) {
 		return
 	}
 	c.log.Warn("heartbeat refused: type, zone or spot flag differs from known machine",
-		"machine", machine.Name, "type", heartbeat.Type,
-		"zone", heartbeat.Zone, "spot", heartbeat.Spot, "known_type", machine.Type.Name, "known_zone", machine.Zone)
+		"machine", machine.Name, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot,
+		"known_type", machine.Type.Name, "known_zone", machine.Zone)
 }
 
 // classifyHeartbeat classifies a heartbeat by its message number, and records whether the machine has restarted.
@@ -122,7 +122,7 @@
 		Acknowledges:    heartbeat.FencingToken >= c.fencingToken && machine.FencingToken < c.fencingToken,
 		MissesCommands:  heartbeat.Epoch == epoch && missesCommands(machine, heartbeat),
 		NewEpoch:        epoch != 0 && heartbeat.Epoch > epoch,
-		ZonePartitioned: c.partitions.recently(now, machine.Zone, c.settings.WorkerLease),
+		ZonePartitioned: c.partitions.recentlyPartitioned(now, machine.Zone, c.settings.WorkerLease),
 	}
 	showsLaunch := c.applyHeartbeat(now, machine, heartbeat, false)
 	evidence.Acknowledges = evidence.Acknowledges || showsLaunch
@@ -165,8 +165,8 @@
 	}
 	machine.Zone, machine.Spot = heartbeat.Zone, heartbeat.Spot
 
-	shown, showsLaunch := c.applyTasks(now, machine, heartbeat.Tasks)
-	c.checkMissingAttempts(now, machine, shown, lastSeen, answersProbe)
+	reported, showsLaunch := c.applyTasks(now, machine, heartbeat.Tasks)
+	c.checkMissingAttempts(now, machine, reported, lastSeen, answersProbe)
 	if machine.State == model.MachineBooting && machine.Transition(now, model.MachineReady, "") {
 		// The machine is recorded only now. A booting machine holds no tasks, so a new leader need not wait for it.
 		c.recordMachine(machine)
@@ -189,7 +189,7 @@
 func (c *Core) beginEpoch(now time.Time, machine *model.Machine, epoch uint64) {
 	if machine.Epoch != 0 {
 		c.log.Warn("worker began a new epoch", "machine", machine.Name, "epoch", epoch)
-		c.loseAttempts(now, machine, "new epoch")
+		c.dropAttempts(now, machine, "new epoch")
 		machine.UnansweredLaunches.Clear()
 	}
 	machine.ExpiredEpoch = epoch - 1
@@ -203,17 +203,17 @@
 // is true if one of them was launched by this leader and is reported for the first time.
 func (c *Core) applyTasks(
 	now time.Time, machine *model.Machine, tasks []model.TaskStatus,
-) (shown map[model.AttemptKey]bool, showsLaunch bool) {
-	shown = make(map[model.AttemptKey]bool, len(tasks))
+) (reported map[model.AttemptKey]bool, showsLaunch bool) {
+	reported = make(map[model.AttemptKey]bool, len(tasks))
 	for i := range tasks {
 		status := &tasks[i]
 		if status.Attempt > c.lastAttemptNumber() {
-			// No leader up to this one has assigned this number, so it would collide with that of a later attempt. If a later
-			// leader has assigned it, nothing that this leader does has an effect any more.
+			// No leader up to this one has assigned this number, so it would collide with that of a later attempt. If
+			// a later leader has assigned it, nothing that this leader does has an effect any more.
 			continue
 		}
 		key := statusKey(status)
-		shown[key] = true
+		reported[key] = true
 		attempt := machine.Attempts[key]
 		if attempt == nil {
 			attempt = c.adoptAttempt(now, machine, status)
@@ -222,16 +222,16 @@
 		}
 		c.updateAttempt(now, attempt, status)
 	}
-	return shown, showsLaunch
+	return reported, showsLaunch
 }
 
 // checkMissingAttempts handles the attempts that a heartbeat does not list. lastSeen is the time at which the
 // machine's previous message was received.
 func (c *Core) checkMissingAttempts(
-	now time.Time, machine *model.Machine, shown map[model.AttemptKey]bool, lastSeen time.Time, answersProbe bool,
+	now time.Time, machine *model.Machine, reported map[model.AttemptKey]bool, lastSeen time.Time, answersProbe bool,
 ) {
 	for key, attempt := range machine.Attempts {
-		if shown[key] {
+		if reported[key] {
 			continue
 		}
 		switch {
@@ -239,8 +239,8 @@
 			attempt.Transition(model.AttemptDropped)
 			delete(machine.Attempts, key)
 		case attempt.Phase != 0 && !answersProbe:
-			// Workers list attempts until they are commanded to forget them, so either this heartbeat or the earlier one is of
-			// another incarnation. A delayed copy must not cause a running task to be started elsewhere.
+			// Workers list attempts until they are commanded to forget them, so either this heartbeat or the earlier
+			// one is of another incarnation. A delayed copy must not cause a running task to be started elsewhere.
 			c.probe(now, machine)
 		case attempt.Phase != 0 && !machine.UnansweredLaunches.MayArrive(key):
 			c.log.Warn("running attempt missing from worker's report", "task", attempt.Task, "attempt", attempt.Number,
@@ -248,7 +248,7 @@
 			c.accounting.chargeUntil(now, attempt, lastSeen)
 			c.accounting.chargeWasted(now, attempt)
 			attempt.ChargedUntil = time.Time{}
-			c.loseAttempt(now, attempt)
+			c.dropAttempt(now, attempt)
 			delete(machine.Attempts, key)
 		}
 	}
@@ -256,10 +256,10 @@
 
 // handleInterruptionNotice drains and evacuates a spot machine that the cloud is about to reclaim. timeLeft is the
 // time until then.
-func (c *Core) handleInterruptionNotice(now time.Time, machine *model.Machine, in time.Duration) {
+func (c *Core) handleInterruptionNotice(now time.Time, machine *model.Machine, timeLeft time.Duration) {
 	if machine.InterruptionAt.IsZero() {
-		c.log.Info("spot interruption notice received", "machine", machine.Name, "in", in)
-		machine.InterruptionAt = now.Add(in)
+		c.log.Info("spot interruption notice received", "machine", machine.Name, "in", timeLeft)
+		machine.InterruptionAt = now.Add(timeLeft)
 		c.drain(now, machine, reasonInterruption)
 	}
 	c.evacuate(now, machine)
--- a/internal/reconciler/inventory.go
+++ b/internal/reconciler/inventory.go
@@ -8,9 +8,9 @@
 
 // cloudInventory schedules the requests for the cloud's machine list and for its catalog of machine types.
 type cloudInventory struct {
-	machineListAt      time.Time // earliest time of the next list request
+	nextMachineListAt  time.Time // earliest time of the next list request
 	machineListPending bool
-	catalogAt          time.Time // earliest time of the next catalog request
+	nextCatalogAt      time.Time // earliest time of the next catalog request
 	catalogPending     bool
 }
 
@@ -23,9 +23,9 @@
 // newCloudInventory returns an inventory that requests the machine list at once, and also the catalog unless types
 // are already known.
 func newCloudInventory(now time.Time, types []model.MachineType, settings *Settings) cloudInventory {
-	inventory := cloudInventory{machineListAt: now, catalogAt: now}
+	inventory := cloudInventory{nextMachineListAt: now, nextCatalogAt: now}
 	if len(types) > 0 {
-		inventory.catalogAt = now.Add(settings.CatalogInterval)
+		inventory.nextCatalogAt = now.Add(settings.CatalogInterval)
 	}
 	return inventory
 }
@@ -33,11 +33,11 @@
 // refreshInventory requests the machine list and the catalog when they are due.
 func (c *Core) refreshInventory(now time.Time) {
 	inventory := &c.inventory
-	if !inventory.machineListPending && !now.Before(inventory.machineListAt) {
+	if !inventory.machineListPending && !now.Before(inventory.nextMachineListAt) {
 		inventory.machineListPending = true
 		c.emit(ListMachines{})
 	}
-	if !inventory.catalogPending && !now.Before(inventory.catalogAt) {
+	if !inventory.catalogPending && !now.Before(inventory.nextCatalogAt) {
 		inventory.catalogPending = true
 		c.emit(FetchCatalog{})
 	}
@@ -47,10 +47,10 @@
 func (c *Core) catalogReceived(now time.Time, event CatalogReceived) {
 	c.inventory.catalogPending = false
 	if len(event.Types) == 0 {
-		c.inventory.catalogAt = now.Add(catalogRetryDelay)
+		c.inventory.nextCatalogAt = now.Add(catalogRetryDelay)
 		return
 	}
-	c.inventory.catalogAt = now.Add(c.settings.CatalogInterval)
+	c.inventory.nextCatalogAt = now.Add(c.settings.CatalogInterval)
 	c.machineTypes = event.Types
 	c.recheckConstraints()
 	for _, machine := range c.machines {
@@ -63,18 +63,18 @@
 // provisioned by an earlier leader.
 func (c *Core) machineListReceived(now time.Time, event MachineListReceived) {
 	c.inventory.machineListPending = false
-	c.inventory.machineListAt = now.Add(c.settings.MachineListInterval)
-	unexpected, first := 0, ""
+	c.inventory.nextMachineListAt = now.Add(c.settings.MachineListInterval)
+	unexpected, firstName := 0, ""
 	for _, info := range event.Machines {
 		machine := c.machines[info.Name]
 		if machine == nil {
-			if c.mayListReleased(info.Name, event.RequestedAt) {
+			if c.mayListReleasedMachine(info.Name, event.RequestedAt) {
 				continue
 			}
 			machine = c.addMachine(now, info, model.MachineBooting)
 			machine.StateSince, machine.RequestedAt = now.Add(-info.Age), now.Add(-info.Age)
-			if unexpected++; first == "" {
-				first = info.Name
+			if unexpected++; firstName == "" {
+				firstName = info.Name
 			}
 			c.log.Debug("cloud lists machine that this leader did not provision",
 				"machine", info.Name, "type", info.Type, "zone", info.Zone)
@@ -87,13 +87,13 @@
 		}
 	}
 	if unexpected > 0 {
-		c.log.Info("cloud lists machines that this leader did not provision", "count", unexpected, "first", first)
+		c.log.Info("cloud lists machines that this leader did not provision", "count", unexpected, "first", firstName)
 	}
 }
 
-// mayListReleased reports whether a machine list that was requested at requestedAt may still contain a released
-// machine, since the cloud's list lags behind.
-func (c *Core) mayListReleased(name string, requestedAt time.Time) bool {
+// mayListReleasedMachine reports whether a machine list that was requested at requestedAt may still contain a
+// released machine, since the cloud's list lags behind.
+func (c *Core) mayListReleasedMachine(name string, requestedAt time.Time) bool {
 	releasedAt, ok := c.releases.released[name]
 	return ok && requestedAt.Sub(releasedAt) < listLagFactor*c.settings.MachineListLag+listLagMargin
 }
--- a/internal/reconciler/liveness.go
+++ b/internal/reconciler/liveness.go
@@ -10,11 +10,11 @@
 // livenessTracker holds the state that concerns the liveness of all machines together. Each machine has a failure
 // detector of its own.
 type livenessTracker struct {
-	settings        liveness.Settings
-	suspects        map[*model.Machine]bool // machines that appear to receive nothing from this leader
-	lastProofAt     time.Time               // when a machine last proved that it receives messages
-	probesInFlight  int
-	foreignLoggedAt time.Time // when a heartbeat refused by isForeign was last logged
+	settings                 liveness.Settings
+	suspects                 map[*model.Machine]bool // machines that appear to receive nothing from this leader
+	lastProofAt              time.Time               // when a machine last proved that it receives messages
+	probesInFlight           int
+	identityMismatchLoggedAt time.Time // when a heartbeat refused for an identity mismatch was last logged
 }
 
 // Limits on probes. The answer to a probe is proof of the state it shows, whereas a heartbeat may be a delayed copy.
@@ -24,8 +24,9 @@
 	suspectProbeInterval = 2 * time.Second        // minimum time between two probes of a suspect
 )
 
-// foreignLogInterval is the minimum time between two log records about heartbeats refused by isForeign.
-const foreignLogInterval = 10 * time.Second
+// identityMismatchLogInterval is the minimum time between two log records about heartbeats refused for an identity
+// mismatch.
+const identityMismatchLogInterval = 10 * time.Second
 
 // responseTimeout is the time that a worker waits for the response to a heartbeat, as the protocol defines it. A
 // heartbeat is late by at most a quarter of the heartbeat interval.
@@ -59,12 +60,13 @@
 func (t *livenessTracker) probeSent()      { t.probesInFlight++ }
 func (t *livenessTracker) probeCompleted() { t.probesInFlight-- }
 
-// mayLogForeign reports whether a heartbeat refused by isForeign may be logged now, and if so, records it as logged.
-func (t *livenessTracker) mayLogForeign(now time.Time) bool {
-	if now.Sub(t.foreignLoggedAt) <= foreignLogInterval {
+// mayLogIdentityMismatch reports whether a heartbeat refused for an identity mismatch may be logged now, and if so,
+// records it as logged.
+func (t *livenessTracker) mayLogIdentityMismatch(now time.Time) bool {
+	if now.Sub(t.identityMismatchLoggedAt) <= identityMismatchLogInterval {
 		return false
 	}
-	t.foreignLoggedAt = now
+	t.identityMismatchLoggedAt = now
 	return true
 }
 
@@ -168,10 +170,11 @@
 	return machine.Detector.State < liveness.Suspect || !machine.Detector.Conclusive() && many
 }
 
-// needsProof reports whether there are several suspects while no machine has recently proved that it receives
-// messages. A machine that is alive is then probed. Otherwise, if half of the machines received nothing, the leader
-// would consider itself isolated, because the other half had no occasion to prove that they receive its messages.
-func (c *Core) needsProof(now time.Time) bool {
+// needsReachabilityProof reports whether there are several suspects while no machine has recently proved that it
+// receives messages. A machine that is alive is then probed. Otherwise, if half of the machines received nothing, the
+// leader would consider itself isolated, because the other half had no occasion to prove that they receive its
+// messages.
+func (c *Core) needsReachabilityProof(now time.Time) bool {
 	return len(c.liveness.suspects) > 1 && now.Sub(c.liveness.lastProofAt) > c.settings.UnresponsiveAfter/2
 }
 
--- a/internal/reconciler/liveness_test.go
+++ b/internal/reconciler/liveness_test.go
@@ -17,10 +17,10 @@
 	expiry := s.core.machines["n-1"].LeaseExpiry
 	s.heartbeat(3*time.Second, heartbeatOf("n-1", 1, 10, 1))
 	if m := s.core.machines["n-1"]; !s.responseRefused() || m.LeaseExpiry != expiry || m.ActiveCount != 1 {
-		t.Errorf("delayed heartbeat: got refused %v, lease longer by %v, %d attempts; want true, 0s, 1",
+		t.Errorf("delayed heartbeat: got refused %v, lease extended by %v, %d attempts; want true, 0s, 1",
 			s.responseRefused(), m.LeaseExpiry.Sub(expiry), m.ActiveCount)
 	}
-	// The same heartbeat by another way is answered, and counts from when it came first.
+	// A copy of the newest heartbeat on another path is answered, but it does not extend the lease again.
 	s.heartbeat(0, heartbeatOf("n-1", 1, 20, 1, task))
 	if got := s.core.machines["n-1"].LeaseExpiry; s.responseRefused() || got != expiry {
 		t.Errorf("duplicate: got refused %v, lease until %v; want false, %v", s.responseRefused(), got, expiry)
@@ -33,24 +33,25 @@
 	name, task := s.addJob("wk-1")
 	s.completeLaunch(name, task, OK, heartbeatOf(name, 1, 30, 1, task))
 	s.heartbeat(time.Second, heartbeatOf(name, 1, 50, 1, task))
-	s.heartbeat(time.Second, heartbeatOf(name, 1, 1, 0)) // it has restarted
+	s.heartbeat(time.Second, heartbeatOf(name, 1, 1, 0)) // sent after a restart
 	if m := s.core.machines[name]; !s.responseRefused() || m.ActiveCount != 1 {
-		t.Fatalf("heartbeat alone: got refused %v, %d attempts; want true, 1", s.responseRefused(), m.ActiveCount)
+		t.Fatalf("after the heartbeat alone: got refused %v, %d attempts; want true, 1",
+			s.responseRefused(), m.ActiveCount)
 	}
 	s.answerProbe(heartbeatOf(name, 1, 2, 1))
 	m, waiting := s.core.machines[name], s.core.jobs["wk-1"].Waiting()
 	if m.Numbering != liveness.Restarted || m.ActiveCount != 0 || waiting != 1 {
-		t.Fatalf("after the probe: got %v, %d attempts, %d waiting; want %v, 0, 1",
+		t.Fatalf("after the probe's answer: got %v, %d attempts, %d waiting; want %v, 0, 1",
 			m.Numbering, m.ActiveCount, waiting, liveness.Restarted)
 	}
 	s.step(time.Second, Tick{})
 	if _, again := s.placementOf("wk-1"); again.Number == task.Number || again.Number == 0 {
 		t.Errorf("got attempt %d after attempt %d, want a new one", again.Number, task.Number)
 	}
-	// A message of its former incarnation is not trusted, though its numbers are higher.
+	// A message of the former incarnation is not trusted, although its numbers are higher.
 	s.heartbeat(time.Second, heartbeatOf(name, 1, 49, 1, task))
 	if s.core.machines[name].Attempts[task] != nil {
-		t.Error("a delayed heartbeat has brought the attempt back")
+		t.Error("a delayed heartbeat of the former incarnation restored the attempt")
 	}
 }
 
@@ -63,7 +64,7 @@
 	s.heartbeat(time.Second, heartbeatOf(name, 1, 1, 0))
 	s.answerProbe(heartbeatOf(name, 1, 2, 1))
 	if m := s.core.machines[name]; m.State != model.MachineReleasing || m.ActiveCount != 1 {
-		t.Errorf("got %v, %d attempts; want %v, 1: the launch may reach the present incarnation",
+		t.Errorf("got %v, %d attempts; want %v, 1, since the launch may reach the present incarnation",
 			m.State, m.ActiveCount, model.MachineReleasing)
 	}
 }
@@ -74,21 +75,21 @@
 		Machines: []model.MachineInfo{inheritedMachine("n-1", "n-1")},
 	})
 	task := model.AttemptKey{Task: model.TaskID{Job: "wk-1"}, Number: 7}
-	s.heartbeat(0, heartbeatOf("n-1", 1, 5, 0, task)) // an earlier leader has started it in the present incarnation
+	s.heartbeat(0, heartbeatOf("n-1", 1, 5, 0, task)) // started by an earlier leader in the present incarnation
 	s.heartbeat(time.Second, heartbeatOf("n-1", 1, 501, 0))
 	if got := s.core.machines["n-1"].ActiveCount; got != 1 {
 		t.Fatalf("after a heartbeat of the former incarnation: got %d attempts, want 1", got)
 	}
 	s.answerProbe(heartbeatOf("n-1", 1, 6, 1, task))
 	if m := s.core.machines["n-1"]; m.ActiveCount != 1 || m.Numbering != liveness.Restarted || m.Unreconciled {
-		t.Errorf("after the probe: got %d attempts, %v, unreconciled %v; want 1, %v, false",
+		t.Errorf("after the probe's answer: got %d attempts, %v, unreconciled %v; want 1, %v, false",
 			m.ActiveCount, m.Numbering, m.Unreconciled, liveness.Restarted)
 	}
-	// An attempt that is really gone is lost with the answer to the next probe.
+	// An attempt that is really gone is dropped when the next probe is answered.
 	s.heartbeat(time.Second, heartbeatOf("n-1", 1, 7, 1))
 	s.answerProbe(heartbeatOf("n-1", 1, 8, 1))
 	if got := s.core.machines["n-1"].ActiveCount; got != 0 {
-		t.Errorf("after a probe's answer without the attempt: got %d attempts, want 0", got)
+		t.Errorf("after a probe's answer that lacks the attempt: got %d attempts, want 0", got)
 	}
 }
 
@@ -97,18 +98,18 @@
 	s.register("n-1")
 	s.heartbeat(time.Second, heartbeatOf("n-1", 1, 3, 0)) // the third heartbeat of another incarnation
 	if !s.responseRefused() {
-		t.Error("got an answer as to the incarnation that has seen the token, want a refusal")
+		t.Error("got a heartbeat response as for the incarnation that has seen the token, want a refusal")
 	}
 	checkLease := func(what string) {
 		t.Helper()
 		if m := s.core.machines["n-1"]; m.LeaseExpiry != s.core.leaseExpiry(s.now) {
-			t.Errorf("%s: got lease until %v, want %v", what, m.LeaseExpiry, s.core.leaseExpiry(s.now))
+			t.Errorf("%s: got lease expiry %v, want %v", what, m.LeaseExpiry, s.core.leaseExpiry(s.now))
 		}
 	}
 	checkLease("new incarnation")
 	s.answerProbe(heartbeatOf("n-1", 1, 4, 1))
 	if m := s.core.machines["n-1"]; m.Numbering != liveness.Restarted || m.Seq != 4 {
-		t.Errorf("got %v, number %d; want %v, 4", m.Numbering, m.Seq, liveness.Restarted)
+		t.Errorf("got %v, sequence number %d; want %v, 4", m.Numbering, m.Seq, liveness.Restarted)
 	}
 	checkLease("answer that may be of a new incarnation")
 }
@@ -117,18 +118,18 @@
 	s := newWorkerScenario(t, &record.Snapshot{})
 	s.core.fencingToken = 5
 	gone := model.AttemptKey{Task: model.TaskID{Job: "wk-1"}, Number: 3}
-	s.heartbeat(0, heartbeatOf("n-9", 2, 400, 4, gone)) // released under an earlier leader
+	s.heartbeat(0, heartbeatOf("n-9", 2, 400, 4, gone)) // a delayed copy, from a machine that an earlier leader released
 	if m := s.core.machines["n-9"]; m.State != model.MachineBooting || len(m.Attempts) != 0 {
 		t.Fatalf("got %v with %d attempts, want %v with none", m.State, len(m.Attempts), model.MachineBooting)
 	}
 	if name, _ := s.addJob("wk-1"); name != "" {
-		t.Errorf("placed on %s, which is gone", name)
+		t.Errorf("job placed on %s, which has been released", name)
 	}
-	// A machine that is there answers the probe.
+	// A machine that still exists answers the probe.
 	s.heartbeat(time.Second, heartbeatOf("n-8", 1, 400, 4))
 	s.answerProbe(heartbeatOf("n-8", 1, 401, 5))
 	if m := s.core.machines["n-8"]; m.State != model.MachineReady {
-		t.Errorf("after its answer: got %v, want %v", m.State, model.MachineReady)
+		t.Errorf("after the probe's answer: got %v, want %v", m.State, model.MachineReady)
 	}
 }
 
@@ -155,11 +156,11 @@
 	other := map[string]string{"n-1": "n-2", "n-2": "n-1"}[name]
 	s.unresponsive(6*time.Second, name, 10)
 	if got := s.core.machines[name].Detector.State; got != liveness.Suspect {
-		t.Fatalf("after three heartbeats without the commanded launch: got %v, want %v", got, liveness.Suspect)
+		t.Fatalf("after three heartbeats without the launch: got %v, want %v", got, liveness.Suspect)
 	}
 	s.heartbeat(0, heartbeatOf(other, 1, 10, 1))
 	if on, _ := s.addJob("wk-2"); on != other {
-		t.Errorf("placed on %q, want %q", on, other)
+		t.Errorf("second job placed on %q, want %q", on, other)
 	}
 	s.unresponsive(8*time.Second, name, 20)
 	m := s.core.machines[name]
@@ -169,15 +170,15 @@
 	}
 }
 
-// An unresponsive worker turns from member to member, so relayed heartbeats show it, and the leader gets direct ones
-// more rarely than the lease lasts.
+// A worker that receives no answers switches from member to member. Its failure therefore shows in relayed
+// heartbeats, and the leader receives direct ones less often than once per lease.
 func TestUnresponsiveMachineIsDetectedThroughRelayedHeartbeats(t *testing.T) {
 	s := newWorkerScenario(t, &record.Snapshot{})
 	s.register("n-1", "n-2", "n-3", "n-4")
 	state := func(machine string) liveness.State { return s.core.Liveness(machine) }
 	s.step(5*time.Second, HeartbeatReceived{Heartbeat: heartbeatOf("n-1", 1, 3, 1), Relayed: true})
 	if got := state("n-1"); got != liveness.Probing {
-		t.Fatalf("after a relayed heartbeat that is late: got %v, want %v", got, liveness.Probing)
+		t.Fatalf("after a late relayed heartbeat: got %v, want %v", got, liveness.Probing)
 	}
 	s.loseCommands()
 	if got := state("n-1"); got != liveness.Suspect {
@@ -186,19 +187,19 @@
 	if s.core.placeable(s.now, s.core.machines["n-1"]) {
 		t.Error("tasks may be placed on a suspect")
 	}
-	// A worker whose answers arrive by way of another member keeps its epoch, and is trusted again.
+	// A worker that receives its answers through another member keeps its epoch, and is trusted again.
 	for seq := uint64(4); seq < 12; seq++ {
 		s.step(2*time.Second, HeartbeatReceived{Heartbeat: heartbeatOf("n-1", 1, seq, 1), Relayed: true})
 		s.loseCommands()
 	}
 	if got := state("n-1"); got != liveness.Alive {
-		t.Errorf("after its epoch has outlived the suspicion: got %v, want %v", got, liveness.Alive)
+		t.Errorf("after its epoch has lasted for a lease since it became a suspect: got %v, want %v", got, liveness.Alive)
 	}
-	// A worker whose lease expires although it was answered is probed.
+	// A worker whose lease expires although its heartbeats were answered is probed.
 	s.heartbeat(2*time.Second, heartbeatOf("n-2", 1, 3, 1))
 	s.step(13*time.Second, HeartbeatReceived{Heartbeat: heartbeatOf("n-2", 2, 1, 1), Relayed: true})
 	if got := state("n-2"); got != liveness.Probing {
-		t.Errorf("after its lease has expired in between: got %v, want %v", got, liveness.Probing)
+		t.Errorf("after its lease expired between two heartbeats: got %v, want %v", got, liveness.Probing)
 	}
 }
 
@@ -208,7 +209,7 @@
 	name, task := s.addJob("wk-1")
 	s.loseCommands()
 	s.unresponsive(5*time.Second, name, 10)
-	s.heartbeat(2*time.Second, heartbeatOf(name, 1, 30, 1, task)) // the launch has reached it after all
+	s.heartbeat(2*time.Second, heartbeatOf(name, 1, 30, 1, task)) // shows that the launch has arrived after all
 	if m := s.core.machines[name]; m.Detector.State != liveness.Alive || !s.core.placeable(s.now, m) {
 		t.Errorf("got %v (%s), want %v and placeable",
 			m.Detector.State, s.core.placementObstacle(s.now, m), liveness.Alive)
@@ -223,22 +224,22 @@
 		for _, name := range names {
 			s.heartbeat(0, heartbeatOf(name, 1, seq, 1))
 			s.loseCommands()
-			s.step(500*time.Millisecond, Tick{}) // ten in as long as workers wait for an answer, and a second
+			s.step(500*time.Millisecond, Tick{}) // all ten take 5 s: the response timeout of workers and 1 s more
 			s.loseCommands()
 		}
 	}
 	if !s.core.Isolated(s.now) {
-		t.Error("got a leader that goes on, want an isolated one")
+		t.Error("got a leader that is not isolated, want an isolated one")
 	}
 	for _, name := range names {
 		if m := s.core.machines[name]; m.State == model.MachineReleasing {
-			t.Errorf("%s is released (%s) for a fault of the leader", name, m.StateReason)
+			t.Errorf("%s: released (%s), want it kept, since the leader is at fault", name, m.StateReason)
 		}
 	}
 }
 
-// The network may repeat a launch that was sent directly, even after it was answered. The attempt is kept for three
-// leases after it was stopped, so that the repeat finds it.
+// The network may repeat a directly sent launch even after it was answered. The attempt is kept for three leases
+// after it has ended, so that a repeated launch has no effect.
 func TestEndedAttemptOutlivesDuplicateLaunches(t *testing.T) {
 	s := newWorkerScenario(t, &record.Snapshot{})
 	s.register("n-1")
@@ -248,10 +249,10 @@
 	seq := uint64(40)
 	for end := s.now.Add(34 * time.Second); s.now.Before(end); seq++ {
 		if s.heartbeat(2*time.Second, exited(seq)); s.forgets(task) {
-			t.Fatal("forgotten while its launch may be repeated")
+			t.Fatal("attempt forgotten while its launch may still be repeated")
 		}
 	}
 	if s.heartbeat(4*time.Second, exited(seq)); !s.forgets(task) {
-		t.Error("not forgotten after three leases")
+		t.Error("attempt not forgotten after three leases")
 	}
 }
--- a/internal/reconciler/machines.go
+++ b/internal/reconciler/machines.go
@@ -11,8 +11,8 @@
 const maxClockDrift = 0.001
 
 const (
-	unknownCPUs = 1e-9 // capacity of a machine type that the catalog does not list, so that no task fits
-	minCPUs     = 1e-6 // every type in the catalog has more CPUs than this
+	unknownCPUs    = 1e-9 // capacity of a machine type that the catalog does not list, so that no task fits
+	minCatalogCPUs = 1e-6 // every type in the catalog has more CPUs than this
 )
 
 // The reasons for draining or releasing a machine. Logs and explanations show these values, and docs/operators.md
@@ -61,7 +61,7 @@
 }
 
 // inCatalog reports whether the catalog lists a type that machineType returned.
-func inCatalog(machineType *model.MachineType) bool { return machineType.Capacity.CPU > minCPUs }
+func inCatalog(machineType *model.MachineType) bool { return machineType.Capacity.CPU > minCatalogCPUs }
 
 // leaseExpiry returns the time at which a worker's lease has certainly expired if its last answered heartbeat was
 // received at the given time. The worker counts its lease from when it sent the heartbeat, which was earlier.
@@ -98,17 +98,17 @@
 // evacuate stops the tasks on a spot machine that the cloud is about to reclaim. An array task that saves no
 // checkpoints keeps running if it is expected to finish in time.
 func (c *Core) evacuate(now time.Time, machine *model.Machine) {
-	left := machine.InterruptionAt.Sub(now)
+	remaining := machine.InterruptionAt.Sub(now)
 	for _, attempt := range machine.Attempts {
 		if !attempt.Active() || attempt.State == model.AttemptStopping || attempt.Job == nil {
 			continue
 		}
 		spec := attempt.Job.Spec
-		ran := time.Duration(0)
+		elapsed := time.Duration(0)
 		if !attempt.RunningAt.IsZero() {
-			ran = now.Sub(attempt.RunningAt)
+			elapsed = now.Sub(attempt.RunningAt)
 		}
-		finishes := c.runTimes.estimate(spec)-ran < left
+		finishes := c.runTimes.estimate(spec)-elapsed < remaining
 		if spec.Shape == model.Array && spec.CheckpointInterval == 0 && finishes {
 			continue
 		}
--- a/internal/reconciler/memory_test.go
+++ b/internal/reconciler/memory_test.go
@@ -10,7 +10,7 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// liveHeapBytes is how many bytes of the heap are live.
+// liveHeapBytes collects garbage and returns the size of the live heap in bytes.
 func liveHeapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -18,13 +18,13 @@
 	return m.HeapAlloc
 }
 
-// What a leader's view holds for each machine and each active task is stated in docs/operators.md, and bounded here so
-// that it does not grow unnoticed.
+// docs/operators.md states how much memory a leader's view uses for each machine and each active task. This test
+// keeps it from growing unnoticed.
 func TestMemoryPerMachineAndTaskIsBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const (
 		machines         = 2000
-		tasksPerMachine  = 50 // 100,000 active tasks
+		tasksPerMachine  = 50 // for 100,000 active tasks in all
 		maxMachineBytes  = 2000
 		maxTaskBytes     = 600
 		bytesPerMegabyte = 1 << 20
@@ -54,10 +54,10 @@
 	full := liveHeapBytes()
 	machineBytes := float64(empty-before) / machines
 	taskBytes := float64(full-empty) / (machines * tasksPerMachine)
-	t.Logf("%.0f bytes a machine, %.0f an active task, %.0f MB in all",
+	t.Logf("%.0f bytes per machine, %.0f per active task, %.0f MB in total",
 		machineBytes, taskBytes, float64(full-before)/bytesPerMegabyte)
 	if machineBytes > maxMachineBytes || taskBytes > maxTaskBytes {
-		t.Errorf("got %.0f bytes a machine and %.0f an active task, want at most %d and %d, as docs/operators.md states",
+		t.Errorf("got %.0f bytes per machine and %.0f per active task, want at most %d and %d, as docs/operators.md states",
 			machineBytes, taskBytes, maxMachineBytes, maxTaskBytes)
 	}
 	runtime.KeepAlive(c)
--- a/internal/reconciler/partitions.go
+++ b/internal/reconciler/partitions.go
@@ -12,8 +12,8 @@
 // partitionDetector detects zones in which so many machines are silent that a network partition is more likely than
 // their failure.
 type partitionDetector struct {
-	detectedAt         map[string]time.Time // by zone: the last time at which most of its machines were silent
-	silenceCountsAfter time.Time            // silence is not counted against machines until this time
+	detectedAt          map[string]time.Time // by zone: the last time at which most of its machines were silent
+	silenceIgnoredUntil time.Time            // silence is not counted against machines until this time
 }
 
 // zoneSilence counts the machines of a zone that are up, and how many of them have not sent a heartbeat recently.
@@ -21,27 +21,31 @@
 
 func newPartitionDetector(now time.Time, settings *Settings) partitionDetector {
 	detector := partitionDetector{detectedAt: map[string]time.Time{}}
-	detector.restart(now, settings.UnresponsiveAfter)
+	detector.resetSilence(now, settings.UnresponsiveAfter)
 	return detector
 }
 
-// restart disregards all silence until now, since workers could not send heartbeats.
-func (d *partitionDetector) restart(now time.Time, unresponsiveAfter time.Duration) {
-	d.silenceCountsAfter = now.Add(unresponsiveAfter)
+// resetSilence disregards all silence until now, since workers could not send heartbeats.
+func (d *partitionDetector) resetSilence(now time.Time, unresponsiveAfter time.Duration) {
+	d.silenceIgnoredUntil = now.Add(unresponsiveAfter)
 }
 
-func (d *partitionDetector) silenceCounts(now time.Time) bool { return now.After(d.silenceCountsAfter) }
+// silenceIsEvidence reports whether the silence of a machine counts as evidence of its failure at present.
+func (d *partitionDetector) silenceIsEvidence(now time.Time) bool {
+	return now.After(d.silenceIgnoredUntil)
+}
 
-// recently reports whether a zone, or all zones together, showed a partition less than the given time ago.
-func (d *partitionDetector) recently(now time.Time, zone string, within time.Duration) bool {
+// recentlyPartitioned reports whether a zone, or all zones together, showed a partition less than the given time ago.
+func (d *partitionDetector) recentlyPartitioned(now time.Time, zone string, within time.Duration) bool {
 	return now.Sub(d.detectedAt[zone]) < within || now.Sub(d.detectedAt[allZones]) < within
 }
 
 // update evaluates the current counts and returns the partitioned zones. maxShare is the share of a zone's machines
-// above which their silence indicates a partition. A zone counts as partitioned until hold has passed since the last
-// indication, because most of its workers may have found another path while the last ones are still looking for one.
+// above which their silence indicates a partition. A zone counts as partitioned until retention has passed since the
+// last indication, because most of its workers may have found another path while the last ones are still looking for
+// one.
 func (d *partitionDetector) update(
-	now time.Time, zones map[string]*zoneSilence, maxShare float64, hold time.Duration,
+	now time.Time, zones map[string]*zoneSilence, maxShare float64, retention time.Duration,
 ) map[string]bool {
 	for zone, count := range zones {
 		if count.silent > 1 && float64(count.silent) > maxShare*float64(count.up) {
@@ -50,7 +54,7 @@
 	}
 	partitioned := map[string]bool{}
 	for zone, at := range d.detectedAt {
-		if partitioned[zone] = now.Sub(at) < hold; !partitioned[zone] {
+		if partitioned[zone] = now.Sub(at) < retention; !partitioned[zone] {
 			delete(d.detectedAt, zone)
 		}
 	}
@@ -93,7 +97,7 @@
 	if c.outboundIsolated(now) {
 		return true
 	}
-	if now.Before(c.partitions.silenceCountsAfter.Add(isolationMargin)) {
+	if now.Before(c.partitions.silenceIgnoredUntil.Add(isolationMargin)) {
 		return false
 	}
 	up := 0
--- a/internal/reconciler/releases.go
+++ b/internal/reconciler/releases.go
@@ -69,7 +69,7 @@
 
 // removeMachine removes a released machine from the view, drops its attempts, and deletes its record.
 func (c *Core) removeMachine(now time.Time, machine *model.Machine) {
-	c.loseAttempts(now, machine, "released")
+	c.dropAttempts(now, machine, "released")
 	if machine.Unreconciled {
 		c.markReconciled(now, machine, "released")
 	}
--- a/internal/reconciler/settings.go
+++ b/internal/reconciler/settings.go
@@ -14,13 +14,13 @@
 	Teams      []model.Team
 	Objectives map[string][]Objective // by job class
 
-	// The platform's guarantees about its workers. The Core itself uses the first two. The others are only carried for
-	// the in-memory cluster of the tests.
+	// The platform's guarantees about its workers. The Core itself uses the first two. The others are only carried
+	// for the in-memory cluster of the tests.
 	HeartbeatInterval time.Duration
 	WorkerLease       time.Duration
-	GangWait          time.Duration
+	GangWait          time.Duration // time for which a gang's task waits for the others
 	GangPeer          time.Duration
-	CancelWithin      time.Duration
+	CancelWithin      time.Duration // maximum time from a job's cancellation to the end of its tasks
 
 	MachineListLag time.Duration // maximum lag of the cloud's machine list
 
@@ -30,10 +30,10 @@
 	LeaseMargin          time.Duration // time after the end of a worker's lease until it counts as expired
 	PassInterval         time.Duration // minimum time between scheduling passes
 	FlushInterval        time.Duration // time between batches of finished tasks
-	MachineListInterval  time.Duration
-	CatalogInterval      time.Duration
+	MachineListInterval  time.Duration // time between requests for the cloud's machine list
+	CatalogInterval      time.Duration // time between requests for the catalog of machine types
 	UnresponsiveAfter    time.Duration // a machine that sends no heartbeat for this long is released,
-	MaxUnresponsiveShare float64       // unless more than this share of the machines has sent none
+	MaxUnresponsiveShare float64       // unless more than this share of its zone or of all machines is silent
 	Backoff              time.Duration // delay of a job after failed tasks, which doubles with further failures
 	MaxBackoff           time.Duration
 	MachineFaultErrors   int           // number of failing jobs that show that a machine is faulty
--- a/internal/reconciler/sweep.go
+++ b/internal/reconciler/sweep.go
@@ -33,8 +33,8 @@
 func (c *Core) sweepMachines(now time.Time) {
 	partitioned := c.partitionedZones(now)
 	mayRelease := c.releases.mayRequest(now)
-	needsProof := c.needsProof(now)
-	var released []string
+	needsProof := c.needsReachabilityProof(now)
+	var toRelease []string
 	for _, machine := range c.machines {
 		if needsProof && machine.Detector.State == liveness.Alive && c.placeable(now, machine) {
 			needsProof = !c.probe(now, machine)
@@ -49,13 +49,13 @@
 		if reason, ok := c.releaseReason(now, machine, partitioned); ok {
 			c.startRelease(now, machine, reason)
 		}
-		if mayRelease && machine.State == model.MachineReleasing && len(released) < maxReleaseBatch {
-			released = append(released, machine.Name)
+		if mayRelease && machine.State == model.MachineReleasing && len(toRelease) < maxReleaseBatch {
+			toRelease = append(toRelease, machine.Name)
 		}
 	}
-	if len(released) > 0 {
+	if len(toRelease) > 0 {
 		c.releases.requested()
-		c.emit(Release{released})
+		c.emit(Release{toRelease})
 	}
 }
 
@@ -69,7 +69,7 @@
 	}
 	c.log.Warn("worker lease expired", "machine", machine.Name, "epoch", machine.Epoch)
 	machine.ExpiredEpoch = machine.Epoch
-	c.loseAttempts(now, machine, "lease expired")
+	c.dropAttempts(now, machine, "lease expired")
 	if machine.Unreconciled {
 		c.markReconciled(now, machine, "lease expired")
 	}
@@ -88,7 +88,7 @@
 	switch {
 	case machine.Unreconciled && machine.ProbeUnanswered && c.fewUnreconciled():
 		return reasonSilent, true
-	case now.Sub(machine.LastHeartbeat) > c.settings.UnresponsiveAfter && c.partitions.silenceCounts(now) &&
+	case now.Sub(machine.LastHeartbeat) > c.settings.UnresponsiveAfter && c.partitions.silenceIsEvidence(now) &&
 		!partitioned[machine.Zone] && !partitioned[allZones]:
 		return reasonSilent, true
 	case machine.Detector.State == liveness.Failed && isMinority(len(c.liveness.suspects), len(c.machines)):
@@ -105,10 +105,10 @@
 }
 
 // mayReconnect reports whether an empty machine is unreachable at present and may come back. Such a machine is not
-// idle for lack of tasks. Otherwise a whole zone would be released during a network partition and provisioned again.
-// The machine is kept for as long as a replacement would be billed at least.
+// idle for lack of tasks. It is kept for as long as a replacement would be billed at least. Otherwise a whole zone
+// would be released during a network partition and then provisioned again.
 func (c *Core) mayReconnect(now time.Time, machine *model.Machine) bool {
 	silent := now.Sub(machine.LastHeartbeat)
-	longest := c.settings.UnresponsiveAfter + c.settings.Autoscaler.MinBilledTime
-	return silent > c.settings.UnresponsiveAfter && silent < longest
+	maxSilence := c.settings.UnresponsiveAfter + c.settings.Autoscaler.MinBilledTime
+	return silent > c.settings.UnresponsiveAfter && silent < maxSilence
 }
--- a/internal/reconciler/takeover.go
+++ b/internal/reconciler/takeover.go
@@ -12,11 +12,11 @@
 // started on the machines that it inherits. docs/safety.md, "Reconciliation after failover", argues why it is safe to
 // start other tasks in the meantime.
 type takeover struct {
-	startedAt        time.Time
-	revision         uint64              // jobs with a later version were accepted after the takeover
-	unreconciled     int                 // number of machines that may hold tasks that this leader does not know
-	kinds            map[machineKind]int // number of unreconciled machines of each kind
-	servicesRestored bool                // no urgent task from before the takeover is waiting any more
+	startedAt           time.Time
+	revision            uint64              // of the snapshot; jobs with a later version were accepted after the takeover
+	unreconciled        int                 // number of machines that may hold tasks that this leader does not know
+	unreconciledKinds   map[machineKind]int // number of unreconciled machines of each kind
+	urgentTasksRestored bool                // no urgent task from before the takeover is waiting any more
 }
 
 // machineKind is the set of machine properties that decide whether a job can have been placed on a machine.
@@ -33,7 +33,7 @@
 func isMinority(count, all int) bool { return count <= max(1, all/minorityDivisor) }
 
 func newTakeover(now time.Time, revision uint64) takeover {
-	return takeover{startedAt: now, revision: revision, kinds: map[machineKind]int{}}
+	return takeover{startedAt: now, revision: revision, unreconciledKinds: map[machineKind]int{}}
 }
 
 // recordedKind returns the kind that is stated in a machine's record, which earlier leaders used for placement.
@@ -45,17 +45,17 @@
 func (t *takeover) inherit(machine *model.Machine, info model.MachineInfo) {
 	machine.Registered, machine.Unreconciled, machine.Record = true, true, info
 	t.unreconciled++
-	t.kinds[recordedKind(machine)]++
+	t.unreconciledKinds[recordedKind(machine)]++
 }
 
 // reconciled marks an inherited machine as reconciled.
 func (t *takeover) reconciled(machine *model.Machine) {
 	machine.Unreconciled = false
 	t.unreconciled--
-	if kind := recordedKind(machine); t.kinds[kind] > 1 {
-		t.kinds[kind]--
+	if kind := recordedKind(machine); t.unreconciledKinds[kind] > 1 {
+		t.unreconciledKinds[kind]--
 	} else {
-		delete(t.kinds, kind)
+		delete(t.unreconciledKinds, kind)
 	}
 }
 
@@ -80,8 +80,8 @@
 	c.loadFinishedTasks(now, snapshot.FinishedTasks, chunkTasks)
 	for _, job := range c.jobs {
 		for id := range job.Dependency.Upstream {
-			// A dependency that is still active was not done when this leader took over, so no earlier leader can have started
-			// this job (docs/safety.md, "Pipelines").
+			// A dependency that is still active was not done when this leader took over, so no earlier leader can
+			// have started this job (docs/safety.md, "Pipelines").
 			job.NoPriorAttempts = job.NoPriorAttempts || c.jobs[id] != nil
 		}
 	}
@@ -152,14 +152,14 @@
 
 // Limits on the probing of inherited machines.
 const (
-	reconcileProbeHeartbeats = 1 // heartbeat intervals from the takeover to the first probes
-	maxReconcileProbes       = 8 // probes per sweep
+	reconcileProbeDelayHeartbeats = 1 // heartbeat intervals from the takeover to the first probes
+	maxReconcileProbes            = 8 // probes per sweep
 )
 
 // probeUnreconciled probes the machines that have not reported to a new leader, once most others have. A few failed
 // machines therefore do not hold up all tasks from before the takeover until their silence is long enough.
 func (c *Core) probeUnreconciled(now time.Time) {
-	earliest := c.settings.HeartbeatInterval * reconcileProbeHeartbeats
+	earliest := c.settings.HeartbeatInterval * reconcileProbeDelayHeartbeats
 	if c.takeover.complete() || now.Sub(c.takeover.startedAt) < earliest || !c.fewUnreconciled() {
 		return
 	}
@@ -184,7 +184,7 @@
 	if c.takeover.complete() || job.RecordVersion > c.takeover.revision || job.NoPriorAttempts {
 		return false
 	}
-	for kind := range c.takeover.kinds {
+	for kind := range c.takeover.unreconciledKinds {
 		if c.couldRunOn(job.Spec, kind) {
 			return true
 		}
@@ -204,7 +204,7 @@
 
 // logServicesRestored logs, once after a takeover, that no urgent task from before it is waiting any more.
 func (c *Core) logServicesRestored(now time.Time, requests []*scheduler.Request) {
-	if c.takeover.servicesRestored || !c.takeover.complete() {
+	if c.takeover.urgentTasksRestored || !c.takeover.complete() {
 		return
 	}
 	for _, request := range requests {
@@ -212,7 +212,7 @@
 			return
 		}
 	}
-	c.takeover.servicesRestored = true
+	c.takeover.urgentTasksRestored = true
 	c.log.Info("urgent tasks restored after failover",
 		"fencing_token", c.fencingToken, "after", now.Sub(c.takeover.startedAt))
 }
