--- a/internal/reconciler/commits.go
+++ b/internal/reconciler/commits.go
@@ -24,8 +24,8 @@
 	chunk model.Chunk
 }
 
-// needsOwnCommit reports whether a change is written in its own transaction because it has its own condition. If that
-// condition fails, the other changes are not held up.
+// needsOwnCommit reports whether a change is written in its own transaction, either because it has its own condition
+// or because it was part of a rejected transaction. A failure then does not hold up other changes.
 func needsOwnCommit(change *record.Change) bool {
 	switch change.Kind {
 	case record.CompleteJob, record.CancelDependent, record.DeleteDependencies, record.SettleAccount,
--- a/internal/reconciler/epoch_test.go
+++ b/internal/reconciler/epoch_test.go
@@ -9,10 +9,11 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// Guards against a task that is started twice after a worker has begun a new epoch. The answer to a command shows the
-// new epoch, and a task is started in it. The expiry of the former epoch's lease must not be taken for that of the
-// new one, which happened after a long outage of the state service. Tasks are placed only on machines that have sent
-// a heartbeat recently, so in this test the answer follows soon after the last heartbeat.
+// Guards against starting a task twice after its worker has begun a new epoch. The answer to a command shows the new
+// epoch, and a task is started in it. If the expiry of the former epoch's lease is then taken for that of the new
+// one, the task is started again elsewhere. This happened after a long outage of the state service. Tasks are placed
+// only on machines that have sent a heartbeat recently, so in this test the answer follows soon after the last
+// heartbeat.
 func TestNewEpochHasItsOwnLease(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(now, &record.Snapshot{})
