--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -10,16 +10,16 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// randomCluster is a cluster drawn at random: machines that are nearly full of attempts of every priority and team, and
-// requests, some of which may preempt others. Snapshots of it are equal, and share no nodes.
+// randomCluster is a randomly generated cluster. Its machines are nearly filled with attempts of every priority and
+// team, and some of its requests may preempt these attempts. All snapshots of a cluster are equal but share no nodes.
 type randomCluster struct {
-	teams    map[string]*model.Team
-	used     map[string]model.Resources
-	machines []randomMachine
-	requests []randomRequest
+	teams      map[string]*model.Team
+	usedByTeam map[string]model.Resources
+	machines   []randomMachine
+	requests   []randomRequest
 }
 
-// randomMachine is a machine with what runs on it.
+// randomMachine is a machine together with the resources and preemption candidates of its attempts.
 type randomMachine struct {
 	machine    *model.Machine
 	free       model.Resources
@@ -27,7 +27,7 @@
 	candidates []PreemptionCandidate
 }
 
-// randomRequest is a request without its job, which each snapshot creates anew.
+// randomRequest is a request without its job. Each snapshot creates a new job from spec.
 type randomRequest struct {
 	spec    *model.Spec
 	request Request
@@ -59,28 +59,28 @@
 
 var randomTeams = []string{"red", "blue", "green"}
 
-// drawInt draws a number from least to most.
+// drawInt draws an integer from least to most, both included.
 func drawInt(t *rapid.T, least, most int, label string) int {
 	return rapid.IntRange(least, most).Draw(t, label)
 }
 
-// oneIn draws true once in n times.
+// oneIn draws a boolean that is true with a probability of about 1/n.
 func oneIn(t *rapid.T, n int, label string) bool { return drawInt(t, 0, n-1, label) == 0 }
 
-// drawSeconds draws a duration of whole seconds.
+// drawSeconds draws a duration of least to most whole seconds, both included.
 func drawSeconds(t *rapid.T, least, most int, label string) time.Duration {
 	return time.Duration(drawInt(t, least, most, label)) * time.Second
 }
 
-// drawImage draws the name of one of three images.
+// drawImage draws one of three image names.
 func drawImage(t *rapid.T, label string) string { return fmt.Sprint("img", drawInt(t, 0, 2, label)) }
 
 func drawCluster(t *rapid.T) *randomCluster {
-	cluster := &randomCluster{teams: map[string]*model.Team{}, used: map[string]model.Resources{}}
+	cluster := &randomCluster{teams: map[string]*model.Team{}, usedByTeam: map[string]model.Resources{}}
 	for _, name := range randomTeams {
 		quota := model.NewQuota(float64(drawInt(t, 0, 3, "quota")*40), 0)
 		cluster.teams[name] = &model.Team{Name: name, Quota: quota}
-		cluster.used[name] = model.Resources{CPU: float64(drawInt(t, 0, 60, "used"))}
+		cluster.usedByTeam[name] = model.Resources{CPU: float64(drawInt(t, 0, 60, "used"))}
 	}
 	for i := range drawInt(t, 1, 30, "machines") {
 		cluster.machines = append(cluster.machines, drawMachine(t, fmt.Sprint("m", i)))
@@ -163,10 +163,10 @@
 	return randomRequest{spec: spec, request: request}
 }
 
-// snapshot returns a new snapshot of the cluster.
+// snapshot returns a new snapshot of the cluster. It loads the candidates of a node on demand.
 func (c *randomCluster) snapshot() *Snapshot {
 	snapshot := &Snapshot{Teams: c.teams, Used: map[string]model.Resources{}, Releasing: map[string]model.Resources{}}
-	for team, used := range c.used {
+	for team, used := range c.usedByTeam {
 		snapshot.Used[team] = used
 	}
 	byNode := map[*Node]*randomMachine{}
@@ -188,8 +188,8 @@
 	return snapshot
 }
 
-// loadedSnapshot returns a new snapshot in which all candidates are loaded and every candidate is judged for each
-// request, as if nothing were known of them in common.
+// loadedSnapshot returns a new snapshot in which the candidates of all nodes are loaded. The preemptible summary of
+// each node rules nothing out, so that a pass checks every candidate for each request.
 func (c *randomCluster) loadedSnapshot() *Snapshot {
 	snapshot := c.snapshot()
 	for _, node := range snapshot.Nodes {
@@ -203,19 +203,19 @@
 	return snapshot
 }
 
-// describePlan is a plan in words.
+// describePlan formats all decisions of a plan, so that tests can compare two plans.
 func describePlan(plan *Plan) string {
 	var lines []string
 	for _, p := range plan.Placements {
 		lines = append(lines, fmt.Sprintf("%s on %s", p.Request.Job.Spec.ID, p.Node.Machine.Name))
 	}
 	for _, p := range plan.Preemptions {
-		lines = append(lines, fmt.Sprintf("stop %v for %s, immediately: %v", p.Attempt.Task, p.Preemptor.Job.Spec.ID,
-			p.Immediate))
+		lines = append(lines, fmt.Sprintf("preempt %v for %s, immediately: %v",
+			p.Attempt.Task, p.Preemptor.Job.Spec.ID, p.Immediate))
 	}
 	for _, s := range plan.Shortages {
-		lines = append(lines, fmt.Sprintf("%s lacks %d, over quota: %v, reason %v", s.Request.Job.Spec.ID, s.Count,
-			s.OverQuota, s.Reason))
+		lines = append(lines, fmt.Sprintf("%s is short of capacity for %d tasks, over quota: %v, reason %v",
+			s.Request.Job.Spec.ID, s.Count, s.OverQuota, s.Reason))
 	}
 	return fmt.Sprint(lines, plan.Truncated)
 }
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -8,10 +8,13 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Consolidate finds a replica of a job that is worth moving, for when nothing is pending that the capacity would help:
-// one on an expensive machine although a cheap one has capacity and its image, or one that is alone on its machine
-// although a busier one that costs no more has both. The move is short, since no image is fetched. It returns nil if
-// there is none, or while any replica of the job has only just started.
+// Consolidate returns a replica of a service that should move to another machine, or nil if there is none. Callers
+// use it only while no pending task could use the capacity.
+//
+// A replica on an expensive machine moves if a cheap machine has capacity for it and holds its image. A replica that
+// is alone on its machine moves if a machine with a higher utilization and no higher price has both. The interruption
+// is short because no image has to be fetched. Consolidate returns nil while any replica of the job has run for less
+// than Settings.MinRuntime.
 func Consolidate(settings *Settings, now time.Time, snapshot *Snapshot, job *model.Job) *model.Attempt {
 	if !mayMoveReplicas(job) {
 		return nil
@@ -20,55 +23,60 @@
 	if !c.collectReplicas(settings, now) {
 		return nil
 	}
-	if len(c.expensive) == 0 && len(c.alone) == 0 {
+	if len(c.expensiveReplicas) == 0 && len(c.loneReplicas) == 0 {
 		return nil
 	}
 	c.collectTargets()
-	for _, attempt := range c.expensive {
+	for _, attempt := range c.expensiveReplicas {
 		if c.anyTarget(attempt, func(node *Node) bool { return pricePerCPU(node.Machine) <= c.maxPrice }) {
 			return attempt
 		}
 	}
-	for _, attempt := range c.alone {
-		if c.anyTarget(attempt, func(node *Node) bool { return betterHost(node.Machine, attempt.Machine) }) {
+	for _, attempt := range c.loneReplicas {
+		if c.anyTarget(attempt, func(node *Node) bool { return isBetterHost(node.Machine, attempt.Machine) }) {
 			return attempt
 		}
 	}
 	return nil
 }
 
-// mayMoveReplicas reports whether a job is a service whose replicas all have a machine and may be moved one at a time.
+// mayMoveReplicas reports whether a job is a service whose replicas have all been placed and can be moved one at a
+// time. Several replicas that have to share a zone cannot.
 func mayMoveReplicas(job *model.Job) bool {
 	spec := job.Spec
 	return spec.Shape == model.Service && len(job.ActiveAttempts) >= spec.Tasks && !(spec.SingleZone && spec.Tasks > 1)
 }
 
-// isSettled reports whether an attempt has run for long enough to be moved.
-func (s *Settings) isSettled(now time.Time, attempt *model.Attempt) bool {
+// reachedMinRuntime reports whether an attempt is running and has run for at least MinRuntime, so that it may be
+// moved.
+func (s *Settings) reachedMinRuntime(now time.Time, attempt *model.Attempt) bool {
 	return attempt.State == model.AttemptPresent && attempt.Phase == model.PhaseRunning &&
 		now.Sub(attempt.RunningAt) >= s.MinRuntime
 }
 
-// busyFraction is the utilization of a machine by what holds it.
-func busyFraction(machine *model.Machine) float64 { return utilization(machine, machine.Used) }
+// currentUtilization returns the utilization of a machine by the attempts that hold resources on it.
+func currentUtilization(machine *model.Machine) float64 { return utilization(machine, machine.Used) }
 
-// betterHost reports whether a machine is busier than another one and costs no more. Of two that are equally busy the
-// one whose name sorts first is better, so that two replicas that are each alone do not swap machines.
-func betterHost(machine, other *model.Machine) bool {
-	byUse := cmp.Or(cmp.Compare(busyFraction(machine), busyFraction(other)), cmp.Compare(other.Name, machine.Name))
-	return byUse > 0 && pricePerCPU(machine) <= pricePerCPU(other)
+// isBetterHost reports whether machine has a higher utilization than other at no higher price. Between two machines
+// of equal utilization the one whose name sorts first is better, so that two lone replicas do not swap machines.
+func isBetterHost(machine, other *model.Machine) bool {
+	byUtilization := cmp.Or(
+		cmp.Compare(currentUtilization(machine), currentUtilization(other)),
+		cmp.Compare(other.Name, machine.Name),
+	)
+	return byUtilization > 0 && pricePerCPU(machine) <= pricePerCPU(other)
 }
 
-// consolidation is the search for a replica of one job to move.
+// consolidation searches for one replica of a job that should move.
 type consolidation struct {
-	snapshot    *Snapshot
-	job         *model.Job
-	rules       *Rules
-	maxPrice    float64 // of a CPU, above which a machine is too expensive for the job
-	tasksByZone map[string]int
-	expensive   []*model.Attempt // replicas on machines that are too expensive
-	alone       []*model.Attempt // the other replicas that are alone on their machine
-	targets     []*Node          // nodes with capacity and the image
+	snapshot          *Snapshot
+	job               *model.Job
+	rules             *Rules
+	maxPrice          float64 // hourly price of a CPU above which a machine is too expensive for the job
+	tasksByZone       map[string]int
+	expensiveReplicas []*model.Attempt // replicas on machines that are too expensive
+	loneReplicas      []*model.Attempt // other replicas that are the only attempt on their machine
+	targets           []*Node          // nodes that have capacity for a replica and hold the image
 }
 
 func newConsolidation(settings *Settings, snapshot *Snapshot, job *model.Job) *consolidation {
@@ -77,7 +85,7 @@
 	return c
 }
 
-// rulesOf is what a running job's rules say; nil: it has none.
+// rulesOf returns the evaluated rules of a running job, or nil if it has none.
 func (s *Snapshot) rulesOf(job *model.Job) *Rules {
 	if s.RulesOf == nil {
 		return nil
@@ -85,28 +93,29 @@
 	return s.RulesOf(job)
 }
 
-// collectReplicas sorts the replicas that might be moved by task. It reports false where one of them is not settled:
-// replicas are moved one at a time.
+// collectReplicas collects the replicas that might move, sorted by task index. It returns false if any replica has not
+// run for MinRuntime yet, because replicas are moved one at a time.
 func (c *consolidation) collectReplicas(settings *Settings, now time.Time) bool {
 	for _, attempt := range c.job.ActiveAttempts {
-		if !settings.isSettled(now, attempt) {
+		if !settings.reachedMinRuntime(now, attempt) {
 			return false
 		}
 		c.tasksByZone[attempt.Machine.Zone]++
 		if pricePerCPU(attempt.Machine) > c.maxPrice {
-			c.expensive = append(c.expensive, attempt)
+			c.expensiveReplicas = append(c.expensiveReplicas, attempt)
 		} else if attempt.Machine.ActiveCount == 1 {
-			c.alone = append(c.alone, attempt)
+			c.loneReplicas = append(c.loneReplicas, attempt)
 		}
 	}
 	byTask := func(a, b *model.Attempt) int { return cmp.Compare(a.Task.Index, b.Task.Index) }
-	slices.SortFunc(c.expensive, byTask)
-	slices.SortFunc(c.alone, byTask)
+	slices.SortFunc(c.expensiveReplicas, byTask)
+	slices.SortFunc(c.loneReplicas, byTask)
 	return true
 }
 
-// collectTargets lists the nodes that could take a replica. It is done once for all replicas, of which each may be on
-// an expensive machine: a scan of all nodes for each of them held up a leader of 3,300 machines for over a second.
+// collectTargets collects the nodes that could take a replica. It runs once for all replicas of the job, because every
+// one of them may be on an expensive machine: a scan of all nodes per replica blocked a leader with 3,300 machines for
+// over a second.
 func (c *consolidation) collectTargets() {
 	spec := c.job.Spec
 	for _, node := range c.snapshot.nodesWithImage(spec.Image) {
@@ -117,12 +126,13 @@
 	}
 }
 
-// anyTarget reports whether a replica can move to any target that is suitable.
+// anyTarget reports whether a replica can move to any of the targets for which suitable returns true.
 func (c *consolidation) anyTarget(attempt *model.Attempt, suitable func(node *Node) bool) bool {
 	return slices.ContainsFunc(c.targets, func(node *Node) bool { return suitable(node) && c.canMove(attempt, node) })
 }
 
-// canMove reports whether a replica may move to another node without too many of its job's tasks in one zone.
+// canMove reports whether node is on another machine and the replica can move there without exceeding the maximum
+// number of tasks of its job per zone.
 func (c *consolidation) canMove(attempt *model.Attempt, node *Node) bool {
 	zone := node.Machine.Zone
 	others := c.tasksByZone[zone]
--- a/internal/scheduler/consolidate_test.go
+++ b/internal/scheduler/consolidate_test.go
@@ -25,25 +25,25 @@
 		job.ActiveAttempts[index] = attempt
 		return attempt
 	}
-	stays, moves := replica(target, 0), replica(source, 1)
+	stayingReplica, movingReplica := replica(target, 0), replica(source, 1)
 	snapshot := newSnapshot([]*Node{source, target})
-	if got := Consolidate(testSettings, longAfterStart, snapshot, job); got != moves {
-		t.Errorf("moves %v, want %v, which is alone on the second machine", got, moves)
+	if got := Consolidate(testSettings, longAfterStart, snapshot, job); got != movingReplica {
+		t.Errorf("moved %v, want %v, which is alone on the second machine", got, movingReplica)
 	}
-	moves.RunningAt = longAfterStart.Add(-time.Second)
+	movingReplica.RunningAt = longAfterStart.Add(-time.Second)
 	if got := Consolidate(testSettings, longAfterStart, snapshot, job); got != nil {
-		t.Errorf("moves %v while one has only just started, want none", got)
+		t.Errorf("moved %v while a replica has run for less than MinRuntime, want none", got)
 	}
-	moves.RunningAt = stays.RunningAt
+	movingReplica.RunningAt = stayingReplica.RunningAt
 	job.Spec.Spread = true
 	target.Machine.Zone, source.Machine.Zone = "a", "b"
 	if got := Consolidate(testSettings, longAfterStart, snapshot, job); got != nil {
-		t.Errorf("moves %v, want none: both replicas of a spread service would be in one zone", got)
+		t.Errorf("moved %v, want none: both replicas of a spread service would be in one zone", got)
 	}
 	job.Spec.Spread = false
 	target.Machine.Type = gpuType
-	if got := Consolidate(testSettings, longAfterStart, snapshot, job); got != stays {
-		t.Errorf("moves %v, want %v, which is on the more expensive machine", got, stays)
+	if got := Consolidate(testSettings, longAfterStart, snapshot, job); got != stayingReplica {
+		t.Errorf("moved %v, want %v, which is on the more expensive machine", got, stayingReplica)
 	}
 }
 
@@ -59,20 +59,20 @@
 	job.ActiveAttempts[0] = attempt
 	snapshot := newSnapshot([]*Node{source, target})
 	if got := Consolidate(testSettings, longAfterStart, snapshot, job); got != nil {
-		t.Errorf("moves %v to a machine that would have to fetch its image, want none", got)
+		t.Errorf("moved %v to a machine that would have to fetch its image, want none", got)
 	}
 	target.Machine.CachedImages["img"] = time.Unix(1, 0)
-	snapshot = newSnapshot([]*Node{source, target}) // a new one: a snapshot indexes images once
+	snapshot = newSnapshot([]*Node{source, target}) // a snapshot builds its image index only once
 	if got := Consolidate(testSettings, longAfterStart, snapshot, job); got != attempt {
-		t.Errorf("moves %v, want %v", got, attempt)
+		t.Errorf("moved %v, want %v", got, attempt)
 	}
 	target.Free.CPU = 2
 	if got := Consolidate(testSettings, longAfterStart, snapshot, job); got != nil {
-		t.Errorf("moves %v although there is no room, want none", got)
+		t.Errorf("moved %v although the target has no capacity, want none", got)
 	}
 }
 
-// addReplicas adds replicas of n services of one task each to a node that holds their image.
+// addReplicas adds the replicas of n services of one task each to a node, and marks their image as cached there.
 func addReplicas(node *Node, n int) {
 	for range n {
 		job := model.NewJob(&model.Spec{
@@ -102,8 +102,9 @@
 	node.Machine.CachedImages["img"] = time.Unix(1, 0)
 }
 
-// Replicas move off a machine that could be emptied onto busier ones, one at a time and only if all of them have room
-// there, with their images, in zones that may take them. Two equally busy machines do not swap replicas.
+// Replicas on a machine that can be drained move to machines with a higher utilization, one at a time. They move only
+// if all of them fit on machines that hold their images, in zones that may take them. Two machines of equal
+// utilization do not swap replicas.
 func TestDrainMovesReplicasToBusierMachines(t *testing.T) {
 	replica := func(node *Node) *model.Attempt {
 		return node.Machine.Attempts[model.AttemptKey{Task: model.TaskID{Job: "source-1"}}]
@@ -112,21 +113,21 @@
 		want   string
 		change func(source, target, other *Node)
 	}{
-		"all have room": {"source-0", func(_, _, _ *Node) {}},
-		"room for two":  {"", func(_, _, other *Node) { other.Free = model.Resources{} }},
-		"no image":      {"", func(_, target, _ *Node) { clear(target.Machine.CachedImages) }},
-		"busier one is more expensive": {"", func(_, target, _ *Node) {
+		"capacity for all":      {"source-0", func(_, _, _ *Node) {}},
+		"capacity for two only": {"", func(_, _, other *Node) { other.Free = model.Resources{} }},
+		"image not cached":      {"", func(_, target, _ *Node) { clear(target.Machine.CachedImages) }},
+		"target is more expensive": {"", func(_, target, _ *Node) {
 			expensive := *cpuType
 			expensive.PricePerHour = 3
 			target.Machine.Type = &expensive
 		}},
-		"one replica has only just started": {"", func(source, _, _ *Node) {
+		"one replica has run for less than MinRuntime": {"", func(source, _, _ *Node) {
 			replica(source).RunningAt = longAfterStart
 		}},
-		"other work on the machine": {"", func(source, _, _ *Node) {
+		"array task on the machine": {"", func(source, _, _ *Node) {
 			replica(source).Job.Spec.Shape = model.Array
 		}},
-		"none of the others is busier": {"", func(source, target, other *Node) {
+		"no other machine has a higher utilization": {"", func(source, target, other *Node) {
 			for _, node := range []*Node{target, other} {
 				node.Machine.Used = source.Machine.Used
 			}
@@ -142,7 +143,7 @@
 			got = attempt.Task.Job
 		}
 		if got != c.want {
-			t.Errorf("%s: moves %q, want %q", name, got, c.want)
+			t.Errorf("%s: moved %q, want %q", name, got, c.want)
 		}
 	}
 }
--- a/internal/scheduler/drain.go
+++ b/internal/scheduler/drain.go
@@ -8,21 +8,21 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// maxDrainCandidates bounds the machines that a call of Drain examines.
+// maxDrainCandidates bounds the number of machines that one call of Drain examines.
 const maxDrainCandidates = 4
 
-// Drain finds a replica to move off a machine that could be emptied altogether: the machine holds nothing but replicas
-// that may move, and all of them fit on busier machines that cost no more and hold their images. It returns nil if
-// there is none. Replicas move one at a time and only ever to a busier machine, so that no two machines exchange them
-// repeatedly.
+// Drain returns a replica that should move so that its machine can be emptied, or nil if there is none. Such a machine
+// runs only replicas that may move, and all of them fit on machines that have a higher utilization and no higher price
+// and hold their images. Replicas move one at a time and only to a machine with a higher utilization, so that two
+// machines do not exchange replicas repeatedly.
 func Drain(settings *Settings, now time.Time, snapshot *Snapshot) *model.Attempt {
 	var nodes []*Node
 	for _, node := range snapshot.Nodes {
-		if node.Machine.ActiveCount > 0 && drainable(settings, now, node.Machine) {
+		if node.Machine.ActiveCount > 0 && canDrain(settings, now, node.Machine) {
 			nodes = append(nodes, node)
 		}
 	}
-	// First what empties with the fewest moves, then the more expensive ones.
+	// Machines that need the fewest moves come first, and of those the more expensive ones.
 	slices.SortFunc(nodes, func(a, b *Node) int {
 		return cmp.Or(
 			cmp.Compare(a.Machine.ActiveCount, b.Machine.ActiveCount),
@@ -31,26 +31,26 @@
 		)
 	})
 	for _, node := range nodes[:min(len(nodes), maxDrainCandidates)] {
-		if attempt := snapshot.drainNode(node); attempt != nil {
+		if attempt := snapshot.planDrain(node); attempt != nil {
 			return attempt
 		}
 	}
 	return nil
 }
 
-// drainable reports whether a machine holds nothing but replicas that may be moved.
-func drainable(settings *Settings, now time.Time, machine *model.Machine) bool {
+// canDrain reports whether all active attempts on a machine are replicas that may move.
+func canDrain(settings *Settings, now time.Time, machine *model.Machine) bool {
 	for _, attempt := range machine.ActiveAttempts() {
-		if attempt.Job == nil || !mayMoveReplicas(attempt.Job) || !settings.isSettled(now, attempt) {
+		if attempt.Job == nil || !mayMoveReplicas(attempt.Job) || !settings.reachedMinRuntime(now, attempt) {
 			return false
 		}
 	}
 	return true
 }
 
-// drainNode finds capacity elsewhere for all that is on a node, and returns the replica to move first; nil: there is
-// not enough for all.
-func (s *Snapshot) drainNode(source *Node) *model.Attempt {
+// planDrain chooses targets for all replicas on a node and returns the replica that moves first. It returns nil if
+// the other nodes do not have capacity for all of them.
+func (s *Snapshot) planDrain(source *Node) *model.Attempt {
 	attempts := slices.Clone(source.Machine.ActiveAttempts())
 	slices.SortFunc(attempts, func(a, b *model.Attempt) int {
 		return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index))
@@ -62,27 +62,27 @@
 		tasksByZone: map[*model.Job]map[string]int{},
 	}
 	for _, attempt := range attempts {
-		if !d.move(attempt) {
+		if !d.planMove(attempt) {
 			return nil
 		}
 	}
 	return attempts[0]
 }
 
-// drainSearch looks for capacity for the replicas of one node.
+// drainSearch searches for nodes that can take the replicas of one source node.
 type drainSearch struct {
 	snapshot    *Snapshot
 	source      *Node
-	claimed     map[*Node]model.Resources     // by the replicas that have a target
-	tasksByZone map[*model.Job]map[string]int // after those moves
+	claimed     map[*Node]model.Resources     // resources of the replicas that have the node as their target
+	tasksByZone map[*model.Job]map[string]int // counts as they are after the planned moves
 }
 
-// move chooses the target of a replica and reports whether there is one.
-func (d *drainSearch) move(attempt *model.Attempt) bool {
+// planMove chooses the target of a replica and claims resources there. It returns false if there is no target.
+func (d *drainSearch) planMove(attempt *model.Attempt) bool {
 	rules := d.snapshot.rulesOf(attempt.Job)
-	tasksByZone := d.zonesOf(attempt.Job)
+	tasksByZone := d.taskCountsByZone(attempt.Job)
 	tasksByZone[d.source.Machine.Zone]--
-	target := d.target(attempt, rules, tasksByZone)
+	target := d.busiestTarget(attempt, rules, tasksByZone)
 	if target == nil {
 		return false
 	}
@@ -91,8 +91,9 @@
 	return true
 }
 
-// zonesOf counts the tasks of a job by zone.
-func (d *drainSearch) zonesOf(job *model.Job) map[string]int {
+// taskCountsByZone returns the number of tasks of a job in each zone, as it is after the planned moves. The caller
+// may modify the map to record a move.
+func (d *drainSearch) taskCountsByZone(job *model.Job) map[string]int {
 	if d.tasksByZone[job] == nil {
 		d.tasksByZone[job] = map[string]int{}
 		for _, attempt := range job.ActiveAttempts {
@@ -102,35 +103,36 @@
 	return d.tasksByZone[job]
 }
 
-// target is the busiest node that takes a replica; nil: there is none.
-func (d *drainSearch) target(attempt *model.Attempt, rules *Rules, tasksByZone map[string]int) *Node {
+// busiestTarget returns the node with the highest utilization that can take a replica, or nil if there is none.
+func (d *drainSearch) busiestTarget(attempt *model.Attempt, rules *Rules, tasksByZone map[string]int) *Node {
 	var best *Node
 	for _, node := range d.snapshot.nodesWithImage(attempt.Job.Spec.Image) {
-		if !d.hasCapacity(node, attempt, rules) || !d.busier(node) {
+		if !d.hasCapacity(node, attempt, rules) || !d.improvesOnSource(node) {
 			continue
 		}
 		if tasksByZone[node.Machine.Zone] >= maxPerZone(attempt.Job.Spec, rules) || rules.machineFull(node.Machine) {
 			continue
 		}
-		if best == nil || busyFraction(node.Machine) > busyFraction(best.Machine) {
+		if best == nil || currentUtilization(node.Machine) > currentUtilization(best.Machine) {
 			best = node
 		}
 	}
 	return best
 }
 
-// hasCapacity reports whether a node could take a replica besides those that have it as their target.
+// hasCapacity reports whether a node can take a replica in addition to the replicas that already have it as their
+// target.
 func (d *drainSearch) hasCapacity(node *Node, attempt *model.Attempt, rules *Rules) bool {
 	return node != d.source && attempt.Demand.Fits(node.Free.Sub(d.claimed[node])) &&
 		node.checkStatic(attempt.Job, rules, "") == Feasible
 }
 
-// busier reports whether a node is busier than the source and costs no more.
-func (d *drainSearch) busier(node *Node) bool {
+// improvesOnSource reports whether a node has a higher utilization than the source at no higher price.
+func (d *drainSearch) improvesOnSource(node *Node) bool {
 	switch machine, source := node.Machine, d.source.Machine; {
 	case pricePerCPU(machine) > pricePerCPU(source):
 		return false
-	case busyFraction(machine) <= busyFraction(source):
+	case currentUtilization(machine) <= currentUtilization(source):
 		return false
 	}
 	return true
--- a/internal/scheduler/equivalence_test.go
+++ b/internal/scheduler/equivalence_test.go
@@ -13,10 +13,10 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// The tests of this file hold what saves time against what it stands for: a look at everything.
+// The tests in this file compare each optimization with the exhaustive search that it replaces.
 
-// A pass that loads candidates only for the nodes that it considers, and leaves out those on which nothing may be
-// preempted, decides the same as one that loads all of them first.
+// A pass that loads candidates only for the nodes that it considers, and skips nodes on which nothing may be preempted,
+// decides the same as a pass that loads the candidates of all nodes first.
 func TestLazyCandidateLoadingMatchesEagerLoading(t *testing.T) {
 	settings := Settings{
 		IdlePowerFraction:    0.7,
@@ -36,16 +36,16 @@
 		cluster := drawCluster(t)
 		lazy, eager := MakePlan(&settings, cluster.snapshot()), MakePlan(&settings, cluster.loadedSnapshot())
 		if got, want := describePlan(lazy), describePlan(eager); got != want {
-			t.Fatalf("decided %s, want %s", got, want)
+			t.Fatalf("lazy loading: plan is %s, want %s", got, want)
 		}
 		preempted += len(lazy.Preemptions)
 	})
 	if preempted == 0 {
-		t.Errorf("preempted %d in all clusters, want more", preempted)
+		t.Errorf("preempted %d attempts in all clusters, want at least one", preempted)
 	}
 }
 
-// What is judged by machine kind is what a check of each node says.
+// The feasibility filter, which decides by machine kind, accepts the same nodes as a check of each node.
 func TestFeasibilityByKindMatchesFeasibilityByNode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := drawCluster(t).snapshot()
@@ -68,14 +68,15 @@
 				static := node.checkStatic(request.Job, nil, zone)
 				want := static == Feasible && filter.accepts(node, request.Job.Spec)
 				if got := feasible(node); got != want {
-					t.Fatalf("%s on %s: feasible %v by kind, want %v", request.Job.Spec.ID, node.Machine.Name, got, want)
+					t.Fatalf("%s on %s: feasible %v by machine kind, want %v",
+						request.Job.Spec.ID, node.Machine.Name, got, want)
 				}
 			}
 		}
 	})
 }
 
-// The lowest price by machine kind is the lowest price of all nodes.
+// The price limit that is computed from one node of each machine kind equals the limit computed from all nodes.
 func TestExpensivePriceByKindMatchesPriceByNode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := drawCluster(t).snapshot()
@@ -89,13 +90,14 @@
 				}
 			}
 			if got, want := snapshot.expensivePrice(request.Job.Spec, nil, 2), 2*lowest; got != want {
-				t.Fatalf("%s: price %v by kind, want %v", request.Job.Spec.ID, got, want)
+				t.Fatalf("%s: price limit %v by machine kind, want %v", request.Job.Spec.ID, got, want)
 			}
 		}
 	})
 }
 
-// A search through the nodes with the image finds the replica to move that a look at all nodes for each replica finds.
+// Consolidate, which searches only the nodes that hold the image, chooses the same replica as a scan of all nodes for
+// each replica.
 func TestConsolidateMatchesFullScan(t *testing.T) {
 	settings := Settings{ExpensiveFactor: 2, MinRuntime: 30 * time.Second}
 	now, moves := time.Unix(1000, 0), 0
@@ -120,7 +122,7 @@
 			}
 			got := Consolidate(&settings, now, snapshot, job)
 			if want := consolidateByFullScan(&settings, now, snapshot, job); got != want {
-				t.Fatalf("%s: moves %v, want %v", job.Spec.ID, got, want)
+				t.Fatalf("%s: moved %v, want %v", job.Spec.ID, got, want)
 			}
 			if got != nil {
 				moves++
@@ -128,11 +130,12 @@
 		}
 	})
 	if moves == 0 {
-		t.Errorf("%d moves in all clusters, want more", moves)
+		t.Errorf("moved %d replicas in all clusters, want at least one", moves)
 	}
 }
 
-// consolidateByFullScan is Consolidate, for jobs without rules, with a look at all nodes for each replica.
+// consolidateByFullScan is the reference implementation of Consolidate. It supports only jobs without rules and scans
+// all nodes for each replica.
 func consolidateByFullScan(settings *Settings, now time.Time, snapshot *Snapshot, job *model.Job) *model.Attempt {
 	spec := job.Spec
 	if spec.Shape != model.Service || len(job.ActiveAttempts) < spec.Tasks || spec.SingleZone && spec.Tasks > 1 {
@@ -171,11 +174,11 @@
 	}
 	for _, a := range alone {
 		for _, node := range snapshot.Nodes {
-			byUse := cmp.Or(
+			byUtilization := cmp.Or(
 				cmp.Compare(utilization(node.Machine, node.Machine.Used), utilization(a.Machine, a.Machine.Used)),
 				cmp.Compare(a.Machine.Name, node.Machine.Name),
 			)
-			if byUse > 0 && pricePerCPU(node.Machine) <= pricePerCPU(a.Machine) && canMove(a, node) {
+			if byUtilization > 0 && pricePerCPU(node.Machine) <= pricePerCPU(a.Machine) && canMove(a, node) {
 				return a
 			}
 		}
@@ -183,8 +186,8 @@
 	return nil
 }
 
-// nodePairs draws two equal lists of nodes that share their machines.
-func nodePairs(r *rand.Rand, n int) (one, other []*Node) {
+// nodePairs draws two equal lists of n nodes. Nodes at the same index share a machine.
+func nodePairs(r *rand.Rand, n int) (first, second []*Node) {
 	types := []*model.MachineType{
 		{Name: "a", Capacity: model.Resources{CPU: 4, MemGB: 16}, PricePerHour: 0.17, SpotPricePerHour: 0.05},
 		{
@@ -205,14 +208,14 @@
 		}
 		free := machine.Type.Capacity
 		free.CPU -= float64(r.IntN(int(free.CPU)))
-		one = append(one, &Node{Machine: machine, Free: free})
-		other = append(other, &Node{Machine: machine, Free: free})
+		first = append(first, &Node{Machine: machine, Free: free})
+		second = append(second, &Node{Machine: machine, Free: free})
 	}
-	return one, other
+	return first, second
 }
 
-// Placement by the heap gives what a scan of all nodes for each task gives, also where it leaves out what did not fit
-// before.
+// pickNodes, which uses a heap and the no-fit cache, places tasks on the same nodes as a scan of all nodes for each
+// task.
 func TestHeapPlacementMatchesFullScan(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 	settings := &Settings{IdlePowerFraction: 0.7}
@@ -246,7 +249,7 @@
 			}
 			want := byScan.pickNodesByScan(settings, request, n, nodes)
 			if len(got) != len(want) {
-				t.Fatalf("round %d, request %d: placed %d, want %d", round, i, len(got), len(want))
+				t.Fatalf("round %d, request %d: placed %d tasks, want %d", round, i, len(got), len(want))
 			}
 			for k := range got {
 				if got[k].Node.Machine != want[k].Node.Machine || got[k].ImageCached != want[k].ImageCached ||
--- a/internal/scheduler/explain.go
+++ b/internal/scheduler/explain.go
@@ -1,23 +1,23 @@
 package scheduler
 
-// WaitReason says why a request waits.
+// WaitReason is the reason why tasks of a request were not placed in a pass.
 type WaitReason uint8
 
 // The reasons for which requests wait.
 const (
-	WaitCapacity  WaitReason = iota // no feasible machine has capacity
-	WaitQuota                       // the team's quota is used up
-	WaitGuarantee                   // production and work within other teams' guarantees were served first
-	WaitFairShare                   // teams further below their fair share were served first
+	WaitCapacity  WaitReason = iota // no feasible node has enough free resources
+	WaitQuota                       // the team's quota does not allow more tasks
+	WaitGuarantee                   // production, or work within another team's guarantee, was served first
+	WaitFairShare                   // teams in a lower fair-share band were served first
 )
 
-// servedSummary is what a pass has served so far, as far as it explains why later requests wait.
+// servedSummary summarizes the requests that a pass has served so far, as far as waitReason needs it.
 type servedSummary struct {
-	teams      [2]string // up to two different teams whose production or guaranteed work was served
-	lowestBand int       // 1 + the lowest fair-share band served beyond guarantees; 0: none was
+	teams      [2]string // up to two different teams whose production or guaranteed requests were served
+	lowestBand int       // 1 + the lowest fair-share band of the best-effort requests served; 0 if there are none
 }
 
-// record notes that a part of a request was served.
+// record adds a served request to the summary.
 func (s *servedSummary) record(request *Request) {
 	switch team := request.Job.Spec.Team; {
 	case request.qosClass() == qosBestEffort:
@@ -31,12 +31,12 @@
 	}
 }
 
-// servedOther reports whether production or guaranteed work of another team was served.
+// servedOther reports whether production or guaranteed requests of a team other than the given one were served.
 func (s *servedSummary) servedOther(team string) bool {
 	return s.teams[0] != "" && s.teams[0] != team || s.teams[1] != "" && s.teams[1] != team
 }
 
-// waitReason says why a request waits that no node has capacity for.
+// waitReason returns the reason why a request waits for which no node has capacity.
 func (s *servedSummary) waitReason(request *Request) WaitReason {
 	switch {
 	case request.qosClass() != qosBestEffort:
--- a/internal/scheduler/feasible.go
+++ b/internal/scheduler/feasible.go
@@ -2,29 +2,29 @@
 
 import "github.com/glentiller/glentiller/internal/model"
 
-// Infeasibility says why a node does not take a task. The functions that decide are the ones that explain: an
-// explanation counts what they return.
+// Infeasibility is the reason why a node does not take a task, or Feasible if it does. Explanations for users count
+// the values that the checks of the scheduler return, so that they always agree with its decisions.
 type Infeasibility uint8
 
-// The reasons why a node does not take a task, in the order in which they are checked.
+// The values of Infeasibility, in the order in which they are checked.
 const (
 	Feasible              Infeasibility = iota
-	OtherZone                           // not in the zone that the job's other tasks are in
-	WrongZone                           // not in the job's zone
-	SpotNotAllowed                      // a spot machine, which the job may not use
-	TypeNotAllowed                      // not one of the job's machine types
-	TooSmall                            // no task fits, even when the machine is empty
-	RulesNotMet                         // a required clause does not hold on its machine class
-	AffinityNotMet                      // not in a zone of a job that it has to be near
-	AntiAffinityViolated                // in a zone or on a machine of a job that it has to be apart from
-	ReservedForGPU                      // reserved for GPU work
-	FailedBefore                        // a task of the job has failed there
-	InsufficientResources               // not enough is free
-	ZoneFull                            // its zone has as many of the job's tasks as it may have
-	MachineFull                         // it has as many of the job's tasks as it may have
+	OtherZone                           // not in the zone of the job's other tasks
+	WrongZone                           // not in the zone that the job requires
+	SpotNotAllowed                      // a spot instance, which the job does not allow
+	TypeNotAllowed                      // not one of the machine types that the job allows
+	TooSmall                            // the capacity of the empty machine is too small for a task
+	RulesNotMet                         // a required clause of the job's rules does not hold on its machine class
+	AffinityNotMet                      // not in a zone of a job that this job must be near
+	AntiAffinityViolated                // in a zone or on a machine of a job that this job must be apart from
+	ReservedForGPU                      // reserved for tasks that need GPUs
+	FailedBefore                        // a task of the job has failed on it
+	InsufficientResources               // not enough free resources
+	ZoneFull                            // its zone has the maximum number of the job's tasks
+	MachineFull                         // it has the maximum number of the job's tasks
 )
 
-// infeasibilityTexts are the reasons as users read them.
+// infeasibilityTexts contains the texts that explanations show to users.
 var infeasibilityTexts = [...]string{
 	Feasible:              "fits",
 	OtherZone:             "another zone than the job's other tasks",
@@ -44,7 +44,8 @@
 
 func (i Infeasibility) String() string { return infeasibilityTexts[i] }
 
-// checkMachine checks whether a job may use a machine at all, in a zone ("": any).
+// checkMachine checks whether a job may use the node's machine at all. A zone other than "" restricts the job to that
+// zone. Nil rules restrict nothing.
 func (n *Node) checkMachine(spec *model.Spec, rules *Rules, zone string) Infeasibility {
 	machine := n.Machine
 	switch {
@@ -68,7 +69,8 @@
 	return rules.checkZone(machine.Zone)
 }
 
-// checkStatic checks what does not change while a request is served, in a zone ("": any).
+// checkStatic runs all checks whose result does not change while a request is served. A zone other than "" restricts
+// the job to that zone.
 func (n *Node) checkStatic(job *model.Job, rules *Rules, zone string) Infeasibility {
 	if reason := n.checkMachine(job.Spec, rules, zone); reason != Feasible {
 		return reason
@@ -82,7 +84,8 @@
 	return Feasible
 }
 
-// checkCapacity checks whether there is capacity for one more task of a request.
+// checkCapacity checks whether the node can take one more task of a request, given the tasks that the pass has placed
+// so far.
 func (n *Node) checkCapacity(request *Request) Infeasibility {
 	switch {
 	case !request.Job.Spec.Demand.Fits(n.Free):
@@ -95,7 +98,8 @@
 	return Feasible
 }
 
-// Feasibility returns why a node, as the pass sees it, does not take one more task of a request, in a zone ("": any).
+// Feasibility returns the reason why a node, in the state that the pass has left it in, does not take one more task
+// of a request, or Feasible if it does. A zone other than "" restricts the request to that zone.
 func (n *Node) Feasibility(request *Request, zone string) Infeasibility {
 	if reason := n.checkStatic(request.Job, request.Rules, zone); reason != Feasible {
 		return reason
@@ -103,42 +107,43 @@
 	return n.checkCapacity(request)
 }
 
-// reservedAgainst reports whether a node is reserved for GPU work, which a job is not. It keeps a few small tasks from
-// holding the most expensive machines for hours, and excludes no work that no other machine takes.
+// reservedAgainst reports whether a node is reserved for tasks that need GPUs and the job's tasks need none. The
+// reservation keeps a few small tasks from holding the most expensive machines for hours. It does not exclude jobs
+// that fit no other machine.
 func (n *Node) reservedAgainst(job *model.Job) bool {
 	return n.ReservedForGPU && job.Spec.Demand.GPU == 0 && !job.MayUseGPUMachines
 }
 
-// hasImage reports whether a machine is known to hold the job's image.
+// hasImage reports whether the node's machine is known to hold the image of a job.
 func (n *Node) hasImage(spec *model.Spec) bool {
 	_, ok := n.Machine.CachedImages[spec.Image]
 	return ok
 }
 
-// nodeFilter narrows down the nodes that a request is placed on. The zero value accepts all nodes.
+// nodeFilter restricts the nodes that tasks of a request are placed on. The zero value accepts all nodes.
 type nodeFilter struct {
-	requireImage bool    // only nodes that hold the image
-	maxPrice     float64 // of a CPU for an hour; 0: any
-	minFetchRate float64 // GB a second at which the machine fetches images; 0: any
+	requireImage bool    // accept only nodes that hold the image
+	maxPrice     float64 // maximum price of a CPU for an hour; 0 means no limit
+	minFetchRate float64 // minimum rate, in GB/s, at which the machine fetches images; 0 means no limit
 }
 
-// accepts reports whether the filter lets a node through.
+// accepts reports whether the filter accepts a node.
 func (f nodeFilter) accepts(node *Node, spec *model.Spec) bool {
-	return (!f.requireImage || node.hasImage(spec)) && f.acceptsKind(node)
+	return (!f.requireImage || node.hasImage(spec)) && f.acceptsMachineKind(node)
 }
 
-// acceptsKind judges what machines of one kind have in common.
-func (f nodeFilter) acceptsKind(node *Node) bool {
+// acceptsMachineKind checks only what is equal for all machines of one machine kind: the price and the fetch rate.
+func (f nodeFilter) acceptsMachineKind(node *Node) bool {
 	affordable := f.maxPrice == 0 || pricePerCPU(node.Machine) <= f.maxPrice
 	return affordable && node.Machine.Type.FetchGBPerS >= f.minFetchRate
 }
 
-// fetchSafetyFactor is how many times slower than its type says a machine may fetch.
+// fetchSafetyFactor is the factor by which a machine may fetch images more slowly than its machine type states.
 const fetchSafetyFactor = 4.0 / 3
 
-// minFetchRate is the rate, in GB a second, at which a machine without the image has to fetch it for the request to
-// start by its deadline; 0: there is no deadline, or no time is left. Without it, replicas would go to the most
-// efficient machine even where that fetches too slowly to ever be in time.
+// minFetchRate returns the rate, in GB/s, at which a machine without the image has to fetch it for the request to
+// start by its deadline. It returns 0 if the request has no deadline or no slack left. Without this limit, replicas
+// would go to the most efficient machine even if that fetches too slowly to ever start them in time.
 func (r *Request) minFetchRate() float64 {
 	if !r.HasDeadline || r.Slack <= 0 {
 		return 0
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -33,17 +33,17 @@
 	SpotPricePerHour: 20,
 }
 
-// longAfterStart is long after every running attempt was started.
+// longAfterStart is a time at which every attempt of the tests has run for longer than MinRuntime.
 var longAfterStart = time.Unix(1000, 0)
 
-// newNode returns a node on which some CPUs, and as many GB, are used.
+// newNode returns a node on which usedCPUs CPUs and the same number of GB of memory are used.
 func newNode(name, zone string, machineType *model.MachineType, usedCPUs float64) *Node {
 	machine := &model.Machine{Name: name, Zone: zone, Type: machineType, CachedImages: map[string]time.Time{}}
 	used := model.Resources{CPU: usedCPUs, MemGB: usedCPUs}
 	return &Node{Machine: machine, Free: machineType.Capacity.Sub(used)}
 }
 
-// newNodes returns nodes of cpuType in zone a on which nothing runs.
+// newNodes returns empty nodes of cpuType in zone a.
 func newNodes(names ...string) []*Node {
 	var nodes []*Node
 	for _, name := range names {
@@ -52,7 +52,7 @@
 	return nodes
 }
 
-// newRequest returns a request of team red for tasks of four CPUs; change may be nil.
+// newRequest returns a request of team red for tasks of four CPUs. A nil change leaves the specification as it is.
 func newRequest(id string, tasks int, change func(*model.Spec)) *Request {
 	spec := &model.Spec{
 		ID:        id,
@@ -71,19 +71,20 @@
 	return &Request{Job: job, Count: tasks, MaxTasks: tasks, TasksByZone: map[string]int{}}
 }
 
-// newDeadlineRequest returns a request for one task that has some slack left.
+// newDeadlineRequest returns a request for one task that has a deadline and the given slack.
 func newDeadlineRequest(id string, slack time.Duration) *Request {
 	request := newRequest(id, 1, nil)
 	request.HasDeadline, request.Slack = true, slack
 	return request
 }
 
-// productionService turns a job into a service of the highest priority.
+// productionService changes a specification into that of a service with production priority.
 func productionService(spec *model.Spec) {
 	spec.Shape, spec.Priority = model.Service, model.PriorityProduction
 }
 
-// addRunning adds an attempt of four CPUs to a node's candidates; change may be nil.
+// addRunning adds an attempt of four CPUs beyond its team's guarantee to a node's candidates, without changing the
+// node's free resources. A nil change leaves the candidate as it is.
 func addRunning(
 	node *Node, team string, priority model.Priority, change func(*PreemptionCandidate),
 ) *model.Attempt {
@@ -96,7 +97,8 @@
 	return attempt
 }
 
-// newSnapshot returns a snapshot with the teams red and blue, each with a quota of 100 CPUs and 8 GPUs.
+// newSnapshot returns a snapshot with the teams red and blue. Each has a guarantee of 8 CPUs and a quota of 100 CPUs
+// and 8 GPUs.
 func newSnapshot(nodes []*Node, requests ...*Request) *Snapshot {
 	snapshot := &Snapshot{
 		Nodes:     nodes,
@@ -116,13 +118,13 @@
 	return snapshot
 }
 
-// makePlan makes a plan by testSettings for a new snapshot.
-func makePlan(nodes []*Node, requests ...*Request) *Plan {
+// makeTestPlan makes a plan for a new snapshot of the nodes and requests, with testSettings.
+func makeTestPlan(nodes []*Node, requests ...*Request) *Plan {
 	return MakePlan(testSettings, newSnapshot(nodes, requests...))
 }
 
-// placements lists a plan's placements as "job@node ".
-func placements(plan *Plan) string {
+// formatPlacements formats the placements of a plan as "job@node ", in their order.
+func formatPlacements(plan *Plan) string {
 	list := ""
 	for _, placement := range plan.Placements {
 		list += fmt.Sprintf("%s@%s ", placement.Request.Job.Spec.ID, placement.Node.Machine.Name)
@@ -130,8 +132,8 @@
 	return list
 }
 
-// requestIDs lists the jobs of requests.
-func requestIDs(requests []*Request) string {
+// formatRequestIDs lists the job IDs of requests, each followed by a space.
+func formatRequestIDs(requests []*Request) string {
 	list := ""
 	for _, request := range requests {
 		list += request.Job.Spec.ID + " "
--- a/internal/scheduler/index.go
+++ b/internal/scheduler/index.go
@@ -2,17 +2,17 @@
 
 import "github.com/glentiller/glentiller/internal/model"
 
-// A pass collects what is below once from all its nodes, when it is first needed.
+// The indexes in this file are built once for a pass, when they are first needed.
 
-// machineKind is what decides which jobs without rules may use a machine, and what it costs them.
+// machineKind identifies machines that are equal in price and in feasibility for every job that has no rules.
 type machineKind struct {
 	machineType          *model.MachineType
 	zone                 string
 	spot, reservedForGPU bool
 }
 
-// machineKinds lists one node of each machine kind, and sets Node.kindIndex of all nodes. It saves a look at all nodes
-// for each service and each replica.
+// machineKinds returns one node of each machine kind and sets Node.kindIndex of all nodes. It saves a scan of all
+// nodes for each service and each replica.
 func (s *Snapshot) machineKinds() []*Node {
 	if s.kindNodes != nil {
 		return s.kindNodes
@@ -32,12 +32,12 @@
 	return s.kindNodes
 }
 
-// expensivePrice is the price of a CPU above which a machine is too expensive for a job: a factor over that of the
-// cheapest machine that the job may use.
+// expensivePrice returns the hourly price of a CPU above which a machine is too expensive for a job: factor times the
+// price on the cheapest machine that the job may use. It returns 0 if the job may use none of the machines.
 func (s *Snapshot) expensivePrice(spec *model.Spec, rules *Rules, factor float64) float64 {
 	nodes := s.Nodes
 	if rules == nil {
-		nodes = s.machineKinds() // without rules machines of one kind do not differ
+		nodes = s.machineKinds() // without rules all machines of one kind are equal
 	}
 	lowest := 0.0
 	for _, node := range nodes {
@@ -49,8 +49,9 @@
 	return lowest * factor
 }
 
-// feasibilityFilter returns a function that checks what does not change while a request is served, in a zone ("": any).
-// Where the job has no rules it decides by machine kind, which excludes most of thousands of nodes at once.
+// feasibilityFilter returns a function that runs all checks of a node whose result does not change while a request is
+// served. A zone other than "" restricts the request to that zone. For a job without rules the function decides by
+// machine kind, which excludes most of several thousand nodes with one look-up each.
 func (s *Snapshot) feasibilityFilter(request *Request, zone string, filter nodeFilter) func(node *Node) bool {
 	spec := request.Job.Spec
 	if request.Rules != nil {
@@ -62,7 +63,7 @@
 	feasible := make([]bool, len(kinds))
 	for i, node := range kinds {
 		feasible[i] = node.checkMachine(spec, nil, zone) == Feasible &&
-			!node.reservedAgainst(request.Job) && filter.acceptsKind(node)
+			!node.reservedAgainst(request.Job) && filter.acceptsMachineKind(node)
 	}
 	errors := request.Job.ErrorsByMachine
 	return func(node *Node) bool {
@@ -71,7 +72,7 @@
 	}
 }
 
-// nodesWithImage lists the nodes that are known to hold an image, in the order of Nodes.
+// nodesWithImage returns the nodes that are known to hold an image, in the order of Nodes.
 func (s *Snapshot) nodesWithImage(image string) []*Node {
 	if s.nodesByImage == nil {
 		s.nodesByImage = map[string][]*Node{}
--- a/internal/scheduler/nofit.go
+++ b/internal/scheduler/nofit.go
@@ -6,42 +6,43 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// maxNoFitEntries bounds the entries of one key.
+// maxNoFitEntries bounds the number of entries for one key of a noFitCache.
 const maxNoFitEntries = 32
 
-// noFitCache remembers which tasks a pass found no capacity for, so that it does not look at every node again for
-// each of hundreds of pending jobs. Within a pass free resources only shrink, except by preemptions; so tasks that
-// demand as much or more, and may use the same nodes or fewer, do not fit either.
+// noFitCache records for which tasks a pass has found no capacity, so that the pass does not scan all nodes for each
+// of hundreds of pending jobs. Within a pass free resources only shrink, except through preemptions. Tasks that
+// demand at least as much, and may use the same nodes or fewer, therefore do not fit either.
 type noFitCache map[noFitKey][]noFitEntry
 
-// noFitKey is what decides, besides their demand, which nodes tasks may use.
+// noFitKey holds everything except the demand that decides which nodes tasks may use.
 type noFitKey struct {
 	zone, lockedZone, types string
 	spot, gpu, requireImage bool
 	gpuNodesAllowed         bool
-	image                   string // where requireImage is set
+	image                   string // set only if requireImage is true
 	maxPrice, minFetchRate  float64
 
-	preemption preemptionKey // zero where nothing may be preempted
+	preemption preemptionKey // zero in searches that preempt nothing
 }
 
-// preemptionKey is what decides which attempts may be preempted for tasks.
+// preemptionKey holds everything that decides which attempts may be preempted for tasks.
 type preemptionKey struct {
-	team                  string         // "": the candidates are the same for all teams
-	priority, ownPriority model.Priority // with what was inherited from dependent jobs, and without
+	team                  string         // "" if the candidates are the same for all teams
+	priority, ownPriority model.Priority // with and without the priority inherited from dependent jobs
 	guaranteed            bool
-	promoted              bool // served ahead of its place in the order
-	preemptions           int  // planned so far: what they release is capacity
+	promoted              bool // the request waits in queuePromoted
+	preemptions           int  // number planned so far in the pass; the resources that they release add to the capacity
 }
 
-// noFitEntry says that of tasks with a demand no more than maxTasks fit.
+// noFitEntry records that at most maxTasks tasks with a demand fit.
 type noFitEntry struct {
 	demand   model.Resources
 	maxTasks int
 }
 
-// noFitKeyOf is the key of a request's tasks in a zone ("": any), on the nodes that a filter accepts.
-func noFitKeyOf(request *Request, lockedZone string, filter nodeFilter) noFitKey {
+// newNoFitKey returns the key of tasks of a request on the nodes that a filter accepts. A lockedZone other than ""
+// restricts them to that zone.
+func newNoFitKey(request *Request, lockedZone string, filter nodeFilter) noFitKey {
 	spec := request.Job.Spec
 	key := noFitKey{
 		zone:            spec.Zone,
@@ -60,8 +61,8 @@
 	return key
 }
 
-// preemptionKeyOf is the part of a request's key that decides which attempts may be preempted for it.
-func preemptionKeyOf(request *Request, preemptions int) preemptionKey {
+// newPreemptionKey returns the part of a request's key that decides which attempts may be preempted for it.
+func newPreemptionKey(request *Request, preemptions int) preemptionKey {
 	spec := request.Job.Spec
 	key := preemptionKey{
 		priority:    request.Job.EffectivePriority,
@@ -76,18 +77,18 @@
 	return key
 }
 
-// maxFitting returns how many tasks with a demand fit at the most, as far as is known; -1: nothing is known.
+// maxFitting returns an upper bound on the number of tasks with a demand that fit, or -1 if the cache has no bound.
 func (c noFitCache) maxFitting(key noFitKey, demand model.Resources) int {
-	most := -1
+	limit := -1
 	for _, entry := range c[key] {
-		if entry.demand.Fits(demand) && (most < 0 || entry.maxTasks < most) {
-			most = entry.maxTasks
+		if entry.demand.Fits(demand) && (limit < 0 || entry.maxTasks < limit) {
+			limit = entry.maxTasks
 		}
 	}
-	return most
+	return limit
 }
 
-// add notes that of tasks with a demand no more than maxTasks fit.
+// add records that at most maxTasks tasks with a demand fit. It does nothing if the key has maxNoFitEntries entries.
 func (c *noFitCache) add(key noFitKey, demand model.Resources, maxTasks int) {
 	if *c == nil {
 		*c = noFitCache{}
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -71,7 +71,7 @@
 	}
 	return position{
 		qosClass:      class,
-		fairShareBand: bandBeyondGuarantee(class, r.FairShareBand),
+		fairShareBand: effectiveBand(class, r.FairShareBand),
 		queue:         r.queue(settings),
 		restart:       r.Restart,
 		slack:         r.Slack,
@@ -95,12 +95,12 @@
 	case c.Slack < 0:
 		pos.queue = queueMissed
 	}
-	pos.fairShareBand = bandBeyondGuarantee(pos.qosClass, c.FairShareBand)
+	pos.fairShareBand = effectiveBand(pos.qosClass, c.FairShareBand)
 	return pos
 }
 
 // bandBeyondGuarantee is a fair-share band where it counts: only in work beyond guarantees.
-func bandBeyondGuarantee(class, band int) int {
+func effectiveBand(class, band int) int {
 	if class < qosBestEffort {
 		return 0
 	}
@@ -173,7 +173,7 @@
 	promoted, others := slices.Clone(requests[:n]), slices.Clone(requests[n:])
 	ordered := requests[:0]
 	for _, r := range others {
-		for len(promoted) > 0 && mayPass(promoted[0], r) {
+		for len(promoted) > 0 && mayOvertake(promoted[0], r) {
 			ordered = append(ordered, promoted[0])
 			promoted = promoted[1:]
 		}
@@ -183,6 +183,6 @@
 }
 
 // mayPass reports whether a promoted request is served before another one.
-func mayPass(promoted, other *Request) bool {
+func mayOvertake(promoted, other *Request) bool {
 	return other.position.queue != queueDeadline || other.position.priority <= promoted.position.priority
 }
--- a/internal/scheduler/order_test.go
+++ b/internal/scheduler/order_test.go
@@ -21,7 +21,7 @@
 	requests := []*Request{late, young, loose, old, tight, restarted, guaranteed, promoted, production}
 	OrderRequests(testSettings, requests)
 	want := "production guaranteed promoted restarted tight loose old young late "
-	if got := requestIDs(requests); got != want {
+	if got := formatRequestIDs(requests); got != want {
 		t.Errorf("order is %s, want %s", got, want)
 	}
 }
@@ -32,27 +32,27 @@
 	request := func(id string, priority model.Priority) *Request {
 		return newRequest(id, 1, func(s *model.Spec) { s.Priority = priority })
 	}
-	waited := func(id string, priority model.Priority) *Request {
+	promoted := func(id string, priority model.Priority) *Request {
 		r := request(id, priority)
 		r.Waited = 2 * time.Minute
 		return r
 	}
-	due := func(id string, priority model.Priority, slack time.Duration) *Request {
+	withDeadline := func(id string, priority model.Priority, slack time.Duration) *Request {
 		r := request(id, priority)
 		r.HasDeadline, r.Slack = true, slack
 		return r
 	}
 	requests := []*Request{
-		waited("low-promoted", model.PriorityLow),
-		waited("normal-promoted", model.PriorityNormal),
-		due("normal-tight", model.PriorityNormal, time.Second),
-		due("high-tight", model.PriorityHigh, 0),
-		due("low-loose", model.PriorityLow, time.Hour),
-		due("normal-loose", model.PriorityNormal, 2*time.Hour),
+		promoted("low-promoted", model.PriorityLow),
+		promoted("normal-promoted", model.PriorityNormal),
+		withDeadline("normal-tight", model.PriorityNormal, time.Second),
+		withDeadline("high-tight", model.PriorityHigh, 0),
+		withDeadline("low-loose", model.PriorityLow, time.Hour),
+		withDeadline("normal-loose", model.PriorityNormal, 2*time.Hour),
 	}
 	OrderRequests(testSettings, requests)
 	want := "high-tight normal-promoted normal-tight low-promoted low-loose normal-loose "
-	if got := requestIDs(requests); got != want {
+	if got := formatRequestIDs(requests); got != want {
 		t.Errorf("order is %s, want %s", got, want)
 	}
 }
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -76,7 +76,7 @@
 // are missing. Capacity that is freed on any node is not subtracted: those tasks are still short of it.
 func (p *pass) placeAndPreempt(request *Request, tasks int) (missing int) {
 	missing = tasks
-	for _, filter := range p.preferredNodes(request) {
+	for _, filter := range p.preferredNodeFilters(request) {
 		missing -= p.place(request, missing, filter)
 		missing -= p.preemptAndReserve(request, missing, filter)
 	}
@@ -96,7 +96,7 @@
 // preferredNodes lists the nodes on which production is placed first, the best ones first. Its users wait for it: a
 // node that holds the image, even one where something has to be preempted, is worth more to them than the most
 // efficient one without it.
-func (p *pass) preferredNodes(request *Request) []nodeFilter {
+func (p *pass) preferredNodeFilters(request *Request) []nodeFilter {
 	if request.qosClass() != qosProduction || !p.settings.ImageFirst {
 		return nil
 	}
--- a/internal/scheduler/place_test.go
+++ b/internal/scheduler/place_test.go
@@ -31,7 +31,7 @@
 		newNode("nearly-full", "a", cpuType, 6),
 	}
 	want := "x@half x@empty "
-	if got := placements(makePlan(nodes, newRequest("x", 2, nil))); got != want {
+	if got := formatPlacements(makeTestPlan(nodes, newRequest("x", 2, nil))); got != want {
 		t.Errorf("placed %q, want %q", got, want)
 	}
 }
@@ -47,26 +47,26 @@
 			newNode("b1", "b", cpuType, 4),
 		}
 	}
-	if got := placements(makePlan(nodes(), gang(4, false))); got != "" {
+	if got := formatPlacements(makeTestPlan(nodes(), gang(4, false))); got != "" {
 		t.Errorf("four tasks with room for three: placed %q, want none", got)
 	}
-	if got := len(makePlan(nodes(), gang(3, false)).Placements); got != 3 {
+	if got := len(makeTestPlan(nodes(), gang(3, false)).Placements); got != 3 {
 		t.Errorf("three tasks with room for three: placed %d, want 3", got)
 	}
-	if got := placements(makePlan(nodes(), gang(3, true))); got != "" {
+	if got := formatPlacements(makeTestPlan(nodes(), gang(3, true))); got != "" {
 		t.Errorf("three tasks in a single zone with room for two: placed %q, want none", got)
 	}
 	want := "g@a1 g@a2 "
-	if got := placements(makePlan(nodes(), gang(2, true))); got != want {
+	if got := formatPlacements(makeTestPlan(nodes(), gang(2, true))); got != want {
 		t.Errorf("two tasks in a single zone: placed %q, want %q", got, want)
 	}
 }
 
 func TestSpreadServicePlacesAtMostHalfPerZone(t *testing.T) {
 	service := newRequest("s", 5, func(s *model.Spec) { s.Shape, s.Spread = model.Service, true })
-	plan := makePlan(newNodes("a1", "a2", "a3"), service)
+	plan := makeTestPlan(newNodes("a1", "a2", "a3"), service)
 	if len(plan.Placements) != 3 || len(plan.Shortages) != 1 || plan.Shortages[0].Count != 2 {
-		t.Errorf("placed %q with shortages %v, want 3 placed and 2 short", placements(plan), plan.Shortages)
+		t.Errorf("placed %q with shortages %v, want 3 placed and 2 short", formatPlacements(plan), plan.Shortages)
 	}
 }
 
@@ -74,16 +74,16 @@
 	node := newNode("gpu", "a", gpuType, 0)
 	node.ReservedForGPU = true
 	nodes := []*Node{node}
-	if got := placements(makePlan(nodes, newRequest("x", 1, nil))); got != "" {
+	if got := formatPlacements(makeTestPlan(nodes, newRequest("x", 1, nil))); got != "" {
 		t.Errorf("task without GPU: placed %q, want none", got)
 	}
 	gpuTask := newRequest("g", 1, func(s *model.Spec) { s.Demand.GPU = 2 })
-	if got := placements(makePlan(nodes, gpuTask)); got != "g@gpu " {
+	if got := formatPlacements(makeTestPlan(nodes, gpuTask)); got != "g@gpu " {
 		t.Errorf("GPU task: placed %q, want %q", got, "g@gpu ")
 	}
 	allowed := newRequest("x", 1, nil)
 	allowed.Job.MayUseGPUMachines = true
-	if got := placements(makePlan(nodes, allowed)); got != "x@gpu " {
+	if got := formatPlacements(makeTestPlan(nodes, allowed)); got != "x@gpu " {
 		t.Errorf("task that fits no other machine: placed %q, want %q", got, "x@gpu ")
 	}
 }
@@ -113,11 +113,11 @@
 		0:                      "s@slow ",
 		500 * time.Millisecond: "s@slow ",
 	} {
-		if got := placements(MakePlan(&settings, newSnapshot(nodes(), service(slack)))); got != want {
+		if got := formatPlacements(MakePlan(&settings, newSnapshot(nodes(), service(slack)))); got != want {
 			t.Errorf("slack of %v: placed %q, want %q", slack, got, want)
 		}
 	}
-	if got := placements(makePlan(nodes(), service(2*time.Second))); got != "s@slow " {
+	if got := formatPlacements(makeTestPlan(nodes(), service(2*time.Second))); got != "s@slow " {
 		t.Errorf("without FetchByDeadline: placed %q, want %q", got, "s@slow ")
 	}
 	full := nodes()
@@ -126,7 +126,7 @@
 	plan := MakePlan(&settings, newSnapshot(full, service(2*time.Second)))
 	if len(plan.Placements) != 0 || len(plan.Preemptions) != 1 || plan.Preemptions[0].Attempt != low {
 		t.Errorf("the fast node is full: placed %q and preempted %v, want none placed and %v preempted",
-			placements(plan), plan.Preemptions, low)
+			formatPlacements(plan), plan.Preemptions, low)
 	}
 }
 
@@ -145,17 +145,17 @@
 	plan := MakePlan(&settings, snapshot)
 	if len(plan.Placements) != 5 || plan.Placements[0].Request != gang || !plan.Truncated || len(plan.Shortages) != 0 {
 		t.Fatalf("first pass: placed %q, truncated %v, shortages %v; want the gang of 5, truncated, no shortage",
-			placements(plan), plan.Truncated, plan.Shortages)
+			formatPlacements(plan), plan.Truncated, plan.Shortages)
 	}
 	snapshot.Requests = []*Request{array}
 	if plan = MakePlan(&settings, snapshot); len(plan.Placements) != 4 || !plan.Truncated {
-		t.Fatalf("second pass: placed %q, truncated %v; want 4 placed, truncated", placements(plan), plan.Truncated)
+		t.Fatalf("second pass: placed %q, truncated %v; want 4 placed, truncated", formatPlacements(plan), plan.Truncated)
 	}
 	snapshot = newSnapshot(nodes[:1], newRequest("array", 9, nil))
 	snapshot.Nodes[0].Free = cpuType.Capacity
 	plan = MakePlan(&settings, snapshot)
 	if len(plan.Placements) != 2 || plan.Truncated || plan.Shortages[0].Count != 7 {
 		t.Errorf("short of room: placed %q, truncated %v, shortages %v; want 2 placed, not truncated, 7 short",
-			placements(plan), plan.Truncated, plan.Shortages)
+			formatPlacements(plan), plan.Truncated, plan.Shortages)
 	}
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -11,13 +11,13 @@
 
 // The parts of the cost of a preemption, besides the work that is lost.
 const (
-	basePreemptionCost   = 5 * time.Second
-	costPerPriority      = 5 * time.Second
-	missedDeadlineCost   = 30 * time.Second // of an attempt that would likely miss its deadline
-	recentlyStartedCost  = 30 * time.Second
-	gangPreemptionCost   = time.Minute      // all of the gang starts again
-	imageFetchPenalty    = 30 * time.Second // of a node that has to fetch the image
-	likelyMissedDeadline = 30 * time.Second // an attempt with less slack likely misses its deadline if it is stopped
+	basePreemptionCost  = 5 * time.Second
+	costPerPriority     = 5 * time.Second
+	missedDeadlineCost  = 30 * time.Second // of an attempt that would likely miss its deadline
+	recentlyStartedCost = 30 * time.Second
+	gangPreemptionCost  = time.Minute      // all of the gang starts again
+	imageFetchPenalty   = 30 * time.Second // of a node that has to fetch the image
+	likelyMissSlack     = 30 * time.Second // an attempt with less slack likely misses its deadline if it is stopped
 )
 
 // mayPreempt reports whether an attempt may be stopped for the request: it has a lower priority, or runs beyond another
@@ -32,8 +32,8 @@
 	if !candidate.BeyondGuarantee && otherTeam {
 		priority = r.Job.Spec.Priority // a priority inherited from dependent jobs does not reach into others' guarantees
 	}
-	reclaims := r.Guaranteed && candidate.BeyondGuarantee && otherTeam
-	if candidate.Priority >= priority && !reclaims {
+	reclaimsGuarantee := r.Guaranteed && candidate.BeyondGuarantee && otherTeam
+	if candidate.Priority >= priority && !reclaimsGuarantee {
 		return false
 	}
 	return r.position.compare(candidate.position) < 0
@@ -54,7 +54,7 @@
 		cost = candidate.LostWork
 	}
 	cost += basePreemptionCost + time.Duration(candidate.Priority)*costPerPriority
-	if candidate.HasDeadline && candidate.Slack >= 0 && candidate.Slack < likelyMissedDeadline {
+	if candidate.HasDeadline && candidate.Slack >= 0 && candidate.Slack < likelyMissSlack {
 		cost += missedDeadlineCost
 	}
 	if candidate.RecentlyStarted {
@@ -118,13 +118,13 @@
 		return 0
 	}
 	search := newPreemptionSearch(p, request)
-	key := noFitKeyOf(request, search.lockedZone, filter)
-	key.preemption = preemptionKeyOf(request, len(p.plan.Preemptions))
+	key := newNoFitKey(request, search.lockedZone, filter)
+	key.preemption = newPreemptionKey(request, len(p.plan.Preemptions))
 	if p.snapshot.noFit.maxFitting(key, spec.Demand) == 0 {
 		return 0
 	}
 	search.collectOptions(filter)
-	defer search.close()
+	defer search.restoreTaskCounts()
 	for found := range missing {
 		best := search.cheapestOption()
 		if best == nil {
@@ -133,7 +133,7 @@
 			}
 			return found
 		}
-		search.take(best)
+		search.applyOption(best)
 	}
 	return missing
 }
@@ -141,20 +141,20 @@
 // nodeOption is a node on which something could be preempted for a request. Its cost is evaluated when it is first
 // needed, and again after the node changes.
 type nodeOption struct {
-	node           *Node
-	evaluated      bool  // the fields below are set
-	fitsWithout    bool  // what is being released is enough
-	feasible       bool  // stopping the chosen ones frees enough
-	chosen         []int // of Node.Candidates
-	preemptionCost time.Duration
+	node                  *Node
+	evaluated             bool  // the fields below are set
+	fitsWithoutPreemption bool  // what is being released is enough
+	feasible              bool  // stopping the chosen ones frees enough
+	chosen                []int // of Node.Candidates
+	preemptionCost        time.Duration
 }
 
 // evaluate works out what would have to be stopped on the node.
 func (o *nodeOption) evaluate(request *Request, preemptionsLeft int) {
 	node, spec := o.node, request.Job.Spec
 	free := node.Free.Add(node.Releasing).Sub(node.claimed)
-	o.evaluated, o.fitsWithout, o.feasible, o.chosen = true, spec.Demand.Fits(free), false, nil
-	if o.fitsWithout || !node.preemptible.mayPreemptFor(request) {
+	o.evaluated, o.fitsWithoutPreemption, o.feasible, o.chosen = true, spec.Demand.Fits(free), false, nil
+	if o.fitsWithoutPreemption || !node.preemptible.mayPreemptFor(request) {
 		return
 	}
 	o.chosen, o.preemptionCost, o.feasible = node.chooseCandidates(request, free, preemptionsLeft)
@@ -167,12 +167,12 @@
 
 // preemptionSearch searches nodes where capacity can be freed for the tasks of one request, one after the other.
 type preemptionSearch struct {
-	pass        *pass
-	request     *Request
-	lockedZone  string         // the only zone that tasks may go to; "": any
-	tasksByZone map[string]int // with the tasks that capacity was found for
-	options     []nodeOption
-	taken       []*Node // on which capacity was found
+	pass         *pass
+	request      *Request
+	lockedZone   string         // the only zone that tasks may go to; "": any
+	tasksByZone  map[string]int // with the tasks that capacity was found for
+	options      []nodeOption
+	claimedNodes []*Node // on which capacity was found
 }
 
 func newPreemptionSearch(p *pass, request *Request) *preemptionSearch {
@@ -219,7 +219,7 @@
 			s.pass.snapshot.loadCandidates(option.node)
 			option.evaluate(s.request, s.pass.preemptionsLeft)
 		}
-		if option.fitsWithout {
+		if option.fitsWithoutPreemption {
 			return option
 		}
 		if option.feasible && (best == nil || option.preemptionCost < best.preemptionCost) {
@@ -230,7 +230,7 @@
 }
 
 // take preempts the candidates that an option has chosen, and claims the capacity for one task.
-func (s *preemptionSearch) take(option *nodeOption) {
+func (s *preemptionSearch) applyOption(option *nodeOption) {
 	node := option.node
 	for _, i := range option.chosen {
 		candidate := node.Candidates[i]
@@ -242,7 +242,7 @@
 	node.claim(s.request.Job.Spec.Demand)
 	s.tasksByZone[node.Machine.Zone]++
 	s.request.Rules.addTasks(node.Machine, 1)
-	s.taken = append(s.taken, node)
+	s.claimedNodes = append(s.claimedNodes, node)
 	if s.request.Job.Spec.SingleZone {
 		s.lockedZone = node.Machine.Zone
 	}
@@ -250,8 +250,8 @@
 }
 
 // close removes the tasks that capacity was found for from the counts: they do not start in this pass.
-func (s *preemptionSearch) close() {
-	for _, node := range s.taken {
+func (s *preemptionSearch) restoreTaskCounts() {
+	for _, node := range s.claimedNodes {
 		s.request.Rules.addTasks(node.Machine, -1)
 	}
 }
@@ -259,13 +259,13 @@
 // claim takes a demand off the free resources as far as there are any, so that no request behind gets them, and the
 // rest off what is being released.
 func (n *Node) claim(demand model.Resources) {
-	taken := model.Resources{
+	fromFree := model.Resources{
 		CPU:   min(demand.CPU, max(n.Free.CPU, 0)),
 		GPU:   min(demand.GPU, max(n.Free.GPU, 0)),
 		MemGB: min(demand.MemGB, max(n.Free.MemGB, 0)),
 	}
-	n.Free = n.Free.Sub(taken)
-	n.claimed = n.claimed.Add(demand.Sub(taken))
+	n.Free = n.Free.Sub(fromFree)
+	n.claimed = n.claimed.Add(demand.Sub(fromFree))
 }
 
 // removeCandidates removes candidates, by their indices, from the node's list.
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -13,12 +13,12 @@
 func TestProductionIsNotPreemptedForGuarantee(t *testing.T) {
 	node := newNode("a1", "a", cpuType, 8)
 	addRunning(node, "blue", model.PriorityProduction, nil)
-	spare := addRunning(node, "blue", model.PriorityHigh, nil)
+	beyondGuarantee := addRunning(node, "blue", model.PriorityHigh, nil)
 	request := newRequest("x", 2, func(s *model.Spec) { s.Priority = model.PriorityLow })
 	request.Guaranteed = true
-	plan := makePlan([]*Node{node}, request)
-	if len(plan.Preemptions) != 1 || plan.Preemptions[0].Attempt != spare {
-		t.Errorf("preempted %v, want only %v", plan.Preemptions, spare)
+	plan := makeTestPlan([]*Node{node}, request)
+	if len(plan.Preemptions) != 1 || plan.Preemptions[0].Attempt != beyondGuarantee {
+		t.Errorf("preempted %v, want only %v", plan.Preemptions, beyondGuarantee)
 	}
 	node = newNode("a1", "a", cpuType, 8)
 	addRunning(node, "blue", model.PriorityProduction, func(c *PreemptionCandidate) {
@@ -26,7 +26,7 @@
 	})
 	service := newRequest("s", 1, productionService)
 	service.Guaranteed, service.HasDeadline, service.Slack = true, true, time.Second
-	if plan = makePlan([]*Node{node}, service); len(plan.Preemptions) != 0 {
+	if plan = makeTestPlan([]*Node{node}, service); len(plan.Preemptions) != 0 {
 		t.Errorf("preempted %v for other production, want none", plan.Preemptions)
 	}
 }
@@ -37,7 +37,7 @@
 	addRunning(node, "red", model.PriorityNormal, nil)
 	request := newRequest("x", 1, nil)
 	request.Guaranteed = true
-	if plan := makePlan([]*Node{node}, request); len(plan.Preemptions) != 0 {
+	if plan := makeTestPlan([]*Node{node}, request); len(plan.Preemptions) != 0 {
 		t.Errorf("preempted %v, want none: one is within its team's guarantee, the other of the same team",
 			plan.Preemptions)
 	}
@@ -50,11 +50,11 @@
 		c.CheckpointTime, c.LostWork = 6*time.Second, 25*time.Second
 	})
 	least := addRunning(full, "blue", model.PriorityLow, func(c *PreemptionCandidate) { c.LostWork = 20 * time.Second })
-	plan := makePlan([]*Node{free, full}, newRequest("s", 1, productionService))
+	plan := makeTestPlan([]*Node{free, full}, newRequest("s", 1, productionService))
 	if len(plan.Placements) != 0 || len(plan.Preemptions) != 1 ||
 		plan.Preemptions[0].Attempt != least || !plan.Preemptions[0].Immediate {
 		t.Errorf("placed %q and preempted %v, want none placed and what loses least preempted immediately: %v",
-			placements(plan), plan.Preemptions, least)
+			formatPlacements(plan), plan.Preemptions, least)
 	}
 }
 
@@ -74,7 +74,7 @@
 		})
 		request := newDeadlineRequest("x", 20*time.Second)
 		request.Guaranteed = true
-		if plan := makePlan([]*Node{node}, request); len(plan.Preemptions) != c.want {
+		if plan := makeTestPlan([]*Node{node}, request); len(plan.Preemptions) != c.want {
 			t.Errorf("%s: preempted %d, want %d", c.name, len(plan.Preemptions), c.want)
 		}
 	}
@@ -82,7 +82,7 @@
 
 // What runs on a node is looked at once, only where room is short, and only if the request may use the node.
 func TestCandidatesAreLoadedOnlyWhenCapacityIsShort(t *testing.T) {
-	pass := func(tasks int) (loads int, plan *Plan) {
+	runPass := func(tasks int) (loads int, plan *Plan) {
 		var nodes []*Node
 		for i := range 500 {
 			nodes = append(nodes, newNode(fmt.Sprint("m", i), "a", cpuType, 0))
@@ -109,10 +109,10 @@
 		plan = MakePlan(testSettings, snapshot)
 		return loads, plan
 	}
-	if loads, plan := pass(300); loads != 0 || len(plan.Placements) != 900 {
+	if loads, plan := runPass(300); loads != 0 || len(plan.Placements) != 900 {
 		t.Errorf("room for all: loaded %d nodes and placed %d tasks, want 0 and 900", loads, len(plan.Placements))
 	}
-	loads, plan := pass(600)
+	loads, plan := runPass(600)
 	if loads != 500 || len(plan.Placements) != 1000 {
 		t.Errorf("room for 1000 of 1800: loaded %d nodes and placed %d tasks, want 500 and 1000",
 			loads, len(plan.Placements))
@@ -143,7 +143,7 @@
 		if c.ownPriority {
 			request.Job.Spec.Priority = model.PriorityHigh
 		}
-		if plan := makePlan([]*Node{node}, request); len(plan.Preemptions) != c.want {
+		if plan := makeTestPlan([]*Node{node}, request); len(plan.Preemptions) != c.want {
 			t.Errorf("%s: preempted %d, want %d", c.name, len(plan.Preemptions), c.want)
 		}
 	}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -15,12 +15,12 @@
 	quota := p.snapshot.Teams[spec.Team].Quota
 	allowed := spec.Demand.FitCount(quota.Remaining(p.snapshot.Used[spec.Team]))
 	overQuota := allowed < tasks
-	preempts := overQuota && p.preemptsWithinTeam(request)
-	if preempts {
+	preemptsWithinTeam := overQuota && p.shouldPreemptWithinTeam(request)
+	if preemptsWithinTeam {
 		p.preemptWithinTeam(request, tasks, allowed)
 	}
 	if spec.Shape != model.Array && overQuota && request.Count == spec.Tasks {
-		if preempts || request.Starving {
+		if preemptsWithinTeam || request.Starving {
 			// It waits to start whole: the quota that is left is reserved for it.
 			p.snapshot.addUsage(spec.Team, spec.Demand.Times(allowed))
 		}
@@ -40,7 +40,7 @@
 }
 
 // preemptsWithinTeam reports whether a request over quota preempts lower-priority work of its own team.
-func (p *pass) preemptsWithinTeam(request *Request) bool {
+func (p *pass) shouldPreemptWithinTeam(request *Request) bool {
 	if request.qosClass() == qosProduction {
 		return true
 	}
@@ -73,7 +73,7 @@
 	if isShort() { // else enough is being released
 		candidates = p.teamCandidates(request)
 	}
-	preempted := map[*Node][]int{}
+	preemptedIndices := map[*Node][]int{}
 	for _, c := range candidates {
 		if !isShort() {
 			break
@@ -85,10 +85,10 @@
 		missing = missing.Sub(demand)
 		snapshot.Releasing[spec.Team] = snapshot.Releasing[spec.Team].Add(demand)
 		c.node.Releasing = c.node.Releasing.Add(demand)
-		preempted[c.node] = append(preempted[c.node], c.index)
+		preemptedIndices[c.node] = append(preemptedIndices[c.node], c.index)
 	}
 	p.reserveQuota(spec.Team, claim)
-	for node, indices := range preempted {
+	for node, indices := range preemptedIndices {
 		node.removeCandidates(indices)
 	}
 }
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -31,22 +31,22 @@
 	plan := MakePlan(testSettings, snapshot)
 	if len(plan.Placements) != 2 || snapshot.Used["red"].CPU != 99 {
 		t.Errorf("placed %q, used %v of 100 CPUs; want 2 placed and 99 used",
-			placements(plan), snapshot.Used["red"].CPU)
+			formatPlacements(plan), snapshot.Used["red"].CPU)
 	}
 }
 
 func TestTightDeadlinePreemptsLowerPriorityWorkOfTeam(t *testing.T) {
 	node := newNode("a1", "a", cpuType, 4)
-	saves := func(c *PreemptionCandidate) { c.CheckpointTime = 6 * time.Second }
-	low := addRunning(node, "red", model.PriorityLow, saves)
-	other := addRunning(node, "blue", model.PriorityLow, saves)
+	canCheckpoint := func(c *PreemptionCandidate) { c.CheckpointTime = 6 * time.Second }
+	low := addRunning(node, "red", model.PriorityLow, canCheckpoint)
+	other := addRunning(node, "blue", model.PriorityLow, canCheckpoint)
 	request := newDeadlineRequest("x", 10*time.Second)
 	snapshot := newSnapshot([]*Node{node}, request)
 	snapshot.Used["red"] = model.Resources{CPU: 100}
 	plan := MakePlan(testSettings, snapshot)
 	if len(plan.Preemptions) != 1 || plan.Preemptions[0].Attempt != low || len(plan.Placements) != 0 {
 		t.Errorf("preempted %v and placed %q, want %v preempted (of the other team: %v) and none placed",
-			plan.Preemptions, placements(plan), low, other)
+			plan.Preemptions, formatPlacements(plan), low, other)
 	}
 	snapshot = newSnapshot([]*Node{node}, request)
 	snapshot.Used["red"], snapshot.Releasing["red"] = model.Resources{CPU: 100}, model.Resources{CPU: 4}
@@ -65,12 +65,12 @@
 	snapshot := newSnapshot(newNodes("a1", "a2"), low, service)
 	snapshot.Used["red"] = model.Resources{CPU: 94} // one replica fits into the quota, not three
 	if plan := MakePlan(testSettings, snapshot); len(plan.Placements) != 0 {
-		t.Errorf("placed %q, want none", placements(plan))
+		t.Errorf("placed %q, want none", formatPlacements(plan))
 	}
 	// What is missing is being released: the replicas' quota is reserved, two CPUs are spare.
 	snapshot.Used["red"], snapshot.Releasing["red"] = model.Resources{CPU: 94}, model.Resources{CPU: 8}
-	if plan := MakePlan(testSettings, snapshot); placements(plan) != "low@a1 " {
-		t.Errorf("placed %q, want %q", placements(plan), "low@a1 ")
+	if plan := MakePlan(testSettings, snapshot); formatPlacements(plan) != "low@a1 " {
+		t.Errorf("placed %q, want %q", formatPlacements(plan), "low@a1 ")
 	}
 }
 
@@ -91,7 +91,7 @@
 	plan := MakePlan(testSettings, snapshot)
 	if len(plan.Preemptions) != 1 || len(plan.Placements) != 0 {
 		t.Errorf("preempted %d and placed %q, want 1 preempted and none placed",
-			len(plan.Preemptions), placements(plan))
+			len(plan.Preemptions), formatPlacements(plan))
 	}
 	// With room there it starts, and nothing else is preempted for it.
 	nodeB = newNode("b-1", "b", cpuType, 4)
@@ -99,8 +99,8 @@
 	snapshot = newSnapshot([]*Node{newNode("a-1", "a", cpuType, 4), nodeB}, replica, lower)
 	snapshot.Used["red"] = model.Resources{CPU: 96, MemGB: 96}
 	want := "wk-replica@b-1 "
-	if plan := MakePlan(testSettings, snapshot); len(plan.Preemptions) != 0 || placements(plan) != want {
+	if plan := MakePlan(testSettings, snapshot); len(plan.Preemptions) != 0 || formatPlacements(plan) != want {
 		t.Errorf("preempted %d and placed %q, want none preempted and %q placed",
-			len(plan.Preemptions), placements(plan), want)
+			len(plan.Preemptions), formatPlacements(plan), want)
 	}
 }
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -16,21 +16,21 @@
 
 // Efficiency is the power efficiency of a machine at a utilization from 0 to 1: work per power, where an idle machine
 // draws the fraction idlePower of a busy one's power.
-func Efficiency(utilization, idlePower float64) float64 {
+func Efficiency(utilization, idlePowerFraction float64) float64 {
 	if utilization <= 0 {
 		return 0
 	}
-	return utilization / (idlePower + (1-idlePower)*utilization)
+	return utilization / (idlePowerFraction + (1-idlePowerFraction)*utilization)
 }
 
 // utilization is the used fraction of a machine, of its CPUs or of its GPUs, whichever is larger.
 func utilization(machine *model.Machine, used model.Resources) float64 {
 	capacity := machine.Type.Capacity
-	u := used.CPU / capacity.CPU
+	fraction := used.CPU / capacity.CPU
 	if capacity.GPU > 0 {
-		u = max(u, used.GPU/capacity.GPU)
+		fraction = max(fraction, used.GPU/capacity.GPU)
 	}
-	return u
+	return fraction
 }
 
 // pricePerCPU is the price of one CPU of a machine for an hour.
@@ -54,7 +54,7 @@
 	settings *Settings, request *Request, n int, zone string, filter nodeFilter, permanent bool,
 ) []Placement {
 	spec := request.Job.Spec
-	key := noFitKeyOf(request, zone, filter)
+	key := newNoFitKey(request, zone, filter)
 	maxFitting := s.noFit.maxFitting(key, spec.Demand)
 	if maxFitting == 0 || spec.Shape == model.Gang && maxFitting > 0 && maxFitting < n {
 		return nil
--- a/internal/scheduler/rules.go
+++ b/internal/scheduler/rules.go
@@ -94,14 +94,14 @@
 
 // maxPerZone is how many tasks of a job may be in one zone.
 func maxPerZone(spec *model.Spec, rules *Rules) int {
-	most := math.MaxInt
+	limit := math.MaxInt
 	if spec.Spread {
-		most = spec.MaxTasksPerZone()
+		limit = spec.MaxTasksPerZone()
 	}
 	if rules != nil && rules.MaxPerZone > 0 {
-		most = min(most, rules.MaxPerZone)
+		limit = min(limit, rules.MaxPerZone)
 	}
-	return most
+	return limit
 }
 
 // ZoneFull reports whether a zone has as many of the request's tasks as it may have, by the given counts. Most jobs
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -19,11 +19,11 @@
 // isStarving reports whether the request's job has waited without starting for so long that its first tasks go first.
 // A single task soon finds a node; what has to start whole needs time to gather its nodes.
 func (r *Request) isStarving(settings *Settings) bool {
-	after := settings.StarvationBound / 2
+	threshold := settings.StarvationBound / 2
 	if r.Job.Spec.Shape != model.Array {
-		after = settings.StarvationBound * 3 / 8
+		threshold = settings.StarvationBound * 3 / 8
 	}
-	return settings.StarvationBound > 0 && !r.Job.Started() && r.Waited >= after
+	return settings.StarvationBound > 0 && !r.Job.Started() && r.Waited >= threshold
 }
 
 // splitStarving marks starving requests, and splits the first task of a starving array off the rest, which waits its
@@ -57,12 +57,12 @@
 			return cmp.Or(cmp.Compare(b.freeFraction(), a.freeFraction()), cmp.Compare(a.Machine.Name, b.Machine.Name))
 		})
 		nodes = nodes[:min(n, len(nodes))]
-		free := 0.0
+		freeSum := 0.0
 		for _, node := range nodes {
-			free += node.freeFraction()
+			freeSum += node.freeFraction()
 		}
-		if free > bestFree {
-			best, bestFree = nodes, free
+		if freeSum > bestFree {
+			best, bestFree = nodes, freeSum
 		}
 	}
 	for _, node := range best {
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -17,21 +17,21 @@
 		request.HasDeadline, request.Slack = true, 20*time.Second
 		return request
 	}
-	late := func(id string, waited time.Duration) *Request {
+	overdue := func(id string, waited time.Duration) *Request {
 		request := newRequest(id, 10, func(s *model.Spec) { s.Priority = model.PriorityLow })
 		request.HasDeadline, request.Slack, request.Waited = true, -time.Minute, waited
 		return request
 	}
-	started := late("started", 500*time.Second)
+	started := overdue("started", 500*time.Second)
 	started.Job.SetTask(3, model.TaskDone)
-	snapshot := newSnapshot(newNodes("m", "n"), stream(), late("long", 120*time.Second),
-		late("longer", 130*time.Second), late("new", 90*time.Second), started)
+	snapshot := newSnapshot(newNodes("m", "n"), stream(), overdue("long", 120*time.Second),
+		overdue("longer", 130*time.Second), overdue("new", 90*time.Second), started)
 	want := "longer@m long@m stream@n stream@n "
-	if got := placements(MakePlan(&settings, snapshot)); got != want {
+	if got := formatPlacements(MakePlan(&settings, snapshot)); got != want {
 		t.Errorf("placed %q, want %q", got, want)
 	}
 	want = "stream@m stream@m stream@n stream@n "
-	if got := placements(makePlan(newNodes("m", "n"), stream(), late("long", 120*time.Second))); got != want {
+	if got := formatPlacements(makeTestPlan(newNodes("m", "n"), stream(), overdue("long", 120*time.Second))); got != want {
 		t.Errorf("without StarvationBound: placed %q, want %q", got, want)
 	}
 }
@@ -52,18 +52,18 @@
 		return []*Node{newNode("m", "a", cpuType, 0), newNode("n", "a", cpuType, 8), newNode("o", "a", cpuType, 0)}
 	}
 	starving := newSnapshot(nodes(), gang("wide", 3, 120*time.Second), gang("narrow", 1, 0))
-	if got := placements(MakePlan(&settings, starving)); got != "" {
+	if got := formatPlacements(MakePlan(&settings, starving)); got != "" {
 		t.Errorf("beside a starving gang: placed %q, want none", got)
 	}
 	waiting := newSnapshot(nodes(), gang("wide", 3, 20*time.Second), gang("narrow", 1, 0))
-	if got := placements(MakePlan(&settings, waiting)); got == "" {
+	if got := formatPlacements(MakePlan(&settings, waiting)); got == "" {
 		t.Errorf("beside a gang that has not waited for long: placed %q, want the narrow gang", got)
 	}
 	large := newRequest("large", 1, func(s *model.Spec) { s.Demand.CPU = 8 })
 	large.Waited = 120 * time.Second
 	snapshot := newSnapshot(nodes(), large, newRequest("small", 1, nil))
 	snapshot.Used["red"] = model.Resources{CPU: 95} // of 100
-	if got := placements(MakePlan(&settings, snapshot)); got != "" {
+	if got := formatPlacements(MakePlan(&settings, snapshot)); got != "" {
 		t.Errorf("under a quota that a starving task waits for: placed %q, want none", got)
 	}
 }
