--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -80,7 +80,7 @@
 	for _, name := range randomTeams {
 		quota := model.NewQuota(float64(drawInt(t, 0, 3, "quota")*40), 0)
 		cluster.teams[name] = &model.Team{Name: name, Quota: quota}
-		cluster.usedByTeam[name] = model.Resources{CPU: float64(drawInt(t, 0, 60, "used"))}
+		cluster.usedByTeam[name] = model.Resources{CPU: float64(drawInt(t, 0, 60, "used cpus"))}
 	}
 	for i := range drawInt(t, 1, 30, "machines") {
 		cluster.machines = append(cluster.machines, drawMachine(t, fmt.Sprint("m", i)))
@@ -127,7 +127,7 @@
 		Priority:        model.Priority(drawInt(t, 1, 4, "priority")),
 		BeyondGuarantee: oneIn(t, 2, "beyond guarantee"),
 		LostWork:        drawSeconds(t, 0, 90, "lost work"),
-		CheckpointTime:  4 * drawSeconds(t, 0, 1, "saves"),
+		CheckpointTime:  4 * drawSeconds(t, 0, 1, "checkpoint time"),
 		RecentlyStarted: oneIn(t, 4, "recently started"),
 		HasDeadline:     oneIn(t, 2, "has deadline"),
 		Slack:           drawSeconds(t, -20, 200, "slack"),
@@ -139,7 +139,7 @@
 func drawRequest(t *rapid.T, id string) randomRequest {
 	spec := &model.Spec{
 		ID:         id,
-		Team:       rapid.SampledFrom(randomTeams).Draw(t, "owner"),
+		Team:       rapid.SampledFrom(randomTeams).Draw(t, "own team"),
 		Shape:      model.Shape(drawInt(t, 1, 3, "shape")),
 		Tasks:      drawInt(t, 1, 6, "tasks"),
 		Priority:   model.Priority(drawInt(t, 1, 4, "own priority")),
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -47,8 +47,7 @@
 	return spec.Shape == model.Service && len(job.ActiveAttempts) >= spec.Tasks && !(spec.SingleZone && spec.Tasks > 1)
 }
 
-// reachedMinRuntime reports whether an attempt is running and has run for at least MinRuntime, so that it may be
-// moved.
+// reachedMinRuntime reports whether an attempt is running and has run for at least MinRuntime, so that it may be moved.
 func (s *Settings) reachedMinRuntime(now time.Time, attempt *model.Attempt) bool {
 	return attempt.State == model.AttemptPresent && attempt.Phase == model.PhaseRunning &&
 		now.Sub(attempt.RunningAt) >= s.MinRuntime
--- a/internal/scheduler/equivalence_test.go
+++ b/internal/scheduler/equivalence_test.go
@@ -111,11 +111,11 @@
 				attempt := &model.Attempt{
 					Task:      model.TaskID{Job: job.Spec.ID, Index: i},
 					Job:       job,
-					Machine:   rapid.SampledFrom(cluster.machines).Draw(t, "on").machine,
+					Machine:   rapid.SampledFrom(cluster.machines).Draw(t, "machine").machine,
 					Demand:    job.Spec.Demand,
 					Usage:     &model.Usage{},
 					Phase:     model.PhaseRunning,
-					RunningAt: now.Add(-drawSeconds(t, 25, 300, "ran")),
+					RunningAt: now.Add(-drawSeconds(t, 25, 300, "run time")),
 				}
 				attempt.Transition(model.AttemptPresent)
 				job.ActiveAttempts[i] = attempt
--- a/internal/scheduler/explain.go
+++ b/internal/scheduler/explain.go
@@ -8,7 +8,7 @@
 	WaitCapacity  WaitReason = iota // no feasible node has enough free resources
 	WaitQuota                       // the team's quota does not allow more tasks
 	WaitGuarantee                   // production, or work within another team's guarantee, was served first
-	WaitFairShare                   // teams in a lower fair-share band were served first
+	WaitFairShare                   // teams further below their fair share, in a lower band, were served first
 )
 
 // servedSummary summarizes the requests that a pass has served so far, as far as waitReason needs it.
@@ -17,7 +17,8 @@
 	lowestBand int       // 1 + the lowest fair-share band of the best-effort requests served; 0 if there are none
 }
 
-// record adds a served request to the summary.
+// record adds a request to the summary. The pass calls it for requests that are at least partly placed, and for all
+// production and guaranteed requests that the quota admits.
 func (s *servedSummary) record(request *Request) {
 	switch team := request.Job.Spec.Team; {
 	case request.qosClass() == qosBestEffort:
--- a/internal/scheduler/index.go
+++ b/internal/scheduler/index.go
@@ -4,7 +4,8 @@
 
 // The indexes in this file are built once for a pass, when they are first needed.
 
-// machineKind identifies machines that are equal in price and in feasibility for every job that has no rules.
+// machineKind holds the properties of a machine that decide its price and whether a job without rules may use it at
+// all.
 type machineKind struct {
 	machineType          *model.MachineType
 	zone                 string
@@ -65,9 +66,9 @@
 		feasible[i] = node.checkMachine(spec, nil, zone) == Feasible &&
 			!node.reservedAgainst(request.Job) && filter.acceptsMachineKind(node)
 	}
-	errors := request.Job.ErrorsByMachine
+	errorsByMachine := request.Job.ErrorsByMachine
 	return func(node *Node) bool {
-		return feasible[node.kindIndex] && (len(errors) == 0 || errors[node.Machine.Name] == 0) &&
+		return feasible[node.kindIndex] && (len(errorsByMachine) == 0 || errorsByMachine[node.Machine.Name] == 0) &&
 			(!filter.requireImage || node.hasImage(spec))
 	}
 }
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -8,14 +8,13 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// The QoS classes, in the order in which requests are served. They take precedence over deadlines.
+// The QoS classes, in the order in which they are served. A QoS class takes precedence over deadlines.
 const (
-	qosProduction = iota // the highest priority of users
-	qosGuaranteed        // within the team's guarantee
+	qosProduction = iota // the highest priority that users can request
+	qosGuaranteed        // work within the team's guarantee
 	qosBestEffort        // everything else
 )
 
-// qosClass is the request's QoS class.
 func (r *Request) qosClass() int {
 	switch {
 	case r.Job.EffectivePriority == model.PriorityProduction:
@@ -26,18 +25,18 @@
 	return qosBestEffort
 }
 
-// The queues of one QoS class and fair-share band, in the order in which they are served. Promoted requests are moved
-// again by promoteWaiting.
+// The queues within one QoS class and fair-share band, in the order in which they are served. Afterwards
+// promoteWaiting moves the requests of queuePromoted.
 const (
-	queueStarving = iota // first tasks of a job that has waited for long
-	queuePromoted        // waited for so long that they pass ahead
-	queueDeadline        // can still meet a deadline: by rising slack
-	queueAge             // without a deadline: by age
-	queueMissed          // can no longer meet a deadline
+	queueStarving = iota // first tasks of a job that has waited for long without starting
+	queuePromoted        // requests that have waited long enough to overtake others
+	queueDeadline        // requests that can still meet their deadline: restarts first, then by increasing slack
+	queueAge             // requests without a deadline, by priority and then by waiting time
+	queueMissed          // requests that can no longer meet their deadline
 )
 
-// queue is the queue that the request waits in. What users expect of a job's class, by when it starts or finishes,
-// counts as a deadline too.
+// queue returns the queue that the request waits in. The time by which a job of its class is expected to start or
+// finish also counts as a deadline.
 func (r *Request) queue(settings *Settings) int {
 	switch {
 	case r.Starving:
@@ -54,7 +53,7 @@
 	return queueDeadline
 }
 
-// position is a place in the order in which work is served.
+// position is a place in the order in which requests are served.
 type position struct {
 	qosClass, fairShareBand int
 	queue                   int
@@ -63,11 +62,11 @@
 	priority                model.Priority
 }
 
-// computePosition is the request's place in the order.
+// computePosition returns the request's position, before promoteWaiting.
 func (r *Request) computePosition(settings *Settings) position {
 	class := r.qosClass()
 	if r.Starving {
-		class = min(class, qosGuaranteed) // in the order only: nothing is preempted for it
+		class = min(class, qosGuaranteed) // affects only the order: it allows no preemption
 	}
 	return position{
 		qosClass:      class,
@@ -80,7 +79,7 @@
 	}
 }
 
-// computePosition is the place that the attempt's task would have in the order if the attempt were stopped now.
+// computePosition returns the position that the attempt's task would have if the attempt were stopped now.
 func (c *PreemptionCandidate) computePosition() position {
 	pos := position{qosClass: qosBestEffort, queue: queueDeadline, slack: c.Slack, priority: c.Priority}
 	switch {
@@ -99,7 +98,8 @@
 	return pos
 }
 
-// bandBeyondGuarantee is a fair-share band where it counts: only in work beyond guarantees.
+// effectiveBand returns the fair-share band that applies to a QoS class. Bands apply only to best-effort work; for
+// the other classes the result is 0.
 func effectiveBand(class, band int) int {
 	if class < qosBestEffort {
 		return 0
@@ -107,7 +107,8 @@
 	return band
 }
 
-// compare is negative if p is served before other.
+// compare returns a negative number if p is served before other, a positive number if it is served after other, and 0
+// if neither comes first.
 func (p position) compare(other position) int {
 	byQueue := cmp.Or(
 		cmp.Compare(p.qosClass, other.qosClass),
@@ -126,7 +127,7 @@
 	return cmp.Or(cmp.Compare(other.priority, p.priority), cmp.Compare(other.waited, p.waited))
 }
 
-// compareTrueFirst compares two booleans that differ, by the first of them.
+// compareTrueFirst compares two booleans that differ, of which the first is given, and sorts true first.
 func compareTrueFirst(first bool) int {
 	if first {
 		return -1
@@ -134,7 +135,8 @@
 	return 1
 }
 
-// OrderRequests sorts requests into the order in which they are served.
+// OrderRequests sorts requests in place into the order in which they are served. It also sets their positions, which
+// decide what may be preempted for them.
 func OrderRequests(settings *Settings, requests []*Request) {
 	for _, r := range requests {
 		r.position = r.computePosition(settings)
@@ -151,14 +153,14 @@
 	}
 }
 
-// sameBand reports whether two positions have the QoS class and the fair-share band in common.
+// sameBand reports whether two positions have the same QoS class and fair-share band.
 func (p position) sameBand(other position) bool {
 	return p.qosClass == other.qosClass && p.fairShareBand == other.fairShareBand
 }
 
-// promoteWaiting moves the promoted requests of one QoS class and band ahead of those that can still meet a deadline,
-// but only as far as the first of their own or a lower priority: otherwise low-priority work without a deadline, once
-// it has waited, would keep work of a higher priority from ever meeting one.
+// promoteWaiting moves the promoted requests of one QoS class and band ahead of requests that can still meet a
+// deadline, but only ahead of those with the same or a lower priority. Otherwise low-priority work without a deadline
+// would, once it has waited for long enough, keep higher-priority work from ever meeting its deadlines.
 func promoteWaiting(requests []*Request) {
 	for len(requests) > 0 && requests[0].position.queue == queueStarving {
 		requests = requests[1:]
@@ -179,10 +181,9 @@
 		}
 		ordered = append(ordered, r)
 	}
-	_ = append(ordered, promoted...) // fills up the array of requests
+	_ = append(ordered, promoted...) // writes to the remaining elements of requests
 }
 
-// mayPass reports whether a promoted request is served before another one.
 func mayOvertake(promoted, other *Request) bool {
 	return other.position.queue != queueDeadline || other.position.priority <= promoted.position.priority
 }
--- a/internal/scheduler/order_test.go
+++ b/internal/scheduler/order_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Low-priority work without a deadline, once promoted, must not keep a team's work of a higher priority from ever
-// starting in time.
+// Low-priority work without a deadline that has been promoted must not keep higher-priority work from starting by its
+// deadline.
 func TestPromotionStaysWithinOwnPriority(t *testing.T) {
 	request := func(id string, priority model.Priority) *Request {
 		return newRequest(id, 1, func(s *model.Spec) { s.Priority = priority })
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -2,18 +2,19 @@
 
 import "github.com/glentiller/glentiller/internal/model"
 
-// pass is one run over the pending requests.
+// pass is one scheduling pass over the pending requests.
 type pass struct {
 	settings        *Settings
 	snapshot        *Snapshot
 	plan            *Plan
 	preemptionsLeft int
-	reservations    int // starving requests that nodes are reserved for
+	reservations    int // number of starving requests that nodes are reserved for
 	served          servedSummary
-	nodeOptions     []nodeOption // buffer of preemptionSearch, used for one request after the other
+	nodeOptions     []nodeOption // buffer that the preemptionSearch of each request reuses
 }
 
-// MakePlan decides one pass: it serves the pending requests in their order.
+// MakePlan runs one scheduling pass: it serves the pending requests of a snapshot in their order and returns what it
+// decides. It modifies the snapshot.
 func MakePlan(settings *Settings, snapshot *Snapshot) *Plan {
 	snapshot.Requests = splitStarving(settings, snapshot.Requests)
 	OrderRequests(settings, snapshot.Requests)
@@ -30,7 +31,7 @@
 	return p.plan
 }
 
-// startsLeft is how many more tasks the pass may start; -1: any number.
+// startsLeft returns how many more tasks the pass may start, or -1 if there is no limit.
 func (p *pass) startsLeft() int {
 	if p.settings.MaxStarts <= 0 {
 		return -1
@@ -38,7 +39,8 @@
 	return max(p.settings.MaxStarts-len(p.plan.Placements), 0)
 }
 
-// serve places what it can of a request, preempts for the rest as far as it may, and notes what is short.
+// serve places as many tasks of a request as possible, preempts other work for the rest if that is allowed, and
+// records the shortage.
 func (p *pass) serve(request *Request) {
 	spec := request.Job.Spec
 	if p.snapshot.Teams[spec.Team] == nil {
@@ -48,7 +50,7 @@
 	if tasks == 0 {
 		return
 	}
-	deferred := 0 // to a later pass
+	deferred := 0 // number of tasks left for a later pass
 	if left := p.startsLeft(); left >= 0 && spec.Shape == model.Array {
 		deferred = max(tasks-left, 0)
 		tasks -= deferred
@@ -67,13 +69,13 @@
 	}
 }
 
-// addShortage notes that a part of a request is not placed.
 func (p *pass) addShortage(shortage Shortage) {
 	p.plan.Shortages = append(p.plan.Shortages, shortage)
 }
 
-// placeAndPreempt places tasks of a request on the nodes that it prefers first, then on any, and returns how many
-// are missing. Capacity that is freed on any node is not subtracted: those tasks are still short of it.
+// placeAndPreempt places tasks of a request first on the nodes that it prefers and then on any node. It returns the
+// number of tasks that are not placed and that no preemption on a preferred node frees capacity for. Tasks that a
+// preemption on any other node frees capacity for count as missing, because they are still short of capacity.
 func (p *pass) placeAndPreempt(request *Request, tasks int) (missing int) {
 	missing = tasks
 	for _, filter := range p.preferredNodeFilters(request) {
@@ -87,22 +89,22 @@
 	return missing
 }
 
-// mayPreemptAnywhere reports whether other work may be preempted for a request on any feasible node.
+// mayPreemptAnywhere reports whether other work may be preempted for a request on nodes other than the preferred ones.
 func (p *pass) mayPreemptAnywhere(request *Request) bool {
 	class := request.qosClass()
 	return class == qosProduction || p.settings.PreemptForGuarantees && class == qosGuaranteed
 }
 
-// preferredNodes lists the nodes on which production is placed first, the best ones first. Its users wait for it: a
-// node that holds the image, even one where something has to be preempted, is worth more to them than the most
-// efficient one without it.
+// preferredNodeFilters returns filters for the nodes on which production is placed first, the most preferred ones
+// first. Users wait for production, so for them a node that holds the image is worth more than the most efficient
+// node without it, even if something has to be preempted there.
 func (p *pass) preferredNodeFilters(request *Request) []nodeFilter {
 	if request.qosClass() != qosProduction || !p.settings.ImageFirst {
 		return nil
 	}
 	var filters []nodeFilter
 	if request.Job.Spec.Shape == model.Service {
-		// A service stays for long: first the cheap kinds of machine.
+		// A service runs for a long time, so cheap machine kinds come first.
 		maxPrice := p.snapshot.expensivePrice(request.Job.Spec, request.Rules, p.settings.ExpensiveFactor)
 		filters = append(filters, nodeFilter{requireImage: true, maxPrice: maxPrice})
 	}
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -6,8 +6,9 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// place puts up to n tasks of a request on the nodes that a filter accepts, and returns how many. A gang is placed
-// whole or not at all; what has to be in one zone goes to the zone that takes most of it.
+// place places up to n tasks of a request on the nodes that a filter accepts, and returns the number of tasks placed.
+// It places all n tasks of a gang or none. Tasks that have to share a zone go to the zone that has capacity for most
+// of them.
 func (p *pass) place(request *Request, n int, filter nodeFilter) int {
 	if n <= 0 {
 		return 0
@@ -36,14 +37,15 @@
 	return len(best)
 }
 
-// addPlacements adds placements to the plan and to their team's usage.
+// addPlacements adds placements of a request to the plan and their demand to the team's usage.
 func (p *pass) addPlacements(request *Request, placements []Placement) {
 	p.plan.Placements = append(p.plan.Placements, placements...)
 	p.snapshot.addUsage(request.Job.Spec.Team, request.Job.Spec.Demand.Times(len(placements)))
 }
 
-// zonesFor lists the zones to try for a request, one after the other: the zone of its job, where it names one ("":
-// any), or the zone that tasks of the job occupy, where they have to be in one, or else all zones.
+// zonesFor returns the zones to try in turn for a request, where "" stands for any zone. It returns only the job's
+// own zone, which may be "", if the job names one or may use several zones. Otherwise it returns the zones that the
+// job's tasks occupy or, if they occupy none, all zones.
 func (s *Snapshot) zonesFor(request *Request) []string {
 	spec := request.Job.Spec
 	if !spec.SingleZone || spec.Zone != "" {
@@ -55,7 +57,8 @@
 	return s.zoneNames()
 }
 
-// zoneNames lists the zones of the nodes, whether or not the settings name them.
+// zoneNames returns the names of the zones. If the snapshot has no Zones, it collects them from all nodes, including
+// zones that the settings do not name.
 func (s *Snapshot) zoneNames() []string {
 	if s.Zones == nil {
 		for _, node := range s.Nodes {
@@ -67,7 +70,7 @@
 	return s.Zones
 }
 
-// occupiedZones lists the zones that have any tasks, in no order.
+// occupiedZones returns the zones that have at least one task, in no particular order.
 func occupiedZones(tasksByZone map[string]int) []string {
 	var zones []string
 	for zone, n := range tasksByZone {
@@ -78,7 +81,8 @@
 	return zones
 }
 
-// CapacityInZone is how many tasks of a request fit on the nodes of a zone, as MakePlan has left them.
+// CapacityInZone returns how many tasks of a request fit on the nodes of a zone with the free resources that MakePlan
+// has left. It ignores the maximum number of tasks per zone.
 func (s *Snapshot) CapacityInZone(request *Request, zone string) int {
 	spec := request.Job.Spec
 	n := 0
@@ -90,14 +94,14 @@
 	return n
 }
 
-// assign takes a node's resources for one task of a request.
+// assign takes the resources of one task of a request from a node and counts the task in its zone and on its machine.
 func (s *Snapshot) assign(request *Request, node *Node) {
 	node.Free = node.Free.Sub(request.Job.Spec.Demand)
 	request.TasksByZone[node.Machine.Zone]++
 	request.Rules.addTasks(node.Machine, 1)
 }
 
-// unassign returns the resources of placements to their nodes.
+// unassign reverts assign for placements of a request.
 func (s *Snapshot) unassign(request *Request, placements []Placement) {
 	for _, placement := range placements {
 		node := placement.Node
--- a/internal/scheduler/place_test.go
+++ b/internal/scheduler/place_test.go
@@ -9,7 +9,7 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// A machine with a higher utilization does more work per power, up to 1 when it is full.
+// The power efficiency of a machine increases with its utilization and is 1 when the machine is full.
 func TestEfficiencyGrowsWithUtilization(t *testing.T) {
 	last := Efficiency(0, 0.7)
 	if last != 0 {
@@ -48,13 +48,13 @@
 		}
 	}
 	if got := formatPlacements(makeTestPlan(nodes(), gang(4, false))); got != "" {
-		t.Errorf("four tasks with room for three: placed %q, want none", got)
+		t.Errorf("four tasks with capacity for three: placed %q, want none", got)
 	}
 	if got := len(makeTestPlan(nodes(), gang(3, false)).Placements); got != 3 {
-		t.Errorf("three tasks with room for three: placed %d, want 3", got)
+		t.Errorf("three tasks with capacity for three: placed %d, want 3", got)
 	}
 	if got := formatPlacements(makeTestPlan(nodes(), gang(3, true))); got != "" {
-		t.Errorf("three tasks in a single zone with room for two: placed %q, want none", got)
+		t.Errorf("three tasks in a single zone with capacity for two: placed %q, want none", got)
 	}
 	want := "g@a1 g@a2 "
 	if got := formatPlacements(makeTestPlan(nodes(), gang(2, true))); got != want {
@@ -66,7 +66,8 @@
 	service := newRequest("s", 5, func(s *model.Spec) { s.Shape, s.Spread = model.Service, true })
 	plan := makeTestPlan(newNodes("a1", "a2", "a3"), service)
 	if len(plan.Placements) != 3 || len(plan.Shortages) != 1 || plan.Shortages[0].Count != 2 {
-		t.Errorf("placed %q with shortages %v, want 3 placed and 2 short", formatPlacements(plan), plan.Shortages)
+		t.Errorf("placed %q with shortages %v, want 3 tasks placed and a shortage of 2",
+			formatPlacements(plan), plan.Shortages)
 	}
 }
 
@@ -88,8 +89,8 @@
 	}
 }
 
-// Production whose image no machine holds goes where the fetch ends by its deadline, not to the most efficient
-// machine, and preempts lower-priority work there.
+// If no machine holds the image of a production request, the request goes to a machine that fetches the image before
+// the deadline instead of the most efficient machine. It preempts lower-priority work there if the machine is full.
 func TestProductionPrefersNodeThatFetchesImageByDeadline(t *testing.T) {
 	settings := *testSettings
 	settings.FetchByDeadline = true
@@ -125,13 +126,14 @@
 	low := addRunning(full[1], "blue", model.PriorityLow, nil)
 	plan := MakePlan(&settings, newSnapshot(full, service(2*time.Second)))
 	if len(plan.Placements) != 0 || len(plan.Preemptions) != 1 || plan.Preemptions[0].Attempt != low {
-		t.Errorf("the fast node is full: placed %q and preempted %v, want none placed and %v preempted",
+		t.Errorf("full fast node: placed %q and preempted %v, want none placed and %v preempted",
 			formatPlacements(plan), plan.Preemptions, low)
 	}
 }
 
-// When much has to be started again a pass starts a part of it, in the order of requests and gangs whole, and says
-// that there is more. A shortage counts all tasks of a request, also those left for a later pass.
+// If many tasks have to start at the same time, a pass starts only a part of them. It follows the order of requests,
+// starts gangs whole and marks the plan as truncated. A shortage counts all tasks of a request, including those that
+// are left for a later pass.
 func TestPlanIsTruncatedAtMaxStarts(t *testing.T) {
 	settings := *testSettings
 	settings.MaxStarts = 4
@@ -144,18 +146,19 @@
 	snapshot := newSnapshot(nodes, array, gang)
 	plan := MakePlan(&settings, snapshot)
 	if len(plan.Placements) != 5 || plan.Placements[0].Request != gang || !plan.Truncated || len(plan.Shortages) != 0 {
-		t.Fatalf("first pass: placed %q, truncated %v, shortages %v; want the gang of 5, truncated, no shortage",
+		t.Fatalf("first pass: placed %q, truncated %v, shortages %v; want the gang of 5 placed, truncated, no shortage",
 			formatPlacements(plan), plan.Truncated, plan.Shortages)
 	}
 	snapshot.Requests = []*Request{array}
 	if plan = MakePlan(&settings, snapshot); len(plan.Placements) != 4 || !plan.Truncated {
-		t.Fatalf("second pass: placed %q, truncated %v; want 4 placed, truncated", formatPlacements(plan), plan.Truncated)
+		t.Fatalf("second pass: placed %q, truncated %v; want 4 tasks placed, truncated",
+			formatPlacements(plan), plan.Truncated)
 	}
 	snapshot = newSnapshot(nodes[:1], newRequest("array", 9, nil))
 	snapshot.Nodes[0].Free = cpuType.Capacity
 	plan = MakePlan(&settings, snapshot)
 	if len(plan.Placements) != 2 || plan.Truncated || plan.Shortages[0].Count != 7 {
-		t.Errorf("short of room: placed %q, truncated %v, shortages %v; want 2 placed, not truncated, 7 short",
+		t.Errorf("one node: placed %q, truncated %v, shortages %v; want 2 tasks placed, not truncated, a shortage of 7",
 			formatPlacements(plan), plan.Truncated, plan.Shortages)
 	}
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -9,28 +9,28 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// The parts of the cost of a preemption, besides the work that is lost.
+// The components of the cost of a preemption, in addition to the lost work.
 const (
 	basePreemptionCost  = 5 * time.Second
 	costPerPriority     = 5 * time.Second
-	missedDeadlineCost  = 30 * time.Second // of an attempt that would likely miss its deadline
+	missedDeadlineCost  = 30 * time.Second // for an attempt that would likely miss its deadline
 	recentlyStartedCost = 30 * time.Second
-	gangPreemptionCost  = time.Minute      // all of the gang starts again
-	imageFetchPenalty   = 30 * time.Second // of a node that has to fetch the image
-	likelyMissSlack     = 30 * time.Second // an attempt with less slack likely misses its deadline if it is stopped
+	gangPreemptionCost  = time.Minute      // the whole gang has to start again
+	imageFetchPenalty   = 30 * time.Second // for a node that has to fetch the image
+	likelyMissSlack     = 30 * time.Second // slack below which a stopped attempt would likely miss its deadline
 )
 
-// mayPreempt reports whether an attempt may be stopped for the request: it has a lower priority, or runs beyond another
-// team's guarantee while the request is within its own. It must also come after the request in the order: otherwise it
-// would take its place back at once, and the two would preempt each other in turns.
+// mayPreempt reports whether an attempt may be stopped for the request. The attempt must have a lower priority, or
+// run beyond another team's guarantee while the request is within its own. It must also come after the request in the
+// order. Otherwise it would be placed again first, and the two would preempt each other in turns.
 func (r *Request) mayPreempt(candidate *PreemptionCandidate) bool {
 	if candidate.Priority == model.PriorityProduction {
-		return false // its users would miss it at once
+		return false // its users would notice at once
 	}
 	otherTeam := candidate.Attempt.Team != r.Job.Spec.Team
 	priority := r.Job.EffectivePriority
 	if !candidate.BeyondGuarantee && otherTeam {
-		priority = r.Job.Spec.Priority // a priority inherited from dependent jobs does not reach into others' guarantees
+		priority = r.Job.Spec.Priority // an inherited priority does not apply to work within other teams' guarantees
 	}
 	reclaimsGuarantee := r.Guaranteed && candidate.BeyondGuarantee && otherTeam
 	if candidate.Priority >= priority && !reclaimsGuarantee {
@@ -39,7 +39,8 @@
 	return r.position.compare(candidate.position) < 0
 }
 
-// minLoss is the least that stopping the attempt loses: its work, or the time for which its machine is busy saving it.
+// minLoss returns the least time that stopping the attempt costs: its lost work or, if it can save a checkpoint in
+// less time, the time for which it keeps its machine busy to save one.
 func (c *PreemptionCandidate) minLoss() time.Duration {
 	if c.CheckpointTime > 0 {
 		return min(c.LostWork, c.CheckpointTime)
@@ -47,7 +48,8 @@
 	return c.LostWork
 }
 
-// preemptionCost is what stopping an attempt for a request costs, with what its users lose weighed in.
+// preemptionCost returns the cost of stopping an attempt for a request. Besides the lost time it includes penalties
+// for the effect on the attempt's users.
 func preemptionCost(candidate *PreemptionCandidate, request *Request) time.Duration {
 	cost := candidate.minLoss()
 	if request.Urgent() {
@@ -66,8 +68,8 @@
 	return cost
 }
 
-// preemptibleSummary is what the candidates of a node have in common. It can only rule out that any of them may be
-// stopped for a request; candidates that are stopped stay counted.
+// preemptibleSummary summarizes the candidates of a node. It can only rule out that any of them may be stopped for a
+// request. Candidates that have been stopped stay included.
 type preemptibleSummary struct {
 	nonEmpty           bool
 	lowestPriority     model.Priority
@@ -75,7 +77,7 @@
 	lastPosition       position
 }
 
-// add counts a candidate in.
+// add includes a candidate in the summary. It ignores production, which is never preempted.
 func (s *preemptibleSummary) add(candidate *PreemptionCandidate) {
 	if candidate.Priority == model.PriorityProduction {
 		return
@@ -90,8 +92,8 @@
 	s.anyBeyondGuarantee = s.anyBeyondGuarantee || candidate.BeyondGuarantee
 }
 
-// mayPreemptFor reports whether any of the candidates might be stopped for a request; Request.mayPreempt decides on
-// each. It spares the scan of all candidates of thousands of nodes for requests that nothing may be stopped for.
+// mayPreemptFor reports whether any of the candidates might be stopped for a request; Request.mayPreempt decides for
+// each candidate. It avoids scanning the candidates of thousands of nodes for requests that nothing may be stopped for.
 func (s *preemptibleSummary) mayPreemptFor(request *Request) bool {
 	if !s.nonEmpty || request.position.compare(s.lastPosition) >= 0 {
 		return false
@@ -99,9 +101,10 @@
 	return s.lowestPriority < request.Job.EffectivePriority || request.Guaranteed && s.anyBeyondGuarantee
 }
 
-// preemptAndReserve preempts for tasks that fit nowhere, and returns for how many it has freed capacity. Their demand
-// counts towards their team's quota from now on. Otherwise lower-priority work of the team would take the quota
-// meanwhile and be preempted in the next pass, and the request would find the node's capacity taken in the one after.
+// preemptAndReserve preempts attempts for tasks that fit on no node, and returns the number of tasks that it has
+// freed capacity for. From then on the demand of these tasks counts towards their team's quota. Otherwise
+// lower-priority work of the team would take the quota in this pass and be preempted in the next one, and the request
+// would find the node's capacity taken in the pass after that.
 func (p *pass) preemptAndReserve(request *Request, missing int, filter nodeFilter) int {
 	found := p.preempt(request, missing, filter)
 	spec := request.Job.Spec
@@ -109,9 +112,10 @@
 	return found
 }
 
-// preempt frees capacity for tasks that fit nowhere: it first claims what is being released already, then stops what
-// costs least among the attempts that may be stopped for this request. It returns for how many tasks it has freed
-// capacity.
+// preempt frees capacity for tasks that fit on no node, and returns the number of tasks that it has freed capacity
+// for. For each task it uses resources that are already being released if they are enough. Otherwise it stops the
+// attempts with the lowest cost among those that may be stopped for the request. It frees nothing for gangs of more
+// than one task.
 func (p *pass) preempt(request *Request, missing int, filter nodeFilter) int {
 	spec := request.Job.Spec
 	if missing <= 0 || spec.Shape == model.Gang && spec.Tasks > 1 {
@@ -138,18 +142,19 @@
 	return missing
 }
 
-// nodeOption is a node on which something could be preempted for a request. Its cost is evaluated when it is first
-// needed, and again after the node changes.
+// nodeOption is a node on which attempts could be preempted for a request. Its cost is evaluated when it is first
+// needed. It is evaluated again after a preemption on the node, or if the pass has too few preemptions left for the
+// choice.
 type nodeOption struct {
 	node                  *Node
-	evaluated             bool  // the fields below are set
-	fitsWithoutPreemption bool  // what is being released is enough
-	feasible              bool  // stopping the chosen ones frees enough
-	chosen                []int // of Node.Candidates
+	evaluated             bool  // the fields below are valid
+	fitsWithoutPreemption bool  // free resources and those being released are enough
+	feasible              bool  // stopping the chosen candidates frees enough
+	chosen                []int // indices in Node.Candidates
 	preemptionCost        time.Duration
 }
 
-// evaluate works out what would have to be stopped on the node.
+// evaluate determines which attempts on the node would have to be stopped for one more task, and their cost.
 func (o *nodeOption) evaluate(request *Request, preemptionsLeft int) {
 	node, spec := o.node, request.Job.Spec
 	free := node.Free.Add(node.Releasing).Sub(node.claimed)
@@ -165,14 +170,14 @@
 	}
 }
 
-// preemptionSearch searches nodes where capacity can be freed for the tasks of one request, one after the other.
+// preemptionSearch searches for nodes on which capacity can be freed for the tasks of one request, one task at a time.
 type preemptionSearch struct {
 	pass         *pass
 	request      *Request
-	lockedZone   string         // the only zone that tasks may go to; "": any
-	tasksByZone  map[string]int // with the tasks that capacity was found for
+	lockedZone   string         // the only zone in which tasks may be placed; "" means any
+	tasksByZone  map[string]int // including the tasks that capacity was found for
 	options      []nodeOption
-	claimedNodes []*Node // on which capacity was found
+	claimedNodes []*Node // nodes on which capacity was found, once for each task
 }
 
 func newPreemptionSearch(p *pass, request *Request) *preemptionSearch {
@@ -186,7 +191,7 @@
 	return search
 }
 
-// collectOptions lists the nodes that come into question.
+// collectOptions collects the nodes that pass the static checks and the filter.
 func (s *preemptionSearch) collectOptions(filter nodeFilter) {
 	s.options = s.pass.nodeOptions[:0]
 	feasible := s.pass.snapshot.feasibilityFilter(s.request, s.lockedZone, filter)
@@ -198,7 +203,8 @@
 	s.pass.nodeOptions = s.options
 }
 
-// admits reports whether the zone and the number of the job's tasks there allow one more of them on a machine.
+// admits reports whether one more of the job's tasks may be placed on a machine, given the locked zone and the number
+// of its tasks in the zone and on the machine.
 func (s *preemptionSearch) admits(machine *model.Machine) bool {
 	if s.lockedZone != "" && machine.Zone != s.lockedZone {
 		return false
@@ -206,8 +212,8 @@
 	return !s.request.ZoneFull(s.tasksByZone, machine.Zone) && !s.request.Rules.machineFull(machine)
 }
 
-// cheapestOption is the first node where nothing has to be stopped for one more task, or else the one where stopping
-// costs least; nil: there is none.
+// cheapestOption returns the first node on which nothing has to be stopped for one more task. If there is no such
+// node it returns the node with the lowest preemption cost, or nil if there is none.
 func (s *preemptionSearch) cheapestOption() *nodeOption {
 	var best *nodeOption
 	for i := range s.options {
@@ -229,7 +235,7 @@
 	return best
 }
 
-// take preempts the candidates that an option has chosen, and claims the capacity for one task.
+// applyOption preempts the candidates that an option has chosen, and claims the capacity for one task.
 func (s *preemptionSearch) applyOption(option *nodeOption) {
 	node := option.node
 	for _, i := range option.chosen {
@@ -249,15 +255,16 @@
 	option.evaluated = false
 }
 
-// close removes the tasks that capacity was found for from the counts: they do not start in this pass.
+// restoreTaskCounts removes the tasks that capacity was found for from the counts by machine, because they do not
+// start in this pass.
 func (s *preemptionSearch) restoreTaskCounts() {
 	for _, node := range s.claimedNodes {
 		s.request.Rules.addTasks(node.Machine, -1)
 	}
 }
 
-// claim takes a demand off the free resources as far as there are any, so that no request behind gets them, and the
-// rest off what is being released.
+// claim takes a demand from the free resources as far as they last, so that no later request gets them. It claims the
+// rest from the resources that are being released.
 func (n *Node) claim(demand model.Resources) {
 	fromFree := model.Resources{
 		CPU:   min(demand.CPU, max(n.Free.CPU, 0)),
@@ -268,7 +275,7 @@
 	n.claimed = n.claimed.Add(demand.Sub(fromFree))
 }
 
-// removeCandidates removes candidates, by their indices, from the node's list.
+// removeCandidates removes the candidates with the given indices. It sorts indices.
 func (n *Node) removeCandidates(indices []int) {
 	slices.Sort(indices)
 	for _, i := range slices.Backward(indices) {
@@ -276,8 +283,9 @@
 	}
 }
 
-// chooseCandidates chooses at most maxCount attempts whose end frees capacity for one task, the cheapest first. ok
-// reports that the capacity is enough then.
+// chooseCandidates chooses at most maxCount attempts, the cheapest first, whose resources together with free are
+// enough for one task. It returns their indices and total cost. ok is false if it chose none or if their resources
+// are not enough.
 func (n *Node) chooseCandidates(
 	request *Request, free model.Resources, maxCount int,
 ) (chosen []int, cost time.Duration, ok bool) {
@@ -296,7 +304,8 @@
 	return chosen, cost, demand.Fits(free) && len(chosen) > 0
 }
 
-// candidatesByCost lists the indices of the attempts that may be stopped for a request, by what that costs.
+// candidatesByCost returns the indices of the attempts that may be stopped for a request, by increasing preemption
+// cost.
 func (n *Node) candidatesByCost(request *Request) []int {
 	var indices []int
 	for i := range n.Candidates {
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -8,8 +8,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Production goes first in the order, so it would take its place back at once, and two kinds of work would preempt
-// each other in turns.
+// A request within its guarantee must not preempt production. Production comes first in the order, so it would be
+// placed again at once and the two would preempt each other in turns.
 func TestProductionIsNotPreemptedForGuarantee(t *testing.T) {
 	node := newNode("a1", "a", cpuType, 8)
 	addRunning(node, "blue", model.PriorityProduction, nil)
@@ -27,7 +27,7 @@
 	service := newRequest("s", 1, productionService)
 	service.Guaranteed, service.HasDeadline, service.Slack = true, true, time.Second
 	if plan = makeTestPlan([]*Node{node}, service); len(plan.Preemptions) != 0 {
-		t.Errorf("preempted %v for other production, want none", plan.Preemptions)
+		t.Errorf("preempted %v for another production service, want none", plan.Preemptions)
 	}
 }
 
@@ -38,7 +38,7 @@
 	request := newRequest("x", 1, nil)
 	request.Guaranteed = true
 	if plan := makeTestPlan([]*Node{node}, request); len(plan.Preemptions) != 0 {
-		t.Errorf("preempted %v, want none: one is within its team's guarantee, the other of the same team",
+		t.Errorf("preempted %v, want none: one attempt is within its team's guarantee, the other is of the same team",
 			plan.Preemptions)
 	}
 }
@@ -53,7 +53,7 @@
 	plan := makeTestPlan([]*Node{free, full}, newRequest("s", 1, productionService))
 	if len(plan.Placements) != 0 || len(plan.Preemptions) != 1 ||
 		plan.Preemptions[0].Attempt != least || !plan.Preemptions[0].Immediate {
-		t.Errorf("placed %q and preempted %v, want none placed and what loses least preempted immediately: %v",
+		t.Errorf("placed %q and preempted %v, want none placed and the cheapest attempt preempted immediately: %v",
 			formatPlacements(plan), plan.Preemptions, least)
 	}
 }
@@ -80,14 +80,15 @@
 	}
 }
 
-// What runs on a node is looked at once, only where room is short, and only if the request may use the node.
+// The candidates of a node are loaded at most once, only if capacity is short, and only if the request may use the
+// node.
 func TestCandidatesAreLoadedOnlyWhenCapacityIsShort(t *testing.T) {
 	runPass := func(tasks int) (loads int, plan *Plan) {
 		var nodes []*Node
 		for i := range 500 {
 			nodes = append(nodes, newNode(fmt.Sprint("m", i), "a", cpuType, 0))
 		}
-		for i := range 100 { // that no request may use
+		for i := range 100 { // no request may use these nodes
 			nodes = append(nodes, newNode(fmt.Sprint("n", i), "b", cpuType, 0))
 		}
 		var requests []*Request
@@ -102,7 +103,8 @@
 		loaded := map[*Node]bool{}
 		snapshot.LoadCandidates = func(node *Node) {
 			if loads++; loaded[node] || node.Machine.Zone != "a" {
-				t.Errorf("candidates of %s are loaded, want no load (loaded before: %v)", node.Machine.Name, loaded[node])
+				t.Errorf("candidates of %s were loaded, want no load (loaded before: %v)",
+					node.Machine.Name, loaded[node])
 			}
 			loaded[node] = true
 		}
@@ -110,28 +112,28 @@
 		return loads, plan
 	}
 	if loads, plan := runPass(300); loads != 0 || len(plan.Placements) != 900 {
-		t.Errorf("room for all: loaded %d nodes and placed %d tasks, want 0 and 900", loads, len(plan.Placements))
+		t.Errorf("capacity for all: loaded %d nodes and placed %d tasks, want 0 and 900", loads, len(plan.Placements))
 	}
 	loads, plan := runPass(600)
 	if loads != 500 || len(plan.Placements) != 1000 {
-		t.Errorf("room for 1000 of 1800: loaded %d nodes and placed %d tasks, want 500 and 1000",
+		t.Errorf("capacity for 1000 of 1800: loaded %d nodes and placed %d tasks, want 500 and 1000",
 			loads, len(plan.Placements))
 	}
 }
 
-// A priority inherited from dependent jobs raises a job among its own team's work and what others run beyond their
-// guarantees, and preempts nothing within those.
+// A priority inherited from dependent jobs raises a job above work of its own team and above work that other teams
+// run beyond their guarantees. It must not preempt work within other teams' guarantees.
 func TestInheritedPrioritySparesGuaranteesOfOtherTeams(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		team            string
 		beyondGuarantee bool
-		ownPriority     bool // the priority is the job's own
+		ownPriority     bool // the job has the priority itself, not only from dependent jobs
 		want            int
 	}{
-		{"another team's guaranteed work", "blue", false, false, 0},
-		{"the same, but the priority is its own", "blue", false, true, 1},
-		{"what another team runs beyond its guarantee", "blue", true, false, 1},
+		{"guaranteed work of another team", "blue", false, false, 0},
+		{"guaranteed work of another team, and own priority", "blue", false, true, 1},
+		{"work of another team beyond its guarantee", "blue", true, false, 1},
 		{"lower-priority work of its own team", "red", false, false, 1},
 	} {
 		node := newNode("eight", "a", cpuType, 8)
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -7,8 +7,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// admit returns how many tasks of a request its team's quota allows to start, and notes the shortage where it allows
-// none. Gangs and services start whole or not at all.
+// admit returns how many tasks of a request may start under its team's quota. If the quota allows none, it records
+// the shortage and returns 0. Gangs and services of which all tasks are pending start whole or not at all.
 func (p *pass) admit(request *Request) int {
 	spec := request.Job.Spec
 	tasks := min(request.Count, request.MaxTasks)
@@ -21,7 +21,7 @@
 	}
 	if spec.Shape != model.Array && overQuota && request.Count == spec.Tasks {
 		if preemptsWithinTeam || request.Starving {
-			// It waits to start whole: the quota that is left is reserved for it.
+			// It waits to start whole, so the remaining quota is reserved for it.
 			p.snapshot.addUsage(spec.Team, spec.Demand.Times(allowed))
 		}
 		p.addShortage(Shortage{Request: request, Count: tasks, OverQuota: true, Reason: WaitQuota})
@@ -32,14 +32,14 @@
 		return tasks
 	}
 	if request.Starving && overQuota {
-		// So that smaller tasks of its team do not take the quota bit by bit.
+		// Reserve quota for one task, so that smaller tasks of the team do not use it up bit by bit.
 		p.snapshot.addUsage(spec.Team, spec.Demand)
 	}
 	p.addShortage(Shortage{Request: request, Count: request.Count, OverQuota: overQuota, Reason: WaitQuota})
 	return 0
 }
 
-// preemptsWithinTeam reports whether a request over quota preempts lower-priority work of its own team.
+// shouldPreemptWithinTeam reports whether a request over quota preempts lower-priority work of its own team.
 func (p *pass) shouldPreemptWithinTeam(request *Request) bool {
 	if request.qosClass() == qosProduction {
 		return true
@@ -47,30 +47,30 @@
 	return request.queue(p.settings) == queueDeadline && request.Slack < p.settings.TightSlack
 }
 
-// quotaTolerance is the amount of CPUs or GPUs below which quota does not count as missing.
+// quotaTolerance is the number of CPUs or GPUs up to which missing quota is ignored.
 const quotaTolerance = 1e-6
 
 // teamCandidate is an attempt that may be preempted for its own team.
 type teamCandidate struct {
 	node  *Node
-	index int // in Node.Candidates
+	index int // index in Node.Candidates
 }
 
 func (c teamCandidate) candidate() *PreemptionCandidate { return &c.node.Candidates[c.index] }
 
-// preemptWithinTeam frees quota for a request, of whose tasks only some are allowed by it: it preempts lower-priority
-// work of the same team, what loses least first, and nothing that has only just started.
+// preemptWithinTeam frees quota for a request that wants to start tasks but whose quota allows only some of them. It
+// preempts lower-priority work of the same team, in the order of teamCandidates.
 func (p *pass) preemptWithinTeam(request *Request, tasks, allowed int) {
 	spec, snapshot := request.Job.Spec, p.snapshot
 	claim := spec.Demand.Times(tasks - allowed)
 	used := snapshot.Used[spec.Team].Add(spec.Demand.Times(allowed))
-	spare := snapshot.Teams[spec.Team].Quota.Remaining(used).AtLeastZero()
-	missing := claim.Sub(snapshot.Releasing[spec.Team]).Sub(spare)
+	remaining := snapshot.Teams[spec.Team].Quota.Remaining(used).AtLeastZero()
+	missing := claim.Sub(snapshot.Releasing[spec.Team]).Sub(remaining)
 	isShort := func() bool {
 		return (missing.CPU > quotaTolerance || missing.GPU > quotaTolerance) && p.preemptionsLeft > 0
 	}
 	var candidates []teamCandidate
-	if isShort() { // else enough is being released
+	if isShort() { // otherwise enough quota is already being released
 		candidates = p.teamCandidates(request)
 	}
 	preemptedIndices := map[*Node][]int{}
@@ -93,16 +93,17 @@
 	}
 }
 
-// reserveQuota claims, for a request over quota, what its team is releasing and the free quota that is too small as
-// yet. Otherwise lower-priority work would take the first part of what was freed and be preempted again in the next
-// pass, repeatedly.
+// reserveQuota claims, for a request over quota, the resources that its team is releasing and the remaining quota,
+// which is still too small. Otherwise lower-priority work would take the first part of the freed quota and be
+// preempted again in the next pass, repeatedly.
 func (p *pass) reserveQuota(team string, claim model.Resources) {
 	releasing := p.snapshot.Releasing[team]
 	p.snapshot.Releasing[team] = releasing.Sub(claim).AtLeastZero()
 	p.snapshot.addUsage(team, claim.Sub(releasing).AtLeastZero())
 }
 
-// teamCandidates lists the attempts of the request's team that may be preempted for it, by what they lose.
+// teamCandidates returns the attempts of the request's team that may be preempted for it, by increasing preemption
+// cost.
 func (p *pass) teamCandidates(request *Request) []teamCandidate {
 	var candidates []teamCandidate
 	for _, node := range p.snapshot.Nodes {
@@ -119,8 +120,9 @@
 	return candidates
 }
 
-// mayPreemptWithinTeam reports whether an attempt may be stopped to free quota for a request. Only production stops
-// attempts that cannot save a checkpoint, and low-priority attempts that have only just started.
+// mayPreemptWithinTeam reports whether an attempt may be stopped to free quota for a request. Gangs and recently
+// started attempts are not stopped, but production may stop recently started attempts of low priority. Only
+// production stops attempts that cannot save a checkpoint.
 func (r *Request) mayPreemptWithinTeam(candidate *PreemptionCandidate) bool {
 	production := r.qosClass() == qosProduction
 	switch {
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// efficiencyTolerance is the difference below which two efficiencies count as equal.
+	// efficiencyTolerance is the difference up to which two efficiencies count as equal.
 	efficiencyTolerance = 1e-9
 
-	// cheaperFactor is the part of another price below which a price counts as lower.
+	// cheaperFactor is the fraction of another price below which a price counts as lower.
 	cheaperFactor = 0.999
 )
 
-// Efficiency is the power efficiency of a machine at a utilization from 0 to 1: work per power, where an idle machine
-// draws the fraction idlePower of a busy one's power.
+// Efficiency returns the power efficiency of a machine: its work per power as a fraction of that of a fully used
+// machine. The utilization ranges from 0 to 1. An idle machine draws the fraction idlePowerFraction of the power of a
+// fully used one.
 func Efficiency(utilization, idlePowerFraction float64) float64 {
 	if utilization <= 0 {
 		return 0
@@ -23,7 +24,7 @@
 	return utilization / (idlePowerFraction + (1-idlePowerFraction)*utilization)
 }
 
-// utilization is the used fraction of a machine, of its CPUs or of its GPUs, whichever is larger.
+// utilization returns the fraction of the CPUs or GPUs of a machine that is used, whichever is larger.
 func utilization(machine *model.Machine, used model.Resources) float64 {
 	capacity := machine.Type.Capacity
 	fraction := used.CPU / capacity.CPU
@@ -33,7 +34,7 @@
 	return fraction
 }
 
-// pricePerCPU is the price of one CPU of a machine for an hour.
+// pricePerCPU returns the price of one CPU of a machine for an hour.
 func pricePerCPU(machine *model.Machine) float64 {
 	if machine.Spot {
 		return machine.Type.SpotPricePerHour / machine.Type.Capacity.CPU
@@ -41,15 +42,16 @@
 	return machine.Type.PricePerHour / machine.Type.Capacity.CPU
 }
 
-// efficiencyWith is the power efficiency of a node with one more task of a job.
+// efficiencyWith returns the power efficiency of a node after one more task of a job is placed on it.
 func (s *Settings) efficiencyWith(node *Node, spec *model.Spec) float64 {
 	used := node.Machine.Type.Capacity.Sub(node.Free).Add(spec.Demand)
 	return Efficiency(utilization(node.Machine, used), s.IdlePowerFraction)
 }
 
-// pickNodes chooses nodes in a zone ("": any) for up to n tasks, one by one: of the feasible ones the one whose power
-// efficiency with the task, plus what the job's preferences add, is highest; of equal ones one that holds the image.
-// The resources are taken; permanent says that the caller does not return them.
+// pickNodes chooses nodes for up to n tasks, one at a time, and takes the resources from them. For each task it
+// chooses the feasible node with the highest sum of power efficiency, including the task, and the job's preferences.
+// Among equal nodes it chooses one that holds the image. A zone other than "" restricts the choice to that zone. The
+// caller sets permanent if it will not return the resources.
 func (s *Snapshot) pickNodes(
 	settings *Settings, request *Request, n int, zone string, filter nodeFilter, permanent bool,
 ) []Placement {
@@ -67,14 +69,15 @@
 	if len(placements) < n {
 		fitting := len(placements)
 		if permanent {
-			fitting = 0 // none of the capacity is left
+			fitting = 0 // the tasks take all of the capacity
 		}
 		s.noFit.add(key, spec.Demand, fitting)
 	}
 	return placements
 }
 
-// feasibleNodes lists the nodes in a zone ("": any) that have capacity for a task.
+// feasibleNodes returns the nodes that have capacity for a task of the request and that the filter accepts. A zone
+// other than "" restricts them to that zone.
 func (s *Snapshot) feasibleNodes(request *Request, zone string, filter nodeFilter) []*Node {
 	var nodes []*Node
 	feasible := s.feasibilityFilter(request, zone, filter)
@@ -86,14 +89,15 @@
 	return nodes
 }
 
-// needsFullScan reports whether more than free resources limits how many tasks of the request a node or a zone takes,
-// or nodes are ranked by more than efficiency.
+// needsFullScan reports whether all nodes have to be ranked again for each task. This is the case if free resources
+// are not the only limit on the tasks of the request on a node or in a zone, or if the ranking depends on more than
+// efficiency.
 func (r *Request) needsFullScan() bool {
 	return r.Job.Spec.Spread || r.Rules != nil || len(r.Job.ErrorsByMachine) > 0
 }
 
-// pickNodesByHeap is pickNodes for requests that need no full scan: a node's rank only rises by what is placed on it,
-// until it is full.
+// pickNodesByHeap implements pickNodes for requests that need no full scan. The rank of a node only rises with the
+// tasks placed on it until it is full, so the best node stays on top of the heap.
 func (s *Snapshot) pickNodesByHeap(settings *Settings, request *Request, n int, nodes []*Node) []Placement {
 	spec := request.Job.Spec
 	ranked := make(nodeHeap, len(nodes))
@@ -123,16 +127,16 @@
 	return placements
 }
 
-// rankedNode is a feasible node with what it is ranked by.
+// rankedNode is a feasible node with the values that it is ranked by.
 type rankedNode struct {
 	node       *Node
-	index      int // among the feasible nodes
+	index      int // position among the feasible nodes
 	efficiency float64
 	hasImage   bool
-	price      float64 // of a CPU for an hour
+	price      float64 // price of a CPU for an hour
 }
 
-// nodeHeap is a heap of feasible nodes, the best one on top.
+// nodeHeap is a heap of feasible nodes with the best one on top.
 type nodeHeap []rankedNode
 
 // Len implements heap.Interface.
@@ -151,7 +155,8 @@
 	return last
 }
 
-// Less ranks by efficiency, then by whether the node holds the image, then by price, then by index.
+// Less ranks by efficiency, then by whether the node holds the image, then by price, then by index. It implements
+// heap.Interface.
 func (h *nodeHeap) Less(i, j int) bool {
 	a, b := &(*h)[i], &(*h)[j]
 	switch {
@@ -169,7 +174,7 @@
 	return a.index < b.index
 }
 
-// pickNodesByScan is pickNodes for any request: it ranks all nodes anew for each task.
+// pickNodesByScan implements pickNodes for any request. It ranks all nodes again for each task.
 func (s *Snapshot) pickNodesByScan(settings *Settings, request *Request, n int, nodes []*Node) []Placement {
 	var placements []Placement
 	for len(placements) < n {
@@ -183,14 +188,15 @@
 	return placements
 }
 
-// scoredNode is a node with its score: its efficiency plus what the job's preferences add.
+// scoredNode is a node with its score, which is the sum of its efficiency and the job's preferences.
 type scoredNode struct {
 	node   *Node
 	score  float64
 	choice model.Choice
 }
 
-// bestNode is the highest-ranked of some nodes that can take one more task of a request; node is nil where none can.
+// bestNode returns the highest-ranked node that can take one more task of a request. The node of the result is nil if
+// there is none.
 func bestNode(settings *Settings, request *Request, nodes []*Node) scoredNode {
 	var best scoredNode
 	for _, node := range nodes {
@@ -205,7 +211,6 @@
 	return best
 }
 
-// scoreNode scores a node for one more task of a request.
 func scoreNode(settings *Settings, request *Request, node *Node) scoredNode {
 	spec := request.Job.Spec
 	choice := model.Choice{Efficiency: settings.efficiencyWith(node, spec), ImageCached: node.hasImage(spec)}
--- a/internal/scheduler/rules.go
+++ b/internal/scheduler/rules.go
@@ -6,39 +6,41 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Rules are what a job's rules say of the machines of a pass, evaluated once a machine class and looked up here by
-// Node.MachineClass. A nil *Rules restricts nothing.
+// Rules are the result of evaluating a job's rules for the machines of a pass. They are evaluated once for each
+// machine class, and slices by class are indexed by Node.MachineClass. A nil *Rules restricts nothing.
 type Rules struct {
 	FeasibleByClass   []bool
-	PreferenceByClass [2][]float64 // what preferences add to the efficiency, without the image and with it
-	MaxPerMachine     int          // tasks of the job on one machine; 0: any number
-	MaxPerZone        int          // tasks of the job in one zone; 0: any number
-
-	TasksByMachine       map[*model.Machine]int // tasks of the job; nil: no rule asks for them
-	AffinityZones        []map[string]bool      // of each job that it has to be near, its zones
-	AntiAffinityZones    map[string]bool
-	AntiAffinityMachines map[*model.Machine]bool
+	PreferenceByClass [2][]float64 // sum added to the efficiency, without the image [0] and with it [1]
+	MaxPerMachine     int          // maximum number of tasks of the job on one machine; 0 means no limit
+	MaxPerZone        int          // maximum number of tasks of the job in one zone; 0 means no limit
+
+	TasksByMachine       map[*model.Machine]int  // number of tasks of the job; nil if no rule depends on it
+	AffinityZones        []map[string]bool       // for each job that this job must be near, the zones of that job
+	AntiAffinityZones    map[string]bool         // zones of jobs that this job must be apart from
+	AntiAffinityMachines map[*model.Machine]bool // machines of jobs that this job must be apart from
 	JobPreferences       []JobPreference
 
-	// OfferFeasible reports whether the required clauses hold on a machine that could be provisioned.
+	// OfferFeasible reports whether all required clauses hold on a machine that could be provisioned.
 	OfferFeasible func(offer MachineOffer) bool
 }
 
-// MachineOffer is a kind of machine that could be provisioned.
+// MachineOffer describes a machine that could be provisioned.
 type MachineOffer struct {
 	Type *model.MachineType
 	Zone string
 	Spot bool
 }
 
-// JobPreference is a preference that depends on another job: to be in its zones, or off its zones or machines.
+// JobPreference is a preference that depends on the location of another job: to be in its zones, or to avoid its
+// zones or machines.
 type JobPreference struct {
 	Zones    map[string]bool
 	Machines map[*model.Machine]bool
-	Weight   float64 // added to the efficiency of machines in Zones or among Machines
+	Weight   float64 // added to the efficiency of machines in Zones or Machines
 }
 
-// AcceptsOffer reports whether a machine that could be provisioned could take the job's tasks.
+// AcceptsOffer reports whether the rules allow the job's tasks on a machine that could be provisioned. Nil rules
+// allow all machines.
 func (r *Rules) AcceptsOffer(machineType *model.MachineType, zone string, spot bool) bool {
 	if r == nil {
 		return true
@@ -46,12 +48,13 @@
 	return r.OfferFeasible(MachineOffer{Type: machineType, Zone: zone, Spot: spot}) && r.checkZone(zone) == Feasible
 }
 
-// StillMet reports whether a machine still meets what the rules say of other jobs.
+// StillMet reports whether a machine still meets the clauses about other jobs, given where those jobs run now. r must
+// not be nil.
 func (r *Rules) StillMet(machine *model.Machine) bool {
 	return !r.AntiAffinityMachines[machine] && r.checkZone(machine.Zone) == Feasible
 }
 
-// checkZone checks a zone by where other jobs are.
+// checkZone checks a zone against the zones of other jobs.
 func (r *Rules) checkZone(zone string) Infeasibility {
 	for _, zones := range r.AffinityZones {
 		if !zones[zone] {
@@ -64,19 +67,19 @@
 	return Feasible
 }
 
-// machineFull reports whether a machine has as many of the job's tasks as it may have.
+// machineFull reports whether a machine has the maximum number of the job's tasks. It returns false if r is nil.
 func (r *Rules) machineFull(machine *model.Machine) bool {
 	return r != nil && r.MaxPerMachine > 0 && r.TasksByMachine[machine] >= r.MaxPerMachine
 }
 
-// addTasks counts n more tasks of the job on a machine.
+// addTasks adds n to the number of tasks of the job on a machine. It does nothing if no rule depends on that number.
 func (r *Rules) addTasks(machine *model.Machine, n int) {
 	if r != nil && r.TasksByMachine != nil {
 		r.TasksByMachine[machine] += n
 	}
 }
 
-// preference is what the job's preferences add to a node's efficiency.
+// preference returns the sum of the job's preferences for a node, which is added to the node's efficiency.
 func (r *Rules) preference(node *Node, hasImage bool) float64 {
 	byClass := r.PreferenceByClass[0]
 	if hasImage {
@@ -92,7 +95,7 @@
 	return sum
 }
 
-// maxPerZone is how many tasks of a job may be in one zone.
+// maxPerZone returns the maximum number of tasks of a job in one zone.
 func maxPerZone(spec *model.Spec, rules *Rules) int {
 	limit := math.MaxInt
 	if spec.Spread {
@@ -104,8 +107,8 @@
 	return limit
 }
 
-// ZoneFull reports whether a zone has as many of the request's tasks as it may have, by the given counts. Most jobs
-// have no such bound, and need no look at the counts.
+// ZoneFull reports whether a zone has the maximum number of the request's tasks, given the number of tasks in each
+// zone. Most jobs have no such limit and need no look-up of the number.
 func (r *Request) ZoneFull(tasksByZone map[string]int, zone string) bool {
 	if !r.Job.Spec.Spread && r.Rules == nil {
 		return false
@@ -113,7 +116,8 @@
 	return tasksByZone[zone] >= maxPerZone(r.Job.Spec, r.Rules)
 }
 
-// MaxPerMachine is how many tasks of the request's job may be on one machine.
+// MaxPerMachine returns the maximum number of tasks of the request's job on one machine, or math.MaxInt if there is
+// no limit.
 func (r *Request) MaxPerMachine() int {
 	if r.Rules == nil || r.Rules.MaxPerMachine == 0 {
 		return math.MaxInt
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,15 +1,17 @@
-// Package scheduler decides which pending tasks start on which machine: the order of requests, feasibility and ranking
-// of nodes, gangs, quotas, guarantees and preemption. It is pure: it performs no input or output and reads no clock.
+// Package scheduler decides which pending tasks start on which machine. It covers the order of requests, feasibility
+// and ranking of nodes, gangs, quotas, guarantees and preemption. The package performs no input or output and reads
+// no clock.
 //
-// A leader builds a Snapshot of its nodes and pending requests, calls MakePlan, and carries the Plan out: it launches
-// the placements, stops the preempted attempts and requests machines for the shortages. Where nothing is pending it
-// calls Consolidate and Drain to find a service replica that is worth moving.
+// A leader builds a Snapshot of its nodes and pending requests, calls MakePlan and carries out the Plan: it launches
+// the placements, stops the preempted attempts and requests machines for the shortages. If nothing is pending, it
+// calls Consolidate and Drain to find a service replica that should move to another machine.
 //
-// The order of requests and the ranking of nodes follow the paper's POFARE and POFAME as docs/design.md reads them.
+// The order of requests and the ranking of nodes follow POFARE and POFAME of the paper, as docs/design.md interprets
+// them.
 //
-// The files are split by decision: order.go ranks requests, feasible.go and rules.go filter nodes, rank.go scores
-// them, place.go and pass.go place tasks, preempt.go and quota.go preempt, starvation.go reserves, consolidate.go and
-// drain.go move replicas, and explain.go says why something waits.
+// The files are split by decision: order.go orders requests, feasible.go and rules.go filter nodes, rank.go scores
+// them, place.go and pass.go place tasks, preempt.go and quota.go preempt attempts, starvation.go reserves capacity
+// for starving jobs, consolidate.go and drain.go move replicas, and explain.go determines why a request waits.
 package scheduler
 
 import (
@@ -20,120 +22,126 @@
 
 // Settings are the operators' settings of the scheduler.
 type Settings struct {
-	// IdlePowerFraction is the power draw of an idle machine as a fraction of a busy one's.
+	// IdlePowerFraction is the power draw of an idle machine as a fraction of the power draw of a fully used one.
 	IdlePowerFraction float64
 
-	// PromoteAfter is how long a request without a deadline waits before it is promoted, and PromoteLateAfter how long
-	// one does that can no longer meet its deadline.
+	// PromoteAfter is how long a request without a deadline waits before it is promoted. PromoteLateAfter is the same
+	// for a request with a deadline, which usually can no longer be met by then.
 	PromoteAfter     time.Duration
 	PromoteLateAfter time.Duration
 
-	// StarvationBound is the time within which every job is to start, as far as quotas and machines allow it.
-	// 0: there is no bound.
+	// StarvationBound is the time within which every job should start, if quotas and machines allow it. Zero disables
+	// the bound.
 	StarvationBound time.Duration
 
-	// MaxStarts bounds the tasks that one pass starts, except for gangs and services, which start whole. 0: any number.
+	// MaxStarts bounds the number of tasks that one pass starts. Gangs and services start whole and may exceed it.
+	// Zero means no limit.
 	MaxStarts int
 
-	// MaxPreemptions bounds the attempts that one pass preempts.
+	// MaxPreemptions bounds the number of attempts that one pass preempts.
 	MaxPreemptions int
 
-	// PreemptForGuarantees allows preemption for work within a team's guarantee, not only for production.
+	// PreemptForGuarantees allows preemption for work within a team's guarantee, in addition to preemption for
+	// production.
 	PreemptForGuarantees bool
 
-	// MinRuntime is the run time below which an attempt counts as recently started: it is preempted last and not moved.
+	// MinRuntime is the run time below which an attempt counts as recently started. Such attempts cost more to
+	// preempt and are not moved.
 	MinRuntime time.Duration
 
-	// TightSlack is the slack below which a request preempts lower-priority work of its own team within the quota.
+	// TightSlack is the slack below which a request over quota preempts lower-priority work of its own team.
 	TightSlack time.Duration
 
-	// ImageFirst places production on machines that hold its image before any others.
+	// ImageFirst places production on machines that hold its image before considering other machines.
 	ImageFirst bool
 
-	// FetchByDeadline places production whose image no machine holds first where the fetch ends before its deadline.
+	// FetchByDeadline affects production that does not fit on machines holding its image. It places such a request on
+	// machines that can fetch the image before its deadline before considering other machines.
 	FetchByDeadline bool
 
-	// ExpensiveFactor is how many times the cheapest price of a CPU makes a machine too expensive for services.
+	// ExpensiveFactor times the lowest price of a CPU is the price above which a machine is too expensive for services.
 	ExpensiveFactor float64
 
-	// Drain empties machines whose service replicas all fit on busier ones.
+	// Drain enables emptying of machines whose service replicas all fit on machines with a higher utilization.
 	Drain bool
 }
 
-// Node is a machine as the scheduler sees it.
+// Node is a machine in a Snapshot.
 type Node struct {
 	Machine        *model.Machine
 	Free           model.Resources
-	Releasing      model.Resources // held by attempts that are being stopped
-	ReservedForGPU bool            // tasks that need no GPU stay off it
-	MachineClass   int             // index of its machine class, where a request has rules
+	Releasing      model.Resources // resources held by attempts that are being stopped
+	ReservedForGPU bool            // tasks that need no GPU are not placed on it
+	MachineClass   int             // index of its machine class; used only for requests with rules
 	Candidates     []PreemptionCandidate
 
-	claimed     model.Resources    // of Releasing, claimed by requests that are served first
+	claimed     model.Resources    // part of Releasing that is claimed by requests served earlier in the pass
 	kindIndex   int                // index of its machine kind in Snapshot.kindNodes
-	loaded      bool               // Candidates and Releasing are filled in
-	preemptible preemptibleSummary // of Candidates
+	loaded      bool               // Candidates and Releasing are set
+	preemptible preemptibleSummary // summary of Candidates
 }
 
-// PreemptionCandidate is an attempt on a node that could be preempted.
+// PreemptionCandidate is an attempt on a node that may be preempted.
 type PreemptionCandidate struct {
 	Attempt         *model.Attempt
 	Priority        model.Priority
-	BeyondGuarantee bool          // its job runs beyond its team's guarantee
-	LostWork        time.Duration // work that is lost if it exits immediately
-	CheckpointTime  time.Duration // time to save a checkpoint before it exits; 0: it never saves
-	RecentlyStarted bool          // it has run for less than Settings.MinRuntime
+	BeyondGuarantee bool          // the job runs beyond its team's guarantee
+	LostWork        time.Duration // work that is lost if the attempt exits immediately
+	CheckpointTime  time.Duration // time to save a checkpoint before it exits; 0 if it saves none
+	RecentlyStarted bool          // the attempt has run for less than Settings.MinRuntime
 	HasDeadline     bool
-	Slack           time.Duration // time to its deadline, less the estimated remaining run time
+	Slack           time.Duration // time to the deadline minus the estimated remaining run time
 	Gang            bool
-	FairShareBand   int // its team's band by fair share
+	FairShareBand   int // fair-share band of the team; lower bands are served first
 
 	position position
 }
 
-// Request is a number of pending tasks of one job.
+// Request asks for a number of pending tasks of one job to be started.
 type Request struct {
 	Job           *model.Job
-	TaskState     model.TaskState // the state that its tasks wait in
-	Restart       bool            // its tasks are started again after a failure
-	Count         int             // pending tasks
-	MaxTasks      int             // how many of them may start in this pass
+	TaskState     model.TaskState // state of the pending tasks
+	Restart       bool            // the tasks are started again after a failure
+	Count         int             // number of pending tasks
+	MaxTasks      int             // maximum number of them that may start in this pass
 	HasDeadline   bool
-	Slack         time.Duration // time to its deadline, less the estimated run time; negative: it cannot be met
-	Waited        time.Duration
+	Slack         time.Duration  // time to the deadline minus the estimated run time; negative if it cannot be met
+	Waited        time.Duration  // time for which the request has waited
 	Guaranteed    bool           // the job is within its team's guarantee
-	FairShareBand int            // its team's band by fair share; it counts only beyond guarantees
-	TasksByZone   map[string]int // tasks of the job that may be running in each zone
-	Rules         *Rules         // nil: the job has no rules
-	Starving      bool           // no task of the job has started for long, and this request starts the first ones
+	FairShareBand int            // fair-share band of the team; lower bands are served first; ignored within guarantees
+	TasksByZone   map[string]int // number of tasks of the job that may be running in each zone
+	Rules         *Rules         // nil if the job has no rules
+	Starving      bool           // the job has waited for long without starting, and the request is for its first tasks
 
 	position position
 }
 
-// Urgent reports whether the request is not to wait for capacity that may be released soon.
+// Urgent reports whether the request should not wait for resources that are released soon. Attempts that are
+// preempted for it get no time to save a checkpoint.
 func (r *Request) Urgent() bool { return r.Job.EffectivePriority == model.PriorityProduction }
 
-// Snapshot is the state of the cluster that a pass decides from. MakePlan modifies it: free resources, usage and the
-// order of the requests are as the plan leaves them.
+// Snapshot is the state of the cluster that a pass decides from. MakePlan modifies it: afterwards the free resources,
+// the usage and the order of the requests are those that result from the plan.
 type Snapshot struct {
 	Nodes     []*Node
 	Requests  []*Request
-	Used      map[string]model.Resources // by team, held by all attempts that may be running
-	Releasing map[string]model.Resources // by team, the part of Used whose attempts are being stopped
+	Used      map[string]model.Resources // by team, resources of all attempts that may be running
+	Releasing map[string]model.Resources // by team, the part of Used held by attempts that are being stopped
 	Teams     map[string]*model.Team
-	Zones     []string                  // names of the zones of Nodes, sorted; nil: collected when first needed
-	RulesOf   func(j *model.Job) *Rules // rules of a running job; nil: no job has rules
+	Zones     []string                  // names of the zones of Nodes, sorted; if nil, collected when first needed
+	RulesOf   func(j *model.Job) *Rules // returns the rules of a running job; nil if no job has rules
 
-	// LoadCandidates fills in Node.Candidates and Node.Releasing. It is called at most once a node, and only for nodes
-	// where a preemption is considered. nil: there are no candidates.
+	// LoadCandidates sets Node.Candidates and Node.Releasing. It is called at most once for each node, and only for
+	// nodes on which a preemption is considered. If it is nil, there are no candidates.
 	LoadCandidates func(node *Node)
 
 	noFit        noFitCache
 	nodesByImage map[string][]*Node
-	kindNodes    []*Node // one node of each machine kind; nil: not collected yet
+	kindNodes    []*Node // one node of each machine kind; nil until collected
 }
 
-// loadCandidates fills in what runs on a node, once.
+// loadCandidates loads the candidates of a node and computes their positions and summary. It does nothing if they are
+// already loaded.
 func (s *Snapshot) loadCandidates(node *Node) {
 	if node.loaded {
 		return
@@ -149,17 +157,17 @@
 	}
 }
 
-// addUsage adds resources to a team's usage, so that they count towards its quota.
+// addUsage adds resources to a team's usage, which counts towards its quota.
 func (s *Snapshot) addUsage(team string, amount model.Resources) {
 	s.Used[team] = s.Used[team].Add(amount)
 }
 
-// Plan is what a pass decides.
+// Plan holds the decisions of one scheduling pass.
 type Plan struct {
 	Placements  []Placement
 	Preemptions []Preemption
 	Shortages   []Shortage
-	Truncated   bool // Settings.MaxStarts was reached: requests behind were not considered
+	Truncated   bool // Settings.MaxStarts was reached and some pending tasks were not considered
 }
 
 // Placement starts one task of a request on a node.
@@ -173,18 +181,19 @@
 type Preemption struct {
 	PreemptionCandidate
 	Preemptor *Request
-	Immediate bool // without time to save a checkpoint
+	Immediate bool // the attempt gets no time to save a checkpoint
 }
 
-// Shortage is the part of a request that cannot be placed.
+// Shortage is the part of a request that could not be placed.
 type Shortage struct {
 	Request   *Request
 	Count     int
-	OverQuota bool // its team's quota keeps it back, not a lack of capacity
+	OverQuota bool // the quota of the team is too small, not the capacity of the nodes
 	Reason    WaitReason
 }
 
-// addPreemption stops an attempt for a request. Production does not wait for it to save a checkpoint.
+// addPreemption adds the preemption of an attempt for a request. Production does not wait for the attempt to save a
+// checkpoint.
 func (p *Plan) addPreemption(candidate PreemptionCandidate, preemptor *Request) {
 	p.Preemptions = append(p.Preemptions, Preemption{
 		PreemptionCandidate: candidate,
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -8,16 +8,18 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// A job that has waited for long without starting is starving. Its first tasks are served before anything else in
-// their QoS class: one task of an array, all of a gang or a service. What they wait for is reserved until they fit: the
-// quota that is left, and nodes as they become free. Otherwise wide gangs would never start beside narrow ones, which
-// take each node as it becomes free, nor jobs that can no longer meet a deadline behind a stream of those that can.
+// A job that has waited for long without starting is starving. Its first tasks are served before everything else in
+// their QoS class: one task of an array, or all tasks of a gang or a service. Until they fit, the remaining quota and
+// nodes that become free are reserved for them. Otherwise narrow gangs would take each node as it becomes free, and
+// wide gangs would never start. Likewise, jobs that can no longer meet a deadline would never start behind a stream
+// of jobs that can.
 
-// maxReservations bounds the starving requests that a pass reserves nodes for.
+// maxReservations bounds the number of starving requests for which a pass reserves nodes.
 const maxReservations = 3
 
-// isStarving reports whether the request's job has waited without starting for so long that its first tasks go first.
-// A single task soon finds a node; what has to start whole needs time to gather its nodes.
+// isStarving reports whether the request's job has waited without starting for so long that its first tasks are
+// served first. The threshold is half of StarvationBound for arrays, because a single task soon finds a node. It is
+// 3/8 of it for jobs that start whole, because collecting enough nodes takes time.
 func (r *Request) isStarving(settings *Settings) bool {
 	threshold := settings.StarvationBound / 2
 	if r.Job.Spec.Shape != model.Array {
@@ -26,8 +28,8 @@
 	return settings.StarvationBound > 0 && !r.Job.Started() && r.Waited >= threshold
 }
 
-// splitStarving marks starving requests, and splits the first task of a starving array off the rest, which waits its
-// turn as a request of its own.
+// splitStarving marks starving requests and returns all requests. It splits a request of a starving array into its
+// first task and the rest. The rest becomes a separate request that is not starving.
 func splitStarving(settings *Settings, requests []*Request) []*Request {
 	split := requests
 	for _, r := range requests {
@@ -45,13 +47,14 @@
 	return split
 }
 
-// reserveNodes reserves up to n nodes for the tasks of a starving request that found no capacity: those that are the
-// most free already, in one zone where the tasks have to be in one. It reports whether it reserved any.
+// reserveNodes reserves up to n nodes for the tasks of a starving request that found no capacity. It chooses the
+// nodes with the largest free fractions, all in one zone if the tasks have to share a zone. It reports whether it
+// reserved any node.
 func (s *Snapshot) reserveNodes(request *Request, n int) bool {
 	byZone := s.reservableNodes(request)
 	var best []*Node
 	bestFree := -1.0
-	for _, zone := range slices.Sorted(maps.Keys(byZone)) { // sorted, so that each run decides the same
+	for _, zone := range slices.Sorted(maps.Keys(byZone)) { // sorted, so that the choice is deterministic
 		nodes := byZone[zone]
 		slices.SortFunc(nodes, func(a, b *Node) int {
 			return cmp.Or(cmp.Compare(b.freeFraction(), a.freeFraction()), cmp.Compare(a.Machine.Name, b.Machine.Name))
@@ -71,7 +74,8 @@
 	return len(best) > 0
 }
 
-// reservableNodes lists the nodes that a request may use, by zone where its tasks have to be in one, else under "".
+// reservableNodes returns the nodes that a request may use. They are grouped by zone if the tasks have to share a
+// zone, and otherwise all listed under "".
 func (s *Snapshot) reservableNodes(request *Request) map[string][]*Node {
 	byZone := map[string][]*Node{}
 	for _, node := range s.Nodes {
@@ -87,5 +91,5 @@
 	return byZone
 }
 
-// freeFraction is the free fraction of a node, of its CPUs or of its GPUs, whichever is larger.
+// freeFraction returns the fraction of the CPUs or GPUs of a node that is free, whichever is larger.
 func (n *Node) freeFraction() float64 { return utilization(n.Machine, n.Free) }
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -7,8 +7,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Behind a stream of work that can meet its deadlines, one task of each array that has not started goes first after
-// half of the bound, and the rest of it waits its turn.
+// An array that has not started by half of StarvationBound starts one task ahead of a stream of work that can meet
+// its deadlines. The remaining tasks of the array wait in their normal position.
 func TestStarvingArrayStartsOneTaskFirst(t *testing.T) {
 	settings := *testSettings
 	settings.StarvationBound = 200 * time.Second
@@ -36,8 +36,8 @@
 	}
 }
 
-// Nodes are reserved for a starving wide gang beside narrow ones, which would take each node as it becomes free. So is
-// the quota that is left for a starving large task.
+// Nodes are reserved for a wide gang that is starving. Otherwise narrow gangs would take each node as it becomes
+// free. The remaining quota is likewise reserved for a starving task with a large demand.
 func TestStarvingRequestReservesNodesAndQuota(t *testing.T) {
 	settings := *testSettings
 	settings.StarvationBound = 200 * time.Second
@@ -53,17 +53,17 @@
 	}
 	starving := newSnapshot(nodes(), gang("wide", 3, 120*time.Second), gang("narrow", 1, 0))
 	if got := formatPlacements(MakePlan(&settings, starving)); got != "" {
-		t.Errorf("beside a starving gang: placed %q, want none", got)
+		t.Errorf("with a starving wide gang: placed %q, want none", got)
 	}
 	waiting := newSnapshot(nodes(), gang("wide", 3, 20*time.Second), gang("narrow", 1, 0))
 	if got := formatPlacements(MakePlan(&settings, waiting)); got == "" {
-		t.Errorf("beside a gang that has not waited for long: placed %q, want the narrow gang", got)
+		t.Errorf("with a wide gang that is not starving: placed %q, want the narrow gang", got)
 	}
 	large := newRequest("large", 1, func(s *model.Spec) { s.Demand.CPU = 8 })
 	large.Waited = 120 * time.Second
 	snapshot := newSnapshot(nodes(), large, newRequest("small", 1, nil))
 	snapshot.Used["red"] = model.Resources{CPU: 95} // of 100
 	if got := formatPlacements(MakePlan(&settings, snapshot)); got != "" {
-		t.Errorf("under a quota that a starving task waits for: placed %q, want none", got)
+		t.Errorf("with a starving task that waits for quota: placed %q, want none", got)
 	}
 }
