--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -9,7 +9,7 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// The components of the cost of a preemption, in addition to the lost work.
+// The components of the cost of a preemption, in addition to the lost work, and the slack that one of them depends on.
 const (
 	basePreemptionCost  = 5 * time.Second
 	costPerPriority     = 5 * time.Second
