--- a/internal/effects/effects_test.go
+++ b/internal/effects/effects_test.go
@@ -26,13 +26,18 @@
 		want       reconciler.Outcome
 		wantFenced bool
 	}{
-		{"carried out", services{ok: true, version: 5}, reconciler.OK, false},
-		{"rejected for good", services{err: rejected}, reconciler.Rejected, false},
-		{"not carried out", services{err: &store.CommitError{NeverExecuted: true, Err: errLost}}, reconciler.NotSent, false},
-		{"outcome unknown", services{err: &store.CommitError{Err: errLost}}, reconciler.Unknown, false},
-		{"condition of its own fails", services{}, reconciler.Refused, false},
+		{"committed", services{ok: true, version: 5}, reconciler.OK, false},
+		{"rejected permanently", services{err: rejected}, reconciler.Rejected, false},
+		{
+			"not executed",
+			services{err: &store.CommitError{NeverExecuted: true, Err: errConnectionLost}},
+			reconciler.NotSent,
+			false,
+		},
+		{"outcome unknown", services{err: &store.CommitError{Err: errConnectionLost}}, reconciler.Unknown, false},
+		{"one of its own conditions fails", services{}, reconciler.Refused, false},
 		{"another leader has taken over", services{tokenChanged: true}, reconciler.Refused, true},
-		{"refused, the token cannot be read", services{tokenErr: errLost}, reconciler.Unknown, false},
+		{"refused, and the token cannot be read", services{tokenErr: errConnectionLost}, reconciler.Unknown, false},
 	}
 	changes := []record.Change{{Kind: record.PutTasks, Job: "j"}}
 	for _, test := range tests {
@@ -68,7 +73,7 @@
 		},
 		{
 			name:     "no answer",
-			services: services{err: errLost},
+			services: services{err: errConnectionLost},
 			want:     effects.FenceResult{Outcome: reconciler.Unknown},
 		},
 	}
@@ -91,10 +96,10 @@
 		want  reconciler.Outcome
 	}{
 		{"executed", worker.Reply{Executed: true, Heartbeat: heartbeat}, reconciler.OK},
-		{"executed, unreadable heartbeat", worker.Reply{Executed: true, Err: errLost}, reconciler.OK},
-		{"no socket left", worker.Reply{NotSent: true, Err: connquota.ErrFull}, reconciler.NotSent},
-		{"refused", worker.Reply{NotSent: true, Heartbeat: heartbeat, Err: errLost}, reconciler.Refused},
-		{"no answer", worker.Reply{Err: errLost}, reconciler.Unknown},
+		{"executed, unreadable heartbeat", worker.Reply{Executed: true, Err: errConnectionLost}, reconciler.OK},
+		{"connection quota exhausted", worker.Reply{NotSent: true, Err: connquota.ErrFull}, reconciler.NotSent},
+		{"refused", worker.Reply{NotSent: true, Heartbeat: heartbeat, Err: errConnectionLost}, reconciler.Refused},
+		{"no answer", worker.Reply{Err: errConnectionLost}, reconciler.Unknown},
 	}
 	effect := reconciler.SendCommands{
 		Machine:  "m",
@@ -127,9 +132,9 @@
 		want         reconciler.Outcome
 		wantMachines []string
 	}{
-		{"provisioned", services{names: []string{"m"}}, reconciler.OK, []string{"m"}},
-		{"refused", services{cloudRefused: true, err: errLost}, reconciler.Refused, nil},
-		{"no answer", services{err: errLost}, reconciler.Unknown, nil},
+		{"provisioned", services{provisionedMachines: []string{"m"}}, reconciler.OK, []string{"m"}},
+		{"refused", services{cloudRefused: true, err: errConnectionLost}, reconciler.Refused, nil},
+		{"no answer", services{err: errConnectionLost}, reconciler.Unknown, nil},
 	}
 	request := model.Provisioning{Name: "p"}
 	for _, test := range tests {
@@ -156,7 +161,7 @@
 		want reconciler.Outcome
 	}{
 		"released":  {nil, reconciler.OK},
-		"no answer": {errLost, reconciler.Unknown},
+		"no answer": {errConnectionLost, reconciler.Unknown},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -192,8 +197,8 @@
 			wantCalls: []string{"wait", "may provision"},
 		},
 		{
-			name:      "provisioning, no place within the rate limit",
-			services:  services{mayProvision: true, waitErr: errLost},
+			name:      "provisioning, rate limiter returns an error",
+			services:  services{mayProvision: true, waitErr: errConnectionLost},
 			effect:    reconciler.Provision{},
 			want:      reconciler.ProvisionCompleted{Outcome: reconciler.Unknown},
 			wantCalls: []string{"wait"},
@@ -205,8 +210,8 @@
 			wantCalls: []string{"wait", "may provision"},
 		},
 		{
-			name:      "release, no place within the rate limit",
-			services:  services{mayProvision: true, waitErr: errLost},
+			name:      "release, rate limiter returns an error",
+			services:  services{mayProvision: true, waitErr: errConnectionLost},
 			effect:    reconciler.Release{Machines: []string{"m"}},
 			want:      reconciler.ReleaseCompleted{Machines: []string{"m"}, Outcome: reconciler.Unknown},
 			wantCalls: []string{"wait"},
@@ -244,13 +249,13 @@
 			want:   reconciler.CatalogReceived{Types: []model.MachineType{{Name: "t"}}},
 		},
 		{
-			name:   "ends of jobs",
+			name:   "job ends",
 			effect: reconciler.LookUpJobEnds{IDs: []string{"unknown"}},
 			want:   reconciler.JobEndsReceived{},
 		},
 		{
 			name:     "accounts",
-			services: services{version: 5, unreadAccount: "y"},
+			services: services{version: 5, unreadableAccount: "y"},
 			effect:   reconciler.ReadAccounts{Teams: []string{"x", "y", "z"}},
 			want: reconciler.AccountsReceived{
 				Accounts: map[string]ledger.StoredAccount{"x": {Version: 5}, "z": {Version: 5}},
@@ -263,7 +268,7 @@
 			want:     reconciler.SegmentsReceived{Team: "x", Segments: []ledger.StoredSegment{{Version: 5}}},
 		},
 		{
-			name:   "nothing for a heartbeat's response",
+			name:   "heartbeat response is not executed",
 			effect: reconciler.HeartbeatResponse{},
 		},
 	}
@@ -277,7 +282,7 @@
 }
 
 func TestElectionRequestsAreAnswered(t *testing.T) {
-	expired := errors.Join(errLost, store.ErrLeaseExpired)
+	expired := errors.Join(errConnectionLost, store.ErrLeaseExpired)
 	tests := []struct {
 		name     string
 		services services
@@ -286,11 +291,11 @@
 	}{
 		{
 			name:     "record read",
-			services: services{version: 5, err: errLost},
+			services: services{version: 5, err: errConnectionLost},
 			execute: func(x effects.ElectionExecutor, ctx context.Context) election.Event {
 				return x.ReadRecord(ctx)
 			},
-			want: election.RecordRead{Record: election.Record{Held: true, Leader: "b"}, Err: errLost},
+			want: election.RecordRead{Record: election.Record{Held: true, Leader: "b"}, Err: errConnectionLost},
 		},
 		{
 			name:     "lease granted",
@@ -325,11 +330,11 @@
 		},
 		{
 			name:     "renewal not answered",
-			services: services{err: errLost},
+			services: services{err: errConnectionLost},
 			execute: func(x effects.ElectionExecutor, _ context.Context) election.Event {
 				return x.RenewLease(3)
 			},
-			want: election.LeaseRenewed{LeaseID: 3, Sent: testNow, Err: errLost},
+			want: election.LeaseRenewed{LeaseID: 3, Sent: testNow, Err: errConnectionLost},
 		},
 	}
 	for _, test := range tests {
--- a/internal/effects/executor.go
+++ b/internal/effects/executor.go
@@ -1,10 +1,10 @@
-// Package effects carries out what the state machines of packages reconciler and election ask for, and says
-// by which event each effect is answered. It decides nothing: what became of a request is read from the
-// client's result, and the event says so.
+// Package effects performs the effects that the state machines of packages reconciler and election return, and maps
+// the result of each request to the event that reports its outcome. It makes no decisions: the outcome follows from
+// the client's result alone.
 //
-// The controller process (package controller) calls an Executor from a goroutine for each effect, with the
-// clients of the services. The simulations (package fake) call it synchronously, in simulated time, with
-// in-memory stand-ins. Both hand the returned event to the state machine themselves.
+// The controller process (package controller) calls an Executor from one goroutine for each effect, with clients of
+// the real services. The simulations (package fake) call it synchronously, in simulated time, with in-memory fakes.
+// Both pass the returned event to the state machine themselves.
 package effects
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/glentiller/glentiller/internal/worker"
 )
 
-// StateService holds the records. *store.Client implements it.
+// StateService executes transactions and reads records at the state service. *store.Client implements it.
 type StateService interface {
 	CommitFenced(
 		ctx context.Context, tokenVersion uint64, changes []record.Change,
@@ -40,7 +40,8 @@
 
 // Cloud provisions and releases machines. *cloud.Client implements it.
 type Cloud interface {
-	// Wait waits until a provisioning or a release is within the rate limit.
+	// Wait blocks until the rate limit permits another request that provisions or releases machines. It returns an
+	// error if ctx ends before.
 	Wait(ctx context.Context) error
 	Provision(request model.Provisioning) (machines []string, refused bool, err error)
 	Release(machines []string) error
@@ -48,28 +49,29 @@
 	Catalog(ctx context.Context) ([]model.MachineType, error)
 }
 
-// Workers take commands. *worker.Client implements it.
+// Workers sends commands to workers. *worker.Client implements it.
 type Workers interface {
 	Send(addr string, fencingToken, epoch uint64, commands []model.Command, urgent bool) worker.Reply
 }
 
-// Leadership is the leadership in which the reconciler has asked for an effect.
+// Leadership identifies the leadership on whose behalf effects are performed.
 type Leadership struct {
-	Member       string
+	Member       string // the name of this controller
 	FencingToken uint64
-	TokenVersion uint64 // of the token's record
+	TokenVersion uint64 // the version of the fencing token's record, on which every transaction depends
 
-	// MayAct reports whether this leadership may act now. It is called right before commands leave.
+	// MayAct reports whether this leadership is still valid and may act. It is called immediately before commands are
+	// sent.
 	MayAct func() bool
-	// MayProvision is MayAct for requests that provision or release machines. It is called right before
-	// they leave, after the wait for the rate limit.
+	// MayProvision is like MayAct, for requests that provision or release machines. It is called immediately before
+	// the request is sent, after the wait for the rate limit.
 	MayProvision func() bool
-	// ReportFenced is called once another leader is found to have taken over.
+	// ReportFenced is called when a request shows that another leader has taken over.
 	ReportFenced func(election.Fenced)
 }
 
-// Executor carries out the effects of one leadership. It is as safe for concurrent use as its clients and the
-// functions of Leadership are.
+// Executor performs the effects of one leadership. It is safe for concurrent use if its clients and the functions of
+// Leadership are.
 type Executor struct {
 	Leadership
 	State   StateService
@@ -80,9 +82,8 @@
 	Log     *slog.Logger
 }
 
-// Execute carries an effect out and returns the event that answers it. It returns nil for an effect that is not
-// carried out here: a HeartbeatResponse, with which the caller answers the heartbeat, and a Fence, for which
-// there is the method of that name.
+// Execute performs an effect and returns the event that reports its outcome. It returns nil for the two effects that
+// it does not perform: the caller answers the heartbeat with a HeartbeatResponse, and calls Fence for a Fence.
 func (x *Executor) Execute(ctx context.Context, effect reconciler.Effect) reconciler.Event {
 	switch e := effect.(type) {
 	case reconciler.SendCommands:
@@ -121,13 +122,13 @@
 	return ev
 }
 
-// commandOutcome is what became of commands that were handed to the client of the workers.
+// commandOutcome maps the result of sending commands to an outcome.
 func commandOutcome(reply worker.Reply) reconciler.Outcome {
 	switch {
 	case reply.Executed:
 		return reconciler.OK
 	case errors.Is(reply.Err, connquota.ErrFull):
-		return reconciler.NotSent // the request stayed here, which says nothing about the machine
+		return reconciler.NotSent // the request never left this process, so it says nothing about the machine
 	case reply.NotSent:
 		return reconciler.Refused
 	}
@@ -146,7 +147,7 @@
 	case err == nil:
 		ev.Outcome, ev.Machines = reconciler.OK, machines
 	default:
-		x.Log.Debug("provisioning not answered", "request", e.Provisioning.Name, "err", err)
+		x.Log.Debug("provisioning request failed with unknown outcome", "request", e.Provisioning.Name, "err", err)
 	}
 	return ev
 }
@@ -183,7 +184,7 @@
 	for _, team := range e.Teams {
 		account, err := x.State.Account(ctx, team)
 		if err != nil {
-			x.Log.Debug("reading an account failed", "team", team, "err", err)
+			x.Log.Debug("reading a ledger account failed", "team", team, "err", err)
 			continue
 		}
 		accounts[team] = account
--- a/internal/effects/helpers_test.go
+++ b/internal/effects/helpers_test.go
@@ -25,50 +25,51 @@
 )
 
 var (
-	errLost = errors.New("lost")
-	testNow = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	errConnectionLost = errors.New("connection lost")
+	testNow           = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-func discard() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// services are stand-ins for all clients. They answer as their fields say and note the requests.
+// services is a fake of all clients. Its fields determine the results of the requests. It records most requests in
+// calls.
 type services struct {
-	version       uint64
-	ok            bool
-	err           error
-	tokenChanged  bool
-	tokenErr      error
-	names         []string
-	cloudRefused  bool
-	waitErr       error
-	reply         worker.Reply
-	mayAct        bool
-	mayProvision  bool
-	calls         []string
-	fenced        []election.Fenced
-	unreadAccount string // the team whose account cannot be read
-}
-
-func (s *services) call(name string) { s.calls = append(s.calls, name) }
+	version             uint64
+	ok                  bool
+	err                 error
+	tokenChanged        bool
+	tokenErr            error
+	provisionedMachines []string
+	cloudRefused        bool
+	waitErr             error
+	reply               worker.Reply
+	mayAct              bool
+	mayProvision        bool
+	calls               []string
+	fenced              []election.Fenced
+	unreadableAccount   string // the team whose account cannot be read; empty if all can be read
+}
+
+func (s *services) recordCall(name string) { s.calls = append(s.calls, name) }
 
 func (s *services) CommitFenced(context.Context, uint64, []record.Change) (uint64, bool, error) {
-	s.call("commit")
+	s.recordCall("commit")
 	return s.version, s.ok, s.err
 }
 
 func (s *services) TokenUnchanged(context.Context, uint64) (bool, error) {
-	s.call("token")
+	s.recordCall("token")
 	return !s.tokenChanged, s.tokenErr
 }
 
 func (s *services) RewriteToken(context.Context, string, uint64, uint64) (uint64, bool, error) {
-	s.call("rewrite")
+	s.recordCall("rewrite")
 	return s.version, s.ok, s.err
 }
 
 func (s *services) Account(_ context.Context, team string) (ledger.StoredAccount, error) {
-	if team == s.unreadAccount {
-		return ledger.StoredAccount{}, errLost
+	if team == s.unreadableAccount {
+		return ledger.StoredAccount{}, errConnectionLost
 	}
 	return ledger.StoredAccount{Version: s.version}, nil
 }
@@ -78,17 +79,17 @@
 }
 
 func (s *services) Wait(context.Context) error {
-	s.call("wait")
+	s.recordCall("wait")
 	return s.waitErr
 }
 
 func (s *services) Provision(model.Provisioning) ([]string, bool, error) {
-	s.call("provision")
-	return s.names, s.cloudRefused, s.err
+	s.recordCall("provision")
+	return s.provisionedMachines, s.cloudRefused, s.err
 }
 
 func (s *services) Release([]string) error {
-	s.call("release")
+	s.recordCall("release")
 	return s.err
 }
 
@@ -101,7 +102,7 @@
 }
 
 func (s *services) Send(string, uint64, uint64, []model.Command, bool) worker.Reply {
-	s.call("send")
+	s.recordCall("send")
 	return s.reply
 }
 
@@ -117,7 +118,7 @@
 
 func (s *services) RenewLease(uint64) error { return s.err }
 
-// executor is one of a leadership that carries effects out by the services.
+// executor returns an Executor whose clients are s.
 func (s *services) executor(t *testing.T) *effects.Executor {
 	t.Helper()
 	state := fake.NewState(time.Now)
@@ -128,21 +129,21 @@
 			FencingToken: testToken,
 			TokenVersion: testTokenVersion,
 			MayAct: func() bool {
-				s.call("may act")
+				s.recordCall("may act")
 				return s.mayAct
 			},
 			MayProvision: func() bool {
-				s.call("may provision")
+				s.recordCall("may provision")
 				return s.mayProvision
 			},
 			ReportFenced: func(ev election.Fenced) { s.fenced = append(s.fenced, ev) },
 		},
 		State:   s,
-		Jobs:    store.NewJobCache(client, 1, 1, store.Limits{}, func([]store.JobChange) {}, discard()),
+		Jobs:    store.NewJobCache(client, 1, 1, store.Limits{}, func([]store.JobChange) {}, discardLogger()),
 		Cloud:   s,
 		Workers: s,
 		Now:     func() time.Time { return testNow },
-		Log:     discard(),
+		Log:     discardLogger(),
 	}
 }
 
@@ -160,6 +161,6 @@
 		events = []election.Fenced{{FencingToken: testToken}}
 	}
 	if !slices.Equal(s.fenced, events) {
-		t.Errorf("reports to the election: got %v, want %v", s.fenced, events)
+		t.Errorf("ReportFenced: got events %v, want %v", s.fenced, events)
 	}
 }
--- a/internal/effects/transactions.go
+++ b/internal/effects/transactions.go
@@ -9,14 +9,14 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// commit carries out a transaction on condition that the leadership's fencing token is the last one.
+// commit executes a transaction on the condition that the record of the fencing token is unchanged.
 func (x *Executor) commit(ctx context.Context, e reconciler.Commit) reconciler.CommitCompleted {
 	revision, ok, err := x.State.CommitFenced(ctx, x.TokenVersion, e.Changes)
 	ev := reconciler.CommitCompleted{Changes: e.Changes, Version: revision, Outcome: reconciler.OK}
 	switch {
 	case errors.Is(err, store.ErrRejected):
 		ev.Outcome = reconciler.Rejected
-		x.Log.Error("the state service rejects records", "keys", store.ChangeKeys(e.Changes), "err", err)
+		x.Log.Error("state service rejected records", "keys", store.ChangeKeys(e.Changes), "err", err)
 	case errors.Is(err, store.ErrNotExecuted):
 		ev.Outcome = reconciler.NotSent
 	case err != nil:
@@ -27,8 +27,8 @@
 	return ev
 }
 
-// refusedCommit finds out whether a commit was refused since another leader has taken over, which the
-// election has to know, or for one of the commit's own conditions.
+// refusedCommit determines why the conditions of a commit failed: another leader has taken over, which it reports to
+// the election, or one of the commit's own conditions did not hold.
 func (x *Executor) refusedCommit(ctx context.Context) reconciler.Outcome {
 	unchanged, err := x.State.TokenUnchanged(ctx, x.TokenVersion)
 	if err != nil {
@@ -42,23 +42,23 @@
 
 func (x *Executor) reportFenced() { x.ReportFenced(election.Fenced{FencingToken: x.FencingToken}) }
 
-// FenceResult is what became of a Fence.
+// FenceResult is the result of Executor.Fence.
 type FenceResult struct {
-	// Outcome is OK if no transaction that was sent before will be carried out any more, and Refused if
-	// another leader has taken over: nothing answers the Fence then. Otherwise it is Unknown.
+	// Outcome is OK if no transaction that was sent earlier and not answered can still be executed. It is Refused if
+	// another leader has taken over; the caller then passes no event to the reconciler. Otherwise it is Unknown.
 	Outcome reconciler.Outcome
-	// TokenVersion is the new version of the token's record, if the outcome is OK. The election has to know
-	// it before the reconciler goes on.
+	// TokenVersion is the new version of the token's record if Outcome is OK. The caller passes it to the election
+	// before it lets the reconciler continue.
 	TokenVersion uint64
 }
 
-// Fence rewrites the record of the fencing token, after which no transaction that has not been answered can be
-// carried out any more.
+// Fence rewrites the record of the fencing token. Unanswered transactions depend on the former version of the record,
+// so none of them can be executed afterwards.
 func (x *Executor) Fence(ctx context.Context) FenceResult {
 	version, ok, err := x.State.RewriteToken(ctx, x.Member, x.FencingToken, x.TokenVersion)
 	switch {
 	case err != nil:
-		x.Log.Debug("fencing failed", "err", err)
+		x.Log.Debug("rewriting the fencing token record failed", "err", err)
 		return FenceResult{Outcome: reconciler.Unknown}
 	case !ok:
 		x.reportFenced()
--- a/internal/election/clone.go
+++ b/internal/election/clone.go
@@ -7,66 +7,68 @@
 	"time"
 )
 
-// Clone returns an independent copy. The model checker uses it to follow every course of events.
+// Clone returns a copy that shares no mutable state with m. The model checker uses it to explore several sequences of
+// events from the same state.
 func (m *StateMachine) Clone() *StateMachine {
 	out := *m
 	out.votes.notLeading, out.votes.received = maps.Clone(m.votes.notLeading), maps.Clone(m.votes.received)
 	return &out
 }
 
-// AppendKey appends a key of all that determines the state machine's further behaviour: two with
-// the same key behave alike in the same surroundings. Times count relative to now.
+// AppendKey appends an encoding of all state that determines the future behaviour of the state machine, and returns
+// the extended buffer. Two state machines with equal keys react identically to identical events. Times are encoded
+// relative to now.
 func (m *StateMachine) AppendKey(b []byte, now time.Time) []byte {
 	k := keyWriter{b: b, now: now}
 	v := &m.votes
 	k.b = append(k.b, byte(m.state), byte(v.state))
-	k.text(m.leader)
-	k.text(v.castFor)
-	k.times(m.nextActionAt, m.lease.renewalSentAt, m.noClaimBefore)
-	k.times(v.blockedUntil, v.recoveryUntil, v.castAt, v.nextRequestAt)
-	k.numbers(m.lease.id, m.lease.fencingToken, m.lease.tokenVersion)
-	k.numbers(v.castToken, v.castSeq, v.highestToken, v.requestSeq, v.waivedSeq)
-	k.numbers(uint64(m.level.inForce), uint64(m.level.recorded), m.level.version)
-	k.numbers(uint64(m.level.proposed), uint64(m.level.claimed))
-	k.flag(m.lease.renewing)
-	k.flag(v.extended)
+	k.appendString(m.leader)
+	k.appendString(v.castFor)
+	k.appendTimes(m.nextActionAt, m.lease.renewalSentAt, m.noClaimBefore)
+	k.appendTimes(v.blockedUntil, v.recoveryUntil, v.castAt, v.nextRequestAt)
+	k.appendNumbers(m.lease.id, m.lease.fencingToken, m.lease.tokenVersion)
+	k.appendNumbers(v.castToken, v.castSeq, v.highestToken, v.requestSeq, v.waivedSeq)
+	k.appendNumbers(uint64(m.level.inForce), uint64(m.level.recorded), m.level.version)
+	k.appendNumbers(uint64(m.level.proposed), uint64(m.level.claimed))
+	k.appendBool(m.lease.renewing)
+	k.appendBool(v.extendedRequested)
 	for _, peer := range slices.Sorted(maps.Keys(v.notLeading)) {
-		k.text(peer)
+		k.appendString(peer)
 	}
-	k.end()
+	k.endList()
 	for _, peer := range slices.Sorted(maps.Keys(v.received)) {
-		k.text(peer)
-		k.times(v.received[peer].validUntil, v.received[peer].startsUntil)
+		k.appendString(peer)
+		k.appendTimes(v.received[peer].validUntil, v.received[peer].startsUntil)
 	}
-	k.end()
+	k.endList()
 	return k.b
 }
 
-// keyWriter appends values to a key.
+// keyWriter encodes values for AppendKey.
 type keyWriter struct {
 	b   []byte
 	now time.Time
 }
 
-// keyHorizon is how far from now a time may lie and still make a difference. A zero time lies
-// farther.
+// keyHorizon is the largest distance from now at which a time still affects the behaviour. Times beyond it, such as the
+// zero time, are encoded as if they were at the horizon.
 const keyHorizon = time.Minute
 
-func (k *keyWriter) times(times ...time.Time) {
+func (k *keyWriter) appendTimes(times ...time.Time) {
 	for _, t := range times {
 		k.b = binary.AppendVarint(k.b, int64(min(max(t.Sub(k.now), -keyHorizon), keyHorizon)))
 	}
 }
 
-func (k *keyWriter) numbers(numbers ...uint64) {
+func (k *keyWriter) appendNumbers(numbers ...uint64) {
 	for _, n := range numbers {
 		k.b = binary.AppendUvarint(k.b, n)
 	}
 }
 
-func (k *keyWriter) text(s string) { k.b = append(append(k.b, byte(len(s))), s...) }
+func (k *keyWriter) appendString(s string) { k.b = append(append(k.b, byte(len(s))), s...) }
 
-func (k *keyWriter) flag(f bool) {
+func (k *keyWriter) appendBool(f bool) {
 	var bit byte
 	if f {
 		bit = 1
@@ -74,5 +76,5 @@
 	k.b = append(k.b, bit)
 }
 
-// end closes a list.
-func (k *keyWriter) end() { k.b = append(k.b, 0) }
+// endList terminates a list of variable length.
+func (k *keyWriter) endList() { k.b = append(k.b, 0) }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,12 +1,11 @@
-// Package election decides which controller leads. It is a pure state machine: the caller passes
-// each event to StateMachine.Step together with the present time, performs the effects that Step
-// returns, and passes their outcomes in as further events. Between events it sends a Tick whenever
-// NextTick says so. Before anything is done in the name of the leader, the caller checks
-// LeadershipValid.
+// Package election implements leader election among the controllers. It is a pure state machine: the caller passes
+// each event to StateMachine.Step together with the current time, performs the effects that Step returns, and reports
+// their outcomes as further events. The caller also passes a Tick at the time that NextTick returns. Before it acts as
+// the leader, the caller checks LeadershipValid.
 //
-// A leader holds a lease at the state service. Votes of all other members, each of which promises
-// not to claim for a time, keep its leadership valid while the state service is unreachable. The
-// safety argument is in docs/safety.md, "Single leader".
+// A leader holds a lease at the state service. While the state service is unreachable, votes of all other members keep
+// the leadership valid: each vote is a promise not to claim the leadership for a limited time. The safety argument is
+// in docs/safety.md, "Single leader".
 package election
 
 import (
@@ -16,134 +15,136 @@
 	"github.com/glentiller/glentiller/internal/featuregate"
 )
 
-// State is a controller's state in the election.
+// State is the state of a controller in the election.
 type State uint8
 
 // The states of a controller.
 const (
-	Following      State = iota // another controller leads, or none does
-	ReadingLeader               // reading the leader's keys
-	AcquiringLease              // waiting for a lease
-	Claiming                    // trying to take the leader's key with that lease
-	Leading                     // holds the leader's key; LeadershipValid reports whether it may act
+	Following      State = iota // this controller neither leads nor tries to become the leader
+	ReadingLeader               // it is reading the leader's keys
+	AcquiringLease              // it has requested a lease
+	Claiming                    // it is trying to write the leader's key with that lease
+	Leading                     // it holds the leader's key; LeadershipValid reports whether it may act
 )
 
-// String returns the name that operators are shown.
+// String returns the name of the state that log records and Status show.
 func (s State) String() string {
 	return [...]string{"following", "looking", "granting", "claiming", "leading"}[s]
 }
 
 // Settings configure an election.
 type Settings struct {
-	Member        string        // name of this controller
-	Peers         []string      // names of the other members
-	LeaseDuration time.Duration // of the leader's lease
-	SafetyMargin  time.Duration // by which a leadership ends before its lease can
-	PollInterval  time.Duration // between reads of the leader's keys while another member leads
-	RetryInterval time.Duration // after a failed request
+	Member        string        // the name of this controller
+	Peers         []string      // the names of the other members
+	LeaseDuration time.Duration // the duration of the leader's lease
+	SafetyMargin  time.Duration // how long before the earliest expiry of its lease a leadership ends
+	PollInterval  time.Duration // the time between reads of the leader's keys while another member leads
+	RetryInterval time.Duration // the delay after a failed request
 
-	VoteDuration       time.Duration // for which a member votes for a leader; 0: there are no votes
-	OutageVoteDuration time.Duration // the same while the state service is unreachable; 0: no longer
+	VoteDuration       time.Duration // how long a member's vote for a leader lasts; zero disables votes
+	OutageVoteDuration time.Duration // the same while the state service is unreachable; zero means VoteDuration
 
 	MaxLevel featuregate.Level // the highest feature level that this program supports
 }
 
-// clockDriftDivisor bounds the drift between the steady clocks of two machines: a duration that is
-// measured on one differs on the other by at most this fraction.
+// clockDriftDivisor bounds the drift between the monotonic clocks of two machines: their measurements of the same
+// duration differ by at most the duration divided by this number.
 const clockDriftDivisor = 1000
 
-// withoutDrift shortens a duration so that, measured on one machine, it ends no later than the given
-// one does on another.
+// withoutDrift returns a shorter duration that, measured on one machine, ends no later than d does when measured on
+// another machine.
 func withoutDrift(d time.Duration) time.Duration { return d - d/clockDriftDivisor }
 
-// withDrift lengthens a duration so that, measured on one machine, it ends no earlier than the given
-// one does on another.
+// withDrift returns a longer duration that, measured on one machine, ends no earlier than d does when measured on
+// another machine.
 func withDrift(d time.Duration) time.Duration { return d + d/clockDriftDivisor }
 
 // Record is the content of the leader's keys.
 type Record struct {
-	Held         bool // a controller holds the leader's key
-	Leader       string
-	LeaseID      uint64
-	FencingToken uint64 // the last one issued
-	TokenVersion uint64
-	Level        featuregate.Level // in force; 0: not recorded
-	LevelVersion uint64
+	Held         bool              // a controller holds the leader's key
+	Leader       string            // the name of that controller
+	LeaseID      uint64            // the lease that the leader's key is attached to
+	FencingToken uint64            // the last fencing token that was issued
+	TokenVersion uint64            // the version of the fencing token's record
+	Level        featuregate.Level // the feature level in force; zero if there is no record of it
+	LevelVersion uint64            // the version of that record
 }
 
-// StateMachine is the election as one controller takes part in it. It belongs to one goroutine.
+// StateMachine is the state of one controller in the election. It is not safe for concurrent use, except for
+// RenewalValidUntil.
 type StateMachine struct {
 	settings Settings
 	log      *slog.Logger
 
 	state         State
-	nextActionAt  time.Time // when a Tick reads, renews or retries next
-	leader        string    // the leader as far as known; empty: unknown
-	noClaimBefore time.Time // after a resignation
+	nextActionAt  time.Time // when a Tick next reads the leader's keys, renews the lease or retries
+	leader        string    // the name of the last known leader; empty if unknown
+	noClaimBefore time.Time // the end of the pause in claims that follows a resignation
 
 	lease leaderLease
-	level levelRecord
+	level levelState
 	votes votes
 }
 
-// leaderLease is the lease and the fencing token of this controller's leadership. Before it leads,
-// the token is the last one that was read.
+// leaderLease is the lease and the fencing token of this controller's leadership. Before this controller leads, the
+// token is the last one that it has read.
 type leaderLease struct {
 	id            uint64
 	renewalSentAt time.Time // when the request for the lease, or its last successful renewal, was sent
-	renewing      bool      // a renewal has not been answered yet
+	renewing      bool      // a renewal is in flight
 	fencingToken  uint64
 	tokenVersion  uint64
 }
 
-// levelRecord is what this controller knows of the feature level in force.
-type levelRecord struct {
-	inForce  featuregate.Level // the highest that was ever read or written: it never falls
-	recorded featuregate.Level // in the record that was read last
-	version  uint64            // of that record
-	proposed featuregate.Level // to which the next claim may raise it
-	claimed  featuregate.Level // written by the claim in progress; 0: none
+// levelState holds what this controller knows about the feature level in force.
+type levelState struct {
+	inForce  featuregate.Level // the highest level that was ever read or written; it never falls
+	recorded featuregate.Level // the level in the record that was read last
+	version  uint64            // the version of that record
+	proposed featuregate.Level // the level to which the next claim may raise the deployment
+	claimed  featuregate.Level // the level that the claim in progress writes; zero if it writes none
 }
 
-// New returns the state machine of a controller that starts at now and remembers no earlier
-// incarnation of its process.
+// New returns the state machine of a controller whose process starts at now and remembers nothing from its earlier
+// incarnations.
 func New(now time.Time, settings Settings, log *slog.Logger) *StateMachine {
 	m := &StateMachine{settings: settings, log: log}
-	m.votes.recover(now, &m.settings)
+	m.votes.startRecovery(now, &m.settings)
 	return m
 }
 
 // State returns this controller's state.
 func (m *StateMachine) State() State { return m.state }
 
-// Leader returns the leader's name as far as this controller knows; empty: unknown.
+// Leader returns the name of the last known leader, or the empty string if it is unknown.
 func (m *StateMachine) Leader() string { return m.leader }
 
-// FencingToken returns the fencing token of this controller's leadership.
+// FencingToken returns the fencing token of this controller's leadership. It is meaningful only while this controller
+// leads.
 func (m *StateMachine) FencingToken() uint64 { return m.lease.fencingToken }
 
-// TokenVersion returns the version of the fencing token's record.
+// TokenVersion returns the version of the fencing token's record. It is meaningful only while this controller leads.
 func (m *StateMachine) TokenVersion() uint64 { return m.lease.tokenVersion }
 
-// LeaseID returns the lease that this controller's leadership depends on.
+// LeaseID returns the lease of this controller's leadership. It is zero while this controller follows.
 func (m *StateMachine) LeaseID() uint64 { return m.lease.id }
 
-// LeaseDuration returns how long a leader's lease lasts.
+// LeaseDuration returns the configured duration of the leader's lease.
 func (m *StateMachine) LeaseDuration() time.Duration { return m.settings.LeaseDuration }
 
-// Level returns the feature level in force as far as this controller knows. It never falls.
+// Level returns the highest feature level that this controller has read or written. It never falls.
 func (m *StateMachine) Level() featuregate.Level { return m.level.inForce }
 
-// NextTick returns when the next Tick is due.
+// NextTick returns when the caller has to pass the next Tick.
 func (m *StateMachine) NextTick() time.Time {
-	asking := m.votes.state == voteRecovering && m.state <= ReadingLeader
-	if asking && m.votes.nextRequestAt.Before(m.nextActionAt) {
+	queriesPeers := m.votes.state == voteRecovering && m.state <= ReadingLeader
+	if queriesPeers && m.votes.nextRequestAt.Before(m.nextActionAt) {
 		return m.votes.nextRequestAt
 	}
 	return m.nextActionAt
 }
 
-// transition changes the state; nothing else does.
+// transition is the only method that changes the state.
 func (m *StateMachine) transition(to State, nextActionAt time.Time) {
 	if m.state != to && (to == Leading || m.state == Leading) {
 		m.log.Info("leadership changed", "from", m.state.String(), "to", to.String(), "fencing_token", m.lease.fencingToken)
--- a/internal/election/events.go
+++ b/internal/election/events.go
@@ -6,60 +6,64 @@
 	"github.com/glentiller/glentiller/internal/featuregate"
 )
 
-// Event is an input of the election's state machine.
+// Event is an input of the state machine.
 type Event interface{ electionEvent() }
 
-// The events. Sent is always the local time at which the request was sent that the event answers.
+// The events. In each of them, Sent is the local time at which the request was sent to which the event is the
+// response.
 type (
-	// Tick reports that time has passed; NextTick returns when it is due.
+	// Tick reports that time has passed. NextTick returns when the next one is due.
 	Tick struct{}
-	// RecordRead carries the leader's keys, from a ReadRecord or from a watch.
+	// RecordRead carries the content of the leader's keys, in response to a ReadRecord or from a watch.
 	RecordRead struct {
 		Record Record
 		Err    error
 	}
-	// LeaderKeyVacant says that a watch has seen the leader's key disappear.
+	// LeaderKeyVacant reports that a watch has observed the deletion of the leader's key.
 	LeaderKeyVacant struct{}
-	// LeaseGranted completes a GrantLease.
+	// LeaseGranted reports the outcome of a GrantLease.
 	LeaseGranted struct {
 		LeaseID uint64
 		Sent    time.Time
 		Err     error
 	}
-	// ClaimCompleted completes a Claim.
+	// ClaimCompleted reports the outcome of a Claim.
 	ClaimCompleted struct {
 		OK           bool   // the transaction was committed
-		TokenVersion uint64 // version of the fencing token's record that it wrote
+		TokenVersion uint64 // the version of the fencing token's record that the transaction wrote
 		Err          error
 	}
-	// LeaseRenewed completes a RenewLease.
+	// LeaseRenewed reports the outcome of a RenewLease.
 	LeaseRenewed struct {
 		LeaseID uint64
 		Sent    time.Time
-		Expired bool // the state service has answered that the lease is gone
+		Expired bool // the state service responded that the lease does not exist any more
 		Err     error
 	}
-	// Fenced says that a transaction of this leader failed on the version of the token's record.
+	// Fenced reports that a transaction of this leader failed because the version of the fencing token's record has
+	// changed, which means that another leader has taken over.
 	Fenced struct{ FencingToken uint64 }
-	// TokenRewritten says that this leader has rewritten the record of its own token.
+	// TokenRewritten reports that this leader has rewritten the record of its own fencing token.
 	TokenRewritten struct{ FencingToken, TokenVersion uint64 }
-	// Resign has a leader release its lease and step down.
+	// Resign makes a leader revoke its lease and step down. It does not claim the leadership again for two lease
+	// durations.
 	Resign struct{}
-	// ProposeLevel says to which feature level the next claim may raise the deployment; 0: to none.
+	// ProposeLevel sets the feature level to which the next claim may raise the deployment. Zero proposes none.
 	ProposeLevel struct {
 		Level    featuregate.Level
-		StepDown bool // a leader steps down for it, and claims again at once
+		StepDown bool // a leader steps down at once, so that the next claim can raise the level
 	}
-	// VoteReceived carries a member's vote for this leader: not to claim for a time.
+	// VoteReceived carries a member's vote for this leader, which is a promise not to claim the leadership for the
+	// given duration.
 	VoteReceived struct {
 		Member       string
 		FencingToken uint64
 		Sent         time.Time
-		Seq          uint64        // of the vote request
-		Duration     time.Duration // 0: sent by an old version, which votes for Settings.VoteDuration
+		Seq          uint64        // the number of the vote request
+		Duration     time.Duration // zero if an old version sent the vote, which then lasts for Settings.VoteDuration
 	}
-	// NotLeadingReceived says that another member does not lead, so that no vote cast for it
-	// before Sent counts any more.
+	// NotLeadingReceived reports that another member does not lead. Votes that were cast for it before Sent have no
+	// effect any more.
 	NotLeadingReceived struct {
 		Member string
 		Sent   time.Time
@@ -79,39 +83,40 @@
 func (VoteReceived) electionEvent()       {}
 func (NotLeadingReceived) electionEvent() {}
 
-// Effect is an action that the caller of the state machine has to perform.
+// Effect is an action that the state machine asks its caller to perform.
 type Effect interface{ electionEffect() }
 
-// The effects. ReadRecord, GrantLease, Claim and RenewLease are each answered by one event.
+// The effects. The caller reports the outcome of each ReadRecord, GrantLease, Claim and RenewLease by one event.
 type (
-	// ReadRecord reads the leader's keys; RecordRead answers.
+	// ReadRecord reads the leader's keys. RecordRead reports the outcome.
 	ReadRecord struct{}
-	// GrantLease requests a lease from the state service; LeaseGranted answers.
+	// GrantLease requests a lease from the state service. LeaseGranted reports the outcome.
 	GrantLease struct{ Duration time.Duration }
-	// Claim writes the leader's key and the next fencing token in one transaction, on condition that
-	// the records still have the versions that were read; ClaimCompleted answers.
+	// Claim writes the leader's key and the next fencing token in one transaction, on the condition that the records
+	// still have the versions that were read. ClaimCompleted reports the outcome.
 	Claim struct {
 		LeaseID, FencingToken, TokenVersion uint64
 		LevelVersion                        uint64
-		NewLevel                            featuregate.Level // written as the level in force; 0: not written
+		NewLevel                            featuregate.Level // the level to record as in force; zero records none
 	}
-	// RenewLease renews the leader's lease; LeaseRenewed answers.
+	// RenewLease renews the leader's lease. LeaseRenewed reports the outcome.
 	RenewLease struct{ LeaseID uint64 }
-	// RevokeLease ends a lease, and with it a leader's key that is attached to it.
+	// RevokeLease revokes a lease, which also deletes the leader's key if it is attached to the lease.
 	RevokeLease struct{ LeaseID uint64 }
-	// Elected says that this controller leads from now on.
+	// Elected reports that this controller has become the leader.
 	Elected struct{ FencingToken, TokenVersion uint64 }
-	// Deposed says that this controller leads no longer.
+	// Deposed reports that this controller has ceased to be the leader.
 	Deposed struct{}
-	// RequestVotes requests the votes of all other members for this leader.
+	// RequestVotes requests a vote for this leader from each other member.
 	RequestVotes struct {
 		FencingToken, Seq uint64
 		Duration          time.Duration
-		Supersedes        bool // longer votes for earlier requests no longer count
+		Supersedes        bool // the leader does not rely on longer votes for earlier requests any more
 	}
-	// QueryLeadership asks all other members whether they lead.
+	// QueryLeadership asks each other member whether it leads. NotLeadingReceived reports each response of a member
+	// that does not.
 	QueryLeadership struct{}
-	// ReleaseVotes releases the votes of all other members, which this leader no longer needs.
+	// ReleaseVotes tells all other members that this leader does not need their votes any more.
 	ReleaseVotes struct{ FencingToken uint64 }
 )
 
--- a/internal/election/simulated_store_test.go
+++ b/internal/election/simulated_store_test.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// callStore carries a request from a member to the state service, and its answer back.
-func (c *cluster) callStore(i int, serve func() any, answered func(answer any, err error)) {
-	m, incarnation := c.members[i], c.members[i].election
-	reply := func(answer any, err error) {
+// callStore sends a request of a member to the state service, which executes it, and passes the response or an error to
+// the member. A member that has crashed or restarted in the meantime gets no response.
+func (c *cluster) callStore(i int, execute func() any, onResponse func(response any, err error)) {
+	m, incarnation := c.members[i], c.members[i].stateMachine
+	respond := func(response any, err error) {
 		c.deliver(false, func() {
-			if m.up && m.election == incarnation {
-				answered(answer, err)
+			if m.up && m.stateMachine == incarnation {
+				onResponse(response, err)
 			}
 		})
 	}
 	if m.unreachable[stateService] || c.storeDown {
-		reply(nil, io.EOF)
+		respond(nil, io.EOF)
 		return
 	}
 	c.deliver(false, func() {
 		c.expireLeases()
 		if c.storeDown {
-			reply(nil, io.EOF)
+			respond(nil, io.EOF)
 			return
 		}
-		answer := serve()
+		response := execute()
 		if c.random.IntN(30) == 0 {
-			reply(nil, io.ErrUnexpectedEOF) // carried out, and not answered
+			respond(nil, io.ErrUnexpectedEOF) // executed, but the response is lost
 			return
 		}
-		reply(answer, nil)
+		respond(response, nil)
 	})
 }
 
@@ -47,12 +48,12 @@
 
 func (c *cluster) deleteLease(id int) {
 	delete(c.leases, id)
-	if c.holderLease == id {
-		c.holderLease = 0
+	if c.leaderKeyLease == id {
+		c.leaderKeyLease = 0
 	}
 }
 
-// endOutage has the state service answer again. Leases do not expire in an outage.
+// endOutage makes the state service available again. Leases do not expire during an outage: all of them start anew.
 func (c *cluster) endOutage() {
 	if !c.storeDown {
 		return
@@ -66,14 +67,14 @@
 func (c *cluster) readRecord(i int) {
 	c.callStore(i, func() any {
 		return Record{
-			Held:         c.holderLease != 0,
+			Held:         c.leaderKeyLease != 0,
 			Leader:       c.leader,
-			LeaseID:      uint64(c.holderLease),
+			LeaseID:      uint64(c.leaderKeyLease),
 			FencingToken: c.fencingToken,
 			TokenVersion: c.tokenVersion,
 		}
-	}, func(answer any, err error) {
-		record, _ := answer.(Record)
+	}, func(response any, err error) {
+		record, _ := response.(Record)
 		c.step(i, RecordRead{record, err})
 	})
 }
@@ -83,22 +84,22 @@
 		c.lastLeaseID++
 		c.leases[c.lastLeaseID] = &lease{e.Duration, c.now}
 		return c.lastLeaseID
-	}, func(answer any, err error) {
-		id, _ := answer.(int)
+	}, func(response any, err error) {
+		id, _ := response.(int)
 		c.step(i, LeaseGranted{uint64(id), sent, err})
 	})
 }
 
 func (c *cluster) claim(i int, m *member, e Claim) {
 	c.callStore(i, func() any {
-		if c.holderLease != 0 || c.tokenVersion != e.TokenVersion || c.leases[int(e.LeaseID)] == nil {
+		if c.leaderKeyLease != 0 || c.tokenVersion != e.TokenVersion || c.leases[int(e.LeaseID)] == nil {
 			return uint64(0)
 		}
-		c.holderLease, c.leader = int(e.LeaseID), m.name
+		c.leaderKeyLease, c.leader = int(e.LeaseID), m.name
 		c.fencingToken, c.tokenVersion = e.FencingToken, c.tokenVersion+1
 		return c.tokenVersion
-	}, func(answer any, err error) {
-		version, _ := answer.(uint64)
+	}, func(response any, err error) {
+		version, _ := response.(uint64)
 		c.step(i, ClaimCompleted{OK: version > 0 && err == nil, TokenVersion: version, Err: err})
 	})
 }
@@ -110,8 +111,8 @@
 			l.renewedAt = c.now
 		}
 		return l != nil
-	}, func(answer any, err error) {
-		alive, _ := answer.(bool)
+	}, func(response any, err error) {
+		alive, _ := response.(bool)
 		c.step(i, LeaseRenewed{LeaseID: e.LeaseID, Sent: sent, Expired: err == nil && !alive, Err: err})
 	})
 }
--- a/internal/election/simulation_test.go
+++ b/internal/election/simulation_test.go
@@ -11,40 +11,40 @@
 	"time"
 )
 
-// cluster simulates three members, a state service and a network in a time of its own: messages
-// that come late or never, outages for all and for one, crashes without memory, clocks that drift
-// apart. At most one member may ever have a valid leadership, and none with a fencing token below
-// one that another has led with.
+// cluster simulates three members, a state service and a network in simulated time. Messages are delayed or lost, the
+// state service is unavailable for all members or for one, members crash and restart without memory, and their clocks
+// drift apart. At any time at most one member may have a valid leadership, and its fencing token must not be lower than
+// that of any earlier valid leadership.
 type cluster struct {
 	random     *rand.Rand
-	now        time.Duration // true time
+	now        time.Duration // the simulated time without clock drift
 	members    []*member
 	deliveries []delivery
 	variant    variant
 
-	holderLease  int // lease that holds the leader's key; 0: nobody
-	leader       string
-	fencingToken uint64
-	tokenVersion uint64
-	leases       map[int]*lease
-	lastLeaseID  int
-	storeDown    bool
+	leaderKeyLease int // the lease that the leader's key is attached to; zero if the key does not exist
+	leader         string
+	fencingToken   uint64
+	tokenVersion   uint64
+	leases         map[int]*lease
+	lastLeaseID    int
+	storeDown      bool
 
 	highestToken uint64 // the highest fencing token of a valid leadership
-	validOnVotes int    // steps in which a leadership was valid on votes alone
+	validOnVotes int    // the number of steps in which a leadership was valid on votes alone
 	claims       int
 }
 
 type member struct {
-	election    *StateMachine
-	name        string
-	clockRate   float64 // of its steady clock
-	startedAt   time.Duration
-	up          bool
-	unreachable map[int]bool // members, and stateService, that it does not reach
+	stateMachine *StateMachine
+	name         string
+	clockRate    float64 // the rate of its monotonic clock relative to the simulated time
+	startedAt    time.Duration
+	up           bool
+	unreachable  map[int]bool // the members, or stateService, to which its messages do not get through
 }
 
-// stateService stands for the state service among the unreachable members.
+// stateService represents the state service in member.unreachable.
 const stateService = -1
 
 type lease struct {
@@ -56,17 +56,17 @@
 	handle    func()
 }
 
-// variant breaks the protocol on purpose.
+// variant selects the correct protocol or a deliberate fault in it.
 type variant int
 
 const (
 	correct          variant = iota
-	votesCutShort            // members keep a vote for a third of its time
-	votesForgotten           // a member that restarts claims at once
+	votesCutShort            // members keep a vote for only a third of its duration
+	votesForgotten           // a member that restarts may claim immediately
 	votesAfterExpiry         // a leader counts votes after its leadership has lapsed
-	shortRecovery            // a member that restarts waits only for the shorter votes of an earlier incarnation
-	staleNotLeading          // a member accepts that the leader does not lead from before its vote
-	overtakenRequest         // a member lets an overtaken request shorten its vote
+	shortRecovery            // a member that restarts waits only for the normal, not for the extended votes to end
+	staleNotLeading          // a member drops its vote after a not-leading response from before the vote
+	delayedRequest           // a member lets a delayed earlier request shorten its vote
 )
 
 const (
@@ -79,7 +79,7 @@
 
 var memberNames = []string{"tiller-0", "tiller-1", "tiller-2"}
 
-// testSettings are the settings of a member with these peers.
+// testSettings returns the settings of a member with the given peers.
 func testSettings(member string, peers ...string) Settings {
 	return Settings{
 		Member:             member,
@@ -109,8 +109,8 @@
 		}
 	}
 	settings := testSettings(m.name, peers...)
-	m.election = New(c.clock(m), settings, discardLog)
-	switch v := &m.election.votes; c.variant {
+	m.stateMachine = New(c.clock(m), settings, discardLog)
+	switch v := &m.stateMachine.votes; c.variant {
 	case votesForgotten:
 		v.recoveryUntil = time.Time{}
 		v.transition(voteNone, time.Time{})
@@ -120,8 +120,8 @@
 	}
 }
 
-// deliver delivers a message after a while: mostly soon, now and then many seconds late or, if it may
-// be lost, never.
+// deliver delivers a message after a random delay, which is up to 60 ms for most messages and up to 15 s for one in 40.
+// If mayBeLost is set, it also loses one in 40.
 func (c *cluster) deliver(mayBeLost bool, handle func()) {
 	delay := time.Duration(c.random.IntN(60)) * time.Millisecond
 	switch c.random.IntN(40) {
@@ -135,20 +135,21 @@
 	c.deliveries = append(c.deliveries, delivery{c.now + delay, handle})
 }
 
-// send carries a message from one member to another.
+// send sends a message from one member to another. It is not delivered if the receiver is unreachable or down, or
+// restarts before the delivery.
 func (c *cluster) send(from, to int, handle func(receiver *member)) {
-	receiver, incarnation := c.members[to], c.members[to].election
+	receiver, incarnation := c.members[to], c.members[to].stateMachine
 	if c.members[from].unreachable[to] || !receiver.up {
 		return
 	}
 	c.deliver(true, func() {
-		if receiver.up && receiver.election == incarnation {
+		if receiver.up && receiver.stateMachine == incarnation {
 			handle(receiver)
 		}
 	})
 }
 
-// broadcast carries a message from a member to all others.
+// broadcast sends a message from one member to all others.
 func (c *cluster) broadcast(from int, handle func(to int, receiver *member)) {
 	for to := range c.members {
 		if to != from {
@@ -159,7 +160,7 @@
 
 func (c *cluster) step(i int, event Event) {
 	m := c.members[i]
-	for _, effect := range m.election.Step(c.clock(m), event) {
+	for _, effect := range m.stateMachine.Step(c.clock(m), event) {
 		c.perform(i, m, effect)
 	}
 }
@@ -183,11 +184,11 @@
 	case QueryLeadership:
 		c.broadcast(i, func(to int, receiver *member) { c.handleLeadershipQuery(i, to, m, receiver, sent) })
 	case ReleaseVotes:
-		c.broadcast(i, func(_ int, voter *member) { voter.election.HandleVoteRelease(e.FencingToken) })
+		c.broadcast(i, func(_ int, voter *member) { voter.stateMachine.HandleVoteRelease(e.FencingToken) })
 	}
 }
 
-// handleVoteRequest has a member vote, and sends its vote to the leader.
+// handleVoteRequest passes a vote request to a member, and sends its vote, if it casts one, to the leader.
 func (c *cluster) handleVoteRequest(from, to int, leader, voter *member, e RequestVotes, sent time.Time) {
 	request := VoteRequest{
 		Leader:       leader.name,
@@ -200,10 +201,10 @@
 	switch c.variant {
 	case votesCutShort:
 		request.Duration /= 3
-	case overtakenRequest:
-		voter.election.votes.castSeq = 0
+	case delayedRequest:
+		voter.stateMachine.votes.castSeq = 0
 	}
-	duration := voter.election.HandleVoteRequest(now, request)
+	duration := voter.stateMachine.HandleVoteRequest(now, request)
 	if duration == 0 {
 		return
 	}
@@ -212,27 +213,27 @@
 	}
 	c.send(to, from, func(leader *member) {
 		vote := VoteReceived{voter.name, e.FencingToken, sent, e.Seq, duration}
-		if c.variant == votesAfterExpiry && leader.election.leadsWith(e.FencingToken) {
-			leader.election.votes.record(&leader.election.settings, vote)
+		if c.variant == votesAfterExpiry && leader.stateMachine.leadsWith(e.FencingToken) {
+			leader.stateMachine.votes.countVote(&leader.stateMachine.settings, vote)
 		}
 		c.step(from, vote)
 	})
 }
 
-// handleLeadershipQuery has a member answer whether it leads.
-func (c *cluster) handleLeadershipQuery(from, to int, asking, receiver *member, sent time.Time) {
-	if receiver.election.state == Leading || receiver.election.state == Claiming {
+// handleLeadershipQuery lets a member respond to a query that it does not lead. One that may lead does not respond.
+func (c *cluster) handleLeadershipQuery(from, to int, querier, receiver *member, sent time.Time) {
+	if receiver.stateMachine.state == Leading || receiver.stateMachine.state == Claiming {
 		return
 	}
 	c.send(to, from, func(*member) {
 		if c.variant == staleNotLeading {
-			sent = c.clock(asking)
+			sent = c.clock(querier)
 		}
 		c.step(from, NotLeadingReceived{receiver.name, sent})
 	})
 }
 
-// injectFault begins or ends a fault.
+// injectFault starts or ends a random fault.
 func (c *cluster) injectFault() {
 	i := c.random.IntN(len(c.members))
 	m := c.members[i]
@@ -261,7 +262,7 @@
 	}
 }
 
-// simulate runs a cluster for two minutes, and returns what rule it broke.
+// simulate runs a cluster for simulatedTime. It returns an error if an invariant was violated.
 func simulate(seed uint64, v variant) (*cluster, error) {
 	c := &cluster{random: rand.New(rand.NewPCG(seed, 3)), variant: v, leases: map[int]*lease{}}
 	for _, name := range memberNames {
@@ -289,7 +290,7 @@
 	return c, nil
 }
 
-// deliverDue delivers what is due, in the order of the times.
+// deliverDue delivers the messages that are due, ordered by delivery time.
 func (c *cluster) deliverDue() {
 	due := c.deliveries
 	c.deliveries = nil
@@ -303,19 +304,20 @@
 	}
 }
 
-// check returns an error if two leaderships are valid, or one with a token that is too low.
+// check returns an error if more than one leadership is valid, or if one is valid with a lower fencing token than an
+// earlier one.
 func (c *cluster) check() error {
 	valid := 0
 	for _, m := range c.members {
-		if !m.up || !m.election.LeadershipValid(c.clock(m)) {
+		if !m.up || !m.stateMachine.LeadershipValid(c.clock(m)) {
 			continue
 		}
 		valid++
-		if token := m.election.FencingToken(); token < c.highestToken {
+		if token := m.stateMachine.FencingToken(); token < c.highestToken {
 			return fmt.Errorf("at %v: %s leads with fencing token %d, want at least %d", c.now, m.name, token, c.highestToken)
 		}
-		c.highestToken = m.election.FencingToken()
-		if !c.clock(m).Before(m.election.LeaseValidUntil()) {
+		c.highestToken = m.stateMachine.FencingToken()
+		if !c.clock(m).Before(m.stateMachine.LeaseValidUntil()) {
 			c.validOnVotes++
 		}
 	}
@@ -354,11 +356,11 @@
 func TestSimulationDetectsBrokenVoteProtocols(t *testing.T) {
 	for v, name := range map[variant]string{
 		votesCutShort:    "votes cut short",
-		votesForgotten:   "votes forgotten",
+		votesForgotten:   "votes forgotten after a restart",
 		votesAfterExpiry: "votes counted after the leadership has lapsed",
-		shortRecovery:    "votes of an earlier incarnation kept for too short",
-		staleNotLeading:  "votes withdrawn on a stale answer",
-		overtakenRequest: "votes shortened by an overtaken request",
+		shortRecovery:    "recovery wait too short for extended votes",
+		staleNotLeading:  "vote withdrawn on a stale response",
+		delayedRequest:   "vote shortened by a delayed earlier request",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/election/status.go
+++ b/internal/election/status.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Status describes a member's part in the election to operators. Remaining times that are zero or
-// negative have run out.
+// Status describes the state of a member in the election for operators. A remaining time that is zero or negative has
+// run out.
 type Status struct {
 	State           string
 	Leader          string
 	FencingToken    uint64
-	LeaseRemaining  time.Duration            // of the leadership as the lease proves it
-	ValidRemaining  time.Duration            // of the leadership as lease or votes prove it
-	VoteDuration    time.Duration            // for which members vote at a time; 0: there are no votes
-	Votes           map[string]time.Duration // remaining time of the votes for this leader, by member
-	ClaimBlockedFor time.Duration            // for which this member's own vote keeps it from claiming
+	LeaseRemaining  time.Duration            // the remaining time of this member's leadership by its lease alone
+	ValidRemaining  time.Duration            // the remaining time of this member's leadership by its lease or by votes
+	VoteDuration    time.Duration            // how long a vote lasts; zero if votes are disabled
+	Votes           map[string]time.Duration // the remaining times of the votes for this leader, by member
+	ClaimBlockedFor time.Duration            // how long this member's own vote still prevents it from claiming
 }
 
-// Status returns this member's status.
+// Status returns the status of this member at now.
 func (m *StateMachine) Status(now time.Time) Status {
 	status := Status{
 		State:        m.state.String(),
--- a/internal/election/step.go
+++ b/internal/election/step.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// renewalsPerLease is how many renewals a leader sends in the time of one lease.
+// renewalsPerLease is the number of renewals that a leader sends during one lease duration.
 const renewalsPerLease = 4
 
-// Step applies an event and returns the effects to perform, in order.
+// Step applies an event that occurs at now. It returns the effects that the caller has to perform, in order.
 func (m *StateMachine) Step(now time.Time, event Event) []Effect {
 	switch ev := event.(type) {
 	case Tick:
@@ -40,10 +40,10 @@
 			return m.stepDown(now)
 		}
 	case VoteReceived:
-		// Votes extend a valid leadership, they never restore one: after a lapse another
-		// controller may have led, and only the lease proves that none has.
+		// Votes extend a valid leadership but never restore one. After a lapse another controller may have led, and
+		// only the lease proves that none has.
 		if m.leadsWith(ev.FencingToken) && m.LeadershipValid(now) {
-			m.votes.record(&m.settings, ev)
+			m.votes.countVote(&m.settings, ev)
 		}
 	case NotLeadingReceived:
 		m.votes.peerNotLeading(&m.settings, ev.Member, ev.Sent)
@@ -51,17 +51,17 @@
 	return nil
 }
 
-// leadsWith reports whether this controller leads with the given fencing token.
+// leadsWith reports whether this controller is the leader with the given fencing token.
 func (m *StateMachine) leadsWith(fencingToken uint64) bool {
 	return m.state == Leading && fencingToken == m.lease.fencingToken
 }
 
-// tick performs what has become due.
+// tick returns the effects that are due at now.
 func (m *StateMachine) tick(now time.Time) []Effect {
 	var effects []Effect
 	if m.mustQueryLeadership(now) && !now.Before(m.votes.nextRequestAt) {
-		// Asked between reads as well: when members start together, the first one asks before the
-		// others can answer, and would otherwise ask again only seconds later.
+		// The query does not wait for the next read of the leader's keys. When members start at the same time, the
+		// first one queries before the others can respond, and would otherwise query again only seconds later.
 		m.votes.nextRequestAt = now.Add(m.settings.RetryInterval)
 		effects = append(effects, QueryLeadership{})
 	}
@@ -75,13 +75,13 @@
 	case Leading:
 		return m.tickLeading(now, effects)
 	default:
-		// An answer is overdue. Every effect is answered in the end, so it only waits on.
+		// The response to a request is overdue. Every request is eventually reported as completed, so keep waiting.
 		m.nextActionAt = now.Add(m.settings.RetryInterval)
 	}
 	return effects
 }
 
-// tickLeading requests votes and renews the lease, each when it is due.
+// tickLeading requests votes if they are due, and renews the lease unless a renewal is in flight.
 func (m *StateMachine) tickLeading(now time.Time, effects []Effect) []Effect {
 	if m.settings.VoteDuration > 0 && !now.Before(m.votes.nextRequestAt) {
 		request := m.votes.nextRequest(now, m.lease.renewalSentAt, &m.settings, m.lease.fencingToken)
@@ -96,13 +96,13 @@
 	return append(effects, RenewLease{m.lease.id})
 }
 
-// mustQueryLeadership reports whether this member, which may have voted in an earlier incarnation,
-// still has to ask the others whether they lead.
+// mustQueryLeadership reports whether this member still has to ask the others whether they lead, because it may have
+// voted in an earlier incarnation.
 func (m *StateMachine) mustQueryLeadership(now time.Time) bool {
 	return (m.state == Following || m.state == ReadingLeader) && m.votes.recovering(now)
 }
 
-// leaderKeyVacant reads the leader's keys at once.
+// leaderKeyVacant reads the leader's keys immediately, to claim the leadership.
 func (m *StateMachine) leaderKeyVacant(now time.Time) []Effect {
 	if m.state != Following {
 		return nil
@@ -112,8 +112,8 @@
 	return m.tick(now)
 }
 
-// recordRead takes the content of the leader's keys. If it was read to claim the leadership, and
-// nothing is in the way, it goes on to acquire a lease.
+// recordRead records the content of the leader's keys. If this controller was reading them itself, and may claim the
+// leadership, it continues by acquiring a lease.
 func (m *StateMachine) recordRead(now time.Time, ev RecordRead) []Effect {
 	if m.state == Leading {
 		return nil
@@ -131,7 +131,7 @@
 	return m.claimIfVacant(now, ev.Record)
 }
 
-// observeRecord takes over what the leader's keys say.
+// observeRecord updates the known leader, the highest fencing token and the feature level from the leader's keys.
 func (m *StateMachine) observeRecord(r Record) {
 	m.leader = ""
 	if r.Held {
@@ -139,29 +139,29 @@
 	}
 	m.votes.highestToken = max(m.votes.highestToken, r.FencingToken)
 	if r.Level > m.level.inForce {
-		m.log.Info("feature level in force", "from", m.level.inForce, "to", r.Level, "supported", m.settings.MaxLevel)
+		m.log.Info("observed a higher feature level in force",
+			"from", m.level.inForce, "to", r.Level, "supported", m.settings.MaxLevel)
 		m.level.inForce = r.Level
 	}
 }
 
-// claimIfVacant acquires a lease if this controller may claim the leadership, and otherwise returns
-// to Following.
+// claimIfVacant acquires a lease if this controller may claim the leadership. Otherwise it returns to Following.
 func (m *StateMachine) claimIfVacant(now time.Time, r Record) []Effect {
 	switch {
 	case r.Held && r.Leader == m.settings.Member:
-		// An earlier incarnation of this process has left its lease behind. That process has ended, so
-		// there is no need to wait until the lease expires.
+		// The lease belongs to an earlier incarnation of this process, which has ended. It is revoked, so that nobody
+		// has to wait for its expiry.
 		m.leader = ""
 		m.transition(Following, now.Add(m.settings.RetryInterval/4))
 		return []Effect{RevokeLease{r.LeaseID}}
 	case r.Held, m.level.inForce > m.settings.MaxLevel:
-		// A program never leads under a level that it does not support.
+		// A program must never lead under a feature level that it does not support.
 		m.transition(Following, now.Add(m.settings.PollInterval))
 	case m.votes.blocksClaim(now):
 		m.transition(Following, now.Add(m.settings.RetryInterval))
 		if m.settings.OutageVoteDuration > 0 && m.votes.state == voteCast && !now.Before(m.votes.nextRequestAt) {
-			// The key is vacant, and this member has voted for somebody. If that leader has
-			// crashed in an outage its new incarnation says so, and the long vote ends early.
+			// The leader's key is vacant, but this member has voted for a leader. If that leader crashed during an
+			// outage, its new incarnation responds that it does not lead, which ends the extended vote early.
 			m.votes.nextRequestAt = now.Add(m.settings.RetryInterval)
 			return []Effect{QueryLeadership{}}
 		}
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// leaseGranted goes on to claim the leadership. A lease that is not wanted any more is revoked.
+// leaseGranted continues by claiming the leadership. It revokes a lease that is not needed any more.
 func (m *StateMachine) leaseGranted(now time.Time, ev LeaseGranted) []Effect {
 	if m.state != AcquiringLease {
 		if ev.Err == nil {
@@ -197,8 +197,9 @@
 	return []Effect{m.newClaim(ev.LeaseID)}
 }
 
-// newClaim claims the leadership with a lease, and raises the feature level where it may. A record
-// of the level that was lost or put back is written again: docs/safety.md, "Levels".
+// newClaim returns a claim of the leadership with a lease. The claim also raises the feature level if a higher one is
+// proposed. If the record of the level has been lost or reset to a lower level, the claim restores it:
+// docs/safety.md, "Levels".
 func (m *StateMachine) newClaim(leaseID uint64) Claim {
 	claim := Claim{
 		LeaseID:      leaseID,
@@ -214,14 +215,14 @@
 	return claim
 }
 
-// claimCompleted begins the leadership if the claim was committed.
+// claimCompleted starts the leadership if the claim was committed.
 func (m *StateMachine) claimCompleted(now time.Time, ev ClaimCompleted) []Effect {
 	if m.state != Claiming {
 		return nil
 	}
 	if !ev.OK {
-		// Another member was first, or the outcome is unknown. Revoking the lease undoes a claim
-		// that was carried out, and makes one that is carried out later fail.
+		// Another member was first, or the outcome is unknown. Revoking the lease undoes the claim if it was executed,
+		// and makes it fail if it is executed later.
 		leaseID := m.lease.id
 		m.lease.id = 0
 		m.transition(Following, now.Add(m.settings.RetryInterval/2))
@@ -241,7 +242,7 @@
 	return []Effect{Elected{FencingToken: m.lease.fencingToken, TokenVersion: m.lease.tokenVersion}}
 }
 
-// leaseRenewed extends the leadership, or ends it if the lease has expired.
+// leaseRenewed extends the leadership after a successful renewal, and ends it if the lease has expired.
 func (m *StateMachine) leaseRenewed(now time.Time, ev LeaseRenewed) []Effect {
 	if m.state != Leading || ev.LeaseID != m.lease.id {
 		return nil
@@ -265,7 +266,7 @@
 	return nil
 }
 
-// stepDown ends this controller's leadership.
+// stepDown ends this controller's leadership and releases its lease and its votes.
 func (m *StateMachine) stepDown(now time.Time) []Effect {
 	leaseID := m.lease.id
 	m.leader, m.lease.id, m.lease.renewing = "", 0, false
--- a/internal/election/validity.go
+++ b/internal/election/validity.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// LeadershipValid reports whether this controller may act as the leader at now.
+// LeadershipValid reports whether this controller leads and may act as the leader at now.
 func (m *StateMachine) LeadershipValid(now time.Time) bool {
 	return m.state == Leading && now.Before(m.ValidUntil())
 }
 
-// ValidUntil returns when this controller's leadership ends unless it is extended before; zero: it
-// does not lead. It is the later one of what the lease and what the votes of all other members
-// prove: docs/safety.md, "Votes".
+// ValidUntil returns when this controller's leadership ends unless it is extended before. It returns the zero time if
+// this controller does not lead. The lease and the votes of all other members each prove the leadership up to some
+// time, and the later one counts: docs/safety.md, "Votes".
 func (m *StateMachine) ValidUntil() time.Time {
 	until := m.LeaseValidUntil()
 	if m.state == Leading {
@@ -20,9 +20,9 @@
 	return until
 }
 
-// StartsValidUntil returns until when the leader may start tasks. It is earlier than ValidUntil
-// where that rests on votes for longer than VoteDuration: a member that has not answered for that
-// long may have acknowledged cancellations to users since.
+// StartsValidUntil returns until when the leader may start tasks. It returns the zero time if this controller does not
+// lead. It is earlier than ValidUntil if that depends on votes for longer than VoteDuration, since a member that has
+// not answered for VoteDuration may have acknowledged cancellations to users in the meantime.
 func (m *StateMachine) StartsValidUntil() time.Time {
 	until := m.LeaseValidUntil()
 	if m.state == Leading {
@@ -33,7 +33,8 @@
 	return until
 }
 
-// LeaseValidUntil returns when the leadership ends as far as the lease alone proves it.
+// LeaseValidUntil returns until when the lease alone, without votes, proves the leadership. It returns the zero time if
+// this controller does not lead.
 func (m *StateMachine) LeaseValidUntil() time.Time {
 	if m.state != Leading {
 		return time.Time{}
@@ -41,9 +42,9 @@
 	return m.RenewalValidUntil(m.lease.renewalSentAt)
 }
 
-// RenewalValidUntil returns until when a successful renewal that was sent at a given time proves
-// the leadership: for the lease's duration from the sending, less clock drift and safety margin.
-// It reads settings only, so it may be called from any goroutine.
+// RenewalValidUntil returns until when a successful renewal that was sent at the given time proves the leadership. That
+// is the lease duration after sent, less the maximum clock drift and the safety margin. The method reads only the
+// settings, so it is safe for concurrent use.
 func (m *StateMachine) RenewalValidUntil(sent time.Time) time.Time {
 	return sent.Add(withoutDrift(m.settings.LeaseDuration) - m.settings.SafetyMargin)
 }
--- a/internal/election/voter.go
+++ b/internal/election/voter.go
@@ -6,14 +6,14 @@
 type VoteRequest struct {
 	Leader       string
 	FencingToken uint64
-	Seq          uint64        // numbers the requests of one term
-	Duration     time.Duration // 0: sent by an old version, which asks for Settings.VoteDuration
-	Supersedes   bool          // the leader no longer counts on longer votes for earlier requests
+	Seq          uint64        // the number of the request within the leader's term
+	Duration     time.Duration // zero if an old version sent the request, which then asks for Settings.VoteDuration
+	Supersedes   bool          // the leader does not rely on longer votes for earlier requests any more
 }
 
-// HandleVoteRequest returns for how long from now this member votes for a leader; 0: it does not. It
-// casts no vote while it claims or leads itself, nor for a leader whose fencing token is not the
-// highest that it knows of.
+// HandleVoteRequest decides on a leader's request for a vote. It returns the duration of the vote from now on, or zero
+// if this member does not vote for the leader. A member casts no vote while it claims the leadership or leads, and none
+// for a leader with a lower fencing token than the highest that it knows.
 func (m *StateMachine) HandleVoteRequest(now time.Time, request VoteRequest) time.Duration {
 	v := &m.votes
 	if m.settings.VoteDuration == 0 || m.state >= AcquiringLease || request.FencingToken < v.highestToken {
@@ -27,7 +27,7 @@
 		duration = m.settings.VoteDuration
 	}
 	blockedUntil := now.Add(duration)
-	// Only the latest request may shorten a vote: an earlier one that arrives late must not.
+	// Only the latest request may shorten a vote. An earlier request that arrives late must not.
 	shortens := request.Supersedes && request.Seq > v.castSeq
 	if v.blocksClaim(now) && v.blockedUntil.After(blockedUntil) && !shortens {
 		blockedUntil = v.blockedUntil
@@ -39,8 +39,8 @@
 	return duration
 }
 
-// HandleVoteRelease ends this member's vote for the leader with a given fencing token, which needs
-// it no longer. A vote for a later leader stays.
+// HandleVoteRelease ends this member's vote for the leader with the given fencing token, which does not need the vote
+// any more. A vote for a later leader is not affected.
 func (m *StateMachine) HandleVoteRelease(fencingToken uint64) {
 	if m.votes.state == voteCast && m.votes.castToken == fencingToken {
 		m.votes.withdraw()
--- a/internal/election/votes.go
+++ b/internal/election/votes.go
@@ -2,54 +2,55 @@
 
 import "time"
 
-// votes holds the vote that this member has cast and the votes that it has received as a leader. A
-// member that votes for a leader does not claim the leadership until a given time. The safety
-// argument is in docs/safety.md, "Votes".
+// votes holds the vote that this member has cast and the votes that it has received as a leader. A member that votes
+// for a leader does not claim the leadership before the vote ends. Votes normally last for Settings.VoteDuration; an
+// extended vote lasts for Settings.OutageVoteDuration. The safety argument is in docs/safety.md, "Votes".
 type votes struct {
 	// The vote that this member has cast.
 	state         voteState
-	blockedUntil  time.Time // this member claims nothing before
-	recoveryUntil time.Time // until then a vote of an earlier incarnation may count; zero: none does
-	castAt        time.Time
-	castFor       string // name of the leader that was voted for last
-	castToken     uint64 // fencing token of that leader
-	castSeq       uint64 // the latest of that leader's vote requests that was granted
-	highestToken  uint64 // the highest fencing token known: lower ones get no vote
-
-	notLeading    map[string]bool // peers that have said, since the start, that they do not lead
-	nextRequestAt time.Time       // when votes are requested or peers are asked whether they lead
-
-	// The votes that this member has received in its present term as a leader.
-	received   map[string]receivedVote // by member
-	requestSeq uint64                  // of the last vote request of the term
-	waivedSeq  uint64                  // votes for requests up to this one no longer count
-	extended   bool                    // a request since then was for longer than VoteDuration
+	blockedUntil  time.Time // this member does not claim the leadership before this time
+	recoveryUntil time.Time // a vote of an earlier incarnation may last until then; zero if there is none
+	castAt        time.Time // when this member last voted
+	castFor       string    // the name of the leader that it last voted for
+	castToken     uint64    // the fencing token of that leader
+	castSeq       uint64    // the highest number of that leader's vote requests that was granted
+	highestToken  uint64    // the highest known fencing token; leaders with lower tokens get no vote
+
+	notLeading    map[string]bool // the peers that have reported since the start that they do not lead
+	nextRequestAt time.Time       // when votes are requested or peers are queried next
+
+	// The votes that this member has received in its current term as the leader.
+	received          map[string]receivedVote // by member
+	requestSeq        uint64                  // the number of the last vote request of the term
+	waivedSeq         uint64                  // votes for requests up to this number do not count any more
+	extendedRequested bool                    // a later request asked for an extended vote
 }
 
-// receivedVote is what a member's votes allow a leader.
+// receivedVote holds until when the votes of one member count for the leader.
 type receivedVote struct {
-	validUntil  time.Time // the member claims nothing before
-	startsUntil time.Time // the leader starts tasks on this vote until then
+	validUntil  time.Time // the member does not claim the leadership before this time
+	startsUntil time.Time // the leader may start tasks on the strength of this vote until then
 }
 
-// voteState says whether a vote keeps this member from claiming the leadership.
+// voteState tells whether a vote prevents this member from claiming the leadership.
 type voteState uint8
 
 // The states of a member's own vote.
 const (
-	voteNone       voteState = iota // none does
-	voteRecovering                  // a vote of an earlier incarnation may
-	voteCast                        // a vote that it remembers does
+	voteNone       voteState = iota // no vote does
+	voteRecovering                  // a vote that an earlier incarnation cast may still be in effect
+	voteCast                        // a vote that this incarnation cast is in effect
 )
 
-// transition changes the state; nothing else does.
+// transition is the only method that changes the state.
 func (v *votes) transition(to voteState, blockedUntil time.Time) {
 	v.state, v.blockedUntil = to, blockedUntil
 }
 
-// recover starts a member without memory. It claims nothing until the longest vote of an earlier
-// incarnation has run out, or all peers have said that they do not lead.
-func (v *votes) recover(now time.Time, s *Settings) {
+// startRecovery initializes the votes of a member that has just started and does not remember whether it has voted
+// before. The member does not claim the leadership until the longest possible vote of an earlier incarnation has
+// ended, or all peers have reported that they do not lead.
+func (v *votes) startRecovery(now time.Time, s *Settings) {
 	v.received, v.notLeading = map[string]receivedVote{}, map[string]bool{}
 	if s.VoteDuration > 0 && len(s.Peers) > 0 {
 		longest := max(s.VoteDuration, s.OutageVoteDuration)
@@ -58,7 +59,7 @@
 	}
 }
 
-// blocksClaim reports whether a vote keeps this member from claiming now.
+// blocksClaim reports whether a vote prevents this member from claiming the leadership at now. It ends expired votes.
 func (v *votes) blocksClaim(now time.Time) bool {
 	if v.state == voteCast && !now.Before(v.blockedUntil) {
 		v.withdraw()
@@ -69,9 +70,8 @@
 	return v.state != voteNone
 }
 
-// withdraw ends the vote of this incarnation. One of an earlier incarnation may still count:
-// otherwise a stale leader that gets a vote and then releases it would end a vote that the present
-// leader relies on.
+// withdraw ends the vote that this incarnation cast. A vote of an earlier incarnation stays in effect. Otherwise a
+// stale leader that gets a vote and then releases it would also end a vote that the current leader relies on.
 func (v *votes) withdraw() {
 	if v.recoveryUntil.IsZero() {
 		v.transition(voteNone, time.Time{})
@@ -80,14 +80,13 @@
 	}
 }
 
-// recovering reports whether the peers have to be asked whether they lead.
+// recovering reports whether a vote of an earlier incarnation may still prevent this member from claiming at now.
 func (v *votes) recovering(now time.Time) bool {
 	return v.blocksClaim(now) && v.state == voteRecovering
 }
 
-// peerNotLeading takes a peer's answer, to a query sent at a given time, that it does not lead. A
-// vote for it that was cast before the query has no effect any more: if the peer leads later, it
-// requests votes anew.
+// peerNotLeading records a peer's response that it does not lead, to a query that was sent at the given time. A vote
+// for the peer that was cast before the query has no effect any more: if the peer leads later, it requests new votes.
 func (v *votes) peerNotLeading(s *Settings, peer string, sent time.Time) {
 	v.notLeading[peer] = true
 	if v.state == voteCast && peer == v.castFor && !sent.Before(v.castAt) {
@@ -105,50 +104,52 @@
 	v.transition(voteNone, time.Time{})
 }
 
-// beginTerm begins a leadership, for which no votes have been received yet.
+// beginTerm resets the received votes at the start of a leadership.
 func (v *votes) beginTerm(fencingToken uint64) {
 	v.highestToken = max(v.highestToken, fencingToken)
 	v.received, v.nextRequestAt = map[string]receivedVote{}, time.Time{}
-	v.requestSeq, v.waivedSeq, v.extended = 0, 0, false
+	v.requestSeq, v.waivedSeq, v.extendedRequested = 0, 0, false
 }
 
-// requestsPerVote is how many vote requests a leader sends in the time of one vote.
+// requestsPerVote is the number of vote requests that a leader sends during one VoteDuration.
 const requestsPerVote = 4
 
-// nextRequest returns the next request to all peers; renewed is as of when the lease is renewed.
+// nextRequest returns the next request for votes to all peers. lastRenewal is when the last successful renewal of the
+// lease was sent.
 //
-// While the state service is unreachable no member can take over, whatever the votes. Votes are
-// then requested for longer, so that the leadership survives a member that crashes in the outage:
-// it remembers no vote, and casts none until it has read the records. Once the lease is renewed,
-// the longer votes are waived before anything else is requested, so that they block no claim.
-func (v *votes) nextRequest(now, renewed time.Time, s *Settings, fencingToken uint64) RequestVotes {
+// While the state service is unreachable no member can take over, regardless of votes. Extended votes are then
+// requested, so that the leadership survives the crash of another member during the outage: after a restart that
+// member does not remember its vote, and its process votes for nobody until it has read the records of the state
+// service. After the lease is renewed, the leader waives the extended votes before it requests others, so that they do
+// not block a claim.
+func (v *votes) nextRequest(now, lastRenewal time.Time, s *Settings, fencingToken uint64) RequestVotes {
 	v.nextRequestAt = now.Add(s.VoteDuration / requestsPerVote)
 	v.requestSeq++
 	request := RequestVotes{
 		FencingToken: fencingToken,
 		Seq:          v.requestSeq,
 		Duration:     s.VoteDuration,
-		Supersedes:   !v.extended,
+		Supersedes:   !v.extendedRequested,
 	}
-	if s.OutageVoteDuration > s.VoteDuration && now.Sub(renewed) > s.LeaseDuration/2 {
-		request.Duration, request.Supersedes, v.extended = s.OutageVoteDuration, false, true
+	if s.OutageVoteDuration > s.VoteDuration && now.Sub(lastRenewal) > s.LeaseDuration/2 {
+		request.Duration, request.Supersedes, v.extendedRequested = s.OutageVoteDuration, false, true
 	}
 	return request
 }
 
-// waiveExtended discards the longer votes, those that arrive later included. The lease is renewed,
-// so the leadership does not rest on them.
+// waiveExtended discards the extended votes, including those that arrive later. The lease has been renewed, so the
+// leadership does not depend on them.
 func (v *votes) waiveExtended() {
-	if !v.extended {
+	if !v.extendedRequested {
 		return
 	}
 	v.received, v.nextRequestAt = map[string]receivedVote{}, time.Time{}
-	v.waivedSeq, v.extended = v.requestSeq, false
+	v.waivedSeq, v.extendedRequested = v.requestSeq, false
 }
 
-// record counts a received vote. Its time counts from the sending of the request, which was before
-// the member cast it.
-func (v *votes) record(s *Settings, ev VoteReceived) {
+// countVote takes a received vote into account. The vote counts from the time at which the request was sent, which is
+// before the member cast the vote.
+func (v *votes) countVote(s *Settings, ev VoteReceived) {
 	if ev.Seq <= v.waivedSeq {
 		return
 	}
@@ -167,9 +168,9 @@
 	v.received[ev.Member] = vote
 }
 
-// unanimousUntil returns until when the votes of all peers count, and until when tasks are started
-// on them; zero: some peer has not voted. A majority would not do: a minority that alone reaches
-// the state service could claim the leadership.
+// unanimousUntil returns until when the votes of all peers are valid, and until when the leader may start tasks on the
+// strength of them. Both are zero if a peer has not voted. A majority of votes would not be sufficient: a minority of
+// the members that alone reaches the state service could claim the leadership.
 func (v *votes) unanimousUntil(s *Settings) (validUntil, startsUntil time.Time) {
 	if s.VoteDuration == 0 || len(s.Peers) == 0 {
 		return time.Time{}, time.Time{}
