--- a/internal/featuregate/gate.go
+++ b/internal/featuregate/gate.go
@@ -1,12 +1,10 @@
-// Package featuregate decides which features are in force in a deployment whose
-// members may run different versions.
+// Package featuregate decides which features are in force in a deployment whose members may run different versions.
 //
-// Features are numbered by levels, and members announce which level they support. A
-// Gate takes these announcements with Gate.Step; once all members have supported the
-// next level for some time, Gate.NextLevel returns the level that the next claim of
-// the leadership may raise the deployment to. The package does no input or output and
-// reads no clock. docs/safety.md, "Levels", shows why no older program can
-// lead under a level that it does not know.
+// Features are grouped into numbered levels, and each member announces the highest level that it supports. The caller
+// passes these announcements to Gate.Step. After all members have supported the next level for some time,
+// Gate.NextLevel returns the level to which the next claim of the leadership may raise the deployment. The package
+// performs no input or output and reads no clock. docs/safety.md, "Levels", explains why no older program can lead
+// under a level that it does not support.
 package featuregate
 
 import (
@@ -16,35 +14,33 @@
 	"time"
 )
 
-// State is the progress of a deployment towards the next level, as one member sees it.
+// State is the progress of a deployment towards the next level, as observed by one member.
 type State uint8
 
 // The states.
 const (
-	Blocked     State = iota // a member announces nothing, or does not support the next level
-	Settling                 // all members support it, but not for long enough yet
-	MayRaise                 // whoever claims the leadership next may raise the level
+	Blocked     State = iota // some member has announced nothing, or does not support the next level
+	Settling                 // all members support the next level, but have not done so for the settle time yet
+	MayRaise                 // the next claim of the leadership may raise the level
 	InForce                  // the highest level that this program supports is in force
-	Unsupported              // a level is in force that this program does not support: it must not lead
+	Unsupported              // the level in force is not supported by this program, which therefore must not lead
 )
 
-// String returns the name of the state.
+// String returns the name of the state that logs and status responses show.
 func (s State) String() string { return [...]string{"off", "ready", "raise", "on", "behind"}[s] }
 
-// Gate follows a deployment on its way to the next level. It is not safe for
-// concurrent use.
+// Gate tracks whether a deployment is ready for the next level. It is not safe for concurrent use.
 type Gate struct {
-	members       []string // names, sorted
+	members       []string // sorted names
 	settleTime    time.Duration
 	state         State
 	reason        string
-	settlingSince time.Time         // when all members first supported the next level; zero: they do not
-	incarnations  map[string]uint64 // last announced, by member
+	settlingSince time.Time         // since when all members support the next level without a restart, or zero
+	incarnations  map[string]uint64 // the last announced incarnation of each member
 }
 
-// NewGate returns the gate of a deployment with these members. A level may be raised
-// once all of them have supported it for settleTime without a restart, which shows that
-// no rolling update is under way.
+// NewGate returns the gate of a deployment with the given members. The level may be raised after all members have
+// supported the next one for settleTime without a restart, which shows that no rolling update is in progress.
 func NewGate(members []string, settleTime time.Duration) *Gate {
 	sorted := slices.Clone(members)
 	slices.Sort(sorted)
@@ -56,20 +52,19 @@
 	}
 }
 
-// State returns the state, and the reason for it for display.
+// State returns the state and a human-readable reason for it.
 func (g *Gate) State() (state State, reason string) { return g.state, g.reason }
 
-// transition changes the state, and reports whether it was another one. Nothing else
-// changes the state.
+// transition is the only method that changes the state. It reports whether the new state differs from the old one.
 func (g *Gate) transition(to State, reason string) bool {
 	from := g.state
 	g.state, g.reason = to, reason
 	return from != to
 }
 
-// Step takes the level in force and the latest announcements by member, without those
-// that have expired. It reports whether the state has changed. Announcements of
-// members that are not in the settings do not matter: the settings say who may lead.
+// Step updates the state from the level in force and the latest announcement of each member. The caller leaves out
+// expired announcements. Step reports whether the state has changed. It ignores announcements of members that were not
+// passed to NewGate, since only configured members may lead.
 func (g *Gate) Step(now time.Time, inForce Level, announced map[string]Member) (changed bool) {
 	switch {
 	case inForce > Supported:
@@ -77,7 +72,7 @@
 	case inForce == Supported:
 		return g.transition(InForce, fmt.Sprintf("level %d is in force", inForce))
 	}
-	blocking, restarted := g.compare(inForce, announced)
+	blocking, restarted := g.compareAnnouncements(inForce, announced)
 	switch {
 	case len(blocking) > 0:
 		g.settlingSince = time.Time{}
@@ -92,10 +87,10 @@
 	return g.transition(MayRaise, fmt.Sprintf("all have known level %d for %v", inForce+1, g.settleTime))
 }
 
-// compare returns which members keep the level above inForce from being raised and why,
-// and whether any member has restarted since the last call. It keeps the incarnations
-// for the next one.
-func (g *Gate) compare(inForce Level, announced map[string]Member) (blocking []string, restarted bool) {
+// compareAnnouncements returns the reasons, one for each member concerned, why the level must not be raised above
+// inForce. It also reports whether a member has restarted since the last call, and stores the incarnations for the next
+// call.
+func (g *Gate) compareAnnouncements(inForce Level, announced map[string]Member) (blocking []string, restarted bool) {
 	for _, name := range g.members {
 		member, ok := announced[name]
 		if !ok {
@@ -113,9 +108,8 @@
 	return blocking, restarted
 }
 
-// NextLevel returns the level that the next claim of the leadership may raise the
-// deployment to; 0: none. Levels are raised one at a time, so that each can be held
-// back by itself.
+// NextLevel returns the level to which the next claim of the leadership may raise the deployment, or zero if the level
+// must not be raised. Levels are raised one at a time, so that each one can be held back separately.
 func (g *Gate) NextLevel(inForce Level) Level {
 	if g.state != MayRaise || inForce >= Supported {
 		return 0
--- a/internal/featuregate/gate_test.go
+++ b/internal/featuregate/gate_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// setRapidFlags sets flags of package rapid until the test ends.
+// setRapidFlags sets flags of package rapid for the duration of the test.
 func setRapidFlags(t *testing.T, values map[string]string) {
 	t.Helper()
 	for name, value := range values {
@@ -56,13 +56,12 @@
 		if err := flag.Set(name, value); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { _ = flag.Set(name, before) }) // it was valid before
+		t.Cleanup(func() { _ = flag.Set(name, before) }) // the former value is valid
 	}
 }
 
-// However members leave, return, restart and change their versions: the level may be
-// raised only if at each step of the whole settling time each member has supported the
-// next one, without a restart.
+// Members go silent, return, restart and change their versions at random. The level may be raised only if every member
+// has supported the next level at each step of the settle time without a restart.
 func TestLevelIsNotRaisedWhileAnyMemberLacksSupport(t *testing.T) {
 	setRapidFlags(t, map[string]string{"rapid.seed": "20261203", "rapid.checks": "500", "rapid.nofailfile": "true"})
 	rapid.Check(t, func(t *rapid.T) {
@@ -76,16 +75,16 @@
 		incarnations := map[string]uint64{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 10).Draw(t, "seconds")) * time.Second)
-			announced := map[string]Member{"stranger": {Supported: 0, Incarnation: 1}}
+			announced := map[string]Member{"unconfigured": {Supported: 0, Incarnation: 1}}
 			for _, name := range names {
 				member := Member{Name: name, Supported: Supported, Incarnation: max(incarnations[name], 1)}
 				switch rapid.IntRange(0, 30).Draw(t, name) {
-				case 0: // not heard of
+				case 0: // announces nothing
 					delete(supportedSince, name)
 					continue
-				case 1: // an older version
+				case 1: // runs an older version
 					member.Supported = 0
-				case 2: // restarted
+				case 2: // has restarted
 					member.Incarnation++
 				}
 				if member.Supported == 0 || member.Incarnation != incarnations[name] {
--- a/internal/liveness/doc.go
+++ b/internal/liveness/doc.go
@@ -1,10 +1,10 @@
-// Package liveness decides what a worker's messages tell a leader, and whether the leader's messages reach the worker.
+// Package liveness orders the messages of a worker and detects whether the worker receives the messages of the leader.
 //
-// An Incarnation orders messages by their numbers: which heartbeat is newer than what is known, which is a duplicate
-// or a delayed copy, and whether the machine has restarted with lower numbers. A Detector is a failure detector: from
-// what heartbeats show and lack, and from answers to probes, it decides whether the machine receives anything.
+// An Incarnation orders messages by their numbers. It determines whether a heartbeat is new, a duplicate or a delayed
+// copy, and whether the machine has restarted with lower numbers. A Detector is a failure detector. It determines from
+// the content of heartbeats and from the responses to probes whether the machine receives any messages.
 //
-// The package is pure: message numbers and times go in, states come out. The caller keeps one Incarnation and one
-// Detector for each machine, passes every message to them, and sends the probes. docs/safety.md, "Duplicates and
-// incarnations", argues why delayed copies are harmless.
+// The package performs no input or output and reads no clock. The caller keeps one Incarnation and one Detector for
+// each machine, passes every message to them, and sends the probes. docs/safety.md, "Duplicates and incarnations",
+// explains why delayed copies are harmless.
 package liveness
--- a/internal/liveness/incarnation.go
+++ b/internal/liveness/incarnation.go
@@ -1,61 +1,61 @@
 package liveness
 
-// MessageNumber is the place of a message among those of one incarnation of a machine: the higher one is the newer.
+// MessageNumber orders the messages of one incarnation of a machine. A newer message has a higher number.
 type MessageNumber struct{ Epoch, Seq uint64 }
 
-// Before reports whether a message is older than another one.
+// Before reports whether m is the number of an older message than other, by epoch first and then by Seq.
 func (m MessageNumber) Before(other MessageNumber) bool {
 	return m.Epoch < other.Epoch || m.Epoch == other.Epoch && m.Seq < other.Seq
 }
 
-// Numbering is how a leader interprets a machine's message numbers.
+// Numbering determines how a leader interprets the message numbers of a machine.
 type Numbering uint8
 
 // The numberings. Restarted holds until the leader changes.
 const (
-	Increasing Numbering = iota // the numbers have only ever grown
-	Restarted                   // they have begun again lower: only answers to commands and probes are trusted
+	Increasing Numbering = iota // the numbers have never decreased
+	Restarted                   // they have decreased, so only responses to commands and probes are trusted
 )
 
-// String returns the name of the numbering.
+// String implements fmt.Stringer.
 func (n Numbering) String() string { return [...]string{"increasing", "restarted"}[n] }
 
-// HeartbeatKind is what a heartbeat is, by its numbers.
+// HeartbeatKind classifies a heartbeat by its numbers.
 type HeartbeatKind uint8
 
 // The kinds of a heartbeat.
 const (
-	Fresh     HeartbeatKind = iota // newer than every heartbeat before
-	Duplicate                      // the newest one again, over another path: its worker may still wait for the answer
-	Stale                          // its worker waits for no answer: a delayed copy, or of another incarnation
-	Unordered                      // of a machine that has restarted: its numbers show no order
+	Fresh     HeartbeatKind = iota // newer than every earlier heartbeat
+	Duplicate                      // the newest one again, over another path; its worker may still wait for the response
+	Stale                          // a delayed copy, or from another incarnation; its worker waits for no response
+	Unordered                      // from a machine that has restarted, so its numbers do not determine an order
 )
 
-// String returns the name of the kind.
+// String implements fmt.Stringer.
 func (k HeartbeatKind) String() string {
 	return [...]string{"fresh", "duplicate", "stale", "unordered"}[k]
 }
 
-// Incarnation is what a leader knows of the present incarnation of a machine, by the numbers of its messages.
+// Incarnation holds what a leader knows about the current incarnation of a machine from the numbers of its messages.
 type Incarnation struct {
-	Epoch, Seq, FencingToken uint64 // of the newest message
-	ExpiredEpoch             uint64 // epochs up to this one are certainly over
+	Epoch, Seq, FencingToken uint64 // the epoch, number and fencing token of the newest message
+	ExpiredEpoch             uint64 // all epochs up to this one are known to have ended
 	Numbering                Numbering
-	lastHeartbeat            MessageNumber // answers to commands have numbers of their own in between
-	lastBeforeCommand        MessageNumber // the newest message when the last command left
+	lastHeartbeat            MessageNumber // the newest heartbeat; responses to commands may have higher numbers
+	latestWhenCommandSent    MessageNumber // the newest message at the time when the last command was sent
 }
 
-// LatestMessage returns the number of the newest message.
+// LatestMessage returns the number of the newest message, which may be a heartbeat or the response to a command.
 func (i *Incarnation) LatestMessage() MessageNumber { return MessageNumber{i.Epoch, i.Seq} }
 
-// LatestHeartbeat returns the number of the newest heartbeat.
+// LatestHeartbeat returns the number of the newest heartbeat. It is zero if none is known in this incarnation.
 func (i *Incarnation) LatestHeartbeat() MessageNumber { return i.lastHeartbeat }
 
-// ClassifyHeartbeat classifies a heartbeat by its numbers, and records them.
+// ClassifyHeartbeat classifies a heartbeat by its numbers and records them.
 //
-// A worker has one heartbeat in flight: when it sends the next one it has abandoned the former. So no worker waits for
-// the answer to an older one, which renews no lease. A worker never forgets a fencing token, so a newer heartbeat with
-// a lower token is of another incarnation than what is known.
+// A worker has at most one heartbeat in flight: it abandons a heartbeat before it sends the next one. So no worker
+// waits for the response to an older heartbeat, and that response renews no lease. A worker never forgets a fencing
+// token, so a newer heartbeat with a lower token is from another incarnation than the known one.
 func (i *Incarnation) ClassifyHeartbeat(epoch, seq, token uint64) HeartbeatKind {
 	number := MessageNumber{epoch, seq}
 	switch {
@@ -73,14 +73,14 @@
 	return Fresh
 }
 
-// CommandSent notes that a command or probe leaves now.
-func (i *Incarnation) CommandSent() { i.lastBeforeCommand = i.LatestMessage() }
+// CommandSent records that a command or probe is being sent.
+func (i *Incarnation) CommandSent() { i.latestWhenCommandSent = i.LatestMessage() }
 
-// CommandAnswered records the numbers of the answer to the last command, and reports whether the machine has
-// restarted. In one incarnation an answer has a higher number than everything that was sent before it, and it was sent
-// after all that was known when the command left.
+// CommandAnswered records the numbers of the response to the last command, and reports whether the machine has
+// restarted. Within one incarnation a response has a higher number than all messages that the machine sent before it,
+// which include every message that was known when the command was sent.
 func (i *Incarnation) CommandAnswered(epoch, seq uint64) (restarted bool) {
-	if i.lastBeforeCommand.Before(MessageNumber{epoch, seq}) {
+	if i.latestWhenCommandSent.Before(MessageNumber{epoch, seq}) {
 		return false
 	}
 	i.Numbering, i.lastHeartbeat = Restarted, MessageNumber{}
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -1,45 +1,46 @@
-// Package staleness decides for how long a leader may renew workers' leases and start tasks by what it knows of
-// cancellations.
+// Package staleness bounds the age of the knowledge of cancellations with which a leader may renew workers' leases and
+// start tasks.
 //
-// Any member confirms cancellations to users, and the leader may be the one that the state service does not answer:
-// then it relies on the reports of the other members. A leader keeps a Tracker, passes it each read of the records and
-// each report of a member, and compares the age of Tracker.KnownAsOf with a Bound. The package reads no clock. The
-// safety argument is in docs/safety.md, "Bounded staleness of cancellations".
+// Every member may acknowledge cancellations to users. If the state service does not respond to the leader, the leader
+// relies on the reports of the other members to learn about these cancellations. A leader keeps a Tracker, passes it
+// each read of the records and each report of a member, and compares the age of Tracker.KnownAsOf with a Bound. The
+// package reads no clock. The safety argument is in docs/safety.md, "Bounded staleness of cancellations".
 package staleness
 
 import "time"
 
-// Bound is how old a leader's knowledge of cancellations may be.
+// Bound is the maximum age of a leader's knowledge of cancellations.
 type Bound struct {
-	KeepLeases time.Duration // while it answers heartbeats
-	StartTasks time.Duration // while it starts tasks
+	KeepLeases time.Duration // the maximum age at which the leader answers heartbeats, which renews workers' leases
+	StartTasks time.Duration // the maximum age at which the leader starts tasks
 }
 
 const (
-	stopSlack     = 3 * time.Second         // for workers that stop their tasks late
-	maxClockDrift = 0.001                   // how far the steady clocks of two machines part, as a fraction
-	minBound      = 1500 * time.Millisecond // that a leader can work with
-	maxStartBound = 4 * time.Second         // enough to ask every member twice, if all is well
+	lateStopAllowance = 3 * time.Second         // the allowance for workers that stop their tasks late
+	maxClockDrift     = 0.001                   // the maximum relative drift between the monotonic clocks of two machines
+	minBound          = 1500 * time.Millisecond // the smallest bound with which a leader can operate
+	maxStartBound     = 4 * time.Second         // enough to query every member twice without faults
 )
 
-// BoundFor returns the bound with which the tasks of a cancelled job end within cancelWithin, where workers' leases
-// last for lease. ok is false where no bound ensures that; then the least bound that a leader can work with is
-// returned.
+// BoundFor returns the bound with which the tasks of a cancelled job end within cancelWithin if workers' leases have
+// the duration lease. ok is false if no bound ensures that. The bound is then the smallest with which a leader can
+// operate.
 func BoundFor(cancelWithin, lease time.Duration) (bound Bound, ok bool) {
-	keep := time.Duration(float64(cancelWithin)/(1+maxClockDrift)) - lease - stopSlack
+	keep := time.Duration(float64(cancelWithin)/(1+maxClockDrift)) - lease - lateStopAllowance
 	ok = keep >= minBound
 	keep = max(keep, minBound)
 	return Bound{KeepLeases: keep, StartTasks: min(keep, maxStartBound)}, ok
 }
 
-// Tracker tracks as of when a leader knows all cancellations that were acknowledged to users. It is not safe for
-// concurrent use.
+// Tracker tracks the time up to which a leader knows all cancellations that were acknowledged to users. It is not safe
+// for concurrent use.
 type Tracker struct {
-	readAt         time.Time            // as of when it has read the records
-	acknowledgedAt map[string]time.Time // by member: as of when it has reported all; zero: not yet
+	readAt         time.Time            // the time up to which the leader has read the records
+	acknowledgedAt map[string]time.Time // the time up to which each other member has reported; zero if never
 }
 
-// NewTracker returns the tracker of a leader that has read the records as of readAt; others names the other members.
+// NewTracker returns the tracker of a leader that has read the records as of readAt. others holds the names of the
+// other members.
 func NewTracker(others []string, readAt time.Time) *Tracker {
 	tracker := &Tracker{readAt: readAt, acknowledgedAt: make(map[string]time.Time, len(others))}
 	for _, member := range others {
@@ -48,19 +49,20 @@
 	return tracker
 }
 
-// RecordsRead notes that the records were read; requestedAt is when the read was requested.
+// RecordsRead records that the leader has read the records. requestedAt is the time at which it requested the read.
 func (t *Tracker) RecordsRead(requestedAt time.Time) { t.readAt = laterOf(t.readAt, requestedAt) }
 
-// Acknowledged notes that a member has reported all cancellations that it has confirmed; requestedAt is when the
-// report was requested. A name that is no member's is ignored.
+// Acknowledged records that a member has reported all cancellations that it has acknowledged to users. requestedAt is
+// the time at which the leader requested the report. A report of an unknown member is ignored.
 func (t *Tracker) Acknowledged(member string, requestedAt time.Time) {
 	if at, ok := t.acknowledgedAt[member]; ok {
 		t.acknowledgedAt[member] = laterOf(at, requestedAt)
 	}
 }
 
-// KnownAsOf returns a moment as of which every cancellation is known. Whoever confirms one to a user has written or
-// read its record, and remembers it; so either the records or the reports of all other members hold it.
+// KnownAsOf returns a time up to which the leader knows all cancellations. A member that acknowledges a cancellation to
+// a user has written or read its record, and remembers it. So both the records and the combined reports of all other
+// members contain every cancellation that was acknowledged before they were requested.
 func (t *Tracker) KnownAsOf() time.Time {
 	var earliest time.Time
 	for _, at := range t.acknowledgedAt {
