--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -42,7 +42,7 @@
 	RetryInterval time.Duration // the delay after a failed request
 
 	VoteDuration       time.Duration // how long a member's vote for a leader lasts; zero disables votes
-	OutageVoteDuration time.Duration // the same while the state service is unreachable; zero means VoteDuration
+	OutageVoteDuration time.Duration // how long it lasts while the state service is unreachable, if longer
 
 	MaxLevel featuregate.Level // the highest feature level that this program supports
 }
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -24,17 +24,18 @@
 }
 
 // Detector is a failure detector for one machine. It decides whether the machine receives the messages of the leader.
-// Its methods may be called in any order. A proof that the machine has received a message ends every suspicion.
+// Evidence may be recorded in any order. A proof that the machine has received a message ends every suspicion. The
+// methods that record evidence and return a bool report whether the state has changed.
 type Detector struct {
 	State  State
 	Since  time.Time // when the machine entered State
 	Reason string    // a human-readable reason for State, which logs and explanations show
 
-	lastDirect        time.Time    // when the last answered heartbeat arrived directly from the worker
-	lastRelayed       bool         // the last answered heartbeat was relayed by another member
-	ignoredResponses  int          // consecutive responses whose commands the machine did not execute
-	shownByHeartbeats bool         // the machine's own heartbeats show that it receives nothing
-	answeredAt        [2]time.Time // when the last two answered heartbeats arrived, the later one first
+	lastDirect         time.Time    // when the last answered heartbeat arrived directly from the worker
+	lastRelayed        bool         // the last answered heartbeat was relayed by another member
+	ignoredResponses   int          // consecutive responses whose commands the machine did not execute
+	provenByHeartbeats bool         // the machine's own heartbeats show that it receives nothing
+	answeredAt         [2]time.Time // when the last two answered heartbeats arrived, the later one first
 }
 
 // maxIgnoredResponses is the number of consecutive responses without effect after which a machine becomes a suspect
@@ -54,17 +55,16 @@
 	return true
 }
 
-// ProveAlive records a proof that the machine has received a recent message. Like the other methods, it reports whether
-// the state has changed.
+// ProveAlive records a proof that the machine has received a recent message.
 func (d *Detector) ProveAlive(now time.Time, reason string) bool {
-	d.ignoredResponses, d.shownByHeartbeats = 0, false
+	d.ignoredResponses, d.provenByHeartbeats = 0, false
 	return d.transition(now, Alive, reason)
 }
 
 // TokenNotTaken records that a machine sends heartbeats but has not adopted the leader's fencing token for longer than
 // a lease duration.
 func (d *Detector) TokenNotTaken(now time.Time) bool {
-	d.shownByHeartbeats = true
+	d.provenByHeartbeats = true
 	return d.State < Suspect && d.transition(now, Suspect, "it has not taken this leader's token")
 }
 
@@ -76,7 +76,7 @@
 // Conclusive reports whether a suspicion is based on what the machine's heartbeats show, and not only on unanswered
 // probes.
 func (d *Detector) Conclusive() bool {
-	return d.ignoredResponses >= maxIgnoredResponses || d.shownByHeartbeats
+	return d.ignoredResponses >= maxIgnoredResponses || d.provenByHeartbeats
 }
 
 // MarkUnexpected records that this leader has not provisioned the machine. The machine is a suspect until it proves
@@ -97,9 +97,9 @@
 // ObserveHeartbeat applies the evidence of a fresh heartbeat that is answered, and reports whether the state has
 // changed.
 //
-// Only responses to direct heartbeats count against a machine, since the response to a relayed heartbeat may
-// arrive too late. A worker that gets no response turns to another member, so the heartbeat that shows the missing
-// response is usually a relayed one.
+// Only responses to direct heartbeats count against a machine, since the response to a relayed heartbeat may arrive too
+// late. A worker that gets no response turns to another member, so the heartbeat that shows the missing response is
+// usually a relayed one.
 func (d *Detector) ObserveHeartbeat(now time.Time, evidence Evidence, settings Settings) (changed bool) {
 	gap, wasRelayed := now.Sub(d.lastDirect), d.lastRelayed
 	hasDirect := !d.lastDirect.IsZero()
@@ -116,7 +116,7 @@
 	case expiredThoughAnswered:
 		// This counts even if the zone seems to be partitioned. Otherwise, when half of the machines of a zone receive
 		// nothing, the leader takes that for a partition and places tasks on these machines again and again.
-		d.shownByHeartbeats = true
+		d.provenByHeartbeats = true
 		return d.Probe(now, "its lease has run out although two of its reports were answered")
 	case evidence.MissesCommands:
 		return d.commandsMissed(now)
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -35,16 +35,16 @@
 // Tracker tracks the time up to which a leader knows all cancellations that were acknowledged to users. It is not safe
 // for concurrent use.
 type Tracker struct {
-	readAt         time.Time            // the time up to which the leader has read the records
-	acknowledgedAt map[string]time.Time // the time up to which each other member has reported; zero if never
+	readAt     time.Time            // the time up to which the leader has read the records
+	reportedAt map[string]time.Time // the time up to which each other member has reported; zero if never
 }
 
 // NewTracker returns the tracker of a leader that has read the records as of readAt. others holds the names of the
 // other members.
 func NewTracker(others []string, readAt time.Time) *Tracker {
-	tracker := &Tracker{readAt: readAt, acknowledgedAt: make(map[string]time.Time, len(others))}
+	tracker := &Tracker{readAt: readAt, reportedAt: make(map[string]time.Time, len(others))}
 	for _, member := range others {
-		tracker.acknowledgedAt[member] = time.Time{}
+		tracker.reportedAt[member] = time.Time{}
 	}
 	return tracker
 }
@@ -55,8 +55,8 @@
 // Acknowledged records that a member has reported all cancellations that it has acknowledged to users. requestedAt is
 // the time at which the leader requested the report. A report of an unknown member is ignored.
 func (t *Tracker) Acknowledged(member string, requestedAt time.Time) {
-	if at, ok := t.acknowledgedAt[member]; ok {
-		t.acknowledgedAt[member] = laterOf(at, requestedAt)
+	if at, ok := t.reportedAt[member]; ok {
+		t.reportedAt[member] = laterOf(at, requestedAt)
 	}
 }
 
@@ -65,7 +65,7 @@
 // members contain every cancellation that was acknowledged before they were requested.
 func (t *Tracker) KnownAsOf() time.Time {
 	var earliest time.Time
-	for _, at := range t.acknowledgedAt {
+	for _, at := range t.reportedAt {
 		if at.IsZero() {
 			return t.readAt
 		}
