--- a/internal/clustersim/scale/process.go
+++ b/internal/clustersim/scale/process.go
@@ -132,7 +132,8 @@
 	by   string
 }
 
-var holdLine = regexp.MustCompile(`msg=loop .*longest_hold=(\S+) by=("[^"]*"|\S+)(?: event=("[^"]*"|\S+))?`)
+var holdLine = regexp.MustCompile(
+	`msg="event loop statistics" .*longest_hold=(\S+) by=("[^"]*"|\S+)(?: event=("[^"]*"|\S+))?`)
 
 // longestHold reads what held a controller's event loop longest from an offset in its log on.
 func (c *controller) longestHold(from int64) (hold, error) {
--- a/internal/controller/backend.go
+++ b/internal/controller/backend.go
@@ -10,10 +10,11 @@
 	"github.com/glentiller/glentiller/internal/reconciler"
 )
 
-// Controller gives the HTTP interface what is not in the job records.
+// Controller provides the HTTP API with everything that is not in the job records.
 var _ httpapi.Backend = (*Controller)(nil)
 
-// HandleHeartbeat passes a worker's heartbeat to the reconciler, if this controller leads.
+// HandleHeartbeat passes a worker's heartbeat to the reconciler if this controller leads. Otherwise the result
+// names the leader that the worker should be redirected to, if there is one.
 func (c *Controller) HandleHeartbeat(ctx context.Context, heartbeat *model.Heartbeat) httpapi.HeartbeatResult {
 	return c.handleHeartbeat(ctx, reconciler.HeartbeatReceived{Heartbeat: heartbeat})
 }
@@ -28,21 +29,21 @@
 		}
 	}
 	result, err := runInLoop(ctx, c.loop.inbox, func(now time.Time) httpapi.HeartbeatResult {
-		return c.heartbeatResult(ctx, now, ev)
+		return c.handleHeartbeatInLoop(ctx, now, ev)
 	})
 	if err != nil {
-		return unansweredHeartbeat()
+		return noHeartbeatResponse()
 	}
 	return result
 }
 
-// heartbeatResult takes a heartbeat within the event loop.
-func (c *Controller) heartbeatResult(
+// handleHeartbeatInLoop processes a heartbeat. It must be called from the event loop.
+func (c *Controller) handleHeartbeatInLoop(
 	ctx context.Context, now time.Time, ev reconciler.HeartbeatReceived,
 ) httpapi.HeartbeatResult {
 	lease := c.lease.load()
 	if c.reconciler == nil || !lease.valid() || ctx.Err() != nil {
-		return unansweredHeartbeat()
+		return noHeartbeatResponse()
 	}
 	result := httpapi.HeartbeatResult{
 		Leading:      true,
@@ -60,17 +61,19 @@
 	return result
 }
 
-// unansweredHeartbeat is the result of a leader that must not answer.
-func unansweredHeartbeat() httpapi.HeartbeatResult {
+// noHeartbeatResponse returns the result of a leader that must not respond to a heartbeat.
+func noHeartbeatResponse() httpapi.HeartbeatResult {
 	return httpapi.HeartbeatResult{Leading: true, LeaseValid: neverValid}
 }
 
 func neverValid() bool { return false }
 
-// Progress returns how many tasks of an unfinished job are done and running.
-func (c *Controller) Progress(id string) (done, running int) { return c.progress.ofJob(id) }
+// Progress returns how many tasks of an unfinished job are done and how many are running. Both are 0 if the job
+// is not known.
+func (c *Controller) Progress(id string) (done, running int) { return c.progress.lookup(id) }
 
-// MachineTypes returns the cloud's machine types; empty: they are not known yet.
+// MachineTypes returns the machine types that the cloud offers. The result is empty until the catalog has been
+// read for the first time.
 func (c *Controller) MachineTypes() []model.MachineType {
 	if types := c.machineTypes.Load(); types != nil {
 		return *types
@@ -78,33 +81,36 @@
 	return nil
 }
 
-// Team returns a team of the platform, or nil.
+// Team returns the team with the given name, or nil if the platform configures no such team.
 func (c *Controller) Team(name string) *model.Team { return c.teams[name] }
 
-// UnderMemoryPressure reports whether there is no memory for more jobs.
+// UnderMemoryPressure reports whether the process is too short of memory to accept more jobs.
 func (c *Controller) UnderMemoryPressure() bool { return c.memory.UnderPressure() }
 
-// LastStateResponse returns when the state service last answered anything.
+// LastStateResponse returns when the state service last answered a request. The zero time means never.
 func (c *Controller) LastStateResponse() time.Time { return c.store.LastContact() }
 
-// Healthy reports whether a load balancer should send requests here.
+// Healthy reports whether a load balancer should send requests to this controller.
 //
-// A controller without the state service can serve no user, but while the state service is down for all
-// of them there is no better one either. So it reports itself unhealthy only while it receives messages
-// of a leader, whose lease proves that the state service answers others: in an outage for all that lease
-// expires before this controller has been without the state service for long enough. A leader that acts
-// on votes alone proves nothing of the kind.
+// A controller that cannot reach the state service cannot serve users. If no controller can reach it, however,
+// no other controller is a better choice. The controller therefore reports itself unhealthy only while it
+// receives messages from a leader, because the leader's lease proves that the state service answers other
+// members. In an outage that affects all members, that lease expires before this controller has been without
+// the state service for long enough to report itself unhealthy. A leader whose leadership is held by votes only
+// proves nothing about the state service.
 //
-// A controller that reaches no other member is unhealthy too, or users would stay with the one controller
-// that can do nothing for them. If all members are cut off from each other while the state service is
-// down, that costs about two probes after the outage, in which no user could be served anyway.
+// A controller that reaches no other member is also unhealthy. Otherwise users would stay with the one
+// controller that cannot do anything for them. If all members are partitioned from each other while the state
+// service is down, all of them become unhealthy. This costs about two probes after the outage, and no user
+// could be served during the outage anyway.
 func (c *Controller) Healthy() bool {
 	now := time.Now()
 	if !c.jobs.Loaded() || len(c.MachineTypes()) == 0 || c.isolated() {
 		return false
 	}
 	leaseDuration := config.ElectionSettings(c.platform, c.operator).LeaseDuration
-	cutOff := c.store.UnreachableFor(now) > leaseDuration+leaderTimeout
+	storeUnreachable := c.store.UnreachableFor(now) > leaseDuration+leaderContactTimeout
 	contact := c.leader.contact.Load()
-	return !cutOff || contact == nil || contact.onVotes || now.Sub(contact.at) > leaderTimeout/2 || c.lease.valid()
+	return !storeUnreachable || contact == nil || contact.votesOnly ||
+		now.Sub(contact.at) > leaderContactTimeout/2 || c.lease.valid()
 }
--- a/internal/controller/background.go
+++ b/internal/controller/background.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// memoryInterval is the time between samples of how much memory is live.
-const memoryInterval = time.Second
+// memorySampleInterval is the time between two samples of the live memory of this process.
+const memorySampleInterval = time.Second
 
-// watchMemory samples how much memory is live.
+// watchMemory periodically passes the size of the live heap and of the stacks to the memory monitor.
 func (c *Controller) watchMemory() error {
 	samples := []metrics.Sample{{Name: "/gc/heap/live:bytes"}, {Name: "/memory/classes/heap/stacks:bytes"}}
 	for c.tasks.running() {
 		metrics.Read(samples)
 		c.memory.Observe(samples[0].Value.Uint64() + samples[1].Value.Uint64())
-		c.tasks.sleep(memoryInterval)
+		c.tasks.sleep(memorySampleInterval)
 	}
 	return nil
 }
 
 const (
-	catalogRetry   = time.Second     // while no machine types are known
-	catalogRefresh = 5 * time.Minute // once they are
+	catalogRetryInterval   = time.Second     // while no machine types are known
+	catalogRefreshInterval = 5 * time.Minute // once machine types are known
 )
 
-// refreshMachineTypes keeps the machine types current, against which submissions are checked.
+// refreshMachineTypes periodically reads the catalog, so that submissions are checked against current machine
+// types.
 func (c *Controller) refreshMachineTypes() error {
 	for c.tasks.running() {
-		wait := catalogRetry
+		wait := catalogRetryInterval
 		if len(c.MachineTypes()) > 0 {
-			wait = catalogRefresh
+			wait = catalogRefreshInterval
 		}
 		if _, err := c.publishingCloud().Catalog(c.tasks.ctx); err == nil {
-			wait = catalogRefresh
+			wait = catalogRefreshInterval
 		} else {
 			c.log.Debug("reading the catalog failed", "err", err)
 		}
--- a/internal/controller/clients.go
+++ b/internal/controller/clients.go
@@ -16,19 +16,21 @@
 	"github.com/glentiller/glentiller/internal/worker"
 )
 
-// clients are a controller's connections to all that it talks to. Each is safe for concurrent use.
+// clients holds a controller's clients for the services and the other members. Each client is safe for
+// concurrent use.
 type clients struct {
 	store   *store.Client
 	jobs    *store.JobCache
 	cloud   *cloud.Client
 	workers *worker.Client
-	peers   map[string]*peer.Client // by member
+	peers   map[string]*peer.Client // by member name
 
-	// forwardClients carry users' requests, so that a slow one does not delay votes and heartbeats.
+	// forwardClients carry users' requests, by member name. They are separate from peers so that a slow request
+	// does not delay votes and heartbeats.
 	forwardClients map[string]*peer.Client
 }
 
-// cloudTimeout bounds a request to the cloud.
+// cloudTimeout bounds a single request to the cloud.
 const cloudTimeout = 4 * time.Second
 
 func newClients(
@@ -53,7 +55,7 @@
 	return c
 }
 
-// catalogPublisher is the cloud's client. It publishes the machine types that it reads.
+// catalogPublisher is a cloud client that publishes the machine types whenever it reads the catalog.
 type catalogPublisher struct {
 	*cloud.Client
 	machineTypes *atomic.Pointer[[]model.MachineType]
@@ -63,7 +65,7 @@
 	return catalogPublisher{Client: c.cloud, machineTypes: &c.machineTypes}
 }
 
-// Catalog reads the machine types.
+// Catalog reads the machine types from the cloud and publishes them if the read succeeds.
 func (p catalogPublisher) Catalog(ctx context.Context) ([]model.MachineType, error) {
 	types, err := p.Client.Catalog(ctx)
 	if err == nil {
@@ -72,31 +74,31 @@
 	return types, err
 }
 
-// All controllers spend from one published allowance of requests, and the leader does most of the work.
-// These are each controller's fractions of it.
+// The published rate limits apply to all controllers together, and the leader sends most of the requests. These
+// are the fractions of the limits that a controller may use.
 const (
-	stateShareAlone      = 0.9
-	stateShareLeader     = 0.5
-	stateShareFollowers  = 0.35 // of all followers together
-	cloudShareLeader     = 0.85
-	cloudShareNotLeading = 0.05
+	stateRateShareSingle    = 0.9 // of a deployment with a single controller
+	stateRateShareLeader    = 0.5
+	stateRateShareFollowers = 0.35 // of all followers together
+	cloudRateShareLeader    = 0.85
+	cloudRateShareFollower  = 0.05
 )
 
-// setRates sets this controller's fraction of the published request limits.
-func (c *clients) setRates(p *config.Platform, leading bool) {
+// setRateLimits sets this controller's request rates to its fraction of the published limits.
+func (c *clients) setRateLimits(p *config.Platform, leading bool) {
 	controllers := float64(len(p.Members) + 1)
-	share := stateShareAlone
+	stateShare := stateRateShareSingle
 	if controllers > 1 {
-		share = stateShareFollowers / (controllers - 1)
+		stateShare = stateRateShareFollowers / (controllers - 1)
 		if leading {
-			share = stateShareLeader
+			stateShare = stateRateShareLeader
 		}
 	}
 	limits := p.StateLimits()
-	c.store.SetRateLimits(share*limits.RPS, share*limits.WriteRPS)
-	cloudShare := cloudShareNotLeading
+	c.store.SetRateLimits(stateShare*limits.RPS, stateShare*limits.WriteRPS)
+	cloudShare := cloudRateShareFollower
 	if leading {
-		cloudShare = cloudShareLeader
+		cloudShare = cloudRateShareLeader
 	}
 	c.cloud.SetRate(cloudShare * p.CloudRPS())
 }
--- a/internal/controller/clients_test.go
+++ b/internal/controller/clients_test.go
@@ -33,7 +33,7 @@
 			term, _ := newTestTerm(t)
 			term.cloud = cloud.New(server.Listener.Addr().String(), 1, time.Second, nil)
 			if _, ok := term.execute(reconciler.FetchCatalog{}).(reconciler.CatalogReceived); !ok {
-				t.Error("got another event, want CatalogReceived")
+				t.Error("got an event of another type, want CatalogReceived")
 			}
 			types := term.MachineTypes()
 			if got := len(types) == 1 && types[0].Name == "g8"; got != test.wantPublished {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,11 +1,11 @@
-// Package controller is the controller process: it puts sockets, timers and clients around the state
-// machines of packages election and reconciler, which themselves do no input or output.
+// Package controller is the controller process. It connects sockets, timers and clients to the state machines
+// of the packages election and reconciler, which do no I/O themselves.
 //
-// New builds a controller from its settings and Run serves until its context ends. One goroutine, the
-// event loop (loop.go), owns both state machines. Every other goroutine hands it work through one of its
-// two inboxes, and the loop has the effects that the state machines return performed by goroutines of
-// their own, whose results come back as events. What handlers of requests need without waiting for the
-// loop, such as the leadership lease, is published through atomic pointers.
+// New builds a controller from its settings, and Run serves until its context is cancelled. A single goroutine,
+// the event loop (loop.go), owns both state machines. All other goroutines send it functions to run through one
+// of its two inboxes. The state machines return effects, which separate goroutines perform; the results come
+// back to the loop as events. State that request handlers need without waiting for the loop, such as the
+// leadership lease, is published through atomic pointers.
 package controller
 
 import (
@@ -29,9 +29,9 @@
 	"github.com/glentiller/glentiller/internal/route"
 )
 
-// Controller is one member of a deployment's controllers: it follows the leader, or leads.
+// Controller is one member of a deployment's group of controllers. It either leads or follows the leader.
 type Controller struct {
-	// Fixed by New.
+	// Set by New and not changed afterwards.
 	release  string
 	platform *config.Platform
 	operator *config.Operator
@@ -42,38 +42,41 @@
 	clients
 	tasks       *taskGroup
 	httpAPI     *httpapi.Server
-	router      *route.Router // nil: users' requests are answered where they arrive
+	router      *route.Router // nil if requests are answered by the member that receives them
 	connections *connquota.Quotas
 	memory      *connquota.MemoryMonitor
 
-	// Input to the event loop.
+	// Input of the event loop.
 	loop       *eventLoop
 	jobChanges jobChangeQueue
 
-	// Read and written by the event loop alone.
-	election      *election.StateMachine
-	reconciler    *reconciler.Core // nil: this controller does not lead, or has not read the records yet
-	term          uint64           // counts this process's leaderships: an effect of an earlier one is void
-	cancellations cancellationKnowledge
+	// Accessed by the event loop only.
+	election   *election.StateMachine
+	reconciler *reconciler.Core // nil if this controller does not lead or has not read the records yet
+	// term is incremented when a leadership begins or ends. Results of effects of an earlier term are
+	// discarded.
+	term          uint64
+	cancellations cancellationFreshness
 	lapse         leaseLapse
 
-	// Published by the event loop and the goroutines beside it, read by all.
-	lease        leaseHolder
+	// Published by the event loop and by background goroutines, and read by all goroutines.
+	lease        publishedLease
 	leader       leaderView
 	progress     progressView
 	rollout      rolloutView
 	machineTypes atomic.Pointer[[]model.MachineType]
 
-	// How workers' heartbeats reach a leader that the workers themselves do not reach.
+	// Relaying of heartbeats from workers that do not reach the leader themselves.
 	relayTracker     relayTracker
-	storeRelay       *storeRelay // nil: heartbeats are relayed by members alone
+	storeRelay       *storeRelay // nil if heartbeats are relayed by other members only
 	peerReachability route.PeerReachability
 }
 
-// defaultMaxConnections applies where the platform names no limit.
+// defaultMaxConnections is the connection limit if the platform configures none.
 const defaultMaxConnections = 1000
 
-// New makes a controller that announces itself with the release given.
+// New returns a controller for the given platform and operator settings. It announces the given release to the
+// other members.
 func New(p *config.Platform, o *config.Operator, release string, log *slog.Logger) *Controller {
 	c := &Controller{
 		release:    release,
@@ -98,7 +101,7 @@
 	c.memory = newMemoryMonitor(p.Deployment.Limits.MemMB, log)
 	c.clients = newClients(p, o, c.connections, c.jobChanges.push, log)
 	c.election = newElection(p, o, log)
-	c.cancellations = newCancellationKnowledge(p, log)
+	c.cancellations = newCancellationFreshness(p, log)
 	c.router = newRouter(p, o, log)
 	c.storeRelay = newStoreRelay(p, o, c.store, c.tasks, log)
 	c.httpAPI = httpapi.New(httpapi.Settings{
@@ -109,27 +112,27 @@
 		ConstraintsInForce: c.constraintsInForce(),
 		Router:             c.router,
 	}, c.jobs, c, time.Now, log)
-	c.setRates(p, false)
+	c.setRateLimits(p, false)
 	return c
 }
 
 func newConnectionQuotas(maxConns, members int, log *slog.Logger) *connquota.Quotas {
 	var lastInfo time.Time // guarded by the quotas' lock, which is held during the callback
-	onChange := func(from, to connquota.Occupancy, used, most int) {
+	onChange := func(from, to connquota.Occupancy, used, limit int) {
 		level := slog.LevelDebug
-		// Workers that come and go at the edge of a level would fill the log.
+		// Connections that come and go around a threshold would otherwise flood the log.
 		if now := time.Now(); now.Sub(lastInfo) > holdLogInterval {
 			lastInfo, level = now, slog.LevelInfo
 		}
-		log.Log(context.Background(), level, "sockets",
-			"from", from.String(), "to", to.String(), "used", used, "limit", most)
+		log.Log(context.Background(), level, "connection occupancy changed",
+			"from", from.String(), "to", to.String(), "used", used, "limit", limit)
 	}
 	return connquota.New(maxConns, members, onChange)
 }
 
 func newMemoryMonitor(limitMB float64, log *slog.Logger) *connquota.MemoryMonitor {
-	return connquota.NewMemoryMonitor(uint64(limitMB*(1<<20)), func(short bool, held, most uint64) {
-		log.Warn("memory", "short", short, "held_mb", held>>20, "limit_mb", most>>20)
+	return connquota.NewMemoryMonitor(uint64(limitMB*(1<<20)), func(underPressure bool, used, limit uint64) {
+		log.Warn("memory pressure changed", "short", underPressure, "held_mb", used>>20, "limit_mb", limit>>20)
 	})
 }
 
@@ -137,7 +140,7 @@
 	settings := config.ElectionSettings(p, o)
 	machine := election.New(time.Now(), settings, log)
 	if o.Votes != nil && settings.VoteDuration == 0 {
-		log.Warn("votes disabled: worker lease, leader lease and 3 s together are not below cancel_s",
+		log.Warn("votes disabled: the sum of worker lease, leader lease and 3 s must be less than cancel_s",
 			"lease_s", p.Deployment.Workers.Lease,
 			"leader_lease", settings.LeaseDuration,
 			"cancel_s", p.Deployment.Workers.Cancel)
@@ -145,29 +148,30 @@
 	return machine
 }
 
-// Run serves until ctx ends, which is no error, or until something fails that cannot be retried.
+// Run serves until ctx is cancelled, in which case it returns nil. It returns an error if a listener cannot be
+// opened, or if a server or background task fails in a way that cannot be retried.
 func (c *Controller) Run(ctx context.Context) error {
-	users, err := net.Listen("tcp4", c.platform.HTTPAddr)
+	httpListener, err := net.Listen("tcp4", c.platform.HTTPAddr)
 	if err != nil {
 		return err
 	}
-	peers, err := net.Listen("tcp4", c.platform.PeerAddr)
+	peerListener, err := net.Listen("tcp4", c.platform.PeerAddr)
 	if err != nil {
-		return errors.Join(err, users.Close())
+		return errors.Join(err, httpListener.Close())
 	}
 	c.tasks.group, c.tasks.ctx = errgroup.WithContext(ctx)
-	c.tasks.serve(func() error { return c.httpAPI.Serve(users) })
+	c.tasks.serve(func() error { return c.httpAPI.Serve(httpListener) })
 	c.tasks.onShutdown(func() error {
-		return errors.Join(users.Close(), peers.Close(), c.httpAPI.Shutdown())
+		return errors.Join(httpListener.Close(), peerListener.Close(), c.httpAPI.Shutdown())
 	})
 	if err := c.serveAdmin(); err != nil {
-		return errors.Join(err, users.Close(), peers.Close())
+		return errors.Join(err, httpListener.Close(), peerListener.Close())
 	}
 	c.tasks.group.Go(func() error {
-		return peer.Serve(c.tasks.ctx, c.limited(peers, connquota.Peers), peerHandler{c})
+		return peer.Serve(c.tasks.ctx, c.limitConnections(peerListener, connquota.Peers), peerHandler{c})
 	})
 	c.startTasks()
-	c.log.Info("serving", "member", c.platform.Member, "front", c.platform.HTTPAddr)
+	c.log.Info("controller started", "member", c.platform.Member, "front", c.platform.HTTPAddr)
 	err = c.tasks.group.Wait()
 	if ctx.Err() != nil {
 		return nil
@@ -175,7 +179,7 @@
 	return err
 }
 
-// startTasks starts the goroutines that serve no listener.
+// startTasks starts the background goroutines, which serve no listener.
 func (c *Controller) startTasks() {
 	start := c.tasks.group.Go
 	start(c.publishProgress)
@@ -198,12 +202,12 @@
 	start(c.refreshMachineTypes)
 }
 
-// limited counts a listener's connections against the quota of their class.
-func (c *Controller) limited(l net.Listener, class connquota.Class) *connquota.Listener {
+// limitConnections returns a listener that counts its connections against the quota of the given class.
+func (c *Controller) limitConnections(l net.Listener, class connquota.Class) *connquota.Listener {
 	return &connquota.Listener{Listener: l, Quotas: c.connections, Class: class, Now: time.Now}
 }
 
-// serveAdmin opens the operators' interface, if the settings turn it on.
+// serveAdmin opens the operators' interface if the settings enable it.
 func (c *Controller) serveAdmin() error {
 	if c.operator.Admin == nil {
 		return nil
@@ -213,8 +217,8 @@
 		return err
 	}
 	server := admin.New(config.AdminSettings(c.platform, c.operator), c.store, c, c.log)
-	c.log.Info("operators' interface", "listen", l.Addr().String())
-	c.tasks.serve(func() error { return server.Serve(c.limited(l, connquota.Operators)) })
+	c.log.Info("operators' interface listening", "listen", l.Addr().String())
+	c.tasks.serve(func() error { return server.Serve(c.limitConnections(l, connquota.Operators)) })
 	c.tasks.onShutdown(func() error { return errors.Join(l.Close(), server.Shutdown()) })
 	return nil
 }
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -10,8 +10,9 @@
 	"github.com/glentiller/glentiller/internal/record"
 )
 
-// stepReconciler has the reconciler take an event, if this controller leads, and starts the effects that it
-// asks for. It returns them too, for callers that answer somebody by them.
+// stepReconciler passes an event to the reconciler and starts the effects that the reconciler returns. It also
+// returns these effects, for callers that build a response from them. If this controller has no reconciler, the
+// event is dropped and the result is nil.
 func (c *Controller) stepReconciler(now time.Time, ev reconciler.Event) []reconciler.Effect {
 	if c.reconciler == nil {
 		return nil
@@ -24,44 +25,44 @@
 	return requested
 }
 
-// runPass is a scheduling pass: the reconciler's Tick.
-func (c *Controller) runPass(now time.Time) {
+// runSchedulingPass passes a Tick to the reconciler, which runs a scheduling pass if one is due.
+func (c *Controller) runSchedulingPass(now time.Time) {
 	c.stepReconciler(now, reconciler.Tick{})
-	took := time.Since(now)
-	if c.reconciler != nil && c.reconciler.ObserveStepDuration(took) && took > longPassThreshold {
-		c.log.Debug("long pass", "took", took)
+	elapsed := time.Since(now)
+	if c.reconciler != nil && c.reconciler.ObserveStepDuration(elapsed) && elapsed > longPassThreshold {
+		c.log.Debug("slow scheduling pass", "took", elapsed)
 	}
 }
 
-// leaderTerm is the leadership in which the reconciler has asked for an effect. Its methods have effects
-// carried out beside the event loop and hand the result back as an event.
+// leaderTerm is the term in which the reconciler returned an effect. Its methods perform effects outside the
+// event loop and post the results to the loop as events.
 type leaderTerm struct {
 	*Controller
-	number       uint64 // the controller's term as the effect was asked for
-	token        uint64 // the fencing token of that leadership
-	tokenVersion uint64 // of the token's record
+	termNumber   uint64 // the controller's term when the effect was returned
+	fencingToken uint64 // the fencing token of this term
+	tokenVersion uint64 // the version of the fencing token's record at the state service
 }
 
-// perform starts an effect. HeartbeatResponse is none: whoever stepped the reconciler answers with it.
+// perform starts an effect. It ignores HeartbeatResponse, which the caller of stepReconciler handles.
 func (c *Controller) perform(effect reconciler.Effect) {
 	lease := c.lease.load()
 	if lease == nil {
 		return
 	}
-	t := &leaderTerm{Controller: c, number: c.term, token: lease.fencingToken, tokenVersion: lease.tokenVersion}
+	t := &leaderTerm{Controller: c, termNumber: c.term, fencingToken: lease.fencingToken, tokenVersion: lease.tokenVersion}
 	switch effect.(type) {
 	case reconciler.HeartbeatResponse:
 	case reconciler.Fence:
 		t.tasks.spawn(t.fence)
 	default:
-		own := withOwnSlices(effect)
-		t.tasks.spawn(func() { t.complete(t.execute(own)) })
+		cloned := cloneSlices(effect)
+		t.tasks.spawn(func() { t.complete(t.execute(cloned)) })
 	}
 }
 
-// withOwnSlices returns an effect that shares no slice with the reconciler, which may write to its own while
-// the effect is carried out.
-func withOwnSlices(effect reconciler.Effect) reconciler.Effect {
+// cloneSlices returns an effect that shares no slice with the reconciler, because the reconciler may write to
+// its slices while the effect is performed.
+func cloneSlices(effect reconciler.Effect) reconciler.Effect {
 	switch e := effect.(type) {
 	case reconciler.SendCommands:
 		e.Commands = append([]model.Command(nil), e.Commands...)
@@ -76,20 +77,20 @@
 	return effect
 }
 
-// execute carries an effect out and returns the event that answers it.
+// execute performs an effect and returns the event with its result.
 func (t *leaderTerm) execute(effect reconciler.Effect) reconciler.Event {
 	return t.executor().Execute(t.tasks.ctx, effect)
 }
 
-// executor carries out the effects of this leadership, which has to hold its lease right before a request
-// leaves that needs it.
+// executor returns an executor for the effects of this term. It checks the lease immediately before it sends a
+// request that needs one.
 func (t *leaderTerm) executor() *effects.Executor {
 	return &effects.Executor{
 		Leadership: effects.Leadership{
 			Member:       t.platform.Member,
-			FencingToken: t.token,
+			FencingToken: t.fencingToken,
 			TokenVersion: t.tokenVersion,
-			MayAct:       t.leading,
+			MayAct:       t.mayAct,
 			MayProvision: t.mayProvision,
 			ReportFenced: func(ev election.Fenced) { t.postElectionEvent(ev) },
 		},
@@ -102,39 +103,39 @@
 	}
 }
 
-// leading reports whether this leadership may act now.
-func (t *leaderTerm) leading() bool { return t.lease.holds(t.token) }
+// mayAct reports whether the lease of this term is valid now.
+func (t *leaderTerm) mayAct() bool { return t.lease.holds(t.fencingToken) }
 
-// mayProvision reports whether machines may be rented or released: not on votes alone, as nothing of it
-// could be put on record then.
+// mayProvision reports whether machines may be rented or released now. They may not while the leadership is
+// held by votes only, because the state service could not record the change.
 func (t *leaderTerm) mayProvision() bool {
-	if !t.leading() {
+	if !t.mayAct() {
 		return false
 	}
 	lease := t.lease.load()
-	return lease != nil && !lease.restsOnVotes(time.Now())
+	return lease != nil && !lease.heldByVotesOnly(time.Now())
 }
 
-// complete has the reconciler of the same leadership take the result of an effect.
+// complete passes the result of an effect to the reconciler, unless the term has changed in the meantime.
 func (t *leaderTerm) complete(ev reconciler.Event) {
 	t.loop.post(func(now time.Time) {
-		if t.term == t.number {
+		if t.term == t.termNumber {
 			t.stepReconciler(now, ev)
 		}
 	})
 }
 
-// fence makes all transactions void that have not been answered. The election learns the new version of the
-// token's record before the reconciler goes on.
+// fence invalidates all transactions that have not been answered yet by rewriting the fencing token's record.
+// The election receives the new version of that record before the reconciler receives the result.
 func (t *leaderTerm) fence() {
 	result := t.executor().Fence(t.tasks.ctx)
 	switch result.Outcome {
-	case reconciler.Refused: // another leader has taken over
+	case reconciler.Refused: // another leader has taken over, and the executor has reported it to the election
 	case reconciler.OK:
-		t.log.Info("unanswered transactions fenced", "fencing_token", t.token, "version", result.TokenVersion)
+		t.log.Info("unanswered transactions invalidated", "fencing_token", t.fencingToken, "version", result.TokenVersion)
 		t.loop.post(func(now time.Time) {
-			if t.term == t.number {
-				t.stepElection(now, election.TokenRewritten{FencingToken: t.token, TokenVersion: result.TokenVersion})
+			if t.term == t.termNumber {
+				t.stepElection(now, election.TokenRewritten{FencingToken: t.fencingToken, TokenVersion: result.TokenVersion})
 				t.stepReconciler(now, reconciler.FenceCompleted{Outcome: reconciler.OK})
 			}
 		})
--- a/internal/controller/effects_test.go
+++ b/internal/controller/effects_test.go
@@ -19,7 +19,8 @@
 
 const testToken = 7
 
-// newTestTerm is a leadership with a state service of its own, and no goroutine that takes what it posts.
+// newTestTerm returns a term of a leader with its own state service. No goroutine reads the inboxes of its
+// event loop.
 func newTestTerm(t *testing.T) (*leaderTerm, *fake.State) {
 	t.Helper()
 	state := fake.NewState(time.Now)
@@ -28,7 +29,7 @@
 	state.Preload("leader/token", wire.AppendLeaderRecord(nil, testToken, "a"))
 	entry, ok, err := client.Get(context.Background(), "leader/token")
 	if err != nil || !ok {
-		t.Fatalf("reading the token's record: got %v, %v, want it", ok, err)
+		t.Fatalf("reading the fencing token's record: got found=%v, err=%v, want the record", ok, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -36,20 +37,20 @@
 	tasks.group, tasks.ctx = errgroup.WithContext(ctx)
 	c := &Controller{
 		platform: &config.Platform{Member: "a"},
-		log:      discard(),
+		log:      discardLogger(),
 		tasks:    tasks,
-		loop:     newEventLoop(tasks, discard()),
+		loop:     newEventLoop(tasks, discardLogger()),
 	}
 	c.store = client
 	lease := &leadershipLease{fencingToken: testToken, tokenVersion: entry.Version}
 	lease.leaseUntil = time.Now().Add(time.Hour)
 	lease.freshUntil = lease.leaseUntil
 	c.lease.current.Store(lease)
-	return &leaderTerm{Controller: c, token: testToken, tokenVersion: entry.Version}, state
+	return &leaderTerm{Controller: c, fencingToken: testToken, tokenVersion: entry.Version}, state
 }
 
 func TestCommitOutcomeSaysWhetherItWasCarriedOut(t *testing.T) {
-	newToken := func(_ *leaderTerm, state *fake.State) {
+	overwriteToken := func(_ *leaderTerm, state *fake.State) {
 		state.Preload("leader/token", wire.AppendLeaderRecord(nil, testToken+1, "b"))
 	}
 	tests := []struct {
@@ -60,25 +61,25 @@
 		wantFenced bool
 	}{
 		{
-			name:   "taken",
+			name:   "committed",
 			change: record.Change{Kind: record.PutTasks, Job: "j"},
 			want:   reconciler.OK,
 		},
 		{
-			name:   "a condition of its own fails",
+			name:   "a precondition of the change fails",
 			change: record.Change{Kind: record.CompleteJob, Job: "j", Version: 99},
 			want:   reconciler.Refused,
 		},
 		{
 			name:       "another leader has taken over",
-			before:     newToken,
+			before:     overwriteToken,
 			change:     record.Change{Kind: record.PutTasks, Job: "j"},
 			want:       reconciler.Refused,
 			wantFenced: true,
 		},
 		{
-			name:   "no request left in time",
-			before: spendRate,
+			name:   "the request rate limit is exhausted",
+			before: exhaustRateLimit,
 			change: record.Change{Kind: record.PutTasks, Job: "j"},
 			want:   reconciler.NotSent,
 		},
@@ -94,14 +95,15 @@
 				t.Errorf("got %v, want outcome %v", ev, test.want)
 			}
 			if got := len(term.loop.urgent) == 1; got != test.wantFenced {
-				t.Errorf("got the election told=%v, want %v", got, test.wantFenced)
+				t.Errorf("got an event for the election=%v, want %v", got, test.wantFenced)
 			}
 		})
 	}
 }
 
-// spendRate sets the request rate to 0 and uses up what its limiter still allows at once.
-func spendRate(term *leaderTerm, _ *fake.State) {
+// exhaustRateLimit sets the request rate to 0 and consumes the requests that the limiter still allows in a
+// burst.
+func exhaustRateLimit(term *leaderTerm, _ *fake.State) {
 	term.store.SetRateLimits(0, 0)
 	for term.execute(reconciler.Commit{}).(reconciler.CommitCompleted).Outcome != reconciler.NotSent {
 	}
@@ -111,12 +113,12 @@
 	term, state := newTestTerm(t)
 	term.fence()
 	if urgent, inbox := len(term.loop.urgent), len(term.loop.inbox); urgent != 0 || inbox != 1 {
-		t.Errorf("own token: got %d urgent and %d messages, want 0 and 1", urgent, inbox)
+		t.Errorf("current token: got %d urgent and %d messages, want 0 and 1", urgent, inbox)
 	}
 	state.Preload("leader/token", wire.AppendLeaderRecord(nil, testToken+1, "b"))
 	term.fence()
 	if urgent, inbox := len(term.loop.urgent), len(term.loop.inbox); urgent != 1 || inbox != 1 {
-		t.Errorf("another token: got %d urgent and %d messages, want 1 and 1", urgent, inbox)
+		t.Errorf("token of another leader: got %d urgent and %d messages, want 1 and 1", urgent, inbox)
 	}
 }
 
@@ -152,8 +154,8 @@
 		votesUntil:   now.Add(time.Hour),
 		freshUntil:   now.Add(time.Hour),
 	})
-	if !term.leading() || term.mayProvision() {
-		t.Errorf("on votes: got leading=%v, provisioning=%v, want true, false", term.leading(), term.mayProvision())
+	if !term.mayAct() || term.mayProvision() {
+		t.Errorf("on votes only: got mayAct=%v, mayProvision=%v, want true, false", term.mayAct(), term.mayProvision())
 	}
 }
 
@@ -162,27 +164,27 @@
 	term.lease.clear()
 	term.perform(reconciler.Commit{Changes: []record.Change{{Kind: record.PutTasks, Job: "j"}}})
 	if err := term.tasks.group.Wait(); err != nil || len(term.loop.inbox) != 0 {
-		t.Errorf("got %d results and %v, want none", len(term.loop.inbox), err)
+		t.Errorf("got %d results and error %v, want none", len(term.loop.inbox), err)
 	}
 }
 
 func TestEffectIsCompletedInItsOwnTermOnly(t *testing.T) {
-	for name, later := range map[string]bool{"the same term": false, "a later term": true} {
+	for name, termAdvanced := range map[string]bool{"the same term": false, "a later term": true} {
 		t.Run(name, func(t *testing.T) {
 			term, _ := newTestTerm(t)
 			term.reconciler = reconciler.New(
-				time.Now(), reconciler.Settings{}, testToken, &record.Snapshot{}, nil, discard())
+				time.Now(), reconciler.Settings{}, testToken, &record.Snapshot{}, nil, discardLogger())
 			term.perform(reconciler.Commit{Changes: []record.Change{{Kind: record.PutTasks, Job: "j"}}})
 			if err := term.tasks.group.Wait(); err != nil || len(term.loop.inbox) != 1 {
-				t.Fatalf("got %d results and %v, want 1", len(term.loop.inbox), err)
+				t.Fatalf("got %d results and error %v, want 1 result", len(term.loop.inbox), err)
 			}
-			if later {
+			if termAdvanced {
 				term.Controller.term++
 			}
 			(<-term.loop.inbox)(time.Now())
 			_, stepped := term.loop.hold.lastEvent.(reconciler.CommitCompleted)
-			if want := !later; stepped != want {
-				t.Errorf("got the reconciler stepped=%v, want %v", stepped, want)
+			if want := !termAdvanced; stepped != want {
+				t.Errorf("got the event passed to the reconciler=%v, want %v", stepped, want)
 			}
 		})
 	}
--- a/internal/controller/explain.go
+++ b/internal/controller/explain.go
@@ -12,17 +12,18 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Controller gives the operators' interface what is not in the ledger's records.
+// Controller provides the operators' interface with everything that is not in the ledger's records.
 var _ admin.Controller = (*Controller)(nil)
 
-// ErrNoLeader is returned for questions that only a leader can answer, if none is reachable.
-var ErrNoLeader = errors.New("no leader is within reach")
+// ErrNoLeader is returned if a request has to be answered by the leader and no leader is reachable.
+var ErrNoLeader = errors.New("no leader is within reach") // the text is sent to operators in HTTP response bodies
 
-// explainTimeout bounds how long an explanation may take.
+// explainTimeout bounds the time to answer a request for an explanation.
 const explainTimeout = 3 * time.Second
 
-// Explain returns why a job's tasks wait, as JSON; empty: the job is not among the unfinished ones. A
-// controller that does not lead asks the leader, and returns ErrNoLeader if it reaches none.
+// Explain returns a JSON document that says why a job's tasks are waiting. The document is empty if the job is
+// not an unfinished one. A controller that does not lead asks the leader, and returns ErrNoLeader if none is
+// reachable.
 func (c *Controller) Explain(ctx context.Context, id string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
@@ -40,7 +41,8 @@
 	return answer.GetBody(), err
 }
 
-// explainLocally answers if this controller leads; otherwise the answer is nil, or without Act.
+// explainLocally answers the request if this controller leads. Otherwise it returns nil or an answer without
+// Act.
 func (c *Controller) explainLocally(ctx context.Context, id string) *peerpb.AskAnswer {
 	if !c.lease.valid() {
 		return nil
@@ -66,18 +68,18 @@
 	var err error
 	if answer.Body, err = json.Marshal(explanation); err != nil {
 		answer.Act = false
-		c.log.Error("encoding an explanation failed", "id", id, "err", err)
+		c.log.Error("encoding the explanation of a job failed", "id", id, "err", err)
 	}
 	return answer
 }
 
-// JobState returns the state of a job by the state service's records.
+// JobState returns the state of a job according to the job records.
 func (c *Controller) JobState(ctx context.Context, id string) (wire.JobState, error) {
 	view, err := c.jobs.Lookup(ctx, id)
 	return view.State, err
 }
 
-// HandleExplain answers an operator's request that another controller forwards.
+// HandleExplain answers a request for an explanation that another controller has forwarded.
 func (h peerHandler) HandleExplain(ctx context.Context, request *peerpb.Ask) *peerpb.AskAnswer {
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -14,10 +14,12 @@
 	"github.com/glentiller/glentiller/internal/route"
 )
 
-// forwardMargin is by how much sooner than its user another member abandons a forwarded request.
+// forwardMargin is the difference between a user's deadline and the deadline of the forwarded request, so that
+// the other member gives up before the user does.
 const forwardMargin = 50 * time.Millisecond
 
-// newRouter returns the router of users' requests; nil: they are answered where they arrive.
+// newRouter returns the router of users' requests, or nil if requests are answered by the member that receives
+// them.
 func newRouter(p *config.Platform, o *config.Operator, log *slog.Logger) *route.Router {
 	settings := config.RoutingSettings(p, o)
 	if settings == nil {
@@ -25,13 +27,14 @@
 	}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return route.New(*settings, random, func(via string, from, to route.BreakerState) {
-		log.Info("request path", "via", via, "from", from.String(), "to", to.String())
+		log.Info("request path changed", "via", via, "from", from.String(), "to", to.String())
 	})
 }
 
-// Forward forwards a user's request to another member, and returns its response or why there is none.
-func (c *Controller) Forward(ctx context.Context, member string, q route.Request) route.Response {
-	request := &peerpb.Hand{Kind: uint32(q.Kind), Id: q.ID, Body: q.Body}
+// Forward sends a user's request to another member. The outcome of the response says whether the member
+// answered it, and if not, why.
+func (c *Controller) Forward(ctx context.Context, member string, userRequest route.Request) route.Response {
+	request := &peerpb.Hand{Kind: uint32(userRequest.Kind), Id: userRequest.ID, Body: userRequest.Body}
 	if deadline, ok := ctx.Deadline(); ok {
 		request.WaitMs = uint32(max(time.Until(deadline)-forwardMargin, forwardMargin).Milliseconds())
 	}
@@ -57,10 +60,15 @@
 	return response
 }
 
-// HandleForwardedRequest answers a user's request that another member cannot answer.
-func (h peerHandler) HandleForwardedRequest(ctx context.Context, q *peerpb.Hand) *peerpb.HandAnswer {
-	request := route.Request{Kind: route.Kind(min(q.GetKind(), 255)), ID: q.GetId(), Body: q.GetBody()}
-	wait := time.Duration(q.GetWaitMs()) * time.Millisecond
+// HandleForwardedRequest answers a user's request that another member could not answer itself and has
+// forwarded.
+func (h peerHandler) HandleForwardedRequest(ctx context.Context, forwarded *peerpb.Hand) *peerpb.HandAnswer {
+	request := route.Request{
+		Kind: route.Kind(min(forwarded.GetKind(), 255)),
+		ID:   forwarded.GetId(),
+		Body: forwarded.GetBody(),
+	}
+	wait := time.Duration(forwarded.GetWaitMs()) * time.Millisecond
 	response := h.controller.httpAPI.HandleForwarded(ctx, request, wait)
 	return &peerpb.HandAnswer{
 		Cause:  uint32(response.Outcome),
--- a/internal/controller/hold.go
+++ b/internal/controller/hold.go
@@ -11,49 +11,51 @@
 
 const (
 	longPassThreshold = 200 * time.Millisecond // a scheduling pass that takes longer is logged
-	holdLogInterval   = 10 * time.Second       // between two log records of what held the loop longest
+	holdLogInterval   = 10 * time.Second       // between two log messages of the event loop statistics
 )
 
-// holdMonitor measures for how long single pieces of work hold the event loop, which owns it.
+// holdMonitor measures how long single pieces of work occupy the event loop. It is owned by the event loop.
 type holdMonitor struct {
-	log       *slog.Logger
-	longest   loopHold
-	loggedAt  time.Time
-	lastEvent reconciler.Event // that the reconciler has taken during the present piece of work
+	log      *slog.Logger
+	longest  loopHold
+	loggedAt time.Time
+	// lastEvent is the last event that the reconciler processed during the current piece of work; nil if none.
+	lastEvent reconciler.Event
 }
 
-// loopHold is what has held the loop longest since the last log record.
+// loopHold describes the piece of work that has occupied the event loop longest since the last log message.
 type loopHold struct {
 	duration time.Duration
-	work     string
-	event    string // the type of the reconciler's event; empty: none
+	workName string
+	event    string // the type of the reconciler event; empty if the work passed none to the reconciler
 }
 
-// measure does a piece of work and notes for how long it held the loop.
+// measure runs a piece of work and records it if it occupied the event loop longer than any other since the
+// last log message.
 func (h *holdMonitor) measure(name string, f work) {
 	start := time.Now()
 	h.lastEvent = nil
 	f(start)
-	took := time.Since(start)
-	if took <= h.longest.duration {
+	elapsed := time.Since(start)
+	if elapsed <= h.longest.duration {
 		return
 	}
-	h.longest = loopHold{duration: took, work: name}
+	h.longest = loopHold{duration: elapsed, workName: name}
 	if h.lastEvent != nil {
 		h.longest.event = strings.TrimPrefix(fmt.Sprintf("%T", h.lastEvent), "reconciler.")
 	}
 }
 
-// logLongest logs what held the loop longest, and begins anew, once in holdLogInterval.
-func (h *holdMonitor) logLongest(now time.Time, waiting int, lease *leadershipLease) {
+// logLongest logs the longest piece of work and resets the measurement, at most once per holdLogInterval.
+func (h *holdMonitor) logLongest(now time.Time, inboxLength int, lease *leadershipLease) {
 	if now.Sub(h.loggedAt) < holdLogInterval {
 		return
 	}
-	h.log.Info("loop",
+	h.log.Info("event loop statistics",
 		"longest_hold", h.longest.duration,
-		"by", h.longest.work,
+		"by", h.longest.workName,
 		"event", h.longest.event,
-		"inbox", waiting,
+		"inbox", inboxLength,
 		"lease_remaining", lease.validUntil().Sub(now))
 	h.longest, h.loggedAt = loopHold{}, now
 }
--- a/internal/controller/job_changes.go
+++ b/internal/controller/job_changes.go
@@ -8,16 +8,16 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// jobChangeQueue holds the changes of the job records that the reconciler has not seen yet, in order.
+// jobChangeQueue holds the job record changes that have not been passed to the reconciler yet, in order.
 type jobChangeQueue struct {
-	ready chan struct{} // for the event loop: there are changes
+	ready chan struct{} // signals the event loop that changes are queued
 
 	mu      sync.Mutex // guards changes
 	changes []store.JobChange
 }
 
-// push queues changes. The job cache calls it under its lock, which the event loop takes too, so it must
-// not block.
+// push queues changes. It must not block, because the job cache calls it while holding its lock, which the
+// event loop acquires too.
 func (q *jobChangeQueue) push(changes []store.JobChange) {
 	if len(changes) == 0 {
 		return
@@ -31,7 +31,7 @@
 	}
 }
 
-// take returns the changes and empties the queue.
+// take empties the queue and returns the changes it held.
 func (q *jobChangeQueue) take() []store.JobChange {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -40,7 +40,7 @@
 	return changes
 }
 
-// applyJobChanges passes the queued changes of the job records to the reconciler.
+// applyJobChanges passes the queued job record changes to the reconciler.
 func (c *Controller) applyJobChanges(now time.Time) {
 	for _, change := range c.jobChanges.take() {
 		c.stepReconciler(now, reconciler.JobUpdated(c.jobs.UpdateFor(change)))
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// leaderTimeout is how long a leader may send nothing before this controller counts it as unreachable.
-const leaderTimeout = 3 * time.Second
+// leaderContactTimeout is how long after its last message a leader is treated as unreachable by this
+// controller.
+const leaderContactTimeout = 3 * time.Second
 
-// leaderView is what this member knows of who leads. The event loop writes name and since, the connections
-// of other members write contact, and everybody reads.
+// leaderView is what this member knows about the current leader. The event loop writes name and changedAt, the
+// connections of other members write contact, and any goroutine may read.
 type leaderView struct {
-	name    atomic.Pointer[string]    // nil until the election has first stepped; empty: nobody is known to lead
-	since   atomic.Pointer[time.Time] // when the present leader became known
-	contact atomic.Pointer[leaderContact]
+	name      atomic.Pointer[string]        // nil before the first step of the election; empty if no leader is known
+	changedAt atomic.Pointer[time.Time]     // when name last changed; nil before the first step of the election
+	contact   atomic.Pointer[leaderContact] // nil before the first message
 }
 
-// leaderContact is the last message of a leader to this member.
+// leaderContact describes the last message from a leader to this member.
 type leaderContact struct {
-	leader  string
-	at      time.Time
-	onVotes bool // the leader's lease at the state service had expired
+	leader    string
+	at        time.Time
+	votesOnly bool // the leader's lease at the state service had expired, and only votes held its leadership
 }
 
-// current returns the leader's name; empty: unknown.
+// current returns the leader's name, or an empty string if no leader is known.
 func (v *leaderView) current() string {
 	if name := v.name.Load(); name != nil {
 		return *name
@@ -31,32 +32,34 @@
 	return ""
 }
 
-// update records the leader that the election knows, and reports whether it has changed.
+// update records the leader according to the election and reports whether it has changed.
 func (v *leaderView) update(now time.Time, leader string) bool {
 	if old := v.name.Swap(&leader); old != nil && *old == leader {
 		return false
 	}
-	v.since.Store(&now)
+	v.changedAt.Store(&now)
 	return true
 }
 
-// observe records a message of a leader.
-func (v *leaderView) observe(leader string, now time.Time, onVotes bool) {
-	v.contact.Store(&leaderContact{leader: leader, at: now, onVotes: onVotes})
+// observe records a message from a leader.
+func (v *leaderView) observe(leader string, now time.Time, votesOnly bool) {
+	v.contact.Store(&leaderContact{leader: leader, at: now, votesOnly: votesOnly})
 }
 
-// contactedRecently reports whether the given leader has sent a message within leaderTimeout.
+// contactedRecently reports whether the given leader has sent a message to this member within
+// leaderContactTimeout.
 func (v *leaderView) contactedRecently(leader string, now time.Time) bool {
 	contact := v.contact.Load()
-	return contact != nil && contact.leader == leader && now.Sub(contact.at) < leaderTimeout
+	return contact != nil && contact.leader == leader && now.Sub(contact.at) < leaderContactTimeout
 }
 
-// redirectTarget returns the leader that a worker is to be sent to; empty: none. A leader that this member
-// does not reach is likely out of reach of workers nearby too: they had better try another member, which
-// may relay their heartbeats. One that has just become known has had no time to send anything yet.
+// redirectTarget returns the leader that a worker should be redirected to, or an empty string if there is none.
+// A leader that this member does not reach is likely unreachable for nearby workers too. Such workers should
+// try another member, which may relay their heartbeats. A leader that became known within leaderContactTimeout
+// is returned even without a message, because it may not have had time to send one.
 func (v *leaderView) redirectTarget(leader string, now time.Time) string {
-	since := v.since.Load()
-	if since == nil || now.Sub(*since) < leaderTimeout || v.contactedRecently(leader, now) {
+	since := v.changedAt.Load()
+	if since == nil || now.Sub(*since) < leaderContactTimeout || v.contactedRecently(leader, now) {
 		return leader
 	}
 	return ""
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// A worker follows what members answer it: sent to a leader it goes there, otherwise it tries the next
-// member a second later; where nobody answers it waits for 4 s first. Member 0 led and has ended, member 1 is
-// cut off from the state service and the others and names the leader that it last knew until that is too
-// long ago (leaderView.redirectTarget), and member 2 will lead. With any number of members every worker
-// finds whoever leads, wherever it begins.
+// This test checks that every worker finds the leader, whichever member it contacts first and however many
+// members there are. A worker that is redirected to a leader contacts it next. If a member answers without a
+// redirect, the worker tries the next member 1 s later. If a member does not answer, the worker first waits for
+// 4 s. Member 0 was the leader and has stopped. Member 1 is partitioned from the state service and from the
+// other members, and redirects workers to the last leader that it knew until leaderView.redirectTarget stops
+// returning it. Member 2 is elected.
 func TestWorkerFindsLeaderFromEveryMember(t *testing.T) {
 	const (
-		electedAfter = 6 * time.Second // the former leader has ended
+		electedAfter = 6 * time.Second // after the former leader has stopped
 		maxAttempts  = 50
-		ended        = 0
-		cutOff       = 1
+		stopped      = 0
+		partitioned  = 1
 		elected      = 2
 	)
 	for members := 3; members <= 5; members++ {
@@ -28,7 +29,7 @@
 				start := time.Unix(1000, 0)
 				view := &leaderView{}
 				since := start.Add(-time.Hour)
-				view.since.Store(&since)
+				view.changedAt.Store(&since)
 				view.contact.Store(&leaderContact{leader: "0", at: start})
 				member, now, attempts := first, start.Add(after), 0
 				for ; attempts < maxAttempts; attempts++ {
@@ -37,23 +38,24 @@
 						break
 					}
 					switch {
-					case member == ended: // no answer
+					case member == stopped: // does not answer
 						now = now.Add(5 * time.Second)
-					case member == cutOff:
+					case member == partitioned:
 						if view.redirectTarget("0", now) == "0" {
-							member = ended
+							member = stopped
 							continue
 						}
 						now = now.Add(time.Second)
-					case hasLeader: // 421 with the leader's name
+					case hasLeader: // HTTP status 421 with the leader's name
 						member = elected
 						continue
-					default: // it knows of no leader
+					default: // knows no leader
 						now = now.Add(time.Second)
 					}
 					member = (member + 1) % members
 				}
-				// The time without a leader, one wait for the member that has ended, and a second for each other.
+				// The limit allows for the time without a leader, one timeout of the stopped member, and 1 s
+				// for each other member.
 				limit := max(after, electedAfter) + 5*time.Second + time.Duration(members)*time.Second
 				if got := now.Sub(start); attempts == maxAttempts || got > limit {
 					t.Errorf("%s: got the leader after %v and %d heartbeats, want within %v", name, got, attempts, limit)
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	revokeAttempts    = 3
-	revokeRetry       = 300 * time.Millisecond
-	readLeaderRetry   = 500 * time.Millisecond
-	watchLeaderRetry  = 300 * time.Millisecond
-	readSnapshotRetry = 200 * time.Millisecond
+	revokeAttempts         = 3
+	revokeRetryDelay       = 300 * time.Millisecond
+	readLeaderRetryDelay   = 500 * time.Millisecond
+	watchLeaderRetryDelay  = 300 * time.Millisecond
+	readSnapshotRetryDelay = 200 * time.Millisecond
 )
 
-// postElectionEvent passes an event to the election, ahead of all other messages.
+// postElectionEvent queues an event for the election in the urgent inbox of the event loop.
 func (c *Controller) postElectionEvent(ev election.Event) {
 	c.loop.postUrgent(func(now time.Time) { c.stepElection(now, ev) })
 }
 
-// stepElection passes an event to the election, starts the effects that it returns, and publishes the state
-// of the leadership.
+// stepElection passes an event to the election, starts the effects that it returns, and publishes the resulting
+// lease, feature level and leader.
 func (c *Controller) stepElection(now time.Time, ev election.Event) {
 	for _, effect := range c.election.Step(now, ev) {
-		c.performElection(effect)
+		c.performElectionEffect(effect)
 	}
 	c.publishLease(now)
 	c.rollout.level.Store(uint32(c.election.Level()))
 	leader := c.election.Leader()
 	if c.leader.update(now, leader) && c.storeRelay != nil {
-		c.storeRelay.leaderChanged(leader == "")
+		c.storeRelay.onLeaderChanged(leader == "")
 	}
 }
 
-// performElection starts an effect of the election.
-func (c *Controller) performElection(effect election.Effect) {
+// performElectionEffect performs an effect of the election, or starts it in the background if it needs I/O.
+func (c *Controller) performElectionEffect(effect election.Effect) {
 	switch e := effect.(type) {
 	case election.ReadRecord:
 		c.tasks.spawn(func() { c.postElectionEvent(c.electionExecutor().ReadRecord(c.tasks.ctx)) })
@@ -58,35 +58,35 @@
 		c.releaseVotes(e.FencingToken)
 	case election.Elected:
 		c.term++
-		c.setRates(c.platform, true)
+		c.setRateLimits(c.platform, true)
 		c.takeOver(c.term, e)
 		c.superviseRenewals(e.FencingToken, c.election.LeaseID())
 	case election.Deposed:
-		c.lease.clear() // first, so that nothing acts on it any more
+		c.lease.clear() // first, so that nothing acts under this lease while the rest is reset
 		c.term++
 		c.reconciler = nil
-		c.cancellations.end()
-		c.setRates(c.platform, false)
+		c.cancellations.stopTracking()
+		c.setRateLimits(c.platform, false)
 	}
 }
 
-// electionExecutor carries out the election's requests to the state service.
+// electionExecutor returns an executor for the requests that the election sends to the state service.
 func (c *Controller) electionExecutor() effects.ElectionExecutor {
 	return effects.ElectionExecutor{Member: c.platform.Member, State: c.store, Now: time.Now}
 }
 
-// revokeLease revokes a lease. One that cannot be revoked expires.
+// revokeLease revokes a lease, with retries. A lease that cannot be revoked ends when it expires.
 func (c *Controller) revokeLease(leaseID uint64) {
 	for range revokeAttempts {
 		if c.store.RevokeLease(leaseID) == nil {
 			return
 		}
-		c.tasks.sleep(revokeRetry)
+		c.tasks.sleep(revokeRetryDelay)
 	}
 }
 
-// stepDown ends the leadership as the process ends, so that the next leader need not wait for its lease to
-// expire.
+// stepDown resigns the leadership when the process shuts down, so that the next leader need not wait for the
+// lease to expire.
 func (c *Controller) stepDown(now time.Time) {
 	for _, effect := range c.election.Step(now, election.Resign{}) {
 		revoke, ok := effect.(election.RevokeLease)
@@ -100,26 +100,27 @@
 	}
 }
 
-// watchLeader reports to the election who holds the leader's key, and when it is free.
+// watchLeader watches the leader's key and reports to the election which member holds it and when it becomes
+// vacant.
 func (c *Controller) watchLeader() error {
 	var revision uint64
 	for c.tasks.running() {
 		if revision == 0 {
-			record, at, err := c.store.ReadLeaderRecord(c.tasks.ctx)
+			record, readRevision, err := c.store.ReadLeaderRecord(c.tasks.ctx)
 			if err != nil {
-				c.tasks.sleep(readLeaderRetry)
+				c.tasks.sleep(readLeaderRetryDelay)
 				continue
 			}
-			revision = at
+			revision = readRevision
 			c.postElectionEvent(election.RecordRead{Record: record})
 		}
-		at, vacant, leader, err := c.store.WatchLeader(c.tasks.ctx, revision)
+		watchRevision, vacant, leader, err := c.store.WatchLeader(c.tasks.ctx, revision)
 		if err != nil {
 			revision = 0
-			c.tasks.sleep(watchLeaderRetry)
+			c.tasks.sleep(watchLeaderRetryDelay)
 			continue
 		}
-		revision = at
+		revision = watchRevision
 		if vacant {
 			c.postElectionEvent(election.LeaderKeyVacant{})
 		} else if leader != "" {
@@ -129,8 +130,8 @@
 	return nil
 }
 
-// takeOver reads the records for a new leader and starts its reconciler. It tries until it succeeds or the
-// leadership has ended.
+// takeOver reads the records for a new leader and starts its reconciler. It retries until it succeeds, the
+// leadership has ended or the process shuts down.
 func (c *Controller) takeOver(term uint64, e election.Elected) {
 	c.tasks.spawn(func() {
 		for c.tasks.running() {
@@ -144,11 +145,11 @@
 				return
 			}
 			c.log.Warn("takeover: reading the records failed", "err", err)
-			over, err := runInLoop(c.tasks.ctx, c.loop.inbox, func(time.Time) bool { return c.term != term })
-			if err == nil && over {
+			ended, err := runInLoop(c.tasks.ctx, c.loop.inbox, func(time.Time) bool { return c.term != term })
+			if err == nil && ended {
 				return
 			}
-			c.tasks.sleep(readSnapshotRetry)
+			c.tasks.sleep(readSnapshotRetryDelay)
 		}
 	})
 }
@@ -160,10 +161,10 @@
 	return c.store.ReadSnapshot(c.tasks.ctx, c.settings.Ledger != nil)
 }
 
-// startReconciler makes the reconciler of a leadership from the records. The jobs are added within the
-// event loop, so that no change of a job comes in between.
+// startReconciler creates the reconciler of a new leadership from the snapshot. It runs in the event loop and
+// adds the jobs to the snapshot there, so that no change of a job record can be applied in between.
 func (c *Controller) startReconciler(now time.Time, token uint64, snapshot *record.Snapshot) {
 	c.jobs.AddToSnapshot(snapshot)
 	c.reconciler = reconciler.New(now, c.settings, token, snapshot, c.MachineTypes(), c.log)
-	c.beginCancellations(now)
+	c.startTrackingCancellations(now)
 }
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	inboxSize   = 256
-	urgentSize  = 64
-	inboxBudget = 20 * time.Millisecond // for messages, before the election and the timers have their turn
-	minTimer    = time.Millisecond
+	inboxCapacity     = 256
+	urgentCapacity    = 64
+	maxInboxDrainTime = 20 * time.Millisecond // for messages, before urgent work and timers are handled again
+	minTimerDelay     = time.Millisecond
 )
 
-// work is a function that the event loop runs for another goroutine.
+// work is a function that the event loop runs on behalf of another goroutine. Its argument is the time at which
+// it starts.
 type work func(now time.Time)
 
-// eventLoop is the input of the goroutine that owns the state machines.
+// eventLoop holds the inboxes of the goroutine that owns the state machines.
 type eventLoop struct {
 	tasks  *taskGroup
 	inbox  chan work
-	urgent chan work // what the leadership lease depends on; it goes before the inbox
+	urgent chan work // work that the leadership lease depends on; it is run before the work in inbox
 	hold   holdMonitor
 }
 
 func newEventLoop(tasks *taskGroup, log *slog.Logger) *eventLoop {
 	return &eventLoop{
 		tasks:  tasks,
-		inbox:  make(chan work, inboxSize),
-		urgent: make(chan work, urgentSize),
+		inbox:  make(chan work, inboxCapacity),
+		urgent: make(chan work, urgentCapacity),
 		hold:   holdMonitor{log: log},
 	}
 }
 
-// post hands work to the loop.
+// post queues work in the inbox. It blocks while the inbox is full, until the context is cancelled.
 func (l *eventLoop) post(f work) {
 	select {
 	case l.inbox <- f:
@@ -43,7 +44,7 @@
 	}
 }
 
-// postUrgent hands work to the loop that goes before the inbox.
+// postUrgent queues work that is run before the work in the inbox. It blocks like post.
 func (l *eventLoop) postUrgent(f work) {
 	select {
 	case l.urgent <- f:
@@ -51,7 +52,7 @@
 	}
 }
 
-// drainUrgent runs all urgent work that waits.
+// drainUrgent runs all queued urgent work.
 func (l *eventLoop) drainUrgent() {
 	for {
 		select {
@@ -63,7 +64,8 @@
 	}
 }
 
-// drainInbox runs the work that waits in the inbox, until a given time at most.
+// drainInbox runs the work queued in the inbox until the inbox is empty or the given time has passed. Urgent
+// work that arrives meanwhile is run first.
 func (l *eventLoop) drainInbox(until time.Time) {
 	for time.Now().Before(until) {
 		l.drainUrgent()
@@ -76,8 +78,8 @@
 	}
 }
 
-// runInLoop runs f in the event loop and returns its result; inbox is one of the loop's two. An error is
-// the context's.
+// runInLoop runs f in the event loop and returns its result. The inbox is either of the loop's two inboxes. The
+// error, if any, is that of ctx.
 func runInLoop[T any](ctx context.Context, inbox chan<- work, f func(now time.Time) T) (result T, err error) {
 	done := make(chan T, 1)
 	select {
@@ -93,9 +95,9 @@
 	}
 }
 
-// runLoop is the event loop. What the leadership lease depends on goes first, then messages for a bounded
-// time, then timers: scheduling passes come last, and their rate leaves room for the rest
-// (reconciler.Core.ObserveStepDuration).
+// runLoop runs the event loop. Work that the leadership lease depends on has the highest priority, followed by
+// messages for a bounded time and then timers. Scheduling passes have the lowest priority, and their rate is
+// limited so that they leave time for the rest (reconciler.Core.ObserveStepDuration).
 func (c *Controller) runLoop() error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -108,25 +110,26 @@
 			c.loop.hold.measure("election", f)
 		case f := <-c.loop.inbox:
 			c.loop.hold.measure("message", f)
-			c.loop.drainInbox(time.Now().Add(inboxBudget))
+			c.loop.drainInbox(time.Now().Add(maxInboxDrainTime))
 		case <-c.jobChanges.ready:
 			c.loop.hold.measure("jobs", c.applyJobChanges)
 		case <-timer.C:
 		}
 		c.loop.drainUrgent()
 		if wake, ok := c.tick(time.Now()); ok {
-			timer.Reset(max(time.Until(wake), minTimer))
+			timer.Reset(max(time.Until(wake), minTimerDelay))
 		}
 	}
 }
 
-// tick steps both state machines with the time. It returns when it is due again; ok is false if this
-// controller has just stepped down because it reaches no worker; only input wakes the loop then.
+// tick passes the current time to both state machines and returns when it has to be called again. ok is false
+// if this controller has just stepped down because it reaches no worker. In that case no timer is set, and only
+// input wakes the loop.
 func (c *Controller) tick(now time.Time) (wake time.Time, ok bool) {
-	c.refreshCancellations(now)
+	c.updateCancellationFreshness(now)
 	c.stepElection(now, election.Tick{})
 	if c.cancellations.tooStaleToLead(now, c.election) && len(c.peers) > 0 {
-		c.log.Warn("stepping down: the records cannot be read")
+		c.log.Warn("stepping down: known cancellations are too stale because the records cannot be read")
 		c.stepElection(now, election.Resign{})
 	}
 	wake = c.election.NextTick()
@@ -134,7 +137,7 @@
 		return wake, true
 	}
 	c.reconciler.PauseStarts(!c.lease.load().mayStartTasks(now))
-	c.loop.hold.measure("pass", c.runPass)
+	c.loop.hold.measure("pass", c.runSchedulingPass)
 	if c.reconciler != nil && c.reconciler.Isolated(now) && len(c.peers) > 0 {
 		c.log.Warn("stepping down: no worker is reachable")
 		c.stepElection(now, election.Resign{})
--- a/internal/controller/member_status.go
+++ b/internal/controller/member_status.go
@@ -8,10 +8,11 @@
 	"github.com/glentiller/glentiller/internal/election"
 )
 
-// MemberStatus returns this controller's status for the operators' interface.
+// MemberStatus returns this controller's status for the operators' interface. An error is that of ctx, if the
+// event loop does not answer in time.
 func (c *Controller) MemberStatus(ctx context.Context) (*admin.MemberStatus, error) {
 	var hold loopHold
-	member, err := runInLoop(ctx, c.loop.urgent, func(time.Time) election.Status {
+	electionStatus, err := runInLoop(ctx, c.loop.urgent, func(time.Time) election.Status {
 		hold = c.loop.hold.longest
 		return c.election.Status(time.Now())
 	})
@@ -20,18 +21,18 @@
 	}
 	status := &admin.MemberStatus{
 		Member:                 c.platform.Member,
-		State:                  member.State,
-		Leader:                 member.Leader,
-		FencingToken:           member.FencingToken,
-		StateLeaseSeconds:      member.LeaseRemaining.Seconds(),
-		LeadershipSeconds:      member.ValidRemaining.Seconds(),
-		VoteSeconds:            member.VoteDuration.Seconds(),
+		State:                  electionStatus.State,
+		Leader:                 electionStatus.Leader,
+		FencingToken:           electionStatus.FencingToken,
+		StateLeaseSeconds:      electionStatus.LeaseRemaining.Seconds(),
+		LeadershipSeconds:      electionStatus.ValidRemaining.Seconds(),
+		VoteSeconds:            electionStatus.VoteDuration.Seconds(),
 		VotesSeconds:           map[string]float64{},
-		ClaimBlockedSeconds:    member.ClaimBlockedFor.Seconds(),
+		ClaimBlockedSeconds:    electionStatus.ClaimBlockedFor.Seconds(),
 		StateUnansweredSeconds: c.store.UnreachableFor(time.Now()).Seconds(),
 		Load: admin.Load{
 			LongestHoldSeconds: hold.duration.Seconds(),
-			LongestHoldEvent:   hold.work,
+			LongestHoldEvent:   hold.workName,
 			Inbox:              len(c.loop.inbox),
 		},
 		Connections: c.connectionStatus(),
@@ -40,7 +41,7 @@
 	if c.router != nil {
 		status.Requests = c.router.Status(time.Now())
 	}
-	for voter, remaining := range member.Votes {
+	for voter, remaining := range electionStatus.Votes {
 		status.VotesSeconds[voter] = remaining.Seconds()
 	}
 	return status, nil
@@ -55,11 +56,11 @@
 		Capacity:  quotas.Capacity,
 		Classes:   map[string]admin.ClassConnections{},
 	}
-	for class, held := range quotas.Classes {
+	for class, counts := range quotas.Classes {
 		status.Classes[class.String()] = admin.ClassConnections{
-			Used:     held.Used,
-			Quota:    held.Quota,
-			Rejected: held.Rejected,
+			Used:     counts.Used,
+			Quota:    counts.Quota,
+			Rejected: counts.Rejected,
 		}
 	}
 	return status
--- a/internal/controller/parts_test.go
+++ b/internal/controller/parts_test.go
@@ -1,8 +1,10 @@
 package controller
 
 import (
+	"bytes"
 	"io"
 	"log/slog"
+	"strings"
 	"testing"
 	"time"
 
@@ -10,24 +12,24 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-func discard() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 func TestRelayTrackerRedirectsAndRelaysLongerAfterReturn(t *testing.T) {
 	start := time.Unix(1000, 0)
 	steps := []struct {
 		name  string
-		after time.Duration // the start
+		after time.Duration // since the start
 		want  bool
 	}{
 		{"the first heartbeat is relayed", 0, true},
-		{"the others within the initial period too", 2 * time.Second, true},
-		{"then the worker is redirected", 4 * time.Second, false},
-		{"if it is back soon it is relayed", 8 * time.Second, true},
-		{"for the extended period", 50 * time.Second, true},
-		{"then it is redirected again", 60 * time.Second, false},
-		{"if it comes back late it begins anew", 75 * time.Second, true},
-		{"with the initial period", 77 * time.Second, true},
-		{"and is redirected after that", 79 * time.Second, false},
+		{"further heartbeats within the initial period are relayed too", 2 * time.Second, true},
+		{"the worker is redirected after the initial period", 4 * time.Second, false},
+		{"a worker that returns soon is relayed", 8 * time.Second, true},
+		{"it is relayed for the extended period", 50 * time.Second, true},
+		{"it is redirected again after the extended period", 60 * time.Second, false},
+		{"a worker that returns late is treated as new", 75 * time.Second, true},
+		{"it is relayed for the initial period", 77 * time.Second, true},
+		{"it is redirected after that", 79 * time.Second, false},
 	}
 	tracker := &relayTracker{}
 	for _, step := range steps {
@@ -37,56 +39,56 @@
 	}
 	tracker.forget("m")
 	if !tracker.shouldRelay("m", start.Add(80*time.Second)) {
-		t.Error("got a redirect of a forgotten worker, want it relayed")
+		t.Error("got a redirect for a forgotten worker, want its heartbeat relayed")
 	}
 }
 
 func TestLeaseHolderExtendsOnlyItsOwnLeadership(t *testing.T) {
 	now := time.Now()
-	var holder leaseHolder
-	holder.extend(1, now.Add(time.Hour))
-	if holder.load() != nil {
-		t.Fatal("got a lease that was extended after it was given up, want none")
-	}
-	holder.current.Store(&leadershipLease{fencingToken: 1, leaseUntil: now, freshUntil: now.Add(time.Hour)})
-	holder.extend(2, now.Add(time.Hour))
-	if holder.valid() {
-		t.Error("got a lease valid by another leadership's renewal, want it expired")
-	}
-	holder.extend(1, now.Add(time.Hour))
-	if !holder.holds(1) || holder.holds(2) {
-		t.Errorf("got holds(1)=%v, holds(2)=%v, want true, false", holder.holds(1), holder.holds(2))
-	}
-	holder.extend(1, now)
-	if got, want := holder.load().leaseUntil, now.Add(time.Hour); !got.Equal(want) {
+	var published publishedLease
+	published.extend(1, now.Add(time.Hour))
+	if published.load() != nil {
+		t.Fatal("got a lease that was extended after it was cleared, want none")
+	}
+	published.current.Store(&leadershipLease{fencingToken: 1, leaseUntil: now, freshUntil: now.Add(time.Hour)})
+	published.extend(2, now.Add(time.Hour))
+	if published.valid() {
+		t.Error("got a lease extended by another leadership's renewal, want it expired")
+	}
+	published.extend(1, now.Add(time.Hour))
+	if !published.holds(1) || published.holds(2) {
+		t.Errorf("got holds(1)=%v, holds(2)=%v, want true, false", published.holds(1), published.holds(2))
+	}
+	published.extend(1, now)
+	if got, want := published.load().leaseUntil, now.Add(time.Hour); !got.Equal(want) {
 		t.Errorf("got a lease until %v after an older renewal, want %v", got, want)
 	}
 }
 
 func TestLeaseIsLimitedByCancellationKnowledge(t *testing.T) {
 	now := time.Now()
-	knowledge := cancellationKnowledge{acknowledged: map[string]store.CancellationCursor{}, log: discard()}
-	knowledge.bound.KeepLeases, knowledge.bound.StartTasks = 10*time.Second, 4*time.Second
+	freshness := cancellationFreshness{acknowledgedCursors: map[string]store.CancellationCursor{}, log: discardLogger()}
+	freshness.bound.KeepLeases, freshness.bound.StartTasks = 10*time.Second, 4*time.Second
 	lease := &leadershipLease{leaseUntil: now.Add(time.Minute)}
-	knowledge.limit(now, lease)
+	freshness.limitLease(now, lease)
 	if got := lease.validUntil(); !got.Equal(lease.leaseUntil) {
 		t.Errorf("without a reconciler: got %v, want the lease's %v", got, lease.leaseUntil)
 	}
-	knowledge.begin([]string{"b"}, now)
-	knowledge.limit(now, lease)
+	freshness.startTracking([]string{"b"}, now)
+	freshness.limitLease(now, lease)
 	if got, want := lease.validUntil(), now.Add(10*time.Second); !got.Equal(want) {
 		t.Errorf("got valid until %v, want %v", got, want)
 	}
 	if !lease.mayStartTasks(now.Add(3*time.Second)) || lease.mayStartTasks(now.Add(5*time.Second)) {
-		t.Error("got another time for starts of tasks, want 4 s")
+		t.Error("got another staleness limit for task starts, want 4 s")
 	}
-	knowledge.limit(now.Add(10*time.Second), lease)
-	if !knowledge.tooStale {
-		t.Error("got fresh knowledge after 10 s, want it too stale")
+	freshness.limitLease(now.Add(10*time.Second), lease)
+	if !freshness.tooStale {
+		t.Error("got known cancellations fresh after 10 s, want them too stale")
 	}
-	knowledge.end()
-	if knowledge.tooStale || knowledge.tracker != nil {
-		t.Error("got knowledge that outlasts its leadership, want none")
+	freshness.stopTracking()
+	if freshness.tooStale || freshness.tracker != nil {
+		t.Error("got a tracker or staleness after the leadership ended, want none")
 	}
 }
 
@@ -94,7 +96,7 @@
 	queue := jobChangeQueue{ready: make(chan struct{}, 1)}
 	queue.push(nil)
 	if len(queue.ready) != 0 {
-		t.Error("got a signal for no changes, want none")
+		t.Error("got a signal after an empty push, want none")
 	}
 	queue.push(make([]store.JobChange, 2))
 	queue.push(make([]store.JobChange, 1))
@@ -109,15 +111,23 @@
 	}
 }
 
+// TestHoldMonitorNamesTheLongestEvent also checks the form of the log message, which
+// internal/clustersim/scale/process.go parses. If they differed, the scale simulation would report no hold at all.
 func TestHoldMonitorNamesTheLongestEvent(t *testing.T) {
-	monitor := holdMonitor{log: discard()}
+	var output bytes.Buffer
+	monitor := holdMonitor{log: slog.New(slog.NewTextHandler(&output, nil))}
 	monitor.measure("pass", func(time.Time) {
 		monitor.lastEvent = reconciler.Tick{}
 		time.Sleep(time.Millisecond)
 	})
-	monitor.longest.duration = time.Hour // so that no pause of the machine makes the next one longer
+	monitor.longest.duration = time.Hour // so that a pause of the machine cannot make the next piece of work the longest
 	monitor.measure("message", func(time.Time) {})
-	if got := monitor.longest; got.work != "pass" || got.event != "Tick" {
-		t.Errorf("got %q %q, want pass Tick", got.work, got.event)
+	if got := monitor.longest; got.workName != "pass" || got.event != "Tick" {
+		t.Errorf("got %q %q, want pass Tick", got.workName, got.event)
+	}
+	monitor.logLongest(time.Now(), 0, &leadershipLease{})
+	const want = `msg="event loop statistics" longest_hold=1h0m0s by=pass event=Tick inbox=0`
+	if got := output.String(); !strings.Contains(got, want) {
+		t.Errorf("got log output %q, want it to contain %q", got, want)
 	}
 }
--- a/internal/controller/peer_handler.go
+++ b/internal/controller/peer_handler.go
@@ -9,14 +9,14 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// peerHandler serves the other controllers. Each of its methods is in the file with the code that sends the
-// message: heartbeats here, progress in progress.go, votes in votes.go, explanations in explain.go and users'
-// requests in forward.go.
+// peerHandler serves requests from the other controllers. Except for HandleHeartbeat, each method is in the
+// file with the code that sends the request: progress in progress.go, votes in votes.go, explanations in
+// explain.go and users' requests in forward.go.
 type peerHandler struct{ controller *Controller }
 
 var _ peer.Handler = peerHandler{}
 
-// HandleHeartbeat answers a worker's heartbeat that another member relays.
+// HandleHeartbeat answers a worker's heartbeat that another member has relayed.
 func (h peerHandler) HandleHeartbeat(ctx context.Context, heartbeat []byte) *peerpb.RelayAnswer {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -24,9 +24,9 @@
 	return &peerpb.RelayAnswer{Act: response != nil, Body: response, Leader: leader}
 }
 
-// handleRelayed processes an encoded heartbeat that another member relays and returns the encoded response.
-// It is nil if the heartbeat is malformed or this controller must not answer; leader then names who does, if
-// known.
+// handleRelayed processes an encoded heartbeat that another member has relayed, and returns the encoded
+// response. The response is nil if the heartbeat is malformed or if this controller must not respond. In the
+// latter case leader is the name of the current leader if it is known.
 func (c *Controller) handleRelayed(ctx context.Context, heartbeat []byte) (response []byte, leader string) {
 	decoded, err := wire.DecodeHeartbeat(heartbeat)
 	if err != nil {
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -7,20 +7,20 @@
 	"github.com/glentiller/glentiller/internal/peer/peerpb"
 )
 
-// progressInterval is how often the leader sends the others how far jobs are.
+// progressInterval is how often the leader sends the progress of jobs to the other members.
 const progressInterval = time.Second
 
-// progressView is how far unfinished jobs are, which polls are answered from. A whole new map replaces the
-// former one.
+// progressView holds the progress of unfinished jobs, from which requests for the state of a job are answered.
+// The map is replaced as a whole and never modified.
 type progressView struct {
 	jobs atomic.Pointer[map[string]jobProgress]
 }
 
-// jobProgress counts tasks of a job.
+// jobProgress is the number of tasks of a job that are done and running.
 type jobProgress struct{ done, running int }
 
-// ofJob returns how many tasks of a job are done and running.
-func (v *progressView) ofJob(id string) (done, running int) {
+// lookup returns how many tasks of a job are done and running, or zeros if the job is not known.
+func (v *progressView) lookup(id string) (done, running int) {
 	if jobs := v.jobs.Load(); jobs != nil {
 		p := (*jobs)[id]
 		return p.done, p.running
@@ -28,7 +28,7 @@
 	return 0, 0
 }
 
-// replace replaces the progress by that in a leader's message.
+// replace replaces all progress by that in a leader's message.
 func (v *progressView) replace(p *peerpb.Progress) {
 	jobs := make(map[string]jobProgress, len(p.GetJobs()))
 	for _, j := range p.GetJobs() {
@@ -37,7 +37,8 @@
 	v.jobs.Store(&jobs)
 }
 
-// publishProgress has a leader send the progress of all jobs to the other members, and keep it itself.
+// publishProgress periodically stores the progress of all jobs and sends it to the other members, while this
+// controller leads.
 func (c *Controller) publishProgress() error {
 	for c.tasks.running() {
 		c.tasks.sleep(progressInterval)
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// collectProgress reads the reconciler's progress within the event loop. Without a reconciler the message
-// is empty, with no token.
+// collectProgress returns the progress of all jobs. It runs in the event loop. If there is no reconciler, the
+// message is empty and its token is 0.
 func (c *Controller) collectProgress(time.Time) *peerpb.Progress {
 	p := &peerpb.Progress{}
 	if c.reconciler == nil {
@@ -69,22 +70,22 @@
 	}
 	p.Token, p.Member = c.election.FencingToken(), c.platform.Member
 	lease := c.lease.load()
-	p.OnPromises = lease != nil && lease.restsOnVotes(time.Now())
+	p.OnPromises = lease != nil && lease.heldByVotesOnly(time.Now())
 	c.reconciler.EachProgress(func(id string, done, running int) {
 		p.Jobs = append(p.Jobs, &peerpb.JobProgress{Id: id, Done: uint32(done), Running: uint32(running)})
 	})
 	return p
 }
 
-// HandleProgress records a leader's progress message. It also shows that the leader is reachable.
+// HandleProgress stores the progress in a leader's message and records that the leader is reachable.
 func (h peerHandler) HandleProgress(p *peerpb.Progress) {
 	c := h.controller
 	c.leader.observe(p.GetMember(), time.Now(), p.GetOnPromises())
 	if c.storeRelay != nil {
-		c.storeRelay.leaderReached()
+		c.storeRelay.onLeaderReachable()
 	}
 	if c.lease.valid() {
-		return // this controller leads, so its own progress is newer
+		return // this controller leads, so its own progress is more recent
 	}
 	c.progress.replace(p)
 }
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -13,14 +13,15 @@
 	peerProbeTimeout  = 800 * time.Millisecond
 )
 
-// probePeers probes the other members while the state service is unreachable.
+// probePeers periodically evaluates whether this member is isolated, and probes the other members while the
+// state service is unreachable.
 func (c *Controller) probePeers() error {
 	for c.tasks.running() {
 		c.tasks.sleep(peerProbeInterval)
 		unreachableFor := c.store.UnreachableFor(time.Now())
 		probe, changed := c.peerReachability.Evaluate(time.Now(), unreachableFor)
 		if changed {
-			c.log.Info("peer reachability",
+			c.log.Info("peer reachability changed",
 				"state", c.peerReachability.State().String(), "state_service_unreachable_for", unreachableFor)
 		}
 		if !probe {
@@ -40,7 +41,8 @@
 	return nil
 }
 
-// isolated reports whether this member reaches neither the state service nor any member, and does not lead.
+// isolated reports whether this member reaches neither the state service nor any other member, and does not
+// lead.
 func (c *Controller) isolated() bool {
 	return c.peerReachability.State() == route.Isolated && !c.lease.valid()
 }
--- a/internal/controller/relay_direct.go
+++ b/internal/controller/relay_direct.go
@@ -7,44 +7,54 @@
 )
 
 const (
-	initialRelayPeriod  = 3 * time.Second  // in which a worker's heartbeats are relayed before it is redirected
-	returnWindow        = 10 * time.Second // a worker that is back within it did not reach the leader
-	extendedRelayPeriod = 45 * time.Second // in which such a worker's are relayed before it is redirected again
-	relayTimeout        = 1500 * time.Millisecond
-	storeDownLimit      = time.Second // with the state service unreachable for longer, nothing is relayed through it
+	// A new worker's heartbeats are relayed for initialRelayPeriod before the worker is redirected. A worker
+	// that returns within returnWindow did not reach the leader. Its heartbeats are relayed for
+	// extendedRelayPeriod before it is redirected again.
+	initialRelayPeriod  = 3 * time.Second
+	returnWindow        = 10 * time.Second
+	extendedRelayPeriod = 45 * time.Second
+	// relayTimeout bounds the relaying of a heartbeat to the leader.
+	relayTimeout = 1500 * time.Millisecond
+	// maxStoreSilence is how long the state service may be unreachable before heartbeats are no longer relayed
+	// through it.
+	maxStoreSilence = time.Second
 )
 
-// relayTracker remembers which workers send their heartbeats here instead of to the leader. These are
-// relayed, so that the workers' leases last, and after a moment the workers are redirected to the leader.
-// Workers that come back soon do not reach it: theirs are relayed for longer.
+// relayTracker tracks the workers that send their heartbeats to this member instead of to the leader. Their
+// heartbeats are relayed at first, so that the workers' leases do not expire, and shortly afterwards the
+// workers are redirected to the leader. A worker that returns soon does not reach the leader, so its heartbeats
+// are relayed for longer.
 type relayTracker struct {
 	mu      sync.Mutex // guards workers and their states
 	workers map[string]*relayedWorker
 }
 
 type relayedWorker struct {
-	state relayState
-	since time.Time
+	state     relayState
+	changedAt time.Time
 }
 
-// relayState is what was last done with a worker's heartbeats.
+// relayState is how a worker's last heartbeats were handled.
 type relayState uint8
 
-// The states of a worker that sends its heartbeats here.
+// The states of a worker that sends its heartbeats to this member.
 const (
-	relayInitial    relayState = iota + 1 // relayed, since it has just come
-	relayRedirected                       // the worker was sent to the leader
-	relayExtended                         // relayed, since it came back
+	relayInitial    relayState = iota + 1 // relayed because the worker is new here
+	relayRedirected                       // the worker was redirected to the leader
+	relayExtended                         // relayed for longer because the worker returned
 )
 
-func (w *relayedWorker) transition(state relayState, now time.Time) { w.state, w.since = state, now }
+func (w *relayedWorker) transition(state relayState, now time.Time) {
+	w.state, w.changedAt = state, now
+}
 
-// shouldRelay reports whether a worker's heartbeat is to be relayed, rather than the worker redirected.
+// shouldRelay reports whether a worker's heartbeat should be relayed. Otherwise the worker should be
+// redirected.
 func (r *relayTracker) shouldRelay(machine string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.worker(machine, now)
-	age := now.Sub(w.since)
+	age := now.Sub(w.changedAt)
 	switch {
 	case w.state == relayRedirected && age < returnWindow:
 		w.transition(relayExtended, now)
@@ -59,7 +69,8 @@
 	return true
 }
 
-// worker finds a worker. A new one makes room by removing those that were not here for long. mu is held.
+// worker returns the entry of a worker. If there is none, it adds one and removes the entries that have not
+// changed for long. The caller must hold mu.
 func (r *relayTracker) worker(machine string, now time.Time) *relayedWorker {
 	if r.workers == nil {
 		r.workers = map[string]*relayedWorker{}
@@ -68,7 +79,7 @@
 		return w
 	}
 	for other, w := range r.workers {
-		if now.Sub(w.since) > 2*extendedRelayPeriod {
+		if now.Sub(w.changedAt) > 2*extendedRelayPeriod {
 			delete(r.workers, other)
 		}
 	}
@@ -77,40 +88,40 @@
 	return w
 }
 
-// forget has a worker's next heartbeat count as its first.
+// forget removes a worker, so that its next heartbeat is treated as its first.
 func (r *relayTracker) forget(machine string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.workers, machine)
 }
 
-// RelayHeartbeat relays a worker's heartbeat to the leader if the worker seems not to reach it itself, and
-// returns the leader's response; ok is false if nothing was relayed. Workers take a response that carries
-// the leader's token from any controller.
+// RelayHeartbeat relays a worker's heartbeat to the leader if the worker does not seem to reach the leader
+// itself. It returns the leader's response; ok is false if there is none. Workers accept a response that
+// carries the leader's fencing token from any controller.
 func (c *Controller) RelayHeartbeat(ctx context.Context, machine string, heartbeat []byte) (response []byte, ok bool) {
 	leader := c.leader.current()
 	viaStore := c.storeRelay
-	if c.store.UnreachableFor(time.Now()) > storeDownLimit {
-		// What this member cannot write is never answered: workers had better try another one at once than spend
-		// their leases here.
+	if c.store.UnreachableFor(time.Now()) > maxStoreSilence {
+		// Heartbeats that this member cannot write are never answered. Workers should try another member
+		// immediately instead of using up their leases here.
 		viaStore = nil
 	}
 	if viaStore != nil && leader == "" && viaStore.active() {
-		return viaStore.send(ctx, heartbeat) // for the next leader
+		return viaStore.send(ctx, heartbeat) // the next leader responds to it
 	}
 	if c.peers[leader] == nil {
 		return nil, false
 	}
 	now := time.Now()
-	// A leader that is new here may be unreachable: workers are not redirected to it before it has sent a
-	// message.
+	// The workers are not redirected to a new leader before it has sent a message to this member, because it
+	// may be unreachable.
 	noContact := viaStore != nil && !c.leader.contactedRecently(leader, now)
 	unreachable := c.leader.redirectTarget(leader, now) == ""
 	switch {
 	case unreachable && viaStore == nil:
 		return nil, false
 	case unreachable, noContact && viaStore.active():
-		// What this member does not reach, its workers likely do not reach either.
+		// A leader that this member does not reach is likely unreachable for its workers too.
 		return viaStore.send(ctx, heartbeat)
 	case !noContact && !c.relayTracker.shouldRelay(machine, now):
 		return nil, false
@@ -122,7 +133,8 @@
 	case err == nil && answer.GetAct():
 		return answer.GetBody(), true
 	case err != nil && noContact:
-		// Not reached now either, and the worker's lease may not last until the leader counts as unreachable.
+		// The leader could not be reached now either, and the worker's lease may expire before the leader is
+		// treated as unreachable.
 		return viaStore.send(ctx, heartbeat)
 	}
 	c.relayTracker.forget(machine)
--- a/internal/controller/relay_leader.go
+++ b/internal/controller/relay_leader.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	batchWatchTimeout       = 5 * time.Second // of one watch for heartbeats
-	batchResponseTimeout    = time.Second     // for the event loop to answer a batch
-	maxConcurrentHeartbeats = 32              // of a batch that wait for the event loop at a time
+	batchWatchTimeout       = 5 * time.Second // of a single watch for batches of heartbeats
+	batchResponseTimeout    = time.Second     // for the event loop to process all heartbeats of a batch
+	maxConcurrentHeartbeats = 32              // heartbeats of one batch that wait for the event loop concurrently
 
-	notLeadingRetry   = 200 * time.Millisecond
-	watchBatchesRetry = 300 * time.Millisecond
+	notLeadingRetryDelay   = 200 * time.Millisecond
+	watchBatchesRetryDelay = 300 * time.Millisecond
 )
 
-// watchRelayedBatches answers, while this controller leads, the heartbeats that members relay through
-// the state service.
+// watchRelayedBatches watches for heartbeats that other members relay through the state service, and answers
+// them while this controller leads.
 func (c *Controller) watchRelayedBatches() error {
 	var revision, token uint64
 	for c.tasks.running() {
 		lease := c.lease.load()
 		if !lease.valid() {
 			revision = 0
-			c.tasks.sleep(notLeadingRetry)
+			c.tasks.sleep(notLeadingRetryDelay)
 			continue
 		}
 		if lease.fencingToken != token {
@@ -39,7 +39,7 @@
 		if revision == 0 {
 			if revision, err = c.store.RelayRevision(c.tasks.ctx, ""); err != nil {
 				revision = 0
-				c.tasks.sleep(watchBatchesRetry)
+				c.tasks.sleep(watchBatchesRetryDelay)
 				continue
 			}
 		}
@@ -47,7 +47,7 @@
 		if err != nil {
 			c.log.Debug("watching relayed heartbeats failed", "err", err)
 			revision = 0
-			c.tasks.sleep(watchBatchesRetry)
+			c.tasks.sleep(watchBatchesRetryDelay)
 			continue
 		}
 		revision = next
@@ -58,18 +58,18 @@
 	return nil
 }
 
-// answerBatch answers a batch of heartbeats, each as if it had come by itself.
+// answerBatch processes the heartbeats of a batch as if each had arrived separately, and writes the responses.
 func (c *Controller) answerBatch(batch store.RelayBatch) {
 	envelopes, err := relay.Unpack(batch.Payload)
 	if err != nil {
-		c.log.Warn("malformed heartbeat batch", "member", batch.Member, "err", err)
+		c.log.Warn("malformed batch of relayed heartbeats", "member", batch.Member, "err", err)
 		return
 	}
 	c.putResponses(batch, c.batchResponses(envelopes))
 }
 
-// batchResponses processes all heartbeats of a batch in the event loop, and returns the responses in
-// their order. A worker whose heartbeat is malformed or not answered in time is left out.
+// batchResponses processes all heartbeats of a batch in the event loop and returns the responses in the same
+// order. It omits heartbeats that are malformed or not answered in time.
 func (c *Controller) batchResponses(envelopes []relay.Envelope) []relay.Envelope {
 	ctx, cancel := context.WithTimeout(c.tasks.ctx, batchResponseTimeout)
 	defer cancel()
@@ -82,7 +82,7 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // none of them returns an error
+	_ = group.Wait() // the functions never return an error
 	var responses []relay.Envelope
 	for i, body := range bodies {
 		if body != nil {
@@ -92,14 +92,14 @@
 	return responses
 }
 
-// putResponses writes the responses to a batch, as many records as it takes.
+// putResponses writes the responses to a batch, in as many records as necessary.
 func (c *Controller) putResponses(batch store.RelayBatch, responses []relay.Envelope) {
 	capacity := wire.MaxBatchPayload(config.StoreLimits(c.platform).MaxValueBytes)
 	for len(responses) > 0 {
 		lease := c.lease.load()
 		payload, count := relay.Pack(responses, capacity)
 		if count == 0 {
-			responses = responses[1:] // larger than a record; its commands are sent again, fewer at a time
+			responses = responses[1:] // too large for a record; its commands are sent again in smaller responses
 			continue
 		}
 		if !lease.valid() {
--- a/internal/controller/relay_store.go
+++ b/internal/controller/relay_store.go
@@ -15,40 +15,41 @@
 )
 
 const (
-	// extraResponseWait is by how much longer than usual a worker waits for a response by way of the state
-	// service; workers give up after 4 s.
+	// extraResponseWait extends the usual wait for a response if the heartbeat is relayed through the state
+	// service. Workers give up after 4 s.
 	extraResponseWait = 1400 * time.Millisecond
 
-	relayIdleTimeout     = 15 * time.Second // without a heartbeat, the watch ends and what is left is deleted
-	responseWatchTimeout = 2 * time.Second  // of one watch for responses
+	relayIdleTimeout     = 15 * time.Second // time without heartbeats until the watch ends and the records are deleted
+	responseWatchTimeout = 2 * time.Second  // of a single watch for responses
 
-	flushRetry          = 20 * time.Millisecond // while responses are not watched yet
-	relayRevisionRetry  = 200 * time.Millisecond
-	watchResponsesRetry = 100 * time.Millisecond
+	flushRetryDelay          = 20 * time.Millisecond // while the watch for responses is not established
+	relayRevisionRetryDelay  = 200 * time.Millisecond
+	watchResponsesRetryDelay = 100 * time.Millisecond
 )
 
-// storeRelay is the member's side of relaying heartbeats to a leader that it does not reach, by way of the
-// state service (docs/reports.md): it writes batches of heartbeats and watches for the leader's responses.
-// relay.Outbox decides what is written when. relay_leader.go is the leader's side.
+// storeRelay relays heartbeats through the state service to a leader that this member does not reach
+// (docs/reports.md). It writes batches of heartbeats and watches for the leader's responses. relay.Outbox
+// decides when to write which heartbeats. relay_leader.go contains the leader's side.
 type storeRelay struct {
 	store         *store.Client
 	tasks         *taskGroup
 	log           *slog.Logger
 	member        string
-	incarnation   uint64 // of this process, by which it knows the responses that are meant for it
+	incarnation   uint64 // identifies this process, so that it can recognize the responses to its own batches
 	batchCapacity int    // bytes of envelopes in one record
 	maxTxnOps     int
 
-	flushSignal      chan struct{} // for flushBatches: a heartbeat was added
-	responseSignal   chan struct{} // for watchResponses: a heartbeat was added
-	responsesWatched atomic.Bool   // nothing is written before a response would be seen
+	flushSignal      chan struct{} // signals flushBatches that a heartbeat was added
+	responseSignal   chan struct{} // signals watchResponses that a heartbeat was added
+	responsesWatched atomic.Bool   // batches are written only while this is true, so that no response is missed
 
 	mu      sync.Mutex // guards outbox and waiters
 	outbox  *relay.Outbox
-	waiters map[uint64]chan []byte // by envelope; a nil response sends the worker elsewhere
+	waiters map[uint64]chan []byte // by envelope ID; a nil response makes the worker try another member
 }
 
-// newStoreRelay returns nil if the settings turn it off, or if there are no other members.
+// newStoreRelay returns nil if the settings disable relaying through the state service or if there are no other
+// members.
 func newStoreRelay(
 	p *config.Platform, o *config.Operator, state *store.Client, tasks *taskGroup, log *slog.Logger,
 ) *storeRelay {
@@ -57,7 +58,7 @@
 		return nil
 	}
 	onPathChange := func(from, to relay.Path, reason string) {
-		log.Info("heartbeat path", "from", from.String(), "to", to.String(), "reason", reason)
+		log.Info("heartbeat relay path changed", "from", from.String(), "to", to.String(), "reason", reason)
 	}
 	return &storeRelay{
 		store:          state,
@@ -74,8 +75,9 @@
 	}
 }
 
-// send relays a heartbeat and waits for its response. It waits for longer than others do, since a worker
-// that is sent elsewhere spends much of its lease on members on the other side of the partition.
+// send relays a heartbeat and waits for the response. It waits extraResponseWait beyond the deadline of ctx,
+// because a worker that gets no response here spends much of its lease on members on the other side of the
+// partition. ok is false if there is no response.
 func (r *storeRelay) send(ctx context.Context, heartbeat []byte) (response []byte, ok bool) {
 	now := time.Now()
 	if deadline, ok := ctx.Deadline(); ok {
@@ -105,8 +107,8 @@
 	}
 }
 
-// enqueue adds a copy of a heartbeat to the outbox, and a waiter for its response; ok is false if the outbox
-// takes nothing.
+// enqueue adds a copy of a heartbeat to the outbox and registers a waiter for the response. ok is false if the
+// outbox does not accept the heartbeat.
 func (r *storeRelay) enqueue(now time.Time, heartbeat []byte) (id uint64, responses <-chan []byte, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,7 +122,7 @@
 	return id, waiter, true
 }
 
-// active reports whether heartbeats go by way of the state service already.
+// active reports whether heartbeats are currently relayed through the state service.
 func (r *storeRelay) active() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,23 +135,23 @@
 	return r.outbox.Idle()
 }
 
-// leaderReached notes that the leader is reachable again: no worker waits any more, and workers are
-// redirected.
-func (r *storeRelay) leaderReached() {
+// onLeaderReachable records that the leader is reachable again. The waiting workers get no response any more,
+// and workers are redirected to the leader from now on.
+func (r *storeRelay) onLeaderReachable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outbox.ObserveContact(time.Now(), true)
 	r.rejectWaiters()
 }
 
-// leaderChanged notes that another member leads, or for now none.
-func (r *storeRelay) leaderChanged(noLeader bool) {
+// onLeaderChanged records that another member leads, or that there is currently no leader.
+func (r *storeRelay) onLeaderChanged(noLeader bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outbox.LeaderChanged(time.Now(), noLeader)
 }
 
-// rejectWaiters ends the wait of all workers, which then try another member. mu is held.
+// rejectWaiters ends the wait of all workers, which then try another member. The caller must hold mu.
 func (r *storeRelay) rejectWaiters() {
 	for id, waiter := range r.waiters {
 		waiter <- nil
@@ -158,7 +160,7 @@
 	clear(r.waiters)
 }
 
-// flushBatches writes batches of heartbeats as they are due.
+// flushBatches writes batches of heartbeats when they are due.
 func (r *storeRelay) flushBatches() error {
 	for r.tasks.running() {
 		r.mu.Lock()
@@ -174,7 +176,7 @@
 			}
 			continue
 		case due.IsZero() || !r.responsesWatched.Load():
-			r.tasks.sleep(flushRetry)
+			r.tasks.sleep(flushRetryDelay)
 			continue
 		case now.Before(due):
 			r.tasks.sleep(due.Sub(now))
@@ -184,7 +186,7 @@
 	return nil
 }
 
-// flush writes one batch, if there is any.
+// flush writes one batch if any heartbeats are queued.
 func (r *storeRelay) flush() {
 	r.mu.Lock()
 	seq, payload, count := r.outbox.TakeBatch(time.Now(), r.batchCapacity)
@@ -203,7 +205,8 @@
 	r.outbox.WriteFailed(seq)
 }
 
-// watchResponses watches for the leader's responses while any are waited for.
+// watchResponses watches for the leader's responses. It pauses if no heartbeat has waited for a response within
+// relayIdleTimeout.
 func (r *storeRelay) watchResponses() error {
 	var revision uint64
 	var lastUsed time.Time
@@ -213,14 +216,14 @@
 			lastUsed = now
 		} else if now.Sub(lastUsed) > relayIdleTimeout {
 			revision = 0
-			lastUsed = r.waitUntilUsed(lastUsed)
+			lastUsed = r.pauseUntilHeartbeat(lastUsed)
 			continue
 		}
 		var err error
 		if revision == 0 {
 			if revision, err = r.store.RelayRevision(r.tasks.ctx, r.member); err != nil {
 				revision = 0
-				r.tasks.sleep(relayRevisionRetry)
+				r.tasks.sleep(relayRevisionRetryDelay)
 				continue
 			}
 			r.responsesWatched.Store(true)
@@ -229,7 +232,7 @@
 		if err != nil {
 			revision = 0
 			r.responsesWatched.Store(false)
-			r.tasks.sleep(watchResponsesRetry)
+			r.tasks.sleep(watchResponsesRetryDelay)
 			continue
 		}
 		revision = next
@@ -240,9 +243,10 @@
 	return nil
 }
 
-// waitUntilUsed ends the watch, deletes what this member has left at the state service if it has written
-// anything, and waits for the next heartbeat. It returns when that came, or lastUsed if the context ended.
-func (r *storeRelay) waitUntilUsed(lastUsed time.Time) time.Time {
+// pauseUntilHeartbeat ends the watch, deletes this member's relay records from the state service if it has
+// written any, and waits for the next heartbeat. It returns the time of that heartbeat, or lastUsed if the
+// context is cancelled.
+func (r *storeRelay) pauseUntilHeartbeat(lastUsed time.Time) time.Time {
 	r.responsesWatched.Store(false)
 	if !lastUsed.IsZero() {
 		if err := r.store.DeleteRelayRecords(r.tasks.ctx, r.member, r.maxTxnOps); err != nil {
@@ -257,7 +261,8 @@
 	}
 }
 
-// deliver hands the responses of a batch to their waiters, unless they are for an earlier incarnation.
+// deliver passes the responses of a batch to their waiters. It ignores responses to an earlier incarnation of
+// this member and malformed ones.
 func (r *storeRelay) deliver(batch store.RelayBatch) {
 	envelopes, err := relay.Unpack(batch.Payload)
 	if err != nil || batch.Incarnation != r.incarnation {
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -14,26 +14,27 @@
 )
 
 const (
-	rolloutInterval = 5 * time.Second  // between two reads of what the members announce
-	announcementTTL = 30 * time.Second // of what a member announces of itself
-	resignInterval  = time.Minute      // a leader resigns to raise a level no more often than this
+	rolloutInterval   = 5 * time.Second  // between two reads of the members' announcements
+	announcementTTL   = 30 * time.Second // of the lease that a member's announcement is bound to
+	minResignInterval = time.Minute      // between two resignations of a leader to raise the feature level
 )
 
-// rolloutView is what this member knows of the feature level. The event loop writes it, and all read it.
+// rolloutView is what this member knows about the feature level. The event loop writes it, and any goroutine
+// may read it.
 type rolloutView struct {
-	level  atomic.Uint32 // in force, as the election knows it
-	status atomic.Pointer[rolloutStatus]
+	level  atomic.Uint32                 // the level in force according to the election
+	status atomic.Pointer[rolloutStatus] // nil before the first evaluation
 }
 
-// rolloutStatus is the progress towards the next level.
+// rolloutStatus is the progress of the rollout towards the next feature level.
 type rolloutStatus struct {
 	state   featuregate.State
 	reason  string
 	members map[string]featuregate.Member
 }
 
-// constraintsInForce returns a function that reports whether all members support the rules of jobs; nil: no
-// rollout is watched, so the operators answer for it.
+// constraintsInForce returns a function that reports whether all members support the rules of jobs. It returns
+// nil if the settings enable no rollout; the operators are then responsible for this.
 func (c *Controller) constraintsInForce() func() bool {
 	if c.operator.Rollout == nil {
 		return nil
@@ -41,8 +42,8 @@
 	return func() bool { return featuregate.Level(c.rollout.level.Load()) >= featuregate.Constraints }
 }
 
-// runRollout announces what this member's program supports, and lets the election raise the feature level
-// once all members support the next one.
+// runRollout periodically announces the features that this member supports and evaluates the announcements of
+// all members. The election may raise the feature level once all members support the next one.
 func (c *Controller) runRollout() error {
 	self := featuregate.Member{
 		Name:        c.platform.Member,
@@ -73,9 +74,9 @@
 	return nil
 }
 
-// evaluateRollout passes the members' announcements to the gate, and proposes the level that follows from
-// them to the election. A leader resigns for it, so that the next claim raises the level; not while it acts
-// on votes alone, as nobody could claim then.
+// evaluateRollout passes the members' announcements to the gate and proposes the resulting level to the
+// election. A leader resigns for this, because the level is raised by the next claim of leadership. It does not
+// resign while its leadership is held by votes only, because no member could claim the leadership then.
 func (c *Controller) evaluateRollout(
 	now time.Time, gate *featuregate.Gate, members map[string]featuregate.Member, resignedAt *time.Time,
 ) {
@@ -83,7 +84,7 @@
 	changed := gate.Step(now, inForce, members)
 	state, reason := gate.State()
 	if changed {
-		c.log.Info("rollout",
+		c.log.Info("rollout state changed",
 			"state", state.String(), "level", inForce, "supported", featuregate.Supported, "reason", reason)
 	}
 	c.rollout.status.Store(&rolloutStatus{state: state, reason: reason, members: members})
@@ -93,15 +94,15 @@
 	}
 	proposal := election.ProposeLevel{Level: next}
 	lease := c.lease.load()
-	if next > 0 && lease.valid() && !lease.restsOnVotes(now) && now.Sub(*resignedAt) > resignInterval {
+	if next > 0 && lease.valid() && !lease.heldByVotesOnly(now) && now.Sub(*resignedAt) > minResignInterval {
 		c.log.Info("resigning to raise the feature level", "level", next, "fencing_token", lease.fencingToken)
 		*resignedAt, proposal.StepDown = now, true
 	}
 	c.stepElection(now, proposal)
 }
 
-// announce renews this member's announcement of itself. It returns the lease at the state service that the
-// announcement is bound to; 0: it has to be announced anew.
+// announce renews or publishes this member's announcement. It returns the lease at the state service that the
+// announcement is bound to, or 0 if the next call has to publish the announcement again.
 func (c *Controller) announce(leaseID uint64, self featuregate.Member) (uint64, error) {
 	if leaseID != 0 {
 		err := c.store.RenewLease(leaseID)
@@ -124,14 +125,14 @@
 	return leaseID, nil
 }
 
-// rolloutStatus returns the progress of the rollout for the operators' interface; nil: none is watched, or
-// nothing is known yet.
+// rolloutStatus returns the progress of the rollout for the operators' interface. It returns nil if the
+// settings enable no rollout or if it has not been evaluated yet.
 func (c *Controller) rolloutStatus() *admin.Rollout {
 	status := c.rollout.status.Load()
 	if c.operator.Rollout == nil || status == nil {
 		return nil
 	}
-	out := &admin.Rollout{
+	rollout := &admin.Rollout{
 		Level:     c.rollout.level.Load(),
 		Supported: uint32(featuregate.Supported),
 		State:     status.state.String(),
@@ -139,14 +140,14 @@
 		Paused:    c.operator.Rollout.Paused,
 	}
 	for level := featuregate.Level(1); level <= featuregate.Supported; level++ {
-		out.Features = append(out.Features, admin.Feature{
+		rollout.Features = append(rollout.Features, admin.Feature{
 			Name:    featuregate.Features[level],
 			Level:   uint32(level),
-			InForce: uint32(level) <= out.Level,
+			InForce: uint32(level) <= rollout.Level,
 		})
 	}
 	for _, m := range status.members {
-		out.Members = append(out.Members, m)
+		rollout.Members = append(rollout.Members, m)
 	}
-	return out
+	return rollout
 }
--- a/internal/controller/staleness.go
+++ b/internal/controller/staleness.go
@@ -14,76 +14,76 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// cancellationKnowledge bounds a leader by how old its knowledge of cancellations is: any member
-// acknowledges a cancellation to its user, and the tasks have to end in time (docs/safety.md, "Bounded
-// staleness of cancellations"). The event loop owns it, but for the bound, which never changes.
-type cancellationKnowledge struct {
-	bound        staleness.Bound
-	tracker      *staleness.Tracker // nil: the leader has no reconciler yet
-	tooStale     bool               // the leader knows too little to act
-	acknowledged map[string]store.CancellationCursor
-	log          *slog.Logger
+// cancellationFreshness limits a leader by the age of its knowledge of cancellations. Any member may
+// acknowledge a cancellation to its user, after which the tasks have to end in time (docs/safety.md, "Bounded
+// staleness of cancellations"). It is owned by the event loop, except for bound, which is immutable.
+type cancellationFreshness struct {
+	bound               staleness.Bound
+	tracker             *staleness.Tracker                  // nil if this controller has no reconciler
+	tooStale            bool                                // the known cancellations are too old for the leader to act
+	acknowledgedCursors map[string]store.CancellationCursor // by member: up to where it has reported its cancellations
+	log                 *slog.Logger
 }
 
-func newCancellationKnowledge(p *config.Platform, log *slog.Logger) cancellationKnowledge {
+func newCancellationFreshness(p *config.Platform, log *slog.Logger) cancellationFreshness {
 	bound, ok := config.StalenessBound(p)
 	if !ok {
-		log.Warn("workers' leases are too long for cancel_s: "+
-			"tasks of cancelled jobs on machines that can't be reached may outlast it",
+		log.Warn("worker leases are too long for cancel_s: "+
+			"tasks of cancelled jobs may run for longer than that on unreachable machines",
 			"lease_s", p.Deployment.Workers.Lease,
 			"cancel_s", p.Deployment.Workers.Cancel,
 			"knows_of_cancellations_within", bound.KeepLeases)
 	}
-	return cancellationKnowledge{bound: bound, acknowledged: map[string]store.CancellationCursor{}, log: log}
+	return cancellationFreshness{bound: bound, acknowledgedCursors: map[string]store.CancellationCursor{}, log: log}
 }
 
-// begin starts to track for a leader that has read the records as of a moment.
-func (k *cancellationKnowledge) begin(members []string, recordsAsOf time.Time) {
-	k.tracker, k.tooStale = staleness.NewTracker(members, recordsAsOf), false
+// startTracking starts tracking for a new leader that has read the job records as of the given time.
+func (f *cancellationFreshness) startTracking(members []string, recordsAsOf time.Time) {
+	f.tracker, f.tooStale = staleness.NewTracker(members, recordsAsOf), false
 }
 
-// end stops to track: this controller leads no more.
-func (k *cancellationKnowledge) end() { k.tracker, k.tooStale = nil, false }
+// stopTracking stops tracking because this controller no longer leads.
+func (f *cancellationFreshness) stopTracking() { f.tracker, f.tooStale = nil, false }
 
-// acknowledge records how far a member has reported the cancellations that it knows of, when the report
-// was requested, and whether it was complete.
-func (k *cancellationKnowledge) acknowledge(
+// acknowledge records a member's report of cancellations: the cursor up to which the member has reported them,
+// whether the report was complete, and when it was requested.
+func (f *cancellationFreshness) acknowledge(
 	member string, cursor store.CancellationCursor, complete bool, requested time.Time,
 ) {
-	k.acknowledged[member] = cursor
-	if k.tracker != nil && complete {
-		k.tracker.Acknowledged(member, requested)
+	f.acknowledgedCursors[member] = cursor
+	if f.tracker != nil && complete {
+		f.tracker.Acknowledged(member, requested)
 	}
 }
 
-// limit bounds a lease by what this leader knows of cancellations. Before it has a reconciler it answers
-// no heartbeat, so nothing bounds it.
-func (k *cancellationKnowledge) limit(now time.Time, lease *leadershipLease) {
-	if k.tracker == nil {
+// limitLease limits a lease according to the age of the known cancellations. Before the leader has a reconciler
+// it answers no heartbeat, so the lease is not limited.
+func (f *cancellationFreshness) limitLease(now time.Time, lease *leadershipLease) {
+	if f.tracker == nil {
 		lease.freshUntil = lease.grantedUntil()
 		return
 	}
-	knownAsOf := k.tracker.KnownAsOf()
-	lease.freshUntil = knownAsOf.Add(k.bound.KeepLeases)
-	lease.freshStartsUntil = knownAsOf.Add(k.bound.StartTasks)
+	knownAsOf := f.tracker.KnownAsOf()
+	lease.freshUntil = knownAsOf.Add(f.bound.KeepLeases)
+	lease.freshStartsUntil = knownAsOf.Add(f.bound.StartTasks)
 	tooStale := !now.Before(lease.freshUntil) && now.Before(lease.grantedUntil())
-	if tooStale == k.tooStale {
+	if tooStale == f.tooStale {
 		return
 	}
-	k.tooStale = tooStale
-	k.log.Warn("cancellation knowledge",
-		"too_stale", tooStale, "age", now.Sub(knownAsOf), "limit", k.bound.KeepLeases,
+	f.tooStale = tooStale
+	f.log.Warn("staleness limit of known cancellations crossed",
+		"too_stale", tooStale, "age", now.Sub(knownAsOf), "limit", f.bound.KeepLeases,
 		"fencing_token", lease.fencingToken)
 }
 
-// tooStaleToLead reports whether the lease at the state service is valid, and yet the knowledge of
-// cancellations is too stale to act on: another member may do better.
-func (k *cancellationKnowledge) tooStaleToLead(now time.Time, machine *election.StateMachine) bool {
-	return k.tooStale && now.Before(machine.LeaseValidUntil())
+// tooStaleToLead reports whether the known cancellations are too old to act on although the lease at the state
+// service is valid. Another member may be in a better position to lead then.
+func (f *cancellationFreshness) tooStaleToLead(now time.Time, machine *election.StateMachine) bool {
+	return f.tooStale && now.Before(machine.LeaseValidUntil())
 }
 
-// applyReportedCancellations applies the cancellations in another member's answer to a request for its
-// vote. The reconciler has them before the knowledge counts as newer.
+// applyReportedCancellations applies the cancellations that another member reported in its answer to a vote
+// request. The reconciler receives them before the report counts as acknowledged.
 func (c *Controller) applyReportedCancellations(now, requested time.Time, member string, answer *peerpb.PromiseAnswer) {
 	ids, versions := answer.GetCancelled(), answer.GetVersions()
 	cancelled := make([]store.Cancellation, len(ids))
@@ -100,9 +100,9 @@
 	c.cancellations.acknowledge(member, cursor, answer.GetWhole(), requested)
 }
 
-// refreshCancellations notes as of when the job records were read, after the reconciler has what that
-// reading brought.
-func (c *Controller) refreshCancellations(now time.Time) {
+// updateCancellationFreshness records as of when the job records were last read, after the reconciler has
+// received the changes from that read.
+func (c *Controller) updateCancellationFreshness(now time.Time) {
 	if c.cancellations.tracker == nil {
 		return
 	}
@@ -111,28 +111,29 @@
 	c.cancellations.tracker.RecordsRead(asOf)
 }
 
-// beginCancellations starts to track for a leadership whose reconciler was just made.
-func (c *Controller) beginCancellations(now time.Time) {
-	c.cancellations.begin(slices.Collect(maps.Keys(c.peers)), c.jobs.AsOf())
+// startTrackingCancellations starts tracking for a leadership whose reconciler was just created, and publishes
+// the resulting lease.
+func (c *Controller) startTrackingCancellations(now time.Time) {
+	c.cancellations.startTracking(slices.Collect(maps.Keys(c.peers)), c.jobs.AsOf())
 	c.publishLease(now)
 }
 
 const (
-	maxPollInterval     = time.Second
-	pollsPerStaleStarts = 4 // polls within the time after which a leader starts no more tasks
+	maxJobPollInterval = time.Second
+	pollsPerStartBound = 4 // polls within the staleness at which a leader stops starting tasks
 )
 
-// pollJobRecords has a leader read the changes of the job records if nothing else does: a watch reports
-// changes, but not that there are none.
+// pollJobRecords has a leader read the changes of the job records if nothing else has read them recently. This
+// is necessary because a watch reports changes, but not their absence.
 func (c *Controller) pollJobRecords() error {
-	every := min(maxPollInterval, c.cancellations.bound.StartTasks/pollsPerStaleStarts)
+	interval := min(maxJobPollInterval, c.cancellations.bound.StartTasks/pollsPerStartBound)
 	for c.tasks.running() {
-		c.tasks.sleep(every)
-		if c.lease.load() == nil || time.Since(c.jobs.AsOf()) < every || !c.jobs.Loaded() {
+		c.tasks.sleep(interval)
+		if c.lease.load() == nil || time.Since(c.jobs.AsOf()) < interval || !c.jobs.Loaded() {
 			continue
 		}
 		if err := c.jobs.CatchUp(c.tasks.ctx); err != nil {
-			c.log.Debug("reading job changes failed", "err", err)
+			c.log.Debug("reading job record changes failed", "err", err)
 		}
 	}
 	return nil
--- a/internal/controller/tasks.go
+++ b/internal/controller/tasks.go
@@ -9,14 +9,14 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// taskGroup runs a controller's goroutines. Run sets its fields before it starts the first one; ctx ends
-// all of them, and Run waits for them.
+// taskGroup runs a controller's goroutines. Run sets both fields before it starts the first goroutine.
+// Cancelling ctx ends all goroutines, and Run waits for them.
 type taskGroup struct {
 	group *errgroup.Group
 	ctx   context.Context
 }
 
-// spawn runs one piece of input or output beside the event loop.
+// spawn runs a single I/O operation outside the event loop.
 func (t *taskGroup) spawn(f func()) {
 	t.group.Go(func() error {
 		f()
@@ -24,7 +24,8 @@
 	})
 }
 
-// serve runs a server. One that ends without an error was shut down, so the reason is the context's.
+// serve runs a server. A server that returns no error was shut down, so the error of the context is reported
+// instead.
 func (t *taskGroup) serve(run func() error) {
 	t.group.Go(func() error {
 		if err := run(); err != nil {
@@ -34,7 +35,7 @@
 	})
 }
 
-// onShutdown runs f once the context has ended.
+// onShutdown runs f after the context is cancelled.
 func (t *taskGroup) onShutdown(f func() error) {
 	t.group.Go(func() error {
 		<-t.ctx.Done()
@@ -42,8 +43,8 @@
 	})
 }
 
-// running reports whether the context has not ended yet.
+// running reports whether the context has not been cancelled yet.
 func (t *taskGroup) running() bool { return t.ctx.Err() == nil }
 
-// sleep waits for d, or until the context ends.
+// sleep waits for d or until the context is cancelled.
 func (t *taskGroup) sleep(d time.Duration) { store.Sleep(t.ctx, d) }
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -11,33 +11,34 @@
 )
 
 const (
-	voteTimeout = time.Second // for another member to answer a request for its vote
+	voteTimeout = time.Second // for another member to answer a vote request
 
-	// maxVoteDuration bounds what a request may ask for.
+	// maxVoteDuration bounds the duration that a vote request may ask for.
 	maxVoteDuration = time.Minute
 
-	// maxContactLead is by how much more recently than a leader this member may have had an answer of the
-	// state service and still vote for it, while the state service serves this member. With more, the leader
-	// alone is cut off, and another member had better lead. If the state service is down for this member too,
-	// no member could take over, and the vote keeps running tasks alive.
+	// maxContactLead is how much more recent than the leader's this member's last contact with the state
+	// service may be for this member to vote for the leader while the state service serves this member. If the
+	// difference is larger, the state service is unreachable for the leader only, and another member should
+	// lead. If the state service is unreachable for this member too, the difference is ignored: no member could
+	// take over, and the vote keeps running tasks alive.
 	maxContactLead = 2 * time.Second
 )
 
-// requestVotes requests the votes of all other members for this leader. Their answers also carry the
-// cancellations that they know of.
+// requestVotes requests the votes of all other members for this leader. The answers also report the
+// cancellations that these members know.
 func (c *Controller) requestVotes(term uint64, e election.RequestVotes) {
 	now := time.Now()
-	var silence time.Duration // of the state service
+	var storeSilence time.Duration // how long ago the state service last answered
 	if last := c.store.LastContact(); !last.IsZero() {
-		silence = now.Sub(last)
+		storeSilence = now.Sub(last)
 	}
 	for name, client := range c.peers {
-		cursor := c.cancellations.acknowledged[name]
+		cursor := c.cancellations.acknowledgedCursors[name]
 		request := &peerpb.PromiseAsk{
 			Member:   c.platform.Member,
 			Token:    e.FencingToken,
 			Revision: c.jobs.Revision(),
-			SilentMs: uint64(silence.Milliseconds()),
+			SilentMs: uint64(storeSilence.Milliseconds()),
 			Seq:      e.Seq,
 			ForMs:    uint64(e.Duration.Milliseconds()),
 			Instead:  e.Supersedes,
@@ -49,8 +50,8 @@
 	}
 }
 
-// requestVote requests the vote of one member, and passes it to the election if the same leadership still
-// lasts.
+// requestVote requests the vote of one member and passes the answer to the election if the term has not
+// changed.
 func (c *Controller) requestVote(term uint64, name string, client *peer.Client, request *peerpb.PromiseAsk) {
 	ctx, cancel := context.WithTimeout(c.tasks.ctx, voteTimeout)
 	defer cancel()
@@ -63,8 +64,8 @@
 		if c.term != term {
 			return
 		}
-		// The loop's time may be from before the answer came. With it a vote could count after the lease has
-		// expired, if the process was suspended in between.
+		// The time that the loop passes may predate the arrival of the answer. If the process was suspended in
+		// between, a vote could otherwise count after the lease has expired.
 		now := time.Now()
 		c.applyReportedCancellations(now, sent, name, answer)
 		if !answer.GetGranted() {
@@ -80,7 +81,7 @@
 	})
 }
 
-// queryLeadership asks the other members whether they lead, for a member that has just started.
+// queryLeadership asks the other members whether they lead, on behalf of an election that has just started.
 func (c *Controller) queryLeadership() {
 	for name, client := range c.peers {
 		c.tasks.spawn(func() {
@@ -110,21 +111,23 @@
 }
 
 // HandleVoteRequest answers a leader that requests or releases this member's vote, and a member that asks
-// who leads.
+// whether this member leads. If the event loop does not answer in time, the answer is that this member leads,
+// because it may.
 func (h peerHandler) HandleVoteRequest(ctx context.Context, request *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
 	c := h.controller
 	answer, err := runInLoop(ctx, c.loop.urgent, func(time.Time) *peerpb.PromiseAnswer {
-		return c.answerVote(ctx, request)
+		return c.answerVoteRequest(ctx, request)
 	})
 	if err != nil {
-		return &peerpb.PromiseAnswer{Leads: true} // it may lead: nothing is known
+		return &peerpb.PromiseAnswer{Leads: true}
 	}
 	return answer
 }
 
-// answerVote answers within the event loop. The loop's time may be from before the request was sent, and a
-// vote that is counted from there would end too early, so the clock is read anew.
-func (c *Controller) answerVote(ctx context.Context, request *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
+// answerVoteRequest answers a request in the event loop. It reads the clock itself, because the time that the
+// loop passes may predate the sending of the request, and a vote that is measured from that time would expire
+// too early.
+func (c *Controller) answerVoteRequest(ctx context.Context, request *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
 	now := time.Now()
 	answer := &peerpb.PromiseAnswer{Member: c.platform.Member}
 	switch {
@@ -143,8 +146,8 @@
 	return answer
 }
 
-// addCancellations adds to an answer the cancellations that the leader may not know yet, and reports
-// whether these are all.
+// addCancellations adds the cancellations that the leader may not know yet to an answer, and reports whether
+// the answer then contains all of them.
 func (c *Controller) addCancellations(answer *peerpb.PromiseAnswer, request *peerpb.PromiseAsk) (complete bool) {
 	cursor := store.CancellationCursor{Incarnation: request.GetToldLife(), Count: request.GetTold()}
 	batch := c.jobs.CancellationsAfter(request.GetRevision(), cursor)
@@ -156,11 +159,11 @@
 	return batch.Complete
 }
 
-// grantVote decides for how long this member votes for a leader, which is how long it claims nothing
-// itself; 0: it does not vote.
+// grantVote returns for how long this member votes for a leader, or 0 if it does not. This member does not
+// claim the leadership while its vote lasts.
 func (c *Controller) grantVote(now time.Time, request *peerpb.PromiseAsk) time.Duration {
-	// Before this process has read the records, an earlier incarnation may have acknowledged cancellations to
-	// users that neither this one nor the leader knows of.
+	// An earlier incarnation of this member may have acknowledged cancellations to users. Until this process
+	// has read the records, neither it nor the leader may know of them.
 	if c.jobs.Revision() == 0 {
 		return 0
 	}
