--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,8 +1,10 @@
-// Package autoscaler decides which machines to provision and which to release. Like package scheduler it is pure.
+// Package autoscaler decides which machines to provision and which to release. It performs no input or output and
+// reads no clock: callers pass in the current time and a snapshot of the cluster.
 //
-// After a pass of the scheduler a leader builds a Snapshot of the machines that are booting or will soon have free
-// capacity, calls ScaleOut with the pass's shortages, and sends the requests that it returns to the cloud.
-// Settings.ShouldRelease and Settings.BootTimeout decide on single machines.
+// After each scheduling pass the leader builds a Snapshot of the machines that are booting or will soon have free
+// capacity, calls ScaleOut with the shortages of the pass, and sends the returned requests to the cloud. For scaling
+// in, Settings.ShouldRelease decides whether an idle machine is released, and Settings.BootTimeout limits how long a
+// machine may take to boot.
 package autoscaler
 
 import (
@@ -11,69 +13,72 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// defaultBootTime is the boot time of a machine type that states none.
+// defaultBootTime is assumed for machine types whose catalog entry states no boot time.
 const defaultBootTime = 2 * time.Minute
 
-// Settings are the operators' settings of the autoscaler.
+// Settings configures the autoscaler.
 type Settings struct {
-	// IdleTimeout is how long an empty machine is kept at least, and IdleBootFactor the least in boot times of its type.
+	// IdleTimeout and IdleBootFactor set how long an idle machine is kept: for IdleTimeout, or for IdleBootFactor times
+	// the boot time of its type if that is longer.
 	IdleTimeout    time.Duration
 	IdleBootFactor float64
 
-	// SpotIdleFactor is how many times longer than IdleTimeout an empty spot machine is kept.
+	// SpotIdleFactor multiplies IdleTimeout for spot machines.
 	SpotIdleFactor float64
 
-	// MinBilledTime is the time that a machine is paid for at least; it is not released before.
+	// MinBilledTime is the minimum time that the cloud bills for a machine. A machine is not released before it has
+	// reached this age.
 	MinBilledTime time.Duration
 
-	// BootTimeoutFactor and BootTimeoutExtra limit the time to boot: a machine that has not come up after so many boot
-	// times of its type plus the extra is released.
+	// BootTimeoutFactor and BootTimeoutExtra set the boot timeout, after which a machine that has not come up is
+	// released: BootTimeoutFactor times the boot time of its type, plus BootTimeoutExtra.
 	BootTimeoutFactor float64
 	BootTimeoutExtra  time.Duration
 
-	// RefusalBackoff is the time after which an offer that the cloud refused is requested again.
+	// RefusalBackoff is how long an offer is not requested again after the cloud has refused it.
 	RefusalBackoff time.Duration
 
-	// LookaheadBoots is the time, in boot times, within which capacity on running machines counts as incoming if it is
-	// likely to become free.
+	// LookaheadBoots is measured in boot times of the machine's type. Capacity on a running machine counts as incoming
+	// if it is likely to become free within this time.
 	LookaheadBoots float64
 
-	// MaxPerRequest bounds the machines of one request.
+	// MaxPerRequest is the maximum number of machines in one request.
 	MaxPerRequest int
 }
 
-// ShouldRelease reports whether a machine that has been empty for some time is to be released. It is kept for as long
-// as provisioning it anew would take, and as long as it is paid for anyway. Spot machines are cheap and scarce, so they
-// are kept longer.
-func (s *Settings) ShouldRelease(machineType *model.MachineType, spot bool, empty, age time.Duration) bool {
+// ShouldRelease reports whether to release a machine of the given age that has been idle for idleTime. A machine is
+// kept at least for as long as provisioning a replacement would take, and until the billed minimum has passed. Spot
+// machines are cheap and scarce, so they are kept longer.
+func (s *Settings) ShouldRelease(machineType *model.MachineType, spot bool, idleTime, age time.Duration) bool {
 	timeout := s.IdleTimeout
 	if spot {
 		timeout = time.Duration(float64(timeout) * s.SpotIdleFactor)
 	}
 	timeout = max(timeout, time.Duration(s.IdleBootFactor*float64(machineType.BootTime)))
-	return empty > timeout && age >= s.MinBilledTime
+	return idleTime > timeout && age >= s.MinBilledTime
 }
 
-// BootTimeout is the time after which a machine that has not come up is released. A type that states no boot time gets
-// a default one: otherwise its machines would be released again and again before any of them can come up.
+// BootTimeout returns the time after which a machine of the type that has not come up is released. It assumes
+// defaultBootTime for a type without a boot time: otherwise each of its machines would be released and requested
+// again before it could come up.
 func (s *Settings) BootTimeout(machineType *model.MachineType) time.Duration {
-	boot := machineType.BootTime
-	if boot == 0 {
-		boot = defaultBootTime
+	bootTime := machineType.BootTime
+	if bootTime == 0 {
+		bootTime = defaultBootTime
 	}
-	return time.Duration(s.BootTimeoutFactor*float64(boot)) + s.BootTimeoutExtra
+	return time.Duration(s.BootTimeoutFactor*float64(bootTime)) + s.BootTimeoutExtra
 }
 
-// Offer is a kind of machine that can be requested from the cloud.
+// Offer identifies a kind of machine that can be requested from the cloud.
 type Offer struct {
-	Type string
+	Type string // name of the machine type
 	Zone string
 	Spot bool
 }
 
-// Request is a request to the cloud for a number of machines of one kind.
+// Request asks the cloud for a number of machines of one offer.
 type Request struct {
 	Offer
 	Count    int
-	JobClass string // of the first job that the machines are for
+	JobClass string // class of the first job that needs these machines
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -27,8 +27,9 @@
 	},
 }
 
-// newShortage is a shortage of n tasks of two CPUs, two of which fill a small machine; change may be nil.
-func newShortage(n int, change func(*model.Spec)) []scheduler.Shortage {
+// newShortage returns a shortage of n tasks that demand two CPUs each, so that two tasks fill a small machine.
+// modify, if not nil, changes the job's spec.
+func newShortage(n int, modify func(*model.Spec)) []scheduler.Shortage {
 	spec := &model.Spec{
 		ID:     "wk-000001",
 		Class:  "c",
@@ -36,8 +37,8 @@
 		Demand: model.Resources{CPU: 2, MemGB: 6},
 		Shape:  model.Array,
 	}
-	if change != nil {
-		change(spec)
+	if modify != nil {
+		modify(spec)
 	}
 	job := model.NewJob(spec, time.Unix(0, 0), 1)
 	return []scheduler.Shortage{
@@ -45,7 +46,7 @@
 	}
 }
 
-// newSnapshot is a snapshot of a cluster without machines.
+// newSnapshot returns a snapshot of a cluster without machines.
 func newSnapshot() *Snapshot {
 	return &Snapshot{
 		Types:          machineTypes,
@@ -64,14 +65,14 @@
 	SpotIdleFactor:    4,
 }
 
-// The offers of small machines that are not spot.
+// The offers of small on-demand machines.
 var (
 	smallInA = Offer{Type: "small", Zone: "a"}
 	smallInB = Offer{Type: "small", Zone: "b"}
 )
 
-// requested is how many machines of an offer are requested.
-func requested(requests []Request, offer Offer) int {
+// requestedCount returns how many machines of an offer are requested.
+func requestedCount(requests []Request, offer Offer) int {
 	for _, r := range requests {
 		if r.Offer == offer {
 			return r.Count
@@ -82,15 +83,15 @@
 
 func TestScaleOutRequestsCheapestKindSpreadOverZones(t *testing.T) {
 	requests := ScaleOut(testSettings, time.Unix(0, 0), newSnapshot(), newShortage(8, nil))
-	if len(requests) != 2 || requested(requests, smallInA) != 2 || requested(requests, smallInB) != 2 {
+	if len(requests) != 2 || requestedCount(requests, smallInA) != 2 || requestedCount(requests, smallInB) != 2 {
 		t.Errorf("requested %v, want 2 small machines in each zone", requests)
 	}
 }
 
-// Machines for what has to be in one zone are requested in one: where most of it fits already, and where its tasks are
-// once some run.
+// All machines for a single-zone job are requested in the same zone: the zone of its running tasks if there are any,
+// or else the zone where most of its tasks fit on running and incoming machines.
 func TestScaleOutForOneZoneJobStaysInOneZone(t *testing.T) {
-	scaleOut := func(snapshot *Snapshot, tasksByZone map[string]int) string {
+	requestedZones := func(snapshot *Snapshot, tasksByZone map[string]int) string {
 		t.Helper()
 		shortages := newShortage(8, func(s *model.Spec) { s.Shape, s.SingleZone = model.Gang, true })
 		shortages[0].Request.Count, shortages[0].Request.TasksByZone = 8, tasksByZone
@@ -100,31 +101,32 @@
 		}
 		return zones
 	}
-	roomInB := func(_ *scheduler.Request, zone string) int { return map[string]int{"b": 3}[zone] }
-	if got := scaleOut(newSnapshot(), nil); got != "a" {
-		t.Errorf("no machine: requested in %q, want %q", got, "a")
+	capacityInB := func(_ *scheduler.Request, zone string) int { return map[string]int{"b": 3}[zone] }
+	if got := requestedZones(newSnapshot(), nil); got != "a" {
+		t.Errorf("no machines: requested in %q, want %q", got, "a")
 	}
-	if got := scaleOut(newSnapshot(), map[string]int{"a": 0, "b": 1}); got != "b" {
-		t.Errorf("a task in b: requested in %q, want %q", got, "b")
+	if got := requestedZones(newSnapshot(), map[string]int{"a": 0, "b": 1}); got != "b" {
+		t.Errorf("task running in b: requested in %q, want %q", got, "b")
 	}
 	snapshot := newSnapshot()
 	snapshot.Incoming = []*Incoming{{Type: &machineTypes[0], Zone: "b"}}
-	if got := scaleOut(snapshot, nil); got != "b" {
-		t.Errorf("a machine boots in b: requested in %q, want %q", got, "b")
+	if got := requestedZones(snapshot, nil); got != "b" {
+		t.Errorf("machine booting in b: requested in %q, want %q", got, "b")
 	}
 	snapshot = newSnapshot()
-	snapshot.CapacityInZone = roomInB
-	if got := scaleOut(snapshot, nil); got != "b" {
-		t.Errorf("room in b: requested in %q, want %q", got, "b")
+	snapshot.CapacityInZone = capacityInB
+	if got := requestedZones(snapshot, nil); got != "b" {
+		t.Errorf("capacity in b: requested in %q, want %q", got, "b")
 	}
 	snapshot = newSnapshot()
-	snapshot.CapacityInZone, snapshot.RefusedUntil[smallInB] = roomInB, time.Unix(200, 0)
-	if got := scaleOut(snapshot, nil); got != "a" {
-		t.Errorf("room in b, whose offer is refused: requested in %q, want %q", got, "a")
+	snapshot.CapacityInZone, snapshot.RefusedUntil[smallInB] = capacityInB, time.Unix(200, 0)
+	if got := requestedZones(snapshot, nil); got != "a" {
+		t.Errorf("capacity in b, whose offer is refused: requested in %q, want %q", got, "a")
 	}
 }
 
-// A type that states no boot time or spot price is still requested and waited for.
+// A machine type without a boot time or a spot price is still requested, but not as a spot machine, and its machines
+// are given time to boot.
 func TestScaleOutTypeWithoutBootTimeOrSpotPrice(t *testing.T) {
 	snapshot := newSnapshot()
 	capacity := model.Resources{CPU: 4, MemGB: 16}
@@ -132,10 +134,10 @@
 	shortages := newShortage(1, func(s *model.Spec) { s.AllowSpot = true })
 	requests := ScaleOut(testSettings, time.Unix(0, 0), snapshot, shortages)
 	if len(requests) != 1 || requests[0].Spot {
-		t.Errorf("requested %v, want one machine that is not spot", requests)
+		t.Errorf("requested %v, want one on-demand machine", requests)
 	}
 	if got := testSettings.BootTimeout(&snapshot.Types[0]); got < time.Minute {
-		t.Errorf("boot timeout is %v, want a minute or more", got)
+		t.Errorf("boot timeout is %v, want at least 1m", got)
 	}
 }
 
@@ -154,7 +156,7 @@
 	snapshot.RefusedUntil[smallInA] = now.Add(time.Second)
 	snapshot.RefusedUntil[smallInB] = now.Add(time.Second)
 	if requests := ScaleOut(testSettings, now, snapshot, newShortage(2, nil)); len(requests) != 0 {
-		t.Errorf("requested %v, want none: machines reserved for GPU work are no substitute", requests)
+		t.Errorf("requested %v, want none: machines reserved for GPU work must not be used instead", requests)
 	}
 	later := now.Add(2 * time.Second)
 	if requests := ScaleOut(testSettings, later, snapshot, newShortage(2, nil)); len(requests) != 1 {
@@ -176,63 +178,66 @@
 	overQuota := newShortage(9, nil)
 	overQuota[0].OverQuota = true
 	if requests := ScaleOut(testSettings, now, snapshot, overQuota); len(requests) != 0 {
-		t.Errorf("for work over its team's quota: requested %v, want none", requests)
+		t.Errorf("shortage over the team's quota: requested %v, want none", requests)
 	}
 	production := newShortage(3, func(s *model.Spec) { s.Priority = model.PriorityProduction })
 	if requests := ScaleOut(testSettings, now, snapshot, production); len(requests) != 1 {
-		t.Errorf("production, which does not wait for what may become free: requested %v, want one request", requests)
+		t.Errorf("production, which must not wait for capacity on running machines: requested %v, want one request", requests)
 	}
 }
 
 func TestIdleMachineIsKeptForBilledTime(t *testing.T) {
-	for _, c := range []struct {
-		name       string
-		spot       bool
-		empty, age time.Duration
-		want       bool
+	for _, test := range []struct {
+		name          string
+		spot          bool
+		idleTime, age time.Duration
+		want          bool
 	}{
-		{"paid for a minute", false, 25 * time.Second, 50 * time.Second, false},
-		{"a boot takes 30 s", false, 25 * time.Second, 70 * time.Second, false},
-		{"idle for longer", false, 31 * time.Second, 70 * time.Second, true},
-		{"spot is kept for 80 s", true, 31 * time.Second, 70 * time.Second, false},
-		{"spot idle for longer", true, 81 * time.Second, 90 * time.Second, true},
+		{"younger than the billed minimum", false, 25 * time.Second, 50 * time.Second, false},
+		{"idle for less than the boot time of 30 s", false, 25 * time.Second, 70 * time.Second, false},
+		{"idle for longer than the boot time", false, 31 * time.Second, 70 * time.Second, true},
+		{"spot, idle for less than 80 s", true, 31 * time.Second, 70 * time.Second, false},
+		{"spot, idle for longer than 80 s", true, 81 * time.Second, 90 * time.Second, true},
 	} {
-		if got := testSettings.ShouldRelease(&machineTypes[0], c.spot, c.empty, c.age); got != c.want {
-			t.Errorf("%s: release is %v, want %v", c.name, got, c.want)
+		if got := testSettings.ShouldRelease(&machineTypes[0], test.spot, test.idleTime, test.age); got != test.want {
+			t.Errorf("%s: ShouldRelease returned %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// A machine in a zone that is cut off cannot register, and such a zone seems to have the fewest machines.
+// Guards against requesting machines in a zone that is suspected to be partitioned. They could not register, and such
+// a zone is otherwise preferred because it appears to have the fewest machines.
 func TestScaleOutAvoidsSuspectZones(t *testing.T) {
 	snapshot := newSnapshot()
 	snapshot.MachinesByZone, snapshot.SuspectZones = map[string]int{"b": 9}, map[string]bool{"a": true}
 	now := time.Unix(0, 0)
 	requests := ScaleOut(testSettings, now, snapshot, newShortage(8, nil))
-	if len(requests) != 1 || requested(requests, smallInB) != 4 {
+	if len(requests) != 1 || requestedCount(requests, smallInB) != 4 {
 		t.Errorf("requested %v, want 4 small machines in b", requests)
 	}
-	bound := newShortage(2, func(s *model.Spec) { s.Zone = "a" })
-	requests = ScaleOut(testSettings, now, snapshot, bound)
-	if len(requests) != 1 || requested(requests, smallInA) != 1 {
-		t.Errorf("for a job that has to be in a: requested %v, want one small machine in a", requests)
+	restrictedToA := newShortage(2, func(s *model.Spec) { s.Zone = "a" })
+	requests = ScaleOut(testSettings, now, snapshot, restrictedToA)
+	if len(requests) != 1 || requestedCount(requests, smallInA) != 1 {
+		t.Errorf("job restricted to zone a: requested %v, want one small machine in a", requests)
 	}
 }
 
-// What becomes free soon on a running machine is computed once, and only where tasks of a shortage may run.
+// FreeSoon is called at most once per running machine, and only for machines that tasks of a shortage may use.
 func TestFreeSoonIsComputedOnlyWhereTasksMayRun(t *testing.T) {
 	snapshot := newSnapshot()
 	calls := map[string]int{}
-	machine := func(name, zone string) *Incoming {
+	newIncoming := func(name, zone string) *Incoming {
 		return &Incoming{Type: &machineTypes[0], Zone: zone, FreeSoon: func() model.Resources {
 			calls[name]++
 			return model.Resources{}
 		}}
 	}
-	snapshot.Incoming = []*Incoming{machine("other zone", "b"), machine("other zone too", "b"), machine("full", "a")}
+	snapshot.Incoming = []*Incoming{
+		newIncoming("other zone", "b"), newIncoming("second in other zone", "b"), newIncoming("full", "a"),
+	}
 	inA := func(s *model.Spec) { s.Zone = "a" }
 	ScaleOut(testSettings, time.Unix(0, 0), snapshot, append(newShortage(3, inA), newShortage(2, inA)...))
 	if len(calls) != 1 || calls["full"] != 1 {
-		t.Errorf("computed %v, want only full, once", calls)
+		t.Errorf("FreeSoon calls by machine: %v, want one call for \"full\"", calls)
 	}
 }
--- a/internal/autoscaler/offer.go
+++ b/internal/autoscaler/offer.go
@@ -9,16 +9,17 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// offerOption is an offer that the tasks of a request may use, with what it is compared by.
+// offerOption is an offer that the tasks of a pending request may use, with the values by which offers are compared.
 type offerOption struct {
 	Offer
-	suspectZone     bool    // its zone is likely cut off
-	pricePerTask    float64 // an hour
+	suspectZone     bool    // the zone is suspected to be partitioned
+	pricePerTask    float64 // price per hour of a full machine, divided by tasksPerMachine
 	machinesInZone  int
-	tasksPerMachine int // not compared
+	tasksPerMachine int // tasks of the request that fit on an empty machine; not compared
 }
 
-// compare is negative if the offer is better than another one.
+// compare returns a negative number if o is preferable to other. Zones without a suspected partition come first, then
+// the lower price per task, the zone with fewer machines, and the zone name as the tie-breaker.
 func (o offerOption) compare(other offerOption) int {
 	return cmp.Or(
 		compareFalseFirst(o.suspectZone, other.suspectZone),
@@ -28,7 +29,7 @@
 	)
 }
 
-// compareFalseFirst compares two booleans, false before true.
+// compareFalseFirst returns -1, 0 or 1 like cmp.Compare, with false ordered before true.
 func compareFalseFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -39,13 +40,14 @@
 	return -1
 }
 
-// cheapestOffer chooses the offer for one more task of a pending request, in a locked zone ("": any); ok is false where
-// there is none.
-func (s *Snapshot) cheapestOffer(
-	now time.Time, pending *scheduler.Request, tasksByZone map[string]int, lockedZone string,
+// bestOffer returns the preferred offer for one more task of a pending request. If pinnedZone is not empty, only
+// offers in that zone are considered. Offers that the cloud refused recently and zones that may not hold another task
+// of the job are excluded. ok is false if no offer is left.
+func (s *Snapshot) bestOffer(
+	now time.Time, pending *scheduler.Request, tasksByZone map[string]int, pinnedZone string,
 ) (best offerOption, ok bool) {
 	options := slices.DeleteFunc(s.offersFor(pending), func(o offerOption) bool {
-		otherZone := lockedZone != "" && o.Zone != lockedZone
+		otherZone := pinnedZone != "" && o.Zone != pinnedZone
 		return otherZone || now.Before(s.RefusedUntil[o.Offer]) || pending.ZoneFull(tasksByZone, o.Zone)
 	})
 	if len(options) == 0 {
@@ -54,7 +56,7 @@
 	return slices.MinFunc(options, offerOption.compare), true
 }
 
-// offersFor lists the offers that a pending request may use.
+// offersFor returns the offers that the tasks of a pending request may use, including recently refused ones.
 func (s *Snapshot) offersFor(pending *scheduler.Request) []offerOption {
 	var options []offerOption
 	for i := range s.Types {
@@ -69,13 +71,14 @@
 	return options
 }
 
-// appendOffers appends the offers of one machine type, spot or not, that a pending request may use.
+// appendOffers appends to options the offers of one machine type that the tasks of a pending request may use: those
+// of spot machines if spot is true, otherwise those of on-demand machines.
 func (s *Snapshot) appendOffers(
 	options []offerOption, pending *scheduler.Request, machineType *model.MachineType, spot bool,
 ) []offerOption {
 	spec := pending.Job.Spec
 	if spot && (!spec.AllowSpot || machineType.SpotPricePerHour <= 0) {
-		return options // a type without a spot price is not offered as spot
+		return options // the cloud offers no spot machines of a type without a spot price
 	}
 	price, tasks := s.pricePerTask(pending.Job, machineType, spot)
 	if tasks == 0 {
@@ -96,8 +99,9 @@
 	return options
 }
 
-// pricePerTask is the price of one task for an hour on a machine that is filled with tasks like it, and the number of
-// those; 0: the type is too small, or reserved for GPU work that the job is not.
+// pricePerTask returns how many tasks of the job fit on an empty machine of the type, and the price per task and hour
+// if the machine is full of them. tasks is 0 if the machine is too small for a task, or if it is reserved for GPU
+// work and the job may not use it.
 func (s *Snapshot) pricePerTask(job *model.Job, machineType *model.MachineType, spot bool) (price float64, tasks int) {
 	tasks = job.Spec.Demand.FitCount(machineType.Capacity)
 	if tasks == 0 || s.reservedForGPU(job, machineType, spot) {
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -9,21 +9,26 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// ScaleOut decides which machines to request for tasks that fit on no running machine. Tasks first fill incoming
-// capacity; for the rest the cheapest feasible offer is requested that was not refused lately. Zones that are likely
-// cut off are used only where no other will do: since their machines do not count, they seem to have the fewest.
+// ScaleOut decides which machines to request for tasks that fit on no running machine. The tasks first fill the
+// incoming capacity; for the rest it requests the cheapest feasible offers that were not refused recently. Shortages
+// that are due to a team's quota are skipped, since more machines would not help.
+//
+// A machine is requested in a zone that is suspected to be partitioned only if no other zone is feasible. Machines
+// cannot register from such a zone, so it appears to have the fewest machines and would otherwise be preferred.
+//
+// ScaleOut modifies the snapshot; see Snapshot.
 func ScaleOut(settings *Settings, now time.Time, snapshot *Snapshot, shortages []scheduler.Shortage) []Request {
-	snapshot.prepare()
+	snapshot.resetCaches()
 	var requests []Request
-	full := fullCache{}
+	exhausted := exhaustedPrefixes{}
 	for _, shortage := range shortages {
 		if shortage.OverQuota {
 			continue
 		}
 		p := newPacking(now, snapshot, shortage)
-		p.fillIncoming(full)
+		p.fillIncoming(exhausted)
 		for p.missing > 0 {
-			offer, ok := p.addMachine(now)
+			offer, ok := p.requestMachine(now)
 			if !ok {
 				break
 			}
@@ -33,7 +38,8 @@
 	return requests
 }
 
-// addRequest adds one machine to the request of its offer, of which each has at most maxCount machines.
+// addRequest adds one machine to the request for its offer, or appends a new request if there is none. A request that
+// already has maxCount machines stays unchanged.
 func addRequest(requests []Request, offer Offer, jobClass string, maxCount int) []Request {
 	for i := range requests {
 		if requests[i].Offer == offer {
@@ -46,13 +52,13 @@
 	return append(requests, Request{Offer: offer, Count: 1, JobClass: jobClass})
 }
 
-// packing puts the tasks of one shortage on incoming and requested machines.
+// packing assigns the tasks of one shortage to incoming and requested machines.
 type packing struct {
 	snapshot    *Snapshot
 	pending     *scheduler.Request
-	missing     int            // tasks that have no machine yet
-	tasksByZone map[string]int // with the tasks that have one
-	lockedZone  string         // the only zone that tasks may go to; "": any
+	missing     int            // tasks that are not assigned to a machine yet
+	tasksByZone map[string]int // tasks of the job that may be running or are assigned by this packing
+	pinnedZone  string         // the only zone that may be used, or "" if every zone may be
 }
 
 func newPacking(now time.Time, snapshot *Snapshot, shortage scheduler.Shortage) *packing {
@@ -61,18 +67,19 @@
 		pending:     shortage.Request,
 		missing:     shortage.Count,
 		tasksByZone: map[string]int{},
-		lockedZone:  snapshot.lockedZone(now, shortage.Request),
+		pinnedZone:  snapshot.pinnedZone(now, shortage.Request),
 	}
 	maps.Copy(p.tasksByZone, shortage.Request.TasksByZone)
 	return p
 }
 
-// fillIncoming puts tasks on incoming machines, as far as there is capacity.
-func (p *packing) fillIncoming(full fullCache) {
-	for index := full.startIndex(p.pending); p.missing > 0; p.missing-- {
+// fillIncoming assigns tasks to incoming machines until no task is missing or no capacity is left. It skips the
+// machines that are recorded as exhausted, and adds a record if no capacity is left.
+func (p *packing) fillIncoming(exhausted exhaustedPrefixes) {
+	for index := exhausted.startIndex(p.pending); p.missing > 0; p.missing-- {
 		index = p.nextWithCapacity(index)
 		if index == len(p.snapshot.Incoming) {
-			full.add(p.pending, p.lockedZone, index)
+			exhausted.add(p.pending, p.pinnedZone, index)
 			return
 		}
 		incoming := p.snapshot.Incoming[index]
@@ -81,8 +88,8 @@
 	}
 }
 
-// nextWithCapacity is the index of the first incoming machine, from an index on, with capacity for one more task; the
-// number of incoming machines: none has.
+// nextWithCapacity returns the index of the first incoming machine, at or after the given index, that can take one
+// more task. It returns len(Snapshot.Incoming) if there is none.
 func (p *packing) nextWithCapacity(index int) int {
 	for ; index < len(p.snapshot.Incoming); index++ {
 		if p.hasCapacity(p.snapshot.Incoming[index]) {
@@ -92,30 +99,30 @@
 	return index
 }
 
-// hasCapacity reports whether an incoming machine takes one more task.
+// hasCapacity reports whether an incoming machine can take one more task of the pending request.
 func (p *packing) hasCapacity(incoming *Incoming) bool {
 	switch {
 	case !p.snapshot.fits(p.pending, incoming):
 		return false
-	case p.lockedZone != "" && p.lockedZone != incoming.Zone:
+	case p.pinnedZone != "" && p.pinnedZone != incoming.Zone:
 		return false
 	case p.pending.ZoneFull(p.tasksByZone, incoming.Zone):
 		return false
 	}
-	return incoming.hasTasksOf(p.pending) < p.pending.MaxPerMachine()
+	return incoming.taskCount(p.pending) < p.pending.MaxPerMachine()
 }
 
-// addMachine requests one machine of the cheapest offer and fills it with tasks. ok is false where nothing is offered,
-// or the machine would take no task.
-func (p *packing) addMachine(now time.Time) (offer Offer, ok bool) {
-	best, ok := p.snapshot.cheapestOffer(now, p.pending, p.tasksByZone, p.lockedZone)
+// requestMachine adds one machine of the best offer to the snapshot, assigns tasks to it and returns the offer. ok is
+// false if there is no feasible offer or the machine takes no task.
+func (p *packing) requestMachine(now time.Time) (offer Offer, ok bool) {
+	best, ok := p.snapshot.bestOffer(now, p.pending, p.tasksByZone, p.pinnedZone)
 	if !ok {
 		return Offer{}, false
 	}
 	machine := p.snapshot.addMachine(findType(p.snapshot.Types, best.Type), best.Offer)
-	most := min(best.tasksPerMachine, p.pending.MaxPerMachine())
+	maxTasks := min(best.tasksPerMachine, p.pending.MaxPerMachine())
 	tasks := 0
-	for p.missing > 0 && tasks < most && !p.pending.ZoneFull(p.tasksByZone, best.Zone) {
+	for p.missing > 0 && tasks < maxTasks && !p.pending.ZoneFull(p.tasksByZone, best.Zone) {
 		machine.free = machine.free.Sub(p.pending.Job.Spec.Demand)
 		p.tasksByZone[best.Zone]++
 		p.missing--
@@ -124,7 +131,7 @@
 	return best.Offer, tasks > 0
 }
 
-// findType finds a machine type by its name; nil: there is none.
+// findType returns the machine type with the given name, or nil if there is none.
 func findType(types []model.MachineType, name string) *model.MachineType {
 	for i := range types {
 		if types[i].Name == name {
@@ -134,22 +141,23 @@
 	return nil
 }
 
-// maxFullEntries bounds the entries of one kind of request.
-const maxFullEntries = 32
+// maxPrefixesPerKind bounds the exhausted prefixes that are recorded per kind of request.
+const maxPrefixesPerKind = 32
 
-// fullCache remembers up to which index of Snapshot.Incoming there is no capacity for requests of a kind, so that
-// ScaleOut does not look at all incoming machines for each task of hundreds of pending jobs. Capacity there only
-// shrinks.
-type fullCache map[requestKind][]fullEntry
+// exhaustedPrefixes records, by kind of request, prefixes of Snapshot.Incoming without capacity for tasks of a given
+// demand. Without it ScaleOut would examine every incoming machine for each task of hundreds of pending jobs. A
+// prefix stays exhausted because ScaleOut only ever reduces the capacity of a machine.
+type exhaustedPrefixes map[requestKind][]exhaustedPrefix
 
-// requestKind is what decides, besides their demand, where tasks without rules may go.
+// requestKind holds everything that, besides its demand, determines which machines a task without rules may use.
+// Requests of the same kind can share exhausted prefixes.
 type requestKind struct {
 	urgent, spot, gpu, gpuMachinesAllowed bool
 	zone, types                           string
 }
 
-// fullEntry says that tasks with a demand do not fit before an index.
-type fullEntry struct {
+// exhaustedPrefix records that no incoming machine before endIndex has room for a task of the given demand.
+type exhaustedPrefix struct {
 	demand   model.Resources
 	endIndex int
 }
@@ -166,25 +174,27 @@
 	}
 }
 
-// startIndex is the index from which on there may be capacity for tasks of a pending request.
-func (c fullCache) startIndex(pending *scheduler.Request) int {
+// startIndex returns the index of the first incoming machine that may have capacity for a task of the pending request.
+func (e exhaustedPrefixes) startIndex(pending *scheduler.Request) int {
 	start := 0
-	for _, entry := range c[requestKindOf(pending)] {
-		if entry.demand.Fits(pending.Job.Spec.Demand) {
-			start = max(start, entry.endIndex)
+	// Where a smaller demand does not fit, this one does not fit either.
+	for _, prefix := range e[requestKindOf(pending)] {
+		if prefix.demand.Fits(pending.Job.Spec.Demand) {
+			start = max(start, prefix.endIndex)
 		}
 	}
 	return start
 }
 
-// add notes that there is no capacity for tasks of a pending request before an index. Where rules, spreading or a
-// locked zone bound the request too, that says nothing of other requests and is not noted.
-func (c fullCache) add(pending *scheduler.Request, lockedZone string, endIndex int) {
-	if pending.Rules != nil || pending.Job.Spec.Spread || lockedZone != "" {
+// add records that no incoming machine before endIndex has capacity for a task of the pending request. It records
+// nothing if the request is also restricted by rules, spreading or a pinned zone, since machines that it cannot use
+// may still have capacity for other requests of its kind.
+func (e exhaustedPrefixes) add(pending *scheduler.Request, pinnedZone string, endIndex int) {
+	if pending.Rules != nil || pending.Job.Spec.Spread || pinnedZone != "" {
 		return
 	}
 	kind := requestKindOf(pending)
-	if len(c[kind]) < maxFullEntries {
-		c[kind] = append(c[kind], fullEntry{demand: pending.Job.Spec.Demand, endIndex: endIndex})
+	if len(e[kind]) < maxPrefixesPerKind {
+		e[kind] = append(e[kind], exhaustedPrefix{demand: pending.Job.Spec.Demand, endIndex: endIndex})
 	}
 }
--- a/internal/autoscaler/snapshot.go
+++ b/internal/autoscaler/snapshot.go
@@ -8,45 +8,49 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// Snapshot is the state of the cluster that ScaleOut decides from. ScaleOut modifies it: Incoming and MachinesByZone
-// include the machines that it requests.
+// Snapshot is the state of the cluster that ScaleOut decides from. ScaleOut modifies it: it adds the machines that it
+// requests to Incoming and MachinesByZone, and reduces the capacity of Incoming by the tasks that it assigns.
 type Snapshot struct {
-	Types          []model.MachineType
+	Types          []model.MachineType // the cloud's catalog
 	Incoming       []*Incoming
-	RefusedUntil   map[Offer]time.Time
-	MachinesByZone map[string]int
-	SuspectZones   map[string]bool // zones that are likely cut off: a machine that boots there cannot register
+	RefusedUntil   map[Offer]time.Time // until when an offer is not requested because the cloud refused it
+	MachinesByZone map[string]int      // number of machines in each zone; must not be nil
+	SuspectZones   map[string]bool     // zones suspected to be partitioned: a machine that boots there cannot register
 
-	// ReservedForGPU reports whether machines of a kind are reserved for GPU work.
+	// ReservedForGPU reports whether machines of a type, spot or on-demand, are reserved for GPU work. It must not be nil.
 	ReservedForGPU func(machineType *model.MachineType, spot bool) bool
 
-	// CapacityInZone returns how many tasks fit on running machines in a zone. nil: none.
+	// CapacityInZone returns how many tasks of a pending request fit on the running machines in a zone. If it is nil,
+	// running machines are taken to have no capacity.
 	CapacityInZone func(pending *scheduler.Request, zone string) int
 
-	kinds          []machineKind      // of Incoming, by Incoming.kindIndex
-	judgedRequest  *scheduler.Request // that feasibleByKind is about
-	feasibleByKind []bool             // whether its tasks may use machines of the kind
+	kinds              []machineKind      // kinds of the machines in Incoming; Incoming.kindIndex is an index into it
+	feasibilityRequest *scheduler.Request // request that feasibleByKind was computed for
+	feasibleByKind     []bool             // whether tasks of feasibilityRequest may use a kind, indexed like kinds
 }
 
-// Incoming is capacity that becomes available without a request: a machine that is booting or was requested, or the
-// part of a running one that is likely free within a boot time.
+// Incoming is capacity that is expected to become available without a new request: a machine that is booting or was
+// already requested, or the part of a running machine that is likely to become free soon (Settings.LookaheadBoots).
 type Incoming struct {
-	Type     *model.MachineType
-	Zone     string
-	Spot     bool
-	FreeSoon func() model.Resources // of a running machine, called at most once; nil: all of the machine
-
-	free             model.Resources // what is left of it
-	computed         bool            // free is
-	kindIndex        int             // index in Snapshot.kinds
-	lastRequest      *scheduler.Request
-	lastRequestTasks int // tasks of lastRequest that it was filled with
+	Type *model.MachineType
+	Zone string
+	Spot bool
+
+	// FreeSoon returns the resources of a running machine that are likely to be free soon. Each call of ScaleOut calls
+	// it at most once. It is nil for a machine that is not running yet, whose whole capacity is incoming.
+	FreeSoon func() model.Resources
+
+	free             model.Resources    // capacity that is not assigned yet; valid only if freeComputed is true
+	freeComputed     bool               // whether free has been computed; see available
+	kindIndex        int                // index of the machine's kind in Snapshot.kinds
+	lastRequest      *scheduler.Request // request whose tasks were assigned last, or nil if none were
+	lastRequestTasks int                // number of tasks of lastRequest that are assigned
 }
 
-// available is the capacity that is left.
+// available returns the capacity that is not assigned to tasks yet. It computes the initial capacity on first use.
 func (i *Incoming) available() model.Resources {
-	if !i.computed {
-		i.computed = true
+	if !i.freeComputed {
+		i.freeComputed = true
 		if i.free = i.Type.Capacity; i.FreeSoon != nil {
 			i.free = i.FreeSoon()
 		}
@@ -54,37 +58,38 @@
 	return i.free
 }
 
-// hasTasksOf is how many tasks of a pending request it was filled with since another request's.
-func (i *Incoming) hasTasksOf(pending *scheduler.Request) int {
+// taskCount returns how many tasks of a pending request are assigned to the incoming machine. Only the request whose
+// tasks were assigned last is tracked, which is enough because ScaleOut handles one request after the other.
+func (i *Incoming) taskCount(pending *scheduler.Request) int {
 	if i.lastRequest != pending {
 		return 0
 	}
 	return i.lastRequestTasks
 }
 
-// addTask takes the capacity for one task of a pending request.
+// addTask assigns one task of a pending request to the incoming machine. The caller has checked that it fits.
 func (i *Incoming) addTask(pending *scheduler.Request) {
-	i.lastRequest, i.lastRequestTasks = pending, i.hasTasksOf(pending)+1
+	i.lastRequest, i.lastRequestTasks = pending, i.taskCount(pending)+1
 	i.free = i.free.Sub(pending.Job.Spec.Demand)
 }
 
-// machineKind is what decides which requests may use a machine, running or not.
+// machineKind holds everything that determines which requests may use an incoming machine.
 type machineKind struct {
 	machineType   *model.MachineType
 	zone          string
 	spot, running bool
 }
 
-// prepare forgets what an earlier call of ScaleOut computed.
-func (s *Snapshot) prepare() {
-	s.kinds, s.judgedRequest = nil, nil
+// resetCaches discards what an earlier call of ScaleOut computed, and assigns the kinds of the incoming machines.
+func (s *Snapshot) resetCaches() {
+	s.kinds, s.feasibilityRequest = nil, nil
 	for _, incoming := range s.Incoming {
-		incoming.computed = false
+		incoming.freeComputed = false
 		s.assignKind(incoming)
 	}
 }
 
-// assignKind sets the kind index of incoming capacity.
+// assignKind sets the kind index of an incoming machine, and adds its kind to s.kinds if it is new.
 func (s *Snapshot) assignKind(incoming *Incoming) {
 	kind := machineKind{incoming.Type, incoming.Zone, incoming.Spot, incoming.FreeSoon != nil}
 	if incoming.kindIndex = slices.Index(s.kinds, kind); incoming.kindIndex < 0 {
@@ -93,14 +98,14 @@
 	}
 }
 
-// addMachine adds a machine that is going to be requested.
+// addMachine adds a machine that is about to be requested to Incoming and MachinesByZone.
 func (s *Snapshot) addMachine(machineType *model.MachineType, offer Offer) *Incoming {
 	machine := &Incoming{
-		Type:     machineType,
-		Zone:     offer.Zone,
-		Spot:     offer.Spot,
-		free:     machineType.Capacity,
-		computed: true,
+		Type:         machineType,
+		Zone:         offer.Zone,
+		Spot:         offer.Spot,
+		free:         machineType.Capacity,
+		freeComputed: true,
 	}
 	s.assignKind(machine)
 	s.Incoming = append(s.Incoming, machine)
@@ -108,16 +113,17 @@
 	return machine
 }
 
-// fits reports whether tasks of a pending request may use incoming capacity, and one of them fits.
+// fits reports whether tasks of a pending request may use an incoming machine, and at least one of them fits in its
+// available capacity.
 func (s *Snapshot) fits(pending *scheduler.Request, incoming *Incoming) bool {
 	return s.feasible(pending, incoming) && pending.Job.Spec.Demand.Fits(incoming.available())
 }
 
-// feasible reports whether tasks of a pending request may use incoming capacity, however much there is. It is judged
-// once a machine kind for each request, rather than for each of thousands of machines.
+// feasible reports whether tasks of a pending request may use an incoming machine, regardless of its available
+// capacity. The result is computed once per machine kind and request rather than for each of thousands of machines.
 func (s *Snapshot) feasible(pending *scheduler.Request, incoming *Incoming) bool {
-	if s.judgedRequest != pending {
-		s.judgedRequest, s.feasibleByKind = pending, s.feasibleByKind[:0]
+	if s.feasibilityRequest != pending {
+		s.feasibilityRequest, s.feasibleByKind = pending, s.feasibleByKind[:0]
 	}
 	for len(s.feasibleByKind) < len(s.kinds) {
 		s.feasibleByKind = append(s.feasibleByKind, s.kindFeasible(pending, s.kinds[len(s.feasibleByKind)]))
@@ -126,7 +132,7 @@
 }
 
 // kindFeasible reports whether tasks of a pending request may use machines of a kind. Urgent requests do not wait for
-// running machines.
+// capacity on running machines.
 func (s *Snapshot) kindFeasible(pending *scheduler.Request, kind machineKind) bool {
 	spec := pending.Job.Spec
 	switch {
@@ -144,7 +150,7 @@
 	return pending.Rules.AcceptsOffer(kind.machineType, kind.zone, kind.spot)
 }
 
-// reservedForGPU reports whether a kind of machine is reserved for GPU work, which a job is not.
+// reservedForGPU reports whether a job may not use machines of a type because they are reserved for GPU work.
 func (s *Snapshot) reservedForGPU(job *model.Job, machineType *model.MachineType, spot bool) bool {
 	return job.Spec.Demand.GPU == 0 && !job.MayUseGPUMachines && s.ReservedForGPU(machineType, spot)
 }
--- a/internal/autoscaler/zone.go
+++ b/internal/autoscaler/zone.go
@@ -8,11 +8,11 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// lockedZone chooses the zone that machines for a pending request have to be in; "": any. What has to be in one zone
-// goes where most of it fits already, on running and incoming machines, and machines are requested only there.
-// Otherwise machines for a gang would be spread over zones of which none ever holds all of it, released when idle, and
-// requested again in the same way.
-func (s *Snapshot) lockedZone(now time.Time, pending *scheduler.Request) string {
+// pinnedZone returns the only zone whose machines a pending request may use, or "" if the request is not pinned to a
+// zone. A single-zone job is pinned to the zone that already has tasks of it, or else to the zone where most of its
+// tasks fit on running and incoming machines. Without the pin, machines for a gang could be spread over several zones
+// so that no zone ever holds the whole gang: they would be released when idle and requested again in the same way.
+func (s *Snapshot) pinnedZone(now time.Time, pending *scheduler.Request) string {
 	spec := pending.Job.Spec
 	if !spec.SingleZone || spec.Zone != "" {
 		return ""
@@ -28,26 +28,28 @@
 	}
 	var options []zoneOption
 	for _, zone := range zones {
-		if option, ok := s.zoneOption(now, pending, zone); ok {
+		if option, ok := s.evaluateZone(now, pending, zone); ok {
 			options = append(options, option)
 		}
 	}
 	if len(options) == 0 {
-		return "" // nothing is offered anywhere
+		return "" // no zone has enough capacity or an offer
 	}
 	return slices.MinFunc(options, zoneOption.compare).zone
 }
 
-// zoneOption is a zone that could take all tasks of a request, with what it is compared by.
+// zoneOption is a zone that could take all tasks of a pending request, with the values by which zones are compared.
 type zoneOption struct {
 	zone         string
-	suspect      bool    // likely cut off
-	missing      int     // tasks that fit on no running or incoming machine there
-	pricePerTask float64 // of the cheapest offer, an hour; 0: there is none
-	machines     int
+	suspect      bool    // the zone is suspected to be partitioned
+	missing      int     // tasks that fit on no running or incoming machine in the zone
+	pricePerTask float64 // price per task and hour of the best offer in the zone, or 0 if there is no offer
+	machines     int     // number of machines in the zone
 }
 
-// compare is negative if the zone is better than another one.
+// compare returns a negative number if o is preferable to other. Zones without a suspected partition come first, then
+// the zone with fewer missing tasks, the lower price, the zone with fewer machines, and the zone name as the
+// tie-breaker.
 func (o zoneOption) compare(other zoneOption) int {
 	return cmp.Or(
 		compareFalseFirst(o.suspect, other.suspect),
@@ -58,8 +60,9 @@
 	)
 }
 
-// zoneOption weighs a zone for a pending request. ok is false where tasks would be missing and nothing is offered.
-func (s *Snapshot) zoneOption(now time.Time, pending *scheduler.Request, zone string) (option zoneOption, ok bool) {
+// evaluateZone computes the values by which a zone is compared for a pending request. ok is false if some tasks do
+// not fit on the running and incoming machines of the zone and there is no offer in it.
+func (s *Snapshot) evaluateZone(now time.Time, pending *scheduler.Request, zone string) (option zoneOption, ok bool) {
 	option = zoneOption{
 		zone:     zone,
 		suspect:  s.SuspectZones[zone],
@@ -69,14 +72,14 @@
 	if option.missing > 0 && s.CapacityInZone != nil {
 		option.missing = max(option.missing-s.CapacityInZone(pending, zone), 0)
 	}
-	offer, offered := s.cheapestOffer(now, pending, pending.TasksByZone, zone)
-	if offered {
+	offer, hasOffer := s.bestOffer(now, pending, pending.TasksByZone, zone)
+	if hasOffer {
 		option.pricePerTask = offer.pricePerTask
 	}
-	return option, option.missing == 0 || offered
+	return option, option.missing == 0 || hasOffer
 }
 
-// offeredZones lists the zones in which anything is offered, by name.
+// offeredZones returns the zones in which at least one machine type is offered, sorted by name.
 func (s *Snapshot) offeredZones() []string {
 	var zones []string
 	for i := range s.Types {
@@ -86,7 +89,7 @@
 	return slices.Compact(zones)
 }
 
-// incomingCapacity is how many tasks of a pending request fit on incoming machines in a zone.
+// incomingCapacity returns how many tasks of a pending request fit on the incoming machines in a zone.
 func (s *Snapshot) incomingCapacity(pending *scheduler.Request, zone string) int {
 	tasks := 0
 	for _, incoming := range s.Incoming {
