--- a/internal/constraint/set.go
+++ b/internal/constraint/set.go
@@ -29,17 +29,21 @@
 // Preference is an expression that is preferred to hold.
 type Preference struct {
 	Clause
-	Weight float64 // hundredths of efficiency, added where the expression holds
+	Weight float64 // hundredths that are added to the efficiency of machines for which the expression holds
 }
 
 // Affinity places a job relative to another job: in the same zones as the other job (affinity), or away from its
 // zones or its machines (anti-affinity).
 type Affinity struct {
 	Clause
-	Job      string  // ID of the other job
-	SameZone bool    // true for an affinity, false for an anti-affinity
-	ByZone   bool    // true if the zones of the other job count, false if its machines do; always true for an affinity
-	Weight   float64 // hundredths of efficiency, or 0 if the affinity is required
+	Job      string // ID of the other job
+	SameZone bool   // true for an affinity, false for an anti-affinity
+	ByZone   bool   // true if the zones of the other job count, false if its machines do; always true for an affinity
+
+	// Weight is 0 if the affinity or anti-affinity is required. Otherwise it is the preference in hundredths of
+	// efficiency: an affinity adds it to the efficiency of machines in the other job's zones, and an anti-affinity
+	// subtracts it from the efficiency of machines in its zones or among its machines.
+	Weight float64
 }
 
 // TaskLimit limits how many of the job's own tasks run on one machine or in one zone.
@@ -89,7 +93,8 @@
 }
 
 // Allows reports whether all required expressions hold for a class of machines. If not, violated is the first one
-// that does not hold, and otherwise it is nil.
+// that does not hold, and otherwise it is nil. Whether a machine holds the job's image does not matter, since
+// required expressions cannot test for it.
 func (s *Set) Allows(class Class) (violated *Clause, ok bool) {
 	for i := range s.Required {
 		if !s.Required[i].expr.holds(class, false) {
