--- a/internal/constraint/grammar.go
+++ b/internal/constraint/grammar.go
@@ -16,7 +16,8 @@
 }
 
 // clause is one requirement or preference: an affinity or anti-affinity to another job, a limit on the job's own
-// tasks, or an expression on machine classes. Weight is nil unless Preferred is set.
+// tasks, or an expression on machine classes. Weight is nil unless Preferred is set. By and Per are "zone",
+// "machine", or empty if the clause names neither.
 type clause struct {
 	Pos        lexer.Position
 	Required   bool     `parser:"( @'require'"`
