--- a/internal/record/change.go
+++ b/internal/record/change.go
@@ -7,47 +7,47 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// ChangeKind says which record a Change writes.
+// ChangeKind selects the record that a Change writes or deletes.
 type ChangeKind uint8
 
 // The kinds of a Change.
 const (
-	PutMachine         ChangeKind = iota + 1 // a machine may hold tasks from now on
-	DeleteMachine                            // it holds none any more, for good
-	PutTasks                                 // a chunk of a job's finished-task record
-	DeleteTasks                              // a chunk of an ended job
-	CompleteJob                              // all tasks of the job are done
-	PutGPUDemand                             // a demand for GPUs that was seen
-	PutChunkLayout                           // how many tasks a numbered chunk has
-	CancelDependent                          // a job that the job depends on is cancelled
-	DeleteDependencies                       // a part of the dependency list of an ended job
-	SettleAccount                            // a settlement of a team's account
-	PutUnaccounted                           // an interval that is not accounted
-	CompactAccount                           // closed segments of an account that become one
+	PutMachine         ChangeKind = iota + 1 // adds a machine, on which tasks may be placed from then on
+	DeleteMachine                            // deletes a machine that will never run tasks again
+	PutTasks                                 // writes a chunk of a job's finished-task bitmap
+	DeleteTasks                              // deletes a chunk of an ended job's finished-task bitmap
+	CompleteJob                              // ends a job as done, because all its tasks have finished
+	PutGPUDemand                             // writes the resources per task of a job that needs GPUs
+	PutChunkLayout                           // writes the number of tasks in a numbered chunk
+	CancelDependent                          // ends a job as cancelled, because a job upstream of it was cancelled
+	DeleteDependencies                       // deletes a part of an ended job's dependency list
+	SettleAccount                            // writes a settlement of a team's account
+	PutUnaccounted                           // writes an interval that no leader has accounted for
+	CompactAccount                           // replaces closed segments of a team's account by a single one
 )
 
-// Change is one change of the leader's records. The fields after Kind are used by the kinds that they name.
+// Change is a change of one of the leader's records. The comment of each field lists the kinds that use it.
 type Change struct {
 	Kind         ChangeKind
-	Machine      model.MachineInfo // PutMachine; DeleteMachine: its name
-	Job          string            // PutTasks, DeleteTasks, CompleteJob, CancelDependent, DeleteDependencies
-	Version      uint64            // CompleteJob, CancelDependent: of the job's record
-	Tasks        int               // CompleteJob, CancelDependent: of the job; PutChunkLayout
-	At           time.Time         // CompleteJob, CancelDependent
+	Machine      model.MachineInfo // PutMachine; DeleteMachine, which uses only the name
+	Job          string            // job ID for PutTasks, DeleteTasks, CompleteJob, CancelDependent, DeleteDependencies
+	Version      uint64            // version of the job's record, for CompleteJob and CancelDependent
+	Tasks        int               // number of tasks of the job (CompleteJob, CancelDependent) or chunk (PutChunkLayout)
+	At           time.Time         // time at which the job ended, for CompleteJob and CancelDependent
 	Chunk        model.Chunk       // PutTasks, DeleteTasks
-	FinishedBits []byte            // PutTasks
+	FinishedBits []byte            // one bit for each task of the chunk, for PutTasks
 	GPUDemand    model.Resources   // PutGPUDemand
-	Key          string            // DeleteDependencies
-	CommitAlone  bool              // it was in a transaction that was rejected
+	Key          string            // key of the dependency list part, for DeleteDependencies
+	CommitAlone  bool              // the change failed together with others, and needs a transaction of its own
 
 	Team        string             // SettleAccount
-	Settlement  *ledger.Settlement // SettleAccount; made when its transaction leaves
+	Settlement  *ledger.Settlement // SettleAccount; nil until the change is put into a transaction
 	Unaccounted *ledger.Interval   // PutUnaccounted
 	Compaction  *Compaction        // CompactAccount
 }
 
-// Compaction replaces several closed segments by one.
+// Compaction replaces consecutive closed segments of a team's account by a single segment.
 type Compaction struct {
-	Sources []ledger.StoredSegment // in order; the record of the first one becomes that of the result
+	Sources []ledger.StoredSegment // in the order of the chain; the result overwrites the first one's record
 	Result  *ledger.Segment
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,6 +1,6 @@
-// Package record holds the records of a leader that both the reconciler and the client of the state service use: what
-// a new leader reads, and the changes that it commits. Package store knows their keys and encodings; package
-// reconciler decides what is written and when. Neither depends on the other.
+// Package record defines the leader's records as the reconciler and the client of the state service exchange them:
+// the snapshot that a new leader reads, and the changes that it commits. Package store maps them to keys and
+// encodings; package reconciler decides what is written and when. Neither of the two depends on the other.
 package record
 
 import (
@@ -10,36 +10,36 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Job is an unfinished job on record.
+// Job is the stored record of an unfinished job.
 type Job struct {
 	Spec           *model.Spec
 	SubmittedAt    time.Time
-	Version        uint64
-	DependencyKeys []string // keys of the records that hold the rest of its dependencies
+	Version        uint64   // version of the record
+	DependencyKeys []string // keys of the records that hold the dependencies that do not fit into the job's record
 }
 
-// JobEnd is the end of a job on record. The outcome is unknown where a view that has missed changes only shows that
-// the job is over.
+// JobEnd says how and when a job ended. The outcome is unknown if a controller has missed changes and only finds
+// that the job is no longer among the unfinished ones.
 type JobEnd struct {
 	ID      string
 	Outcome model.Outcome
-	EndedAt time.Time // zero: before any job was submitted that depends on another
+	EndedAt time.Time // zero if the outcome is unknown, or if the record predates the support for dependencies
 }
 
-// JobUpdate is what has become of a job: it was added or has ended.
+// JobUpdate says that a job was added, if Added is set, or has ended.
 type JobUpdate struct {
 	Added *Job
-	Ended JobEnd // unless Added is set
+	Ended JobEnd // unused if Added is set
 }
 
-// Snapshot is what the state service held when a leader took over.
+// Snapshot is what the state service holds when a leader takes over.
 type Snapshot struct {
-	Revision             uint64
+	Revision             uint64 // revision of the state service up to which Jobs includes all changes
 	Jobs                 []Job
-	FinishedTasks        map[string]map[model.Chunk][]byte // a bit a task, by job
-	NumberedChunkTasks   int                               // tasks in a numbered chunk; 0: not on record
-	OrphanedDependencies []Change                          // delete the dependency lists whose job has ended
+	FinishedTasks        map[string]map[model.Chunk][]byte // one bit for each task, by job ID and chunk
+	NumberedChunkTasks   int                               // tasks in a numbered chunk; 0 if it is not on record
+	OrphanedDependencies []Change                          // deletions of the dependency lists of ended jobs
 	Machines             []model.MachineInfo
-	GPUDemands           []model.Resources      // demands for GPUs that were seen
-	Accounts             []ledger.StoredAccount // of the teams; empty without a ledger
+	GPUDemands           []model.Resources      // resources per task of the jobs with GPUs that were ever submitted
+	Accounts             []ledger.StoredAccount // accounts of the teams; empty without a ledger
 }
--- a/internal/relay/envelope.go
+++ b/internal/relay/envelope.go
@@ -12,29 +12,30 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// Envelope is a heartbeat in flight, or the response to one.
+// Envelope is a relayed heartbeat or the response to one.
 type Envelope struct {
-	ID   uint64
+	ID   uint64 // numbers the heartbeats of an Outbox; a response has the ID of its heartbeat
 	Body []byte
 }
 
-// ErrMalformedBatch says that a payload was not made by Pack.
-var ErrMalformedBatch = errors.New("malformed batch of heartbeats")
+// ErrMalformedBatch is returned for a payload that Pack cannot have produced.
+var ErrMalformedBatch = errors.New("malformed heartbeat batch")
 
-// maxUnpackedBytes bounds what a payload may decompress to.
+// maxUnpackedBytes bounds the decompressed size of a payload.
 const maxUnpackedBytes = 4 << 20
 
-// compressors are reused, since each holds some hundred KB.
+// compressors pools the writers for reuse, since each allocates several hundred KB.
 var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
-		panic(err) // of a level that does not exist
+		panic(err) // only an invalid compression level is an error
 	}
 	return w
 }}
 
-// Pack makes a payload of at most maxBytes from the first envelopes, and returns how many of them it
-// holds; 0: not even one fits. It is text, since values at the state service can't be binary.
+// Pack encodes the first count envelopes as a payload of at most maxBytes. It tries all envelopes first and halves
+// their number until the payload fits; count is 0 if even a single one does not fit. The payload is text, because
+// the state service cannot store binary values.
 func Pack(envelopes []Envelope, maxBytes int) (payload string, count int) {
 	for count = len(envelopes); count > 0; count /= 2 {
 		if payload = encode(envelopes[:count]); len(payload) <= maxBytes {
@@ -53,14 +54,14 @@
 	for _, e := range envelopes {
 		header = binary.AppendUvarint(header[:0], e.ID)
 		header = binary.AppendUvarint(header, uint64(len(e.Body)))
-		_, _ = w.Write(header) // a buffer takes everything
+		_, _ = w.Write(header) // writing to a bytes.Buffer never fails
 		_, _ = w.Write(e.Body)
 	}
 	_ = w.Close()
 	return base64.RawStdEncoding.EncodeToString(out.Bytes())
 }
 
-// Unpack returns the envelopes of a payload. Its errors are ErrMalformedBatch.
+// Unpack decodes a payload of Pack. Its errors wrap ErrMalformedBatch.
 func Unpack(payload string) ([]Envelope, error) {
 	rest, err := decompress(payload)
 	if err != nil {
@@ -70,12 +71,12 @@
 	for len(rest) > 0 {
 		id, idBytes := binary.Uvarint(rest)
 		if idBytes <= 0 {
-			return nil, fmt.Errorf("%w: an id is cut off", ErrMalformedBatch)
+			return nil, fmt.Errorf("%w: truncated envelope ID", ErrMalformedBatch)
 		}
 		rest = rest[idBytes:]
 		size, sizeBytes := binary.Uvarint(rest)
 		if sizeBytes <= 0 || size > uint64(len(rest)-sizeBytes) {
-			return nil, fmt.Errorf("%w: a body is cut off", ErrMalformedBatch)
+			return nil, fmt.Errorf("%w: truncated envelope body", ErrMalformedBatch)
 		}
 		rest = rest[sizeBytes:]
 		envelopes = append(envelopes, Envelope{id, rest[:size:size]})
@@ -98,7 +99,7 @@
 		return nil, err
 	}
 	if len(content) > maxUnpackedBytes {
-		return nil, fmt.Errorf("more than %d bytes", maxUnpackedBytes)
+		return nil, fmt.Errorf("decompressed payload exceeds %d bytes", maxUnpackedBytes)
 	}
 	return content, nil
 }
--- a/internal/relay/outbox.go
+++ b/internal/relay/outbox.go
@@ -6,93 +6,94 @@
 	"time"
 )
 
-// Outbox holds the heartbeats that wait for a batch, and the batches that wait for a response. Its
-// owner keeps its methods from being called concurrently.
+// Outbox holds the heartbeats that wait for a batch and the batches that wait for a response. Its methods must not
+// be called concurrently.
 type Outbox struct {
 	settings Settings
 
 	path              Path
 	pathSince         time.Time
-	pathChanged       func(from, to Path, why string) // nil: not called
-	noLeader          bool                            // nobody leads: heartbeats wait for the next leader
-	unansweredBatches int                             // batches in a row that got no response in time
+	pathChanged       func(from, to Path, reason string) // may be nil
+	noLeader          bool                               // no member leads; heartbeats wait for the next leader
+	unansweredBatches int                                // consecutive batches without a response in time
 
-	lastID     uint64               // of a heartbeat
-	receivedAt map[uint64]time.Time // when heartbeats came whose workers still wait, by id
-	queue      heartbeatQueue
+	lastID       uint64               // ID of the last heartbeat that was added
+	awaitedSince map[uint64]time.Time // by heartbeat ID: when it was added, for those whose worker still waits
+	queue        heartbeatQueue
 
-	lastSeq    uint64 // of a batch
-	lastSentAt time.Time
+	lastSeq    uint64                   // sequence number of the last batch that was taken
+	lastSentAt time.Time                // when that batch was taken
 	inFlight   map[uint64]inFlightBatch // by sequence number
 }
 
-// inFlightBatch is a batch that waits for its response.
+// inFlightBatch is a batch that was taken and has no response yet.
 type inFlightBatch struct {
 	sentAt    time.Time
 	envelopes []Envelope
 }
 
-// New returns an empty outbox. pathChanged, if not nil, is called with each change of the path and
-// the reason.
-func New(settings Settings, pathChanged func(from, to Path, why string)) *Outbox {
+// New returns an empty Outbox on the path Direct. If pathChanged is not nil, it is called before each change of the
+// path with the reason for it.
+func New(settings Settings, pathChanged func(from, to Path, reason string)) *Outbox {
 	return &Outbox{
-		settings:    settings,
-		pathChanged: pathChanged,
-		receivedAt:  map[uint64]time.Time{},
-		inFlight:    map[uint64]inFlightBatch{},
+		settings:     settings,
+		pathChanged:  pathChanged,
+		awaitedSince: map[uint64]time.Time{},
+		inFlight:     map[uint64]inFlightBatch{},
 	}
 }
 
-// Path returns the present path to the leader.
+// Path returns the current path to the leader.
 func (o *Outbox) Path() Path { return o.path }
 
-// transition changes the path; nothing else does.
-func (o *Outbox) transition(now time.Time, to Path, why string) {
+// transition changes the path. All changes go through it.
+func (o *Outbox) transition(now time.Time, to Path, reason string) {
 	if o.path == to {
 		return
 	}
 	if o.pathChanged != nil {
-		o.pathChanged(o.path, to, why)
+		o.pathChanged(o.path, to, reason)
 	}
 	o.path, o.pathSince, o.unansweredBatches = to, now, 0
 }
 
-// ObserveContact records whether this member reaches the leader itself, and returns the path. A
-// leader that is reachable is never relayed to.
+// ObserveContact reports to the outbox whether this member can reach the leader over the network, and returns the
+// resulting path. Heartbeats are never relayed to a reachable leader.
 func (o *Outbox) ObserveContact(now time.Time, reached bool) Path {
 	switch {
 	case reached:
-		o.transition(now, Direct, "the leader is reachable")
+		o.transition(now, Direct, "leader is reachable")
 	case o.path == Direct:
-		o.transition(now, ViaStore, "the leader is unreachable, or takes no relayed heartbeats")
+		o.transition(now, ViaStore, "leader is unreachable or does not accept forwarded heartbeats")
 	case o.path == Unreachable && now.Sub(o.pathSince) >= o.settings.RetryAfter:
-		o.transition(now, ViaStore, "tried again")
+		o.transition(now, ViaStore, "retry interval has passed")
 	}
 	return o.path
 }
 
-// LeaderChanged says that another member leads, or for now none. The path stays: what separates this
-// member from the last leader likely separates it from the new one, and workers that were redirected
-// to it in vain would lose seconds that their leases do not have. Batches in flight are sent again,
-// since a new leader reads nothing from before its time.
+// LeaderChanged must be called when another member becomes the leader, or with noLeader when the leadership is
+// vacant. The path is kept: a partition between this member and the last leader is likely to separate it from the
+// new one too, and workers that were redirected to an unreachable leader would lose seconds that their leases do
+// not have. Only Unreachable changes to ViaStore, since the new leader may respond. The heartbeats of batches in
+// flight are queued again, because a new leader only reads batches that are written after its takeover.
 func (o *Outbox) LeaderChanged(now time.Time, noLeader bool) {
 	o.noLeader, o.unansweredBatches = noLeader, 0
 	if o.path == Unreachable {
-		o.transition(now, ViaStore, "the leader changes")
+		o.transition(now, ViaStore, "leader has changed")
 	}
-	var again []Envelope
+	var unanswered []Envelope
 	for seq := range o.inFlight {
-		again = append(again, o.reclaim(seq)...)
+		unanswered = append(unanswered, o.removeInFlight(seq)...)
 	}
-	slices.SortFunc(again, func(a, b Envelope) int { return cmp.Compare(a.ID, b.ID) })
-	o.queue.pushFront(again)
+	slices.SortFunc(unanswered, func(a, b Envelope) int { return cmp.Compare(a.ID, b.ID) })
+	o.queue.pushFront(unanswered)
 }
 
-// reclaim takes a batch out of flight, and returns the heartbeats whose workers still wait.
-func (o *Outbox) reclaim(seq uint64) []Envelope {
+// removeInFlight forgets a batch in flight, and returns those of its heartbeats whose worker still waits.
+func (o *Outbox) removeInFlight(seq uint64) []Envelope {
 	var waiting []Envelope
 	for _, e := range o.inFlight[seq].envelopes {
-		if _, ok := o.receivedAt[e.ID]; ok {
+		if _, ok := o.awaitedSince[e.ID]; ok {
 			waiting = append(waiting, e)
 		}
 	}
@@ -100,23 +101,23 @@
 	return waiting
 }
 
-// Add queues a heartbeat. It is not accepted if there is no path, or if the queue is full: its worker
-// should ask another member at once.
+// Add queues a heartbeat and returns its ID. ok is false if the path is not ViaStore or the queue is full; the
+// worker should then turn to another member at once.
 func (o *Outbox) Add(now time.Time, heartbeat []byte) (id uint64, ok bool) {
 	if o.path != ViaStore || !o.queue.hasRoom(&o.settings, heartbeat) {
 		return 0, false
 	}
 	o.lastID++
 	o.queue.push(Envelope{o.lastID, heartbeat})
-	o.receivedAt[o.lastID] = now
+	o.awaitedSince[o.lastID] = now
 	return o.lastID, true
 }
 
-// Cancel says that the worker of a heartbeat waits no longer.
-func (o *Outbox) Cancel(id uint64) { delete(o.receivedAt, id) }
+// Cancel must be called when a heartbeat's worker stops waiting. Its response is no longer delivered.
+func (o *Outbox) Cancel(id uint64) { delete(o.awaitedSince, id) }
 
-// NextBatchAt returns when the next batch may be sent; zero: nothing is queued, nobody leads, or too
-// many batches are in flight.
+// NextBatchAt returns when the next batch may be taken. It returns the zero time if nothing is queued, no member
+// leads, or too many batches are in flight.
 func (o *Outbox) NextBatchAt() time.Time {
 	if o.noLeader || o.queue.len() == 0 || len(o.inFlight) >= o.settings.MaxInFlight {
 		return time.Time{}
@@ -124,16 +125,16 @@
 	return o.lastSentAt.Add(o.settings.BatchInterval)
 }
 
-// TakeBatch takes the next batch: a payload of at most maxBytes with as many heartbeats as fit, the
-// oldest first. Those whose workers wait no longer are left out; one that does not fit by itself is
-// dropped. count is how many there are; 0: there is no batch.
+// TakeBatch removes the next batch from the queue and returns it as a payload of at most maxBytes with the count
+// oldest heartbeats. Heartbeats whose worker no longer waits are dropped, and so is one that does not fit into a
+// batch of its own. A count of 0 means that there is no batch.
 func (o *Outbox) TakeBatch(now time.Time, maxBytes int) (seq uint64, payload string, count int) {
 	o.dropExpired(now)
 	for o.queue.len() > 0 {
 		if payload, count = Pack(o.queue.envelopes, maxBytes); count > 0 {
 			break
 		}
-		delete(o.receivedAt, o.queue.popFront().ID)
+		delete(o.awaitedSince, o.queue.popFront().ID)
 	}
 	if count == 0 {
 		return 0, "", 0
@@ -144,11 +145,11 @@
 	return o.lastSeq, payload, count
 }
 
-// WriteFailed says that a batch was not written: its heartbeats go with the next one.
-func (o *Outbox) WriteFailed(seq uint64) { o.queue.pushFront(o.reclaim(seq)) }
+// WriteFailed must be called when a batch could not be written. Its heartbeats go into the next batch.
+func (o *Outbox) WriteFailed(seq uint64) { o.queue.pushFront(o.removeInFlight(seq)) }
 
-// AcceptResponses takes responses to a batch, and returns those for which a worker still waits. A
-// response that comes later must not reach it.
+// AcceptResponses records responses to a batch, and returns those whose worker still waits. Others must not be
+// delivered: they arrive after the worker has stopped waiting.
 func (o *Outbox) AcceptResponses(now time.Time, seq uint64, responses []Envelope) []Envelope {
 	if _, ok := o.inFlight[seq]; ok {
 		delete(o.inFlight, seq)
@@ -157,17 +158,18 @@
 	var awaited []Envelope
 	for _, e := range responses {
 		if o.isAwaited(now, e.ID) {
-			delete(o.receivedAt, e.ID)
+			delete(o.awaitedSince, e.ID)
 			awaited = append(awaited, e)
 		}
 	}
 	return awaited
 }
 
-// Tick says that time has passed. Batches without a response in time count against the path.
+// Tick must be called regularly with the current time. It drops batches that got no response in time; after
+// maxUnansweredBatches of them in a row the leader counts as unreachable.
 func (o *Outbox) Tick(now time.Time) {
 	if o.noLeader {
-		// No batch is taken, so what has expired would fill the queue.
+		// TakeBatch, which drops expired heartbeats otherwise, is not called, so they would fill the queue.
 		o.dropExpired(now)
 	}
 	for seq, batch := range o.inFlight {
@@ -176,34 +178,34 @@
 		}
 		delete(o.inFlight, seq)
 		if o.unansweredBatches++; o.unansweredBatches >= maxUnansweredBatches && o.path == ViaStore {
-			o.transition(now, Unreachable, "no responses through the state service")
+			o.transition(now, Unreachable, "leader does not respond through the state service")
 		}
 	}
-	for id, at := range o.receivedAt {
+	for id, at := range o.awaitedSince {
 		if now.Sub(at) >= 2*o.settings.HeartbeatTimeout {
-			delete(o.receivedAt, id)
+			delete(o.awaitedSince, id)
 		}
 	}
 }
 
 // isAwaited reports whether a worker still waits for the response to a heartbeat.
 func (o *Outbox) isAwaited(now time.Time, id uint64) bool {
-	at, ok := o.receivedAt[id]
+	at, ok := o.awaitedSince[id]
 	return ok && now.Sub(at) < o.settings.HeartbeatTimeout
 }
 
-// dropExpired drops the queued heartbeats whose workers wait no longer.
+// dropExpired removes the queued heartbeats whose worker no longer waits.
 func (o *Outbox) dropExpired(now time.Time) {
-	o.queue.keep(func(e Envelope) bool {
+	o.queue.filter(func(e Envelope) bool {
 		if o.isAwaited(now, e.ID) {
 			return true
 		}
-		delete(o.receivedAt, e.ID)
+		delete(o.awaitedSince, e.ID)
 		return false
 	})
 }
 
-// Idle reports that nothing is queued, in flight or awaited.
+// Idle reports whether no heartbeat is queued, in flight or awaited by a worker.
 func (o *Outbox) Idle() bool {
-	return o.queue.len() == 0 && len(o.inFlight) == 0 && len(o.receivedAt) == 0
+	return o.queue.len() == 0 && len(o.inFlight) == 0 && len(o.awaitedSince) == 0
 }
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -1,27 +1,27 @@
 package relay
 
-// heartbeatQueue holds heartbeats in the order in which they go into batches, and their size.
+// heartbeatQueue holds heartbeats in the order in which they go into batches.
 type heartbeatQueue struct {
 	envelopes []Envelope
-	bytes     int // of all bodies
+	bodyBytes int // total size of the bodies
 }
 
 func (q *heartbeatQueue) len() int { return len(q.envelopes) }
 
-// hasRoom reports whether a heartbeat may be added.
+// hasRoom reports whether the settings allow another heartbeat in the queue.
 func (q *heartbeatQueue) hasRoom(s *Settings, heartbeat []byte) bool {
-	return len(q.envelopes) < s.MaxQueued && q.bytes+len(heartbeat) <= s.MaxQueuedBytes
+	return len(q.envelopes) < s.MaxQueued && q.bodyBytes+len(heartbeat) <= s.MaxQueuedBytes
 }
 
 func (q *heartbeatQueue) push(e Envelope) {
 	q.envelopes = append(q.envelopes, e)
-	q.bytes += len(e.Body)
+	q.bodyBytes += len(e.Body)
 }
 
-// pushFront queues heartbeats before all others, also if there is no room for them.
+// pushFront inserts heartbeats before all others. They were queued before, so they are exempt from the limits.
 func (q *heartbeatQueue) pushFront(envelopes []Envelope) {
 	for _, e := range envelopes {
-		q.bytes += len(e.Body)
+		q.bodyBytes += len(e.Body)
 	}
 	q.envelopes = append(envelopes, q.envelopes...)
 }
@@ -29,28 +29,28 @@
 func (q *heartbeatQueue) popFront() Envelope {
 	first := q.envelopes[0]
 	q.envelopes = q.envelopes[1:]
-	q.bytes -= len(first.Body)
+	q.bodyBytes -= len(first.Body)
 	return first
 }
 
-// take removes the first heartbeats.
+// take removes and returns the first count heartbeats.
 func (q *heartbeatQueue) take(count int) []Envelope {
 	taken := q.envelopes[:count:count]
 	for _, e := range taken {
-		q.bytes -= len(e.Body)
+		q.bodyBytes -= len(e.Body)
 	}
 	q.envelopes = append([]Envelope(nil), q.envelopes[count:]...)
 	return taken
 }
 
-// keep removes all heartbeats but those that a function keeps.
-func (q *heartbeatQueue) keep(kept func(Envelope) bool) {
+// filter removes the heartbeats for which keep returns false.
+func (q *heartbeatQueue) filter(keep func(Envelope) bool) {
 	remaining := q.envelopes[:0]
 	for _, e := range q.envelopes {
-		if kept(e) {
+		if keep(e) {
 			remaining = append(remaining, e)
 		} else {
-			q.bytes -= len(e.Body)
+			q.bodyBytes -= len(e.Body)
 		}
 	}
 	q.envelopes = remaining
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,34 +1,35 @@
-// Package relay decides how workers' heartbeats reach a leader that this member cannot reach: through
-// the state service, in batches. It is pure. The caller passes each heartbeat to Outbox.Add and
-// reports whether the leader is reachable with ObserveContact; it takes a batch with TakeBatch when
-// NextBatchAt says so, writes it, and passes the responses to AcceptResponses. Why a heartbeat may
-// take any path is argued in docs/safety.md, "Relayed heartbeats".
+// Package relay decides how workers' heartbeats reach a leader to which this member has no connection: in batches
+// through the state service. The package performs no I/O and reads no clock. The caller passes each heartbeat to
+// Outbox.Add and reports with ObserveContact whether the leader is reachable. When NextBatchAt says that a batch is
+// due, the caller takes it with TakeBatch and writes it; it passes the responses to AcceptResponses. For the
+// reasons why a heartbeat may take any path see docs/safety.md, "Relayed heartbeats".
 package relay
 
 import "time"
 
-// Path is the path of heartbeats to the leader, as far as this member knows.
+// Path is the path that heartbeats take from this member to the leader.
 type Path uint8
 
-// The paths.
+// The paths to the leader.
 const (
-	Direct      Path = iota // the leader is reachable, or nothing shows that it is not
-	ViaStore                // it is not: through the state service
-	Unreachable             // nor does it answer there
+	Direct      Path = iota // over the network; the leader is reachable, or nothing shows that it is not
+	ViaStore                // through the state service, because the leader is unreachable
+	Unreachable             // none, because the leader does not respond through the state service either
 )
 
-// String returns the name that the log uses.
+// String returns the path's name for logs.
 func (p Path) String() string { return [...]string{"direct", "post", "lost"}[p] }
 
-// Settings limit what is relayed.
+// Settings bound the heartbeats and batches in an Outbox.
 type Settings struct {
-	BatchInterval    time.Duration // between two batches, at least
-	MaxQueued        int           // heartbeats that wait for a batch, at most
-	MaxQueuedBytes   int           // and their size together
-	MaxInFlight      int           // batches without a response, at most
-	HeartbeatTimeout time.Duration // after which the response to a heartbeat is of no use
-	RetryAfter       time.Duration // before an unreachable leader is tried again
+	BatchInterval    time.Duration // minimum time between two batches
+	MaxQueued        int           // maximum number of heartbeats that wait for a batch
+	MaxQueuedBytes   int           // maximum size of all queued heartbeats together
+	MaxInFlight      int           // maximum number of batches without a response
+	HeartbeatTimeout time.Duration // time after which a heartbeat's response is useless to the worker
+	RetryAfter       time.Duration // time after which the state service is tried again as a path to the leader
 }
 
-// maxUnansweredBatches is how many batches in a row without a response show that nobody takes them.
+// maxUnansweredBatches is the number of consecutive batches without a response after which the leader counts as
+// unreachable through the state service.
 const maxUnansweredBatches = 4
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -44,40 +44,40 @@
 			envelopes = append(envelopes, Envelope{random.Uint64(), randomBody(random.IntN(300))})
 		}
 		maxBytes := 10 + random.IntN(20_000)
-		payload, n := Pack(envelopes, maxBytes)
+		payload, count := Pack(envelopes, maxBytes)
 		got, err := Unpack(payload)
 		if len(payload) > maxBytes {
 			t.Fatalf("got a payload of %d bytes, want at most %d", len(payload), maxBytes)
 		}
-		if n > 0 && (err != nil || !slices.EqualFunc(got, envelopes[:n], equalEnvelopes)) {
-			t.Fatalf("unpacked: got %d envelopes, error %v; want the %d that were packed", len(got), err, n)
+		if count > 0 && (err != nil || !slices.EqualFunc(got, envelopes[:count], equalEnvelopes)) {
+			t.Fatalf("Unpack: got %d envelopes, error %v; want the %d that were packed", len(got), err, count)
 		}
 	}
 }
 
 func TestUnpackRejectsMalformedBatch(t *testing.T) {
-	good := encode([]Envelope{{1, []byte("abc")}})
+	valid := encode([]Envelope{{1, []byte("abc")}})
 	tooLarge := encode([]Envelope{{1, make([]byte, maxUnpackedBytes)}})
-	for _, bad := range []string{"", "%", "AAAA", good[:len(good)-3], tooLarge} {
-		got, err := Unpack(bad)
+	for _, payload := range []string{"", "%", "AAAA", valid[:len(valid)-3], tooLarge} {
+		got, err := Unpack(payload)
 		if err == nil && len(got) > 0 {
-			t.Errorf("Unpack(%.20q): got %d envelopes and no error, want none or an error", bad, len(got))
+			t.Errorf("Unpack(%.20q): got %d envelopes and no error, want none or an error", payload, len(got))
 		}
 		if err != nil && !errors.Is(err, ErrMalformedBatch) {
-			t.Errorf("Unpack(%.20q): got error %v, want ErrMalformedBatch", bad, err)
+			t.Errorf("Unpack(%.20q): got error %v, want ErrMalformedBatch", payload, err)
 		}
 	}
 }
 
-// outboxScenario is an outbox that goes through the steps of TestOutboxPathToUnreachableLeader.
+// outboxScenario is the state that the steps of TestOutboxPathToUnreachableLeader share.
 type outboxScenario struct {
 	t      *testing.T
 	outbox *Outbox
 	now    time.Time
-	paths  []string // changes of the path
+	paths  []string // changes of the path, as "from-to"
 }
 
-// add adds a heartbeat, which must be accepted.
+// add adds a heartbeat, which the outbox must accept, and returns its ID.
 func (s *outboxScenario) add(body string) uint64 {
 	s.t.Helper()
 	id, ok := s.outbox.Add(s.now, []byte(body))
@@ -87,34 +87,36 @@
 	return id
 }
 
-// takeOne takes a batch, which must have one heartbeat.
+// takeOne takes a batch, which must contain exactly one heartbeat.
 func (s *outboxScenario) takeOne() (seq uint64, payload string) {
 	s.t.Helper()
-	seq, payload, n := s.outbox.TakeBatch(s.now, maxPayloadBytes)
-	if n != 1 {
-		s.t.Fatalf("TakeBatch: got %d heartbeats, want 1", n)
+	seq, payload, count := s.outbox.TakeBatch(s.now, maxPayloadBytes)
+	if count != 1 {
+		s.t.Fatalf("TakeBatch: got %d heartbeats, want 1", count)
 	}
 	return seq, payload
 }
 
+// Takes one outbox through the loss of the connection to the leader, batches that the leader does not answer, a
+// change of leader, and the return of the connection.
 func TestOutboxPathToUnreachableLeader(t *testing.T) {
 	s := &outboxScenario{t: t, now: startTime}
 	s.outbox = New(testSettings, func(from, to Path, _ string) {
 		s.paths = append(s.paths, fmt.Sprintf("%v-%v", from, to))
 	})
-	s.queueIsBounded()
-	s.responsesReachWaitingWorkersOnce()
-	s.unansweredBatchesClosePath()
-	heartbeat := s.heartbeatsWaitWhileNobodyLeads()
-	s.newLeaderGetsHeartbeatsAgain(heartbeat)
-	s.pathIsRetried()
+	s.checkQueueBound()
+	s.checkResponsesDeliveredOnce()
+	s.checkUnansweredBatchesClosePath()
+	heartbeat := s.checkHeartbeatsWaitWithoutLeader()
+	s.checkNewLeaderReceivesResent(heartbeat)
+	s.checkPathRetried()
 	if got, want := strings.Join(s.paths, " "), "direct-post post-lost lost-post post-direct"; got != want {
 		t.Errorf("got changes of the path %q, want %q", got, want)
 	}
 }
 
-// queueIsBounded: heartbeats are accepted only while the leader is unreachable, and up to a bound.
-func (s *outboxScenario) queueIsBounded() {
+// checkQueueBound checks that heartbeats are accepted only while the leader is unreachable, and up to MaxQueued.
+func (s *outboxScenario) checkQueueBound() {
 	s.t.Helper()
 	if _, ok := s.outbox.Add(startTime, []byte("r")); ok {
 		s.t.Error("Add while the leader is reachable: got true, want false")
@@ -128,22 +130,23 @@
 	}
 }
 
-// responsesReachWaitingWorkersOnce: not those whose worker has given up, and none twice or late.
-func (s *outboxScenario) responsesReachWaitingWorkersOnce() {
+// checkResponsesDeliveredOnce checks that a response is dropped if its worker has given up or if it is late, and
+// that none is delivered twice.
+func (s *outboxScenario) checkResponsesDeliveredOnce() {
 	s.t.Helper()
 	o := s.outbox
-	seq, payload, n := o.TakeBatch(startTime, maxPayloadBytes)
-	if next := o.NextBatchAt(); n != 5 || !next.IsZero() {
-		s.t.Fatalf("got a batch of %d and the next one at %v, want 5 and none", n, next)
+	seq, payload, count := o.TakeBatch(startTime, maxPayloadBytes)
+	if next := o.NextBatchAt(); count != 5 || !next.IsZero() {
+		s.t.Fatalf("got a batch of %d and the next one at %v, want 5 and none", count, next)
 	}
 	envelopes, err := Unpack(payload)
 	if err != nil || string(envelopes[4].Body) != "r4" {
-		s.t.Fatalf("Unpack: got %v, error %v; want r4 last and none", envelopes, err)
+		s.t.Fatalf("Unpack: got %v, error %v; want r4 as the last body and no error", envelopes, err)
 	}
 	o.Cancel(envelopes[0].ID)
 	got := o.AcceptResponses(afterStart(time.Second), seq, envelopes[:3])
 	if len(got) != 2 || got[0].ID != envelopes[1].ID {
-		s.t.Errorf("responses, one of them cancelled: got %v, want 2 from id %d on", got, envelopes[1].ID)
+		s.t.Errorf("responses, the first one cancelled: got %v, want 2 from ID %d on", got, envelopes[1].ID)
 	}
 	if got := o.AcceptResponses(afterStart(time.Second), seq, envelopes[:3]); len(got) != 0 {
 		s.t.Errorf("the same responses again: got %v, want none", got)
@@ -153,8 +156,8 @@
 	}
 }
 
-// unansweredBatchesClosePath: for a while, or until another member leads.
-func (s *outboxScenario) unansweredBatchesClosePath() {
+// checkUnansweredBatchesClosePath checks that unanswered batches close the path until another member leads.
+func (s *outboxScenario) checkUnansweredBatchesClosePath() {
 	s.t.Helper()
 	s.now = afterStart(3 * time.Second)
 	for range maxUnansweredBatches {
@@ -167,45 +170,49 @@
 		s.t.Errorf("after unanswered batches: got Add %v on path %v, want false on %v", ok, s.outbox.Path(), Unreachable)
 	}
 	if s.outbox.LeaderChanged(s.now, false); s.outbox.Path() != ViaStore {
-		s.t.Errorf("with another leader: got path %v, want %v", s.outbox.Path(), ViaStore)
+		s.t.Errorf("after a change of leader: got path %v, want %v", s.outbox.Path(), ViaStore)
 	}
 }
 
-// heartbeatsWaitWhileNobodyLeads: one that is in flight waits too. It returns that one's id.
-func (s *outboxScenario) heartbeatsWaitWhileNobodyLeads() uint64 {
+// checkHeartbeatsWaitWithoutLeader checks that heartbeats stay in the outbox while no member leads, also one that
+// is in flight, and that cancelled ones do not fill the queue. It returns the ID of the one in flight.
+func (s *outboxScenario) checkHeartbeatsWaitWithoutLeader() uint64 {
 	s.t.Helper()
 	o := s.outbox
 	inFlight := s.add("last")
 	s.takeOne()
 	o.LeaderChanged(s.now, true)
 	if next := o.NextBatchAt(); !next.IsZero() || o.Path() != ViaStore {
-		s.t.Errorf("while nobody leads: got a batch at %v on path %v, want none on %v", next, o.Path(), ViaStore)
+		s.t.Errorf("without a leader: got a batch at %v on path %v, want none on %v", next, o.Path(), ViaStore)
 	}
 	for range testSettings.MaxQueued - 1 {
 		o.Cancel(s.add("given up"))
 	}
 	o.Tick(s.now)
 	if _, ok := o.Add(s.now, nil); !ok {
-		s.t.Error("Add after others were cancelled while nobody leads: got false, want true")
+		s.t.Error("Add after others were cancelled, without a leader: got false, want true")
 	}
 	o.Cancel(o.lastID)
 	return inFlight
 }
 
-// newLeaderGetsHeartbeatsAgain: those that were in flight, and those that were not written.
-func (s *outboxScenario) newLeaderGetsHeartbeatsAgain(id uint64) {
+// checkNewLeaderReceivesResent checks that a heartbeat that was in flight when the leader changed is sent again,
+// and again after its batch could not be written.
+func (s *outboxScenario) checkNewLeaderReceivesResent(id uint64) {
 	s.t.Helper()
 	s.outbox.LeaderChanged(s.now, false)
 	seq, payload := s.takeOne()
 	envelopes, err := Unpack(payload)
 	if err != nil || envelopes[0].ID != id || string(envelopes[0].Body) != "last" {
-		s.t.Errorf("sent again: got %v, error %v; want id %d with body last", envelopes, err, id)
+		s.t.Errorf("sent again: got %v, error %v; want ID %d with body last", envelopes, err, id)
 	}
 	s.outbox.WriteFailed(seq)
 	s.takeOne()
 }
 
-func (s *outboxScenario) pathIsRetried() {
+// checkPathRetried checks that the outbox keeps relaying while the leader is unreachable, and stops as soon as the
+// leader is reachable.
+func (s *outboxScenario) checkPathRetried() {
 	s.t.Helper()
 	later := s.now.Add(testSettings.RetryAfter)
 	if got := s.outbox.ObserveContact(later, false); got != ViaStore {
@@ -216,8 +223,8 @@
 	}
 }
 
-// A heartbeat that is larger than a value holds up none of the others, and the queue goes into batches
-// of the size that the state service accepts, the oldest first.
+// A heartbeat that is too large for a value of the state service must not block the others. They must go out in
+// batches of the size that the state service accepts, the oldest first.
 func TestBatchesFitMaxValueSize(t *testing.T) {
 	settings := testSettings
 	settings.MaxQueued, settings.MaxInFlight = 100, 100
@@ -232,24 +239,24 @@
 	}
 	var ids []uint64
 	for range 40 {
-		_, payload, n := o.TakeBatch(startTime, maxPayloadBytes)
-		if n == 0 {
+		_, payload, count := o.TakeBatch(startTime, maxPayloadBytes)
+		if count == 0 {
 			break
 		}
 		envelopes, err := Unpack(payload)
-		if err != nil || len(payload) > maxPayloadBytes || len(envelopes) != n {
+		if err != nil || len(payload) > maxPayloadBytes || len(envelopes) != count {
 			t.Fatalf("got %d envelopes in %d bytes, error %v; want %d in at most %d and none",
-				len(envelopes), len(payload), err, n, maxPayloadBytes)
+				len(envelopes), len(payload), err, count, maxPayloadBytes)
 		}
 		for _, e := range envelopes {
 			ids = append(ids, e.ID)
 		}
 	}
-	if next := o.NextBatchAt(); o.queue.bytes != 0 || !next.IsZero() {
-		t.Errorf("an empty queue: got %d bytes and a batch at %v, want 0 and none", o.queue.bytes, next)
+	if next := o.NextBatchAt(); o.queue.bodyBytes != 0 || !next.IsZero() {
+		t.Errorf("after the last batch: got %d queued bytes and a batch at %v, want 0 and none", o.queue.bodyBytes, next)
 	}
 	if _, ok := o.Add(startTime, make([]byte, settings.MaxQueuedBytes+1)); ok {
-		t.Error("Add of more than all that may be queued: got true, want false")
+		t.Error("Add of a heartbeat larger than MaxQueuedBytes: got true, want false")
 	}
 	if len(ids) != 19 || slices.Contains(ids, 4) || !slices.IsSorted(ids) {
 		t.Errorf("got heartbeats %v, want 1 to 20 in order, without 4", ids)
