--- a/internal/store/cancellations.go
+++ b/internal/store/cancellations.go
@@ -2,45 +2,45 @@
 
 import "github.com/glentiller/glentiller/internal/wire"
 
-// CancellationReport reports to a leader which cancellations a member may have acknowledged to users,
-// for the case that the leader cannot read the records itself.
+// CancellationReport lists for the leader the cancellations that a member may have acknowledged to users. A leader
+// that cannot read the job records itself learns of cancellations from such reports.
 type CancellationReport struct {
 	Cancelled []Cancellation
-	Cursor    CancellationCursor // where the next report goes on
-	// Complete: with this report, the earlier ones and what it has read itself, the leader knows of
-	// every cancellation that the member has acknowledged, in this incarnation or an earlier one.
+	Cursor    CancellationCursor // position after this report, to be passed for the next one
+	// Complete is true if this report is the last one: with it, the earlier reports and the records that it has read,
+	// the leader knows every cancellation that the member has acknowledged, in this incarnation or an earlier one.
 	Complete bool
 }
 
-// Cancellation is a job that was cancelled, and the version of the record that says so.
+// Cancellation is the durable cancellation of a job.
 type Cancellation struct {
-	ID      string
-	Version uint64
+	ID      string // ID of the job
+	Version uint64 // version of the record of its end
 }
 
-// CancellationCursor is how many ends that one incarnation of a member has learned of were reported
-// to a leader.
+// CancellationCursor is a position in the sequence of job ends that one incarnation of a member has learned of: the
+// first Count of them have been reported. The zero value is the position before the first report.
 type CancellationCursor struct {
 	Incarnation, Count uint64
 }
 
-// maxReportedCancellations bounds one report; the next one goes on behind it.
+// maxReportedCancellations bounds the length of one report. Further cancellations go into the next one.
 const maxReportedCancellations = 256
 
-// CancellationsAfter reports the cancellations that this controller knows of to a leader that has read
-// the records up to a revision and has received the reports up to a cursor. They are in the order in
-// which they were learned of, not in that of their versions: a job that was cancelled long ago may be
-// acknowledged to a user only now.
+// CancellationsAfter returns the next report for a leader that has read the job records up to a revision and has
+// received this member's reports up to a cursor. Cancellations are reported in the order in which this cache
+// learned of them, not in the order of their versions, because a job that was cancelled long ago may be
+// acknowledged to a user only now. A cursor of another incarnation is ignored, and the reports begin again.
 func (j *JobCache) CancellationsAfter(revision uint64, reported CancellationCursor) CancellationReport {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	ended := &j.ended
-	from := ended.offset
-	if reported.Incarnation == j.incarnation && reported.Count <= ended.offset+uint64(len(ended.order)) {
+	from := ended.startOffset
+	if reported.Incarnation == j.incarnation && reported.Count <= ended.startOffset+uint64(len(ended.order)) {
 		from = max(from, reported.Count)
 	}
 	report := CancellationReport{Cursor: CancellationCursor{j.incarnation, from}}
-	for _, id := range ended.order[from-ended.offset:] {
+	for _, id := range ended.order[from-ended.startOffset:] {
 		if len(report.Cancelled) == maxReportedCancellations {
 			return report
 		}
@@ -49,11 +49,12 @@
 		}
 		report.Cursor.Count++
 	}
-	report.Complete = !j.asOf.IsZero() && max(ended.learnedSince, ended.evictedVersion) <= revision
+	report.Complete = !j.asOf.IsZero() && max(ended.completeAfter, ended.maxEvictedVersion) <= revision
 	return report
 }
 
-// ApplyCancellations records the cancellations that another member has reported.
+// ApplyCancellations applies the cancellations that another member has reported. Jobs that the cache already knows
+// to have ended are skipped.
 func (j *JobCache) ApplyCancellations(cancelled []Cancellation) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -62,6 +63,6 @@
 			continue
 		}
 		tasks := j.active[c.ID].Tasks
-		j.recordEndAndNotify(c.ID, JobRecord{State: wire.StateCancelled, Tasks: tasks, Version: c.Version})
+		j.applyEndAndNotify(c.ID, JobRecord{State: wire.StateCancelled, Tasks: tasks, Version: c.Version})
 	}
 }
--- a/internal/store/changes.go
+++ b/internal/store/changes.go
@@ -9,9 +9,9 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// CommitFenced carries out a leader's changes in one transaction, on condition that its fencing token
-// is still the last one. ok is false if a condition failed. revision is the version of all records
-// that were written. For errors see Commit.
+// CommitFenced commits a leader's changes in one transaction, on condition that its fencing token has not been
+// superseded: tokenVersion must be the version of the token's record. ok is false if this or another condition
+// failed. revision is the version of all records that were written. For errors see Commit.
 func (c *Client) CommitFenced(
 	ctx context.Context, tokenVersion uint64, changes []record.Change,
 ) (revision uint64, ok bool, err error) {
@@ -22,55 +22,55 @@
 	return c.Commit(ctx, txn, false)
 }
 
-// addChange adds a leader's change, with its own conditions, to a transaction.
+// addChange adds a leader's change to a transaction, with the conditions that this kind of change needs.
 func addChange(txn *wire.Txn, ch *record.Change) {
 	key := changeKey(ch)
 	switch ch.Kind {
 	case record.PutMachine:
-		put(txn, key, wire.AppendMachine(nil, ch.Machine))
+		addPut(txn, key, wire.AppendMachine(nil, ch.Machine))
 	case record.PutTasks:
-		put(txn, key, wire.AppendTasksDone(nil, ch.FinishedBits))
+		addPut(txn, key, wire.AppendTasksDone(nil, ch.FinishedBits))
 	case record.PutChunkLayout:
-		put(txn, key, wire.AppendChunkLayout(nil, ch.Tasks))
+		addPut(txn, key, wire.AppendChunkLayout(nil, ch.Tasks))
 	case record.PutGPUDemand:
-		put(txn, key, wire.AppendGPUDemand(nil, ch.GPUDemand))
+		addPut(txn, key, wire.AppendGPUDemand(nil, ch.GPUDemand))
 	case record.DeleteMachine, record.DeleteTasks:
-		remove(txn, key)
+		addDelete(txn, key)
 	case record.CompleteJob:
 		addJobEnd(txn, ch, key, wire.StateDone)
 	case record.CancelDependent:
 		addJobEnd(txn, ch, key, wire.StateCancelled)
 	case record.DeleteDependencies:
-		// Never those of an unfinished job: it may have been accepted since.
-		require(txn, activePrefix+ch.Job, 0)
-		remove(txn, key)
+		// The job may have been accepted since, and the list of an unfinished job must not be deleted.
+		requireVersion(txn, activePrefix+ch.Job, 0)
+		addDelete(txn, key)
 	default:
 		addLedgerChange(txn, ch, key)
 	}
 }
 
-// addJobEnd moves a job from the active to the ended records.
+// addJobEnd moves a job from the records of active jobs to those of ended jobs.
 func addJobEnd(txn *wire.Txn, ch *record.Change, endedKey string, state wire.JobState) {
-	require(txn, activePrefix+ch.Job, ch.Version)
-	require(txn, endedKey, 0)
-	remove(txn, activePrefix+ch.Job)
-	put(txn, endedKey, wire.AppendEndedJob(nil, state, ch.Tasks, ch.At))
+	requireVersion(txn, activePrefix+ch.Job, ch.Version)
+	requireVersion(txn, endedKey, 0)
+	addDelete(txn, activePrefix+ch.Job)
+	addPut(txn, endedKey, wire.AppendEndedJob(nil, state, ch.Tasks, ch.At))
 }
 
-// require adds the condition that a key has a version; 0: that it does not exist.
-func require(txn *wire.Txn, key string, version uint64) {
+// requireVersion adds the condition that a key has a version, or that it does not exist if the version is 0.
+func requireVersion(txn *wire.Txn, key string, version uint64) {
 	txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, Version: version})
 }
 
-func put(txn *wire.Txn, key string, value []byte) {
+func addPut(txn *wire.Txn, key string, value []byte) {
 	txn.Changes = append(txn.Changes, wire.Change{Key: key, Value: value})
 }
 
-func remove(txn *wire.Txn, key string) {
+func addDelete(txn *wire.Txn, key string) {
 	txn.Changes = append(txn.Changes, wire.Change{Key: key})
 }
 
-// changeKey returns the key of the record that a change is about.
+// changeKey returns the key of the record that a change writes or deletes.
 func changeKey(ch *record.Change) string {
 	switch ch.Kind {
 	case record.PutMachine, record.DeleteMachine:
@@ -78,7 +78,7 @@
 	case record.PutTasks, record.DeleteTasks:
 		prefix := numberedTasksPrefix
 		if ch.Chunk.StartsAtTask {
-			prefix = taskSpanPrefix
+			prefix = taskRangePrefix
 		}
 		return prefix + ch.Job + "/" + strconv.Itoa(ch.Chunk.Number)
 	case record.PutChunkLayout:
@@ -91,7 +91,7 @@
 	case record.DeleteDependencies:
 		return ch.Key
 	case record.SettleAccount:
-		return accountPrefix + teamKey(ch.Settlement.Open.Team)
+		return accountPrefix + teamKeyPart(ch.Settlement.Open.Team)
 	case record.PutUnaccounted:
 		return intervalPrefix + sortableNumber(ch.Unaccounted.FencingToken)
 	case record.CompactAccount:
@@ -100,7 +100,7 @@
 	return ""
 }
 
-// ChangeKeys returns the keys of the records that changes are about, for the log.
+// ChangeKeys returns, for log messages, the key of the record that each change writes or deletes.
 func ChangeKeys(changes []record.Change) []string {
 	var keys []string
 	for i := range changes {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -5,47 +5,50 @@
 	"fmt"
 )
 
-// The errors of requests to the state service that callers tell apart by errors.Is.
+// Errors of requests to the state service, to be tested for with errors.Is.
 var (
-	// ErrNotExecuted says that a transaction was not carried out and never will be. Any other error
-	// of a transaction leaves open whether it was, or still will be.
-	ErrNotExecuted = errors.New("not executed")
-	// ErrRejected says that a transaction would be rejected every time: it is too large or
-	// malformed. It comes with ErrNotExecuted.
-	ErrRejected = errors.New("rejected for good")
-	// ErrCompacted says that the changes since a revision are no longer kept.
-	ErrCompacted = errors.New("the changes since that revision are not kept any more")
-	// ErrLeaseExpired says that a lease is over.
-	ErrLeaseExpired = errors.New("the lease is over")
-	// ErrRateLimited says that a request had no place in this client's share of the rate limits.
-	ErrRateLimited = errors.New("the budget for requests is spent")
+	// ErrNotExecuted means that a transaction was not executed and never will be. After any other error of a
+	// transaction it is unknown whether it was executed, and it may still be.
+	ErrNotExecuted = errors.New("transaction not executed")
+	// ErrRejected means that a transaction is too large or malformed, so that the state service would reject each
+	// retry as well. An error that is ErrRejected is also ErrNotExecuted.
+	ErrRejected = errors.New("permanently rejected by the state service")
+	// ErrCompacted means that the state service no longer keeps the changes since the requested revision.
+	ErrCompacted = errors.New("changes since the requested revision are compacted")
+	// ErrLeaseExpired means that the state service does not know a lease, since it has expired or was revoked.
+	ErrLeaseExpired = errors.New("lease has expired")
+	// ErrRateLimited means that a request was not sent, because this client's rate limits did not admit it before the
+	// timeout.
+	ErrRateLimited = errors.New("rate limit reached, request not sent")
 )
 
-// The errors of the job records that callers tell apart by errors.Is.
+// Errors of the JobCache, to be tested for with errors.Is.
 var (
-	// ErrUnknownDependency refuses a job for good that depends on one that was never accepted.
+	// ErrUnknownDependency permanently rejects a job that depends on a job that was never accepted, or on itself. Its
+	// text is sent to users.
 	ErrUnknownDependency = errors.New("awaits a job that was never accepted")
-	// ErrServiceDependency refuses a job for good that depends on a service.
+	// ErrServiceDependency permanently rejects a job that depends on a service. Its text is sent to users.
 	ErrServiceDependency = errors.New("awaits a service, which is never done")
-	// ErrTooLarge refuses a job for good whose records exceed the limits.
+	// ErrTooLarge permanently rejects a job whose records exceed the limits of the state service. Its text is sent to
+	// users.
 	ErrTooLarge = errors.New("too large to be kept")
-	// ErrNotLoaded says that the job records have not been read since the start.
-	ErrNotLoaded = errors.New("the job records have not been read yet")
-	// ErrOutcomeUnknown says that a request may have been carried out, or may still be.
-	ErrOutcomeUnknown = errors.New("the outcome is open")
-	// ErrTooManyConflicts says that a job's record kept changing while it was read or written.
-	ErrTooManyConflicts = errors.New("its record keeps changing")
+	// ErrNotLoaded means that the cache has not been loaded yet, or has to be loaded again after a compaction.
+	ErrNotLoaded = errors.New("job records not loaded yet")
+	// ErrOutcomeUnknown means that a request may have been executed, or may still be.
+	ErrOutcomeUnknown = errors.New("outcome of the request is unknown")
+	// ErrTooManyConflicts means that a job's record changed during each attempt to read or write it.
+	ErrTooManyConflicts = errors.New("too many concurrent changes of the record")
 )
 
-// CommitError is a transaction that failed without a condition of it being the cause.
+// CommitError describes a transaction that failed for a reason other than one of its conditions.
 type CommitError struct {
-	NeverExecuted bool  // it was not carried out and never will be; false: that is unknown
-	Err           error // what went wrong; nil: nothing more is known
+	NeverExecuted bool  // whether it is certain that the transaction was not executed and never will be
+	Err           error // the cause; nil if it is not known
 }
 
-// Error returns the outcome and what went wrong as text.
+// Error returns the outcome of the transaction and the cause of the error.
 func (e *CommitError) Error() string {
-	outcome := "commit: outcome unknown"
+	outcome := "commit: outcome of the transaction is unknown"
 	if e.NeverExecuted {
 		outcome = "commit: " + ErrNotExecuted.Error()
 	}
@@ -55,25 +58,25 @@
 	return outcome + ": " + e.Err.Error()
 }
 
-// Unwrap returns what went wrong.
+// Unwrap returns the cause, which may be nil.
 func (e *CommitError) Unwrap() error { return e.Err }
 
-// Is reports that the error is ErrNotExecuted, if that is certain.
+// Is reports whether target is ErrNotExecuted and it is certain that the transaction was not executed.
 func (e *CommitError) Is(target error) bool { return target == ErrNotExecuted && e.NeverExecuted }
 
-// RecordError is a stored record that cannot be decoded.
+// RecordError is the error of a stored record whose key or value cannot be decoded.
 type RecordError struct {
 	Key string
-	Err error // nil: the key itself is malformed
+	Err error // the cause; nil if a number in the key is out of range
 }
 
-// Error returns the key and what is wrong as text.
+// Error returns the key of the record and the cause of the error.
 func (e *RecordError) Error() string {
 	if e.Err == nil {
-		return "unreadable record " + e.Key
+		return "malformed record key " + e.Key
 	}
-	return fmt.Sprintf("unreadable record %s: %v", e.Key, e.Err)
+	return fmt.Sprintf("decode record %s: %v", e.Key, e.Err)
 }
 
-// Unwrap returns what is wrong with the record.
+// Unwrap returns the cause, which may be nil.
 func (e *RecordError) Unwrap() error { return e.Err }
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -12,24 +12,25 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// failingTransport fails every request with the same error.
+// failingTransport fails each request with the same error.
 type failingTransport struct{ err error }
 
 func (f failingTransport) Call(string, string, []byte, time.Duration) ([]byte, error) {
 	return nil, f.err
 }
 
-// Whether a transaction may still be carried out must be known from its error, however it is wrapped.
+// A caller must be able to tell from the error of a transaction, however it is wrapped, whether the transaction may
+// still be executed.
 func TestCommitErrorTellsWhetherItMayBeExecuted(t *testing.T) {
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, c := range []struct {
 		name          string
 		ctx           context.Context
-		err           error
+		err           error // of the transport
 		conflict      bool
 		neverExecuted bool
-		is            error // besides ErrNotExecuted
+		is            error // another error that must be found in the result, or nil
 	}{
 		{name: "failed condition", err: &rpc.StatusError{Status: 409}, conflict: true},
 		{name: "malformed", err: &rpc.StatusError{Status: 400}, neverExecuted: true, is: store.ErrRejected},
@@ -66,7 +67,7 @@
 	}
 }
 
-// A read that fails says nothing about whether a transaction was carried out.
+// A failed read must not be ErrNotExecuted, since that error is about a transaction.
 func TestReadErrorIsNotErrNotExecuted(t *testing.T) {
 	for _, cause := range []error{rpc.ErrNotSent, &rpc.StatusError{Status: 503}, io.EOF} {
 		transport := failingTransport{cause}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -21,11 +21,11 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// recorder stands in for the state service. It records every request, and answers with what it is
-// given for a path, or that the key does not exist.
+// recorder is a transport that records every request. It returns the canned answer for the request's path, or
+// status 404 if there is none.
 type recorder struct {
 	t        *testing.T
-	answers  map[string][]byte // by the beginning of "METHOD path"
+	answers  map[string][]byte // by prefix of "METHOD path"
 	requests strings.Builder
 }
 
@@ -35,9 +35,9 @@
 		fmt.Fprintf(&r.requests, " %s %x", golden.JSON(r.t, body), body)
 	}
 	r.requests.WriteByte('\n')
-	for path, b := range r.answers {
-		if strings.HasPrefix(method+" "+uri, path) {
-			return b, nil
+	for prefix, answer := range r.answers {
+		if strings.HasPrefix(method+" "+uri, prefix) {
+			return answer, nil
 		}
 	}
 	return nil, &rpc.StatusError{Status: 404}
@@ -45,53 +45,59 @@
 
 func newRecorder(t *testing.T) (*recorder, *store.Client) {
 	t.Helper()
-	number := func(key string) []byte {
+	numberAnswer := func(key string) []byte {
 		return msgp.AppendUint64(msgp.AppendString(msgp.AppendMapHeader(nil, 1), key), 77)
 	}
-	r := &recorder{t: t, answers: map[string][]byte{"POST /commit": number("epoch"), "POST /grants": number("tenancy"),
-		"DELETE /grants": msgp.AppendMapHeader(nil, 0), "GET /keys?": number("epoch"), "GET /changes": number("epoch")}}
+	r := &recorder{t: t, answers: map[string][]byte{
+		"POST /commit":   numberAnswer("epoch"),
+		"POST /grants":   numberAnswer("tenancy"),
+		"DELETE /grants": msgp.AppendMapHeader(nil, 0),
+		"GET /keys?":     numberAnswer("epoch"),
+		"GET /changes":   numberAnswer("epoch"),
+	}}
 	c := store.NewOver(r, r, time.Second)
 	c.SetRateLimits(1e9, 1e9)
 	return r, c
 }
 
-// Every request to the state service: its path, the keys and conditions of its transaction, and the records in it.
+// Guards all that is sent to the state service, since controllers of other versions read the same records: the path
+// of each request, the keys and conditions of its transaction, and the encoding of its records.
 func TestStateServiceRequestsKeepTheirBytes(t *testing.T) {
 	at := time.UnixMilli(1_790_000_000_123)
 	usage := ledger.FromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})
-	cell := []ledger.ClassUsage{{Class: "train", Usage: usage}}
-	open := ledger.OpenSegment{Team: "vision/a b", Number: 4, Settlements: 9, FencingToken: 41,
-		Start: at, SettledAt: at, Usage: cell, Prev: "00ff", DecayedUsage: 5}
-	page := ledger.Segment{Team: "vision/a b", First: 3, Last: 3, Unit: ledger.Hour,
-		Start: at, Usage: cell, Prev: "00ff", Sum: "22dd"}
-	next := page
-	next.First, next.Last = 4, 4
-	into := page
-	into.Last, into.Unit, into.Head = 4, ledger.Day, "11ee"
+	classUsage := []ledger.ClassUsage{{Class: "train", Usage: usage}}
+	openSegment := ledger.OpenSegment{Team: "vision/a b", Number: 4, Settlements: 9, FencingToken: 41,
+		Start: at, SettledAt: at, Usage: classUsage, Prev: "00ff", DecayedUsage: 5}
+	segment := ledger.Segment{Team: "vision/a b", First: 3, Last: 3, Unit: ledger.Hour,
+		Start: at, Usage: classUsage, Prev: "00ff", Sum: "22dd"}
+	nextSegment := segment
+	nextSegment.First, nextSegment.Last = 4, 4
+	compacted := segment
+	compacted.Last, compacted.Unit, compacted.Head = 4, ledger.Day, "11ee"
 	interval := ledger.Interval{Start: at, End: at.Add(time.Minute), FencingToken: 41, UnsettledLeaders: 2}
 	const id = "wk-000412"
 	bits := []byte{0xff, 0x5a}
 	numbered, span := model.Chunk{Number: 6}, model.Chunk{StartsAtTask: true, Number: 2048}
 	machine := model.MachineInfo{Name: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true}
-	spec := func(awaits int) *model.Spec {
-		s := &model.Spec{ID: "wk-000412", Class: "train", Team: "vision", Shape: model.Gang,
+	newSpec := func(dependencies int) *model.Spec {
+		spec := &model.Spec{ID: "wk-000412", Class: "train", Team: "vision", Shape: model.Gang,
 			Priority: model.PriorityHigh, Tasks: 16, Demand: model.Resources{CPU: 8, GPU: 1, MemGB: 64}}
-		for i := range awaits {
-			s.Dependencies = append(s.Dependencies, fmt.Sprintf("wk-%06d", i))
+		for i := range dependencies {
+			spec.Dependencies = append(spec.Dependencies, fmt.Sprintf("wk-%06d", i))
 		}
-		return s
+		return spec
 	}
 	batch := store.RelayBatch{
 		Member:     "tiller-1",
 		RelayBatch: wire.RelayBatch{Incarnation: 7, Seq: 12, Payload: "AQNhYmM"},
 	}
-	jobs := func(c *store.Client) *store.JobCache {
+	newJobCache := func(c *store.Client) *store.JobCache {
 		return newEmptyCache(c, 7, 100, lowestLimits)
 	}
 	ctx := context.Background()
-	commit := func(saves ...record.Change) func(c *store.Client) error {
+	commit := func(changes ...record.Change) func(c *store.Client) error {
 		return func(c *store.Client) error {
-			_, _, err := c.CommitFenced(ctx, 12, saves)
+			_, _, err := c.CommitFenced(ctx, 12, changes)
 			return err
 		}
 	}
@@ -117,19 +123,19 @@
 		{"awaits-dropped", commit(record.Change{
 			Kind: record.DeleteDependencies, Job: id, Key: "job/w/wk-000412/ff/0"})},
 		{"ledger-settled", commit(record.Change{Kind: record.SettleAccount,
-			Settlement: &ledger.Settlement{Version: 5, Open: open, Closed: &page}})},
+			Settlement: &ledger.Settlement{Version: 5, Open: openSegment, Closed: &segment}})},
 		{"ledger-unaccounted", commit(record.Change{Kind: record.PutUnaccounted, Unaccounted: &interval})},
 		{"ledger-folded", commit(record.Change{Kind: record.CompactAccount,
 			Compaction: &record.Compaction{
-				Sources: []ledger.StoredSegment{{Segment: page, Version: 5}, {Segment: next, Version: 6}},
-				Result:  &into,
+				Sources: []ledger.StoredSegment{{Segment: segment, Version: 5}, {Segment: nextSegment, Version: 6}},
+				Result:  &compacted,
 			}})},
 		{"ledger-read", func(c *store.Client) error {
 			_, err := c.Accounts(ctx)
-			_, aerr := c.Account(ctx, strings.Repeat("long ", 60))
-			_, _, perr := c.Segments(ctx, "vision/a b", 7, 50)
-			_, _, serr := c.Intervals(ctx, 41, 50)
-			return errors.Join(err, aerr, perr, serr)
+			_, accountErr := c.Account(ctx, strings.Repeat("long ", 60))
+			_, _, segmentsErr := c.Segments(ctx, "vision/a b", 7, 50)
+			_, _, intervalsErr := c.Intervals(ctx, 41, 50)
+			return errors.Join(err, accountErr, segmentsErr, intervalsErr)
 		}},
 		{"leader-claimed", func(c *store.Client) error {
 			_, _, err := c.ClaimLeadership(ctx, "tiller-1", election.Claim{
@@ -146,15 +152,15 @@
 		}},
 		{"leader-read", func(c *store.Client) error {
 			_, _, err := c.ReadLeaderRecord(ctx)
-			_, _, _, werr := c.WatchLeader(ctx, 5)
-			_, lerr := c.TokenUnchanged(ctx, 12)
-			return errors.Join(err, werr, lerr)
+			_, _, _, watchErr := c.WatchLeader(ctx, 5)
+			_, tokenErr := c.TokenUnchanged(ctx, 12)
+			return errors.Join(err, watchErr, tokenErr)
 		}},
 		{"member-announced", func(c *store.Client) error {
 			err := c.PublishMember(ctx, 9, featuregate.Member{
 				Name: "tiller-1", Release: "1.2.3", Supported: 1, Incarnation: 7})
-			_, rerr := c.ListMembers(ctx)
-			return errors.Join(err, rerr)
+			_, listErr := c.ListMembers(ctx)
+			return errors.Join(err, listErr)
 		}},
 		{"lease", func(c *store.Client) error {
 			id, err := c.GrantLease(4 * time.Second)
@@ -162,27 +168,28 @@
 		}},
 		{"relay", func(c *store.Client) error {
 			err := c.PutHeartbeats(ctx, batch)
-			_, aerr := c.PutHeartbeatResponses(ctx, 12, batch)
-			_, rerr := c.RelayRevision(ctx, "")
-			_, nerr := c.RelayRevision(ctx, "tiller-1")
-			_, _, werr := c.WatchRelay(ctx, "", 5, time.Second)
-			_, _, merr := c.WatchRelay(ctx, "tiller-1", 5, time.Second)
-			return errors.Join(err, aerr, rerr, nerr, werr, merr, c.DeleteRelayRecords(ctx, "tiller-1", 12))
+			_, responsesErr := c.PutHeartbeatResponses(ctx, 12, batch)
+			_, leaderRevisionErr := c.RelayRevision(ctx, "")
+			_, memberRevisionErr := c.RelayRevision(ctx, "tiller-1")
+			_, _, leaderWatchErr := c.WatchRelay(ctx, "", 5, time.Second)
+			_, _, memberWatchErr := c.WatchRelay(ctx, "tiller-1", 5, time.Second)
+			return errors.Join(err, responsesErr, leaderRevisionErr, memberRevisionErr, leaderWatchErr, memberWatchErr,
+				c.DeleteRelayRecords(ctx, "tiller-1", 12))
 		}},
 		{"takeover-read", func(c *store.Client) error {
 			_, err := c.ReadSnapshot(ctx, true)
 			return err
 		}},
 		{"job-accepted", func(c *store.Client) error {
-			_, _, err := jobs(c).Accept(ctx, spec(2), false, at)
+			_, _, err := newJobCache(c).Accept(ctx, newSpec(2), false, at)
 			return err
 		}},
 		{"job-accepted-parts", func(c *store.Client) error {
-			_, _, err := jobs(c).Accept(ctx, spec(400), false, at)
+			_, _, err := newJobCache(c).Accept(ctx, newSpec(400), false, at)
 			return err
 		}},
 		{"job-accepted-doomed", func(c *store.Client) error {
-			_, _, err := jobs(c).Accept(ctx, spec(2), true, at)
+			_, _, err := newJobCache(c).Accept(ctx, newSpec(2), true, at)
 			return err
 		}},
 	} {
@@ -197,10 +204,10 @@
 	t.Run("job-cancelled", func(t *testing.T) {
 		r, client := newRecorder(t)
 		entry := msgp.AppendString(msgp.AppendString(msgp.AppendMapHeader(nil, 3), "k"), "job/a/wk-000412")
-		record := wire.AppendActiveJob(nil, spec(0), at, nil, wire.DependencyParts{})
+		record := wire.AppendActiveJob(nil, newSpec(0), at, nil, wire.DependencyParts{})
 		entry = append(msgp.AppendString(entry, "value"), record...)
 		r.answers["GET /keys/job/a/wk-000412"] = msgp.AppendUint64(msgp.AppendString(entry, "stamp"), 3)
-		if _, err := jobs(client).Cancel(ctx, "wk-000412", at); err != nil {
+		if _, err := newJobCache(client).Cancel(ctx, "wk-000412", at); err != nil {
 			t.Error(err)
 		}
 		golden.Check(t, "job-cancelled.txt", []byte(r.requests.String()))
--- a/internal/store/helpers_test.go
+++ b/internal/store/helpers_test.go
@@ -19,23 +19,23 @@
 	ordinaryLimits = store.Limits{MaxValueBytes: 16 << 10, MaxChanges: 12}
 )
 
-// newTestStore returns a state service with the lowest limits, and a client of it.
+// newTestStore returns a fake state service with the lowest limits, and a client of it.
 func newTestStore() (*fake.State, *store.Client) {
 	now := time.Unix(1000, 0)
-	s := fake.NewState(func() time.Time { return now })
-	s.MaxValueBytes, s.MaxOps = lowestLimits.MaxValueBytes, lowestLimits.MaxChanges
-	c := store.NewOver(s, s, time.Second)
-	c.SetRateLimits(1e9, 1e9)
-	return s, c
+	state := fake.NewState(func() time.Time { return now })
+	state.MaxValueBytes, state.MaxOps = lowestLimits.MaxValueBytes, lowestLimits.MaxChanges
+	client := store.NewOver(state, state, time.Second)
+	client.SetRateLimits(1e9, 1e9)
+	return state, client
 }
 
-// newEmptyCache returns a cache that has not been loaded.
+// newEmptyCache returns a cache that is not loaded.
 func newEmptyCache(c *store.Client, incarnation uint64, maxEnded int, limits store.Limits) *store.JobCache {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	return store.NewJobCache(c, incarnation, maxEnded, limits, func([]store.JobChange) {}, log)
 }
 
-// newTestCache returns a loaded cache of one incarnation of a member.
+// newTestCache returns a loaded cache for an incarnation of a member.
 func newTestCache(t *testing.T, c *store.Client, incarnation uint64, maxEnded int) *store.JobCache {
 	t.Helper()
 	j := newEmptyCache(c, incarnation, maxEnded, ordinaryLimits)
@@ -45,7 +45,7 @@
 	return j
 }
 
-// newTestSpec returns a job of one task.
+// newTestSpec returns a job with one task.
 func newTestSpec(id string) *model.Spec {
 	return &model.Spec{
 		ID: id, Class: "c", Team: "t", Shape: model.Array, Priority: model.PriorityNormal, Tasks: 1,
@@ -53,7 +53,7 @@
 	}
 }
 
-// acceptAndCancel accepts jobs with the numbers from first on, and cancels them.
+// acceptAndCancel accepts and cancels count jobs, whose IDs are numbered from first on.
 func acceptAndCancel(t *testing.T, j *store.JobCache, first, count int) {
 	t.Helper()
 	now := time.Unix(1000, 0)
@@ -62,8 +62,8 @@
 		if _, _, err := j.Accept(context.Background(), newTestSpec(id), false, now); err != nil {
 			t.Fatalf("Accept %s: got error %v, want none", id, err)
 		}
-		if v, err := j.Cancel(context.Background(), id, now); err != nil || v.State != wire.StateCancelled {
-			t.Fatalf("Cancel %s: got state %v, error %v; want cancelled and none", id, v.State, err)
+		if record, err := j.Cancel(context.Background(), id, now); err != nil || record.State != wire.StateCancelled {
+			t.Fatalf("Cancel %s: got state %v, error %v; want cancelled and none", id, record.State, err)
 		}
 	}
 }
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -12,42 +12,43 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// JobCache is this controller's copy of the job records. Run keeps it up to date; Sync and Lookup
-// bring it up to the present for an answer that must not be older than what any other controller has
-// answered a user. Its methods are safe for concurrent use.
+// JobCache is this controller's copy of the job records: all unfinished jobs, and the ended jobs that it learned of
+// last. Run follows the changes. Sync and Lookup additionally read the latest changes before they return, for
+// answers to users that must not be older than the answer of any other controller. The methods are safe for
+// concurrent use.
 type JobCache struct {
 	client      *Client
 	log         *slog.Logger
 	limits      Limits
-	incarnation uint64 // of this process
+	incarnation uint64 // identifies this run of the process
 	notify      func([]JobChange)
 
-	mu              sync.Mutex // guards all below
+	mu              sync.Mutex // guards the fields below
 	loaded          bool
-	revision        uint64               // the cache holds all changes up to this revision
-	asOf            time.Time            // the cache holds all that was on record then; zero: nothing was read yet
+	revision        uint64               // revision up to which all changes are applied
+	asOf            time.Time            // time as of which the cache is complete; zero before the first load
 	active          map[string]JobRecord // unfinished jobs
 	ended           endedJobs
 	graph           *model.DependencyGraph
-	dependencyParts map[string][]string // parts of dependency lists, by key
+	dependencyParts map[string][]string // job IDs in the parts of dependency lists, by key
 	sync            syncState
 }
 
-// JobChange says that a job was accepted or has ended.
+// JobChange says that a job was accepted or has ended. Its state is StateUnknown if the cache has missed the change
+// with which the job ended.
 type JobChange struct {
 	ID string
 	JobRecord
 }
 
-// How long the cache waits.
 const (
-	watchTimeout    = 10 * time.Second       // in a watch, for a change
-	followRetryWait = 300 * time.Millisecond // after a failed read
+	watchTimeout    = 10 * time.Second       // maximum duration of one watch
+	watchRetryDelay = 300 * time.Millisecond // pause of Run after a failed read
 )
 
-// NewJobCache returns an empty cache. incarnation is a number that no other incarnation of the
-// process has; maxEnded is how many ended jobs are kept. notify is called with the changes, in order,
-// while the cache is locked, so it must not call the cache.
+// NewJobCache returns a cache that is not loaded. incarnation must differ in each run of the process. maxEnded is
+// the number of ended jobs to keep. notify is called with the changes in their order. The cache is locked during
+// the call, so notify must not call methods of the cache.
 func NewJobCache(
 	client *Client, incarnation uint64, maxEnded int, limits Limits, notify func([]JobChange), log *slog.Logger,
 ) *JobCache {
@@ -59,18 +60,19 @@
 		incarnation:     incarnation,
 		notify:          notify,
 		active:          map[string]JobRecord{},
-		ended:           endedJobs{records: map[string]JobRecord{}, max: maxEnded},
+		ended:           endedJobs{records: map[string]JobRecord{}, maxJobs: maxEnded},
 		graph:           model.NewDependencyGraph(),
 		dependencyParts: map[string][]string{},
 	}
 }
 
-// Run follows the changes of the job records until the context ends.
+// Run loads the cache and applies the changes of the job records as they happen, until the context ends. It retries
+// failed reads and always returns nil.
 func (j *JobCache) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := j.followChanges(ctx); err != nil && ctx.Err() == nil {
-			j.log.Debug("job records not read", "err", err)
-			Sleep(ctx, followRetryWait)
+			j.log.Debug("reading job records failed", "err", err)
+			Sleep(ctx, watchRetryDelay)
 		}
 	}
 	return nil
@@ -83,7 +85,7 @@
 	return j.readChanges(ctx, watchTimeout)
 }
 
-// Refresh loads the cache if it has not been loaded yet, and brings it up to the present.
+// Refresh loads the cache unless it is loaded, and then applies all changes up to now.
 func (j *JobCache) Refresh(ctx context.Context) error {
 	if !j.Loaded() {
 		if err := j.load(ctx); err != nil {
@@ -93,24 +95,24 @@
 	return j.CatchUp(ctx)
 }
 
-// CatchUp reads and applies the changes since the cache's revision.
+// CatchUp reads and applies the changes since the cache's revision, without waiting for new ones.
 func (j *JobCache) CatchUp(ctx context.Context) error { return j.readChanges(ctx, 0) }
 
-// readChanges reads and applies the changes since the cache's revision, and waits for one up to the
-// given time.
+// readChanges reads and applies the changes since the cache's revision. If there are none, it waits up to the given
+// time for one.
 func (j *JobCache) readChanges(ctx context.Context, wait time.Duration) error {
 	j.mu.Lock()
 	revision := j.revision
 	j.mu.Unlock()
-	sent := j.client.now()
+	requestedAt := j.client.now()
 	page, err := j.client.Changes(ctx, jobPrefix, revision, wait)
 	if err == nil {
-		j.applyChanges(page, sent)
+		j.applyChanges(page, requestedAt)
 	}
 	return j.invalidateIfCompacted(err)
 }
 
-// invalidateIfCompacted has the cache loaded anew if the changes that it lacks are no longer kept.
+// invalidateIfCompacted marks the cache as not loaded if the changes that it lacks are compacted, and returns err.
 func (j *JobCache) invalidateIfCompacted(err error) error {
 	if errors.Is(err, ErrCompacted) {
 		j.mu.Lock()
@@ -120,14 +122,15 @@
 	return err
 }
 
-// Loaded reports whether the cache has been loaded.
+// Loaded reports whether the cache is loaded. A cache has to be loaded again after the changes that it lacks were
+// compacted.
 func (j *JobCache) Loaded() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.loaded
 }
 
-// Revision returns up to which revision the cache holds all changes; 0: it has not been loaded.
+// Revision returns the revision up to which all changes are applied, or 0 if the cache is not loaded.
 func (j *JobCache) Revision() uint64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -137,44 +140,45 @@
 	return j.revision
 }
 
-// AsOf returns a time as of which the cache holds all that was on record; zero: it has not been
-// loaded.
+// AsOf returns the time of the latest read that the cache includes: it holds every change that was committed before
+// then. The time is zero if the cache has never been loaded.
 func (j *JobCache) AsOf() time.Time {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.asOf
 }
 
-// Peek returns what the cache holds of a job, without a request.
+// Peek returns the cached record of a job, without a request to the state service. The state is StateUnknown if the
+// cache does not hold the job.
 func (j *JobCache) Peek(id string) JobRecord {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.cached(id)
+	return j.cachedRecord(id)
 }
 
-// cached is Peek with the lock held.
-func (j *JobCache) cached(id string) JobRecord {
+// cachedRecord is Peek for callers that hold the lock.
+func (j *JobCache) cachedRecord(id string) JobRecord {
 	if record, ok := j.ended.records[id]; ok {
 		return record
 	}
 	return j.active[id]
 }
 
-// UpdateFor returns what has become of a changed job. It is derived from what the cache holds now: a
-// job that has ended since must not be added again. A job that the cache no longer holds has ended.
+// UpdateFor returns the update that a change of a job amounts to. It is derived from the job's current record,
+// because a job that was added and has ended since must not be added again. A job that the cache no longer holds
+// has ended.
 func (j *JobCache) UpdateFor(change JobChange) record.JobUpdate {
 	job := j.Peek(change.ID)
 	switch {
 	case job.Spec != nil:
-		added := job.unfinished()
+		added := job.unfinishedJob()
 		return record.JobUpdate{Added: &added}
 	case job.State == wire.StateUnknown:
 		job = change.JobRecord
 	}
-	return record.JobUpdate{Ended: job.end(change.ID)}
+	return record.JobUpdate{Ended: job.jobEnd(change.ID)}
 }
 
-// logUnreadable logs that a job record cannot be decoded.
-func (j *JobCache) logUnreadable(key string, err error) {
-	j.log.Error("unreadable job record", "key", key, "err", err)
+func (j *JobCache) logDecodeError(key string, err error) {
+	j.log.Error("decoding job record failed", "key", key, "err", err)
 }
--- a/internal/store/job_changes.go
+++ b/internal/store/job_changes.go
@@ -9,44 +9,44 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// endedJobs remembers the jobs whose end was learned of last. JobCache.mu guards it.
+// endedJobs holds the jobs whose end the cache learned of last. JobCache.mu guards it.
 type endedJobs struct {
-	max            int // how many jobs are kept
-	records        map[string]JobRecord
-	order          []string // ids in the order in which the ends were learned of
-	offset         uint64   // number of the first of them, counted from 0 in each incarnation
-	evictedVersion uint64   // the highest version of those that were evicted
-	learnedSince   uint64   // all ends after this revision were learned of in this incarnation
+	maxJobs           int // maximum number of jobs in records
+	records           map[string]JobRecord
+	order             []string // job IDs in the order in which the cache learned of the ends
+	startOffset       uint64   // position of order[0] among all ends that this incarnation has learned of
+	maxEvictedVersion uint64   // highest version among the evicted ends
+	completeAfter     uint64   // revision after which this incarnation has learned of all ends
 }
 
-// add remembers the end of a job, and evicts the oldest one if there are too many.
+// add stores the end of a job, and evicts the ends that were learned of first if there are too many.
 func (e *endedJobs) add(id string, record JobRecord) {
 	if _, ok := e.records[id]; !ok {
 		e.order = append(e.order, id)
 	}
 	e.records[id] = record
-	for len(e.order) > e.max {
+	for len(e.order) > e.maxJobs {
 		oldest := e.order[0]
-		e.evictedVersion = max(e.evictedVersion, e.records[oldest].Version)
+		e.maxEvictedVersion = max(e.maxEvictedVersion, e.records[oldest].Version)
 		delete(e.records, oldest)
-		e.order, e.offset = e.order[1:], e.offset+1
+		e.order, e.startOffset = e.order[1:], e.startOffset+1
 	}
 }
 
-// applyChanges applies changes that were requested at a given time. Changes that are known already do
-// no harm: versions only grow, and a job that has ended stays ended.
-func (j *JobCache) applyChanges(page wire.Page, sent time.Time) {
+// applyChanges applies the changes that were read by a request sent at requestedAt. Changes that are applied
+// already have no effect: versions only grow, and a job that has ended stays ended.
+func (j *JobCache) applyChanges(page wire.Page, requestedAt time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if page.Revision > j.revision {
 		j.applyEntries(page)
 	}
-	if sent.After(j.asOf) {
-		j.asOf = sent
+	if requestedAt.After(j.asOf) {
+		j.asOf = requestedAt
 	}
 }
 
-// applyEntries applies the changes that are newer than the cache.
+// applyEntries applies the changes that are newer than the cache's revision, in the order of their versions.
 func (j *JobCache) applyEntries(page wire.Page) {
 	slices.SortStableFunc(page.Entries, func(a, b wire.Entry) int { return cmp.Compare(a.Version, b.Version) })
 	var changes []JobChange
@@ -62,7 +62,7 @@
 	j.notify(changes)
 }
 
-// applyEntry applies one change. ok reports whether a job was accepted or has ended by it.
+// applyEntry applies the change of one key. ok reports whether it means that a job was accepted or has ended.
 func (j *JobCache) applyEntry(e wire.Entry) (change JobChange, ok bool) {
 	switch {
 	case strings.HasPrefix(e.Key, activePrefix):
@@ -73,28 +73,28 @@
 		}
 		record, err := decodeActive(e, j.dependencyParts)
 		if err != nil {
-			j.logUnreadable(e.Key, err)
+			j.logDecodeError(e.Key, err)
 			return JobChange{}, false
 		}
 		j.active[id] = record
 		j.addToGraph(id, record)
 		return JobChange{id, record}, true
-	case strings.HasPrefix(e.Key, dependencyPrefix):
+	case strings.HasPrefix(e.Key, dependencyPartPrefix):
 		j.applyDependencyPart(e)
 	case strings.HasPrefix(e.Key, endedPrefix) && !e.Removed:
 		id := e.Key[len(endedPrefix):]
 		record, err := decodeEnded(e)
 		if err != nil {
-			j.logUnreadable(e.Key, err)
+			j.logDecodeError(e.Key, err)
 			return JobChange{}, false
 		}
-		j.recordEnd(id, record)
+		j.applyEnd(id, record)
 		return JobChange{id, record}, true
 	}
 	return JobChange{}, false
 }
 
-// applyDependencyPart applies a change of a part of a dependency list.
+// applyDependencyPart applies the change of a record that holds a part of a dependency list.
 func (j *JobCache) applyDependencyPart(e wire.Entry) {
 	if e.Removed {
 		delete(j.dependencyParts, e.Key)
@@ -102,13 +102,14 @@
 	}
 	ids, err := wire.DecodeDependencies(e.Value)
 	if err != nil {
-		j.logUnreadable(e.Key, err)
+		j.logDecodeError(e.Key, err)
 		return
 	}
 	j.dependencyParts[e.Key] = ids
 }
 
-// addToGraph adds an unfinished job to the dependency graph.
+// addToGraph adds an unfinished job to the dependency graph, and the ends of its dependencies as far as the cache
+// holds them.
 func (j *JobCache) addToGraph(id string, record JobRecord) {
 	if _, ended := j.ended.records[id]; ended {
 		return
@@ -121,20 +122,20 @@
 	}
 }
 
-// recordEnd takes over the final state of a job. Another job's end may be evicted for it: the jobs
-// that depend on that one have learned of its end by then.
-func (j *JobCache) recordEnd(id string, record JobRecord) {
+// applyEnd applies the end of a job to the cache and the dependency graph. It may evict the end of another job,
+// which was propagated to that job's dependents when it was applied.
+func (j *JobCache) applyEnd(id string, record JobRecord) {
 	delete(j.active, id)
 	j.graph.End(id, record.State.Outcome(), record.Timestamp)
 	j.ended.add(id, record)
 }
 
-// recordEndAndNotify is recordEnd for an end that did not come with the changes. It notifies at once:
-// while the state service is unreachable, a leader may learn of a cancellation only from its own
-// answer to the user.
-func (j *JobCache) recordEndAndNotify(id string, record JobRecord) {
+// applyEndAndNotify applies an end that was not read with the changes, and calls notify at once. Otherwise a leader
+// would not act on a cancellation that it has itself acknowledged to a user, while the state service is unreachable
+// and no changes can be read.
+func (j *JobCache) applyEndAndNotify(id string, record JobRecord) {
 	_, wasActive := j.active[id]
-	j.recordEnd(id, record)
+	j.applyEnd(id, record)
 	if wasActive {
 		j.notify([]JobChange{{id, record}})
 	}
--- a/internal/store/job_load.go
+++ b/internal/store/job_load.go
@@ -10,64 +10,70 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// recentRevisions is how many revisions before its first load a controller learns the ends of: some
-// seconds' worth.
+// recentRevisions is the number of revisions before the first load from which the cache reads the ends of jobs.
+// They cover some seconds of changes.
 const recentRevisions = 2000
 
-// loadedRecords is what load has read.
+// loadedRecords holds the records that load has read.
 type loadedRecords struct {
-	sent       time.Time    // when the first read was sent
-	revision   uint64       // of the active records
-	active     []wire.Entry // records of unfinished jobs
-	parts      []wire.Entry // parts of dependency lists
-	recent     []wire.Entry // changes since recentFrom
-	recentFrom uint64
+	requestedAt     time.Time    // when the first request was sent
+	revision        uint64       // revision of the active records
+	active          []wire.Entry // records of unfinished jobs
+	dependencyParts []wire.Entry // parts of dependency lists
+	recentChanges   []wire.Entry // changes after the revision recentAfter
+	recentAfter     uint64
 }
 
-// load reads the records of all unfinished jobs. Those of ended ones are read on demand.
+// load reads the records of all unfinished jobs. The records of ended jobs are read when they are needed.
 func (j *JobCache) load(ctx context.Context) error {
-	sent := j.client.now()
+	requestedAt := j.client.now()
 	active, revision, err := j.client.List(ctx, activePrefix)
 	if err != nil {
 		return err
 	}
-	// The parts are written before a job's record and deleted after it. So a job whose parts are
-	// missing here has ended since, which the changes will show.
-	parts, _, err := j.client.List(ctx, dependencyPrefix)
+	// The parts of a job's dependency list are written before the job's record and deleted after it. If a part is
+	// missing here, its job has ended since the list of active records was read, and the changes will show that.
+	dependencyParts, _, err := j.client.List(ctx, dependencyPartPrefix)
 	if err != nil {
 		return err
 	}
-	loaded := loadedRecords{sent: sent, revision: revision, active: active, parts: parts, recentFrom: revision}
+	loaded := loadedRecords{
+		requestedAt:     requestedAt,
+		revision:        revision,
+		active:          active,
+		dependencyParts: dependencyParts,
+		recentAfter:     revision,
+	}
 	if j.AsOf().IsZero() {
-		// An earlier incarnation may have acknowledged ends of jobs to users. The latest ones are
-		// learned again, so that reports of cancellations are complete for a leader that has read
-		// a little less far.
-		from := revision - min(revision, recentRevisions)
-		if page, err := j.client.Changes(ctx, jobPrefix, from, 0); err == nil {
-			loaded.recent, loaded.recentFrom = page.Entries, from
+		// An earlier incarnation may have acknowledged ends of jobs to users. Reading the latest ones again makes the
+		// reports of cancellations complete also for a leader that has read the records up to a slightly lower revision.
+		after := revision - min(revision, recentRevisions)
+		if page, err := j.client.Changes(ctx, jobPrefix, after, 0); err == nil {
+			loaded.recentChanges, loaded.recentAfter = page.Entries, after
 		}
 	}
 	j.applyLoaded(loaded)
 	return nil
 }
 
-// applyLoaded replaces the cache's content.
+// applyLoaded replaces the unfinished jobs in the cache by those that were read, and passes the differences to
+// notify.
 func (j *JobCache) applyLoaded(loaded loadedRecords) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	learnedSince := loaded.recentFrom
-	if !j.applyRecentEnds(loaded.recent) {
-		learnedSince = loaded.revision
+	completeAfter := loaded.recentAfter
+	if !j.applyRecentEnds(loaded.recentChanges) {
+		completeAfter = loaded.revision
 	}
 	j.dependencyParts = map[string][]string{}
-	for _, e := range loaded.parts {
+	for _, e := range loaded.dependencyParts {
 		j.applyDependencyPart(e)
 	}
-	active, changes := j.applyActive(loaded.active)
+	active, changes := j.decodeActiveJobs(loaded.active)
 	if j.asOf.IsZero() {
-		j.ended.learnedSince = learnedSince
+		j.ended.completeAfter = completeAfter
 	}
-	j.active, j.revision, j.loaded, j.asOf = active, loaded.revision, true, loaded.sent
+	j.active, j.revision, j.loaded, j.asOf = active, loaded.revision, true, loaded.requestedAt
 	j.graph = model.NewDependencyGraph()
 	for id, record := range active {
 		j.addToGraph(id, record)
@@ -75,9 +81,9 @@
 	j.notify(changes)
 }
 
-// applyRecentEnds learns the ends among the recent changes. It reports whether all were readable.
+// applyRecentEnds applies the ends of jobs among recent changes, and reports whether all of them could be decoded.
 func (j *JobCache) applyRecentEnds(recent []wire.Entry) bool {
-	allReadable := true
+	allDecoded := true
 	for _, e := range recent {
 		id, ok := strings.CutPrefix(e.Key, endedPrefix)
 		if !ok || e.Removed {
@@ -85,17 +91,18 @@
 		}
 		record, err := decodeEnded(e)
 		if err != nil {
-			j.logUnreadable(e.Key, err)
-			allReadable = false
+			j.logDecodeError(e.Key, err)
+			allDecoded = false
 			continue
 		}
-		j.recordEnd(id, record)
+		j.applyEnd(id, record)
 	}
-	return allReadable
+	return allDecoded
 }
 
-// applyActive returns the unfinished jobs, and what has changed against those in the cache.
-func (j *JobCache) applyActive(entries []wire.Entry) (active map[string]JobRecord, changes []JobChange) {
+// decodeActiveJobs returns the unfinished jobs by ID, and the changes since those in the cache. The outcome of a
+// job that is no longer unfinished is not known.
+func (j *JobCache) decodeActiveJobs(entries []wire.Entry) (active map[string]JobRecord, changes []JobChange) {
 	active = make(map[string]JobRecord, len(entries))
 	for _, e := range entries {
 		id := e.Key[len(activePrefix):]
@@ -103,7 +110,7 @@
 		if !known {
 			var err error
 			if record, err = decodeActive(e, j.dependencyParts); err != nil {
-				j.logUnreadable(e.Key, err)
+				j.logDecodeError(e.Key, err)
 				continue
 			}
 			changes = append(changes, JobChange{id, record})
@@ -118,18 +125,19 @@
 	return active, changes
 }
 
-// AddToSnapshot adds all unfinished jobs, as of now, to what a new leader reads.
+// AddToSnapshot adds the unfinished jobs in the cache to the snapshot that a new leader reads, and the deletions of
+// the dependency lists whose job is not unfinished.
 func (j *JobCache) AddToSnapshot(snap *record.Snapshot) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	snap.Revision = j.revision
 	for id, job := range j.active {
 		if _, ended := j.ended.records[id]; !ended {
-			snap.Jobs = append(snap.Jobs, job.unfinished())
+			snap.Jobs = append(snap.Jobs, job.unfinishedJob())
 		}
 	}
 	for key := range j.dependencyParts {
-		id, _, _ := strings.Cut(key[len(dependencyPrefix):], "/")
+		id, _, _ := strings.Cut(key[len(dependencyPartPrefix):], "/")
 		if _, ok := j.active[id]; !ok {
 			orphan := record.Change{Kind: record.DeleteDependencies, Job: id, Key: key}
 			snap.OrphanedDependencies = append(snap.OrphanedDependencies, orphan)
--- a/internal/store/job_lookup.go
+++ b/internal/store/job_lookup.go
@@ -9,25 +9,26 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// maxLookups is how often Lookup tries to find a job whose record moves meanwhile.
-const maxLookups = 3
+// maxLookupAttempts bounds the attempts of Lookup to find a job whose record is moved to the ended jobs meanwhile.
+const maxLookupAttempts = 3
 
-// Lookup returns the present state of a job. An end that is remembered is returned at once; for
-// anything else the cache is brought up to the present. A job that depends on a cancelled one is
-// cancelled, whether its own end is on record yet or not: all controllers derive that from the one
-// record of the cancellation (docs/safety.md, "Pipelines").
+// Lookup returns the current record of a job; its state is StateUnknown if the job was never accepted. An end that
+// is in the cache is returned at once. Otherwise the latest changes are read first. A job that depends on a
+// cancelled job is cancelled, even if its own end is not on record yet: all controllers derive that from the record
+// of the other job's cancellation (docs/safety.md, "Pipelines").
 func (j *JobCache) Lookup(ctx context.Context, id string) (JobRecord, error) {
 	if record := j.Peek(id); record.State.Ended() {
 		return record, nil
 	}
-	for range maxLookups {
+	for range maxLookupAttempts {
 		if err := j.Sync(ctx); err != nil {
 			return JobRecord{}, err
 		}
 		if record, ok, err := j.deriveState(ctx, id); ok || err != nil {
 			return record, err
 		}
-		// The cache does not hold it: it has ended, was never submitted, or was accepted since.
+		// A job that the cache does not hold has ended, was never accepted, or was accepted after Sync. In the last case
+		// fetch finds its active record, and the next attempt reads the change.
 		record, err := j.fetch(ctx, id)
 		if err != nil || record.Spec == nil {
 			return record, err
@@ -36,9 +37,8 @@
 	return JobRecord{}, fmt.Errorf("look up job %s: %w", id, ErrTooManyConflicts)
 }
 
-// deriveState returns the state of a job that the cache holds. It looks up the ends of those of its
-// dependencies, direct or not, of which the cache knows only the name. It reports whether the job is
-// known.
+// deriveState returns the state of a job that the cache holds. For this it looks up the ends of the direct and
+// indirect dependencies of which the cache knows only the ID. It reports whether the cache holds the job.
 func (j *JobCache) deriveState(ctx context.Context, id string) (JobRecord, bool, error) {
 	for allEnded := true; ; {
 		record, unresolved := j.cachedState(id)
@@ -46,7 +46,7 @@
 			return record, record.State != wire.StateUnknown, nil
 		}
 		for _, dependency := range unresolved {
-			ended, err := j.resolveEnd(ctx, dependency)
+			ended, err := j.resolveDependencyEnd(ctx, dependency)
 			if err != nil {
 				return JobRecord{}, false, err
 			}
@@ -55,12 +55,12 @@
 	}
 }
 
-// cachedState returns the state of a job as far as the cache holds it, and the dependencies whose
-// state could change it.
+// cachedState returns the state of a job that follows from the cache, and the IDs of the dependencies upstream
+// whose outcome the cache does not know and which could change that state.
 func (j *JobCache) cachedState(id string) (record JobRecord, unresolved []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	record = j.cached(id)
+	record = j.cachedRecord(id)
 	if record.Spec == nil {
 		return record, nil
 	}
@@ -70,9 +70,9 @@
 	return record, j.graph.ReferencedUpstream(id)
 }
 
-// resolveEnd takes the end of a dependency that is not among the unfinished jobs into the graph, and
-// reports whether it has ended.
-func (j *JobCache) resolveEnd(ctx context.Context, id string) (bool, error) {
+// resolveDependencyEnd looks up a dependency that is not among the unfinished jobs in the cache, and adds its end
+// to the dependency graph. It reports whether the dependency has ended.
+func (j *JobCache) resolveDependencyEnd(ctx context.Context, id string) (bool, error) {
 	j.mu.Lock()
 	record, ended := j.ended.records[id]
 	if ended {
@@ -86,8 +86,8 @@
 	return record.State.Ended(), err
 }
 
-// fetch reads a job's record from the state service. It reads the active record first, since a job
-// only ever moves from there to the ended ones.
+// fetch reads a job's record from the state service. The state is StateUnknown if there is none. The active record
+// is read first, so that a job whose record is moved to the ended jobs between the two reads is found.
 func (j *JobCache) fetch(ctx context.Context, id string) (JobRecord, error) {
 	entry, found, err := j.client.Get(ctx, activePrefix+id)
 	if err != nil {
@@ -106,24 +106,24 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.recordEndAndNotify(id, record)
+	j.applyEndAndNotify(id, record)
 	return record, nil
 }
 
-// decodeFetched decodes the record of an unfinished job.
+// decodeFetched decodes an active record that fetch has read.
 func (j *JobCache) decodeFetched(entry wire.Entry) (JobRecord, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	record, err := decodeActive(entry, j.dependencyParts)
 	if err != nil {
-		j.logUnreadable(entry.Key, err)
+		j.logDecodeError(entry.Key, err)
 		return JobRecord{}, &RecordError{Key: entry.Key, Err: err}
 	}
 	return record, nil
 }
 
-// ReadEnds returns the ends of the given jobs as far as they can be read; it stops at the first
-// request that fails.
+// ReadEnds returns the ends of the given jobs. It leaves out jobs whose end is not on record, and stops at the
+// first request that fails.
 func (j *JobCache) ReadEnds(ctx context.Context, ids []string) []record.JobEnd {
 	var ends []record.JobEnd
 	for _, id := range ids {
@@ -131,14 +131,14 @@
 		if !record.State.Ended() {
 			var err error
 			if record, err = j.fetch(ctx, id); err != nil {
-				j.log.Debug("end of a dependency not read", "id", id, "err", err)
+				j.log.Debug("reading the end of a dependency failed", "id", id, "err", err)
 				break
 			}
 		}
 		if record.State.Ended() {
-			ends = append(ends, record.end(id))
+			ends = append(ends, record.jobEnd(id))
 		} else {
-			j.log.Warn("the end of a dependency is not on record", "id", id)
+			j.log.Warn("end of a dependency is not on record", "id", id)
 		}
 	}
 	return ends
--- a/internal/store/job_records.go
+++ b/internal/store/job_records.go
@@ -11,45 +11,45 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// The keys of the job records. A job moves from the active to the ended records in one transaction,
-// and never back.
+// Key prefixes of the job records. When a job ends, one transaction deletes its active record and writes its ended
+// record. It never becomes active again.
 const (
-	jobPrefix        = "job/"
-	activePrefix     = "job/a/"
-	endedPrefix      = "job/e/"
-	dependencyPrefix = "job/w/" // parts of dependency lists, written before the job's record
+	jobPrefix            = "job/"
+	activePrefix         = "job/a/"
+	endedPrefix          = "job/e/"
+	dependencyPartPrefix = "job/w/" // parts of dependency lists; written before the job's active record
 )
 
-// Limits are limits of the state service: the smaller of what it accepts now and of what it will
-// accept, since that changes without notice.
+// Limits are the limits of the state service that records have to keep. Where the limits are announced to change,
+// each is the smaller of its present and its future value, because the change takes effect without notice.
 type Limits struct {
-	MaxValueBytes int // of a value
-	MaxChanges    int // of a transaction; it accepts conditionsPerChange times as many conditions
+	MaxValueBytes int // maximum size of a value
+	MaxChanges    int // maximum number of changes in a transaction
 }
 
-// Sizes that bound the records of a job.
+// Sizes that bound the records of a job and the transactions that write them.
 const (
-	partOverheadBytes   = 100      // of a part of a dependency list, besides the ids
-	idOverheadBytes     = 4        // of an id, besides its characters
-	conditionsPerChange = 4        // conditions that a transaction may have for each change
-	maxTxnValueBytes    = 48 << 10 // of a transaction's values: the published limit of 64 KiB, less the rest
+	dependencyPartOverheadBytes = 100      // upper bound on the size of a dependency list part besides its job IDs
+	dependencyIDOverheadBytes   = 4        // upper bound on the size of a job ID besides its characters
+	conditionsPerChange         = 4        // conditions that a transaction may have for each of MaxChanges
+	maxTxnValueBytes            = 48 << 10 // values of a transaction; the published limit of 64 KiB includes the rest
 )
 
-// latestTime is a submission time whose encoding is as long as any.
-var latestTime = time.UnixMilli(0).Add(1 << 62)
+// longestEncodedTime is a time whose encoding is at least as long as that of any submission time.
+var longestEncodedTime = time.UnixMilli(0).Add(1 << 62)
 
-// JobRecord is what is known of a job.
+// JobRecord is the stored state of a job as the cache holds it.
 type JobRecord struct {
 	State          wire.JobState // StateQueued for every unfinished job
-	Spec           *model.Spec   // of an unfinished job only
-	Timestamp      time.Time     // when an unfinished job was submitted, or when an ended one ended
-	Version        uint64
-	Tasks          int
-	DependencyKeys []string // keys of the parts of its dependency list
+	Spec           *model.Spec   // nil unless the job is unfinished
+	Timestamp      time.Time     // when the job was submitted if it is unfinished, otherwise when it ended
+	Version        uint64        // version of the record
+	Tasks          int           // number of tasks
+	DependencyKeys []string      // keys of the parts of the job's dependency list
 }
 
-// unfinished returns the record of an unfinished job as the reconciler takes it.
-func (r JobRecord) unfinished() record.Job {
+// unfinishedJob converts the record of an unfinished job for the reconciler.
+func (r JobRecord) unfinishedJob() record.Job {
 	return record.Job{
 		Spec:           r.Spec,
 		SubmittedAt:    r.Timestamp,
@@ -58,8 +58,8 @@
 	}
 }
 
-// end returns the end of a job that has ended.
-func (r JobRecord) end(id string) record.JobEnd {
+// jobEnd converts the record of an ended job for the reconciler.
+func (r JobRecord) jobEnd(id string) record.JobEnd {
 	ended := record.JobEnd{ID: id, Outcome: r.State.Outcome()}
 	if ended.Outcome != model.OutcomeUnknown {
 		ended.EndedAt = r.Timestamp
@@ -72,8 +72,8 @@
 	return JobRecord{State: state, Tasks: tasks, Version: e.Version, Timestamp: endedAt}, err
 }
 
-// decodeActive decodes the record of an unfinished job. It fails if a part of its dependency list is
-// not known: the job must not start before the list is complete. parts are the known parts by key.
+// decodeActive decodes the record of an unfinished job; parts holds the parts of dependency lists by key. It fails
+// if a part of the job's list is missing, because the job must not start before the list is complete.
 func decodeActive(e wire.Entry, parts map[string][]string) (JobRecord, error) {
 	spec, submittedAt, list, err := wire.DecodeActiveJob(e.Value)
 	if err != nil {
@@ -84,7 +84,7 @@
 		key := dependencyPartKey(spec.ID, list.Sum, n)
 		ids, ok := parts[key]
 		if !ok {
-			return JobRecord{}, fmt.Errorf("%s is missing", key)
+			return JobRecord{}, fmt.Errorf("missing dependency list part %s", key)
 		}
 		spec.Dependencies = append(spec.Dependencies, ids...)
 		record.DependencyKeys = append(record.DependencyKeys, key)
@@ -93,13 +93,14 @@
 	return record, nil
 }
 
-// dependencyPartKey returns the key of a part of a dependency list.
+// dependencyPartKey returns the key of part n of a job's dependency list; sum is the hash of the list.
 func dependencyPartKey(id, sum string, n int) string {
-	return dependencyPrefix + id + "/" + sum + "/" + strconv.Itoa(n)
+	return dependencyPartPrefix + id + "/" + sum + "/" + strconv.Itoa(n)
 }
 
-// encodeNewJob returns the records of a new job: the parts of its dependency list, which are written
-// first if the list does not fit into the job's record, and the record with which it is accepted.
+// encodeNewJob returns the records of a new job: the active record, with which the job is accepted, and the parts
+// of its dependency list if the list does not fit into that record. The parts have to be written first. It returns
+// ErrTooLarge if the records exceed the limits.
 func encodeNewJob(
 	spec *model.Spec, submittedAt time.Time, limits Limits,
 ) (parts []wire.Change, record wire.Change, err error) {
@@ -112,7 +113,7 @@
 	}
 	list := wire.DependencyParts{Sum: dependencySum(spec.Dependencies)}
 	for rest := spec.Dependencies; len(rest) > 0; {
-		n := idsThatFit(rest, limits.MaxValueBytes)
+		n := countFittingIDs(rest, limits.MaxValueBytes)
 		if n == 0 {
 			return nil, record, ErrTooLarge
 		}
@@ -124,14 +125,15 @@
 		rest = rest[n:]
 	}
 	record.Value = wire.AppendActiveJob(nil, spec, submittedAt, nil, list)
-	conditions := len(parts) + 2 // that the parts are unchanged, and that the job is new
+	conditions := len(parts) + 2 // each part is unchanged, and the job has neither an active nor an ended record
 	if wire.StoredSize(record.Value) > limits.MaxValueBytes || conditions > conditionsPerChange*limits.MaxChanges {
 		return nil, record, ErrTooLarge
 	}
 	return parts, record, nil
 }
 
-// dependencySum returns a hash of a dependency list, which keeps the parts of different lists apart.
+// dependencySum returns a hash of a dependency list. It is in the keys of the list's parts, so that two submissions
+// of a job with different lists do not overwrite each other's parts.
 func dependencySum(ids []string) string {
 	hash := fnv.New64a()
 	for _, id := range ids {
@@ -140,11 +142,11 @@
 	return strconv.FormatUint(hash.Sum64(), 16)
 }
 
-// idsThatFit returns how many of the first ids fit into one value.
-func idsThatFit(ids []string, maxValueBytes int) int {
-	size := partOverheadBytes
+// countFittingIDs returns how many of the IDs, from the first on, fit into one value.
+func countFittingIDs(ids []string, maxValueBytes int) int {
+	size := dependencyPartOverheadBytes
 	for n, id := range ids {
-		size += len(id) + idOverheadBytes
+		size += len(id) + dependencyIDOverheadBytes
 		if size > maxValueBytes {
 			return n
 		}
--- a/internal/store/job_submission.go
+++ b/internal/store/job_submission.go
@@ -10,14 +10,14 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// maxCancelAttempts is how often Cancel tries to end a job whose record changes meanwhile.
+// maxCancelAttempts bounds the attempts of Cancel to end a job whose record changes meanwhile.
 const maxCancelAttempts = 4
 
-// ResolveDependencies looks up the jobs that a submission depends on, and removes those that are done
-// from spec.Dependencies, for good. dependencyCancelled reports that one of them is cancelled. A job
-// that the cache holds was accepted, and an end that it may have had since reaches the new job like
-// any other; only of other jobs the present state is read. With ErrUnknownDependency and
-// ErrServiceDependency no repetition can succeed; with any other error it may.
+// ResolveDependencies looks up the jobs that a new job depends on, and reduces spec.Dependencies to the unfinished
+// ones. dependencyCancelled reports whether one of the others is cancelled. A job in the cache is not read again:
+// it was accepted, and if it has ended since, its end will reach the new job like that of any dependency. Other
+// jobs are looked up in the state service. ErrUnknownDependency and ErrServiceDependency are permanent; after any
+// other error a retry may succeed.
 func (j *JobCache) ResolveDependencies(ctx context.Context, spec *model.Spec) (dependencyCancelled bool, err error) {
 	var unfinished []string
 	for _, id := range spec.Dependencies {
@@ -46,24 +46,24 @@
 	return dependencyCancelled, nil
 }
 
-// CheckSize returns ErrTooLarge if the records of a new job exceed the limits.
+// CheckSize returns ErrTooLarge if the records of a new job exceed the limits of the state service.
 func (j *JobCache) CheckSize(spec *model.Spec) error {
-	_, _, err := encodeNewJob(spec, latestTime, j.limits)
+	_, _, err := encodeNewJob(spec, longestEncodedTime, j.limits)
 	return err
 }
 
-// Accept writes the record of a new job, unless the job is known already. A job that depends on a
-// cancelled one is accepted and cancelled at once. created reports whether this call has accepted the
-// job; if it has not, and there is no error, record is the known job's. With ErrNotExecuted and
-// ErrTooLarge this call has not accepted the job; with any other error it may have.
+// Accept writes the record of a new job, unless the job exists already. With dependencyCancelled the job is
+// accepted and cancelled at once. created reports whether this call has accepted the job. If created is false and
+// there is no error, record is that of the existing job. After ErrNotExecuted or ErrTooLarge it is certain that
+// this call has not accepted the job; after any other error it may have.
 func (j *JobCache) Accept(
 	ctx context.Context, spec *model.Spec, dependencyCancelled bool, now time.Time,
 ) (created bool, record JobRecord, err error) {
 	txn := &wire.Txn{}
-	require(txn, activePrefix+spec.ID, 0)
-	require(txn, endedPrefix+spec.ID, 0)
+	requireVersion(txn, activePrefix+spec.ID, 0)
+	requireVersion(txn, endedPrefix+spec.ID, 0)
 	if dependencyCancelled {
-		put(txn, endedPrefix+spec.ID, wire.AppendEndedJob(nil, wire.StateCancelled, spec.Tasks, now))
+		addPut(txn, endedPrefix+spec.ID, wire.AppendEndedJob(nil, wire.StateCancelled, spec.Tasks, now))
 	} else {
 		parts, active, err := encodeNewJob(spec, now, j.limits)
 		if err != nil {
@@ -87,26 +87,28 @@
 	return false, record, err
 }
 
-// putDependencyParts writes the parts of a dependency list, and makes the job's transaction depend on
-// them: the leader may delete them before the job owns them, and then the job is not accepted.
+// putDependencyParts writes the parts of a dependency list, and adds to the job's transaction the conditions that
+// they are unchanged. Until that transaction the leader may delete them, since they belong to no unfinished job.
 func (j *JobCache) putDependencyParts(ctx context.Context, parts []wire.Change, txn *wire.Txn) error {
 	perTxn := min(j.limits.MaxChanges, max(1, maxTxnValueBytes/j.limits.MaxValueBytes))
 	for len(parts) > 0 {
-		n := min(len(parts), perTxn)
-		revision, ok, err := j.client.Commit(ctx, &wire.Txn{Changes: parts[:n]}, false)
+		count := min(len(parts), perTxn)
+		revision, ok, err := j.client.Commit(ctx, &wire.Txn{Changes: parts[:count]}, false)
 		if err != nil || !ok {
-			return &CommitError{NeverExecuted: true, Err: err} // the job's own transaction
+			// It is the job's own transaction that was certainly not executed. That of the parts may have been.
+			return &CommitError{NeverExecuted: true, Err: err}
 		}
-		for _, part := range parts[:n] {
-			require(txn, part.Key, revision)
+		for _, part := range parts[:count] {
+			requireVersion(txn, part.Key, revision)
 		}
-		parts = parts[n:]
+		parts = parts[count:]
 	}
 	return nil
 }
 
-// resolveAccept returns the present state of a job whose acceptance has failed: it is known already,
-// or the outcome is unknown. commitErr is nil in the first case.
+// resolveAccept looks up a job after the transaction that was to accept it has failed. commitErr is nil if a
+// condition failed, so that the job exists already. Otherwise the outcome of the transaction is unknown, and the
+// job may exist.
 func (j *JobCache) resolveAccept(ctx context.Context, id string, commitErr error) (JobRecord, error) {
 	record, err := j.Lookup(ctx, id)
 	if err != nil {
@@ -118,8 +120,8 @@
 	return record, nil
 }
 
-// Cancel ends a job as cancelled, unless it is done. It returns the state in which the job has ended,
-// or StateUnknown if it was never submitted.
+// Cancel ends a job as cancelled unless it has ended already. It returns the record of the ended job. The state is
+// StateUnknown if the job was never accepted.
 func (j *JobCache) Cancel(ctx context.Context, id string, now time.Time) (JobRecord, error) {
 	for range maxCancelAttempts {
 		if record := j.Peek(id); record.State.Ended() {
@@ -130,10 +132,10 @@
 			return record, err
 		}
 		txn := &wire.Txn{}
-		require(txn, activePrefix+id, record.Version)
-		require(txn, endedPrefix+id, 0)
-		remove(txn, activePrefix+id)
-		put(txn, endedPrefix+id, wire.AppendEndedJob(nil, wire.StateCancelled, record.Tasks, now))
+		requireVersion(txn, activePrefix+id, record.Version)
+		requireVersion(txn, endedPrefix+id, 0)
+		addDelete(txn, activePrefix+id)
+		addPut(txn, endedPrefix+id, wire.AppendEndedJob(nil, wire.StateCancelled, record.Tasks, now))
 		revision, ok, err := j.client.Commit(ctx, txn, false)
 		if errors.Is(err, ErrNotExecuted) {
 			return JobRecord{}, err
@@ -142,7 +144,7 @@
 			cancelled := JobRecord{State: wire.StateCancelled, Tasks: record.Tasks, Version: revision, Timestamp: now}
 			j.mu.Lock()
 			defer j.mu.Unlock()
-			j.recordEndAndNotify(id, cancelled)
+			j.applyEndAndNotify(id, cancelled)
 			return cancelled, nil
 		}
 	}
--- a/internal/store/job_sync.go
+++ b/internal/store/job_sync.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// syncState coalesces calls of Sync. JobCache.mu guards it.
+// syncState merges concurrent calls of Sync into few reads. JobCache.mu guards it.
 type syncState struct {
-	pending *syncBatch // served by the next read; nil: no caller waits for it
-	running bool       // syncLoop runs
+	pending *syncBatch // served by the next read; nil if no caller waits for that read
+	running bool       // whether syncLoop runs
 }
 
-// syncBatch is a read that several callers wait for.
+// syncBatch is one read and the callers that wait for it.
 type syncBatch struct {
-	done chan struct{} // closed when err is set
+	done chan struct{} // closed after err was set
 	err  error
 }
 
-// minSyncInterval is the least time between two reads, in which callers gather.
+// minSyncInterval is the minimum pause between two reads, during which calls are collected for the next read.
 const minSyncInterval = 25 * time.Millisecond
 
-// Sync brings the cache up to the present: when it returns, the cache holds every change that was
-// made before the call. One read serves all who wait.
+// Sync updates the cache: when it returns nil, the cache holds every change that was committed before the call. One
+// read serves all waiting callers. It returns ErrNotLoaded if the cache is not loaded.
 func (j *JobCache) Sync(ctx context.Context) error {
 	batch, err := j.joinSync()
 	if err != nil {
@@ -35,8 +35,8 @@
 	}
 }
 
-// joinSync returns the batch that serves a call made now. That is never the one being read: its read
-// may have begun before the call.
+// joinSync returns the batch that serves a call made now, and starts syncLoop if it does not run. The batch is
+// never the one that is being read, because that read may have begun before the call.
 func (j *JobCache) joinSync() (*syncBatch, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -53,23 +53,24 @@
 	return j.sync.pending, nil
 }
 
-// syncLoop reads for one batch after the other, and ends when no caller waits any more.
+// syncLoop reads for one batch after the other, until no caller waits.
 func (j *JobCache) syncLoop() {
 	for {
-		batch := j.nextSync()
+		batch := j.takePendingSync()
 		if batch == nil {
 			return
 		}
 		batch.err = j.CatchUp(context.Background())
 		close(batch.done)
-		// Polls must not use up the rate limits: submissions, and the watch that reports the jobs they
-		// depend on, would wait behind them.
+		// Users' polls must not use up the rate limits. Otherwise submissions, and the watch that reports the jobs on
+		// which they depend, would have to wait.
 		j.client.sleep(max(minSyncInterval, j.client.MinReadInterval()))
 	}
 }
 
-// nextSync takes the pending batch; nil: there is none, and syncLoop ends.
-func (j *JobCache) nextSync() *syncBatch {
+// takePendingSync removes and returns the pending batch. If there is none, it returns nil and marks syncLoop as
+// ended.
+func (j *JobCache) takePendingSync() *syncBatch {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	batch := j.sync.pending
--- a/internal/store/keyvalue.go
+++ b/internal/store/keyvalue.go
@@ -14,12 +14,12 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// listPageSize is how many keys List reads at a time.
+// listPageSize is the maximum number of keys that List reads with one request.
 const listPageSize = 1000
 
-// Get reads one key. found reports whether it exists.
+// Get reads a key. found reports whether it exists.
 func (c *Client) Get(ctx context.Context, key string) (entry wire.Entry, found bool, err error) {
-	if err := c.waitForBudget(ctx, 0); err != nil {
+	if err := c.waitForRateLimit(ctx, 0); err != nil {
 		return wire.Entry{}, false, fmt.Errorf("get %s: %w", key, err)
 	}
 	out, err := c.call(fasthttp.MethodGet, "/keys/"+key, nil)
@@ -36,8 +36,8 @@
 	return entry, true, nil
 }
 
-// List reads all keys with a prefix, and the revision that the first page described: the changes
-// after it bring the list up to date.
+// List reads all keys with a prefix, in pages. The returned revision is that of the first page, so applying the
+// changes after it yields a consistent and current list.
 func (c *Client) List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error) {
 	var all []wire.Entry
 	var revision uint64
@@ -58,9 +58,9 @@
 	}
 }
 
-// readPage reads up to limit keys with a prefix that follow a key.
+// readPage reads up to limit keys with a prefix, in their order, starting behind the key after.
 func (c *Client) readPage(ctx context.Context, prefix, after string, limit int) (wire.Page, error) {
-	if err := c.waitForBudget(ctx, 0); err != nil {
+	if err := c.waitForRateLimit(ctx, 0); err != nil {
 		return wire.Page{}, fmt.Errorf("list %s: %w", prefix, err)
 	}
 	uri := "/keys?prefix=" + url.QueryEscape(prefix) + "&page=" + strconv.Itoa(limit)
@@ -78,40 +78,41 @@
 	return page, nil
 }
 
-// Changes returns the changes of keys with a prefix after a revision, and waits for one up to the
-// given time. It returns ErrCompacted if they are no longer kept.
+// Changes returns the changes of keys with a prefix after a revision. If there are none, it waits up to the given
+// time for one. It returns ErrCompacted if the state service no longer keeps the changes since that revision.
 func (c *Client) Changes(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.Page, error) {
-	if err := c.waitForBudget(ctx, 0); err != nil {
-		return wire.Page{}, fmt.Errorf("changes of %s: %w", prefix, err)
+	if err := c.waitForRateLimit(ctx, 0); err != nil {
+		return wire.Page{}, fmt.Errorf("read changes of %s: %w", prefix, err)
 	}
 	uri := "/changes?prefix=" + url.QueryEscape(prefix) + "&after=" + strconv.FormatUint(after, 10) +
 		"&waitMs=" + strconv.FormatInt(wait.Milliseconds(), 10)
-	transport := c.requests
+	transport := c.requestTransport
 	if wait > 0 {
-		transport = c.watches
+		transport = c.watchTransport
 	}
-	// Not by call: whether watches are answered says nothing of the other requests.
+	// The transport is called directly, since the success of a watch says nothing about the other requests and must
+	// not count for LastContact and UnreachableFor.
 	out, err := transport.Call(fasthttp.MethodGet, uri, nil, wait+c.timeout)
 	if rpc.StatusCode(err) == fasthttp.StatusGone {
 		return wire.Page{}, ErrCompacted
 	}
 	if err != nil {
-		return wire.Page{}, fmt.Errorf("changes of %s: %w", prefix, err)
+		return wire.Page{}, fmt.Errorf("read changes of %s: %w", prefix, err)
 	}
 	page, err := wire.DecodePage(out)
 	if err != nil {
-		return page, fmt.Errorf("changes of %s: %w", prefix, err)
+		return page, fmt.Errorf("read changes of %s: %w", prefix, err)
 	}
 	return page, nil
 }
 
-// Commit carries out a transaction and returns the revision of its changes. ok is false if one of
-// its conditions failed. An error is a *CommitError: unless it is ErrNotExecuted, the transaction
-// may have been carried out, or still be. An urgent one does not wait for the rate limits.
+// Commit executes a transaction and returns the revision of its changes. ok is false if one of its conditions
+// failed. An error is a *CommitError: unless it is ErrNotExecuted, the transaction may have been executed or may
+// still be. An urgent transaction counts against the rate limits but does not wait for them.
 func (c *Client) Commit(ctx context.Context, txn *wire.Txn, urgent bool) (revision uint64, ok bool, err error) {
 	if urgent {
 		c.requestLimiter.Allow()
-	} else if err := c.waitForBudget(ctx, len(txn.Changes)); err != nil {
+	} else if err := c.waitForRateLimit(ctx, len(txn.Changes)); err != nil {
 		return 0, false, &CommitError{NeverExecuted: true, Err: err}
 	}
 	out, err := c.call(fasthttp.MethodPost, "/commit", txn.Append(nil))
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -9,15 +9,15 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// The keys of the election.
+// Keys of the leader election.
 const (
 	leaderPrefix = "leader/"
-	leaderKey    = "leader/holder" // attached to the leader's lease
-	tokenKey     = "leader/token"  // permanent; every transaction of a leader depends on its version
-	levelKey     = "leader/level"  // permanent; programs without feature levels can't read it, so they never claim
+	leaderKey    = "leader/holder" // attached to the leader's lease, so that it is deleted when the lease expires
+	tokenKey     = "leader/token"  // permanent; each transaction of a leader requires the version of this record
+	levelKey     = "leader/level"  // permanent; programs without feature levels fail to decode it, so they never claim
 )
 
-// ReadLeaderRecord reads all keys of the election at once, and the revision that they are as of.
+// ReadLeaderRecord reads all keys of the election with one request, and returns the revision of that read.
 func (c *Client) ReadLeaderRecord(ctx context.Context) (election.Record, uint64, error) {
 	entries, revision, err := c.List(ctx, leaderPrefix)
 	if err != nil {
@@ -55,8 +55,9 @@
 	return record, nil
 }
 
-// WatchLeader waits for a change of the election's keys after a revision. vacant reports that no
-// controller leads any more; leader is the name of a new leader, if there is one.
+// WatchLeader waits for changes of the election's keys after a revision, and returns the revision from which to
+// continue. vacant is true if the last of the changes ended a leadership. leader is the name of a new leader, or
+// empty if the leader has not changed or the leadership is vacant.
 func (c *Client) WatchLeader(
 	ctx context.Context, after uint64,
 ) (revision uint64, vacant bool, leader string, err error) {
@@ -80,9 +81,10 @@
 	return page.Revision, vacant, leader, nil
 }
 
-// ClaimLeadership writes the leader's key and the next fencing token in one transaction, on condition
-// that the key does not exist and that the feature level in force is the one that was read. A new
-// level is written with it. version is that of the token's record.
+// ClaimLeadership writes the leader's key and the next fencing token in one transaction, on condition that no
+// leader's key exists and that the token and the feature level in force are those that the claim is based on. A new
+// feature level is written in the same transaction. version is that of the token's new record; ok is false if a
+// condition failed.
 func (c *Client) ClaimLeadership(
 	ctx context.Context, member string, claim election.Claim,
 ) (version uint64, ok bool, err error) {
@@ -105,10 +107,11 @@
 	return c.Commit(ctx, txn, true)
 }
 
-// RewriteToken writes the record of a leader's fencing token again, on condition of the version that
-// it has. Transactions that were sent under that version and are carried out later fail. It returns
-// the version to go on with; ok is false if the leader has been replaced. If the outcome is unknown
-// it is read from the record, since no other controller writes that token.
+// RewriteToken writes the record of a leader's fencing token again, on condition that it still has the given
+// version. Transactions that require the former version and are executed later fail. It returns the new version,
+// which the leader's next transactions have to require; ok is false if another leader has taken over. If the
+// outcome of the write is unknown, it is derived from the record, since no other controller writes a record with
+// this token.
 func (c *Client) RewriteToken(
 	ctx context.Context, member string, token, tokenVersion uint64,
 ) (version uint64, ok bool, err error) {
@@ -124,21 +127,22 @@
 		return 0, false, readErr
 	}
 	if !found {
-		return 0, false, nil // the record is lost: the next claim begins anew
+		return 0, false, nil // the state service has lost the record; the next claim starts again with the first token
 	}
-	lastToken, _, decodeErr := wire.DecodeLeaderRecord(entry.Value)
+	storedToken, _, decodeErr := wire.DecodeLeaderRecord(entry.Value)
 	switch {
 	case decodeErr != nil:
 		return 0, false, &RecordError{Key: tokenKey, Err: decodeErr}
-	case lastToken != token:
+	case storedToken != token:
 		return 0, false, nil // another leader has taken over
 	case entry.Version == tokenVersion:
-		return 0, false, errors.Join(err, ErrOutcomeUnknown) // not carried out yet
+		return 0, false, errors.Join(err, ErrOutcomeUnknown) // not executed, or not yet
 	}
 	return entry.Version, true, nil
 }
 
-// TokenUnchanged reports whether the record of the last fencing token still has a version.
+// TokenUnchanged reports whether the record of the last fencing token still has the given version. It does not if
+// another leader has taken over or the token was rewritten.
 func (c *Client) TokenUnchanged(ctx context.Context, tokenVersion uint64) (bool, error) {
 	entry, found, err := c.Get(ctx, tokenKey)
 	return found && entry.Version == tokenVersion, err
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -11,27 +11,27 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Requests about leases count against the rate limits, but never wait for them: the leadership
-// depends on them.
+// Requests for leases count against the rate limits but never wait for them, because a leader must renew its lease
+// in time.
 
-// GrantLease acquires a lease that expires unless it is renewed within duration, and returns
-// its id. After an error the lease may exist; it then expires.
+// GrantLease acquires a lease that expires unless it is renewed within duration, and returns its ID. After an error
+// the lease may exist; as nothing renews it, it expires.
 func (c *Client) GrantLease(duration time.Duration) (uint64, error) {
 	c.requestLimiter.Allow()
 	body := wire.AppendLeaseRequest(nil, uint64(duration.Milliseconds()))
 	out, err := c.call(fasthttp.MethodPost, "/grants", body)
 	if err != nil {
-		return 0, fmt.Errorf("grant a lease: %w", err)
+		return 0, fmt.Errorf("grant lease: %w", err)
 	}
 	id, err := wire.DecodeLeaseID(out)
 	if err != nil {
-		return id, fmt.Errorf("grant a lease: %w", err)
+		return id, fmt.Errorf("grant lease: %w", err)
 	}
 	return id, nil
 }
 
-// RenewLease renews a lease. It returns ErrLeaseExpired if the service says that it is over;
-// after any other error the lease may have been renewed.
+// RenewLease renews a lease for its duration. It returns ErrLeaseExpired if the state service does not know the
+// lease. After any other error the lease may have been renewed.
 func (c *Client) RenewLease(id uint64) error {
 	c.requestLimiter.Allow()
 	_, err := c.call(fasthttp.MethodPost, "/grants/"+strconv.FormatUint(id, 10)+"/touch", nil)
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// RevokeLease ends a lease. One that is over already is no error.
+// RevokeLease ends a lease. It returns nil if the lease has expired already.
 func (c *Client) RevokeLease(id uint64) error {
 	c.requestLimiter.Allow()
 	_, err := c.call(fasthttp.MethodDelete, "/grants/"+strconv.FormatUint(id, 10), nil)
--- a/internal/store/ledger.go
+++ b/internal/store/ledger.go
@@ -11,18 +11,19 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// The keys of the ledger. Versions without a ledger ignore them.
+// Key prefixes of the ledger's records. Program versions without a ledger ignore these records.
 const (
-	accountPrefix  = "use/o/" // a team's account, with its open segment
-	segmentPrefix  = "use/p/" // closed segments, by team and the number of the first hour in them
-	intervalPrefix = "use/g/" // unaccounted intervals, by the fencing token of the leader that ended them
+	accountPrefix  = "use/o/" // accounts with their open segments, by team
+	segmentPrefix  = "use/p/" // closed segments, by team and number of the first hourly segment
+	intervalPrefix = "use/g/" // unaccounted intervals, by fencing token of the leader that took over
 )
 
-// maxTeamKeyBytes bounds a team's part of a key, so that keys stay within 200 bytes.
+// maxTeamKeyBytes bounds the part of a key that names the team, so that no key exceeds 200 bytes.
 const maxTeamKeyBytes = 120
 
-// teamKey returns a team's part of a key: without spaces and slashes, and of bounded length.
-func teamKey(team string) string {
+// teamKeyPart returns the part of a key that names a team. It contains neither spaces nor slashes. A long name is
+// cut and completed by a hash, which keeps the names of different teams apart.
+func teamKeyPart(team string) string {
 	escaped := url.PathEscape(team)
 	if len(escaped) <= maxTeamKeyBytes {
 		return escaped
@@ -32,42 +33,43 @@
 	return fmt.Sprintf("%s-%x", escaped[:maxTeamKeyBytes/2], hash.Sum(nil))
 }
 
-// sortableNumber formats a number so that keys sort like their numbers.
+// sortableNumber formats a number with leading zeros, so that keys sort in the order of their numbers.
 func sortableNumber(n uint64) string { return fmt.Sprintf("%016d", n) }
 
 func segmentKey(team string, first uint64) string {
-	return segmentPrefix + teamKey(team) + "/" + sortableNumber(first)
+	return segmentPrefix + teamKeyPart(team) + "/" + sortableNumber(first)
 }
 
-// addLedgerChange adds a change of the ledger to a transaction. A settlement and a compaction depend
-// on the version that they replace, so that no duplicate is carried out: docs/safety.md, "Ledger".
+// addLedgerChange adds a change of the ledger to a transaction. A settlement and a compaction require the versions
+// of the records that they replace, so that a duplicate of the transaction is not executed: docs/safety.md,
+// "Ledger".
 func addLedgerChange(txn *wire.Txn, ch *record.Change, key string) {
 	switch ch.Kind {
 	case record.SettleAccount:
-		require(txn, key, ch.Settlement.Version)
-		put(txn, key, wire.AppendOpenSegment(nil, &ch.Settlement.Open))
+		requireVersion(txn, key, ch.Settlement.Version)
+		addPut(txn, key, wire.AppendOpenSegment(nil, &ch.Settlement.Open))
 		if closed := ch.Settlement.Closed; closed != nil {
 			closedKey := segmentKey(closed.Team, closed.First)
-			require(txn, closedKey, 0)
-			put(txn, closedKey, wire.AppendSegment(nil, closed))
+			requireVersion(txn, closedKey, 0)
+			addPut(txn, closedKey, wire.AppendSegment(nil, closed))
 		}
 	case record.PutUnaccounted:
-		put(txn, key, wire.AppendUnaccountedInterval(nil, *ch.Unaccounted))
+		addPut(txn, key, wire.AppendUnaccountedInterval(nil, *ch.Unaccounted))
 	case record.CompactAccount:
 		for i := range ch.Compaction.Sources {
 			source := &ch.Compaction.Sources[i]
 			sourceKey := segmentKey(source.Team, source.First)
-			require(txn, sourceKey, source.Version)
-			if i > 0 { // the first one's record becomes the result's
-				remove(txn, sourceKey)
+			requireVersion(txn, sourceKey, source.Version)
+			if i > 0 { // the result overwrites the first record
+				addDelete(txn, sourceKey)
 			}
 		}
-		put(txn, key, wire.AppendSegment(nil, ch.Compaction.Result))
+		addPut(txn, key, wire.AppendSegment(nil, ch.Compaction.Result))
 	}
 }
 
-// Accounts reads the accounts of all teams. An unreadable record is returned with its error: it must
-// not keep every controller from leading.
+// Accounts reads the accounts of all teams. The decoding error of a record is returned in that account's Err field,
+// since a single unreadable record must not prevent every controller from leading.
 func (c *Client) Accounts(ctx context.Context) ([]ledger.StoredAccount, error) {
 	entries, _, err := c.List(ctx, accountPrefix)
 	if err != nil {
@@ -77,15 +79,15 @@
 	for _, e := range entries {
 		open, err := wire.DecodeOpenSegment(e.Value)
 		if err != nil {
-			open = ledger.OpenSegment{Team: teamOfAccountKey(e.Key)}
+			open = ledger.OpenSegment{Team: teamFromAccountKey(e.Key)}
 		}
 		accounts = append(accounts, ledger.StoredAccount{Open: open, Version: e.Version, Err: err})
 	}
 	return accounts, nil
 }
 
-// teamOfAccountKey returns the team that an account's key names; if it names none, the key.
-func teamOfAccountKey(key string) string {
+// teamFromAccountKey returns the team that an account's key names, or the key itself if that cannot be determined.
+func teamFromAccountKey(key string) string {
 	team, err := url.PathUnescape(key[len(accountPrefix):])
 	if err != nil || team == "" {
 		return key
@@ -93,9 +95,9 @@
 	return team
 }
 
-// Account reads a team's account; its version is 0 if there is none.
+// Account reads a team's account. The version is 0 if the team has no account.
 func (c *Client) Account(ctx context.Context, team string) (ledger.StoredAccount, error) {
-	key := accountPrefix + teamKey(team)
+	key := accountPrefix + teamKeyPart(team)
 	entry, found, err := c.Get(ctx, key)
 	if err != nil || !found {
 		return ledger.StoredAccount{}, err
@@ -108,12 +110,12 @@
 	return account, nil
 }
 
-// Segments reads, in one request, up to limit closed segments of a team that follow the one with a
-// number, in order. more reports that others follow them.
+// Segments reads with one request up to limit closed segments of a team, in order, starting behind the segment
+// whose First is after. more reports whether there are further segments.
 func (c *Client) Segments(
 	ctx context.Context, team string, after uint64, limit int,
 ) (segments []ledger.StoredSegment, more bool, err error) {
-	page, err := c.readPage(ctx, segmentPrefix+teamKey(team)+"/", segmentKey(team, after), limit)
+	page, err := c.readPage(ctx, segmentPrefix+teamKeyPart(team)+"/", segmentKey(team, after), limit)
 	if err != nil {
 		return nil, false, err
 	}
@@ -127,8 +129,8 @@
 	return segments, page.More, nil
 }
 
-// Intervals reads, in one request, up to limit unaccounted intervals that follow the one with a
-// fencing token, in order. more reports that others follow them.
+// Intervals reads with one request up to limit unaccounted intervals, in order, starting behind the one whose
+// fencing token is after. more reports whether there are further intervals.
 func (c *Client) Intervals(
 	ctx context.Context, after uint64, limit int,
 ) (intervals []ledger.Interval, more bool, err error) {
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -15,8 +15,9 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Every record that a leader writes is accepted under the lowest limits, alone and together with as
-// many others as go into one transaction.
+// A record that exceeds the limits of the state service could never be written. So each record of a leader, with
+// the longest values that it can have, must fit the lowest limits, alone and together with as many others as go
+// into one transaction.
 func TestLeaderRecordsFitLowestLimits(t *testing.T) {
 	s, c := newTestStore()
 	long := strings.Repeat("x", 200)
@@ -62,7 +63,8 @@
 	}
 }
 
-// The limit on a whole transaction is kept too, where values may be large.
+// With a high limit for a single value, the parts of a long dependency list could exceed the limit for the values
+// of a transaction.
 func TestLongDependencyListFitsTransaction(t *testing.T) {
 	s, c := newTestStore()
 	s.MaxValueBytes, s.MaxOps = ordinaryLimits.MaxValueBytes, ordinaryLimits.MaxChanges
@@ -77,7 +79,7 @@
 	}
 }
 
-// largeSpec returns a job with long values of all fields, made of a text.
+// largeSpec returns a job with long values in all fields. Its names are repetitions of text.
 func largeSpec(text string, types, dependencies int) *model.Spec {
 	spec := &model.Spec{
 		ID:               "wk-" + strings.Repeat("1", 37),
@@ -102,7 +104,8 @@
 	return spec
 }
 
-// A submission is stored under the limits, or rejected before anything is written.
+// A submission must either be stored within the limits or be rejected as too large before anything is written, also
+// with characters that take several bytes or are escaped in JSON.
 func TestSubmissionIsStoredOrRejectedAsTooLarge(t *testing.T) {
 	stored, rejected := 0, 0
 	for _, text := range []string{"x", "ü", "\x01", "世"} {
@@ -122,7 +125,7 @@
 	}
 }
 
-// checkStoredOrTooLarge reports whether a submission was stored.
+// checkStoredOrTooLarge submits a job and reports whether it was stored.
 func checkStoredOrTooLarge(t *testing.T, name, text string, types, dependencies int) bool {
 	t.Helper()
 	s, c := newTestStore()
@@ -141,8 +144,8 @@
 		if err := jobs.Refresh(context.Background()); err != nil {
 			t.Fatalf("%s: Refresh: got error %v, want none", name, err)
 		}
-		if v := jobs.Peek(spec.ID); v.Spec == nil || len(v.Spec.Dependencies) != dependencies {
-			t.Errorf("%s: read back as %+v, want a spec with %d dependencies", name, v, dependencies)
+		if record := jobs.Peek(spec.ID); record.Spec == nil || len(record.Spec.Dependencies) != dependencies {
+			t.Errorf("%s: read back as %+v, want a spec with %d dependencies", name, record, dependencies)
 		}
 		return true
 	case errors.Is(sizeErr, store.ErrTooLarge):
@@ -155,7 +158,7 @@
 	return false
 }
 
-// Polls must not use up the rate limits: reads at this interval leave half of the requests to
+// Users' polls must not use up the rate limit. Reads at the minimum interval have to leave half of the requests to
 // submissions and to the watch.
 func TestMinReadIntervalLeavesHalfOfRequests(t *testing.T) {
 	_, c := newTestStore()
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -7,18 +7,19 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// membersPrefix is where members publish their program's version, each under a lease of its own.
+// membersPrefix is the key prefix of the records in which members publish their program's version. Each record is
+// attached to a lease of its member.
 const membersPrefix = "rollout/"
 
-// PublishMember writes the record of this member, attached to a lease.
+// PublishMember writes the record of this member. The state service deletes it when the lease expires.
 func (c *Client) PublishMember(ctx context.Context, leaseID uint64, member featuregate.Member) error {
 	change := wire.Change{Key: membersPrefix + member.Name, Value: wire.AppendMember(nil, member), Lease: leaseID}
 	_, _, err := c.Commit(ctx, &wire.Txn{Changes: []wire.Change{change}}, false)
 	return err
 }
 
-// ListMembers reads the members' records by name. A member that is gone, or whose program has no
-// feature levels, has none.
+// ListMembers returns the published records by the name of the member. A member that does not run, or whose program
+// does not support feature levels, has no record.
 func (c *Client) ListMembers(ctx context.Context) (map[string]featuregate.Member, error) {
 	entries, _, err := c.List(ctx, membersPrefix)
 	if err != nil {
--- a/internal/store/relay.go
+++ b/internal/store/relay.go
@@ -9,27 +9,28 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Members relay workers' heartbeats to a leader that they cannot reach in batches, and the leader
-// answers with batches of responses. Each member reuses a few keys for either in turn.
+// A member that cannot reach the leader writes its workers' heartbeats in batches to the state service, and the
+// leader writes batches of responses. Each member has relaySlots keys for either, which are reused in turn.
 const (
 	heartbeatsPrefix = "relay/q/"
 	responsesPrefix  = "relay/a/"
 	relaySlots       = 8
 )
 
-// RelayBatch is a batch of heartbeats, or of responses to one.
+// RelayBatch is a batch of heartbeats, or of the responses to such a batch.
 type RelayBatch struct {
-	Member string // relays the heartbeats
+	Member string // name of the member that relays the heartbeats
 	wire.RelayBatch
 }
 
-// relaySlotKey returns the key of a batch.
+// relaySlotKey returns the key that a member's batch with a sequence number is written to.
 func relaySlotKey(prefix, member string, seq uint64) string {
 	return prefix + member + "/" + strconv.FormatUint(seq%relaySlots, 10)
 }
 
-// watchedPrefix returns where heartbeats are put, or with a member's name the responses to it.
-func watchedPrefix(member string) string {
+// relayWatchPrefix returns the key prefix of all batches of heartbeats if member is empty, otherwise that of the
+// responses to the member.
+func relayWatchPrefix(member string) string {
 	if member == "" {
 		return heartbeatsPrefix
 	}
@@ -39,30 +40,30 @@
 // PutHeartbeats writes a batch of heartbeats for the leader.
 func (c *Client) PutHeartbeats(ctx context.Context, batch RelayBatch) error {
 	txn := &wire.Txn{}
-	put(txn, relaySlotKey(heartbeatsPrefix, batch.Member, batch.Seq), wire.AppendRelayBatch(nil, batch.RelayBatch))
+	addPut(txn, relaySlotKey(heartbeatsPrefix, batch.Member, batch.Seq), wire.AppendRelayBatch(nil, batch.RelayBatch))
 	_, _, err := c.Commit(ctx, txn, false)
 	return err
 }
 
-// PutHeartbeatResponses writes a leader's responses to a batch, on condition that its fencing token
-// is still the last one. ok is false if it is not.
+// PutHeartbeatResponses writes the leader's responses to a batch, on condition that the record of its fencing token
+// still has the given version. ok is false if it does not.
 func (c *Client) PutHeartbeatResponses(
 	ctx context.Context, tokenVersion uint64, batch RelayBatch,
 ) (ok bool, err error) {
 	txn := &wire.Txn{}
-	require(txn, tokenKey, tokenVersion)
-	put(txn, relaySlotKey(responsesPrefix, batch.Member, batch.Seq), wire.AppendRelayBatch(nil, batch.RelayBatch))
+	requireVersion(txn, tokenKey, tokenVersion)
+	addPut(txn, relaySlotKey(responsesPrefix, batch.Member, batch.Seq), wire.AppendRelayBatch(nil, batch.RelayBatch))
 	_, ok, err = c.Commit(ctx, txn, false)
 	return ok, err
 }
 
-// DeleteRelayRecords deletes all batches of a member and the responses to it, with at most maxChanges
-// keys in a transaction.
+// DeleteRelayRecords deletes all batches of a member and all responses to it. It deletes at most maxChanges keys in
+// one transaction, and stops at the first error.
 func (c *Client) DeleteRelayRecords(ctx context.Context, member string, maxChanges int) error {
 	txn := &wire.Txn{}
 	for _, prefix := range []string{heartbeatsPrefix, responsesPrefix} {
 		for slot := range uint64(relaySlots) {
-			remove(txn, relaySlotKey(prefix, member, slot))
+			addDelete(txn, relaySlotKey(prefix, member, slot))
 		}
 	}
 	for rest := txn.Changes; len(rest) > 0; {
@@ -75,19 +76,20 @@
 	return nil
 }
 
-// RelayRevision returns the revision after which to watch for batches of heartbeats, or with a
-// member's name for responses to it.
+// RelayRevision returns the revision after which WatchRelay has to start to see all batches that are written from
+// now on.
 func (c *Client) RelayRevision(ctx context.Context, member string) (uint64, error) {
-	page, err := c.readPage(ctx, watchedPrefix(member), "", 1)
+	page, err := c.readPage(ctx, relayWatchPrefix(member), "", 1)
 	return page.Revision, err
 }
 
-// WatchRelay waits for batches of heartbeats, or with a member's name for responses to it, that were
-// put after a revision. It returns the revision to go on with.
+// WatchRelay returns the batches of heartbeats from all members if member is empty, otherwise the responses to the
+// member, that were written after a revision. If there are none, it waits up to the given time for one. It returns
+// the revision from which to continue.
 func (c *Client) WatchRelay(
 	ctx context.Context, member string, after uint64, wait time.Duration,
 ) (batches []RelayBatch, revision uint64, err error) {
-	prefix := watchedPrefix(member)
+	prefix := relayWatchPrefix(member)
 	page, err := c.Changes(ctx, prefix, after, wait)
 	if err != nil {
 		return nil, 0, err
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -10,21 +10,22 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// The keys of a leader's records, besides those of jobs and of the ledger.
+// Keys and key prefixes of the leader's records, except those of jobs and of the ledger.
 const (
-	numberedTasksPrefix = "tasks/" // finished tasks of a job by the number of a chunk: the layout of the first version
-	taskSpanPrefix      = "part/"  // finished tasks of a job from a task on
+	numberedTasksPrefix = "tasks/" // finished tasks by job and chunk number, the layout of the first version
+	taskRangePrefix     = "part/"  // finished tasks by job and first task
 	layoutPrefix        = "layout/"
-	layoutKey           = "layout/numbered" // how many tasks a numbered chunk has
+	layoutKey           = "layout/numbered" // number of tasks in a numbered chunk
 	machinePrefix       = "machine/"
-	gpuDemandPrefix     = "need/" // GPU requests that were seen
+	gpuDemandPrefix     = "need/" // resources per task of the jobs with GPUs
 )
 
-// maxChunkNumber bounds the numbers of chunks: a larger one is not ours.
+// maxChunkNumber bounds the numbers of chunks. This program never writes a larger one.
 const maxChunkNumber = 1 << 20
 
-// ReadSnapshot reads what a new leader needs besides the job records, see JobCache.AddToSnapshot. The
-// teams' accounts are read if there is a ledger: they are as many as the teams, however old it is.
+// ReadSnapshot reads the records that a new leader needs, except those of jobs, which JobCache.AddToSnapshot adds.
+// The teams' accounts are included if accounts is true. They are one record a team, so reading them does not take
+// longer as the ledger grows.
 func (c *Client) ReadSnapshot(ctx context.Context, accounts bool) (*record.Snapshot, error) {
 	snap := &record.Snapshot{FinishedTasks: map[string]map[model.Chunk][]byte{}}
 	if accounts {
@@ -48,7 +49,7 @@
 }
 
 func (c *Client) readFinishedTasks(ctx context.Context, snap *record.Snapshot) error {
-	for _, prefix := range []string{numberedTasksPrefix, taskSpanPrefix} {
+	for _, prefix := range []string{numberedTasksPrefix, taskRangePrefix} {
 		entries, _, err := c.List(ctx, prefix)
 		if err != nil {
 			return err
@@ -66,7 +67,7 @@
 			if snap.FinishedTasks[id] == nil {
 				snap.FinishedTasks[id] = map[model.Chunk][]byte{}
 			}
-			chunk := model.Chunk{StartsAtTask: prefix == taskSpanPrefix, Number: n}
+			chunk := model.Chunk{StartsAtTask: prefix == taskRangePrefix, Number: n}
 			snap.FinishedTasks[id][chunk] = bits
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,7 @@
-// Package store is the client of the state service: a consensus-backed key-value store with
-// versions, leases, conditional transactions and watches. Client maps the controllers' records to
-// its requests; JobCache keeps an up-to-date copy of the job records. The caller sets the client's
-// share of the service's rate limits with SetRateLimits, and runs JobCache.Run in a goroutine.
+// Package store is the client of the state service, a consensus-backed key-value store with versions, leases,
+// conditional transactions and watches. Client maps the controllers' records to requests. JobCache keeps an
+// up-to-date copy of the job records. The caller sets the client's share of the service's rate limits with
+// SetRateLimits, and runs JobCache.Run in a goroutine.
 package store
 
 import (
@@ -15,35 +15,37 @@
 	"github.com/glentiller/glentiller/internal/rpc"
 )
 
-// Transport carries one request to the state service: the network, or a stand-in for it. It returns
-// the body of a 200; any other answer is an *rpc.StatusError.
+// Transport sends requests to the state service, over the network or to a fake of it. Call returns the body of a
+// response with status 200; a response with any other status is an *rpc.StatusError.
 type Transport interface {
 	Call(method, uri string, body []byte, timeout time.Duration) ([]byte, error)
 }
 
-// Client sends requests to the state service, within limits on requests and on changes. It may be
-// used from several goroutines once its clock is set. Reads fail with ErrRateLimited where the
-// limits do not admit them within the timeout, and else with the wrapped error of the Transport or
-// of the decoder. For writes see Commit.
+// Client sends requests to the state service, within rate limits for requests and for changes. After SetClock, if
+// that is called, a Client is safe for concurrent use. Reads return an error that wraps ErrRateLimited if the rate
+// limits do not admit the request within the timeout; other errors wrap that of the Transport or of the decoder.
+// For writes see Commit.
 type Client struct {
-	requests, watches Transport
-	timeout           time.Duration // of a request, and of the wait until the limits admit it
-	now               func() time.Time
-	sleep             func(time.Duration)
+	requestTransport, watchTransport Transport
+	timeout                          time.Duration // of a request, and of the wait for the rate limits before it
+	now                              func() time.Time
+	sleep                            func(time.Duration)
 
 	requestLimiter, changeLimiter *rate.Limiter
 
-	lastAnsweredAt atomic.Pointer[time.Time] // with its monotonic clock reading; nil: never
-	failingSince   atomic.Int64              // Unix time in ns; 0: the last request was answered
+	lastAnsweredAt atomic.Pointer[time.Time] // includes the monotonic clock reading; nil before the first answer
+	failingSince   atomic.Int64              // Unix time in ns of the first failure since the last answer, or 0
 }
 
-// The numbers of connections to the state service.
+// Maximum numbers of connections to the state service. Watches have connections of their own, since each occupies
+// one until a change occurs or its timeout has passed.
 const (
 	requestConns = 48
 	watchConns   = 8
 )
 
-// The limits that hold until SetRateLimits sets them: a second, and in one burst.
+// Rate limits that apply until SetRateLimits is called, in requests and changes per second, and the sizes of
+// bursts.
 const (
 	defaultRequestRate  = 10
 	defaultRequestBurst = 10
@@ -51,38 +53,39 @@
 	defaultChangeBurst  = 5
 )
 
-// The least bursts that SetRateLimits sets.
+// Minimum sizes of the bursts that SetRateLimits sets.
 const (
 	minRequestBurst = 4
 	minChangeBurst  = 12
 )
 
-// New returns a client of the service at an address. wrapDial may put the making of connections
-// under a condition, see rpc.New; nil: there is none. timeout bounds each request, and the wait
-// until the limits admit it.
+// New returns a client of the state service at an address. If wrapDial is not nil, it wraps the function that opens
+// connections, for example to enforce a quota: see rpc.New. timeout bounds each request, and also the wait for the
+// rate limits before it.
 func New(addr string, timeout time.Duration, wrapDial func(rpc.DialFunc) rpc.DialFunc) *Client {
 	return NewOver(rpc.New(addr, requestConns, wrapDial), rpc.New(addr, watchConns, wrapDial), timeout)
 }
 
-// NewOver returns a client over given transports.
+// NewOver returns a client that sends watches over a transport of their own, and all other requests over the first
+// one.
 func NewOver(requests, watches Transport, timeout time.Duration) *Client {
 	return &Client{
-		requests:       requests,
-		watches:        watches,
-		timeout:        timeout,
-		now:            time.Now,
-		sleep:          time.Sleep,
-		requestLimiter: rate.NewLimiter(defaultRequestRate, defaultRequestBurst),
-		changeLimiter:  rate.NewLimiter(defaultChangeRate, defaultChangeBurst),
+		requestTransport: requests,
+		watchTransport:   watches,
+		timeout:          timeout,
+		now:              time.Now,
+		sleep:            time.Sleep,
+		requestLimiter:   rate.NewLimiter(defaultRequestRate, defaultRequestBurst),
+		changeLimiter:    rate.NewLimiter(defaultChangeRate, defaultChangeBurst),
 	}
 }
 
-// SetClock replaces the machine's clock.
+// SetClock replaces the system clock, for simulations. It must be called before any other method.
 func (c *Client) SetClock(now func() time.Time, sleep func(time.Duration)) {
 	c.now, c.sleep = now, sleep
 }
 
-// SetRateLimits sets this controller's share of the published limits, in requests and in changes a
+// SetRateLimits sets this controller's share of the state service's rate limits, in requests and in changes per
 // second.
 func (c *Client) SetRateLimits(requests, changes float64) {
 	c.requestLimiter.SetLimit(rate.Limit(requests))
@@ -91,14 +94,15 @@
 	c.changeLimiter.SetBurst(max(minChangeBurst, int(changes/2)))
 }
 
-// MinReadInterval returns how far apart reads that could be repeated without end have to be, so that
-// they take no more than half of the requests.
+// MinReadInterval returns the minimum interval between reads that users may cause at any rate, so that these use at
+// most half of the requests that the rate limit allows.
 func (c *Client) MinReadInterval() time.Duration {
 	return time.Duration(2 / float64(c.requestLimiter.Limit()) * float64(time.Second))
 }
 
-// waitForBudget waits until the limits admit a request with this many changes.
-func (c *Client) waitForBudget(ctx context.Context, changes int) error {
+// waitForRateLimit waits until the rate limits admit a request with the given number of changes. It returns
+// ErrRateLimited if they do not within the timeout, or if the context ends.
+func (c *Client) waitForRateLimit(ctx context.Context, changes int) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	err := c.requestLimiter.Wait(ctx)
@@ -111,9 +115,10 @@
 	return nil
 }
 
-// call sends a request, and notes whether the service answers.
+// call sends a request, and records for LastContact and UnreachableFor whether the service has answered it. A
+// status 503 does not count as an answer.
 func (c *Client) call(method, uri string, body []byte) ([]byte, error) {
-	out, err := c.requests.Call(method, uri, body, c.timeout)
+	out, err := c.requestTransport.Call(method, uri, body, c.timeout)
 	status := rpc.StatusCode(err)
 	if err == nil || status != 0 && status != fasthttp.StatusServiceUnavailable {
 		c.failingSince.Store(0)
@@ -125,7 +130,7 @@
 	return out, err
 }
 
-// LastContact returns when a request was answered last; zero: never.
+// LastContact returns when a request was last answered, or the zero time if none was.
 func (c *Client) LastContact() time.Time {
 	if at := c.lastAnsweredAt.Load(); at != nil {
 		return *at
@@ -133,7 +138,8 @@
 	return time.Time{}
 }
 
-// UnreachableFor returns for how long requests have failed; 0: the last one was answered.
+// UnreachableFor returns the time since the first failure after the last answered request, or 0 if the last request
+// was answered.
 func (c *Client) UnreachableFor(now time.Time) time.Duration {
 	if at := c.failingSince.Load(); at != 0 {
 		return now.Sub(time.Unix(0, at))
@@ -141,7 +147,7 @@
 	return 0
 }
 
-// Sleep pauses for a time, or until the context ends.
+// Sleep pauses for the given time or until the context ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
