--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -40,6 +40,6 @@
 	NumberedChunkTasks   int                               // tasks in a numbered chunk; 0 if it is not on record
 	OrphanedDependencies []Change                          // deletions of the dependency lists of ended jobs
 	Machines             []model.MachineInfo
-	GPUDemands           []model.Resources      // resources per task of the jobs with GPUs that were ever submitted
+	GPUDemands           []model.Resources      // resources per task of jobs that need GPUs, each distinct demand once
 	Accounts             []ledger.StoredAccount // accounts of the teams; empty without a ledger
 }
--- a/internal/store/cancellations.go
+++ b/internal/store/cancellations.go
@@ -7,15 +7,15 @@
 type CancellationReport struct {
 	Cancelled []Cancellation
 	Cursor    CancellationCursor // position after this report, to be passed for the next one
-	// Complete is true if this report is the last one: with it, the earlier reports and the records that it has read,
-	// the leader knows every cancellation that the member has acknowledged, in this incarnation or an earlier one.
+	// Complete is true if this report, the earlier reports and the records that the leader has read itself contain
+	// every cancellation that the member has acknowledged, in this incarnation or an earlier one.
 	Complete bool
 }
 
-// Cancellation is the durable cancellation of a job.
+// Cancellation identifies a cancelled job.
 type Cancellation struct {
 	ID      string // ID of the job
-	Version uint64 // version of the record of its end
+	Version uint64 // version of the job's ended record
 }
 
 // CancellationCursor is a position in the sequence of job ends that one incarnation of a member has learned of: the
@@ -30,7 +30,7 @@
 // CancellationsAfter returns the next report for a leader that has read the job records up to a revision and has
 // received this member's reports up to a cursor. Cancellations are reported in the order in which this cache
 // learned of them, not in the order of their versions, because a job that was cancelled long ago may be
-// acknowledged to a user only now. A cursor of another incarnation is ignored, and the reports begin again.
+// acknowledged to a user only now. A cursor of another incarnation is ignored, so that the reports begin again.
 func (j *JobCache) CancellationsAfter(revision uint64, reported CancellationCursor) CancellationReport {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -15,7 +15,7 @@
 	ErrRejected = errors.New("permanently rejected by the state service")
 	// ErrCompacted means that the state service no longer keeps the changes since the requested revision.
 	ErrCompacted = errors.New("changes since the requested revision are compacted")
-	// ErrLeaseExpired means that the state service does not know a lease, since it has expired or was revoked.
+	// ErrLeaseExpired means that the state service no longer knows a lease, because it has expired or was revoked.
 	ErrLeaseExpired = errors.New("lease has expired")
 	// ErrRateLimited means that a request was not sent, because this client's rate limits did not admit it before the
 	// timeout.
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -77,7 +77,7 @@
 	interval := ledger.Interval{Start: at, End: at.Add(time.Minute), FencingToken: 41, UnsettledLeaders: 2}
 	const id = "wk-000412"
 	bits := []byte{0xff, 0x5a}
-	numbered, span := model.Chunk{Number: 6}, model.Chunk{StartsAtTask: true, Number: 2048}
+	numbered, taskRange := model.Chunk{Number: 6}, model.Chunk{StartsAtTask: true, Number: 2048}
 	machine := model.MachineInfo{Name: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true}
 	newSpec := func(dependencies int) *model.Spec {
 		spec := &model.Spec{ID: "wk-000412", Class: "train", Team: "vision", Shape: model.Gang,
@@ -110,9 +110,9 @@
 			record.Change{Kind: record.DeleteMachine, Machine: machine})},
 		{"finished-tasks", commit(
 			record.Change{Kind: record.PutTasks, Job: id, Chunk: numbered, FinishedBits: bits},
-			record.Change{Kind: record.PutTasks, Job: id, Chunk: span, FinishedBits: bits},
+			record.Change{Kind: record.PutTasks, Job: id, Chunk: taskRange, FinishedBits: bits},
 			record.Change{Kind: record.DeleteTasks, Job: id, Chunk: numbered},
-			record.Change{Kind: record.DeleteTasks, Job: id, Chunk: span})},
+			record.Change{Kind: record.DeleteTasks, Job: id, Chunk: taskRange})},
 		{"layout", commit(record.Change{Kind: record.PutChunkLayout, Tasks: 16384})},
 		{"gpu-request", commit(record.Change{
 			Kind: record.PutGPUDemand, GPUDemand: model.Resources{CPU: 8, GPU: 0.5, MemGB: 1e8}})},
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -164,9 +164,9 @@
 	return j.active[id]
 }
 
-// UpdateFor returns the update that a change of a job amounts to. It is derived from the job's current record,
-// because a job that was added and has ended since must not be added again. A job that the cache no longer holds
-// has ended.
+// UpdateFor converts a change of a job for the reconciler. It uses the job's current record instead of the one in
+// the change, because a job that was added and has ended since must not be added again. A job that the cache no
+// longer holds has ended.
 func (j *JobCache) UpdateFor(change JobChange) record.JobUpdate {
 	job := j.Peek(change.ID)
 	switch {
--- a/internal/store/job_changes.go
+++ b/internal/store/job_changes.go
@@ -108,8 +108,8 @@
 	j.dependencyParts[e.Key] = ids
 }
 
-// addToGraph adds an unfinished job to the dependency graph, and the ends of its dependencies as far as the cache
-// holds them.
+// addToGraph adds an unfinished job to the dependency graph, and applies those ends of its dependencies that are in
+// the cache.
 func (j *JobCache) addToGraph(id string, record JobRecord) {
 	if _, ended := j.ended.records[id]; ended {
 		return
@@ -130,9 +130,9 @@
 	j.ended.add(id, record)
 }
 
-// applyEndAndNotify applies an end that was not read with the changes, and calls notify at once. Otherwise a leader
-// would not act on a cancellation that it has itself acknowledged to a user, while the state service is unreachable
-// and no changes can be read.
+// applyEndAndNotify applies an end that was not read with the changes, and calls notify at once. While the state
+// service is unreachable no changes can be read, so a leader may learn only in this way of a cancellation that it
+// acknowledges to a user itself.
 func (j *JobCache) applyEndAndNotify(id string, record JobRecord) {
 	_, wasActive := j.active[id]
 	j.applyEnd(id, record)
--- a/internal/store/job_load.go
+++ b/internal/store/job_load.go
@@ -100,8 +100,8 @@
 	return allDecoded
 }
 
-// decodeActiveJobs returns the unfinished jobs by ID, and the changes since those in the cache. The outcome of a
-// job that is no longer unfinished is not known.
+// decodeActiveJobs returns the unfinished jobs by ID, and the changes compared with the cache. For a job that is no
+// longer unfinished, the change does not say how it ended.
 func (j *JobCache) decodeActiveJobs(entries []wire.Entry) (active map[string]JobRecord, changes []JobChange) {
 	active = make(map[string]JobRecord, len(entries))
 	for _, e := range entries {
@@ -125,8 +125,8 @@
 	return active, changes
 }
 
-// AddToSnapshot adds the unfinished jobs in the cache to the snapshot that a new leader reads, and the deletions of
-// the dependency lists whose job is not unfinished.
+// AddToSnapshot adds the unfinished jobs in the cache to the snapshot that a new leader reads, and a change that
+// deletes each part of a dependency list whose job is not active.
 func (j *JobCache) AddToSnapshot(snap *record.Snapshot) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/store/job_lookup.go
+++ b/internal/store/job_lookup.go
@@ -9,7 +9,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// maxLookupAttempts bounds the attempts of Lookup to find a job whose record is moved to the ended jobs meanwhile.
+// maxLookupAttempts bounds the attempts of Lookup to find a job whose record changes meanwhile.
 const maxLookupAttempts = 3
 
 // Lookup returns the current record of a job; its state is StateUnknown if the job was never accepted. An end that
@@ -24,7 +24,7 @@
 		if err := j.Sync(ctx); err != nil {
 			return JobRecord{}, err
 		}
-		if record, ok, err := j.deriveState(ctx, id); ok || err != nil {
+		if record, known, err := j.deriveState(ctx, id); known || err != nil {
 			return record, err
 		}
 		// A job that the cache does not hold has ended, was never accepted, or was accepted after Sync. In the last case
@@ -55,8 +55,8 @@
 	}
 }
 
-// cachedState returns the state of a job that follows from the cache, and the IDs of the dependencies upstream
-// whose outcome the cache does not know and which could change that state.
+// cachedState returns the state of a job according to the cache, and the IDs of those dependencies, direct or
+// indirect, whose outcome the cache does not know. Their outcome may change the state.
 func (j *JobCache) cachedState(id string) (record JobRecord, unresolved []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/store/job_records.go
+++ b/internal/store/job_records.go
@@ -12,7 +12,7 @@
 )
 
 // Key prefixes of the job records. When a job ends, one transaction deletes its active record and writes its ended
-// record. It never becomes active again.
+// record. An ended job never becomes active again.
 const (
 	jobPrefix            = "job/"
 	activePrefix         = "job/a/"
@@ -20,8 +20,8 @@
 	dependencyPartPrefix = "job/w/" // parts of dependency lists; written before the job's active record
 )
 
-// Limits are the limits of the state service that records have to keep. Where the limits are announced to change,
-// each is the smaller of its present and its future value, because the change takes effect without notice.
+// Limits are the limits of the state service within which records are kept. If a limit is known to change in the
+// future, it is the smaller of the present and the future value, because the change takes effect without notice.
 type Limits struct {
 	MaxValueBytes int // maximum size of a value
 	MaxChanges    int // maximum number of changes in a transaction
@@ -32,7 +32,7 @@
 	dependencyPartOverheadBytes = 100      // upper bound on the size of a dependency list part besides its job IDs
 	dependencyIDOverheadBytes   = 4        // upper bound on the size of a job ID besides its characters
 	conditionsPerChange         = 4        // conditions that a transaction may have for each of MaxChanges
-	maxTxnValueBytes            = 48 << 10 // values of a transaction; the published limit of 64 KiB includes the rest
+	maxTxnValueBytes            = 48 << 10 // maximum size of a transaction's values; the published limit is 64 KiB
 )
 
 // longestEncodedTime is a time whose encoding is at least as long as that of any submission time.
--- a/internal/store/job_submission.go
+++ b/internal/store/job_submission.go
@@ -90,12 +90,12 @@
 // putDependencyParts writes the parts of a dependency list, and adds to the job's transaction the conditions that
 // they are unchanged. Until that transaction the leader may delete them, since they belong to no unfinished job.
 func (j *JobCache) putDependencyParts(ctx context.Context, parts []wire.Change, txn *wire.Txn) error {
-	perTxn := min(j.limits.MaxChanges, max(1, maxTxnValueBytes/j.limits.MaxValueBytes))
+	partsPerTxn := min(j.limits.MaxChanges, max(1, maxTxnValueBytes/j.limits.MaxValueBytes))
 	for len(parts) > 0 {
-		count := min(len(parts), perTxn)
+		count := min(len(parts), partsPerTxn)
 		revision, ok, err := j.client.Commit(ctx, &wire.Txn{Changes: parts[:count]}, false)
 		if err != nil || !ok {
-			// It is the job's own transaction that was certainly not executed. That of the parts may have been.
+			// NeverExecuted refers to the job's own transaction. The one that writes the parts may have been executed.
 			return &CommitError{NeverExecuted: true, Err: err}
 		}
 		for _, part := range parts[:count] {
--- a/internal/store/job_sync.go
+++ b/internal/store/job_sync.go
@@ -53,7 +53,7 @@
 	return j.sync.pending, nil
 }
 
-// syncLoop reads for one batch after the other, until no caller waits.
+// syncLoop serves one batch after the other, until no caller waits.
 func (j *JobCache) syncLoop() {
 	for {
 		batch := j.takePendingSync()
--- a/internal/store/keyvalue.go
+++ b/internal/store/keyvalue.go
@@ -22,14 +22,14 @@
 	if err := c.waitForRateLimit(ctx, 0); err != nil {
 		return wire.Entry{}, false, fmt.Errorf("get %s: %w", key, err)
 	}
-	out, err := c.call(fasthttp.MethodGet, "/keys/"+key, nil)
+	response, err := c.call(fasthttp.MethodGet, "/keys/"+key, nil)
 	if rpc.StatusCode(err) == fasthttp.StatusNotFound {
 		return wire.Entry{}, false, nil
 	}
 	if err != nil {
 		return wire.Entry{}, false, fmt.Errorf("get %s: %w", key, err)
 	}
-	entry, err = wire.DecodeEntry(out)
+	entry, err = wire.DecodeEntry(response)
 	if err != nil {
 		return entry, false, fmt.Errorf("get %s: %w", key, err)
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-// readPage reads up to limit keys with a prefix, in their order, starting behind the key after.
+// readPage reads, in the order of the keys, up to limit keys with a prefix that are greater than after.
 func (c *Client) readPage(ctx context.Context, prefix, after string, limit int) (wire.Page, error) {
 	if err := c.waitForRateLimit(ctx, 0); err != nil {
 		return wire.Page{}, fmt.Errorf("list %s: %w", prefix, err)
@@ -67,11 +67,11 @@
 	if after != "" {
 		uri += "&after=" + url.QueryEscape(after)
 	}
-	out, err := c.call(fasthttp.MethodGet, uri, nil)
+	response, err := c.call(fasthttp.MethodGet, uri, nil)
 	if err != nil {
 		return wire.Page{}, fmt.Errorf("list %s: %w", prefix, err)
 	}
-	page, err := wire.DecodePage(out)
+	page, err := wire.DecodePage(response)
 	if err != nil {
 		return page, fmt.Errorf("list %s: %w", prefix, err)
 	}
@@ -92,14 +92,14 @@
 	}
 	// The transport is called directly, since the success of a watch says nothing about the other requests and must
 	// not count for LastContact and UnreachableFor.
-	out, err := transport.Call(fasthttp.MethodGet, uri, nil, wait+c.timeout)
+	response, err := transport.Call(fasthttp.MethodGet, uri, nil, wait+c.timeout)
 	if rpc.StatusCode(err) == fasthttp.StatusGone {
 		return wire.Page{}, ErrCompacted
 	}
 	if err != nil {
 		return wire.Page{}, fmt.Errorf("read changes of %s: %w", prefix, err)
 	}
-	page, err := wire.DecodePage(out)
+	page, err := wire.DecodePage(response)
 	if err != nil {
 		return page, fmt.Errorf("read changes of %s: %w", prefix, err)
 	}
@@ -115,10 +115,10 @@
 	} else if err := c.waitForRateLimit(ctx, len(txn.Changes)); err != nil {
 		return 0, false, &CommitError{NeverExecuted: true, Err: err}
 	}
-	out, err := c.call(fasthttp.MethodPost, "/commit", txn.Append(nil))
+	response, err := c.call(fasthttp.MethodPost, "/commit", txn.Append(nil))
 	switch status := rpc.StatusCode(err); {
 	case err == nil:
-		revision, err = wire.DecodeRevision(out)
+		revision, err = wire.DecodeRevision(response)
 		if err != nil {
 			return revision, false, &CommitError{Err: err}
 		}
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -19,11 +19,11 @@
 func (c *Client) GrantLease(duration time.Duration) (uint64, error) {
 	c.requestLimiter.Allow()
 	body := wire.AppendLeaseRequest(nil, uint64(duration.Milliseconds()))
-	out, err := c.call(fasthttp.MethodPost, "/grants", body)
+	response, err := c.call(fasthttp.MethodPost, "/grants", body)
 	if err != nil {
 		return 0, fmt.Errorf("grant lease: %w", err)
 	}
-	id, err := wire.DecodeLeaseID(out)
+	id, err := wire.DecodeLeaseID(response)
 	if err != nil {
 		return id, fmt.Errorf("grant lease: %w", err)
 	}
--- a/internal/store/ledger.go
+++ b/internal/store/ledger.go
@@ -22,7 +22,7 @@
 const maxTeamKeyBytes = 120
 
 // teamKeyPart returns the part of a key that names a team. It contains neither spaces nor slashes. A long name is
-// cut and completed by a hash, which keeps the names of different teams apart.
+// cut and extended by a hash, so that different teams have different keys.
 func teamKeyPart(team string) string {
 	escaped := url.PathEscape(team)
 	if len(escaped) <= maxTeamKeyBytes {
@@ -86,7 +86,8 @@
 	return accounts, nil
 }
 
-// teamFromAccountKey returns the team that an account's key names, or the key itself if that cannot be determined.
+// teamFromAccountKey returns the name of the team in an account's key, which is cut if it is long, or the key
+// itself if it contains no valid name.
 func teamFromAccountKey(key string) string {
 	team, err := url.PathUnescape(key[len(accountPrefix):])
 	if err != nil || team == "" {
@@ -110,8 +111,8 @@
 	return account, nil
 }
 
-// Segments reads with one request up to limit closed segments of a team, in order, starting behind the segment
-// whose First is after. more reports whether there are further segments.
+// Segments reads with one request, in the order of their numbers, up to limit closed segments of a team whose First
+// is greater than after. more reports whether there are further segments.
 func (c *Client) Segments(
 	ctx context.Context, team string, after uint64, limit int,
 ) (segments []ledger.StoredSegment, more bool, err error) {
@@ -129,8 +130,8 @@
 	return segments, page.More, nil
 }
 
-// Intervals reads with one request up to limit unaccounted intervals, in order, starting behind the one whose
-// fencing token is after. more reports whether there are further intervals.
+// Intervals reads with one request, in the order of their fencing tokens, up to limit unaccounted intervals whose
+// token is greater than after. more reports whether there are further intervals.
 func (c *Client) Intervals(
 	ctx context.Context, after uint64, limit int,
 ) (intervals []ledger.Interval, more bool, err error) {
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -29,21 +29,21 @@
 	for i := range bits {
 		bits[i] = 0xff
 	}
-	span := model.Chunk{StartsAtTask: true, Number: 98304}
+	taskRange := model.Chunk{StartsAtTask: true, Number: 98304}
 	machine := model.MachineInfo{Name: "n-" + long[:40], Addr: "100.100.100.100:10000", Type: long, Zone: long}
 	demand := model.Resources{CPU: 1e8, GPU: 1e8, MemGB: 1e8}
 	for name, changes := range map[string][]record.Change{
 		"finished tasks": {
-			{Kind: record.PutTasks, Job: id, Chunk: span, FinishedBits: bits},
+			{Kind: record.PutTasks, Job: id, Chunk: taskRange, FinishedBits: bits},
 			{Kind: record.PutTasks, Job: id, FinishedBits: bits},
 			{Kind: record.DeleteTasks, Job: id, Chunk: model.Chunk{Number: 6}},
-			{Kind: record.DeleteTasks, Job: id, Chunk: span},
+			{Kind: record.DeleteTasks, Job: id, Chunk: taskRange},
 		},
 		"machines": {
 			{Kind: record.PutMachine, Machine: machine},
 			{Kind: record.DeleteMachine, Machine: machine},
 		},
-		"layout and requests": {
+		"chunk layout and GPU demand": {
 			{Kind: record.PutChunkLayout, Tasks: 16384},
 			{Kind: record.PutGPUDemand, GPUDemand: demand},
 		},
@@ -70,7 +70,7 @@
 	s.MaxValueBytes, s.MaxOps = ordinaryLimits.MaxValueBytes, ordinaryLimits.MaxChanges
 	jobs := newEmptyCache(c, 1, 10, ordinaryLimits)
 	spec := newTestSpec("wk-000001")
-	for i := range 7000 { // as many short ids as a submission can hold
+	for i := range 7000 { // as many short IDs as a submission can hold
 		spec.Dependencies = append(spec.Dependencies, fmt.Sprintf("wk-%06d", i))
 	}
 	created, _, err := jobs.Accept(context.Background(), spec, false, time.Unix(4e9, 0))
--- a/internal/store/relay.go
+++ b/internal/store/relay.go
@@ -10,7 +10,8 @@
 )
 
 // A member that cannot reach the leader writes its workers' heartbeats in batches to the state service, and the
-// leader writes batches of responses. Each member has relaySlots keys for either, which are reused in turn.
+// leader writes batches of responses. Each member has relaySlots keys for its batches and as many for the
+// responses, which are reused in turn.
 const (
 	heartbeatsPrefix = "relay/q/"
 	responsesPrefix  = "relay/a/"
@@ -67,17 +68,17 @@
 		}
 	}
 	for rest := txn.Changes; len(rest) > 0; {
-		n := min(len(rest), maxChanges)
-		if _, _, err := c.Commit(ctx, &wire.Txn{Changes: rest[:n]}, false); err != nil {
+		count := min(len(rest), maxChanges)
+		if _, _, err := c.Commit(ctx, &wire.Txn{Changes: rest[:count]}, false); err != nil {
 			return err
 		}
-		rest = rest[n:]
+		rest = rest[count:]
 	}
 	return nil
 }
 
 // RelayRevision returns the revision after which WatchRelay has to start to see all batches that are written from
-// now on.
+// now on. member selects the batches as in WatchRelay.
 func (c *Client) RelayRevision(ctx context.Context, member string) (uint64, error) {
 	page, err := c.readPage(ctx, relayWatchPrefix(member), "", 1)
 	return page.Revision, err
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -17,15 +17,15 @@
 	layoutPrefix        = "layout/"
 	layoutKey           = "layout/numbered" // number of tasks in a numbered chunk
 	machinePrefix       = "machine/"
-	gpuDemandPrefix     = "need/" // resources per task of the jobs with GPUs
+	gpuDemandPrefix     = "need/" // resources per task of jobs that need GPUs
 )
 
 // maxChunkNumber bounds the numbers of chunks. This program never writes a larger one.
 const maxChunkNumber = 1 << 20
 
 // ReadSnapshot reads the records that a new leader needs, except those of jobs, which JobCache.AddToSnapshot adds.
-// The teams' accounts are included if accounts is true. They are one record a team, so reading them does not take
-// longer as the ledger grows.
+// The teams' accounts are included if accounts is true. There is one account record per team, however old the
+// ledger is.
 func (c *Client) ReadSnapshot(ctx context.Context, accounts bool) (*record.Snapshot, error) {
 	snap := &record.Snapshot{FinishedTasks: map[string]map[model.Chunk][]byte{}}
 	if accounts {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,10 +21,10 @@
 	Call(method, uri string, body []byte, timeout time.Duration) ([]byte, error)
 }
 
-// Client sends requests to the state service, within rate limits for requests and for changes. After SetClock, if
-// that is called, a Client is safe for concurrent use. Reads return an error that wraps ErrRateLimited if the rate
-// limits do not admit the request within the timeout; other errors wrap that of the Transport or of the decoder.
-// For writes see Commit.
+// Client sends requests to the state service, within rate limits for requests and for changes. Its methods, except
+// SetClock, are safe for concurrent use. Reads return an error that wraps ErrRateLimited if the rate limits do not
+// admit the request within the timeout; other errors wrap that of the Transport or of the decoder. For writes see
+// Commit.
 type Client struct {
 	requestTransport, watchTransport Transport
 	timeout                          time.Duration // of a request, and of the wait for the rate limits before it
@@ -80,7 +80,7 @@
 	}
 }
 
-// SetClock replaces the system clock, for simulations. It must be called before any other method.
+// SetClock replaces the system clock, for tests. It must be called before any other method.
 func (c *Client) SetClock(now func() time.Time, sleep func(time.Duration)) {
 	c.now, c.sleep = now, sleep
 }
@@ -94,8 +94,8 @@
 	c.changeLimiter.SetBurst(max(minChangeBurst, int(changes/2)))
 }
 
-// MinReadInterval returns the minimum interval between reads that users may cause at any rate, so that these use at
-// most half of the requests that the rate limit allows.
+// MinReadInterval returns the interval to keep between reads that users can cause without limit, so that these
+// reads use at most half of the requests that the rate limit allows.
 func (c *Client) MinReadInterval() time.Duration {
 	return time.Duration(2 / float64(c.requestLimiter.Limit()) * float64(time.Second))
 }
@@ -118,7 +118,7 @@
 // call sends a request, and records for LastContact and UnreachableFor whether the service has answered it. A
 // status 503 does not count as an answer.
 func (c *Client) call(method, uri string, body []byte) ([]byte, error) {
-	out, err := c.requestTransport.Call(method, uri, body, c.timeout)
+	response, err := c.requestTransport.Call(method, uri, body, c.timeout)
 	status := rpc.StatusCode(err)
 	if err == nil || status != 0 && status != fasthttp.StatusServiceUnavailable {
 		c.failingSince.Store(0)
@@ -127,7 +127,7 @@
 	} else {
 		c.failingSince.CompareAndSwap(0, c.now().UnixNano())
 	}
-	return out, err
+	return response, err
 }
 
 // LastContact returns when a request was last answered, or the zero time if none was.
