--- a/internal/record/change.go
+++ b/internal/record/change.go
@@ -26,10 +26,11 @@
 	CompactAccount                           // replaces closed segments of a team's account by a single one
 )
 
-// Change is a change of one of the leader's records. The comment of each field says which kinds use it; Kind and CommitAlone are used by all.
+// Change is a change of one of the leader's records. The comment of each field says which kinds use it; Kind and
+// CommitAlone are used by all.
 type Change struct {
 	Kind         ChangeKind
-	Machine      model.MachineInfo // machine to add or delete, for PutMachine and DeleteMachine; the latter uses its name only
+	Machine      model.MachineInfo // machine to add or delete, for PutMachine and DeleteMachine, which uses only the name
 	Job          string            // job ID for PutTasks, DeleteTasks, CompleteJob, CancelDependent, DeleteDependencies
 	Version      uint64            // version of the job's record, for CompleteJob and CancelDependent
 	Tasks        int               // number of tasks of the job (CompleteJob, CancelDependent) or chunk (PutChunkLayout)
