--- a/internal/route/attempts.go
+++ b/internal/route/attempts.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// RequestState is where a request is being answered.
+// RequestState says on which members attempts at a request are under way.
 type RequestState uint8
 
 // The states of a request.
 const (
-	RequestNew       RequestState = iota // nobody has been asked yet
-	RequestLocal                         // this member works on it
-	RequestForwarded                     // other members do
-	RequestHedged                        // this member and others do; the first to answer wins
-	RequestAnswered                      // the user has a response
+	RequestNew       RequestState = iota // no attempt has been started
+	RequestLocal                         // an attempt is under way on this member only
+	RequestForwarded                     // attempts are under way on other members only
+	RequestHedged                        // attempts are under way on this member and on others; the first answer is used
+	RequestAnswered                      // the user's response is decided; attempts may still be under way
 )
 
 // String returns the name of the state.
@@ -19,33 +19,34 @@
 	return [...]string{"new", "local", "forwarded", "hedged", "answered"}[s]
 }
 
-// Action is what the caller has to do next about a request: at most one of its fields
-// is set, and none means to wait.
+// Action tells the caller what to do next about a request. At most one field is set; if none is, the caller waits
+// for the result of an attempt or for the next tick.
 type Action struct {
 	Local     bool      // start an attempt on this member
-	ForwardTo string    // start an attempt at this other member
-	Response  *Response // give the user this response
+	ForwardTo string    // if not empty, start an attempt on this other member
+	Response  *Response // if not nil, send this response to the user
 }
 
-// RequestAttempts are the attempts at one request. It is forwarded to each member once
-// at most; the first member that answers decides, whichever was asked first.
+// RequestAttempts tracks the attempts at one request. The request is forwarded to each other member at most once,
+// and the user gets the first answer, whichever member gives it. It is safe for concurrent use, except for State
+// and NextTick, which must not be called while another method runs.
 type RequestAttempts struct {
 	router      *Router // its mutex guards the fields below
 	request     Request
 	state       RequestState
-	deadline    time.Time // when the user has waited long enough
-	nextTick    time.Time
-	localStart  time.Time            // of the local attempt under way; zero: there is none
-	outstanding map[string]time.Time // starts of the attempts under way, by member
-	tried       []string             // members that the request was forwarded to
-	lastRefusal Response             // given to the user if no member answers
+	deadline    time.Time            // the user gets a response by this time
+	nextTick    time.Time            // Tick is due at this time
+	localStart  time.Time            // start of the local attempt under way; zero if there is none
+	outstanding map[string]time.Time // start times of the forwarded attempts under way, by member
+	tried       []string             // members that the request has been forwarded to
+	lastRefusal Response             // sent to the user if no member answers
 }
 
-// Begin starts a request whose user waits until deadline. stateContact is when the
-// state service last answered this member anything. With forwardOnly the request goes
-// to another member in any case, since this one has no connection to spare for it.
+// Begin starts a request and returns the first action. At deadline the request is rejected if no member has
+// answered it. lastStateResponse is the time at which the state service last answered any request of this member.
+// If forwardOnly is set, no local attempt is made, since this member has no connection to spare for the request.
 func (r *Router) Begin(
-	now, deadline, stateContact time.Time, request Request, forwardOnly bool,
+	now, deadline, lastStateResponse time.Time, request Request, forwardOnly bool,
 ) (*RequestAttempts, Action) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,11 +61,11 @@
 		a.lastRefusal = Response{Outcome: Overloaded}
 		return a, a.forward(now, false)
 	}
-	outcome := r.admitLocal(now, stateContact, request.Kind)
+	outcome := r.admitLocal(now, lastStateResponse, request.Kind)
 	if outcome != Answered {
 		a.lastRefusal = Response{Outcome: outcome}
-		// Nothing was tried here, so forwarding is no retry. Under overload it counts as
-		// one: the other members may be overloaded too.
+		// No attempt has been made, so forwarding does not count as a retry. Under overload it does, since the
+		// other members may be overloaded too.
 		return a, a.forward(now, outcome == Overloaded)
 	}
 	r.counts.Local++
@@ -76,7 +77,7 @@
 	return a, Action{Local: true}
 }
 
-// transition changes the state; nothing else does.
+// transition is the only function that changes the state.
 func (a *RequestAttempts) transition(to RequestState) { a.state = to }
 
 func (a *RequestAttempts) capAtDeadline(t time.Time) time.Time {
@@ -86,15 +87,15 @@
 	return a.deadline
 }
 
-// NextTick returns when Tick is to be called next.
+// NextTick returns the time at which Tick is to be called next. Each call of Completed or Tick may change it.
 func (a *RequestAttempts) NextTick() time.Time { return a.nextTick }
 
-// State returns where the request is being answered.
+// State returns the state of the request.
 func (a *RequestAttempts) State() RequestState { return a.state }
 
-// forward returns the action that forwards the request to a further member. If none is
-// left, the user's request is rejected, unless an attempt is still under way. The
-// router's mutex must be held.
+// forward returns the action that forwards the request to a member that it has not been forwarded to. If there is
+// no such member, or if isRetry is set and the retry budget is empty, the request is rejected, unless an attempt
+// is still under way. The router's mutex must be held.
 func (a *RequestAttempts) forward(now time.Time, isRetry bool) Action {
 	if now.Before(a.deadline) {
 		if m := a.router.chooseMember(now, a.tried); m != nil {
@@ -113,7 +114,7 @@
 	return a.reject()
 }
 
-// forwardTo returns the action that forwards the request to m.
+// forwardTo records an attempt on m and returns the action that starts it. The router's mutex must be held.
 func (a *RequestAttempts) forwardTo(m *member, now time.Time) Action {
 	a.router.counts.Forwarded++
 	a.tried = append(a.tried, m.name)
@@ -123,27 +124,29 @@
 	} else {
 		a.transition(RequestHedged)
 	}
-	delay := forwardDelay
+	delay := nextForwardDelay
 	if a.request.Kind == Poll {
-		delay = pollForwardDelay
+		delay = nextPollForwardDelay
 	}
 	a.nextTick = a.capAtDeadline(now.Add(delay))
 	return Action{ForwardTo: m.name}
 }
 
-// reject ends the request without an answer. The router's mutex must be held.
+// reject ends the request without an answer, and returns the action that sends the last refusal to the user. The
+// router's mutex must be held.
 func (a *RequestAttempts) reject() Action {
 	a.transition(RequestAnswered)
 	a.router.counts.Rejected++
 	response := a.lastRefusal
-	if response.Outcome == Answered { // no attempt has completed yet
+	if response.Outcome == Answered { // the zero value; no attempt has completed
 		response.Outcome = StateUnavailable
 	}
 	return Action{Response: &response}
 }
 
-// Completed takes the response of the attempt at a member, "" for this one. It must be
-// called once for each attempt, also when the user has a response already.
+// Completed records the response of the attempt on the given member, the empty string being this member, and
+// returns the next action. It must be called exactly once for each attempt, even after the user has got a
+// response.
 func (a *RequestAttempts) Completed(now time.Time, member string, response Response) Action {
 	a.router.mu.Lock()
 	defer a.router.mu.Unlock()
@@ -163,7 +166,7 @@
 		return Action{Response: &response}
 	}
 	if isLocal || a.lastRefusal.Outcome == Answered {
-		a.lastRefusal = response // what this member lacks says more to its user than what others lack
+		a.lastRefusal = response // the reason of the local attempt takes precedence over those of other members
 	}
 	if !a.localStart.IsZero() {
 		a.transition(RequestLocal)
@@ -177,7 +180,8 @@
 	return a.forward(now, true)
 }
 
-// Tick hedges the request, forwards it again or rejects it when it is time to.
+// Tick returns the next action once the time that NextTick returns has come: to hedge a local attempt, to forward
+// the request to one more member, or to reject it at the deadline. A call before that time has no effect.
 func (a *RequestAttempts) Tick(now time.Time) Action {
 	a.router.mu.Lock()
 	defer a.router.mu.Unlock()
--- a/internal/route/attempts_test.go
+++ b/internal/route/attempts_test.go
@@ -7,17 +7,18 @@
 	"pgregory.net/rapid"
 )
 
-// trackedRequest checks the invariants of one request's actions.
+// trackedRequest checks the invariants of the actions for one request.
 type trackedRequest struct {
 	attempts    *RequestAttempts
-	outstanding []string // members with an attempt under way; localMember is this one
-	asked       map[string]bool
-	answered    bool
+	outstanding []string        // members with an attempt under way; localMember stands for this one
+	asked       map[string]bool // members that an attempt has been started on
+	answered    bool            // the user has got a response
 }
 
+// localMember is the name of this member in a trackedRequest.
 const localMember = "here"
 
-// apply takes the next action of the request.
+// apply checks and carries out the next action of the request.
 func (r *trackedRequest) apply(t *rapid.T, action Action) {
 	t.Helper()
 	member := action.ForwardTo
@@ -26,14 +27,14 @@
 	}
 	if member != "" {
 		if r.asked[member] || r.answered {
-			t.Fatalf("attempt at %s: got a second one, or one after the response", member)
+			t.Fatalf("attempt on %s: got a second one, or one after the response", member)
 		}
 		r.asked[member] = true
 		r.outstanding = append(r.outstanding, member)
 	}
 	if action.Response != nil {
 		if r.answered || member != "" {
-			t.Fatal("got a second response, or one beside an attempt")
+			t.Fatal("got a second response, or a response and an attempt in one action")
 		}
 		r.answered = true
 	}
@@ -42,7 +43,7 @@
 	}
 }
 
-// complete reports the response of an attempt under way.
+// complete reports the response of an attempt on member and returns the next action.
 func (r *trackedRequest) complete(now time.Time, member string, response Response) Action {
 	if member == localMember {
 		member = ""
@@ -50,8 +51,9 @@
 	return r.attempts.Completed(now, member, response)
 }
 
-// Whatever happens in whatever order: a user gets one response, each member is asked
-// once at most, nothing stays in flight for ever, and hedges keep to the retry budget.
+// Requests begin, time out and are answered in any order and with any outcome. In each order, a user must get
+// exactly one response, each member must be asked at most once, no attempt may stay in flight, and hedged
+// requests must stay within the retry budget.
 func TestRequestAttemptsKeepInvariantsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		others := []string{"b", "c", "d"}[:rapid.IntRange(0, 3).Draw(t, "others")]
@@ -100,7 +102,7 @@
 		}
 		checkNothingInFlight(t, r, now)
 		counts := r.Status(now).Counts
-		budget := float64(maxSavedRetries)/2 + minRetriesPerSecond*now.Sub(startTime).Seconds() +
+		budget := float64(maxRetryBalance)/2 + minRetriesPerSecond*now.Sub(startTime).Seconds() +
 			0.2*float64(counts.Local+counts.Forwarded)
 		if float64(counts.Hedged) > budget {
 			t.Fatalf("hedged requests: got %d, want at most %v", counts.Hedged, budget)
--- a/internal/route/breaker.go
+++ b/internal/route/breaker.go
@@ -7,31 +7,35 @@
 
 // The states of a breaker.
 const (
-	Closed   BreakerState = iota // requests pass
-	Open                         // no request passes until a pause is over
-	HalfOpen                     // one request is under way as a probe; no other passes
+	Closed   BreakerState = iota // requests are allowed
+	Open                         // no request is allowed until the open duration has passed
+	HalfOpen                     // one request is under way as a probe; no other request is allowed
 )
 
 // String returns the name of the state.
 func (s BreakerState) String() string { return [...]string{"closed", "open", "probing"}[s] }
 
 const (
-	failureThreshold = 3 // failures in a row that open a breaker
-	minPause         = 500 * time.Millisecond
-	maxPause         = 8 * time.Second
+	failureThreshold = 3 // consecutive failures that open a breaker
+	minOpenDuration  = 500 * time.Millisecond
+	maxOpenDuration  = 8 * time.Second
 )
 
-// breaker stops requests to a destination that has failed. The router's mutex guards it.
+// breaker is a circuit breaker, which stops requests to a destination that has failed. The zero value is closed.
+// The router's mutex guards it.
 type breaker struct {
-	name     string
+	name     string // name of the destination, passed to onChange
 	state    BreakerState
-	since    time.Time     // of the state
-	failures int           // in a row
-	pause    time.Duration // of the present opening; that of the next is twice as long
-	onChange func(name string, from, to BreakerState)
+	since    time.Time // start of the current state
+	failures int       // number of consecutive failures
+	// openDuration is how long the breaker stays open. It doubles each time that the breaker opens, up to
+	// maxOpenDuration, and starts again from minOpenDuration after a success.
+	openDuration time.Duration
+	onChange     func(name string, from, to BreakerState) // called when the breaker opens or closes; may be nil
 }
 
-// transition changes the state; nothing else does. Probes are not reported to onChange.
+// transition is the only function that changes the state. It does not report changes between Open and HalfOpen to
+// onChange.
 func (b *breaker) transition(to BreakerState, now time.Time) {
 	if b.onChange != nil && b.state != to && (b.state == Closed || to == Closed) {
 		b.onChange(b.name, b.state, to)
@@ -39,17 +43,20 @@
 	b.state, b.since = to, now
 }
 
-// probeDue reports whether the pause of an open breaker is over.
-func (b *breaker) probeDue(now time.Time) bool { return b.state == Open && now.Sub(b.since) >= b.pause }
+// probeDue reports whether the breaker is open and its open duration has passed.
+func (b *breaker) probeDue(now time.Time) bool {
+	return b.state == Open && now.Sub(b.since) >= b.openDuration
+}
 
-// allow reports whether a request may be sent now. contact is when the destination
-// last answered anything: if that was after the breaker opened, the pause is cut short.
-func (b *breaker) allow(now, contact time.Time) bool {
+// allow reports whether a request may be sent now. If the request is a probe, the breaker becomes half-open.
+// lastResponse is the time at which the destination last answered any request, or zero if that is unknown. A
+// response after the breaker has opened permits a probe before the open duration has passed.
+func (b *breaker) allow(now, lastResponse time.Time) bool {
 	switch b.state {
 	case Closed:
 		return true
 	case Open:
-		if b.probeDue(now) || contact.After(b.since) {
+		if b.probeDue(now) || lastResponse.After(b.since) {
 			b.transition(HalfOpen, now)
 			return true
 		}
@@ -57,28 +64,28 @@
 	return false
 }
 
-// record takes the result of a request.
+// record takes into account whether a request has succeeded.
 func (b *breaker) record(now time.Time, ok bool) {
 	switch {
 	case ok:
-		b.failures, b.pause = 0, 0
+		b.failures, b.openDuration = 0, 0
 		if b.state != Closed {
 			b.transition(Closed, now)
 		}
 		return
 	case b.state == Open:
-		return // sent before the breaker opened
+		return // the request was sent before the breaker opened
 	}
 	if b.failures++; b.failures >= failureThreshold || b.state == HalfOpen {
-		b.pause = min(max(2*b.pause, minPause), maxPause)
+		b.openDuration = min(max(2*b.openDuration, minOpenDuration), maxOpenDuration)
 		b.transition(Open, now)
 	}
 }
 
-// discard takes a request whose result says nothing of the destination. If it was the
-// probe, another one may be sent at once.
+// discard is called instead of record for a request whose result does not show whether the destination works. If
+// the breaker is half-open, another probe may be sent at once.
 func (b *breaker) discard() {
 	if b.state == HalfOpen {
-		b.transition(Open, b.since.Add(-b.pause))
+		b.transition(Open, b.since.Add(-b.openDuration))
 	}
 }
--- a/internal/route/concurrency_limit_test.go
+++ b/internal/route/concurrency_limit_test.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// simulateService sends n requests at a rate a second to a service that processes
-// perSecond of them, one after the other, and answers after a further delay in seconds.
-// It returns how many the limit admitted, and the highest latency in the second half.
+// simulateService sends n requests to a service, requestRate of them per second. The service processes throughput
+// requests per second, one after another, and answers each after a further delay in seconds. simulateService
+// returns the highest latency among the admitted requests of the second half, and how many requests the limit
+// admitted.
 func simulateService(
-	limit *concurrencyLimit, perSecond, delay float64, n int, rate float64,
+	limit *concurrencyLimit, throughput, delay float64, n int, requestRate float64,
 ) (worst time.Duration, admitted int) {
 	type queued struct{ start, end float64 }
 	seconds := func(s float64) time.Duration { return time.Duration(s * 1e9) }
 	idleAt := 0.0
 	var queue []queued
 	for i := range n {
-		now := float64(i) / rate
+		now := float64(i) / requestRate
 		for len(queue) > 0 && queue[0].end <= now {
 			limit.release()
 			limit.observe(seconds(queue[0].end - queue[0].start))
@@ -25,7 +26,7 @@
 		if !limit.acquire() {
 			continue
 		}
-		idleAt = max(idleAt, now) + 1/perSecond
+		idleAt = max(idleAt, now) + 1/throughput
 		queue = append(queue, queued{now, idleAt + delay})
 		admitted++
 		if i > n/2 {
@@ -38,8 +39,9 @@
 	return worst, admitted
 }
 
-// Under overload, admitted requests are answered soon and the others are rejected at
-// once; when the overload is over, the limit grows again.
+// Guards against a limit that lets a queue build up under overload, or that stays low after it. Under overload,
+// admitted requests must be answered soon and the others rejected at once. After the overload, the limit must
+// grow again.
 func TestConcurrencyLimitAdaptsToThroughput(t *testing.T) {
 	limit := newConcurrencyLimit(256, false)
 	worst, admitted := simulateService(&limit, 100, 0, 400, 50)
@@ -52,7 +54,7 @@
 			admitted, worst)
 	}
 	overloadLimit := limit.limit
-	simulateService(&limit, 1000, 0.1, 6000, 300) // thirty in flight
+	simulateService(&limit, 1000, 0.1, 6000, 300) // about 30 requests are in flight
 	if _, admitted = simulateService(&limit, 1000, 0.1, 6000, 300); admitted < 5900 {
 		t.Errorf("after the overload: got %d admitted, want 5900 of 6000; limit %v, under overload %v",
 			admitted, limit.limit, overloadLimit)
--- a/internal/route/golden_test.go
+++ b/internal/route/golden_test.go
@@ -6,7 +6,8 @@
 	"github.com/glentiller/glentiller/internal/golden"
 )
 
-// Controllers tell each other kinds and outcomes by number.
+// Controllers send kinds and outcomes to each other as numbers, so controllers of different versions must agree
+// on them.
 func TestKindsAndOutcomesKeepTheirNumbers(t *testing.T) {
 	for i, want := range []string{"submit", "poll", "cancel"} {
 		if got := Kind(i).String(); got != want {
@@ -16,7 +17,7 @@
 	numbers := []Outcome{Answered, StateUnavailable, Overloaded, OutOfMemory, NotReady, TimedOut, Unreachable}
 	for i, want := range []string{"taken", "down", "busy", "short", "unready", "silent", "refused"} {
 		if got := Outcome(i); got.String() != want || numbers[i] != got {
-			t.Errorf("outcome %d: got %v, want %s, which the code has as %d", i, got, want, numbers[i])
+			t.Errorf("outcome %d: got %v, want %s; the constant expected here has the number %d", i, got, want, numbers[i])
 		}
 	}
 }
--- a/internal/route/latency.go
+++ b/internal/route/latency.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Weights of a new sample, and the number of deviations above the mean, as of TCP's
-// retransmission timer (V. Jacobson, 1988; RFC 6298).
+// The constants of TCP's retransmission timer (V. Jacobson, 1988; RFC 6298): the divisors that give the weight of
+// a new sample, and the number of mean deviations above the mean.
 const (
-	meanDivisor        = 8 // weight 1/8
-	deviationDivisor   = 4 // weight 1/4
-	deviationsFromMean = 4
+	meanDivisor         = 8 // weight 1/8
+	deviationDivisor    = 4 // weight 1/4
+	deviationsAboveMean = 4
 )
 
-// latencyEstimator estimates how long answers take at most, in all likelihood. The
-// router's mutex guards it.
+// latencyEstimator estimates an upper bound of the latency of answers, as a moving average and a multiple of the
+// deviation from it. The router's mutex guards it.
 type latencyEstimator struct {
-	mean, deviation float64 // seconds; deviation is the mean absolute one
-	sampled         bool
+	mean, deviation float64 // moving averages of the latency and of its absolute deviation from mean, in seconds
+	sampled         bool    // at least one latency has been observed
 }
 
-// observe takes the latency of an answer.
+// observe records the latency of an answer.
 func (e *latencyEstimator) observe(latency time.Duration) {
 	seconds := latency.Seconds()
 	if !e.sampled {
@@ -31,7 +31,8 @@
 	e.mean += (seconds - e.mean) / meanDivisor
 }
 
-// upperBound returns the latency beyond which an answer is late; 0: no sample yet.
+// upperBound returns the latency beyond which an answer is considered late. It is 0 if no latency has been
+// observed.
 func (e *latencyEstimator) upperBound() time.Duration {
-	return time.Duration((e.mean + deviationsFromMean*e.deviation) * float64(time.Second))
+	return time.Duration((e.mean + deviationsAboveMean*e.deviation) * float64(time.Second))
 }
--- a/internal/route/reachability.go
+++ b/internal/route/reachability.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// ReachabilityState is what a member reaches.
+// ReachabilityState says whether a member reaches the state service and the other members.
 type ReachabilityState uint8
 
-// The states.
+// The reachability states of a member.
 const (
-	Connected    ReachabilityState = iota // the state service answers the member
-	ProbingPeers                          // it does not: the other members are probed
-	Isolated                              // no other member answers either
+	Connected    ReachabilityState = iota // the state service answers
+	ProbingPeers                          // the state service does not answer, and the other members are probed
+	Isolated                              // neither the state service nor any other member answers
 )
 
 // String returns the name of the state.
@@ -21,31 +21,35 @@
 }
 
 const (
-	probePeersAfter = time.Second     // without the state service
-	isolatedAfter   = 3 * time.Second // without any peer: two probes, and time for a lost packet
+	// probePeersAfter is the time without an answer of the state service after which the other members are
+	// probed.
+	probePeersAfter = time.Second
+	// isolatedAfter is the time of probing without an answer of any other member after which this one counts as
+	// isolated. It allows for two probes and a lost packet.
+	isolatedAfter = 3 * time.Second
 )
 
-// PeerReachability decides whether a member is cut off from the state service and from
-// all other members. A member that lacks only the state service forwards users'
-// requests; an isolated one cannot serve them and should report itself unhealthy. It is
-// safe for concurrent use; the zero value is Connected.
+// PeerReachability detects whether a member is cut off from the state service and from all other members. A
+// member that is cut off from the state service alone forwards users' requests. An isolated member cannot serve
+// them and should report itself unhealthy. PeerReachability is safe for concurrent use. The zero value is in
+// state Connected.
 type PeerReachability struct {
 	mu          sync.Mutex // guards the fields below
 	state       ReachabilityState
-	lastContact time.Time // when probing began or, if later, a peer last answered
+	lastContact time.Time // the later of the start of probing and the last answer of a peer
 }
 
-// transition changes the state, and reports whether it was another one. Nothing else
-// changes the state.
+// transition is the only function that changes the state. It reports whether the new state differs from the old
+// one. r.mu must be held.
 func (r *PeerReachability) transition(to ReachabilityState) bool {
 	from := r.state
 	r.state = to
 	return from != to
 }
 
-// Evaluate is called regularly; stateDown is how long the state service has not
-// answered. It reports whether the peers are to be probed now, and whether the state
-// has changed.
+// Evaluate updates the state and must be called periodically. stateDown is the time for which the state service
+// has not answered. Evaluate reports whether the other members should be probed now, and whether the state has
+// changed.
 func (r *PeerReachability) Evaluate(now time.Time, stateDown time.Duration) (probe, changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,7 +65,8 @@
 	return true, false
 }
 
-// ObserveContact records that a peer has answered a probe.
+// ObserveContact records that another member has answered a probe at the given time. An isolated member returns
+// to state ProbingPeers.
 func (r *PeerReachability) ObserveContact(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,7 +75,7 @@
 	}
 }
 
-// State returns what the member reaches.
+// State returns the state as of the last call of Evaluate or ObserveContact.
 func (r *PeerReachability) State() ReachabilityState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/route/reachability_test.go
+++ b/internal/route/reachability_test.go
@@ -17,15 +17,15 @@
 		}
 	}
 	evaluate(0, 0, false, Connected)
-	evaluate(time.Second, 900*time.Millisecond, false, Connected) // a slow answer
+	evaluate(time.Second, 900*time.Millisecond, false, Connected) // the state service is only slow
 	evaluate(time.Second, 2*time.Second, true, ProbingPeers)
 	evaluate(2*time.Second, 4*time.Second, true, ProbingPeers)
-	reachability.ObserveContact(now) // an outage for all members: the peers are there
+	reachability.ObserveContact(now) // a peer answers, so only the state service is down
 	evaluate(2*time.Second, 6*time.Second, true, ProbingPeers)
-	evaluate(2*time.Second, 8*time.Second, true, Isolated) // and now they are not
+	evaluate(2*time.Second, 8*time.Second, true, Isolated) // no peer has answered for 4 s
 	reachability.ObserveContact(now)
 	evaluate(time.Second, 9*time.Second, true, ProbingPeers)
 	evaluate(4*time.Second, 13*time.Second, true, Isolated)
 	evaluate(time.Second, 0, false, Connected)
-	evaluate(time.Second, 5*time.Second, true, ProbingPeers) // the time starts anew
+	evaluate(time.Second, 5*time.Second, true, ProbingPeers) // the time without contact is counted from here
 }
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// Kind is what a user requests. Members send it to each other as its number.
+// Kind is the kind of a user's request. Members exchange it as a number, so the numbers are fixed.
 type Kind uint8
 
-// The kinds of requests. All are idempotent: attempts at more than one member, or
-// repeated ones, do no harm.
+// The kinds of requests. All are idempotent, so a request may be repeated or attempted on more than one member.
 const (
-	Submit Kind = iota
-	Poll
-	Cancel
+	Submit Kind = iota // accept a job
+	Poll               // return the state of a job
+	Cancel             // cancel a job
 	kindCount
 )
 
@@ -20,23 +19,23 @@
 // Request is a user's request about one job.
 type Request struct {
 	Kind Kind
-	ID   string // of the job
-	Body []byte // of a submission, encoded
+	ID   string // id of the job
+	Body []byte // the encoded submission; nil for other kinds
 }
 
-// Outcome says whether a member answered a request, and if not, why. Members send it to
-// each other as its number.
+// Outcome says whether a member has answered a request and, if it has not, why. Members exchange it as a number,
+// so the numbers are fixed.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of an attempt.
 const (
 	Answered         Outcome = iota // the response is final
-	StateUnavailable                // the state service does not answer the member, or not in time
-	Overloaded                      // the member is at its concurrency limit
+	StateUnavailable                // the state service has not answered the member in time
+	Overloaded                      // the member has reached a concurrency, rate or connection limit
 	OutOfMemory                     // the member has no memory for more jobs
-	NotReady                        // the member does not know enough yet to answer
-	TimedOut                        // the member did not answer in time
-	Unreachable                     // no connection to the member
+	NotReady                        // the member cannot answer yet, or has failed to
+	TimedOut                        // the member has not answered in time
+	Unreachable                     // the member could not be reached
 	outcomeCount
 )
 
@@ -49,7 +48,7 @@
 // Response is the result of an attempt at a request.
 type Response struct {
 	Outcome    Outcome
-	Status     int           // of HTTP; 0: none
-	Body       []byte        // for the user
-	RetryAfter time.Duration // if not Answered: the least time before a retry; 0: not said
+	Status     int           // HTTP status; 0 if the member gave none
+	Body       []byte        // body of the HTTP response
+	RetryAfter time.Duration // minimum time before the user retries; 0 if unspecified or if the request was answered
 }
--- a/internal/route/retry_budget.go
+++ b/internal/route/retry_budget.go
@@ -3,37 +3,36 @@
 import "time"
 
 const (
-	minRetriesPerSecond = 1.0 // allowed whatever succeeds
-	maxSavedRetries     = 20
-	initialRetries      = maxSavedRetries / 2
+	minRetriesPerSecond = 1.0 // earned each second, even if no request succeeds
+	maxRetryBalance     = 20  // retries that can be saved up
+	initialRetryBalance = maxRetryBalance / 2
 )
 
-// retryBudget bounds the retries of the whole process by a fraction of the requests
-// that succeed, and a few a second in any case (retry budgets; Finagle). Without it, a
-// failing member would turn each request into two for the others. The router's mutex
-// guards it.
+// retryBudget bounds the retries of the process to a fraction of the requests that succeed and a minimum rate,
+// like the retry budgets of Finagle. Without it, each request to a failing member could become two requests to
+// other members. The router's mutex guards it.
 type retryBudget struct {
-	ratio      float64 // retries earned by each success
-	balance    float64
-	refilledAt time.Time
+	ratio      float64   // retries earned by each success
+	balance    float64   // retries available
+	refilledAt time.Time // time of the last refill; zero before the first one
 }
 
-// refill adds the retries that are allowed for the time that has passed.
+// refill adds the retries earned by the time that has passed since the last refill.
 func (b *retryBudget) refill(now time.Time) {
 	if !b.refilledAt.IsZero() {
 		earned := minRetriesPerSecond * max(now.Sub(b.refilledAt).Seconds(), 0)
-		b.balance = min(b.balance+earned, maxSavedRetries)
+		b.balance = min(b.balance+earned, maxRetryBalance)
 	}
 	b.refilledAt = now
 }
 
-// deposit adds what one success earns.
+// deposit adds the retries earned by one success.
 func (b *retryBudget) deposit(now time.Time) {
 	b.refill(now)
-	b.balance = min(b.balance+b.ratio, maxSavedRetries)
+	b.balance = min(b.balance+b.ratio, maxRetryBalance)
 }
 
-// withdraw takes one retry out of the budget, if there is one.
+// withdraw takes one retry from the budget. It returns false if none is available.
 func (b *retryBudget) withdraw(now time.Time) bool {
 	b.refill(now)
 	if b.balance < 1 {
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -1,14 +1,13 @@
-// Package route decides which member answers a user's request: the one that received
-// it, or another one that reaches what the first does not. It combines circuit
-// breakers, hedged requests, a retry budget and adaptive concurrency limits;
-// docs/requests.md gives the reasons.
+// Package route decides which member answers a user's request: the member that has received it, or another one if
+// the first cannot answer it in time, for example because it does not reach the state service. The package
+// combines circuit breakers, hedged requests, a retry budget and adaptive concurrency limits; see
+// docs/requests.md for the reasons.
 //
-// A Router holds what a member knows of itself and of the others. Router.Begin starts
-// a request and returns its RequestAttempts with the first Action; the caller carries
-// actions out, reports each result with Completed, and calls Tick at NextTick, until
-// an Action holds the response for the user. The package does no input or output and
-// reads no clock, and its random numbers come from the caller, so that simulations
-// are reproducible.
+// A Router holds what a member knows about its own ability to answer and that of the other members. Router.Begin
+// starts a request and returns its RequestAttempts with the first Action. The caller carries out each action,
+// reports the result of each attempt with Completed, and calls Tick at the time of NextTick, until an Action
+// holds the response for the user. The package does no I/O and reads no clock, and the caller provides its random
+// numbers, so that simulations are reproducible.
 package route
 
 import (
@@ -20,61 +19,65 @@
 
 // Settings configure a Router.
 type Settings struct {
-	OtherMembers  []string      // names of the members, without this one
-	RetryRatio    float64       // retries allowed for each request that succeeds
-	MinHedgeDelay time.Duration // least time before a request is hedged; 0: never
-	MaxConcurrent int           // upper bound of the concurrency limit of each kind
+	OtherMembers  []string      // names of all members but this one
+	RetryRatio    float64       // number of retries that each successful request earns
+	MinHedgeDelay time.Duration // minimum time before a request is hedged; 0 turns hedging off
+	MaxConcurrent int           // upper bound of the concurrency limit of each kind of request
 }
 
 const (
-	maxOutstanding = 64 // unanswered requests at one other member
-
-	// Time before a forwarded request is forwarded to one more member. Users wait 2 s
-	// for polls and 5 s for other requests.
-	forwardDelay     = 700 * time.Millisecond
-	pollForwardDelay = 450 * time.Millisecond
-
-	maxHedgeDelay = 600 * time.Millisecond // before a local attempt is hedged
-	// minWriteHedgeDelay is longer than that of polls: a submission or cancellation at
-	// two members costs the state service a needless transaction. Hedging writes as
-	// soon as they get slow would add to the load that slows them.
+	maxOutstanding = 64 // unanswered requests to one other member
+
+	// Time without an answer after which a forwarded request is forwarded to one more member. Users wait 2 s for
+	// polls and 5 s for other requests.
+	nextForwardDelay     = 700 * time.Millisecond
+	nextPollForwardDelay = 450 * time.Millisecond
+
+	// maxHedgeDelay bounds the time before a local attempt is hedged, unless Settings.MinHedgeDelay is longer.
+	maxHedgeDelay = 600 * time.Millisecond
+	// minWriteHedgeDelay is the minimum hedge delay of submissions and cancellations. It is longer than that of
+	// polls, since a write on two members costs the state service a needless transaction. Hedging writes as soon
+	// as they get slow would add to the load that slows them down.
 	minWriteHedgeDelay = 350 * time.Millisecond
 
-	// Number of values, one second apart, among which Retry-After is spread.
+	// Number of values, one second apart, among which Retry-After varies. Overload uses more of them than other
+	// refusals.
 	retrySpreadSteps    = 2
 	overloadSpreadSteps = 4
 )
 
-// Router holds a member's knowledge of where requests can be answered. It is safe for
+// Router decides, for each request that a member receives, on which members it is attempted. It keeps the circuit
+// breakers, latency estimates, concurrency limits and retry budget that these decisions depend on. It is safe for
 // concurrent use.
 type Router struct {
 	settings Settings
 
-	mu           sync.Mutex // guards everything below, and all RequestAttempts of the router
-	random       *rand.Rand
-	localBreaker breaker
-	members      map[string]*member
-	retryBudget  retryBudget
-	limits       [kindCount]concurrencyLimit
-	localLatency [kindCount]latencyEstimator // of answers of this member
-	counts       Counts
-	retrySpread  int // number of responses with a Retry-After
+	mu              sync.Mutex // guards everything below, and all RequestAttempts of the router
+	random          *rand.Rand
+	localBreaker    breaker
+	members         map[string]*member // the other members by name
+	retryBudget     retryBudget
+	limits          [kindCount]concurrencyLimit // on attempts on this member
+	localLatency    [kindCount]latencyEstimator // of attempts on this member that were answered
+	counts          Counts
+	retryAfterCount int // number of calls of RetryAfter
 }
 
-// member is what is known of another member.
+// member holds what this member knows about another one.
 type member struct {
 	name        string
 	breaker     breaker
-	outstanding int           // requests that it has not answered yet
-	peakLatency time.Duration // peak over its recent answers, decaying
+	outstanding int           // requests forwarded to the member that it has not answered yet
+	peakLatency time.Duration // decaying maximum of the latency of its responses
 }
 
-// localBreakerName is the name that onBreakerChange gets for this member.
+// localBreakerName is the name of this member in calls of onBreakerChange.
 const localBreakerName = "here"
 
-// New returns a router. onBreakerChange, if not nil, is called under a lock when a
-// breaker opens or closes, so it must not call the router; member is "here" for the
-// breaker of this member.
+// New returns a router. random is the source of random choices; the router uses it under its lock.
+// onBreakerChange is called when a circuit breaker opens or closes, with the name of the member that the breaker
+// guards, or "here" for this member. It is called under the lock of the router, so it must not call the router.
+// It may be nil.
 func New(
 	settings Settings, random *rand.Rand, onBreakerChange func(member string, from, to BreakerState),
 ) *Router {
@@ -83,7 +86,7 @@
 		random:       random,
 		localBreaker: breaker{name: localBreakerName, onChange: onBreakerChange},
 		members:      map[string]*member{},
-		retryBudget:  retryBudget{ratio: settings.RetryRatio, balance: initialRetries},
+		retryBudget:  retryBudget{ratio: settings.RetryRatio, balance: initialRetryBalance},
 	}
 	for _, name := range settings.OtherMembers {
 		r.members[name] = &member{name: name, breaker: breaker{name: name, onChange: onBreakerChange}}
@@ -94,15 +97,15 @@
 	return r
 }
 
-// admitLocal returns Answered if a request may be started on this member, or why not.
-// stateContact is when the state service last answered this member anything. r.mu must
-// be held.
-func (r *Router) admitLocal(now, stateContact time.Time, kind Kind) Outcome {
+// admitLocal returns Answered if a request may be attempted on this member, and otherwise the outcome that says
+// why not. An admitted request counts as in flight until localCompleted is called. lastStateResponse is the time
+// at which the state service last answered any request of this member. r.mu must be held.
+func (r *Router) admitLocal(now, lastStateResponse time.Time, kind Kind) Outcome {
 	if !r.limits[kind].acquire() {
 		r.counts.Shed++
 		return Overloaded
 	}
-	if !r.localBreaker.allow(now, stateContact) {
+	if !r.localBreaker.allow(now, lastStateResponse) {
 		r.limits[kind].release()
 		return StateUnavailable
 	}
@@ -128,13 +131,13 @@
 	}
 }
 
-// chooseMember returns the member to forward a request to, or nil: the less loaded one
-// of two random choices (power of two choices; M. Mitzenmacher, 2001). Members whose
-// breaker is open are probed only if no other is left. The request counts as
-// outstanding from here on. r.mu must be held.
+// chooseMember returns the member to forward a request to, or nil if there is none. It is the less loaded one of
+// two random choices (power of two choices; M. Mitzenmacher, 2001) among the members that are not in tried. A
+// member whose breaker is open is probed only if no member with a closed breaker is left. The request counts as
+// outstanding at the chosen member. r.mu must be held.
 func (r *Router) chooseMember(now time.Time, tried []string) *member {
 	var closed, due []*member
-	for _, name := range r.settings.OtherMembers { // not the map: its order is random
+	for _, name := range r.settings.OtherMembers { // not r.members, since the order of a map is random
 		m := r.members[name]
 		switch {
 		case slices.Contains(tried, name) || m.outstanding >= maxOutstanding:
@@ -162,13 +165,12 @@
 	return chosen
 }
 
-// load estimates how long a further request would take at the member.
+// load estimates the latency of one more request to the member.
 func (m *member) load() time.Duration {
 	return time.Duration(m.outstanding+1) * max(m.peakLatency, time.Millisecond)
 }
 
-// forwardCompleted records the outcome of an attempt at another member. r.mu must be
-// held.
+// forwardCompleted records the outcome of an attempt on another member. r.mu must be held.
 func (r *Router) forwardCompleted(now time.Time, name string, latency time.Duration, outcome Outcome) {
 	m := r.members[name]
 	m.outstanding--
@@ -178,22 +180,22 @@
 		m.breaker.record(now, true)
 		r.retryBudget.deposit(now)
 	case Overloaded, OutOfMemory, NotReady:
-		m.breaker.discard() // the member is reachable; it may answer other requests
+		m.breaker.discard() // the member is reachable and may answer other requests
 	default:
 		m.breaker.record(now, false)
 	}
 }
 
-// AdmitForwarded decides whether a request that another member forwards may be started
-// here. If so, it returns a function that must be called once with the outcome;
-// otherwise that function is nil, and the outcome says why. stateContact is when the
-// state service last answered this member anything.
+// AdmitForwarded decides whether a request that another member has forwarded may be attempted on this member. If
+// so, it returns a function that must be called exactly once, with the outcome of the attempt and the time at
+// which it ended. Otherwise the function is nil and outcome says why. lastStateResponse is the time at which the
+// state service last answered any request of this member.
 func (r *Router) AdmitForwarded(
-	now, stateContact time.Time, kind Kind,
+	now, lastStateResponse time.Time, kind Kind,
 ) (completed func(now time.Time, outcome Outcome), outcome Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if outcome := r.admitLocal(now, stateContact, kind); outcome != Answered {
+	if outcome := r.admitLocal(now, lastStateResponse, kind); outcome != Answered {
 		return nil, outcome
 	}
 	r.counts.ServedForOthers++
@@ -204,29 +206,29 @@
 	}, Answered
 }
 
-// RetryAfter returns when a user whose request was not answered is to retry, at least
-// minimum from now. It is spread in time, so that users who are rejected together do
-// not return together.
+// RetryAfter returns the time that a user whose request ended with the given outcome should wait before a retry.
+// It is at least minimum, and varies from call to call so that users who are rejected together do not return
+// together.
 func (r *Router) RetryAfter(minimum time.Duration, outcome Outcome) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.retrySpread++
+	r.retryAfterCount++
 	steps := retrySpreadSteps
 	if outcome == Overloaded || outcome == OutOfMemory {
 		steps = overloadSpreadSteps
 	}
-	return minimum + time.Duration(r.retrySpread%steps)*time.Second
+	return minimum + time.Duration(r.retryAfterCount%steps)*time.Second
 }
 
-// hedgeDelay returns how long a local attempt may take before the request is forwarded
-// as well; 0: for ever. r.mu must be held.
+// hedgeDelay returns how long a local attempt may take before the request is forwarded as well, or 0 if hedging
+// is off. r.mu must be held.
 func (r *Router) hedgeDelay(kind Kind) time.Duration {
 	if r.settings.MinHedgeDelay == 0 {
 		return 0
 	}
-	least := r.settings.MinHedgeDelay
+	minDelay := r.settings.MinHedgeDelay
 	if kind != Poll {
-		least = max(least, minWriteHedgeDelay)
+		minDelay = max(minDelay, minWriteHedgeDelay)
 	}
-	return min(max(r.localLatency[kind].upperBound(), least), max(maxHedgeDelay, least))
+	return min(max(r.localLatency[kind].upperBound(), minDelay), max(maxHedgeDelay, minDelay))
 }
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -21,7 +21,7 @@
 	return New(settings, rand.New(rand.NewPCG(1, 2)), nil)
 }
 
-// begin starts a request whose user waits for 3 s.
+// begin starts a request with a deadline of 3 s from now.
 func (r *Router) begin(now time.Time, kind Kind) (*RequestAttempts, Action) {
 	request := Request{Kind: kind, ID: "wk-000001"}
 	return r.Begin(now, now.Add(3*time.Second), time.Time{}, request, false)
@@ -74,12 +74,12 @@
 	if status := r.Status(afterStart(100 * time.Millisecond)); status.Local != "open" {
 		t.Fatalf("after %d failures: got the local breaker %s, want open", failureThreshold, status.Local)
 	}
-	// The state service has answered something else meanwhile, so the pause is over.
+	// The state service has answered another request since the breaker opened, which permits a probe.
 	now := afterStart(130 * time.Millisecond)
-	contact := afterStart(125 * time.Millisecond)
-	attempts, action := r.Begin(now, afterStart(3*time.Second), contact, Request{}, false)
+	lastStateResponse := afterStart(125 * time.Millisecond)
+	attempts, action := r.Begin(now, afterStart(3*time.Second), lastStateResponse, Request{}, false)
 	if !action.Local {
-		t.Fatalf("after a contact: got %+v, want a local attempt", action)
+		t.Fatalf("after a response of the state service: got %+v, want a local attempt", action)
 	}
 	if _, other := r.begin(afterStart(131*time.Millisecond), Submit); other.Local {
 		t.Errorf("during the probe: got %+v, want no local attempt", other)
@@ -91,18 +91,18 @@
 }
 
 func TestDiscardedProbeCostsNoFurtherPause(t *testing.T) {
-	b := breaker{state: Open, since: startTime, pause: time.Second}
+	b := breaker{state: Open, since: startTime, openDuration: time.Second}
 	now := afterStart(time.Second)
 	if first, second := b.allow(now, time.Time{}), b.allow(now, time.Time{}); !first || second {
-		t.Errorf("when the pause is over: got %v, %v, want true, false", first, second)
+		t.Errorf("after the open duration: got %v, %v, want true, false", first, second)
 	}
 	if b.discard(); !b.allow(now, time.Time{}) {
 		t.Error("after a discarded probe: got false, want true")
 	}
 }
 
-// All members are without the state service: users are told so at once, and members do
-// not multiply each other's requests.
+// Guards against members that multiply each other's requests while the state service is down for all of them.
+// Users must be rejected without waiting, and requests to the state service and between members must stay few.
 func TestOutageOfAllMembersIsNotAmplified(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	routers := map[string]*Router{}
@@ -150,8 +150,8 @@
 	}
 }
 
-// A local attempt is late: another member is asked too, and the first that answers
-// decides. What the other one says later is recorded all the same.
+// A local attempt takes too long, so another member is asked too. The first answer must go to the user, and the
+// outcome of the later attempt must still be recorded.
 func TestLateResponseIsHedged(t *testing.T) {
 	r := newRouter("b", "c")
 	for i := range 30 {
--- a/internal/route/status.go
+++ b/internal/route/status.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Counts are numbers of decisions since the start of the process.
+// Counts counts the decisions of a Router since the start of the process.
 type Counts struct {
-	Local           uint64 `json:"here"`       // attempts on this member
+	Local           uint64 `json:"here"`       // attempts at this member's own requests on this member
 	Forwarded       uint64 `json:"handed"`     // attempts on other members
-	Hedged          uint64 `json:"hedged"`     // of Forwarded, while a local attempt was under way
-	Retried         uint64 `json:"again"`      // requests all of whose attempts so far were not answered
-	Rejected        uint64 `json:"refused"`    // users whose request was not answered
-	RetriesDenied   uint64 `json:"no_retry"`   // retries that the budget did not allow
-	Shed            uint64 `json:"shed"`       // local attempts beyond the concurrency limit
-	ServedForOthers uint64 `json:"for_others"` // attempts on this member that others forwarded
+	Hedged          uint64 `json:"hedged"`     // forwarded attempts that hedged a local attempt
+	Retried         uint64 `json:"again"`      // times that a request was left without an attempt under way or an answer
+	Rejected        uint64 `json:"refused"`    // requests that ended without an answer
+	RetriesDenied   uint64 `json:"no_retry"`   // retries and hedges that the retry budget did not allow
+	Shed            uint64 `json:"shed"`       // local attempts that the concurrency limit did not allow
+	ServedForOthers uint64 `json:"for_others"` // attempts on this member at requests that others forwarded
 }
 
-// Status is a snapshot of a Router, for operators.
+// Status is a snapshot of a Router, for operators. Breaker states are given by their names, and maps are keyed by
+// the name of the member or of the kind of request.
 type Status struct {
-	Local       string            `json:"here"`     // state of this member's breaker
-	Members     map[string]string `json:"members"`  // states of the other members' breakers
-	Limits      map[string]int    `json:"limits"`   // concurrency limits by kind
-	InFlight    map[string]int    `json:"inside"`   // local attempts under way by kind
-	HedgeMillis map[string]int    `json:"hedge_ms"` // hedge delays by kind
-	RetriesLeft float64           `json:"retries_left"`
+	Local       string            `json:"here"`         // state of this member's breaker
+	Members     map[string]string `json:"members"`      // states of the other members' breakers
+	Limits      map[string]int    `json:"limits"`       // concurrency limits
+	InFlight    map[string]int    `json:"inside"`       // attempts under way on this member
+	HedgeMillis map[string]int    `json:"hedge_ms"`     // hedge delays in milliseconds; 0 if hedging is off
+	RetriesLeft float64           `json:"retries_left"` // balance of the retry budget
 	Counts      Counts            `json:"counts"`
 }
 
-// Status returns a snapshot of the router.
+// Status returns a snapshot of the router at time now.
 func (r *Router) Status(now time.Time) *Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
