--- a/internal/httpapi/connections_test.go
+++ b/internal/httpapi/connections_test.go
@@ -16,7 +16,8 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// requestOn sends a request on an open connection.
+// requestOn sends a request on an open connection, and returns the status and the Retry-After header of the
+// response.
 func requestOn(t *testing.T, conn net.Conn, method, path string, body []byte) (status int, retryAfter string) {
 	t.Helper()
 	var request fasthttp.Request
@@ -24,21 +25,23 @@
 	request.Header.SetMethod(method)
 	request.SetRequestURI("http://controller" + path)
 	request.SetBody(body)
-	_, _ = request.WriteTo(conn) // a rejected connection may be closed before the request is written
+	// The error is ignored, since the server may close a rejected connection before the request is written.
+	_, _ = request.WriteTo(conn)
 	if err := response.Read(bufio.NewReader(conn)); err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
 	return response.StatusCode(), string(response.Header.Peek("Retry-After"))
 }
 
-// Some connections are held open without a request, others use up the quota of users.
-// Workers and health checks connect all the same, and a new user is told when to retry.
+// Guards against clients that starve workers and health checks of connections. Some connections are held open
+// without a request, and others use up the quota of users. Workers and health checks must still be served, and
+// further clients must get a 503 response with Retry-After.
 func TestWorkersConnectWhileUsersHoldConnections(t *testing.T) {
-	var seconds atomic.Int64
-	now := func() time.Time { return time.Unix(1e9+seconds.Load(), 0) }
+	var elapsedSeconds atomic.Int64
+	now := func() time.Time { return time.Unix(1e9+elapsedSeconds.Load(), 0) }
 	quotas := connquota.New(200, 1, nil)
 	settings := Settings{RetryAfter: time.Second, MaxConns: 200, ConnQuotas: quotas}
-	jobs := &fakeJobs{known: map[string]store.JobRecord{"wk-000001": {State: wire.StateQueued}}}
+	jobs := &fakeJobs{records: map[string]store.JobRecord{"wk-000001": {State: wire.StateQueued}}}
 	backend := &fakeBackend{
 		heartbeatResult: HeartbeatResult{Leading: true, FencingToken: 41, LeaseValid: func() bool { return true }},
 		machineTypes:    eightCPUTypes,
@@ -60,10 +63,10 @@
 	for quotas.Status().Classes[connquota.Unclassified].Used < classes[connquota.Unclassified].Quota {
 		runtime.Gosched()
 	}
-	if status, after := requestOn(t, dial(), "GET", "/healthz", nil); status != 503 || after == "" {
-		t.Errorf("beyond the quota of new connections: got %d, Retry-After %q, want 503 with Retry-After", status, after)
+	if status, retryAfter := requestOn(t, dial(), "GET", "/healthz", nil); status != 503 || retryAfter == "" {
+		t.Errorf("beyond the quota of new connections: got %d, Retry-After %q, want 503 with Retry-After", status, retryAfter)
 	}
-	seconds.Add(6) // new connections without a request may be closed now
+	elapsedSeconds.Add(6) // connections that have sent no request for 5 s may be closed to make room
 	var users []net.Conn
 	for range classes[connquota.Users].Quota {
 		conn := dial()
@@ -72,8 +75,8 @@
 			t.Fatalf("user %d: got %d, want 200", len(users), status)
 		}
 	}
-	if status, after := requestOn(t, dial(), "GET", "/api/jobs/wk-000001", nil); status != 503 || after == "" {
-		t.Errorf("beyond the quota of users: got %d, Retry-After %q, want 503 with Retry-After", status, after)
+	if status, retryAfter := requestOn(t, dial(), "GET", "/api/jobs/wk-000001", nil); status != 503 || retryAfter == "" {
+		t.Errorf("beyond the quota of users: got %d, Retry-After %q, want 503 with Retry-After", status, retryAfter)
 	}
 	heartbeat, err := msgp.AppendIntf(nil, heartbeatFields())
 	if err != nil {
--- a/internal/httpapi/constraints.go
+++ b/internal/httpapi/constraints.go
@@ -9,28 +9,29 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// checkConstraints checks a submission's placement constraints: whether they can be
-// parsed, whether the jobs that they name were ever accepted, and whether any machine
-// could satisfy them. It returns why the job cannot be accepted, or nil.
+// checkConstraints validates the placement constraints of a submission: they must parse, the jobs that they name
+// must have been accepted at some time, and some set of machines must be able to satisfy them. It returns the
+// response that refuses the job, or nil if the constraints are valid. If constraints are not enabled, it clears
+// spec.Rules.
 func (s *Server) checkConstraints(
 	ctx context.Context, spec *model.Spec, types []model.MachineType,
 ) *route.Response {
 	if !s.settings.ConstraintsEnabled {
-		spec.Rules = "" // ignored, as any unknown field
+		spec.Rules = "" // ignored like any unknown field
 	}
 	switch spec.Rules {
 	case "":
 		return nil
 	case wire.MalformedRules:
-		return malformed("rules: not a text")
+		return malformedResponse("rules: not a text")
 	}
 	if s.settings.ConstraintsInForce != nil && !s.settings.ConstraintsInForce() {
-		// A leader of an older version would place the job anywhere.
-		return new(declined(route.NotReady, "rules: not every controller knows them yet"))
+		// A leader that runs an older version would ignore the constraints when it places the job.
+		return new(unavailableResponse(route.NotReady, "rules: not every controller knows them yet"))
 	}
 	set, err := constraint.Parse(spec.Rules)
 	if err != nil {
-		return malformed(err.Error())
+		return malformedResponse(err.Error())
 	}
 	zones, refusal := s.affinityZones(ctx, spec, set.Affinities, types)
 	if refusal != nil {
@@ -41,30 +42,31 @@
 		return names, ok
 	}
 	if err := constraint.Check(set, spec, constraint.Environment{Types: types, JobZones: jobZones}); err != nil {
-		return infeasible(err.Error())
+		return infeasibleResponse(err.Error())
 	}
 	return nil
 }
 
-// affinityZones returns the feasible zones of each unfinished job that affinities
-// name, or why the submission cannot be accepted.
+// affinityZones returns, for each unfinished job that affinities name, the zones in which its tasks may run.
+// Ended jobs have no entry. If an affinity names the submitted job itself or a job that was never accepted, or if
+// a job record cannot be read, affinityZones returns the response that refuses the submission instead.
 func (s *Server) affinityZones(
 	ctx context.Context, spec *model.Spec, affinities []constraint.Affinity, types []model.MachineType,
 ) (map[string][]string, *route.Response) {
 	zones := map[string][]string{}
 	for _, affinity := range affinities {
 		if affinity.Job == spec.ID {
-			return nil, infeasible("rules: " + affinity.Clause.String() + " names the job itself")
+			return nil, infeasibleResponse("rules: " + affinity.Clause.String() + " names the job itself")
 		}
 		record := s.jobs.Peek(affinity.Job)
 		if record.State == wire.StateUnknown {
 			var err error
 			if record, err = s.jobs.Lookup(ctx, affinity.Job); err != nil {
-				return nil, new(stateServiceFailure(err))
+				return nil, new(stateServiceErrorResponse(err))
 			}
 		}
 		if record.State == wire.StateUnknown {
-			return nil, infeasible("rules: " + affinity.Clause.String() + " names a job that was never accepted")
+			return nil, infeasibleResponse("rules: " + affinity.Clause.String() + " names a job that was never accepted")
 		}
 		if record.Spec != nil {
 			zones[affinity.Job] = constraint.FeasibleZones(record.Spec, types)
--- a/internal/httpapi/constraints_test.go
+++ b/internal/httpapi/constraints_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestSubmissionConstraintsAreValidated(t *testing.T) {
-	jobs := &fakeJobs{known: map[string]store.JobRecord{
+	jobs := &fakeJobs{records: map[string]store.JobRecord{
 		"wk-000009": {State: wire.StateQueued, Spec: &model.Spec{Tasks: 1, Zone: "b"}},
 	}}
 	backend := &fakeBackend{machineTypes: []model.MachineType{
@@ -44,7 +44,7 @@
 		{"require same zone as wk-000107", 422, "names the job itself"},
 		{strings.Repeat("require spot;", 4000), 400, "longer than"},
 	} {
-		id := fmt.Sprintf("wk-%06d", 100+len(jobs.known)-1)
+		id := fmt.Sprintf("wk-%06d", 100+len(jobs.records)-1)
 		if strings.Contains(c.reason, "itself") {
 			id = "wk-000107"
 		}
@@ -54,7 +54,7 @@
 		}
 	}
 	const wantRules = "require gpus >= 1; prefer 20 spot"
-	if spec := jobs.known["wk-000100"].Spec; spec == nil || spec.Rules != wantRules {
+	if spec := jobs.records["wk-000100"].Spec; spec == nil || spec.Rules != wantRules {
 		t.Errorf("recorded spec: got %+v, want rules %q", spec, wantRules)
 	}
 	backend.machineTypes = nil
@@ -67,7 +67,7 @@
 	for i, rules := range []any{"require gpus => 1", 7, "require gpus > 100"} {
 		id := fmt.Sprintf("wk-%06d", 300+i)
 		got := doDisabled("POST", "/api/jobs", withRules(id, rules))
-		if got.status != 201 || jobs.known[id].Spec.Rules != "" {
+		if got.status != 201 || jobs.records[id].Spec.Rules != "" {
 			t.Errorf("constraints disabled, %v: got %d %v, want 201 without rules", rules, got.status, got.fields)
 		}
 	}
--- a/internal/httpapi/fakes_test.go
+++ b/internal/httpapi/fakes_test.go
@@ -22,16 +22,16 @@
 
 var errStateServiceDown = errors.New("down")
 
-// fakeJobs keeps job records in memory.
+// fakeJobs implements Jobs with records in memory.
 type fakeJobs struct {
-	known            map[string]store.JobRecord
-	stateServiceDown bool
+	records          map[string]store.JobRecord // by job id
+	stateServiceDown bool                       // only Peek, and Lookup of an ended job, succeed
 }
 
-func (j *fakeJobs) Peek(id string) store.JobRecord { return j.known[id] }
+func (j *fakeJobs) Peek(id string) store.JobRecord { return j.records[id] }
 
 func (j *fakeJobs) Lookup(_ context.Context, id string) (store.JobRecord, error) {
-	if record := j.known[id]; record.State.Ended() || !j.stateServiceDown {
+	if record := j.records[id]; record.State.Ended() || !j.stateServiceDown {
 		return record, nil
 	}
 	return store.JobRecord{}, errStateServiceDown
@@ -43,10 +43,10 @@
 	if j.stateServiceDown {
 		return false, store.JobRecord{}, errStateServiceDown
 	}
-	record, ok := j.known[spec.ID]
+	record, ok := j.records[spec.ID]
 	if !ok {
 		record = store.JobRecord{State: wire.StateQueued, Spec: spec, Tasks: spec.Tasks}
-		j.known[spec.ID] = record
+		j.records[spec.ID] = record
 	}
 	return !ok, record, nil
 }
@@ -56,7 +56,7 @@
 		if j.stateServiceDown {
 			return false, errStateServiceDown
 		}
-		if j.known[id].State == wire.StateUnknown {
+		if j.records[id].State == wire.StateUnknown {
 			return false, store.ErrUnknownDependency
 		}
 	}
@@ -69,21 +69,21 @@
 	if j.stateServiceDown {
 		return store.JobRecord{}, errStateServiceDown
 	}
-	record := j.known[id]
+	record := j.records[id]
 	if record.State == wire.StateQueued {
 		record.State = wire.StateCancelled
-		j.known[id] = record
+		j.records[id] = record
 	}
 	return record, nil
 }
 
-// fakeBackend is a controller whose answers are fixed.
+// fakeBackend implements Backend with fixed results. It is always healthy, and its only team is "vision".
 type fakeBackend struct {
 	machineTypes    []model.MachineType
 	heartbeatResult HeartbeatResult
-	relayedResponse []byte
+	relayedResponse []byte // result of RelayHeartbeat; nil means that heartbeats are not relayed
 	memoryPressure  bool
-	// forward answers a request in place of another member.
+	// forward stands in for the other member that a request is forwarded to.
 	forward func(ctx context.Context, member string, request route.Request) route.Response
 }
 
@@ -114,19 +114,19 @@
 
 func (b *fakeBackend) UnderMemoryPressure() bool { return b.memoryPressure }
 
-// noJobs returns records without any job.
-func noJobs() *fakeJobs { return &fakeJobs{known: map[string]store.JobRecord{}} }
+// noJobs returns empty job records.
+func noJobs() *fakeJobs { return &fakeJobs{records: map[string]store.JobRecord{}} }
 
-// unreachableJobs returns records that cannot be read.
-func unreachableJobs() *fakeJobs {
-	return &fakeJobs{known: map[string]store.JobRecord{}, stateServiceDown: true}
+// unreadableJobs returns empty job records while the state service is down.
+func unreadableJobs() *fakeJobs {
+	return &fakeJobs{records: map[string]store.JobRecord{}, stateServiceDown: true}
 }
 
 var eightCPUTypes = []model.MachineType{
 	{Name: "eight", Capacity: model.Resources{CPU: 8, MemGB: 64}, Zones: []string{"a"}},
 }
 
-// submissionFields returns the fields of a valid submission.
+// submissionFields returns the fields of a valid submission by team "vision", with all required fields.
 func submissionFields(id string) map[string]any {
 	return map[string]any{
 		"ref":      id,
@@ -166,43 +166,45 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// newRouter returns the router of a member whose only peer is "b".
+// newRouter returns the router of a member whose only peer is "b". hedge is the minimum hedge delay; 0 turns
+// hedging off.
 func newRouter(hedge time.Duration) *route.Router {
 	settings := route.Settings{OtherMembers: []string{"b"}, RetryRatio: 0.2, MinHedgeDelay: hedge, MaxConcurrent: 64}
 	return route.New(settings, rand.New(rand.NewPCG(1, 2)), nil)
 }
 
-// routedSettings returns the settings of a server with a router.
+// routedSettings returns the settings of a server that forwards requests to member "b".
 func routedSettings(hedge time.Duration) Settings {
 	return Settings{RetryAfter: time.Second, MaxConns: 10, Router: newRouter(hedge)}
 }
 
-// listen serves s in memory until the test ends.
+// listen serves s on an in-memory listener until the test ends.
 func listen(t *testing.T, s *Server) *fasthttputil.InmemoryListener {
 	t.Helper()
 	listener := fasthttputil.NewInmemoryListener()
-	go func() { _ = s.Serve(listener) }() // ends with the listener
+	go func() { _ = s.Serve(listener) }() // returns when the listener is closed
 	t.Cleanup(func() { _ = listener.Close() })
 	return listener
 }
 
-// testResponse is what a client gets.
+// testResponse is the response that a client receives.
 type testResponse struct {
 	status     int
-	fields     map[string]any
-	retryAfter string
+	fields     map[string]any // the decoded body; empty if there is no body
+	retryAfter string         // the Retry-After header
 }
 
-// testClient sends one request. A body that is no []byte is encoded as MessagePack.
+// testClient sends a request and returns the response. A body of any type but []byte is encoded as MessagePack; a
+// nil body is empty.
 type testClient func(method, path string, body any) testResponse
 
-// serveHTTP runs a server in memory and returns its client.
+// serveHTTP runs a server on an in-memory listener and returns a client of it. The server forwards no requests.
 func serveHTTP(t *testing.T, jobs *fakeJobs, backend *fakeBackend) testClient {
 	t.Helper()
 	return serveHTTPWith(t, Settings{RetryAfter: time.Second, MaxConns: 10}, jobs, backend)
 }
 
-// serveHTTPWith is serveHTTP with other settings.
+// serveHTTPWith is like serveHTTP but takes the settings of the server.
 func serveHTTPWith(t *testing.T, settings Settings, jobs *fakeJobs, backend *fakeBackend) testClient {
 	t.Helper()
 	listener := listen(t, New(settings, jobs, backend, time.Now, discardLog()))
--- a/internal/httpapi/forwarding_test.go
+++ b/internal/httpapi/forwarding_test.go
@@ -20,24 +20,24 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// serveForwardingPair runs two servers with records of their own, of which the first
-// forwards to the second, and returns the first one's client.
+// serveForwardingPair runs two servers with separate job records, and returns a client of the first one. The
+// first server forwards requests to the second.
 func serveForwardingPair(t *testing.T, first, second *fakeJobs) testClient {
 	t.Helper()
 	machineTypes := eightCPUTypes
-	other := New(routedSettings(0), second, &fakeBackend{machineTypes: machineTypes}, time.Now, discardLog())
+	secondServer := New(routedSettings(0), second, &fakeBackend{machineTypes: machineTypes}, time.Now, discardLog())
 	forward := func(ctx context.Context, _ string, request route.Request) route.Response {
-		return other.HandleForwarded(ctx, request, time.Second)
+		return secondServer.HandleForwarded(ctx, request, time.Second)
 	}
 	return serveHTTPWith(t, routedSettings(0), first, &fakeBackend{machineTypes: machineTypes, forward: forward})
 }
 
 func TestForwardedRequestIsAnsweredByOtherMember(t *testing.T) {
-	jobs := &fakeJobs{known: map[string]store.JobRecord{
+	jobs := &fakeJobs{records: map[string]store.JobRecord{
 		"wk-000005": {State: wire.StateQueued, Tasks: 1},
 		"wk-000009": {State: wire.StateDone, Tasks: 7},
 	}}
-	do := serveForwardingPair(t, unreachableJobs(), jobs)
+	do := serveForwardingPair(t, unreadableJobs(), jobs)
 	infeasible := submissionFields("wk-000003")
 	infeasible["owner"] = "nobody"
 	for _, c := range []struct {
@@ -61,7 +61,7 @@
 				c.name, got.status, got.fields, got.retryAfter, c.status, c.jobStatus)
 		}
 	}
-	if jobs.known["wk-000001"].Spec == nil {
+	if jobs.records["wk-000001"].Spec == nil {
 		t.Error("record of the new job: got none, want one at the other member")
 	}
 	jobs.stateServiceDown = true
@@ -83,7 +83,7 @@
 			return route.Response{Outcome: route.TimedOut}
 		},
 	}
-	s := New(routedSettings(0), unreachableJobs(), backend, time.Now, discardLog())
+	s := New(routedSettings(0), unreadableJobs(), backend, time.Now, discardLog())
 	for range 5 {
 		got := s.HandleForwarded(t.Context(), route.Request{Kind: route.Poll, ID: "wk-000001"}, time.Second)
 		if got.Outcome != route.StateUnavailable {
@@ -95,7 +95,7 @@
 	}
 }
 
-// slowJobs knows the ends of jobs; everything else does not answer in time.
+// slowJobs answers from its cache once the job has ended. Until then a lookup blocks until its context is done.
 type slowJobs struct {
 	fakeJobs
 	ended atomic.Bool
@@ -116,8 +116,8 @@
 	return store.JobRecord{}, ctx.Err()
 }
 
-// While another member read the job as unfinished, or accepted it, its end became known
-// here, and users may have been told of it: the older response must not go out.
+// Guards against a response that is older than what users may have been told. Another member reads the job as
+// unfinished, or accepts it, while this member learns of its end. The other member's response must not be sent.
 func TestKnownJobEndOverridesOlderForwardedResponse(t *testing.T) {
 	const id = "wk-000001"
 	body := msgp.AppendMapHeader(nil, 1)
@@ -153,8 +153,7 @@
 	}
 }
 
-// logHook calls a function with the message of each log record, before the logging
-// call returns.
+// logHook is a log handler that calls onMessage with the message of each record before the logging call returns.
 type logHook struct {
 	slog.Handler
 	onMessage func(message string)
@@ -167,7 +166,7 @@
 	return nil
 }
 
-// blockingJobs answers lookups once release is closed.
+// blockingJobs blocks each lookup until release is closed.
 type blockingJobs struct {
 	fakeJobs
 	release chan bool
@@ -178,8 +177,8 @@
 	return store.JobRecord{State: wire.StateDone, Tasks: 3}, nil
 }
 
-// A poll is hedged, and answered here at that very moment, before the goroutine of the
-// forwarded attempt has run: the attempt still goes to the member that was chosen.
+// Guards against a data race on the chosen action. A poll is hedged, and the local attempt answers it before the
+// goroutine of the forwarded attempt has run. The forwarded attempt must still go to the member that was chosen.
 func TestDelayedForwardGoesToChosenMember(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for range 20 {
@@ -195,7 +194,7 @@
 		onMessage := func(message string) {
 			if message == "request forwarded" {
 				close(jobs.release)
-				time.Sleep(time.Millisecond) // lets the local attempt finish first
+				time.Sleep(time.Millisecond) // the local attempt finishes first
 			}
 		}
 		log := slog.New(logHook{slog.NewTextHandler(io.Discard, nil), onMessage})
@@ -214,14 +213,14 @@
 		machineTypes: []model.MachineType{{}},
 		forward:      func(context.Context, string, route.Request) route.Response { panic("test") },
 	}
-	do := serveHTTPWith(t, routedSettings(0), unreachableJobs(), backend)
+	do := serveHTTPWith(t, routedSettings(0), unreadableJobs(), backend)
 	if got := do("GET", "/api/jobs/wk-000001", nil); got.status != 503 || got.retryAfter == "" {
 		t.Errorf("got %d, Retry-After %q, want 503 with Retry-After", got.status, got.retryAfter)
 	}
 }
 
-// With the quota of users' connections used up, a member takes the request on a new
-// connection and has another member answer it.
+// A member whose quota of user connections is used up still reads a request on a new connection, and forwards it
+// to another member. It closes the connection after the response.
 func TestRequestIsForwardedWhenUserQuotaIsFull(t *testing.T) {
 	quotas := connquota.New(200, 1, nil)
 	backend := &fakeBackend{
--- a/internal/httpapi/handler.go
+++ b/internal/httpapi/handler.go
@@ -11,8 +11,8 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Paths of the interface. A job's path is jobsPath, a slash and its id; with
-// cancelSuffix it is the path to cancel the job.
+// Paths of the HTTP API. A job is polled at jobsPath, a slash and its id, and cancelled at that path with
+// cancelSuffix.
 const (
 	heartbeatPath = "/v1/report"
 	healthPath    = "/healthz"
@@ -20,19 +20,19 @@
 	cancelSuffix  = "/withdraw"
 )
 
-// Handle answers one request.
+// Handle answers an HTTP request of a user, a worker or a health check. It is safe for concurrent use. A panic is
+// logged and answered with status 503.
 func (s *Server) Handle(ctx *fasthttp.RequestCtx) {
 	defer func() {
-		// A panic in one request must not end the process, and with it the requests
-		// of everybody else.
+		// A panic in one request must not end the process, and with it all other requests.
 		if r := recover(); r != nil {
-			s.log.Error("request failed", "path", string(ctx.Path()), "panic", r, "stack", string(debug.Stack()))
+			s.log.Error("panic in HTTP handler", "path", string(ctx.Path()), "panic", r, "stack", string(debug.Stack()))
 			s.replyUnavailable(ctx, "internal error")
 		}
 	}()
 	path := string(ctx.URI().PathOriginal())
 	withinQuota := s.classifyConnection(ctx, path)
-	if !withinQuota && (s.settings.Router == nil || connClassOf(path) != connquota.Users) {
+	if !withinQuota && (s.settings.Router == nil || connClassForPath(path) != connquota.Users) {
 		s.replyUnavailable(ctx, "no connection is free")
 		return
 	}
@@ -56,7 +56,8 @@
 	}
 }
 
-// handleParseError answers what is not HTTP, or too large.
+// handleParseError answers a request that is not valid HTTP or that exceeds a size limit, and closes its
+// connection.
 func (s *Server) handleParseError(ctx *fasthttp.RequestCtx, _ error) {
 	s.replyError(ctx, fasthttp.StatusBadRequest, "malformed request")
 	ctx.SetConnectionClose()
@@ -79,7 +80,7 @@
 	s.handleJobRequest(ctx, route.Request{Kind: route.Submit, ID: id, Body: ctx.PostBody()}, withinQuota)
 }
 
-// handleJobPath answers a poll or a cancellation. jobPath is the path behind jobsPath.
+// handleJobPath answers a poll or a cancellation. jobPath is the part of the path after jobsPath and a slash.
 func (s *Server) handleJobPath(ctx *fasthttp.RequestCtx, jobPath string, withinQuota bool) {
 	if id, ok := strings.CutSuffix(jobPath, cancelSuffix); ok {
 		if s.requireMethod(ctx, fasthttp.MethodPost) {
@@ -92,8 +93,8 @@
 	}
 }
 
-// handleJobRequest answers a user's request about a job. If its connection is beyond
-// the quota of users, another member has to answer it.
+// handleJobRequest answers a user's request about a job. withinQuota reports whether the request's connection is
+// within the quota of users; if it is not, another member has to answer the request.
 func (s *Server) handleJobRequest(ctx *fasthttp.RequestCtx, request route.Request, withinQuota bool) {
 	response := s.routeRequest(request, !withinQuota)
 	if response.RetryAfter > 0 || response.Status == fasthttp.StatusServiceUnavailable {
@@ -102,7 +103,8 @@
 	s.reply(ctx, response.Status, response.Body)
 }
 
-// requireMethod reports whether the request has the method; if not, it answers it.
+// requireMethod reports whether the request has the given method. If it has not, requireMethod answers it with
+// status 405.
 func (s *Server) requireMethod(ctx *fasthttp.RequestCtx, method string) bool {
 	if string(ctx.Method()) == method {
 		return true
@@ -122,7 +124,7 @@
 	s.reply(ctx, status, wire.AppendError(nil, reason))
 }
 
-// replyUnavailable asks the client to retry later.
+// replyUnavailable answers with status 503 and a Retry-After header.
 func (s *Server) replyUnavailable(ctx *fasthttp.RequestCtx, reason string) {
 	s.setRetryAfter(ctx, s.settings.RetryAfter)
 	s.replyError(ctx, fasthttp.StatusServiceUnavailable, reason)
--- a/internal/httpapi/handler_test.go
+++ b/internal/httpapi/handler_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestUserRequestsReturnDocumentedStatus(t *testing.T) {
-	jobs := &fakeJobs{known: map[string]store.JobRecord{"wk-000009": {State: wire.StateDone, Tasks: 7}}}
+	jobs := &fakeJobs{records: map[string]store.JobRecord{"wk-000009": {State: wire.StateDone, Tasks: 7}}}
 	do := serveHTTP(t, jobs, &fakeBackend{machineTypes: eightCPUTypes})
 	with := func(id string, change func(map[string]any)) map[string]any {
 		fields := maps.Clone(submissionFields(id))
@@ -78,7 +78,7 @@
 
 func TestStateServiceOutageReturnsRetryAfter(t *testing.T) {
 	jobs := &fakeJobs{
-		known: map[string]store.JobRecord{
+		records: map[string]store.JobRecord{
 			"wk-000001": {State: wire.StateQueued},
 			"wk-000009": {State: wire.StateCancelled},
 		},
--- a/internal/httpapi/heartbeat.go
+++ b/internal/httpapi/heartbeat.go
@@ -10,18 +10,22 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// heartbeatTimeout bounds how long a heartbeat may wait for its response: workers
-// drop responses after 4 s.
+// heartbeatTimeout bounds the time to answer a heartbeat. Workers ignore responses that arrive after 4 s.
 const heartbeatTimeout = 2 * time.Second
 
-// HeartbeatResult is the outcome of a worker's heartbeat.
+// HeartbeatResult is the result of processing a worker's heartbeat.
 type HeartbeatResult struct {
-	Leading bool   // this controller leads; FencingToken, Commands and LeaseValid are set
-	Leader  string // the leader's name as far as it is known, if this controller does not lead
-	// FencingToken is the leader's; workers refuse a lower one than they have seen.
+	// Leading says that this controller is the leader. LeaseValid is then set, and FencingToken and Commands may
+	// be sent while it returns true.
+	Leading bool
+	// Leader is the name of the leader if this controller does not lead. It is empty if the leader is unknown.
+	Leader string
+	// FencingToken is the fencing token of the leader. Workers refuse a token lower than the highest that they
+	// have seen.
 	FencingToken uint64
-	Commands     []model.Command
-	// LeaseValid reports whether the leadership lease holds at the time of the call.
+	// Commands are the commands that the response carries to the worker.
+	Commands []model.Command
+	// LeaseValid reports whether the leadership lease is valid at the time of the call.
 	LeaseValid func() bool
 }
 
@@ -30,7 +34,7 @@
 	if err != nil {
 		s.malformedHeartbeats.Add(1)
 		s.malformedLogLimit.Do(func() {
-			s.log.Warn("malformed heartbeat", "err", err, "since_last_line", s.malformedHeartbeats.Swap(0))
+			s.log.Warn("malformed heartbeat rejected", "err", err, "since_last_line", s.malformedHeartbeats.Swap(0))
 		})
 		s.replyError(reqCtx, fasthttp.StatusBadRequest, err.Error())
 		return
@@ -38,8 +42,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
 	result := s.backend.HandleHeartbeat(ctx, heartbeat)
-	// The lease is checked here, where the commands leave, and not only where they
-	// were decided: docs/safety.md, "Leadership lease".
+	// The lease is checked here, immediately before the commands are sent, and not only when they were decided:
+	// see docs/safety.md, "Leadership lease".
 	if result.Leading && result.LeaseValid() {
 		s.reply(reqCtx, fasthttp.StatusOK, wire.AppendHeartbeatResponse(nil, result.FencingToken, result.Commands))
 		return
--- a/internal/httpapi/jobs.go
+++ b/internal/httpapi/jobs.go
@@ -11,7 +11,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// answerLocally answers a user's request without another member.
+// answerLocally answers a user's request on this member, without forwarding it.
 func (s *Server) answerLocally(ctx context.Context, request route.Request) route.Response {
 	switch request.Kind {
 	case route.Submit:
@@ -23,7 +23,7 @@
 	}
 }
 
-// poll answers with a job's state and progress.
+// poll answers with the state of a job and the numbers of its tasks that are done and running.
 func (s *Server) poll(ctx context.Context, id string) route.Response {
 	encode := func(record store.JobRecord) []byte {
 		state, done, running := s.jobStatus(id, record)
@@ -32,7 +32,7 @@
 	return answerAboutJob(ctx, id, s.jobs.Lookup, encode)
 }
 
-// cancel cancels a job and answers with its state.
+// cancel cancels a job and answers with its resulting state. A job that has ended before keeps its state.
 func (s *Server) cancel(ctx context.Context, id string) route.Response {
 	cancel := func(ctx context.Context, id string) (store.JobRecord, error) {
 		return s.jobs.Cancel(ctx, id, s.now())
@@ -41,8 +41,9 @@
 	return answerAboutJob(ctx, id, cancel, encode)
 }
 
-// answerAboutJob answers a request about one job: fetch returns its record, encode
-// the body of the response for a job that is known.
+// answerAboutJob answers a request about the job with the given id. fetch returns the job's record, and encode
+// returns the response body for a known job. If the id is not valid or the job is unknown, the response has
+// status 404.
 func answerAboutJob(
 	ctx context.Context,
 	id string,
@@ -53,17 +54,18 @@
 	if model.ValidJobID(id) {
 		var err error
 		if record, err = fetch(ctx, id); err != nil {
-			return stateServiceFailure(err)
+			return stateServiceErrorResponse(err)
 		}
 	}
 	if record.State == wire.StateUnknown {
-		return rejected(fasthttp.StatusNotFound, "no such job")
+		return rejectedResponse(fasthttp.StatusNotFound, "no such job")
 	}
 	return finalResponse(fasthttp.StatusOK, encode(record))
 }
 
-// jobStatus returns a job's state for display, with how many of its tasks are done
-// and running. A queued job with running tasks is shown as running.
+// jobStatus returns the state of a job as users see it, and the numbers of its tasks that are done and running.
+// Records only hold the state queued for an unfinished job; it is shown as running while any of its tasks is
+// running.
 func (s *Server) jobStatus(id string, record store.JobRecord) (state wire.JobState, done, running int) {
 	switch record.State {
 	case wire.StateDone:
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -1,12 +1,10 @@
-// Package httpapi serves the HTTP interface of a controller: submissions, polls
-// and cancellations of users, heartbeats of workers, and health checks of the
-// load balancer.
+// Package httpapi serves the HTTP API of a controller: submissions, polls and cancellations of users, heartbeats
+// of workers, and health checks of the load balancer.
 //
-// New takes the job records (Jobs) and the controller behind the interface
-// (Backend); Serve answers requests until its listener is closed. Requests of
-// users go through route.Router, which decides whether this controller answers
-// or forwards them. HandleForwarded answers what other members forward to this
-// one.
+// New returns a Server, which reads and writes job records through Jobs and uses the rest of the controller
+// through Backend. Serve answers requests until its listener is closed. If a route.Router is set, it decides
+// whether this controller answers a user's request or forwards it to another member. HandleForwarded answers
+// requests that other members forward to this one.
 package httpapi
 
 import (
@@ -26,62 +24,68 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Jobs gives access to the job records.
+// Jobs reads and writes job records. Implementations must be safe for concurrent use.
 type Jobs interface {
-	// Peek returns what is cached of a job, without a request to the state service.
+	// Peek returns the cached record of a job, without a request to the state service. The state is
+	// wire.StateUnknown if nothing is cached.
 	Peek(id string) store.JobRecord
-	// Lookup returns a job's present record.
+	// Lookup returns the current record of a job. The state is wire.StateUnknown if the job was never accepted.
 	Lookup(ctx context.Context, id string) (store.JobRecord, error)
-	// ResolveDependencies drops completed jobs from the dependencies of spec. It reports
-	// whether one of them was cancelled, so that the job can never run. With
-	// store.ErrUnknownDependency and store.ErrServiceDependency no repetition can succeed.
+	// ResolveDependencies removes the jobs that are done from the dependencies of spec. dependencyCancelled
+	// reports that one of the dependencies was cancelled, so that the job can never run. If the error is
+	// store.ErrUnknownDependency or store.ErrServiceDependency, a retry cannot succeed.
 	ResolveDependencies(ctx context.Context, spec *model.Spec) (dependencyCancelled bool, err error)
-	// CheckSize returns an error if spec is too large for the state service.
+	// CheckSize returns an error if the record of the job is too large for the state service.
 	CheckSize(spec *model.Spec) error
-	// Accept writes the record of a new job. It reports whether this call created
-	// the record, and returns the job's record either way.
+	// Accept writes the record of a new job, unless the job has one already. It reports whether this call has
+	// created the record, and returns the record of the job. If dependencyCancelled is set, the job is recorded
+	// as cancelled.
 	Accept(ctx context.Context, spec *model.Spec, dependencyCancelled bool, now time.Time) (bool, store.JobRecord, error)
-	// Cancel cancels a job and returns its record.
+	// Cancel cancels a job, unless it has ended, and returns its record. The state is wire.StateUnknown if the
+	// job was never accepted.
 	Cancel(ctx context.Context, id string, now time.Time) (store.JobRecord, error)
 }
 
-// Backend is the controller behind the interface.
+// Backend is the rest of the controller that the Server belongs to. Implementations must be safe for concurrent
+// use.
 type Backend interface {
-	// HandleHeartbeat processes a worker's heartbeat.
+	// HandleHeartbeat processes a worker's heartbeat if this controller leads.
 	HandleHeartbeat(ctx context.Context, heartbeat *model.Heartbeat) HeartbeatResult
-	// RelayHeartbeat relays an encoded heartbeat to the leader if its worker seems
-	// not to reach the leader itself. ok is false if the heartbeat was not relayed.
+	// RelayHeartbeat relays an encoded heartbeat to the leader if the worker appears unable to reach the leader
+	// directly, and returns the leader's response. ok is false if the heartbeat was not relayed.
 	RelayHeartbeat(ctx context.Context, machine string, heartbeat []byte) (response []byte, ok bool)
 	// Progress returns how many tasks of an unfinished job are done and running.
 	Progress(id string) (done, running int)
-	// MachineTypes returns the machine types of the cloud; none: not known yet.
+	// MachineTypes returns the machine types that the cloud offers. The slice is empty until they are known.
 	MachineTypes() []model.MachineType
-	// Team returns the team with a name, or nil.
+	// Team returns the team of the given name, or nil if there is none.
 	Team(name string) *model.Team
-	// UnderMemoryPressure reports that there is no memory for more jobs.
+	// UnderMemoryPressure reports whether new jobs are refused because memory is short.
 	UnderMemoryPressure() bool
-	// Forward has another member answer a user's request.
+	// Forward sends a user's request to another member and returns its response. If the member does not answer,
+	// the outcome of the response says why.
 	Forward(ctx context.Context, member string, request route.Request) route.Response
-	// LastStateResponse returns when the state service last answered any request.
+	// LastStateResponse returns the time at which the state service last answered any request of this member.
 	LastStateResponse() time.Time
-	// Healthy reports whether this controller can take requests.
+	// Healthy reports whether the load balancer should send requests to this controller.
 	Healthy() bool
 }
 
 // Settings configure a Server.
 type Settings struct {
 	RetryAfter time.Duration     // lower bound of Retry-After in responses
-	MaxConns   int               // the most that the platform allows
-	ConnQuotas *connquota.Quotas // limits connections by class; nil: no limits
-	// ConstraintsEnabled lets submissions carry placement constraints.
+	MaxConns   int               // upper bound of the number of open connections
+	ConnQuotas *connquota.Quotas // limits the connections of each class; nil means no limits
+	// ConstraintsEnabled permits placement constraints in submissions. If it is false, they are ignored.
 	ConstraintsEnabled bool
-	// ConstraintsInForce reports whether all members know constraints by now;
-	// nil: they do.
+	// ConstraintsInForce reports whether all members support placement constraints. Until then, submissions with
+	// constraints are refused. If it is nil, constraints are in force.
 	ConstraintsInForce func() bool
-	Router             *route.Router // decides which member answers; nil: this one
+	// Router decides which member answers a user's request. If it is nil, this member answers all requests.
+	Router *route.Router
 }
 
-// Server answers HTTP requests.
+// Server answers the HTTP requests of users, workers and health checks. It is safe for concurrent use.
 type Server struct {
 	settings   Settings
 	jobs       Jobs
@@ -90,27 +94,27 @@
 	now        func() time.Time
 	httpServer *fasthttp.Server
 
-	malformedHeartbeats atomic.Uint64 // since the last log line about them
-	malformedLogLimit   rate.Sometimes
+	malformedHeartbeats atomic.Uint64  // number received since the last log line about them
+	malformedLogLimit   rate.Sometimes // limits how often malformed heartbeats are logged
 }
 
-// Limits of connections and requests.
+// Buffer sizes and timeouts of connections.
 const (
 	readBufferBytes  = 4096
 	writeBufferBytes = 2048
 	idleTimeout      = 90 * time.Second
 	writeTimeout     = 5 * time.Second
 
-	// requestReadTimeout bounds how long a request may take to arrive. A connection
-	// counts as busy while it is read from, so one whose request never ends would
-	// hold a socket that a new connection needs.
+	// requestReadTimeout bounds the time that a request takes to arrive. A connection counts as busy while a
+	// request is read from it, and is not closed to make room. Without the timeout, a request that never ends
+	// would hold a socket that a new connection needs.
 	requestReadTimeout = 15 * time.Second
 )
 
-// malformedLogInterval is the least time between log lines about malformed heartbeats.
+// malformedLogInterval is the minimum time between log lines about malformed heartbeats.
 const malformedLogInterval = 10 * time.Second
 
-// New returns a server. now returns the present time.
+// New returns a server, which does not listen until Serve is called. now returns the current time.
 func New(settings Settings, jobs Jobs, backend Backend, now func() time.Time, log *slog.Logger) *Server {
 	s := &Server{
 		settings:          settings,
@@ -127,7 +131,7 @@
 		NoDefaultServerHeader:         true,
 		NoDefaultDate:                 true,
 		DisableHeaderNamesNormalizing: false,
-		MaxRequestBodySize:            wire.MaxBodyBytes + 1, // one more than validateSubmission accepts
+		MaxRequestBodySize:            wire.MaxBodyBytes + 1, // one byte more than validateSubmission accepts
 		ReadBufferSize:                readBufferBytes,
 		WriteBufferSize:               writeBufferBytes,
 		Concurrency:                   settings.MaxConns,
@@ -142,13 +146,14 @@
 	return s
 }
 
-// discardLogger drops the HTTP library's own log: broken connections are routine.
+// discardLogger discards the log messages of fasthttp, which are mostly about broken connections.
 type discardLogger struct{}
 
-// Printf implements fasthttp.Logger.
+// Printf implements fasthttp.Logger and does nothing.
 func (discardLogger) Printf(string, ...any) {}
 
-// Serve answers requests until the listener is closed.
+// Serve accepts connections on listener and answers their requests. It returns when the listener is closed. If
+// connection quotas are set, it enforces them.
 func (s *Server) Serve(listener net.Listener) error {
 	if s.settings.ConnQuotas == nil {
 		return s.httpServer.Serve(listener)
@@ -162,5 +167,5 @@
 	})
 }
 
-// Shutdown closes the listener and waits until all connections are idle.
+// Shutdown closes the listener and waits until no request is under way.
 func (s *Server) Shutdown() error { return s.httpServer.Shutdown() }
--- a/internal/httpapi/submission_test.go
+++ b/internal/httpapi/submission_test.go
@@ -13,8 +13,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// invalidValues are values of the required fields that are of another type or out
-// of range.
+// invalidValues lists, for each required field, values of a wrong type or out of range.
 var invalidValues = map[string][]any{
 	"ref":      {nil, 7, "", "x", []any{"wk-000001"}},
 	"jobclass": {nil, 1, ""},
@@ -35,14 +34,14 @@
 	"storeS":   {nil, map[string]any{}, -2},
 }
 
-// invalidOptionalValues are the same of the optional fields.
+// invalidOptionalValues lists values of a wrong type or out of range for the optional fields.
 var invalidOptionalValues = map[string][]any{
 	"breeds": {"eight", []any{1}, map[string]any{}},
 	"field":  {1, "", []any{"a"}},
 	"dueS":   {"60", -1, math.NaN()},
 }
 
-// infeasibleFields are fields of submissions that are valid and can never run.
+// infeasibleFields lists field values of well-formed submissions whose jobs can never run, by description.
 var infeasibleFields = map[string]map[string]any{
 	"no such type":                {"breeds": []any{"nine"}},
 	"no such zone":                {"field": "z"},
@@ -57,7 +56,8 @@
 	"spread, and in one zone":     {"shape": "ensemble", "rows": 2, "scatter": true, "oneZone": true},
 }
 
-// checkInvalidFieldsAreRejected submits wk-000001 with each field missing or invalid.
+// checkInvalidFieldsAreRejected submits wk-000001 with each required field missing, and with each invalid value
+// of each field.
 func checkInvalidFieldsAreRejected(t *testing.T, do testClient) {
 	t.Helper()
 	for field := range submissionFields("wk-000001") {
@@ -99,8 +99,8 @@
 			t.Errorf("%s: got %d, want 422", name, got.status)
 		}
 	}
-	if len(jobs.known) > 0 {
-		t.Fatalf("records of rejected submissions: got %v, want none", jobs.known)
+	if len(jobs.records) > 0 {
+		t.Fatalf("records of rejected submissions: got %v, want none", jobs.records)
 	}
 	for name, changes := range map[string]map[string]any{
 		"one task spread in a zone":     {"shape": "ensemble", "rows": 1, "scatter": true, "field": "a"},
@@ -115,7 +115,8 @@
 	if got := do("POST", "/api/jobs", submissionFields("wk-000001")); got.status != 201 {
 		t.Fatalf("valid submission: got %d, want 201", got.status)
 	}
-	// A known job is answered whatever its submission and the machine types are by now.
+	// Once a job is known, a repeated submission returns its state, whatever the submission says and whichever
+	// machine types the cloud offers by then.
 	tinyTypes := []model.MachineType{{Name: "tiny", Capacity: model.Resources{CPU: 1}, Zones: []string{"b"}}}
 	for _, types := range [][]model.MachineType{eightCPUTypes, tinyTypes, nil} {
 		backend.machineTypes = types
@@ -140,7 +141,7 @@
 }
 
 func TestMemoryPressureRejectsOnlyNewJobs(t *testing.T) {
-	jobs := &fakeJobs{known: map[string]store.JobRecord{"wk-000001": {State: wire.StateQueued}}}
+	jobs := &fakeJobs{records: map[string]store.JobRecord{"wk-000001": {State: wire.StateQueued}}}
 	do := serveHTTP(t, jobs, &fakeBackend{machineTypes: eightCPUTypes, memoryPressure: true})
 	if got := do("POST", "/api/jobs", submissionFields("wk-000002")); got.status != 429 || got.retryAfter == "" {
 		t.Errorf("new job: got %d, Retry-After %q, want 429 with Retry-After", got.status, got.retryAfter)
@@ -153,7 +154,8 @@
 	}
 }
 
-// The README shows two submissions as JSON; they are sent as they stand there.
+// Guards against a README whose example no longer works. The README shows two submissions as JSON, and the server
+// must accept both as they are.
 func TestReadmePipelineIsAccepted(t *testing.T) {
 	text, err := os.ReadFile("../../README.md")
 	if err != nil {
