--- a/internal/httpapi/connections.go
+++ b/internal/httpapi/connections.go
@@ -45,9 +45,9 @@
 	return connquota.Unclassified
 }
 
-// classifyConnection assigns the connection of a request to the class of the requested path, and reports whether
-// it is within the quota of that class. A connection that exceeds the quota, or that is not to be kept alive, is
-// closed after the response.
+// classifyConnection assigns the connection of a request to the class of the requested path, and reports
+// whether it is within the quota of that class. A connection that exceeds the quota, or that is not to be kept
+// alive, is closed after the response.
 func (s *Server) classifyConnection(ctx *fasthttp.RequestCtx, path string) bool {
 	conn, ok := ctx.Conn().(*connquota.Conn)
 	if !ok {
@@ -64,8 +64,8 @@
 }
 
 // setRetryAfter sets the Retry-After header to retryAfter, rounded to whole seconds and at least 1 s. While the
-// occupancy of the connection quotas is Full, the header varies from response to response, so that clients do not
-// all return at the same time.
+// occupancy of the connection quotas is Full, the header varies from response to response, so that clients do
+// not all return at the same time.
 func (s *Server) setRetryAfter(ctx *fasthttp.RequestCtx, retryAfter time.Duration) {
 	if s.settings.ConnQuotas != nil && s.settings.ConnQuotas.Occupancy() == connquota.Full {
 		retryAfter = s.settings.ConnQuotas.RetryAfter(retryAfter)
--- a/internal/httpapi/connections_test.go
+++ b/internal/httpapi/connections_test.go
@@ -16,8 +16,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// requestOn sends a request on an open connection, and returns the status and the Retry-After header of the
-// response.
+// requestOn sends a request on an open connection, and returns the status and the Retry-After header of the response.
 func requestOn(t *testing.T, conn net.Conn, method, path string, body []byte) (status int, retryAfter string) {
 	t.Helper()
 	var request fasthttp.Request
@@ -64,7 +63,8 @@
 		runtime.Gosched()
 	}
 	if status, retryAfter := requestOn(t, dial(), "GET", "/healthz", nil); status != 503 || retryAfter == "" {
-		t.Errorf("beyond the quota of new connections: got %d, Retry-After %q, want 503 with Retry-After", status, retryAfter)
+		t.Errorf("beyond the quota of new connections: got %d, Retry-After %q, want 503 with Retry-After",
+			status, retryAfter)
 	}
 	elapsedSeconds.Add(6) // connections that have sent no request for 5 s may be closed to make room
 	var users []net.Conn
--- a/internal/httpapi/constraints.go
+++ b/internal/httpapi/constraints.go
@@ -9,10 +9,9 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// checkConstraints validates the placement constraints of a submission: they must parse, the jobs that they name
-// must have been accepted at some time, and some set of machines must be able to satisfy them. It returns the
-// response that refuses the job, or nil if the constraints are valid. If constraints are not enabled, it clears
-// spec.Rules.
+// checkConstraints validates the placement constraints of a submission: they must parse, the jobs that they name must
+// have been accepted at some time, and some set of machines must be able to satisfy them. It returns the response
+// that refuses the job, or nil if the constraints are valid. If constraints are not enabled, it clears spec.Rules.
 func (s *Server) checkConstraints(
 	ctx context.Context, spec *model.Spec, types []model.MachineType,
 ) *route.Response {
@@ -47,9 +46,9 @@
 	return nil
 }
 
-// affinityZones returns, for each unfinished job that affinities name, the zones in which its tasks may run.
-// Ended jobs have no entry. If an affinity names the submitted job itself or a job that was never accepted, or if
-// a job record cannot be read, affinityZones returns the response that refuses the submission instead.
+// affinityZones returns, for each unfinished job that affinities name, the zones in which its tasks may run. Ended
+// jobs have no entry. If an affinity names the submitted job itself or a job that was never accepted, or if a job
+// record cannot be read, affinityZones returns the response that refuses the submission instead.
 func (s *Server) affinityZones(
 	ctx context.Context, spec *model.Spec, affinities []constraint.Affinity, types []model.MachineType,
 ) (map[string][]string, *route.Response) {
--- a/internal/httpapi/fakes_test.go
+++ b/internal/httpapi/fakes_test.go
@@ -117,7 +117,7 @@
 // noJobs returns empty job records.
 func noJobs() *fakeJobs { return &fakeJobs{records: map[string]store.JobRecord{}} }
 
-// unreadableJobs returns empty job records while the state service is down.
+// unreadableJobs returns job records that cannot be read, since the state service is down.
 func unreadableJobs() *fakeJobs {
 	return &fakeJobs{records: map[string]store.JobRecord{}, stateServiceDown: true}
 }
@@ -166,16 +166,20 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// newRouter returns the router of a member whose only peer is "b". hedge is the minimum hedge delay; 0 turns
-// hedging off.
-func newRouter(hedge time.Duration) *route.Router {
-	settings := route.Settings{OtherMembers: []string{"b"}, RetryRatio: 0.2, MinHedgeDelay: hedge, MaxConcurrent: 64}
+// newRouter returns the router of a member whose only peer is "b". A minHedgeDelay of 0 turns hedging off.
+func newRouter(minHedgeDelay time.Duration) *route.Router {
+	settings := route.Settings{
+		OtherMembers:  []string{"b"},
+		RetryRatio:    0.2,
+		MinHedgeDelay: minHedgeDelay,
+		MaxConcurrent: 64,
+	}
 	return route.New(settings, rand.New(rand.NewPCG(1, 2)), nil)
 }
 
 // routedSettings returns the settings of a server that forwards requests to member "b".
-func routedSettings(hedge time.Duration) Settings {
-	return Settings{RetryAfter: time.Second, MaxConns: 10, Router: newRouter(hedge)}
+func routedSettings(minHedgeDelay time.Duration) Settings {
+	return Settings{RetryAfter: time.Second, MaxConns: 10, Router: newRouter(minHedgeDelay)}
 }
 
 // listen serves s on an in-memory listener until the test ends.
@@ -194,8 +198,8 @@
 	retryAfter string         // the Retry-After header
 }
 
-// testClient sends a request and returns the response. A body of any type but []byte is encoded as MessagePack; a
-// nil body is empty.
+// testClient sends a request and returns the response. A body of any type but []byte is encoded as
+// MessagePack; a nil body is empty.
 type testClient func(method, path string, body any) testResponse
 
 // serveHTTP runs a server on an in-memory listener and returns a client of it. The server forwards no requests.
--- a/internal/httpapi/forwarding.go
+++ b/internal/httpapi/forwarding.go
@@ -11,8 +11,8 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Timeouts of user requests. They are shorter than those of clients, which give up on a poll after 2 s and on any
-// other request after 5 s.
+// Timeouts of user requests. They are shorter than those of clients, which give up on a poll after 2 s and
+// on any other request after 5 s.
 const (
 	userTimeout = 3 * time.Second
 	pollTimeout = 1500 * time.Millisecond
@@ -68,7 +68,7 @@
 		timer.Reset(max(requestAttempts.NextTick().Sub(s.now()), time.Millisecond))
 		select {
 		case result := <-runner.results:
-			action = requestAttempts.Completed(s.now(), result.member, result.response)
+			action = requestAttempts.HandleResponse(s.now(), result.member, result.response)
 		case <-timer.C:
 			action = requestAttempts.Tick(s.now())
 		}
@@ -90,21 +90,21 @@
 	response route.Response
 }
 
-// start runs an attempt in a new goroutine. Its result is sent to results or, if the user's response is decided
-// by then, reported directly to the router.
+// start runs an attempt in a new goroutine. Its result is sent to results or, if the user's response is decided by
+// then, reported directly to the router.
 func (a *attemptRunner) start(member string, attempt func() route.Response) {
 	go func() {
 		result := attemptResult{member, a.server.runAndRecover(attempt)}
 		select {
 		case a.results <- result:
 		case <-a.answered:
-			a.attempts.Completed(a.server.now(), result.member, result.response)
+			a.attempts.HandleResponse(a.server.now(), result.member, result.response)
 		}
 	}()
 }
 
-// runAndRecover calls attempt and returns its response. If attempt panics, it logs the panic and returns a
-// retryable response.
+// runAndRecover calls attempt and returns its response. If attempt panics, it logs the panic and returns
+// a retryable response.
 func (s *Server) runAndRecover(attempt func() route.Response) (response route.Response) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -115,8 +115,8 @@
 	return attempt()
 }
 
-// completeResponse turns the response that the router has chosen into the one that is sent to the user. A
-// response without an HTTP status becomes a 503, and one that is not an answer gets a Retry-After.
+// completeResponse turns the response that the router has chosen into the one that is sent to the user. A response
+// without an HTTP status becomes a 503, and one with any outcome but route.Answered gets a Retry-After.
 func (s *Server) completeResponse(request route.Request, response route.Response) route.Response {
 	if response.Outcome == route.Answered {
 		return s.replaceStaleResponse(request, response)
@@ -153,8 +153,8 @@
 	if request.Kind == route.Submit {
 		id, err := validateSubmission(request.Body)
 		if err != nil {
-			// The forwarding member found the submission well-formed, so the two members run different versions.
-			// A final response could reject a job as malformed that the forwarding member has accepted.
+			// The forwarding member found the submission well-formed, so the two members run different versions. A
+			// final response could reject a job as malformed that the forwarding member has accepted.
 			return unavailableResponse(route.NotReady, err.Error())
 		}
 		request.ID = id
--- a/internal/httpapi/forwarding_test.go
+++ b/internal/httpapi/forwarding_test.go
@@ -20,8 +20,8 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// serveForwardingPair runs two servers with separate job records, and returns a client of the first one. The
-// first server forwards requests to the second.
+// serveForwardingPair runs two servers with separate job records, and returns a client of the first one. The first
+// server forwards requests to the second.
 func serveForwardingPair(t *testing.T, first, second *fakeJobs) testClient {
 	t.Helper()
 	machineTypes := eightCPUTypes
@@ -86,8 +86,8 @@
 	s := New(routedSettings(0), unreadableJobs(), backend, time.Now, discardLog())
 	for range 5 {
 		got := s.HandleForwarded(t.Context(), route.Request{Kind: route.Poll, ID: "wk-000001"}, time.Second)
-		if got.Outcome != route.StateUnavailable {
-			t.Errorf("got %+v, want outcome %v", got, route.StateUnavailable)
+		if got.Outcome != route.StateServiceUnavailable {
+			t.Errorf("got %+v, want outcome %v", got, route.StateServiceUnavailable)
 		}
 	}
 	if n := forwarded.Load(); n != 0 {
@@ -177,8 +177,9 @@
 	return store.JobRecord{State: wire.StateDone, Tasks: 3}, nil
 }
 
-// Guards against a data race on the chosen action. A poll is hedged, and the local attempt answers it before the
-// goroutine of the forwarded attempt has run. The forwarded attempt must still go to the member that was chosen.
+// Guards against a forwarded attempt that goes to a wrong member because its goroutine starts late. A poll is
+// hedged, and the local attempt answers it before that goroutine has run. The forwarded attempt must still go
+// to the member that was chosen.
 func TestDelayedForwardGoesToChosenMember(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for range 20 {
@@ -219,8 +220,8 @@
 	}
 }
 
-// A member whose quota of user connections is used up still reads a request on a new connection, and forwards it
-// to another member. It closes the connection after the response.
+// A member whose quota of user connections is used up still reads a request on a new connection, and forwards it to
+// another member. It closes the connection after the response.
 func TestRequestIsForwardedWhenUserQuotaIsFull(t *testing.T) {
 	quotas := connquota.New(200, 1, nil)
 	backend := &fakeBackend{
--- a/internal/httpapi/handler.go
+++ b/internal/httpapi/handler.go
@@ -11,8 +11,8 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Paths of the HTTP API. A job is polled at jobsPath, a slash and its id, and cancelled at that path with
-// cancelSuffix.
+// Paths of the HTTP API. A job is polled at jobsPath, a slash and its id, and cancelled at that path
+// with cancelSuffix.
 const (
 	heartbeatPath = "/v1/report"
 	healthPath    = "/healthz"
@@ -31,6 +31,7 @@
 		}
 	}()
 	path := string(ctx.URI().PathOriginal())
+	// A user's request on a connection beyond the quota is not rejected if it can be forwarded to another member.
 	withinQuota := s.classifyConnection(ctx, path)
 	if !withinQuota && (s.settings.Router == nil || connClassForPath(path) != connquota.Users) {
 		s.replyUnavailable(ctx, "no connection is free")
@@ -56,8 +57,7 @@
 	}
 }
 
-// handleParseError answers a request that is not valid HTTP or that exceeds a size limit, and closes its
-// connection.
+// handleParseError answers a request that is not valid HTTP or that exceeds a size limit, and closes its connection.
 func (s *Server) handleParseError(ctx *fasthttp.RequestCtx, _ error) {
 	s.replyError(ctx, fasthttp.StatusBadRequest, "malformed request")
 	ctx.SetConnectionClose()
@@ -103,8 +103,7 @@
 	s.reply(ctx, response.Status, response.Body)
 }
 
-// requireMethod reports whether the request has the given method. If it has not, requireMethod answers it with
-// status 405.
+// requireMethod reports whether the request has the given method. If not, it answers the request with status 405.
 func (s *Server) requireMethod(ctx *fasthttp.RequestCtx, method string) bool {
 	if string(ctx.Method()) == method {
 		return true
--- a/internal/httpapi/heartbeat.go
+++ b/internal/httpapi/heartbeat.go
@@ -15,13 +15,13 @@
 
 // HeartbeatResult is the result of processing a worker's heartbeat.
 type HeartbeatResult struct {
-	// Leading says that this controller is the leader. LeaseValid is then set, and FencingToken and Commands may
-	// be sent while it returns true.
+	// Leading says that this controller is the leader. LeaseValid is then set, and FencingToken and Commands may be
+	// sent only while it returns true.
 	Leading bool
 	// Leader is the name of the leader if this controller does not lead. It is empty if the leader is unknown.
 	Leader string
-	// FencingToken is the fencing token of the leader. Workers refuse a token lower than the highest that they
-	// have seen.
+	// FencingToken is the fencing token of the leader. Workers refuse a token lower than the highest
+	// that they have seen.
 	FencingToken uint64
 	// Commands are the commands that the response carries to the worker.
 	Commands []model.Command
@@ -42,8 +42,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
 	result := s.backend.HandleHeartbeat(ctx, heartbeat)
-	// The lease is checked here, immediately before the commands are sent, and not only when they were decided:
-	// see docs/safety.md, "Leadership lease".
+	// The lease is checked here, immediately before the commands are sent, and not only when they were decided: see
+	// docs/safety.md, "Leadership lease".
 	if result.Leading && result.LeaseValid() {
 		s.reply(reqCtx, fasthttp.StatusOK, wire.AppendHeartbeatResponse(nil, result.FencingToken, result.Commands))
 		return
--- a/internal/httpapi/jobs.go
+++ b/internal/httpapi/jobs.go
@@ -41,9 +41,9 @@
 	return answerAboutJob(ctx, id, cancel, encode)
 }
 
-// answerAboutJob answers a request about the job with the given id. fetch returns the job's record, and encode
-// returns the response body for a known job. If the id is not valid or the job is unknown, the response has
-// status 404.
+// answerAboutJob answers a request about the job with the given id. fetch returns the job's record, and
+// encode returns the response body for a known job. If the id is not valid or the job is unknown, the
+// response has status 404.
 func answerAboutJob(
 	ctx context.Context,
 	id string,
@@ -63,9 +63,8 @@
 	return finalResponse(fasthttp.StatusOK, encode(record))
 }
 
-// jobStatus returns the state of a job as users see it, and the numbers of its tasks that are done and running.
-// Records only hold the state queued for an unfinished job; it is shown as running while any of its tasks is
-// running.
+// jobStatus returns the state of a job as users see it, and the numbers of its tasks that are done and running. In
+// its record every unfinished job is queued. Users see it as running while any of its tasks is running.
 func (s *Server) jobStatus(id string, record store.JobRecord) (state wire.JobState, done, running int) {
 	switch record.State {
 	case wire.StateDone:
--- a/internal/httpapi/response.go
+++ b/internal/httpapi/response.go
@@ -30,8 +30,8 @@
 	return new(rejectedResponse(fasthttp.StatusUnprocessableEntity, reason))
 }
 
-// unavailableResponse returns the response to a request that this member cannot answer at present, with status
-// 503. outcome says why; it must not be route.Answered. The router may have another member answer the request.
+// unavailableResponse returns the response to a request that this member cannot answer at present, with status 503.
+// outcome says why; it must not be route.Answered. The router may have another member answer the request.
 func unavailableResponse(outcome route.Outcome, reason string) route.Response {
 	return route.Response{
 		Outcome: outcome,
@@ -41,12 +41,11 @@
 }
 
 // stateServiceErrorResponse returns the response to a user's request for which a request to the state service has
-// failed with err. If this member's share of the rate limits held that request back, the outcome is
-// route.Overloaded.
+// failed with err. If this member's share of the rate limits held that request back, the outcome is route.Overloaded.
 func stateServiceErrorResponse(err error) route.Response {
 	const reason = "the state service does not answer"
 	if errors.Is(err, store.ErrRateLimited) {
 		return unavailableResponse(route.Overloaded, reason)
 	}
-	return unavailableResponse(route.StateUnavailable, reason)
+	return unavailableResponse(route.StateServiceUnavailable, reason)
 }
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -1,5 +1,5 @@
-// Package httpapi serves the HTTP API of a controller: submissions, polls and cancellations of users, heartbeats
-// of workers, and health checks of the load balancer.
+// Package httpapi serves the HTTP API of a controller: submissions, polls and cancellations of users, heartbeats of
+// workers, and health checks of the load balancer.
 //
 // New returns a Server, which reads and writes job records through Jobs and uses the rest of the controller
 // through Backend. Serve answers requests until its listener is closed. If a route.Router is set, it decides
@@ -31,23 +31,21 @@
 	Peek(id string) store.JobRecord
 	// Lookup returns the current record of a job. The state is wire.StateUnknown if the job was never accepted.
 	Lookup(ctx context.Context, id string) (store.JobRecord, error)
-	// ResolveDependencies removes the jobs that are done from the dependencies of spec. dependencyCancelled
-	// reports that one of the dependencies was cancelled, so that the job can never run. If the error is
+	// ResolveDependencies removes the jobs that are done from the dependencies of spec. dependencyCancelled reports
+	// that one of the dependencies was cancelled, so that the job can never run. If the error is
 	// store.ErrUnknownDependency or store.ErrServiceDependency, a retry cannot succeed.
 	ResolveDependencies(ctx context.Context, spec *model.Spec) (dependencyCancelled bool, err error)
 	// CheckSize returns an error if the record of the job is too large for the state service.
 	CheckSize(spec *model.Spec) error
-	// Accept writes the record of a new job, unless the job has one already. It reports whether this call has
-	// created the record, and returns the record of the job. If dependencyCancelled is set, the job is recorded
-	// as cancelled.
+	// Accept writes the record of a new job, unless the job has one already. It reports whether this call has created
+	// the record, and returns the record of the job. If dependencyCancelled is set, the job is recorded as cancelled.
 	Accept(ctx context.Context, spec *model.Spec, dependencyCancelled bool, now time.Time) (bool, store.JobRecord, error)
-	// Cancel cancels a job, unless it has ended, and returns its record. The state is wire.StateUnknown if the
-	// job was never accepted.
+	// Cancel cancels a job, unless it has ended, and returns its record. The state is wire.StateUnknown
+	// if the job was never accepted.
 	Cancel(ctx context.Context, id string, now time.Time) (store.JobRecord, error)
 }
 
-// Backend is the rest of the controller that the Server belongs to. Implementations must be safe for concurrent
-// use.
+// Backend is the rest of the controller that the Server belongs to. Implementations must be safe for concurrent use.
 type Backend interface {
 	// HandleHeartbeat processes a worker's heartbeat if this controller leads.
 	HandleHeartbeat(ctx context.Context, heartbeat *model.Heartbeat) HeartbeatResult
@@ -62,8 +60,8 @@
 	Team(name string) *model.Team
 	// UnderMemoryPressure reports whether new jobs are refused because memory is short.
 	UnderMemoryPressure() bool
-	// Forward sends a user's request to another member and returns its response. If the member does not answer,
-	// the outcome of the response says why.
+	// Forward sends a user's request to another member and returns its response. If the member does not answer, the
+	// outcome of the response says why.
 	Forward(ctx context.Context, member string, request route.Request) route.Response
 	// LastStateResponse returns the time at which the state service last answered any request of this member.
 	LastStateResponse() time.Time
@@ -106,8 +104,8 @@
 	writeTimeout     = 5 * time.Second
 
 	// requestReadTimeout bounds the time that a request takes to arrive. A connection counts as busy while a
-	// request is read from it, and is not closed to make room. Without the timeout, a request that never ends
-	// would hold a socket that a new connection needs.
+	// request is read from it, and is not closed to make room. Without the timeout, a request that never ends would
+	// hold a socket that a new connection needs.
 	requestReadTimeout = 15 * time.Second
 )
 
@@ -146,14 +144,14 @@
 	return s
 }
 
-// discardLogger discards the log messages of fasthttp, which are mostly about broken connections.
+// discardLogger discards the log messages of fasthttp. They report broken connections, which are routine.
 type discardLogger struct{}
 
 // Printf implements fasthttp.Logger and does nothing.
 func (discardLogger) Printf(string, ...any) {}
 
-// Serve accepts connections on listener and answers their requests. It returns when the listener is closed. If
-// connection quotas are set, it enforces them.
+// Serve accepts connections on listener, within the connection quotas if there are any, and answers their requests.
+// It returns when the listener is closed.
 func (s *Server) Serve(listener net.Listener) error {
 	if s.settings.ConnQuotas == nil {
 		return s.httpServer.Serve(listener)
@@ -167,5 +165,5 @@
 	})
 }
 
-// Shutdown closes the listener and waits until no request is under way.
+// Shutdown closes the listener and waits, without a time limit, until all connections are idle.
 func (s *Server) Shutdown() error { return s.httpServer.Shutdown() }
--- a/internal/httpapi/submission.go
+++ b/internal/httpapi/submission.go
@@ -13,8 +13,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// memoryPressureRetryAfter is the minimum Retry-After in the response to a job that was refused for lack of
-// memory.
+// memoryPressureRetryAfter is the minimum Retry-After in the response to a job that was refused for lack of memory.
 const memoryPressureRetryAfter = 5 * time.Second
 
 var errBodyTooLarge = errors.New("the body is too large")
@@ -31,9 +30,9 @@
 	return wire.DecodeJobID(body)
 }
 
-// submit accepts a job. If the job is already known, the response gives its state and the rest of the submission
-// is ignored, so that repeated submissions are idempotent. The response says that a job was accepted only after
-// the job's record is durable.
+// submit accepts a job. If the job is already known, the response gives its state and the rest of the
+// submission is ignored, so that repeated submissions are idempotent. The response says that a job was accepted
+// only after the job's record is durable.
 func (s *Server) submit(ctx context.Context, request route.Request) route.Response {
 	id := request.ID
 	if record := s.jobs.Peek(id); record.State.Ended() {
@@ -51,9 +50,9 @@
 	return s.accept(ctx, id, spec, dependencyCancelled)
 }
 
-// checkSubmission decodes a submission and checks whether its job could ever run. Once the job turns out to be
-// already known, its constraints and dependencies are not checked. If refusal is not nil, the job cannot be
-// accepted and refusal is the response that says why.
+// checkSubmission decodes a submission and checks whether its job could ever run. The constraints and
+// dependencies of a job that is already known are not checked. If refusal is not nil, the job cannot be accepted
+// and refusal is the response that says why.
 func (s *Server) checkSubmission(ctx context.Context, request route.Request) (
 	spec *model.Spec, dependencyCancelled bool, refusal *route.Response,
 ) {
@@ -94,8 +93,8 @@
 	}
 }
 
-// accept writes the record of a new job and answers the submission. If the job has a record by now, the response
-// gives its state.
+// accept writes the record of a new job and answers the submission. If the job has a record by now, the
+// response gives its state.
 func (s *Server) accept(ctx context.Context, id string, spec *model.Spec, dependencyCancelled bool) route.Response {
 	created, record, err := s.jobs.Accept(ctx, spec, dependencyCancelled, s.now())
 	switch {
@@ -113,10 +112,10 @@
 	}
 }
 
-// resolveDependencies looks up the jobs that a submission depends on, removes those that are done from spec, and
-// checks whether the job's record fits into the state service. dependencyCancelled reports that one of the
-// dependencies was cancelled. If refusal is not nil, the job cannot be accepted and refusal is the response that
-// says why.
+// resolveDependencies looks up the jobs that a submission depends on, removes those that are done from
+// spec, and checks whether the job's record fits into the state service. dependencyCancelled reports
+// that one of the dependencies was cancelled. If refusal is not nil, the job cannot be accepted and
+// refusal is the response that says why.
 func (s *Server) resolveDependencies(ctx context.Context, spec *model.Spec) (
 	dependencyCancelled bool, refusal *route.Response,
 ) {
--- a/internal/httpapi/submission_test.go
+++ b/internal/httpapi/submission_test.go
@@ -56,8 +56,8 @@
 	"spread, and in one zone":     {"shape": "ensemble", "rows": 2, "scatter": true, "oneZone": true},
 }
 
-// checkInvalidFieldsAreRejected submits wk-000001 with each required field missing, and with each invalid value
-// of each field.
+// checkInvalidFieldsAreRejected submits wk-000001 with each required field missing, and with each
+// invalid value of each field.
 func checkInvalidFieldsAreRejected(t *testing.T, do testClient) {
 	t.Helper()
 	for field := range submissionFields("wk-000001") {
@@ -154,8 +154,8 @@
 	}
 }
 
-// Guards against a README whose example no longer works. The README shows two submissions as JSON, and the server
-// must accept both as they are.
+// Guards against a README whose example no longer works. The README shows two submissions as JSON, and the
+// server must accept both as they are.
 func TestReadmePipelineIsAccepted(t *testing.T) {
 	text, err := os.ReadFile("../../README.md")
 	if err != nil {
--- a/internal/route/attempts.go
+++ b/internal/route/attempts.go
@@ -87,15 +87,15 @@
 	return a.deadline
 }
 
-// NextTick returns the time at which Tick is to be called next. Each call of Completed or Tick may change it.
+// NextTick returns the time at which Tick is to be called next. Each call of HandleResponse or Tick may change it.
 func (a *RequestAttempts) NextTick() time.Time { return a.nextTick }
 
 // State returns the state of the request.
 func (a *RequestAttempts) State() RequestState { return a.state }
 
 // forward returns the action that forwards the request to a member that it has not been forwarded to. If there is
-// no such member, or if isRetry is set and the retry budget is empty, the request is rejected, unless an attempt
-// is still under way. The router's mutex must be held.
+// no such member, or if isRetry is set and the retry budget is empty, the request is rejected, unless an attempt is
+// still under way. The router's mutex must be held.
 func (a *RequestAttempts) forward(now time.Time, isRetry bool) Action {
 	if now.Before(a.deadline) {
 		if m := a.router.chooseMember(now, a.tried); m != nil {
@@ -132,30 +132,29 @@
 	return Action{ForwardTo: m.name}
 }
 
-// reject ends the request without an answer, and returns the action that sends the last refusal to the user. The
-// router's mutex must be held.
+// reject ends the request without an answer, and returns the action that sends the last refusal to the user.
+// The router's mutex must be held.
 func (a *RequestAttempts) reject() Action {
 	a.transition(RequestAnswered)
 	a.router.counts.Rejected++
 	response := a.lastRefusal
 	if response.Outcome == Answered { // the zero value; no attempt has completed
-		response.Outcome = StateUnavailable
+		response.Outcome = StateServiceUnavailable
 	}
 	return Action{Response: &response}
 }
 
-// Completed records the response of the attempt on the given member, the empty string being this member, and
-// returns the next action. It must be called exactly once for each attempt, even after the user has got a
-// response.
-func (a *RequestAttempts) Completed(now time.Time, member string, response Response) Action {
+// HandleResponse records the response of the attempt on the given member, the empty string being this member, and
+// returns the next action. It must be called exactly once for each attempt, even after the user has got a response.
+func (a *RequestAttempts) HandleResponse(now time.Time, member string, response Response) Action {
 	a.router.mu.Lock()
 	defer a.router.mu.Unlock()
 	isLocal := member == ""
 	if isLocal {
-		a.router.localCompleted(now, a.request.Kind, now.Sub(a.localStart), response.Outcome)
+		a.router.recordLocalOutcome(now, a.request.Kind, now.Sub(a.localStart), response.Outcome)
 		a.localStart = time.Time{}
 	} else {
-		a.router.forwardCompleted(now, member, now.Sub(a.outstanding[member]), response.Outcome)
+		a.router.recordForwardedOutcome(now, member, now.Sub(a.outstanding[member]), response.Outcome)
 		delete(a.outstanding, member)
 	}
 	switch {
@@ -166,7 +165,8 @@
 		return Action{Response: &response}
 	}
 	if isLocal || a.lastRefusal.Outcome == Answered {
-		a.lastRefusal = response // the reason of the local attempt takes precedence over those of other members
+		// A local refusal takes precedence, since it tells the user more than what other members lack.
+		a.lastRefusal = response
 	}
 	if !a.localStart.IsZero() {
 		a.transition(RequestLocal)
--- a/internal/route/attempts_test.go
+++ b/internal/route/attempts_test.go
@@ -11,7 +11,7 @@
 type trackedRequest struct {
 	attempts    *RequestAttempts
 	outstanding []string        // members with an attempt under way; localMember stands for this one
-	asked       map[string]bool // members that an attempt has been started on
+	attempted   map[string]bool // members that an attempt has been started on
 	answered    bool            // the user has got a response
 }
 
@@ -26,10 +26,10 @@
 		member = localMember
 	}
 	if member != "" {
-		if r.asked[member] || r.answered {
+		if r.attempted[member] || r.answered {
 			t.Fatalf("attempt on %s: got a second one, or one after the response", member)
 		}
-		r.asked[member] = true
+		r.attempted[member] = true
 		r.outstanding = append(r.outstanding, member)
 	}
 	if action.Response != nil {
@@ -48,12 +48,12 @@
 	if member == localMember {
 		member = ""
 	}
-	return r.attempts.Completed(now, member, response)
+	return r.attempts.HandleResponse(now, member, response)
 }
 
 // Requests begin, time out and are answered in any order and with any outcome. In each order, a user must get
-// exactly one response, each member must be asked at most once, no attempt may stay in flight, and hedged
-// requests must stay within the retry budget.
+// exactly one response, each member must be asked at most once, no attempt may stay in flight, and hedged requests
+// must stay within the retry budget.
 func TestRequestAttemptsKeepInvariantsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		others := []string{"b", "c", "d"}[:rapid.IntRange(0, 3).Draw(t, "others")]
@@ -61,13 +61,13 @@
 		now := startTime
 		var requests []*trackedRequest
 		outcomes := []Outcome{
-			Answered, Answered, StateUnavailable, Overloaded, OutOfMemory, NotReady, TimedOut, Unreachable,
+			Answered, Answered, StateServiceUnavailable, Overloaded, OutOfMemory, NotReady, TimedOut, Unreachable,
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			switch step := rapid.IntRange(0, 3).Draw(t, "step"); {
 			case step == 0 || len(requests) == 0:
-				request := &trackedRequest{asked: map[string]bool{}}
+				request := &trackedRequest{attempted: map[string]bool{}}
 				kind := Kind(rapid.IntRange(0, 2).Draw(t, "kind"))
 				forwardOnly := rapid.IntRange(0, 9).Draw(t, "forward only") == 0
 				deadline := now.Add(1500 * time.Millisecond)
--- a/internal/route/breaker.go
+++ b/internal/route/breaker.go
@@ -21,8 +21,8 @@
 	maxOpenDuration  = 8 * time.Second
 )
 
-// breaker is a circuit breaker, which stops requests to a destination that has failed. The zero value is closed.
-// The router's mutex guards it.
+// breaker is a circuit breaker, which stops requests to a destination that has failed. The zero value is
+// closed. The router's mutex guards it.
 type breaker struct {
 	name     string // name of the destination, passed to onChange
 	state    BreakerState
@@ -34,8 +34,8 @@
 	onChange     func(name string, from, to BreakerState) // called when the breaker opens or closes; may be nil
 }
 
-// transition is the only function that changes the state. It does not report changes between Open and HalfOpen to
-// onChange.
+// transition is the only function that changes the state. It does not report changes between Open and
+// HalfOpen to onChange.
 func (b *breaker) transition(to BreakerState, now time.Time) {
 	if b.onChange != nil && b.state != to && (b.state == Closed || to == Closed) {
 		b.onChange(b.name, b.state, to)
--- a/internal/route/concurrency_limit.go
+++ b/internal/route/concurrency_limit.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// concurrencyLimit bounds how many requests of one kind are in flight on this member. It adapts to their latency
-// by the Gradient2 algorithm of Netflix's concurrency-limits library. While recent requests take about as long as
-// the long-term average, the limit grows by its square root. When they take longer, it shrinks in proportion.
-// Latency is used as the signal because requests wait for the rate limit of the state service and for the CPU,
-// and neither has a queue whose length could be read. The router's mutex guards it.
+// concurrencyLimit bounds how many requests of one kind are in flight on this member. It adapts to their latency by
+// the Gradient2 algorithm of Netflix's concurrency-limits library. While recent requests take about as long as the
+// long-term average, the limit grows by its square root. When they take longer, it shrinks in proportion. Latency
+// is used as the signal because requests wait for the rate limit of the state service and for the CPU, and neither
+// has a queue whose length could be read. The router's mutex guards it.
 type concurrencyLimit struct {
-	limit        float64
+	limit        float64 // upper bound of inFlight; only its integer part counts
 	ceiling      float64 // upper bound of limit
 	fixed        bool    // limit does not adapt and stays at ceiling
 	inFlight     int     // number of requests that have acquired but not released the limit
@@ -47,8 +47,8 @@
 	return l
 }
 
-// acquire reports whether the limit allows one more request, and if so, counts it as in flight until release is
-// called.
+// acquire reports whether the limit allows one more request, and if so, counts it as in flight until
+// release is called.
 func (l *concurrencyLimit) acquire() bool {
 	if l.inFlight >= int(l.limit) {
 		return false
@@ -91,8 +91,7 @@
 	}
 }
 
-// setLimit sets the limit, bounded by minLimit and ceiling. It is the only function that changes an existing
-// limit.
+// setLimit sets the limit, bounded by minLimit and ceiling. It is the only function that changes an existing limit.
 func (l *concurrencyLimit) setLimit(limit float64) {
 	l.limit = min(max(limit, min(minLimit, l.ceiling)), l.ceiling)
 }
--- a/internal/route/concurrency_limit_test.go
+++ b/internal/route/concurrency_limit_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// simulateService sends n requests to a service, requestRate of them per second. The service processes throughput
-// requests per second, one after another, and answers each after a further delay in seconds. simulateService
-// returns the highest latency among the admitted requests of the second half, and how many requests the limit
-// admitted.
+// simulateService sends requestCount requests to a service, requestRate of them per second. The service
+// processes throughput requests per second, one after another, and answers each after a further delay in
+// seconds. simulateService returns the highest latency among the admitted requests of the second half, and how
+// many requests the limit admitted.
 func simulateService(
-	limit *concurrencyLimit, throughput, delay float64, n int, requestRate float64,
-) (worst time.Duration, admitted int) {
+	limit *concurrencyLimit, throughput, delay float64, requestCount int, requestRate float64,
+) (highestLatency time.Duration, admitted int) {
 	type queued struct{ start, end float64 }
 	seconds := func(s float64) time.Duration { return time.Duration(s * 1e9) }
 	idleAt := 0.0
 	var queue []queued
-	for i := range n {
+	for i := range requestCount {
 		now := float64(i) / requestRate
 		for len(queue) > 0 && queue[0].end <= now {
 			limit.release()
@@ -29,29 +29,30 @@
 		idleAt = max(idleAt, now) + 1/throughput
 		queue = append(queue, queued{now, idleAt + delay})
 		admitted++
-		if i > n/2 {
-			worst = max(worst, seconds(idleAt+delay-now))
+		if i > requestCount/2 {
+			highestLatency = max(highestLatency, seconds(idleAt+delay-now))
 		}
 	}
 	for range queue {
 		limit.release()
 	}
-	return worst, admitted
+	return highestLatency, admitted
 }
 
-// Guards against a limit that lets a queue build up under overload, or that stays low after it. Under overload,
-// admitted requests must be answered soon and the others rejected at once. After the overload, the limit must
-// grow again.
+// Guards against a limit that lets a queue build up under overload, or that stays low after it. Under
+// overload, admitted requests must be answered soon and the others rejected at once. After the overload,
+// the limit must grow again.
 func TestConcurrencyLimitAdaptsToThroughput(t *testing.T) {
 	limit := newConcurrencyLimit(256, false)
-	worst, admitted := simulateService(&limit, 100, 0, 400, 50)
-	if admitted != 400 || worst > 20*time.Millisecond {
-		t.Errorf("at half the load: got %d admitted, worst latency %v, want 400, at most 20ms", admitted, worst)
+	highestLatency, admitted := simulateService(&limit, 100, 0, 400, 50)
+	if admitted != 400 || highestLatency > 20*time.Millisecond {
+		t.Errorf("at half the capacity: got %d admitted, highest latency %v, want 400, at most 20ms",
+			admitted, highestLatency)
 	}
-	worst, admitted = simulateService(&limit, 10, 0, 3000, 50)
-	if worst > 1500*time.Millisecond || admitted < 550 {
-		t.Errorf("at five times the load: got %d admitted, worst latency %v, want 550 of 600, at most 1.5s",
-			admitted, worst)
+	highestLatency, admitted = simulateService(&limit, 10, 0, 3000, 50)
+	if highestLatency > 1500*time.Millisecond || admitted < 550 {
+		t.Errorf("at five times the capacity: got %d admitted, highest latency %v, want 550 of 600, at most 1.5s",
+			admitted, highestLatency)
 	}
 	overloadLimit := limit.limit
 	simulateService(&limit, 1000, 0.1, 6000, 300) // about 30 requests are in flight
--- a/internal/route/latency.go
+++ b/internal/route/latency.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The constants of TCP's retransmission timer (V. Jacobson, 1988; RFC 6298): the divisors that give the weight of
-// a new sample, and the number of mean deviations above the mean.
+// The constants of TCP's retransmission timer (V. Jacobson, 1988; RFC 6298): the divisors that give the weight of a
+// new sample, and the number of mean deviations above the mean.
 const (
 	meanDivisor         = 8 // weight 1/8
 	deviationDivisor    = 4 // weight 1/4
@@ -31,8 +31,7 @@
 	e.mean += (seconds - e.mean) / meanDivisor
 }
 
-// upperBound returns the latency beyond which an answer is considered late. It is 0 if no latency has been
-// observed.
+// upperBound returns the latency beyond which an answer is considered late. It is 0 if no latency has been observed.
 func (e *latencyEstimator) upperBound() time.Duration {
 	return time.Duration((e.mean + deviationsAboveMean*e.deviation) * float64(time.Second))
 }
--- a/internal/route/reachability_test.go
+++ b/internal/route/reachability_test.go
@@ -8,12 +8,12 @@
 func TestMemberWithoutAnyContactBecomesIsolated(t *testing.T) {
 	var reachability PeerReachability
 	now := time.Unix(1000, 0)
-	evaluate := func(after, stateDown time.Duration, wantProbe bool, want ReachabilityState) {
+	evaluate := func(elapsed, stateServiceDown time.Duration, wantProbe bool, want ReachabilityState) {
 		t.Helper()
-		now = now.Add(after)
-		probe, _ := reachability.Evaluate(now, stateDown)
+		now = now.Add(elapsed)
+		probe, _ := reachability.Evaluate(now, stateServiceDown)
 		if got := reachability.State(); probe != wantProbe || got != want {
-			t.Fatalf("state service down for %v: got probe %v, %v, want %v, %v", stateDown, probe, got, wantProbe, want)
+			t.Fatalf("state service down for %v: got probe %v, %v, want %v, %v", stateServiceDown, probe, got, wantProbe, want)
 		}
 	}
 	evaluate(0, 0, false, Connected)
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -23,19 +23,19 @@
 	Body []byte // the encoded submission; nil for other kinds
 }
 
-// Outcome says whether a member has answered a request and, if it has not, why. Members exchange it as a number,
-// so the numbers are fixed.
+// Outcome says whether a member has answered a request and, if it has not, why. Members exchange it as a
+// number, so the numbers are fixed.
 type Outcome uint8
 
 // The outcomes of an attempt.
 const (
-	Answered         Outcome = iota // the response is final
-	StateUnavailable                // the state service has not answered the member in time
-	Overloaded                      // the member has reached a concurrency, rate or connection limit
-	OutOfMemory                     // the member has no memory for more jobs
-	NotReady                        // the member cannot answer yet, or has failed to
-	TimedOut                        // the member has not answered in time
-	Unreachable                     // the member could not be reached
+	Answered                Outcome = iota // the response is final
+	StateServiceUnavailable                // the state service has not answered the member in time
+	Overloaded                             // the member has reached a concurrency, rate or connection limit
+	OutOfMemory                            // the member has no memory for more jobs
+	NotReady                               // the member cannot answer yet, or has failed to
+	TimedOut                               // the member has not answered in time
+	Unreachable                            // the member could not be reached
 	outcomeCount
 )
 
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -5,7 +5,7 @@
 //
 // A Router holds what a member knows about its own ability to answer and that of the other members. Router.Begin
 // starts a request and returns its RequestAttempts with the first Action. The caller carries out each action,
-// reports the result of each attempt with Completed, and calls Tick at the time of NextTick, until an Action
+// reports the result of each attempt with HandleResponse, and calls Tick at the time of NextTick, until an Action
 // holds the response for the user. The package does no I/O and reads no clock, and the caller provides its random
 // numbers, so that simulations are reproducible.
 package route
@@ -36,19 +36,19 @@
 	// maxHedgeDelay bounds the time before a local attempt is hedged, unless Settings.MinHedgeDelay is longer.
 	maxHedgeDelay = 600 * time.Millisecond
 	// minWriteHedgeDelay is the minimum hedge delay of submissions and cancellations. It is longer than that of
-	// polls, since a write on two members costs the state service a needless transaction. Hedging writes as soon
-	// as they get slow would add to the load that slows them down.
+	// polls, since a write on two members costs the state service a needless transaction. Hedging writes as soon as
+	// they get slow would add to the load that slows them down.
 	minWriteHedgeDelay = 350 * time.Millisecond
 
-	// Number of values, one second apart, among which Retry-After varies. Overload uses more of them than other
-	// refusals.
+	// Number of values, one second apart, among which Retry-After varies. Overload uses more of them
+	// than other refusals.
 	retrySpreadSteps    = 2
 	overloadSpreadSteps = 4
 )
 
-// Router decides, for each request that a member receives, on which members it is attempted. It keeps the circuit
-// breakers, latency estimates, concurrency limits and retry budget that these decisions depend on. It is safe for
-// concurrent use.
+// Router decides, for each request that a member receives, on which members it is attempted. It keeps the
+// circuit breakers, latency estimates, concurrency limits and retry budget that these decisions depend on.
+// It is safe for concurrent use.
 type Router struct {
 	settings Settings
 
@@ -74,10 +74,9 @@
 // localBreakerName is the name of this member in calls of onBreakerChange.
 const localBreakerName = "here"
 
-// New returns a router. random is the source of random choices; the router uses it under its lock.
-// onBreakerChange is called when a circuit breaker opens or closes, with the name of the member that the breaker
-// guards, or "here" for this member. It is called under the lock of the router, so it must not call the router.
-// It may be nil.
+// New returns a router. random is the source of random choices; the router uses it under its lock. onBreakerChange
+// is called when a circuit breaker opens or closes, with the name of the member that the breaker guards, or "here"
+// for this member. It is called under the lock of the router, so it must not call the router. It may be nil.
 func New(
 	settings Settings, random *rand.Rand, onBreakerChange func(member string, from, to BreakerState),
 ) *Router {
@@ -97,9 +96,9 @@
 	return r
 }
 
-// admitLocal returns Answered if a request may be attempted on this member, and otherwise the outcome that says
-// why not. An admitted request counts as in flight until localCompleted is called. lastStateResponse is the time
-// at which the state service last answered any request of this member. r.mu must be held.
+// admitLocal returns Answered if a request may be attempted on this member, and otherwise the outcome that says why
+// not. An admitted request counts as in flight until recordLocalOutcome is called. lastStateResponse is the time at
+// which the state service last answered any request of this member. r.mu must be held.
 func (r *Router) admitLocal(now, lastStateResponse time.Time, kind Kind) Outcome {
 	if !r.limits[kind].acquire() {
 		r.counts.Shed++
@@ -107,13 +106,13 @@
 	}
 	if !r.localBreaker.allow(now, lastStateResponse) {
 		r.limits[kind].release()
-		return StateUnavailable
+		return StateServiceUnavailable
 	}
 	return Answered
 }
 
-// localCompleted records the outcome of a local attempt. r.mu must be held.
-func (r *Router) localCompleted(now time.Time, kind Kind, latency time.Duration, outcome Outcome) {
+// recordLocalOutcome records the outcome of a local attempt. r.mu must be held.
+func (r *Router) recordLocalOutcome(now time.Time, kind Kind, latency time.Duration, outcome Outcome) {
 	r.limits[kind].release()
 	switch outcome {
 	case Answered:
@@ -124,7 +123,7 @@
 	case Overloaded:
 		r.localBreaker.discard()
 		r.limits[kind].backOff()
-	case StateUnavailable:
+	case StateServiceUnavailable:
 		r.localBreaker.record(now, false)
 	default:
 		r.localBreaker.discard()
@@ -170,8 +169,8 @@
 	return time.Duration(m.outstanding+1) * max(m.peakLatency, time.Millisecond)
 }
 
-// forwardCompleted records the outcome of an attempt on another member. r.mu must be held.
-func (r *Router) forwardCompleted(now time.Time, name string, latency time.Duration, outcome Outcome) {
+// recordForwardedOutcome records the outcome of an attempt on another member. r.mu must be held.
+func (r *Router) recordForwardedOutcome(now time.Time, name string, latency time.Duration, outcome Outcome) {
 	m := r.members[name]
 	m.outstanding--
 	m.peakLatency = max(latency, m.peakLatency*7/8)
@@ -187,9 +186,9 @@
 }
 
 // AdmitForwarded decides whether a request that another member has forwarded may be attempted on this member. If
-// so, it returns a function that must be called exactly once, with the outcome of the attempt and the time at
-// which it ended. Otherwise the function is nil and outcome says why. lastStateResponse is the time at which the
-// state service last answered any request of this member.
+// so, it returns a function that must be called exactly once, with the outcome of the attempt and the time at which
+// it ended. Otherwise the function is nil and outcome says why. lastStateResponse is the time at which the state
+// service last answered any request of this member.
 func (r *Router) AdmitForwarded(
 	now, lastStateResponse time.Time, kind Kind,
 ) (completed func(now time.Time, outcome Outcome), outcome Outcome) {
@@ -202,13 +201,12 @@
 	return func(completedAt time.Time, outcome Outcome) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.localCompleted(completedAt, kind, completedAt.Sub(now), outcome)
+		r.recordLocalOutcome(completedAt, kind, completedAt.Sub(now), outcome)
 	}, Answered
 }
 
-// RetryAfter returns the time that a user whose request ended with the given outcome should wait before a retry.
-// It is at least minimum, and varies from call to call so that users who are rejected together do not return
-// together.
+// RetryAfter returns the time that a user whose request ended with the given outcome should wait before a retry. It
+// is at least minimum, and varies from call to call so that users who are rejected together do not return together.
 func (r *Router) RetryAfter(minimum time.Duration, outcome Outcome) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,8 +218,8 @@
 	return minimum + time.Duration(r.retryAfterCount%steps)*time.Second
 }
 
-// hedgeDelay returns how long a local attempt may take before the request is forwarded as well, or 0 if hedging
-// is off. r.mu must be held.
+// hedgeDelay returns how long a local attempt may take before the request is forwarded as well, or 0 if
+// hedging is off. r.mu must be held.
 func (r *Router) hedgeDelay(kind Kind) time.Duration {
 	if r.settings.MinHedgeDelay == 0 {
 		return 0
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -35,11 +35,11 @@
 		if !action.Local {
 			t.Fatalf("request %d: got %+v, want a local attempt", i, action)
 		}
-		action = attempts.Completed(now, "", Response{Outcome: StateUnavailable})
+		action = attempts.HandleResponse(now, "", Response{Outcome: StateServiceUnavailable})
 		if action.ForwardTo == "" {
 			t.Fatalf("request %d, local attempt failed: got %+v, want it forwarded", i, action)
 		}
-		action = attempts.Completed(now, action.ForwardTo, Response{Status: 201})
+		action = attempts.HandleResponse(now, action.ForwardTo, Response{Status: 201})
 		if action.Response == nil || action.Response.Status != 201 {
 			t.Fatalf("request %d, forwarded: got %+v, want response 201", i, action)
 		}
@@ -48,7 +48,7 @@
 	if action.Local || action.ForwardTo == "" {
 		t.Fatalf("with the local breaker open: got %+v, want the request forwarded", action)
 	}
-	attempts.Completed(afterStart(110*time.Millisecond), action.ForwardTo, Response{Status: 201})
+	attempts.HandleResponse(afterStart(110*time.Millisecond), action.ForwardTo, Response{Status: 201})
 
 	retriesBefore := r.Status(afterStart(110 * time.Millisecond)).RetriesLeft
 	for range 100 {
@@ -56,7 +56,7 @@
 		if action.ForwardTo == "" {
 			t.Fatalf("without a local attempt before: got %+v, want the request forwarded", action)
 		}
-		attempts.Completed(afterStart(120*time.Millisecond), action.ForwardTo, Response{Status: 201})
+		attempts.HandleResponse(afterStart(120*time.Millisecond), action.ForwardTo, Response{Status: 201})
 	}
 	if got := r.Status(afterStart(120 * time.Millisecond)).RetriesLeft; got < retriesBefore {
 		t.Errorf("retries left: got %v, want at least %v: nothing was retried", got, retriesBefore)
@@ -68,8 +68,8 @@
 	for i := range failureThreshold {
 		now := afterStart(time.Duration(i) * 10 * time.Millisecond)
 		attempts, _ := r.begin(now, Submit)
-		action := attempts.Completed(now, "", Response{Outcome: StateUnavailable})
-		attempts.Completed(now, action.ForwardTo, Response{Status: 201})
+		action := attempts.HandleResponse(now, "", Response{Outcome: StateServiceUnavailable})
+		attempts.HandleResponse(now, action.ForwardTo, Response{Status: 201})
 	}
 	if status := r.Status(afterStart(100 * time.Millisecond)); status.Local != "open" {
 		t.Fatalf("after %d failures: got the local breaker %s, want open", failureThreshold, status.Local)
@@ -84,7 +84,7 @@
 	if _, other := r.begin(afterStart(131*time.Millisecond), Submit); other.Local {
 		t.Errorf("during the probe: got %+v, want no local attempt", other)
 	}
-	attempts.Completed(afterStart(140*time.Millisecond), "", Response{Status: 201})
+	attempts.HandleResponse(afterStart(140*time.Millisecond), "", Response{Status: 201})
 	if _, action = r.begin(afterStart(141*time.Millisecond), Submit); !action.Local {
 		t.Errorf("after the probe: got %+v, want a local attempt", action)
 	}
@@ -101,8 +101,8 @@
 	}
 }
 
-// Guards against members that multiply each other's requests while the state service is down for all of them.
-// Users must be rejected without waiting, and requests to the state service and between members must stay few.
+// Guards against members that multiply each other's requests while the state service is down for all of them. Users
+// must be rejected without waiting, and requests to the state service and between members must stay few.
 func TestOutageOfAllMembersIsNotAmplified(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	routers := map[string]*Router{}
@@ -126,16 +126,16 @@
 			switch {
 			case action.Local:
 				stateRequests++
-				action = attempts.Completed(now, "", Response{Outcome: StateUnavailable})
+				action = attempts.HandleResponse(now, "", Response{Outcome: StateServiceUnavailable})
 			case action.ForwardTo != "":
 				forwarded++
 				completed, outcome := routers[action.ForwardTo].AdmitForwarded(now, time.Time{}, Submit)
 				if completed != nil {
 					stateRequests++
-					completed(now, StateUnavailable)
-					outcome = StateUnavailable
+					completed(now, StateServiceUnavailable)
+					outcome = StateServiceUnavailable
 				}
-				action = attempts.Completed(now, action.ForwardTo, Response{Outcome: outcome})
+				action = attempts.HandleResponse(now, action.ForwardTo, Response{Outcome: outcome})
 			default:
 				t.Fatalf("in state %v: got no action, want one", attempts.State())
 			}
@@ -157,7 +157,7 @@
 	for i := range 30 {
 		now := afterStart(time.Duration(i) * 100 * time.Millisecond)
 		attempts, _ := r.begin(now, Poll)
-		action := attempts.Completed(now.Add(10*time.Millisecond), "", Response{Status: 200})
+		action := attempts.HandleResponse(now.Add(10*time.Millisecond), "", Response{Status: 200})
 		if action.Response == nil {
 			t.Fatalf("poll %d: got %+v, want a response", i, action)
 		}
@@ -172,7 +172,7 @@
 		t.Fatalf("after 160 ms: got %+v, %v, want it forwarded, %v", action, attempts.State(), RequestHedged)
 	}
 	response := Response{Status: 200, Body: []byte("b")}
-	action = attempts.Completed(now.Add(170*time.Millisecond), action.ForwardTo, response)
+	action = attempts.HandleResponse(now.Add(170*time.Millisecond), action.ForwardTo, response)
 	if action.Response == nil || string(action.Response.Body) != "b" {
 		t.Fatalf("first answer: got %+v, want a response with body %q", action, "b")
 	}
@@ -180,7 +180,7 @@
 		t.Errorf("polls in flight: got %d, want 1, the local attempt", got)
 	}
 	for range 3 {
-		attempts.Completed(now.Add(1200*time.Millisecond), "", Response{Outcome: StateUnavailable})
+		attempts.HandleResponse(now.Add(1200*time.Millisecond), "", Response{Outcome: StateServiceUnavailable})
 		attempts, _ = r.begin(now.Add(1200*time.Millisecond), Poll)
 	}
 	if status := r.Status(now); status.Local != "open" || status.InFlight["poll"] != 0 {
@@ -192,7 +192,7 @@
 	r := newRouter()
 	seen := map[string]bool{}
 	for range 8 {
-		unavailable := r.RetryAfter(time.Second, StateUnavailable)
+		unavailable := r.RetryAfter(time.Second, StateServiceUnavailable)
 		overloaded := r.RetryAfter(time.Second, Overloaded)
 		seen[fmt.Sprint(unavailable, overloaded)] = true
 	}
