--- a/internal/httpapi/forwarding.go
+++ b/internal/httpapi/forwarding.go
@@ -81,7 +81,7 @@
 	attempts *route.RequestAttempts
 	// results is unbuffered, so that no result remains in it unread after answered is closed.
 	results  chan attemptResult
-	answered chan struct{} // closed once the user's response is decided
+	answered chan struct{} // closed when routeRequest returns the user's response
 }
 
 // attemptResult is the response of one attempt.
@@ -90,8 +90,8 @@
 	response route.Response
 }
 
-// start runs an attempt in a new goroutine. Its result is sent to results or, if the user's response is decided by
-// then, reported directly to the router.
+// start runs an attempt in a new goroutine. Its result is sent to results or, if routeRequest has returned by then,
+// reported directly to the router.
 func (a *attemptRunner) start(member string, attempt func() route.Response) {
 	go func() {
 		result := attemptResult{member, a.server.runAndRecover(attempt)}
--- a/internal/httpapi/forwarding_test.go
+++ b/internal/httpapi/forwarding_test.go
@@ -195,7 +195,7 @@
 		onMessage := func(message string) {
 			if message == "request forwarded" {
 				close(jobs.release)
-				time.Sleep(time.Millisecond) // the local attempt finishes first
+				time.Sleep(time.Millisecond) // gives the local attempt time to finish first
 			}
 		}
 		log := slog.New(logHook{slog.NewTextHandler(io.Discard, nil), onMessage})
