--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -11,30 +11,30 @@
 	"github.com/glentiller/glentiller/internal/rpc"
 )
 
-// Client sends requests to one other controller over one connection, which it makes when it needs it.
-// Its methods may be called concurrently, and return a *RequestError where there is no answer. The
-// context bounds the wait for it, not the making of a connection. An old version of the other
-// controller leaves requests that it does not know unanswered.
+// Client sends requests to one other controller over a single connection, which it opens on demand. It is safe
+// for concurrent use. A method that gets no response returns a *RequestError. The context bounds the wait for the
+// response but not the dialing of the connection, which has its own timeout. A controller of an older version
+// does not respond to request types that it does not know.
 type Client struct {
-	addr      string
-	dial      rpc.DialFunc
-	responses atomic.Uint64 // that have arrived
+	addr              string
+	dial              rpc.DialFunc
+	responsesReceived atomic.Uint64 // over all connections
 
-	mu      sync.Mutex // guards all below, and writes to conn
-	conn    net.Conn   // nil: there is none
-	dialing bool       // some caller makes a connection
-	lastID  uint64
-	pending map[uint64]pendingRequest
+	mu      sync.Mutex                // guards the fields below and writes to conn
+	conn    net.Conn                  // nil if there is no open connection
+	dialing bool                      // whether a caller is opening a connection
+	lastID  uint64                    // ID of the last registered request
+	pending map[uint64]pendingRequest // by request ID
 }
 
-// pendingRequest is a request that waits for its answer.
+// pendingRequest is a request whose response has not arrived yet.
 type pendingRequest struct {
-	conn     net.Conn              // nil: it has not been sent yet
-	response chan *peerpb.Envelope // closed without an answer if the connection is lost
+	conn     net.Conn              // the connection it was sent on, or nil if it has not been sent yet
+	response chan *peerpb.Envelope // closed without a value if the connection is lost
 }
 
-// NewClient returns a client of the controller at an address. wrapDial may put the making of
-// connections under a condition, see rpc.New; nil: there is none.
+// NewClient returns a client of the controller at addr. It does not connect yet. wrapDial can wrap the dial
+// function to restrict when connections are opened, as with rpc.New. A nil wrapDial means no restriction.
 func NewClient(addr string, wrapDial func(rpc.DialFunc) rpc.DialFunc) *Client {
 	c := &Client{addr: addr, dial: dialTCP, pending: map[uint64]pendingRequest{}}
 	if wrapDial != nil {
@@ -45,76 +45,78 @@
 
 func dialTCP(addr string) (net.Conn, error) { return net.DialTimeout("tcp4", addr, dialTimeout) }
 
-// RelayHeartbeat relays a worker's heartbeat and returns the answer to it.
+// RelayHeartbeat relays a worker's encoded heartbeat and returns the response to it.
 func (c *Client) RelayHeartbeat(ctx context.Context, heartbeat []byte) (*peerpb.RelayAnswer, error) {
 	body := &peerpb.Envelope_Relay{Relay: &peerpb.Relay{Report: heartbeat}}
-	answer, err := c.roundTrip(ctx, &peerpb.Envelope{Body: body})
-	return answer.GetRelayAnswer(), err
+	response, err := c.roundTrip(ctx, &peerpb.Envelope{Body: body})
+	return response.GetRelayAnswer(), err
 }
 
-// Explain forwards an operator's request to explain why a job waits, and returns the answer.
+// Explain forwards an operator's request to explain why a job is waiting and returns the response.
 func (c *Client) Explain(ctx context.Context, request *peerpb.Ask) (*peerpb.AskAnswer, error) {
-	answer, err := c.roundTrip(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_Ask{Ask: request}})
-	return answer.GetAskAnswer(), err
+	response, err := c.roundTrip(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_Ask{Ask: request}})
+	return response.GetAskAnswer(), err
 }
 
-// RequestVote requests a vote, releases one, or asks whether the other controller leads.
+// RequestVote requests the other controller's vote, releases that vote, or asks whether the other controller
+// leads. The fields of request determine which.
 func (c *Client) RequestVote(ctx context.Context, request *peerpb.PromiseAsk) (*peerpb.PromiseAnswer, error) {
-	answer, err := c.roundTrip(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_PromiseAsk{PromiseAsk: request}})
-	return answer.GetPromiseAnswer(), err
+	response, err := c.roundTrip(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_PromiseAsk{PromiseAsk: request}})
+	return response.GetPromiseAnswer(), err
 }
 
-// ForwardRequest forwards a user's request and returns the answer. If it comes too late, the
-// connection is closed only if nothing else has arrived on it meanwhile: one late request says
-// nothing about the others.
+// ForwardRequest forwards a user's request and returns the response. If the context ends first, the connection is
+// closed only if no response to any other request has arrived in the meantime: a single slow request does not
+// mean that the connection is dead.
 func (c *Client) ForwardRequest(ctx context.Context, request *peerpb.Hand) (*peerpb.HandAnswer, error) {
-	responses := c.responses.Load()
-	answer, late, err := c.exchange(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_Hand{Hand: request}})
-	if late && c.responses.Load() == responses {
+	receivedBefore := c.responsesReceived.Load()
+	response, abandoned, err := c.exchange(ctx, &peerpb.Envelope{Body: &peerpb.Envelope_Hand{Hand: request}})
+	if abandoned && c.responsesReceived.Load() == receivedBefore {
 		c.closeCurrent()
 	}
-	return answer.GetHandAnswer(), err
+	return response.GetHandAnswer(), err
 }
 
-// SendProgress sends the leader's progress of unfinished jobs. It waits for no answer: without an
-// error it was written to the connection.
+// SendProgress sends the progress of unfinished jobs. The message has no response: a nil error means only that it
+// was written to the connection.
 func (c *Client) SendProgress(p *peerpb.Progress) error {
 	return c.send(&peerpb.Envelope{Body: &peerpb.Envelope_Progress{Progress: p}})
 }
 
-// roundTrip sends a request and waits for its answer. If none comes in time the connection is closed:
-// it may be dead although it has not been reset.
+// roundTrip sends a request and waits for its response. If the context ends first, the connection is closed: it
+// may be dead even though it has not been reset.
 func (c *Client) roundTrip(ctx context.Context, request *peerpb.Envelope) (*peerpb.Envelope, error) {
-	answer, late, err := c.exchange(ctx, request)
-	if late {
+	response, abandoned, err := c.exchange(ctx, request)
+	if abandoned {
 		c.closeCurrent()
 	}
-	return answer, err
+	return response, err
 }
 
-// exchange sends a request and waits for its answer. late reports that none came in time.
+// exchange sends a request and waits for its response. abandoned reports that the context ended before the
+// response arrived.
 func (c *Client) exchange(
 	ctx context.Context, request *peerpb.Envelope,
-) (answer *peerpb.Envelope, late bool, err error) {
-	id, response := c.register()
+) (response *peerpb.Envelope, abandoned bool, err error) {
+	id, responses := c.register()
 	defer c.unregister(id)
 	request.Id = id
 	if err := c.send(request); err != nil {
 		return nil, false, err
 	}
 	select {
-	case answer, ok := <-response:
+	case response, ok := <-responses:
 		if !ok {
 			return nil, false, &RequestError{Addr: c.addr, Err: ErrConnectionLost}
 		}
-		return answer, false, nil
+		return response, false, nil
 	case <-ctx.Done():
 		return nil, true, &RequestError{Addr: c.addr, Err: ctx.Err()}
 	}
 }
 
-// register adds a pending request.
-func (c *Client) register() (id uint64, response <-chan *peerpb.Envelope) {
+// register adds a pending request and returns its ID and the channel that delivers its response.
+func (c *Client) register() (id uint64, responses <-chan *peerpb.Envelope) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastID++
@@ -129,7 +131,7 @@
 	delete(c.pending, id)
 }
 
-// send writes a message, on a new connection if there is none.
+// send writes a message to the connection and opens one if necessary.
 func (c *Client) send(e *peerpb.Envelope) error {
 	conn, err := c.connect()
 	if err != nil {
@@ -142,7 +144,8 @@
 	return nil
 }
 
-// write writes a message, and notes on which connection its answer is to come.
+// write writes a message to conn. If the message is a pending request, write also records conn in it, so that the
+// request fails when conn is lost.
 func (c *Client) write(conn net.Conn, e *peerpb.Envelope) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,8 +156,8 @@
 	return writeEnvelope(conn, e)
 }
 
-// connect returns the connection. Only one caller at a time makes one; the others fail with
-// ErrDialing meanwhile, rather than queue behind a dead address.
+// connect returns the open connection or dials a new one. Only one caller dials at a time. Meanwhile the others
+// fail with ErrDialing, so that they do not queue up behind an unreachable address.
 func (c *Client) connect() (net.Conn, error) {
 	c.mu.Lock()
 	if c.conn != nil || c.dialing {
@@ -178,7 +181,7 @@
 	return conn, nil
 }
 
-// readLoop passes answers to those who wait for them, until the connection breaks.
+// readLoop delivers responses to the pending requests until the connection fails.
 func (c *Client) readLoop(conn net.Conn) {
 	r := bufio.NewReader(conn)
 	for {
@@ -187,7 +190,7 @@
 			c.closeAndFailPending(conn)
 			return
 		}
-		c.responses.Add(1)
+		c.responsesReceived.Add(1)
 		c.mu.Lock()
 		p, ok := c.pending[e.GetId()]
 		delete(c.pending, e.GetId())
@@ -198,7 +201,7 @@
 	}
 }
 
-// closeCurrent closes the connection, if there is one.
+// closeCurrent closes the current connection, if any, and fails the requests that are pending on it.
 func (c *Client) closeCurrent() {
 	c.mu.Lock()
 	conn := c.conn
@@ -208,10 +211,10 @@
 	}
 }
 
-// closeAndFailPending closes a connection and fails the requests on it at once: a member that has just
-// crashed must not hold a request up for all of its time.
+// closeAndFailPending closes a connection and immediately fails the requests that are pending on it, so that they
+// do not wait for their timeouts when the other controller has crashed.
 func (c *Client) closeAndFailPending(conn net.Conn) {
-	_ = conn.Close() // there is nothing to do about the error
+	_ = conn.Close() // a failed close needs no handling: the connection is discarded
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn == conn {
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -2,34 +2,35 @@
 
 import "errors"
 
-// The errors of requests that callers tell apart by errors.Is.
+// Causes of a failed request, for use with errors.Is.
 var (
-	// ErrNotSent says that a request never left this controller, so it is not carried out. Any other
-	// error leaves that open.
+	// ErrNotSent means that the request never left this controller and so will not be executed. After any other
+	// error it is unknown whether the other controller executes the request.
 	ErrNotSent = errors.New("not sent")
-	// ErrDialing says that a connection is being made for another request. It comes with ErrNotSent.
-	ErrDialing = errors.New("a connection is being made")
-	// ErrConnectionLost says that the connection broke before the answer came.
-	ErrConnectionLost = errors.New("the connection was lost")
+	// ErrDialing means that another request is already opening a connection. An error that matches it also
+	// matches ErrNotSent.
+	ErrDialing = errors.New("another request is already opening a connection")
+	// ErrConnectionLost means that the connection was lost before the response arrived.
+	ErrConnectionLost = errors.New("connection lost before the response arrived")
 )
 
-// RequestError is a request to another controller that was not answered.
+// RequestError reports that a request to another controller got no response.
 type RequestError struct {
-	Addr    string // of the other controller
-	NotSent bool   // it is not carried out; false: that is unknown
-	Err     error
+	Addr    string // address of the other controller
+	NotSent bool   // true if the request certainly will not be executed, false if that is unknown
+	Err     error  // the cause
 }
 
-// Error returns the address and what went wrong as text.
+// Error returns the address of the other controller and the cause.
 func (e *RequestError) Error() string {
 	if e.NotSent {
-		return "request to " + e.Addr + ": " + ErrNotSent.Error() + ": " + e.Err.Error()
+		return "request to controller " + e.Addr + ": " + ErrNotSent.Error() + ": " + e.Err.Error()
 	}
-	return "request to " + e.Addr + ": " + e.Err.Error()
+	return "request to controller " + e.Addr + ": " + e.Err.Error()
 }
 
-// Unwrap returns what went wrong.
+// Unwrap returns the cause.
 func (e *RequestError) Unwrap() error { return e.Err }
 
-// Is reports that the error is ErrNotSent, if that is certain.
+// Is reports whether target is ErrNotSent and the request was certainly not sent.
 func (e *RequestError) Is(target error) bool { return target == ErrNotSent && e.NotSent }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -19,8 +19,9 @@
 	return m
 }
 
-// Every message between controllers, with every field set, as it goes over the connection. The numbers are stated here
-// too, since they and not the names are what is sent.
+// The golden files hold every message type with all fields set, both as text and as the encoded bytes. The encoding
+// contains field numbers instead of names, so a renumbered field would make controllers of different versions
+// misread each other.
 func TestMessagesBetweenControllersKeepTheirBytes(t *testing.T) {
 	for name, e := range map[string]*peerpb.Envelope{
 		"relay":          {Id: 300, Body: &peerpb.Envelope_Relay{Relay: filled(&peerpb.Relay{})}},
@@ -39,7 +40,7 @@
 			if _, err := protodelim.MarshalTo(&sent, e); err != nil {
 				t.Fatal(err)
 			}
-			// The text form puts spaces at random.
+			// prototext varies its whitespace between builds on purpose.
 			text := strings.Join(strings.Fields(prototext.MarshalOptions{}.Format(e)), " ")
 			stored := golden.Check(t, name+".txt", []byte(text+"\n"+hex.EncodeToString(sent.Bytes())+"\n"))
 			_, digits, _ := strings.Cut(strings.TrimSuffix(string(stored), "\n"), "\n")
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -12,16 +12,17 @@
 	"github.com/glentiller/glentiller/internal/route"
 )
 
-// testLeader answers requests, and keeps the progress that it receives.
-type testLeader struct {
+// testHandler returns canned responses and passes on the progress that it receives. A heartbeat "hang" or a job ID
+// "hang" makes it wait until the request is cancelled.
+type testHandler struct {
 	progress chan *peerpb.Progress
 	hang     chan struct{}
 }
 
-func (l *testLeader) HandleHeartbeat(ctx context.Context, heartbeat []byte) *peerpb.RelayAnswer {
+func (h *testHandler) HandleHeartbeat(ctx context.Context, heartbeat []byte) *peerpb.RelayAnswer {
 	if string(heartbeat) == "hang" {
 		select {
-		case <-l.hang:
+		case <-h.hang:
 		case <-ctx.Done():
 		}
 		return &peerpb.RelayAnswer{}
@@ -29,30 +30,31 @@
 	return &peerpb.RelayAnswer{Act: true, Body: append([]byte("answer to "), heartbeat...)}
 }
 
-func (l *testLeader) HandleExplain(_ context.Context, q *peerpb.Ask) *peerpb.AskAnswer {
-	return &peerpb.AskAnswer{Act: true, Body: []byte("why " + q.GetExplain())}
+func (h *testHandler) HandleExplain(_ context.Context, request *peerpb.Ask) *peerpb.AskAnswer {
+	return &peerpb.AskAnswer{Act: true, Body: []byte("why " + request.GetExplain())}
 }
 
-func (l *testLeader) HandleVoteRequest(_ context.Context, q *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
-	return &peerpb.PromiseAnswer{Granted: q.GetToken() > 6, Member: "tiller-1"}
+func (h *testHandler) HandleVoteRequest(_ context.Context, request *peerpb.PromiseAsk) *peerpb.PromiseAnswer {
+	return &peerpb.PromiseAnswer{Granted: request.GetToken() > 6, Member: "tiller-1"}
 }
 
-func (l *testLeader) HandleForwardedRequest(ctx context.Context, q *peerpb.Hand) *peerpb.HandAnswer {
-	if q.GetId() == "hang" {
+func (h *testHandler) HandleForwardedRequest(ctx context.Context, request *peerpb.Hand) *peerpb.HandAnswer {
+	if request.GetId() == "hang" {
 		<-ctx.Done()
 	}
-	return &peerpb.HandAnswer{Status: 201, Body: append([]byte("took "), q.GetBody()...)}
+	return &peerpb.HandAnswer{Status: 201, Body: append([]byte("took "), request.GetBody()...)}
 }
 
-func (l *testLeader) HandleProgress(p *peerpb.Progress) { l.progress <- p }
+func (h *testHandler) HandleProgress(p *peerpb.Progress) { h.progress <- p }
 
-func startLeader(t *testing.T) (*testLeader, string) {
+// startTestServer serves a testHandler on a local address until the test ends.
+func startTestServer(t *testing.T) (*testHandler, string) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &testLeader{progress: make(chan *peerpb.Progress, 1), hang: make(chan struct{})}
+	h := &testHandler{progress: make(chan *peerpb.Progress, 1), hang: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- Serve(ctx, l, h) }()
@@ -60,14 +62,14 @@
 		cancel()
 		_ = l.Close()
 		if err := <-ended; err != nil {
-			t.Errorf("serving ended with %v", err)
+			t.Errorf("Serve: got error %v, want none", err)
 		}
 	})
 	return h, l.Addr().String()
 }
 
 func TestClientRequestsAreAnsweredAndProgressArrives(t *testing.T) {
-	h, addr := startLeader(t)
+	h, addr := startTestServer(t)
 	c := NewClient(addr, nil)
 	explanation, err := c.Explain(t.Context(), &peerpb.Ask{Explain: "wk-000001"})
 	if err != nil || string(explanation.GetBody()) != "why wk-000001" {
@@ -92,18 +94,18 @@
 	}
 }
 
-// A leader that does not answer holds a request up no longer than its caller allows, and the next
-// request gets through on a new connection.
+// A request to an unresponsive leader must return when its context ends, and the next request must succeed on a new
+// connection. If the client kept the old connection, it could keep sending requests on a dead one.
 func TestUnresponsiveLeaderDoesNotBlockNextRequest(t *testing.T) {
-	_, addr := startLeader(t)
+	_, addr := startTestServer(t)
 	c := NewClient(addr, nil)
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(0, cancel)
 	if _, err := c.RelayHeartbeat(ctx, []byte("hang")); !errors.Is(err, context.Canceled) {
-		t.Fatalf("a request that is given up: got error %v, want context.Canceled", err)
+		t.Fatalf("a cancelled request: got error %v, want context.Canceled", err)
 	}
 	if a, err := c.RelayHeartbeat(t.Context(), []byte("next")); err != nil || !a.GetAct() {
-		t.Errorf("the next request: got %v, error %v; want an answer and none", a, err)
+		t.Errorf("the next request: got %v, error %v; want a response and none", a, err)
 	}
 }
 
@@ -116,20 +118,21 @@
 	_ = l.Close()
 	a, err := NewClient(addr, nil).RelayHeartbeat(t.Context(), []byte("x"))
 	if err == nil {
-		t.Errorf("got answer %v and no error, want an error", a)
+		t.Errorf("got response %v and no error, want an error", a)
 	}
 	if !errors.Is(err, ErrNotSent) {
-		t.Errorf("got error %v, want one that is ErrNotSent", err)
+		t.Errorf("got error %v, want one that matches ErrNotSent", err)
 	}
 }
 
-// A request that was sent may be carried out, also when the connection breaks before its answer.
+// A request that was sent may have been executed even if the connection is lost before the response arrives, so the
+// error must not match ErrNotSent.
 func TestLostConnectionLeavesOutcomeUnknown(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }() // nothing was written that could be lost
+	defer func() { _ = l.Close() }() // an error does not affect the test
 	go func() {
 		conn, err := l.Accept()
 		if err != nil {
@@ -141,14 +144,14 @@
 	_, err = NewClient(l.Addr().String(), nil).RelayHeartbeat(t.Context(), []byte("x"))
 	var requestErr *RequestError
 	if !errors.As(err, &requestErr) || !errors.Is(err, ErrConnectionLost) || errors.Is(err, ErrNotSent) {
-		t.Errorf("got error %v, want a RequestError that is ErrConnectionLost and not ErrNotSent", err)
+		t.Errorf("got error %v, want a RequestError that matches ErrConnectionLost and not ErrNotSent", err)
 	}
 }
 
-// A member that answers as many requests of one connection as it can refuses the next one at once,
-// and a request that is not answered does not disturb the others on its connection.
+// A server with maxConcurrentRequests requests in progress on a connection must reject further forwarded requests
+// immediately. Requests that get no response must not affect the others on the same connection.
 func TestForwardedRequestOverLimitIsRefusedImmediately(t *testing.T) {
-	_, addr := startLeader(t)
+	_, addr := startTestServer(t)
 	c := NewClient(addr, nil)
 	a, err := c.ForwardRequest(t.Context(), &peerpb.Hand{Body: []byte("it")})
 	if err != nil || string(a.GetBody()) != "took it" {
@@ -177,7 +180,7 @@
 	cancel()
 	for range maxConcurrentRequests {
 		if err := <-failed; !errors.Is(err, context.Canceled) {
-			t.Errorf("a request that is given up: got error %v, want context.Canceled", err)
+			t.Errorf("a cancelled request: got error %v, want context.Canceled", err)
 		}
 	}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,23 +12,26 @@
 	"github.com/glentiller/glentiller/internal/route"
 )
 
-// Handler answers the messages of other controllers. Its methods are called concurrently.
+// Handler handles the messages of other controllers. Its methods are called concurrently. The context of a method
+// is cancelled when the connection is lost or the server stops.
 type Handler interface {
-	// HandleHeartbeat answers a worker's heartbeat that another controller relays.
+	// HandleHeartbeat handles a worker's encoded heartbeat that another controller relays.
 	HandleHeartbeat(ctx context.Context, heartbeat []byte) *peerpb.RelayAnswer
-	// HandleExplain answers an operator's request for an explanation that another controller forwards.
+	// HandleExplain handles an operator's request, forwarded by another controller, to explain why a job is waiting.
 	HandleExplain(ctx context.Context, request *peerpb.Ask) *peerpb.AskAnswer
-	// HandleVoteRequest answers a leader that requests a vote, or a member that asks who leads.
+	// HandleVoteRequest handles a leader's request for this controller's vote, the release of that vote, or the
+	// question whether this controller leads.
 	HandleVoteRequest(ctx context.Context, request *peerpb.PromiseAsk) *peerpb.PromiseAnswer
-	// HandleForwardedRequest answers a user's request that another controller cannot serve.
+	// HandleForwardedRequest handles a user's request that another controller forwards.
 	HandleForwardedRequest(ctx context.Context, request *peerpb.Hand) *peerpb.HandAnswer
-	// HandleProgress records the leader's progress of unfinished jobs, for display. The next message of
-	// the connection is read only when it has returned.
+	// HandleProgress records the progress of unfinished jobs that the leader sends for display. The next message of
+	// the connection is not read until it returns.
 	HandleProgress(p *peerpb.Progress)
 }
 
-// Serve answers the other controllers until the listener is closed. It returns nil if the context has
-// ended by then.
+// Serve accepts connections from other controllers and answers their requests until the listener is closed. It then
+// waits for its connections to end. It returns nil if the context has ended, or else the error of the listener. The
+// caller closes the listener; the end of the context alone only closes the connections.
 func Serve(ctx context.Context, l net.Listener, h Handler) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -40,7 +43,7 @@
 			}
 			var netErr net.Error
 			if errors.As(err, &netErr) {
-				time.Sleep(acceptRetryWait) // out of sockets for the moment
+				time.Sleep(acceptRetryDelay) // probably out of file descriptors for the moment
 				continue
 			}
 			return err
@@ -53,28 +56,28 @@
 	}
 }
 
-// serverConn is one connection of another controller.
+// serverConn is a connection that another controller has opened.
 type serverConn struct {
 	conn    net.Conn
 	handler Handler
-	slots   chan struct{} // one for each request that is being answered
+	slots   chan struct{} // semaphore that bounds the requests in progress
 
-	writing sync.Mutex // guards writes to conn
+	writeMu sync.Mutex // guards writes to conn
 }
 
-// serveConn answers the requests of a connection until it breaks or the context ends. Requests that
-// are still being answered then have their context cancelled.
+// serveConn answers the requests of a connection until the connection fails or the context ends. It then cancels the
+// contexts of the requests that are still in progress.
 func serveConn(ctx context.Context, conn net.Conn, h Handler) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	closeConn := func() { _ = conn.Close() } // there is nothing to do about the error
+	closeConn := func() { _ = conn.Close() } // a failed close needs no handling: the connection is discarded
 	stop := context.AfterFunc(ctx, closeConn)
 	defer stop()
 	defer closeConn()
 	s := &serverConn{conn: conn, handler: h, slots: make(chan struct{}, maxConcurrentRequests)}
 	r := bufio.NewReader(conn)
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails if the connection is closed, as the read does
+		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails only if the read below fails too
 		e, err := readEnvelope(r)
 		if err != nil {
 			return
@@ -85,7 +88,8 @@
 	}
 }
 
-// dispatch handles a message. It returns an error if the connection has broken.
+// dispatch handles a progress message itself and starts a goroutine for each request. It ignores messages of unknown
+// types. It returns an error if the connection has failed.
 func (s *serverConn) dispatch(ctx context.Context, e *peerpb.Envelope) error {
 	switch body := e.Body.(type) {
 	case *peerpb.Envelope_Progress:
@@ -93,7 +97,7 @@
 	case *peerpb.Envelope_Relay, *peerpb.Envelope_Ask, *peerpb.Envelope_PromiseAsk, *peerpb.Envelope_Hand:
 		select {
 		case s.slots <- struct{}{}:
-			go s.answer(ctx, e)
+			go s.respond(ctx, e)
 		default:
 			return s.refuse(e)
 		}
@@ -101,9 +105,8 @@
 	return nil
 }
 
-// refuse turns away a request that exceeds maxConcurrentRequests. A user waits for a forwarded one,
-// so the sender gets an answer at once; any other request is not answered, and its sender tries again
-// after its timeout.
+// refuse rejects a request that exceeds maxConcurrentRequests. For a forwarded request it responds immediately,
+// because a user is waiting. It drops any other request, which the sender repeats after its timeout.
 func (s *serverConn) refuse(e *peerpb.Envelope) error {
 	if e.GetHand() == nil {
 		return nil
@@ -112,28 +115,28 @@
 	return s.write(&peerpb.Envelope{Id: e.GetId(), Body: &peerpb.Envelope_HandAnswer{HandAnswer: busy}})
 }
 
-// answer calls the handler and writes its answer.
-func (s *serverConn) answer(ctx context.Context, e *peerpb.Envelope) {
+// respond calls the handler and writes its response.
+func (s *serverConn) respond(ctx context.Context, e *peerpb.Envelope) {
 	defer func() { <-s.slots }()
-	answer := &peerpb.Envelope{Id: e.GetId()}
+	response := &peerpb.Envelope{Id: e.GetId()}
 	switch body := e.Body.(type) {
 	case *peerpb.Envelope_PromiseAsk:
-		answer.Body = &peerpb.Envelope_PromiseAnswer{PromiseAnswer: s.handler.HandleVoteRequest(ctx, body.PromiseAsk)}
+		response.Body = &peerpb.Envelope_PromiseAnswer{PromiseAnswer: s.handler.HandleVoteRequest(ctx, body.PromiseAsk)}
 	case *peerpb.Envelope_Hand:
-		answer.Body = &peerpb.Envelope_HandAnswer{HandAnswer: s.handler.HandleForwardedRequest(ctx, body.Hand)}
+		response.Body = &peerpb.Envelope_HandAnswer{HandAnswer: s.handler.HandleForwardedRequest(ctx, body.Hand)}
 	case *peerpb.Envelope_Ask:
-		answer.Body = &peerpb.Envelope_AskAnswer{AskAnswer: s.handler.HandleExplain(ctx, body.Ask)}
+		response.Body = &peerpb.Envelope_AskAnswer{AskAnswer: s.handler.HandleExplain(ctx, body.Ask)}
 	case *peerpb.Envelope_Relay:
-		response := s.handler.HandleHeartbeat(ctx, body.Relay.GetReport())
-		answer.Body = &peerpb.Envelope_RelayAnswer{RelayAnswer: response}
+		relayAnswer := s.handler.HandleHeartbeat(ctx, body.Relay.GetReport())
+		response.Body = &peerpb.Envelope_RelayAnswer{RelayAnswer: relayAnswer}
 	}
-	if s.write(answer) != nil {
-		_ = s.conn.Close() // the reader ends by it
+	if s.write(response) != nil {
+		_ = s.conn.Close() // makes serveConn return
 	}
 }
 
 func (s *serverConn) write(e *peerpb.Envelope) error {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	return writeEnvelope(s.conn, e)
 }
