--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -9,12 +9,13 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// DecodeCatalog reads the machine types. It leaves out types without a name or CPUs:
-// nothing can be placed there, and they must not hide the others.
+// DecodeCatalog decodes the cloud's catalog of machine types. It skips types without a name or without CPUs: no task
+// can be placed on them, and they must not make the rest of the catalog unusable. It returns an error if no type is
+// left.
 func DecodeCatalog(b []byte) ([]model.MachineType, error) {
-	types, err := decodeField(b, cloudCatalog, readCatalog)
+	types, err := decodeSingleField(b, cloudCatalog, readCatalog)
 	if err == nil && len(types) == 0 {
-		err = errors.New("a catalogue without a type that has a name and CPUs")
+		err = errors.New("machine catalog has no type with a name and CPUs")
 	}
 	return types, err
 }
@@ -58,11 +59,11 @@
 		}
 		return b, false, nil
 	})
-	t.BootTime = seconds(min(max(bootSeconds, 0), maxAmount))
+	t.BootTime = secondsToDuration(min(max(bootSeconds, 0), maxAmount))
 	return t, rest, err
 }
 
-// AppendProvisioning appends a request for machines.
+// AppendProvisioning appends a request to provision machines.
 func AppendProvisioning(b []byte, p model.Provisioning) []byte {
 	b = msgp.AppendMapHeader(b, 5)
 	b = appendString(b, cloudProvisioningName, p.Name)
@@ -72,17 +73,19 @@
 	return appendUint(b, cloudCount, uint64(p.Count))
 }
 
-// AppendMachineNames appends the names of machines to release.
+// AppendMachineNames appends a request to release the named machines.
 func AppendMachineNames(b []byte, names []string) []byte {
 	return appendStrings(msgp.AppendMapHeader(b, 1), cloudMachines, names)
 }
 
-// DecodeMachineNames reads the names of provisioned machines.
+// DecodeMachineNames decodes a list of machine names: those in the response to a provisioning request, or those in a
+// release request.
 func DecodeMachineNames(b []byte) ([]string, error) {
-	return decodeField(b, cloudMachines, readStrings)
+	return decodeSingleField(b, cloudMachines, readStrings)
 }
 
-// DecodeMachineList reads one page of the list of machines.
+// DecodeMachineList decodes one page of the cloud's list of provisioned machines. more reports whether further pages
+// follow.
 func DecodeMachineList(b []byte) (machines []model.MachineInfo, more bool, err error) {
 	err = decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
 		switch name {
@@ -129,7 +132,7 @@
 		return b, false, nil
 	})
 	if err == nil && m.Name == "" {
-		err = errors.New("a machine without name")
+		err = errors.New("listed machine has no name")
 	}
 	m.Failed = status == cloudStatusFailed
 	m.Booting = status == cloudStatusBooting
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,13 +1,11 @@
-// Package wire holds the messages of the outside interfaces and the records at the
-// state service: their field names, their MessagePack forms and the checks on what
-// comes in.
+// Package wire encodes, decodes and validates the MessagePack messages that controllers exchange with users, workers,
+// the cloud and the state service, and the records that they store in the state service.
 //
-// An Append function appends the encoded form of a message or record to a slice; the
-// Decode function of the same name reads it back. Decoders skip fields that they do not
-// know, so that later versions may add some. The names that only the outside protocols
-// use are mapped to the usual terms in names.go and nowhere else. The errors of Decode
-// functions say what is malformed, for display; callers do not tell kinds of them
-// apart.
+// An Append function appends the encoding of a message or record to a slice and returns the extended slice. The Decode
+// function of the same name decodes it. Decoders skip fields that they do not know, so that later versions can add
+// fields. The published protocols use names of their own; names.go maps them to the usual terms of the field. The
+// errors of Decode functions are for display only: they describe what is malformed, and callers do not distinguish
+// between them.
 package wire
 
 import (
@@ -19,24 +17,24 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// The reasons for which a message is malformed. Users see the texts.
+// Common reasons why a message is malformed. The texts are shown to users.
 var (
-	errWrongType     = errors.New("wrong type")
-	errTrailingBytes = errors.New("bytes behind the message")
-	errOutOfRange    = errors.New("out of range")
-	errUnknownValue  = errors.New("unknown")
-	errEmptyValue    = errors.New("empty")
+	errWrongType     = errors.New("unexpected MessagePack type")
+	errTrailingBytes = errors.New("trailing bytes after the message")
+	errOutOfRange    = errors.New("value out of range")
+	errUnknownValue  = errors.New("unknown value")
+	errEmptyValue    = errors.New("must not be empty")
 )
 
-// maxAmount bounds amounts and durations, so that no sum of them overflows.
+// maxAmount bounds resource amounts, and durations in seconds, so that sums of them cannot overflow.
 const maxAmount = 1e8
 
-// A fieldFunc consumes the value of a field at the start of b and returns what is
-// left, or returns handled=false to have the value skipped.
+// A fieldFunc decodes the value of the named field, which is at the start of b, and returns the bytes after it. If it
+// returns handled=false, the caller skips the value instead.
 type fieldFunc func(name string, b []byte) (rest []byte, handled bool, err error)
 
-// eachField reads a map with text keys and calls decode for every field that is not
-// null. Null stands for an absent field.
+// eachField decodes a map with string keys. It calls decode for every field that is not null, since null stands for an
+// absent field, and returns the bytes after the map.
 func eachField(b []byte, decode fieldFunc) ([]byte, error) {
 	if msgp.NextType(b) != msgp.MapType {
 		return b, errWrongType
@@ -62,7 +60,7 @@
 		}
 		rest, handled, err := decode(string(name), b)
 		if err != nil {
-			return b, fmt.Errorf("%.40q: %w", name, err)
+			return b, fmt.Errorf("field %.40q: %w", name, err)
 		}
 		if !handled {
 			if rest, err = msgp.Skip(b); err != nil {
@@ -74,7 +72,7 @@
 	return b, nil
 }
 
-// decodeMap decodes a message that is one map with nothing behind it.
+// decodeMap decodes a message that must consist of exactly one map.
 func decodeMap(b []byte, decode fieldFunc) error {
 	rest, err := eachField(b, decode)
 	if err != nil {
@@ -86,7 +84,7 @@
 	return nil
 }
 
-// eachItem reads a list and calls decode for every item.
+// eachItem decodes an array. It calls decode for every element, and returns the bytes after the array.
 func eachItem(b []byte, decode func(b []byte) (rest []byte, err error)) ([]byte, error) {
 	if msgp.NextType(b) != msgp.ArrayType {
 		return b, errWrongType
@@ -103,8 +101,7 @@
 	return b, nil
 }
 
-// The read functions below read the value of a field into dst and return what a
-// fieldFunc returns.
+// The read functions below decode the value of a field into dst. Their results are those of a fieldFunc.
 
 func readString(b []byte, dst *string) ([]byte, bool, error) {
 	if msgp.NextType(b) != msgp.StrType {
@@ -124,7 +121,7 @@
 	return rest, true, err
 }
 
-// readUint reads an integer of zero or more.
+// readUint reads an integer that must not be negative, whether it is encoded as signed or unsigned.
 func readUint(b []byte, dst *uint64) ([]byte, bool, error) {
 	switch msgp.NextType(b) {
 	case msgp.UintType:
@@ -134,7 +131,7 @@
 	case msgp.IntType:
 		v, rest, err := msgp.ReadInt64Bytes(b)
 		if err == nil && v < 0 {
-			err = errors.New("negative")
+			err = errors.New("must not be negative")
 		}
 		*dst = uint64(v)
 		return rest, true, err
@@ -142,7 +139,7 @@
 	return b, true, errWrongType
 }
 
-// readFloat reads a finite decimal or integer.
+// readFloat reads a finite floating-point number or an integer.
 func readFloat(b []byte, dst *float64) ([]byte, bool, error) {
 	var v float64
 	var rest []byte
@@ -166,13 +163,13 @@
 		return b, true, errWrongType
 	}
 	if err == nil && (math.IsNaN(v) || math.IsInf(v, 0)) {
-		err = errors.New("not a finite number")
+		err = errors.New("must be a finite number")
 	}
 	*dst = v
 	return rest, true, err
 }
 
-// readStrings appends a list of texts to dst.
+// readStrings appends the elements of an array of strings to dst.
 func readStrings(b []byte, dst *[]string) ([]byte, bool, error) {
 	rest, err := eachItem(b, func(b []byte) ([]byte, error) {
 		var s string
@@ -183,7 +180,7 @@
 	return rest, true, err
 }
 
-// readRaw copies a value in its encoded form.
+// readRaw copies the encoded value without decoding it.
 func readRaw(b []byte, dst *[]byte) ([]byte, bool, error) {
 	rest, err := msgp.Skip(b)
 	if err == nil {
@@ -192,8 +189,9 @@
 	return rest, true, err
 }
 
-// decodeField decodes a message of which one field matters.
-func decodeField[T any](
+// decodeSingleField decodes one field of a message and skips the others. It returns the zero value if the field is
+// absent.
+func decodeSingleField[T any](
 	b []byte, field string, read func(b []byte, dst *T) (rest []byte, handled bool, err error),
 ) (T, error) {
 	var v T
@@ -206,19 +204,22 @@
 	return v, err
 }
 
-// decodeUint decodes a message of which one field matters, an integer above zero.
-func decodeUint(b []byte, field string) (uint64, error) {
-	v, err := decodeField(b, field, readUint)
+// decodePositiveUint decodes one integer field of a message and skips the others. The field must be present and
+// positive.
+func decodePositiveUint(b []byte, field string) (uint64, error) {
+	v, err := decodeSingleField(b, field, readUint)
 	if err == nil && v == 0 {
-		err = errors.New(field + " is missing")
+		err = errors.New(field + " is missing or zero")
 	}
 	return v, err
 }
 
-// seconds converts a duration on the wire, in seconds.
-func seconds(s float64) time.Duration { return time.Duration(math.Round(s * float64(time.Second))) }
+// secondsToDuration converts a duration on the wire, which is in seconds.
+func secondsToDuration(s float64) time.Duration {
+	return time.Duration(math.Round(s * float64(time.Second)))
+}
 
-// The append functions below append a field's name and value.
+// The append functions below append the name and the value of a field.
 
 func appendString(b []byte, name, v string) []byte {
 	return msgp.AppendString(msgp.AppendString(b, name), v)
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -17,7 +17,8 @@
 	goldenTask = model.TaskID{Job: "wk-000412", Index: 3}
 )
 
-// fullSpec has every field of a submission set. Dependencies are a field of the record, not of the job in it.
+// fullSpec returns a job with every field set but the dependencies, which are not part of an encoded job: its record
+// stores them separately.
 func fullSpec() *model.Spec {
 	return &model.Spec{
 		ID:                 "wk-000412",
@@ -42,19 +43,20 @@
 	}
 }
 
-func leastSpec(shape model.Shape, priority model.Priority) *model.Spec {
+func minimalSpec(shape model.Shape, priority model.Priority) *model.Spec {
 	return &model.Spec{
 		ID: "wk-000001", Class: "c", Team: "t", Shape: shape, Priority: priority, Tasks: 1,
 		Demand: model.Resources{CPU: 0.5},
 	}
 }
 
-func dependingOn(s *model.Spec, ids ...string) *model.Spec {
+func withDependencies(s *model.Spec, ids ...string) *model.Spec {
 	s.Dependencies = ids
 	return s
 }
 
-func goldenNumbers(first uint64) ledger.Usage {
+// sequentialUsage returns usage whose amounts are consecutive numbers, so that each has a different value.
+func sequentialUsage(first uint64) ledger.Usage {
 	var list []uint64
 	for i := range uint64(13) {
 		list = append(list, first+i)
@@ -63,26 +65,30 @@
 }
 
 func goldenUsage() []ledger.ClassUsage {
-	return []ledger.ClassUsage{{Class: "serve", Usage: goldenNumbers(1)}, {Class: "train", Usage: goldenNumbers(1 << 40)}}
+	return []ledger.ClassUsage{
+		{Class: "serve", Usage: sequentialUsage(1)},
+		{Class: "train", Usage: sequentialUsage(1 << 40)},
+	}
 }
 
-// pairs is a map of MessagePack with its fields in order.
-type pairs []any
+// orderedMap is a MessagePack map given as alternating field names and values, so that the order of fields is fixed.
+type orderedMap []any
 
-// appendPairs writes what the outside sends, in the published form.
-func appendPairs(t *testing.T, b []byte, v any) []byte {
+// appendValue appends the MessagePack encoding of v. Tests use it to write messages with their published names,
+// independently of the Append functions.
+func appendValue(t *testing.T, b []byte, v any) []byte {
 	t.Helper()
 	switch v := v.(type) {
-	case pairs:
+	case orderedMap:
 		b = msgp.AppendMapHeader(b, uint32(len(v)/2))
 		for i := 0; i < len(v); i += 2 {
-			b = appendPairs(t, msgp.AppendString(b, v[i].(string)), v[i+1])
+			b = appendValue(t, msgp.AppendString(b, v[i].(string)), v[i+1])
 		}
 		return b
 	case []any:
 		b = msgp.AppendArrayHeader(b, uint32(len(v)))
 		for _, item := range v {
-			b = appendPairs(t, b, item)
+			b = appendValue(t, b, item)
 		}
 		return b
 	}
@@ -93,25 +99,26 @@
 	return b
 }
 
-// decoder returns a decoder whose result is of any type.
+// decoder adapts a Decode function to the type of the decode fields below.
 func decoder[T any](decode func(b []byte) (T, error)) func(b []byte) (any, error) {
 	return func(b []byte) (any, error) { return decode(b) }
 }
 
-// storedRecord is a record as it is written, and what is to be read of it.
+// storedRecord is an encoded record with the result that is expected from decoding it.
 type storedRecord struct {
 	name    string
-	written []byte
-	read    func(b []byte) (any, error)
+	encoded []byte
+	decode  func(b []byte) (any, error)
 	want    any
 }
 
-// Stored records: today's bytes are written, and read back.
+// The encoding of stored records must not change: records that are already stored have to be readable by later
+// versions, and during a rolling update by earlier ones too.
 func TestStoredRecordsKeepTheirBytes(t *testing.T) {
 	for _, records := range [][]storedRecord{jobRecords(), memberRecords(), ledgerRecords()} {
 		for _, c := range records {
 			t.Run(c.name, func(t *testing.T) {
-				got, err := c.read(golden.CheckMessagePack(t, c.name, c.written))
+				got, err := c.decode(golden.CheckMessagePack(t, c.name, c.encoded))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -142,17 +149,17 @@
 	}
 	none, parts := DependencyParts{}, DependencyParts{Count: 3, Sum: "0123456789abcdef"}
 	ids := []string{"wk-000007", "wk-000008"}
-	least := leastSpec(model.Array, model.PriorityLow)
+	minimal := minimalSpec(model.Array, model.PriorityLow)
 	bits := []byte{0xff, 0x00, 0x5a}
 	return []storedRecord{
 		{"record-active", AppendActiveJob(nil, fullSpec(), goldenTime, nil, none), readActive,
 			active{fullSpec(), goldenTime, none}},
 		{"record-active-awaits", AppendActiveJob(nil, fullSpec(), goldenTime, ids, none), readActive,
-			active{dependingOn(fullSpec(), ids...), goldenTime, none}},
+			active{withDependencies(fullSpec(), ids...), goldenTime, none}},
 		{"record-active-parts", AppendActiveJob(nil, fullSpec(), goldenTime, nil, parts), readActive,
 			active{fullSpec(), goldenTime, parts}},
-		{"record-active-least", AppendActiveJob(nil, least, goldenTime, nil, none), readActive,
-			active{least, goldenTime, none}},
+		{"record-active-least", AppendActiveJob(nil, minimal, goldenTime, nil, none), readActive,
+			active{minimal, goldenTime, none}},
 		{"record-awaits", AppendDependencies(nil, ids), decoder(DecodeDependencies), ids},
 		{"record-ended-done", AppendEndedJob(nil, StateDone, 16, goldenTime), readEnded,
 			ended{StateDone, 16, goldenTime}},
@@ -225,17 +232,17 @@
 	}
 }
 
-// A record of the versions without dependencies doesn't say when its job ended.
+// Versions without dependencies stored no end time in the records of ended jobs. These records must still be readable.
 func TestEndedRecordWithoutTimeIsRead(t *testing.T) {
-	stored := appendPairs(t, nil, pairs{"end", "done", "n", uint64(16)})
+	stored := appendValue(t, nil, orderedMap{"end", "done", "n", uint64(16)})
 	b := golden.CheckMessagePack(t, "record-ended-first-version", stored)
 	s, tasks, at, err := DecodeEndedJob(b)
 	if err != nil || s != StateDone || tasks != 16 || !at.IsZero() {
-		t.Errorf("got %v, %d, %v, %v, want done, 16, no time", s, tasks, at, err)
+		t.Errorf("got %v, %d, %v, error %v; want done, 16, the zero time and none", s, tasks, at, err)
 	}
 }
 
-// Messages that the controllers send to workers, cloud, state service and users.
+// The encoding of messages that controllers send to workers, the cloud, the state service and users must not change.
 func TestSentMessagesKeepTheirBytes(t *testing.T) {
 	commands := []model.Command{
 		{Op: model.OpLaunch, Task: goldenTask, Attempt: 2},
@@ -265,23 +272,24 @@
 	}
 	for state, want := range []string{"", "queued", "running", "done", "withdrawn"} {
 		if got := JobState(state).String(); got != want {
-			t.Errorf("state %d of a job: got %q, want %q", state, got, want)
+			t.Errorf("name of job state %d: got %q, want %q", state, got, want)
 		}
 	}
 	names, err := DecodeMachineNames(AppendMachineNames(nil, []string{"n-000231"}))
 	if err != nil || len(names) != 1 || names[0] != "n-000231" {
-		t.Errorf("a list of machines: got %q, %v, want n-000231", names, err)
+		t.Errorf("DecodeMachineNames: got %q, error %v; want n-000231 and none", names, err)
 	}
 }
 
-// A submission is the job in a record; every word for a shape and a rank is read and written.
+// The encoding of submissions must not change; records contain jobs in the same encoding. The cases cover every
+// published name of a shape and of a priority.
 func TestSubmissionsKeepTheirBytes(t *testing.T) {
 	for name, s := range map[string]*model.Spec{
 		"full":             fullSpec(),
-		"array-low":        leastSpec(model.Array, model.PriorityLow),
-		"gang-normal":      leastSpec(model.Gang, model.PriorityNormal),
-		"service-high":     leastSpec(model.Service, model.PriorityHigh),
-		"array-production": leastSpec(model.Array, model.PriorityProduction),
+		"array-low":        minimalSpec(model.Array, model.PriorityLow),
+		"gang-normal":      minimalSpec(model.Gang, model.PriorityNormal),
+		"service-high":     minimalSpec(model.Service, model.PriorityHigh),
+		"array-production": minimalSpec(model.Array, model.PriorityProduction),
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := DecodeJob(golden.CheckMessagePack(t, "submission-"+name, AppendJob(nil, s)))
@@ -296,16 +304,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := dependingOn(leastSpec(model.Array, model.PriorityLow), "wk-000007", "wk-000008")
+	want := withDependencies(minimalSpec(model.Array, model.PriorityLow), "wk-000007", "wk-000008")
 	golden.Equal(t, "submission-awaits", got, want)
 	if id, err := DecodeJobID(b); err != nil || id != "wk-000001" {
-		t.Errorf("the job's id: got %q, %v, want wk-000001", id, err)
+		t.Errorf("DecodeJobID: got %q, error %v; want wk-000001 and none", id, err)
 	}
 }
 
 func submissionWithDependencies(t *testing.T) []byte {
 	t.Helper()
-	return appendPairs(t, nil, pairs{
+	return appendValue(t, nil, orderedMap{
 		"ref", "wk-000001", "jobclass", "c", "owner", "t", "shape", "array", "rank", "idle", "rows", uint64(1),
 		"cores", 0.5, "cards", 0.0, "memoryGb", 0.0, "breeds", nil, "field", nil, "oneZone", false,
 		"scatter", false, "loaners", false, "seed", "", "imageGb", 0.0, "expectS", 0.0, "markS", 0.0,
@@ -313,20 +321,20 @@
 	})
 }
 
-// receivedMessage is a message as it is sent from outside, and what is to be read of it.
+// receivedMessage is a message in its published form with the result that is expected from decoding it.
 type receivedMessage struct {
-	name string
-	sent any
-	read func(b []byte) (any, error)
-	want any
+	name   string
+	sent   any
+	decode func(b []byte) (any, error)
+	want   any
 }
 
-// Messages that the controllers only read: the file holds the published form.
+// Controllers must decode the published form of the messages that they only receive. The golden files hold that form.
 func TestReceivedMessagesAreRead(t *testing.T) {
 	for _, messages := range [][]receivedMessage{workerMessages(), cloudMessages(), stateMessages()} {
 		for _, c := range messages {
 			t.Run(c.name, func(t *testing.T) {
-				got, err := c.read(golden.CheckMessagePack(t, "received-"+c.name, appendPairs(t, nil, c.sent)))
+				got, err := c.decode(golden.CheckMessagePack(t, "received-"+c.name, appendValue(t, nil, c.sent)))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -337,19 +345,19 @@
 }
 
 func workerMessages() []receivedMessage {
-	task := func(status string, more ...any) pairs {
-		return append(pairs{"row", "wk-000412/3", "try", uint64(2), "status", status}, more...)
+	task := func(status string, more ...any) orderedMap {
+		return append(orderedMap{"row", "wk-000412/3", "try", uint64(2), "status", status}, more...)
 	}
-	exited := func(cause string) pairs { return task("exited", "cause", cause, "saved", true) }
-	read := func(p model.Phase) model.TaskStatus {
+	exited := func(cause string) orderedMap { return task("exited", "cause", cause, "saved", true) }
+	wantStatus := func(p model.Phase) model.TaskStatus {
 		return model.TaskStatus{Task: goldenTask, Attempt: 2, Phase: p}
 	}
-	readExited := func(c model.ExitCause) model.TaskStatus {
+	wantExited := func(c model.ExitCause) model.TaskStatus {
 		return model.TaskStatus{
 			Task: goldenTask, Attempt: 2, Phase: model.PhaseExited, Cause: c, Checkpointed: true,
 		}
 	}
-	sent := pairs{
+	sent := orderedMap{
 		"tiller", "n-000231", "addr", "10.1.0.232:9000", "breed", "g8", "field", "a", "loaners", true,
 		"shift", uint64(1 << 63), "tick", uint64(88), "baton", uint64(41), "recallS", 7.5, "rows", []any{
 			task("pulling"), task("gathering"), task("running"), task("saving"),
@@ -369,19 +377,19 @@
 		InterruptionNotice: true,
 		InterruptionIn:     7500 * time.Millisecond,
 		Tasks: []model.TaskStatus{
-			read(model.PhaseFetching),
-			read(model.PhaseWaiting),
-			read(model.PhaseRunning),
-			read(model.PhaseCheckpointing),
-			readExited(model.CauseDone),
-			readExited(model.CauseStopped),
-			readExited(model.CauseGangMemberLost),
-			readExited(model.CauseGangIncomplete),
-			readExited(model.CauseError),
-			readExited(model.CauseNoCapacity),
-			readExited(model.CauseAttemptConflict),
-			readExited(model.CauseUnknownJob),
-			readExited(model.CauseError),
+			wantStatus(model.PhaseFetching),
+			wantStatus(model.PhaseWaiting),
+			wantStatus(model.PhaseRunning),
+			wantStatus(model.PhaseCheckpointing),
+			wantExited(model.CauseDone),
+			wantExited(model.CauseStopped),
+			wantExited(model.CauseGangMemberLost),
+			wantExited(model.CauseGangIncomplete),
+			wantExited(model.CauseError),
+			wantExited(model.CauseNoCapacity),
+			wantExited(model.CauseAttemptConflict),
+			wantExited(model.CauseUnknownJob),
+			wantExited(model.CauseError),
 		},
 	}
 	return []receivedMessage{{"worker-heartbeat", sent, decoder(DecodeHeartbeat), want}}
@@ -396,7 +404,7 @@
 		machines, more, err := DecodeMachineList(b)
 		return list{machines, more}, err
 	}
-	catalog := pairs{"breeds", []any{pairs{
+	catalog := orderedMap{"breeds", []any{orderedMap{
 		"label", "g8", "cores", 8.0, "cards", 1.0, "memoryGb", 64.0, "localGb", 100.0, "fetchGbPerS", 0.25,
 		"price", 3.5, "lowPrice", 1.25, "startupS", 42.5, "fields", []any{"a", "b"},
 	}}}
@@ -410,11 +418,11 @@
 		BootTime:         42500 * time.Millisecond,
 		Zones:            []string{"a", "b"},
 	}}
-	page := pairs{"more", true, "tillers", []any{
-		pairs{"ref", "n-000231", "addr", "10.1.0.232:9000", "breed", "g8", "field", "a", "loaners", true,
+	page := orderedMap{"more", true, "tillers", []any{
+		orderedMap{"ref", "n-000231", "addr", "10.1.0.232:9000", "breed", "g8", "field", "a", "loaners", true,
 			"status", "running", "heldS", 60.5},
-		pairs{"ref", "n-000232", "status", "starting"},
-		pairs{"ref", "n-000233", "status", "failed"},
+		orderedMap{"ref", "n-000232", "status", "starting"},
+		orderedMap{"ref", "n-000233", "status", "failed"},
 	}}
 	running := model.MachineInfo{
 		Name: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Age: 60500 * time.Millisecond,
@@ -423,21 +431,21 @@
 	names := []string{"n-000231", "n-000232"}
 	return []receivedMessage{
 		{"cloud-catalog", catalog, decoder(DecodeCatalog), types},
-		{"cloud-provisioned", pairs{"tillers", []any{"n-000231", "n-000232"}}, decoder(DecodeMachineNames), names},
+		{"cloud-provisioned", orderedMap{"tillers", []any{"n-000231", "n-000232"}}, decoder(DecodeMachineNames), names},
 		{"cloud-machines", page, readList, list{machines, true}},
 	}
 }
 
 func stateMessages() []receivedMessage {
 	value := AppendChunkLayout(nil, 64)
-	layout := pairs{"tasks", uint64(64)}
-	entry := pairs{"k", "layout/numbered", "value", layout, "stamp", uint64(12), "tenancy", uint64(9)}
-	keys := pairs{"epoch", uint64(77), "more", true, "entries", []any{
-		pairs{"k", "layout/numbered", "value", layout, "stamp", uint64(12)},
+	layout := orderedMap{"tasks", uint64(64)}
+	entry := orderedMap{"k", "layout/numbered", "value", layout, "stamp", uint64(12), "tenancy", uint64(9)}
+	keys := orderedMap{"epoch", uint64(77), "more", true, "entries", []any{
+		orderedMap{"k", "layout/numbered", "value", layout, "stamp", uint64(12)},
 	}}
-	changes := pairs{"epoch", uint64(77), "log", []any{
-		pairs{"write", "a", "value", layout, "stamp", uint64(12), "tenancy", uint64(9)},
-		pairs{"remove", "b", "stamp", uint64(13)},
+	changes := orderedMap{"epoch", uint64(77), "log", []any{
+		orderedMap{"write", "a", "value", layout, "stamp", uint64(12), "tenancy", uint64(9)},
+		orderedMap{"remove", "b", "stamp", uint64(13)},
 	}}
 	return []receivedMessage{
 		{"state-entry", entry, decoder(DecodeEntry),
@@ -454,7 +462,7 @@
 			},
 			Revision: 77,
 		}},
-		{"state-committed", pairs{"epoch", uint64(77)}, decoder(DecodeRevision), uint64(77)},
-		{"state-lease-granted", pairs{"tenancy", uint64(9)}, decoder(DecodeLeaseID), uint64(9)},
+		{"state-committed", orderedMap{"epoch", uint64(77)}, decoder(DecodeRevision), uint64(77)},
+		{"state-lease-granted", orderedMap{"tenancy", uint64(9)}, decoder(DecodeLeaseID), uint64(9)},
 	}
 }
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -11,29 +11,29 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// MaxBodyBytes is the published bound on the bodies of requests.
+// MaxBodyBytes is the published limit on the size of a request body.
 const MaxBodyBytes = 64 << 10
 
-// The bounds on a submission. The one on tasks is published.
+// Limits on a submission. maxTasks is published. The lengths are in bytes.
 const (
 	maxTasks        = 100_000
-	maxNameLength   = 100 // of class and team
+	maxNameLength   = 100 // of the class and of the team
 	maxImageLength  = 200
 	maxMachineTypes = 64
 )
 
-// MalformedRules stands for rules that are no text. It is no valid rule, and so is
-// refused, but only where constraints are in force.
+// MalformedRules stands for constraint rules that are not a string. It is not a valid rule, so a job with it is
+// rejected, but only if the constraints feature is in force.
 const MalformedRules = "\x00"
 
-// shapes maps the published names to shapes.
+// shapes maps the published names of job shapes to their values.
 var shapes = map[string]model.Shape{
 	"array":    model.Array,
 	"ensemble": model.Gang,
 	"daemon":   model.Service,
 }
 
-// priorities maps the published names to priorities.
+// priorities maps the published names of priorities to their values.
 var priorities = map[string]model.Priority{
 	"critical": model.PriorityProduction,
 	"urgent":   model.PriorityHigh,
@@ -41,7 +41,7 @@
 	"idle":     model.PriorityLow,
 }
 
-// nameOf returns the published name of a value, or "".
+// nameOf returns the published name of a value, or "" if it has none.
 func nameOf[T comparable](names map[string]T, v T) string {
 	for name, value := range names {
 		if value == v {
@@ -51,24 +51,25 @@
 	return ""
 }
 
-// requiredJobFields lists the fields that a submission must have. Those that may be
-// null may also be left out: jobMachineTypes, jobZone and jobDeadline.
+// requiredJobFields lists the fields that a submission must have. The others are optional: jobMachineTypes, jobZone and
+// jobDeadline are published as nullable, and null means the same as an absent field; jobDependencies and jobRules
+// are additions of later versions.
 var requiredJobFields = [...]string{
 	jobID, jobClass, jobTeam, jobShape, jobPriority, jobTasks, jobCPU, jobGPU, jobMemory, jobSingleZone, jobSpread,
 	jobAllowSpot, jobImage, jobImageSize, jobEstimatedRunTime, jobCheckpointInterval, jobCheckpointTime,
 }
 
-// DecodeJobID reads the id of a submitted job and nothing else: a known job is
-// answered before its submission is validated.
+// DecodeJobID decodes only the job ID of a submission. A submission of a known job is answered by its ID, before the
+// rest of it is validated.
 func DecodeJobID(b []byte) (string, error) {
-	id, err := decodeField(b, jobID, readString)
+	id, err := decodeSingleField(b, jobID, readString)
 	if err == nil && !model.ValidJobID(id) {
-		err = errors.New("ref is missing or not of the form")
+		err = errors.New("ref is missing or not a valid job ID")
 	}
 	return id, err
 }
 
-// DecodeJob reads and checks a submission.
+// DecodeJob decodes and validates a submission. It is also used for the job in an active-job record.
 func DecodeJob(b []byte) (*model.Spec, error) {
 	s := &model.Spec{}
 	seen := map[string]bool{}
@@ -81,27 +82,28 @@
 	}
 	for _, name := range requiredJobFields {
 		if !seen[name] {
-			return nil, fmt.Errorf("%q is missing", name)
+			return nil, fmt.Errorf("field %q is missing", name)
 		}
 	}
-	if err := checkJob(s); err != nil {
+	if err := validateJob(s); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// checkJob checks what the single fields of a submission do not show.
-func checkJob(s *model.Spec) error {
+// validateJob checks the job ID, that a task requests CPUs or GPUs, and the lengths of the strings and of the list of
+// machine types.
+func validateJob(s *model.Spec) error {
 	switch {
 	case !model.ValidJobID(s.ID):
-		return errors.New("ref is not of the form")
+		return errors.New("ref is not a valid job ID")
 	case s.Demand.CPU <= 0 && s.Demand.GPU <= 0:
-		return errors.New("a task takes neither cores nor cards")
+		return errors.New("a task requests neither cores nor cards")
 	case s.Class == "" || len(s.Class) > maxNameLength,
 		s.Team == "" || len(s.Team) > maxNameLength,
 		len(s.Image) > maxImageLength,
 		len(s.MachineTypes) > maxMachineTypes:
-		return errors.New("a text is empty or too long")
+		return errors.New("jobclass, owner, seed or breeds is empty or too long")
 	}
 	return nil
 }
@@ -117,9 +119,9 @@
 	case jobImage:
 		return readString(b, &s.Image)
 	case jobShape:
-		return readName(b, shapes, &s.Shape)
+		return readEnum(b, shapes, &s.Shape)
 	case jobPriority:
-		return readName(b, priorities, &s.Priority)
+		return readEnum(b, priorities, &s.Priority)
 	case jobTasks:
 		return readTaskCount(b, &s.Tasks)
 	case jobSingleZone:
@@ -140,7 +142,7 @@
 	return decodeJobAmount(s, name, b)
 }
 
-// decodeJobAmount reads a field of a submission that is an amount or a duration.
+// decodeJobAmount decodes a field of a submission if it is an amount or a duration.
 func decodeJobAmount(s *model.Spec, name string, b []byte) ([]byte, bool, error) {
 	switch name {
 	case jobCPU:
@@ -163,8 +165,8 @@
 	return b, false, nil
 }
 
-// readName reads a value by its published name. The zero value has none.
-func readName[T comparable](b []byte, names map[string]T, dst *T) ([]byte, bool, error) {
+// readEnum reads the published name of a value and stores the value in dst. An unknown name is an error.
+func readEnum[T comparable](b []byte, names map[string]T, dst *T) ([]byte, bool, error) {
 	var name string
 	rest, handled, err := readString(b, &name)
 	value, known := names[name]
@@ -196,7 +198,7 @@
 func readDuration(b []byte, dst *time.Duration) ([]byte, bool, error) {
 	var s float64
 	rest, handled, err := readAmount(b, &s)
-	*dst = seconds(s)
+	*dst = secondsToDuration(s)
 	return rest, handled, err
 }
 
@@ -209,7 +211,7 @@
 	return rest, handled, err
 }
 
-// readZone refuses an empty name, which would stand for any zone.
+// readZone reads the name of a zone. It must not be empty, because an empty Spec.Zone means any zone.
 func readZone(b []byte, dst *string) ([]byte, bool, error) {
 	rest, handled, err := readString(b, dst)
 	if err == nil && *dst == "" {
@@ -218,7 +220,7 @@
 	return rest, handled, err
 }
 
-// readDependencies reads a list of job ids, sorted and without duplicates.
+// readDependencies reads a list of job IDs. It sorts the list and removes duplicates.
 func readDependencies(b []byte, dst *[]string) ([]byte, bool, error) {
 	var ids []string
 	rest, _, err := readStrings(b, &ids)
@@ -229,15 +231,15 @@
 	ids = slices.Compact(ids)
 	for _, id := range ids {
 		if !model.ValidJobID(id) {
-			return rest, true, errors.New("not the id of a job")
+			return rest, true, errors.New("not a valid job ID")
 		}
 	}
 	*dst = ids
 	return rest, true, nil
 }
 
-// readRules reads the job's constraints. Rules that are no text matter only where
-// constraints are in force, so they are no error here.
+// readRules reads the job's constraint rules. It stores MalformedRules if they are not a string. That is not an error
+// here, because the rules matter only if the constraints feature is in force.
 func readRules(b []byte, dst *string) ([]byte, bool, error) {
 	if msgp.NextType(b) != msgp.StrType {
 		*dst = MalformedRules
@@ -246,8 +248,7 @@
 	return readString(b, dst)
 }
 
-// AppendJob appends a job in the form that users submit it in, without its
-// dependencies.
+// AppendJob appends a job in the encoding of a submission, but without its dependencies.
 func AppendJob(b []byte, s *model.Spec) []byte {
 	n := len(requiredJobFields)
 	for _, present := range [...]bool{len(s.MachineTypes) > 0, s.Zone != "", s.Deadline > 0, s.Rules != ""} {
--- a/internal/wire/job_records.go
+++ b/internal/wire/job_records.go
@@ -11,22 +11,21 @@
 )
 
 const (
-	maxDependencyParts = 1 << 10 // more than any submission needs
-	maxChunkTasks      = 1 << 24 // more than a chunk holds under any limit on values
+	maxDependencyParts = 1 << 10 // more than the dependencies of any submission take
+	maxChunkTasks      = 1 << 24 // more tasks than a chunk can hold under any limit on the size of values
 )
 
-// DependencyParts says where the rest of a list of dependencies is that is too long
-// for the record of its job: in Count records of their own, whose keys contain the
-// hash of the list.
+// DependencyParts locates the parts of a dependency list that is too long for the record of its job. Each part is a
+// separate record. The zero value means that there are no parts.
 type DependencyParts struct {
-	Count int
-	Sum   string
+	Count int    // number of parts
+	Sum   string // hash of the list, which is contained in the keys of the parts
 }
 
-// AppendActiveJob appends the record of an accepted, unfinished job. It holds the
-// given dependencies; the rest are in its parts.
+// AppendActiveJob appends the record of an accepted, unfinished job. The record holds the given dependencies instead of
+// those in spec, and refers to parts for the others.
 func AppendActiveJob(
-	b []byte, s *model.Spec, submitted time.Time, dependencies []string, parts DependencyParts,
+	b []byte, spec *model.Spec, submittedAt time.Time, dependencies []string, parts DependencyParts,
 ) []byte {
 	n := uint32(2)
 	if len(dependencies) > 0 {
@@ -36,77 +35,78 @@
 		n += 2
 	}
 	b = msgp.AppendMapHeader(b, n)
-	b = appendUint(b, recordSubmittedAt, uint64(submitted.UnixMilli()))
-	b = AppendJob(msgp.AppendString(b, recordSpec), s)
+	b = appendUint(b, recordSubmittedAt, uint64(submittedAt.UnixMilli()))
+	b = AppendJob(msgp.AppendString(b, recordSpec), spec)
 	if len(dependencies) > 0 {
 		b = appendStrings(b, recordDependencies, dependencies)
 	}
 	if parts.Count > 0 {
 		b = appendUint(b, recordDependencyParts, uint64(parts.Count))
-		b = appendString(b, recordPartsSum, parts.Sum)
+		b = appendString(b, recordDependencyPartsSum, parts.Sum)
 	}
 	return b
 }
 
-// DecodeActiveJob reads the record of an accepted, unfinished job. Its list of
-// dependencies is complete only together with its parts.
+// DecodeActiveJob decodes the record of an accepted, unfinished job into the job, the time of its submission and the
+// parts of its dependency list. The dependencies in the job are complete only if there are no parts; otherwise the
+// caller has to add those of the parts.
 func DecodeActiveJob(b []byte) (*model.Spec, time.Time, DependencyParts, error) {
-	var spec []byte
-	var submitted, count uint64
+	var encodedSpec []byte
+	var submittedMilliseconds, count uint64
 	var dependencies []string
 	var parts DependencyParts
 	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
 		switch name {
 		case recordSubmittedAt:
-			return readUint(b, &submitted)
+			return readUint(b, &submittedMilliseconds)
 		case recordSpec:
-			return readRaw(b, &spec)
+			return readRaw(b, &encodedSpec)
 		case recordDependencies:
 			return readStrings(b, &dependencies)
 		case recordDependencyParts:
 			return readUint(b, &count)
-		case recordPartsSum:
+		case recordDependencyPartsSum:
 			return readString(b, &parts.Sum)
 		}
 		return b, false, nil
 	})
 	if err == nil && count > maxDependencyParts {
-		err = errors.New("too many parts")
+		err = errors.New("too many parts of the dependency list")
 	}
 	if err != nil {
 		return nil, time.Time{}, parts, err
 	}
 	parts.Count = int(count)
-	s, err := DecodeJob(spec)
+	spec, err := DecodeJob(encodedSpec)
 	if err == nil {
-		s.Dependencies = dependencies
+		spec.Dependencies = dependencies
 	}
-	return s, time.UnixMilli(int64(submitted)), parts, err
+	return spec, time.UnixMilli(int64(submittedMilliseconds)), parts, err
 }
 
-// AppendDependencies appends one part of a list of dependencies.
+// AppendDependencies appends the record of one part of a dependency list.
 func AppendDependencies(b []byte, ids []string) []byte {
 	return appendStrings(msgp.AppendMapHeader(b, 1), recordDependencies, ids)
 }
 
-// DecodeDependencies reads one part of a list of dependencies.
+// DecodeDependencies decodes the record of one part of a dependency list.
 func DecodeDependencies(b []byte) ([]string, error) {
-	return decodeField(b, recordDependencies, readStrings)
+	return decodeSingleField(b, recordDependencies, readStrings)
 }
 
-// AppendEndedJob appends the small record that is kept of an ended job for good.
-func AppendEndedJob(b []byte, s JobState, tasks int, ended time.Time) []byte {
-	b = appendString(msgp.AppendMapHeader(b, 3), recordOutcome, s.String())
+// AppendEndedJob appends the small record of an ended job, which is kept forever. state must be StateDone or
+// StateCancelled, and tasks is the job's number of tasks.
+func AppendEndedJob(b []byte, state JobState, tasks int, endedAt time.Time) []byte {
+	b = appendString(msgp.AppendMapHeader(b, 3), recordOutcome, state.String())
 	b = appendUint(b, recordTaskCount, uint64(tasks))
-	return appendUint(b, recordEndedAt, uint64(ended.UnixMilli()))
+	return appendUint(b, recordEndedAt, uint64(endedAt.UnixMilli()))
 }
 
-// DecodeEndedJob reads the record of an ended job. Records of the versions without
-// dependencies do not say when it ended: then the time is zero, which is before the
-// submission of any job that depends on it.
-func DecodeEndedJob(b []byte) (s JobState, tasks int, ended time.Time, err error) {
+// DecodeEndedJob decodes the record of an ended job. Versions without dependencies did not store when a job ended. For
+// their records endedAt is the zero time, which is before the submission of any job that depends on the ended one.
+func DecodeEndedJob(b []byte) (state JobState, tasks int, endedAt time.Time, err error) {
 	var outcome string
-	var count, milliseconds uint64
+	var count, endedMilliseconds uint64
 	err = decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
 		switch name {
 		case recordOutcome:
@@ -114,45 +114,44 @@
 		case recordTaskCount:
 			return readUint(b, &count)
 		case recordEndedAt:
-			return readUint(b, &milliseconds)
+			return readUint(b, &endedMilliseconds)
 		}
 		return b, false, nil
 	})
-	if milliseconds > 0 {
-		ended = time.UnixMilli(int64(milliseconds))
+	if endedMilliseconds > 0 {
+		endedAt = time.UnixMilli(int64(endedMilliseconds))
 	}
-	for _, s = range [...]JobState{StateDone, StateCancelled} {
-		if err == nil && outcome == s.String() {
-			return s, int(count), ended, nil
+	for _, state = range [...]JobState{StateDone, StateCancelled} {
+		if err == nil && outcome == state.String() {
+			return state, int(count), endedAt, nil
 		}
 	}
-	return 0, 0, ended, errors.Join(err, errors.New("not the record of an ended job"))
+	return 0, 0, endedAt, errors.Join(err, errors.New("invalid record of an ended job"))
 }
 
-// AppendChunkLayout appends the record of how many tasks a numbered chunk of the
-// finished-task record has.
+// AppendChunkLayout appends the record of the number of tasks in a chunk of the finished-task records. It applies to
+// chunks that are stored by their number.
 func AppendChunkLayout(b []byte, tasks int) []byte {
 	return appendUint(msgp.AppendMapHeader(b, 1), recordChunkTasks, uint64(tasks))
 }
 
-// DecodeChunkLayout reads how many tasks a numbered chunk of the finished-task record
-// has.
+// DecodeChunkLayout decodes the number of tasks in a numbered chunk of the finished-task records.
 func DecodeChunkLayout(b []byte) (int, error) {
-	n, err := decodeUint(b, recordChunkTasks)
+	n, err := decodePositiveUint(b, recordChunkTasks)
 	if err == nil && n > maxChunkTasks {
 		err = errOutOfRange
 	}
 	return int(n), err
 }
 
-// AppendTasksDone appends one chunk of the finished-task record, one bit a task.
+// AppendTasksDone appends one chunk of the finished-task records. bits is a bitmap with one bit per task.
 func AppendTasksDone(b []byte, bits []byte) []byte {
 	return appendString(msgp.AppendMapHeader(b, 1), recordDoneBits, hex.EncodeToString(bits))
 }
 
-// DecodeTasksDone reads one chunk of the finished-task record.
+// DecodeTasksDone decodes one chunk of the finished-task records into its bitmap.
 func DecodeTasksDone(b []byte) ([]byte, error) {
-	digits, err := decodeField(b, recordDoneBits, readString)
+	digits, err := decodeSingleField(b, recordDoneBits, readString)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/wire/ledger.go
+++ b/internal/wire/ledger.go
@@ -9,37 +9,37 @@
 	"github.com/glentiller/glentiller/internal/ledger"
 )
 
-// appendUsage appends usage by class. The amounts are lists in the order of
-// ledger.Usage.Numbers, so that a later version can append some.
+// appendUsage appends usage by job class. The amounts of a class are an array in the order of ledger.Usage.Numbers, so
+// that later versions can add amounts at the end.
 func appendUsage(b []byte, usage []ledger.ClassUsage) []byte {
 	b = msgp.AppendMapHeader(msgp.AppendString(b, ledgerUsage), uint32(len(usage)))
-	for _, u := range usage {
-		numbers := u.Numbers()
-		b = msgp.AppendArrayHeader(msgp.AppendString(b, u.Class), uint32(len(numbers)))
-		for _, n := range numbers {
-			b = msgp.AppendUint64(b, n)
+	for _, classUsage := range usage {
+		amounts := classUsage.Numbers()
+		b = msgp.AppendArrayHeader(msgp.AppendString(b, classUsage.Class), uint32(len(amounts)))
+		for _, amount := range amounts {
+			b = msgp.AppendUint64(b, amount)
 		}
 	}
 	return b
 }
 
-// readUsage adds usage by class to dst.
+// readUsage reads usage by job class and adds it to dst.
 func readUsage(b []byte, dst *[]ledger.ClassUsage) ([]byte, bool, error) {
 	rest, err := eachField(b, func(class string, b []byte) ([]byte, bool, error) {
-		var numbers []uint64
+		var amounts []uint64
 		rest, err := eachItem(b, func(b []byte) ([]byte, error) {
-			var n uint64
-			rest, _, err := readUint(b, &n)
-			numbers = append(numbers, n)
+			var amount uint64
+			rest, _, err := readUint(b, &amount)
+			amounts = append(amounts, amount)
 			return rest, err
 		})
-		*dst = ledger.AddUsage(*dst, class, ledger.FromNumbers(numbers))
+		*dst = ledger.AddUsage(*dst, class, ledger.FromNumbers(amounts))
 		return rest, true, err
 	})
 	return rest, true, err
 }
 
-// AppendOpenSegment appends the record of a team's account: its open segment.
+// AppendOpenSegment appends the record of a team's account, which is its open segment.
 func AppendOpenSegment(b []byte, s *ledger.OpenSegment) []byte {
 	b = msgp.AppendMapHeader(b, 9)
 	b = appendString(b, ledgerTeam, s.Team)
@@ -53,7 +53,7 @@
 	return appendUint(b, ledgerDecayedUsage, s.DecayedUsage)
 }
 
-// DecodeOpenSegment reads the record of a team's account.
+// DecodeOpenSegment decodes the record of a team's account. The times are in UTC.
 func DecodeOpenSegment(b []byte) (ledger.OpenSegment, error) {
 	var s ledger.OpenSegment
 	var start, settledAt uint64
@@ -81,7 +81,7 @@
 		return b, false, nil
 	})
 	if err == nil && (s.Number == 0 || s.Settlements == 0) {
-		err = errors.New("not a team's account")
+		err = errors.New("account record has no segment number or no settlements")
 	}
 	s.Start = time.Unix(int64(start), 0).UTC()
 	s.SettledAt = time.UnixMilli(int64(settledAt)).UTC()
@@ -102,7 +102,7 @@
 	return appendString(b, ledgerSum, s.Sum)
 }
 
-// DecodeSegment reads the record of a closed segment.
+// DecodeSegment decodes the record of a closed segment. The start time is in UTC.
 func DecodeSegment(b []byte) (ledger.Segment, error) {
 	var s ledger.Segment
 	var unit, start uint64
@@ -132,22 +132,23 @@
 	s.Unit = ledger.Unit(unit)
 	s.Start = time.Unix(int64(start), 0).UTC()
 	if err == nil && (s.First == 0 || s.Unit < ledger.Hour || s.Unit > ledger.Month || s.Sum == "") {
-		err = errors.New("not a page of the ledger")
+		err = errors.New("ledger segment has no number, no hash or an unknown time unit")
 	}
 	return s, err
 }
 
-// AppendUnaccountedInterval appends the record of an interval without accounting.
-func AppendUnaccountedInterval(b []byte, i ledger.Interval) []byte {
+// AppendUnaccountedInterval appends the record of an interval whose usage no leader accounted for.
+func AppendUnaccountedInterval(b []byte, interval ledger.Interval) []byte {
 	b = msgp.AppendMapHeader(b, 4)
-	b = appendUint(b, ledgerStart, uint64(i.Start.UnixMilli()))
-	b = appendUint(b, ledgerEnd, uint64(i.End.UnixMilli()))
-	b = appendUint(b, ledgerFencingToken, i.FencingToken)
-	return appendUint(b, ledgerUnsettledLeaders, i.UnsettledLeaders)
+	b = appendUint(b, ledgerStart, uint64(interval.Start.UnixMilli()))
+	b = appendUint(b, ledgerEnd, uint64(interval.End.UnixMilli()))
+	b = appendUint(b, ledgerFencingToken, interval.FencingToken)
+	return appendUint(b, ledgerUnsettledLeaders, interval.UnsettledLeaders)
 }
 
-// DecodeUnaccountedInterval reads the record of an interval without accounting.
-func DecodeUnaccountedInterval(b []byte) (i ledger.Interval, err error) {
+// DecodeUnaccountedInterval decodes the record of an interval whose usage no leader accounted for. The times are in
+// UTC.
+func DecodeUnaccountedInterval(b []byte) (interval ledger.Interval, err error) {
 	var start, end uint64
 	err = decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
 		switch name {
@@ -156,13 +157,13 @@
 		case ledgerEnd:
 			return readUint(b, &end)
 		case ledgerFencingToken:
-			return readUint(b, &i.FencingToken)
+			return readUint(b, &interval.FencingToken)
 		case ledgerUnsettledLeaders:
-			return readUint(b, &i.UnsettledLeaders)
+			return readUint(b, &interval.UnsettledLeaders)
 		}
 		return b, false, nil
 	})
-	i.Start = time.UnixMilli(int64(start)).UTC()
-	i.End = time.UnixMilli(int64(end)).UTC()
-	return i, err
+	interval.Start = time.UnixMilli(int64(start)).UTC()
+	interval.End = time.UnixMilli(int64(end)).UTC()
+	return interval, err
 }
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -1,10 +1,10 @@
 package wire
 
-// The names of fields and values in the outside protocols. They are published and
-// can't change; each has the field's usual term in the name of its constant. This
-// file and the tables of values below are the only place that knows them.
+// This file defines the names of fields and values in the published protocols and in stored records. The names cannot
+// change; the constants are called by the usual terms of the field. Apart from this file, published names occur only
+// in the tables of values: shapes, priorities, phases, exitCauses and JobState.String.
 
-// Fields of a job, as users submit it.
+// Fields of a submitted job.
 const (
 	jobID                 = "ref"
 	jobClass              = "jobclass"
@@ -30,17 +30,17 @@
 	jobRules              = "rules"
 )
 
-// Fields of the answers to users.
+// Fields of the HTTP responses to users, and of the response that directs a worker to the leader.
 const (
-	answerJobID   = "ref"
-	answerStatus  = "status"
-	answerDone    = "done"
-	answerRunning = "running"
-	answerError   = "error"
-	answerLeader  = "foreman"
+	responseJobID   = "ref"
+	responseStatus  = "status"
+	responseDone    = "done"
+	responseRunning = "running"
+	responseError   = "error"
+	responseLeader  = "foreman"
 )
 
-// Fields of a worker's heartbeat, and of the statuses of its tasks.
+// Fields of the messages between controllers and workers: heartbeats with the statuses of their tasks, and commands.
 const (
 	workerName            = "tiller"
 	workerAddr            = "addr"
@@ -50,7 +50,7 @@
 	workerEpoch           = "shift"
 	workerSeq             = "tick"
 	workerFencingToken    = "baton"
-	workerInterruption    = "recallS"
+	workerInterruptionIn  = "recallS"
 	workerTasks           = "rows"
 	workerTask            = "row"
 	workerAttempt         = "try"
@@ -62,14 +62,14 @@
 	workerStopGracePeriod = "windDownS"
 )
 
-// The operations of commands to workers.
+// Operations of commands to workers.
 const (
 	commandLaunch = "launch"
 	commandStop   = "stop"
 	commandForget = "forget"
 )
 
-// Fields of the cloud's messages.
+// Fields of the messages to and from the cloud.
 const (
 	cloudCatalog          = "breeds"
 	cloudTypeName         = "label"
@@ -95,14 +95,14 @@
 	cloudMachineAge       = "heldS"
 )
 
-// The statuses of the cloud's machines. A controller uses those of machines that are not running.
+// Statuses of the cloud's machines. A controller treats any status other than booting and failed as running.
 const (
 	cloudStatusRunning = "running"
 	cloudStatusBooting = "starting"
 	cloudStatusFailed  = "failed"
 )
 
-// Fields of the state service's messages.
+// Fields of the messages to and from the state service.
 const (
 	stateConditions = "if"
 	stateChanges    = "apply"
@@ -120,33 +120,32 @@
 	stateFailed     = "failed"
 )
 
-// Fields of the records of jobs. Their names, and those of all records below, are
-// stored and can't change either.
+// Fields of the records of jobs. The names in this and the following groups are in stored records.
 const (
-	recordSubmittedAt     = "at"
-	recordSpec            = "job"
-	recordDependencies    = "awaits"
-	recordDependencyParts = "parts"
-	recordPartsSum        = "sum"
-	recordOutcome         = "end"
-	recordTaskCount       = "n"
-	recordEndedAt         = "at"
-	recordChunkTasks      = "tasks"
-	recordDoneBits        = "bits"
+	recordSubmittedAt        = "at"
+	recordSpec               = "job"
+	recordDependencies       = "awaits"
+	recordDependencyParts    = "parts"
+	recordDependencyPartsSum = "sum"
+	recordOutcome            = "end"
+	recordTaskCount          = "n"
+	recordEndedAt            = "at"
+	recordChunkTasks         = "tasks"
+	recordDoneBits           = "bits"
 )
 
-// Fields of the records of machines and of GPU demands.
+// Fields of the records of machines and of resource requests that include GPUs.
 const (
-	recordMachineAddr = "addr"
-	recordMachineType = "type"
-	recordMachineZone = "zone"
-	recordMachineSpot = "spot"
-	recordDemandCPU   = "cpu"
-	recordDemandGPU   = "gpu"
-	recordDemandMem   = "mem"
+	recordMachineAddr  = "addr"
+	recordMachineType  = "type"
+	recordMachineZone  = "zone"
+	recordMachineSpot  = "spot"
+	recordDemandCPU    = "cpu"
+	recordDemandGPU    = "gpu"
+	recordDemandMemory = "mem"
 )
 
-// Fields of the records of leader and members.
+// Fields of the records of the leader, the feature level, the members and the relayed batches of heartbeats.
 const (
 	recordFencingToken      = "token"
 	recordMember            = "member"
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -10,7 +10,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// AppendMachine appends the record of a machine that may run tasks.
+// AppendMachine appends the record of a machine that may run tasks. The record does not contain the machine's name,
+// which is in its key.
 func AppendMachine(b []byte, m model.MachineInfo) []byte {
 	b = msgp.AppendMapHeader(b, 4)
 	b = appendString(b, recordMachineAddr, m.Addr)
@@ -19,7 +20,7 @@
 	return appendBool(b, recordMachineSpot, m.Spot)
 }
 
-// DecodeMachine reads the record of a machine. The name is in its key.
+// DecodeMachine decodes the record of a machine. The machine's name is not in the record, so the caller passes it.
 func DecodeMachine(machine string, b []byte) (model.MachineInfo, error) {
 	m := model.MachineInfo{Name: machine}
 	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
@@ -38,39 +39,40 @@
 	return m, err
 }
 
-// AppendGPUDemand appends the record of a GPU demand that was seen.
-func AppendGPUDemand(b []byte, r model.Resources) []byte {
+// AppendGPUDemand appends the record of the resources, including GPUs, that a task of some job has requested. New
+// leaders read these records to learn which machine types to reserve for GPU tasks.
+func AppendGPUDemand(b []byte, demand model.Resources) []byte {
 	b = msgp.AppendMapHeader(b, 3)
-	b = appendFloat(b, recordDemandCPU, r.CPU)
-	b = appendFloat(b, recordDemandGPU, r.GPU)
-	return appendFloat(b, recordDemandMem, r.MemGB)
+	b = appendFloat(b, recordDemandCPU, demand.CPU)
+	b = appendFloat(b, recordDemandGPU, demand.GPU)
+	return appendFloat(b, recordDemandMemory, demand.MemGB)
 }
 
-// DecodeGPUDemand reads the record of a GPU demand.
-func DecodeGPUDemand(b []byte) (r model.Resources, err error) {
+// DecodeGPUDemand decodes the record of a resource request that includes GPUs.
+func DecodeGPUDemand(b []byte) (demand model.Resources, err error) {
 	err = decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
 		switch name {
 		case recordDemandCPU:
-			return readFloat(b, &r.CPU)
+			return readFloat(b, &demand.CPU)
 		case recordDemandGPU:
-			return readFloat(b, &r.GPU)
-		case recordDemandMem:
-			return readFloat(b, &r.MemGB)
+			return readFloat(b, &demand.GPU)
+		case recordDemandMemory:
+			return readFloat(b, &demand.MemGB)
 		}
 		return b, false, nil
 	})
-	return r, err
+	return demand, err
 }
 
-// AppendLeaderRecord appends the record of the last fencing token, or of the leader:
-// both have the same form.
+// AppendLeaderRecord appends the record of the last fencing token or that of the current leader, which have the same
+// form. member is the leader to which the fencing token belongs.
 func AppendLeaderRecord(b []byte, fencingToken uint64, member string) []byte {
 	b = msgp.AppendMapHeader(b, 2)
 	b = appendUint(b, recordFencingToken, fencingToken)
 	return appendString(b, recordMember, member)
 }
 
-// DecodeLeaderRecord reads the record of the last fencing token, or of the leader.
+// DecodeLeaderRecord decodes the record of the last fencing token or that of the current leader.
 func DecodeLeaderRecord(b []byte) (fencingToken uint64, member string, err error) {
 	err = decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
 		switch name {
@@ -82,30 +84,31 @@
 		return b, false, nil
 	})
 	if err == nil && (fencingToken == 0 || member == "") {
-		err = errors.New("not a token's record")
+		err = errors.New("record has no fencing token or no member")
 	}
 	return fencingToken, member, err
 }
 
-// AppendFeatureLevel appends the record of the feature level in force. It must never
-// have both fields of a leader's record: programs before feature levels take it for
-// one, fail, and so never become leader (docs/safety.md, "Levels").
+// AppendFeatureLevel appends the record of the feature level in force. The record must never have both fields of a
+// leader record. Programs from before feature levels decode it as a leader record, fail, and therefore cannot become
+// leader (docs/safety.md, "Levels").
 func AppendFeatureLevel(b []byte, level uint32, raisedBy string) []byte {
 	b = msgp.AppendMapHeader(b, 2)
 	b = appendUint(b, recordFeatureLevel, uint64(level))
 	return appendString(b, recordRaisedBy, raisedBy)
 }
 
-// DecodeFeatureLevel reads the record of the feature level in force.
+// DecodeFeatureLevel decodes the record of the feature level in force. A level of 0 is an error.
 func DecodeFeatureLevel(b []byte) (uint32, error) {
-	level, err := decodeField(b, recordFeatureLevel, readUint)
+	level, err := decodeSingleField(b, recordFeatureLevel, readUint)
 	if err == nil && (level == 0 || level > math.MaxUint32) {
-		err = errors.New("not a level's record")
+		err = errors.New("record has no feature level, or one out of range")
 	}
 	return uint32(level), err
 }
 
-// AppendMember appends what a member announces of itself.
+// AppendMember appends the record in which a member announces itself. The record does not contain the member's name,
+// which is in its key.
 func AppendMember(b []byte, m featuregate.Member) []byte {
 	b = msgp.AppendMapHeader(b, 3)
 	b = appendString(b, recordMemberRelease, m.Release)
@@ -113,7 +116,8 @@
 	return appendUint(b, recordMemberIncarnation, m.Incarnation)
 }
 
-// DecodeMember reads what a member announces of itself. The name is in its key.
+// DecodeMember decodes the record in which a member announces itself. The member's name is not in the record, so the
+// caller passes it.
 func DecodeMember(member string, b []byte) (featuregate.Member, error) {
 	m := featuregate.Member{Name: member}
 	var supported uint64
@@ -129,7 +133,7 @@
 		return b, false, nil
 	})
 	if err == nil && supported > math.MaxUint32 {
-		err = errors.New("not a member's record")
+		err = errors.New("supported feature level out of range")
 	}
 	m.Supported = featuregate.Level(supported)
 	return m, err
--- a/internal/wire/relay.go
+++ b/internal/wire/relay.go
@@ -6,15 +6,15 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// batchOverhead is how much of a value is no payload, at the most.
-const batchOverhead = 100
+// batchOverheadBytes bounds the size of a stored batch without its payload.
+const batchOverheadBytes = 100
 
-// RelayBatch is a batch of heartbeats that a member relays through the state service,
-// or of the answers to one.
+// RelayBatch is a batch of workers' heartbeats that a member relays to the leader through the state service, or a batch
+// of the responses to them.
 type RelayBatch struct {
-	Incarnation uint64 // of the member's process, drawn at its start
-	Seq         uint64 // numbers the batches of the incarnation
-	Payload     string // envelopes, as package relay packs them
+	Incarnation uint64 // of the member that relays the heartbeats; a random number drawn when its process starts
+	Seq         uint64 // numbers the batches of heartbeats of an incarnation from 1; responses repeat the number
+	Payload     string // heartbeats or responses, encoded by relay.Pack
 }
 
 // AppendRelayBatch appends the record of a batch.
@@ -25,7 +25,7 @@
 	return appendString(b, recordBatchPayload, batch.Payload)
 }
 
-// DecodeRelayBatch reads the record of a batch.
+// DecodeRelayBatch decodes the record of a batch. It does not unpack the payload.
 func DecodeRelayBatch(b []byte) (batch RelayBatch, err error) {
 	err = decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
 		switch name {
@@ -39,11 +39,11 @@
 		return b, false, nil
 	})
 	if err == nil && (batch.Seq == 0 || batch.Payload == "") {
-		err = errors.New("not a batch")
+		err = errors.New("relay batch has no sequence number or no payload")
 	}
 	return batch, err
 }
 
-// MaxBatchPayload returns how long the payload of a batch may be where a value may
-// have maxValueBytes.
-func MaxBatchPayload(maxValueBytes int) int { return maxValueBytes - batchOverhead }
+// MaxBatchPayload returns the maximum length of a batch's payload in bytes if the state service limits values to
+// maxValueBytes.
+func MaxBatchPayload(maxValueBytes int) int { return maxValueBytes - batchOverheadBytes }
--- a/internal/wire/standin.go
+++ b/internal/wire/standin.go
@@ -8,20 +8,20 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// This file holds the far ends of the protocols of workers, cloud and users: what they send to a controller, and what
-// they read of its messages. Stand-ins use them; a controller does not.
+// This file implements the other side of the protocols between controllers and workers, the cloud and users: it encodes
+// what they send and decodes what they receive. Only simulators and tests use it; a controller does not.
 
-// maxProvisioned is how many machines one request may ask for.
-const maxProvisioned = 50
+// maxMachinesPerRequest bounds the number of machines that one request may provision.
+const maxMachinesPerRequest = 50
 
-// commandOps maps the published names to operations.
+// commandOps maps the published names of command operations to their values.
 var commandOps = map[string]model.Op{
 	commandLaunch: model.OpLaunch,
 	commandStop:   model.OpStop,
 	commandForget: model.OpForget,
 }
 
-// AppendHeartbeat appends a worker's heartbeat, without an interruption notice.
+// AppendHeartbeat appends a worker's heartbeat. It omits the interruption notice, if there is one.
 func AppendHeartbeat(b []byte, h *model.Heartbeat) []byte {
 	b = msgp.AppendMapHeader(b, 9)
 	b = appendString(b, workerName, h.Machine)
@@ -55,14 +55,14 @@
 	return b
 }
 
-// CommandMessage is the answer to a heartbeat, which has no epoch, or direct commands.
+// CommandMessage is a message with commands to a worker: the response to a heartbeat or a request with direct commands.
 type CommandMessage struct {
-	FencingToken uint64
-	Epoch        uint64
+	FencingToken uint64 // of the leader that sends the commands
+	Epoch        uint64 // epoch of the worker that direct commands are for; 0 in a response to a heartbeat
 	Commands     []model.Command
 }
 
-// DecodeCommands reads the answer to a heartbeat, or direct commands.
+// DecodeCommands decodes the response to a heartbeat or a request with direct commands.
 func DecodeCommands(b []byte) (CommandMessage, error) {
 	var m CommandMessage
 	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
@@ -95,7 +95,7 @@
 	rest, err := eachField(b, func(name string, b []byte) ([]byte, bool, error) {
 		switch name {
 		case workerCommandOp:
-			return readName(b, commandOps, &c.Op)
+			return readEnum(b, commandOps, &c.Op)
 		case workerTask:
 			return readString(b, &task)
 		case workerAttempt:
@@ -109,25 +109,27 @@
 		return c, rest, err
 	}
 	if c.Op == 0 {
-		return c, rest, errors.New("a command without an operation")
+		return c, rest, errors.New("command has no operation")
 	}
 	c.Task, err = ParseTaskName(task)
-	c.GracePeriod = seconds(graceSeconds)
+	c.GracePeriod = secondsToDuration(graceSeconds)
 	return c, rest, err
 }
 
-// DecodeLeader reads the leader that a 421 names; "": it names none, or is malformed.
+// DecodeLeader returns the leader that a response with status 421 (Misdirected Request) names. It returns "" if the
+// response names none or is malformed.
 func DecodeLeader(b []byte) string {
-	leader, err := decodeField(b, answerLeader, readString)
+	leader, err := decodeSingleField(b, responseLeader, readString)
 	if err != nil {
 		return ""
 	}
 	return leader
 }
 
-// DecodeJobState reads a job's state as a user is answered it; StateUnknown: the answer has none, or is malformed.
+// DecodeJobState returns the state of a job from a response to a user. It returns StateUnknown if the response contains
+// no state or is malformed.
 func DecodeJobState(b []byte) JobState {
-	name, err := decodeField(b, answerStatus, readString)
+	name, err := decodeSingleField(b, responseStatus, readString)
 	if err != nil {
 		return StateUnknown
 	}
@@ -139,7 +141,7 @@
 	return StateUnknown
 }
 
-// AppendCatalog appends the cloud's machine types.
+// AppendCatalog appends the cloud's catalog of machine types.
 func AppendCatalog(b []byte, types []model.MachineType) []byte {
 	b = msgp.AppendArrayHeader(msgp.AppendString(msgp.AppendMapHeader(b, 1), cloudCatalog), uint32(len(types)))
 	for i := range types {
@@ -159,7 +161,8 @@
 	return b
 }
 
-// AppendMachineList appends a page of the list of machines.
+// AppendMachineList appends one page of the cloud's list of provisioned machines. more says whether further pages
+// follow.
 func AppendMachineList(b []byte, page []model.MachineInfo, more bool) []byte {
 	b = msgp.AppendMapHeader(b, 2)
 	b = appendBool(b, cloudMore, more)
@@ -178,7 +181,7 @@
 	return b
 }
 
-// machineStatus is the published status of a machine.
+// machineStatus returns the published status of a machine.
 func machineStatus(m *model.MachineInfo) string {
 	switch {
 	case m.Booting:
@@ -189,7 +192,8 @@
 	return cloudStatusRunning
 }
 
-// DecodeProvisioning reads a request for machines.
+// DecodeProvisioning decodes a request to provision machines. The request must have a name and be for 1 to
+// maxMachinesPerRequest machines.
 func DecodeProvisioning(b []byte) (model.Provisioning, error) {
 	var p model.Provisioning
 	var count uint64
@@ -208,9 +212,9 @@
 		}
 		return b, false, nil
 	})
-	if err == nil && (p.Name == "" || count < 1 || count > maxProvisioned) {
-		err = errors.New("a request without a name, or for a wrong number of machines")
+	if err == nil && (p.Name == "" || count < 1 || count > maxMachinesPerRequest) {
+		err = errors.New("provisioning request has no name or an invalid number of machines")
 	}
-	p.Count = int(min(count, maxProvisioned+1))
+	p.Count = int(min(count, maxMachinesPerRequest+1))
 	return p, err
 }
--- a/internal/wire/standin_state.go
+++ b/internal/wire/standin_state.go
@@ -6,9 +6,9 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// This file holds the far end of the protocol of the state service, for stand-ins.
+// This file implements the server side of the protocol of the state service, for simulators and tests.
 
-// DecodeTxn reads the request for a transaction.
+// DecodeTxn decodes the request for a transaction. A put without a value puts null.
 func DecodeTxn(b []byte) (Txn, error) {
 	var t Txn
 	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
@@ -48,7 +48,7 @@
 			return decodeEntryField(&e, name, b)
 		})
 		if err == nil && e.Key == "" {
-			err = errors.New("a change without a key")
+			err = errors.New("change has no key")
 		}
 		if !e.Removed && e.Value == nil {
 			e.Value = msgp.AppendNil(nil)
@@ -59,10 +59,10 @@
 	return rest, true, err
 }
 
-// AppendEntry appends the answer to a read of one key.
+// AppendEntry appends the response to a read of one key that exists.
 func AppendEntry(b []byte, e *Entry) []byte { return appendEntry(b, stateKey, e) }
 
-// appendEntry appends an entry whose key has a field's name.
+// appendEntry appends an entry with its key in the field keyField.
 func appendEntry(b []byte, keyField string, e *Entry) []byte {
 	fields := uint32(3)
 	if e.Lease != 0 {
@@ -77,7 +77,7 @@
 	return b
 }
 
-// AppendPage appends the answer to a read by prefix.
+// AppendPage appends the response to a read by prefix.
 func AppendPage(b []byte, p *Page) []byte {
 	b = msgp.AppendMapHeader(b, 3)
 	b = msgp.AppendArrayHeader(msgp.AppendString(b, stateEntries), uint32(len(p.Entries)))
@@ -88,7 +88,7 @@
 	return appendUint(b, stateRevision, p.Revision)
 }
 
-// AppendLog appends the answer to a watch: the changes since the revision that it asked for. They have no leases.
+// AppendLog appends the response to a watch: the changes since the requested revision. It omits their leases.
 func AppendLog(b []byte, p *Page) []byte {
 	b = appendUint(msgp.AppendMapHeader(b, 2), stateRevision, p.Revision)
 	b = msgp.AppendArrayHeader(msgp.AppendString(b, stateLog), uint32(len(p.Entries)))
@@ -104,21 +104,24 @@
 	return b
 }
 
-// AppendRevision appends the answer to a transaction that was carried out, or to a read of a key that does not exist.
+// AppendRevision appends the response to a committed transaction, or to a read of a key that does not exist.
 func AppendRevision(b []byte, revision uint64) []byte {
 	return appendUint(msgp.AppendMapHeader(b, 1), stateRevision, revision)
 }
 
-// AppendConflict appends the answer to a transaction with conditions that do not hold.
+// AppendConflict appends the response to a transaction that was not committed because some of its conditions do not
+// hold. failed lists the keys of these conditions.
 func AppendConflict(b []byte, failed []string, revision uint64) []byte {
 	b = appendStrings(msgp.AppendMapHeader(b, 2), stateFailed, failed)
 	return appendUint(b, stateRevision, revision)
 }
 
-// DecodeLeaseRequest reads the request for a lease. It returns the time to live in milliseconds.
-func DecodeLeaseRequest(b []byte) (uint64, error) { return decodeField(b, stateLeaseTTL, readUint) }
+// DecodeLeaseRequest decodes a request to grant a lease and returns the lease's time to live in milliseconds.
+func DecodeLeaseRequest(b []byte) (uint64, error) {
+	return decodeSingleField(b, stateLeaseTTL, readUint)
+}
 
-// AppendLeaseID appends the answer to the request for a lease.
+// AppendLeaseID appends the response to a request to grant a lease.
 func AppendLeaseID(b []byte, id uint64) []byte {
 	return appendUint(msgp.AppendMapHeader(b, 1), stateLease, id)
 }
--- a/internal/wire/standin_state_test.go
+++ b/internal/wire/standin_state_test.go
@@ -8,7 +8,7 @@
 	"github.com/glentiller/glentiller/internal/golden"
 )
 
-// What a controller sends to the state service is read by the stand-in, and its answers by the controller.
+// The simulated state service must decode what a controller sends, and a controller must decode its responses.
 func TestStateServiceMessagesRoundTrip(t *testing.T) {
 	value := msgp.AppendMapHeader(nil, 0)
 	txn := Txn{
@@ -41,19 +41,19 @@
 		t.Fatalf("log: %v", err)
 	}
 	golden.Equal(t, "log", gotLog, log)
-	for what, answer := range map[string][]byte{
+	for name, response := range map[string][]byte{
 		"a transaction": AppendRevision(nil, 77),
 		"a conflict":    AppendConflict(nil, []string{"a"}, 77),
 	} {
-		if got, err := DecodeRevision(answer); err != nil || got != 77 {
-			t.Errorf("revision of %s: got %d, %v, want 77", what, got, err)
+		if got, err := DecodeRevision(response); err != nil || got != 77 {
+			t.Errorf("revision of %s: got %d, error %v; want 77 and none", name, got, err)
 		}
 	}
 	if got, err := DecodeLeaseID(AppendLeaseID(nil, 9)); err != nil || got != 9 {
-		t.Errorf("lease: got %d, %v, want 9", got, err)
+		t.Errorf("lease ID: got %d, error %v; want 9 and none", got, err)
 	}
 	if got, err := DecodeLeaseRequest(AppendLeaseRequest(nil, 4000)); err != nil || got != 4000 {
-		t.Errorf("time to live of a lease: got %d, %v, want 4000", got, err)
+		t.Errorf("time to live of a lease: got %d, error %v; want 4000 and none", got, err)
 	}
 }
 
@@ -61,9 +61,9 @@
 	withoutKey := msgp.AppendArrayHeader(msgp.AppendString(msgp.AppendMapHeader(nil, 1), stateChanges), 1)
 	withoutKey = appendUint(msgp.AppendMapHeader(withoutKey, 1), stateLease, 1)
 	for name, b := range map[string][]byte{
-		"no map":               {0x01},
+		"not a map":            {0x01},
 		"a change without key": withoutKey,
-		"changes that are not": appendString(msgp.AppendMapHeader(nil, 1), stateChanges, "text"),
+		"changes as a string":  appendString(msgp.AppendMapHeader(nil, 1), stateChanges, "text"),
 	} {
 		if got, err := DecodeTxn(b); err == nil {
 			t.Errorf("%s: got %+v, want an error", name, got)
--- a/internal/wire/standin_test.go
+++ b/internal/wire/standin_test.go
@@ -10,7 +10,7 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// What the stand-ins send is what they sent before, and what the controllers read.
+// The encoding of messages that simulators send must not change, and controllers must decode them.
 func TestMessagesOfStandInsKeepTheirBytes(t *testing.T) {
 	task := model.TaskID{Job: "wk-000412", Index: 3}
 	heartbeat := &model.Heartbeat{
@@ -84,7 +84,7 @@
 	}
 }
 
-// What the controllers send is read by the stand-ins.
+// Simulators must decode the messages that controllers send.
 func TestStandInsReadMessagesOfControllers(t *testing.T) {
 	task := model.TaskID{Job: "wk-000412", Index: 3}
 	commands := []model.Command{
@@ -98,13 +98,13 @@
 	}
 	golden.Equal(t, "commands", got, CommandMessage{FencingToken: 41, Epoch: 1 << 63, Commands: commands})
 	request := model.Provisioning{Name: "h-1", Type: "g8", Zone: "a", Spot: true, Count: 50}
-	read, err := DecodeProvisioning(AppendProvisioning(nil, request))
+	decoded, err := DecodeProvisioning(AppendProvisioning(nil, request))
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "a request for machines", read, request)
+	golden.Equal(t, "provisioning request", decoded, request)
 	if got := DecodeLeader(AppendLeader(nil, "tiller-1")); got != "tiller-1" {
-		t.Errorf("the leader of a 421: got %q, want tiller-1", got)
+		t.Errorf("DecodeLeader: got %q, want tiller-1", got)
 	}
 	for state := StateQueued; state <= StateCancelled; state++ {
 		if got := DecodeJobState(AppendJobState(nil, "wk-000412", state)); got != state {
@@ -113,7 +113,7 @@
 	}
 }
 
-// The two ends of the protocols understand each other.
+// Both sides of the protocols must agree on each message.
 func TestStandInMessagesRoundTrip(t *testing.T) {
 	heartbeat := &model.Heartbeat{
 		Machine:      "n-1",
@@ -139,7 +139,7 @@
 		len(got.Tasks) != 2 ||
 		got.Tasks[0] != heartbeat.Tasks[0] ||
 		got.Tasks[1] != heartbeat.Tasks[1] {
-		t.Errorf("heartbeat: got %+v, %v, want %+v", got, err, heartbeat)
+		t.Errorf("heartbeat: got %+v, error %v; want %+v and none", got, err, heartbeat)
 	}
 	commands := []model.Command{
 		{Op: model.OpLaunch, Task: model.TaskID{Job: "wk-000001", Index: 4}, Attempt: 5},
@@ -149,11 +149,11 @@
 	if err != nil || m.FencingToken != 41 || m.Epoch != 2 || len(m.Commands) != 2 ||
 		m.Commands[0] != commands[0] ||
 		m.Commands[1] != commands[1] {
-		t.Errorf("commands: got %+v, %v, want %+v", m, err, commands)
+		t.Errorf("commands: got %+v, error %v; want %+v and none", m, err, commands)
 	}
 	named, none := DecodeLeader(AppendLeader(nil, "tiller-2")), DecodeLeader(AppendLeader(nil, ""))
 	if named != "tiller-2" || none != "" {
-		t.Errorf("leaders of a 421: got %q and %q, want tiller-2 and none", named, none)
+		t.Errorf("DecodeLeader: got %q and %q, want tiller-2 and none", named, none)
 	}
 	if got := DecodeJobState(AppendJobState(nil, "wk-000001", StateCancelled)); got != StateCancelled {
 		t.Errorf("a job's state: got %v, want %v", got, StateCancelled)
@@ -162,14 +162,14 @@
 		{Name: "gpu-16", Capacity: model.Resources{CPU: 16, GPU: 8, MemGB: 128}, Zones: []string{"a", "b"}},
 		{Name: "plain-8", Capacity: model.Resources{CPU: 8, MemGB: 32}, Zones: []string{"a", "b"}},
 	}
-	if read, err := DecodeCatalog(AppendCatalog(nil, types)); err != nil || len(read) != 2 ||
-		read[1].Capacity != types[1].Capacity ||
-		len(read[0].Zones) != 2 {
-		t.Errorf("catalog: got %+v, %v, want %+v", read, err, types)
+	if decoded, err := DecodeCatalog(AppendCatalog(nil, types)); err != nil || len(decoded) != 2 ||
+		decoded[1].Capacity != types[1].Capacity ||
+		len(decoded[0].Zones) != 2 {
+		t.Errorf("catalog: got %+v, error %v; want %+v and none", decoded, err, types)
 	}
 	request := model.Provisioning{Name: "r-1", Type: "gpu-16", Zone: "a", Spot: true, Count: 3}
-	if read, err := DecodeProvisioning(AppendProvisioning(nil, request)); err != nil || read != request {
-		t.Errorf("request for machines: got %+v, %v, want %+v", read, err, request)
+	if decoded, err := DecodeProvisioning(AppendProvisioning(nil, request)); err != nil || decoded != request {
+		t.Errorf("provisioning request: got %+v, error %v; want %+v and none", decoded, err, request)
 	}
 }
 
@@ -179,7 +179,7 @@
 		return appendString(appendString(msgp.AppendMapHeader(b, 2), workerCommandOp, op), workerTask, task)
 	}
 	for name, b := range map[string][]byte{
-		"no map":               {0x01},
+		"not a map":            {0x01},
 		"an unknown operation": command("dance", "wk-000001/1"),
 		"a task without index": command(commandLaunch, "wk-000001"),
 	} {
@@ -190,10 +190,10 @@
 	for name, p := range map[string]model.Provisioning{
 		"no name":           {Count: 1},
 		"no machines":       {Name: "r-1"},
-		"too many machines": {Name: "r-1", Count: maxProvisioned + 1},
+		"too many machines": {Name: "r-1", Count: maxMachinesPerRequest + 1},
 	} {
 		if got, err := DecodeProvisioning(AppendProvisioning(nil, p)); err == nil {
-			t.Errorf("request with %s: got %+v, want an error", name, got)
+			t.Errorf("provisioning request with %s: got %+v, want an error", name, got)
 		}
 	}
 }
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -6,37 +6,37 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Entry is a key of the state service with its value. A deletion has no value.
+// Entry is the state of a key in the state service, or its deletion as reported by a watch.
 type Entry struct {
 	Key     string
-	Value   []byte // MessagePack
-	Version uint64
-	Lease   uint64
-	Removed bool
+	Value   []byte // encoded in MessagePack; nil for a deletion
+	Version uint64 // revision of the last change of the key
+	Lease   uint64 // ID of the lease that the key is attached to; 0 if there is none
+	Removed bool   // whether the key was deleted
 }
 
-// Condition is a condition of a transaction: the key has this version; 0: it does
-// not exist.
+// Condition is a condition of a transaction: the key must have this version. Version 0 means that the key must not
+// exist.
 type Condition struct {
 	Key     string
 	Version uint64
 }
 
-// Change is one change of a transaction: it puts a value, or deletes the key where
-// the value is nil.
+// Change is a change that a transaction makes: it puts a value, or deletes the key if Value is nil.
 type Change struct {
 	Key   string
-	Value []byte // MessagePack
-	Lease uint64 // that the key is attached to; 0: none
+	Value []byte // encoded in MessagePack
+	Lease uint64 // ID of the lease to attach the key to; 0 if there is none
 }
 
-// Txn is a transaction: a compare-and-swap of several keys.
+// Txn is a transaction, which is a compare-and-swap on several keys. All its changes are made if all its conditions
+// hold, and none otherwise.
 type Txn struct {
 	Conditions []Condition
 	Changes    []Change
 }
 
-// Append appends the request for the transaction.
+// Append appends the request to execute the transaction.
 func (t *Txn) Append(b []byte) []byte {
 	b = msgp.AppendMapHeader(b, 2)
 	b = msgp.AppendArrayHeader(msgp.AppendString(b, stateConditions), uint32(len(t.Conditions)))
@@ -84,26 +84,26 @@
 	return b, false, nil
 }
 
-// DecodeEntry reads the answer to a read of one key.
+// DecodeEntry decodes the response to a read of one key that exists.
 func DecodeEntry(b []byte) (Entry, error) {
 	var e Entry
 	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
 		return decodeEntryField(&e, name, b)
 	})
 	if err == nil && (e.Key == "" || e.Version == 0) {
-		err = errors.New("an entry without key or version")
+		err = errors.New("entry has no key or no version")
 	}
 	return e, err
 }
 
-// Page is a page of keys, or a batch of changes, as of a revision.
+// Page is a page of the entries under a prefix, or a batch of changes from a watch.
 type Page struct {
 	Entries  []Entry
-	More     bool
-	Revision uint64
+	More     bool   // whether further pages follow
+	Revision uint64 // revision of the state service that the page or batch reflects
 }
 
-// DecodePage reads the answer to a read by prefix or to a watch.
+// DecodePage decodes the response to a read by prefix or to a watch.
 func DecodePage(b []byte) (Page, error) {
 	var p Page
 	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
@@ -132,13 +132,13 @@
 	return rest, true, err
 }
 
-// DecodeRevision reads the revision of the answer to a transaction.
-func DecodeRevision(b []byte) (uint64, error) { return decodeUint(b, stateRevision) }
+// DecodeRevision decodes the revision in the response to a transaction.
+func DecodeRevision(b []byte) (uint64, error) { return decodePositiveUint(b, stateRevision) }
 
-// DecodeLeaseID reads the id of a new lease.
-func DecodeLeaseID(b []byte) (uint64, error) { return decodeUint(b, stateLease) }
+// DecodeLeaseID decodes the ID of a newly granted lease.
+func DecodeLeaseID(b []byte) (uint64, error) { return decodePositiveUint(b, stateLease) }
 
-// AppendLeaseRequest appends the request for a lease.
+// AppendLeaseRequest appends a request to grant a lease with the given time to live.
 func AppendLeaseRequest(b []byte, ttlMilliseconds uint64) []byte {
 	return appendUint(msgp.AppendMapHeader(b, 1), stateLeaseTTL, ttlMilliseconds)
 }
--- a/internal/wire/stored_size.go
+++ b/internal/wire/stored_size.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// storedSizeMargin covers amounts whose form at the state service is longer
-	// than the one here.
-	storedSizeMargin = 64
-	// escapeBytes is what escaping a byte beyond ASCII adds to it.
-	escapeBytes = 2
+	// storedSizeMarginBytes allows for numbers that the state service encodes in more characters than msgp does.
+	storedSizeMarginBytes = 64
+	// escapeOverheadBytes is the number of bytes by which escaping lengthens each byte of a non-ASCII character.
+	escapeOverheadBytes = 2
 )
 
-// StoredSize bounds the size at which the state service counts a value: that of its
-// JSON form, however it writes amounts and characters beyond ASCII.
+// StoredSize returns an upper bound on the size in bytes that the state service counts for an encoded value. It counts
+// the JSON form of the value; the bound holds however it formats numbers and non-ASCII characters. The result is
+// math.MaxInt if value is malformed.
 func StoredSize(value []byte) int {
 	var size byteCounter
 	if _, err := msgp.UnmarshalAsJSON(&size, value); err != nil {
 		return math.MaxInt
 	}
-	return int(size) + storedSizeMargin
+	return int(size) + storedSizeMarginBytes
 }
 
-// byteCounter is a writer that counts bytes, as if those beyond ASCII were escaped.
+// byteCounter is an io.Writer that counts bytes as if all non-ASCII characters were escaped.
 type byteCounter int
 
 func (c *byteCounter) Write(p []byte) (int, error) {
 	for _, b := range p {
 		*c++
 		if b >= utf8.RuneSelf {
-			*c += escapeBytes
+			*c += escapeOverheadBytes
 		}
 	}
 	return len(p), nil
--- a/internal/wire/validate.go
+++ b/internal/wire/validate.go
@@ -6,15 +6,13 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// maxNesting bounds how deep a message may nest: skipping an unknown field
-// recurses.
-const maxNesting = 16
+// maxNestingDepth bounds the depth of nested maps and arrays, because skipping an unknown field is recursive.
+const maxNestingDepth = 16
 
-// Validate checks that b is exactly one well-formed MessagePack value whose map keys
-// are texts. Decoders stop at the first field that is malformed, so the body of a
-// request is validated as a whole before it is decoded.
+// Validate checks that b is exactly one well-formed MessagePack value and that all keys of its maps are strings. The
+// body of a request is validated as a whole before it is decoded, since decoders stop at the first malformed field.
 func Validate(b []byte) error {
-	rest, err := validateValue(b, maxNesting)
+	rest, err := validateValue(b, maxNestingDepth)
 	if err == nil && len(rest) != 0 {
 		err = errTrailingBytes
 	}
@@ -23,7 +21,7 @@
 
 func validateValue(b []byte, depth int) ([]byte, error) {
 	if depth == 0 {
-		return b, errors.New("nested too deep")
+		return b, errors.New("maps and arrays are nested too deeply")
 	}
 	switch msgp.NextType(b) {
 	case msgp.MapType:
@@ -44,7 +42,7 @@
 		}
 		return b, err
 	case msgp.InvalidType:
-		return b, errors.New("not MessagePack")
+		return b, errors.New("invalid MessagePack")
 	}
 	return msgp.Skip(b)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,8 +12,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// submission returns a job as a user submits it, with a field of a later version.
-func submission() map[string]any {
+// submissionFields returns the fields of a valid submission, including one that this version does not know.
+func submissionFields() map[string]any {
 	return map[string]any{
 		"ref": "wk-000412", "jobclass": "train", "owner": "vision", "shape": "ensemble", "rank": "urgent", "rows": 16,
 		"cores": 8.0, "cards": 1, "memoryGb": 64.0, "seed": "img-07", "imageGb": 6.2, "breeds": []any{"g8"},
@@ -22,6 +22,7 @@
 	}
 }
 
+// pack returns the MessagePack encoding of v.
 func pack(t *testing.T, v any) []byte {
 	t.Helper()
 	b, err := msgp.AppendIntf(nil, v)
@@ -32,7 +33,7 @@
 }
 
 func TestDecodeJobReadsAllFields(t *testing.T) {
-	s, err := DecodeJob(pack(t, submission()))
+	s, err := DecodeJob(pack(t, submissionFields()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +48,7 @@
 		s.Deadline != 15*time.Minute ||
 		s.EstimatedRunTime != 4*time.Minute ||
 		len(s.MachineTypes) != 1 {
-		t.Errorf("got %+v, want the job of %v", s, submission())
+		t.Errorf("got %+v, want the job of %v", s, submissionFields())
 	}
 	at := time.UnixMilli(1_700_000_000_123)
 	stored, submitted, _, err := DecodeActiveJob(AppendActiveJob(nil, s, at, nil, DependencyParts{}))
@@ -57,48 +58,48 @@
 		stored.EstimatedRunTime != s.EstimatedRunTime ||
 		stored.MachineTypes[0] != "g8" ||
 		stored.Demand != s.Demand {
-		t.Errorf("record of the job: got %+v, %v, %v, want %+v, %v", stored, submitted, err, s, at)
+		t.Errorf("record of the job: got %+v, %v, error %v; want %+v, %v and none", stored, submitted, err, s, at)
 	}
 }
 
 func TestMalformedJobIsRejected(t *testing.T) {
 	for name, change := range map[string]func(m map[string]any){
-		"no id":                 func(m map[string]any) { delete(m, "ref") },
-		"id of another form":    func(m map[string]any) { m["ref"] = "job-1" },
-		"id is a number":        func(m map[string]any) { m["ref"] = 412 },
-		"null for a required":   func(m map[string]any) { m["cores"] = nil },
-		"unknown shape":         func(m map[string]any) { m["shape"] = "triangle" },
-		"unknown priority":      func(m map[string]any) { m["rank"] = "boss" },
-		"no tasks":              func(m map[string]any) { m["rows"] = 0 },
-		"too many tasks":        func(m map[string]any) { m["rows"] = 100_001 },
-		"a decimal of tasks":    func(m map[string]any) { m["rows"] = 4.0 },
-		"negative tasks":        func(m map[string]any) { m["rows"] = -4 },
-		"negative CPUs":         func(m map[string]any) { m["cores"] = -1.0 },
-		"NaN":                   func(m map[string]any) { m["memoryGb"] = math.NaN() },
-		"infinity":              func(m map[string]any) { m["expectS"] = math.Inf(1) },
-		"text for a number":     func(m map[string]any) { m["markS"] = "30" },
-		"number for a boolean":  func(m map[string]any) { m["scatter"] = 1 },
-		"text for a list":       func(m map[string]any) { m["breeds"] = "g8" },
-		"numbers in a list":     func(m map[string]any) { m["breeds"] = []any{1} },
-		"empty list of types":   func(m map[string]any) { m["breeds"] = []any{} },
-		"empty zone":            func(m map[string]any) { m["field"] = "" },
-		"dependency with no id": func(m map[string]any) { m["awaits"] = []any{"job-1"} },
+		"no id":                   func(m map[string]any) { delete(m, "ref") },
+		"malformed id":            func(m map[string]any) { m["ref"] = "job-1" },
+		"id is a number":          func(m map[string]any) { m["ref"] = 412 },
+		"null for required field": func(m map[string]any) { m["cores"] = nil },
+		"unknown shape":           func(m map[string]any) { m["shape"] = "triangle" },
+		"unknown priority":        func(m map[string]any) { m["rank"] = "boss" },
+		"no tasks":                func(m map[string]any) { m["rows"] = 0 },
+		"too many tasks":          func(m map[string]any) { m["rows"] = 100_001 },
+		"float for tasks":         func(m map[string]any) { m["rows"] = 4.0 },
+		"negative tasks":          func(m map[string]any) { m["rows"] = -4 },
+		"negative CPUs":           func(m map[string]any) { m["cores"] = -1.0 },
+		"NaN":                     func(m map[string]any) { m["memoryGb"] = math.NaN() },
+		"infinity":                func(m map[string]any) { m["expectS"] = math.Inf(1) },
+		"string for a number":     func(m map[string]any) { m["markS"] = "30" },
+		"number for a boolean":    func(m map[string]any) { m["scatter"] = 1 },
+		"string for a list":       func(m map[string]any) { m["breeds"] = "g8" },
+		"numbers in a list":       func(m map[string]any) { m["breeds"] = []any{1} },
+		"empty list of types":     func(m map[string]any) { m["breeds"] = []any{} },
+		"empty zone":              func(m map[string]any) { m["field"] = "" },
+		"invalid dependency":      func(m map[string]any) { m["awaits"] = []any{"job-1"} },
 	} {
-		m := maps.Clone(submission())
+		m := maps.Clone(submissionFields())
 		change(m)
 		if s, err := DecodeJob(pack(t, m)); err == nil {
 			t.Errorf("%s: got %+v, want an error", name, s)
 		}
 	}
-	good := pack(t, submission())
+	good := pack(t, submissionFields())
 	for name, b := range map[string][]byte{
-		"empty":                 {},
-		"a list":                pack(t, []any{1}),
-		"cut off":               good[:len(good)-3],
-		"bytes behind":          append(append([]byte(nil), good...), 0xc0),
-		"a key that is no text": {0x81, 0x01, 0x01},
-		"a huge map":            {0xdf, 0xff, 0xff, 0xff, 0xff},
-		"nested without end":    []byte(strings.Repeat("\x91", 5000) + "\xc0"),
+		"empty":                      {},
+		"a list":                     pack(t, []any{1}),
+		"truncated":                  good[:len(good)-3],
+		"trailing bytes":             append(append([]byte(nil), good...), 0xc0),
+		"a key that is not a string": {0x81, 0x01, 0x01},
+		"a huge map":                 {0xdf, 0xff, 0xff, 0xff, 0xff},
+		"deeply nested":              []byte(strings.Repeat("\x91", 5000) + "\xc0"),
 	} {
 		if Validate(b) == nil {
 			if s, err := DecodeJob(b); err == nil {
@@ -108,7 +109,7 @@
 	}
 }
 
-// Messages from outside may be anything: they are errors, never a panic.
+// Messages from outside can contain anything. A malformed one must cause an error and never a panic.
 func FuzzDecoders(f *testing.F) {
 	f.Add([]byte{0x80})
 	f.Add([]byte{0x81, 0xa3, 'l', 'o', 'g', 0x91, 0x81, 0xa5, 'w', 'r', 'i', 't', 'e', 0xa1, 'k'})
@@ -119,18 +120,18 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		h, err := DecodeHeartbeat(b)
 		if err == nil && (h.Machine == "" || h.Epoch == 0) {
-			t.Errorf("got the heartbeat %+v, want an error without machine or epoch", h)
+			t.Errorf("got heartbeat %+v, want an error because the machine or epoch is missing", h)
 		}
 		if s, err := DecodeJob(b); err == nil && (!model.ValidJobID(s.ID) || s.Tasks < 1 || s.Tasks > 100_000) {
-			t.Errorf("got the job %+v, want an error", s)
+			t.Errorf("got job %+v, want an error", s)
 		}
 		if p, err := DecodePage(b); err != nil && p.More && len(p.Entries) > len(b) {
-			t.Errorf("got %d entries of %d bytes", len(p.Entries), len(b))
+			t.Errorf("got %d entries from %d bytes, want at most one per byte", len(p.Entries), len(b))
 		}
 		if machines, _, err := DecodeMachineList(b); err == nil {
 			for _, m := range machines {
 				if m.Name == "" {
-					t.Errorf("got the machine %+v, want an error without name", m)
+					t.Errorf("got machine %+v, want an error because the name is missing", m)
 				}
 			}
 		}
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -10,10 +10,9 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// maxMachineName bounds the length of a machine's name.
-const maxMachineName = 100
+const maxMachineNameLength = 100
 
-// phases maps the published names to phases.
+// phases maps the published names of phases to their values.
 var phases = map[string]model.Phase{
 	"pulling":   model.PhaseFetching,
 	"gathering": model.PhaseWaiting,
@@ -22,7 +21,7 @@
 	"exited":    model.PhaseExited,
 }
 
-// exitCauses maps the published names to the causes of an exit.
+// exitCauses maps the published names of exit causes to their values.
 var exitCauses = map[string]model.ExitCause{
 	"done":       model.CauseDone,
 	"halted":     model.CauseStopped,
@@ -34,22 +33,21 @@
 	"no_such":    model.CauseUnknownJob,
 }
 
-// TaskName returns a task's name on the wire.
+// TaskName returns the name of a task on the wire, such as "wk-000412/3".
 func TaskName(t model.TaskID) string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskName reads a task's name.
+// ParseTaskName parses a name in the form that TaskName returns.
 func ParseTaskName(s string) (model.TaskID, error) {
 	job, number, ok := strings.Cut(s, "/")
 	index, err := strconv.Atoi(number)
 	if !ok || err != nil || index < 0 || index >= maxTasks || !model.ValidJobID(job) {
-		return model.TaskID{}, errors.New("not a task")
+		return model.TaskID{}, errors.New("invalid task name")
 	}
 	return model.TaskID{Job: job, Index: index}, nil
 }
 
-// DecodeHeartbeat reads a worker's heartbeat. It leaves out tasks with names that no
-// controller gives: no command could name them. The heartbeat is not nil, even with
-// an error.
+// DecodeHeartbeat decodes a worker's heartbeat. It skips tasks whose names no controller assigns, because no command
+// could refer to them. The returned heartbeat is not nil even if there is an error.
 func DecodeHeartbeat(b []byte) (*model.Heartbeat, error) {
 	h := &model.Heartbeat{}
 	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
@@ -70,15 +68,15 @@
 			return readUint(b, &h.Seq)
 		case workerFencingToken:
 			return readUint(b, &h.FencingToken)
-		case workerInterruption:
+		case workerInterruptionIn:
 			return readInterruption(b, h)
 		case workerTasks:
 			return readTasks(b, &h.Tasks)
 		}
 		return b, false, nil
 	})
-	if err == nil && (h.Machine == "" || len(h.Machine) > maxMachineName || h.Epoch == 0) {
-		err = errors.New("no machine or session")
+	if err == nil && (h.Machine == "" || len(h.Machine) > maxMachineNameLength || h.Epoch == 0) {
+		err = errors.New("heartbeat has no valid machine name or no epoch")
 	}
 	return h, err
 }
@@ -87,7 +85,7 @@
 	var s float64
 	rest, handled, err := readFloat(b, &s)
 	h.InterruptionNotice = true
-	h.InterruptionIn = seconds(min(max(s, 0), maxAmount))
+	h.InterruptionIn = secondsToDuration(min(max(s, 0), maxAmount))
 	return rest, handled, err
 }
 
@@ -102,8 +100,8 @@
 	return rest, true, err
 }
 
-// decodeTaskStatus reads the status of one task. It is valid if it has a phase and
-// no name that ParseTaskName refuses.
+// decodeTaskStatus decodes the status of one task. valid reports whether the status has a phase and its task name, if
+// present, is accepted by ParseTaskName.
 func decodeTaskStatus(b []byte) (t model.TaskStatus, valid bool, rest []byte, err error) {
 	var badName bool
 	rest, err = eachField(b, func(name string, b []byte) ([]byte, bool, error) {
@@ -120,7 +118,7 @@
 		case workerAttempt:
 			return readUint(b, &t.Attempt)
 		case workerPhase:
-			return readName(b, phases, &t.Phase)
+			return readEnum(b, phases, &t.Phase)
 		case workerExitCause:
 			return readExitCause(b, &t.Cause)
 		case workerCheckpointed:
@@ -131,7 +129,7 @@
 	return t, t.Phase != 0 && !badName, rest, err
 }
 
-// readExitCause reads the cause of an exit. Causes of later versions are errors.
+// readExitCause reads the cause of an exit. An unknown cause, which a later version may send, becomes CauseError.
 func readExitCause(b []byte, dst *model.ExitCause) ([]byte, bool, error) {
 	var s string
 	rest, handled, err := readString(b, &s)
@@ -143,14 +141,15 @@
 	return rest, handled, err
 }
 
-// AppendHeartbeatResponse appends the answer to a heartbeat.
+// AppendHeartbeatResponse appends the response to a heartbeat, with commands for the worker.
 func AppendHeartbeatResponse(b []byte, fencingToken uint64, commands []model.Command) []byte {
 	b = msgp.AppendMapHeader(b, 2)
 	b = appendUint(b, workerFencingToken, fencingToken)
 	return appendCommandList(b, commands)
 }
 
-// AppendCommands appends the body of a request with direct commands.
+// AppendCommands appends the body of a request that sends commands directly to a worker. epoch is the epoch of the
+// worker for which the commands are meant.
 func AppendCommands(b []byte, fencingToken, epoch uint64, commands []model.Command) []byte {
 	b = msgp.AppendMapHeader(b, 3)
 	b = appendUint(b, workerFencingToken, fencingToken)
