--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -3,7 +3,7 @@
 //
 // An Append function appends the encoding of a message or record to a slice and returns the extended slice. The Decode
 // function of the same name decodes it. Decoders skip fields that they do not know, so that later versions can add
-// fields. The published protocols use names of their own; names.go maps them to the usual terms of the field. The
+// fields. The published protocols use unconventional names; names.go maps them to the terms that the code uses. The
 // errors of Decode functions are for display only: they describe what is malformed, and callers do not distinguish
 // between them.
 package wire
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -59,8 +59,8 @@
 	jobAllowSpot, jobImage, jobImageSize, jobEstimatedRunTime, jobCheckpointInterval, jobCheckpointTime,
 }
 
-// DecodeJobID decodes only the job ID of a submission. A submission of a known job is answered by its ID, before the
-// rest of it is validated.
+// DecodeJobID decodes only the job ID of a submission: if the job is known already, the submission is answered without
+// validating the rest of it.
 func DecodeJobID(b []byte) (string, error) {
 	id, err := decodeSingleField(b, jobID, readString)
 	if err == nil && !model.ValidJobID(id) {
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -1,8 +1,8 @@
 package wire
 
 // This file defines the names of fields and values in the published protocols and in stored records. The names cannot
-// change; the constants are called by the usual terms of the field. Apart from this file, published names occur only
-// in the tables of values: shapes, priorities, phases, exitCauses and JobState.String.
+// change, so each constant gives the conventional term for the name that it holds. Elsewhere published names occur
+// only in the tables of values: shapes, priorities, phases, exitCauses and JobState.String.
 
 // Fields of a submitted job.
 const (
@@ -120,7 +120,7 @@
 	stateFailed     = "failed"
 )
 
-// Fields of the records of jobs. The names in this and the following groups are in stored records.
+// Fields of the records of jobs. This group and the following ones are the fields of stored records.
 const (
 	recordSubmittedAt        = "at"
 	recordSpec               = "job"
--- a/internal/wire/standin.go
+++ b/internal/wire/standin.go
@@ -58,7 +58,7 @@
 // CommandMessage is a message with commands to a worker: the response to a heartbeat or a request with direct commands.
 type CommandMessage struct {
 	FencingToken uint64 // of the leader that sends the commands
-	Epoch        uint64 // epoch of the worker that direct commands are for; 0 in a response to a heartbeat
+	Epoch        uint64 // epoch of the worker that direct commands are meant for; 0 in a response to a heartbeat
 	Commands     []model.Command
 }
 
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -132,13 +132,13 @@
 	return rest, true, err
 }
 
-// DecodeRevision decodes the revision in the response to a transaction.
+// DecodeRevision decodes the revision in the response to a transaction. It is an error if there is none.
 func DecodeRevision(b []byte) (uint64, error) { return decodePositiveUint(b, stateRevision) }
 
 // DecodeLeaseID decodes the ID of a newly granted lease.
 func DecodeLeaseID(b []byte) (uint64, error) { return decodePositiveUint(b, stateLease) }
 
-// AppendLeaseRequest appends a request to grant a lease with the given time to live.
+// AppendLeaseRequest appends a request to grant a lease that expires after ttlMilliseconds unless it is renewed.
 func AppendLeaseRequest(b []byte, ttlMilliseconds uint64) []byte {
 	return appendUint(msgp.AppendMapHeader(b, 1), stateLeaseTTL, ttlMilliseconds)
 }
--- a/internal/wire/stored_size.go
+++ b/internal/wire/stored_size.go
@@ -10,13 +10,14 @@
 const (
 	// storedSizeMarginBytes allows for numbers that the state service encodes in more characters than msgp does.
 	storedSizeMarginBytes = 64
-	// escapeOverheadBytes is the number of bytes by which escaping lengthens each byte of a non-ASCII character.
+	// escapeOverheadBytes is how many bytes the \uXXXX escape of a non-ASCII character adds, at most, for each byte
+	// of the character in UTF-8.
 	escapeOverheadBytes = 2
 )
 
-// StoredSize returns an upper bound on the size in bytes that the state service counts for an encoded value. It counts
-// the JSON form of the value; the bound holds however it formats numbers and non-ASCII characters. The result is
-// math.MaxInt if value is malformed.
+// StoredSize returns an upper bound on the size in bytes of an encoded value as the state service measures it. That is
+// the length of the value in JSON, which depends on how numbers and non-ASCII characters are written; the bound holds
+// for any way. The result is math.MaxInt if the value is malformed.
 func StoredSize(value []byte) int {
 	var size byteCounter
 	if _, err := msgp.UnmarshalAsJSON(&size, value); err != nil {
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -46,8 +46,9 @@
 	return model.TaskID{Job: job, Index: index}, nil
 }
 
-// DecodeHeartbeat decodes a worker's heartbeat. It skips tasks whose names no controller assigns, because no command
-// could refer to them. The returned heartbeat is not nil even if there is an error.
+// DecodeHeartbeat decodes a worker's heartbeat. It skips task statuses without a phase, and those with a task name that
+// no controller assigns, because no command could refer to such a task. The returned heartbeat is not nil even if
+// there is an error.
 func DecodeHeartbeat(b []byte) (*model.Heartbeat, error) {
 	h := &model.Heartbeat{}
 	err := decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
