--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -29,9 +29,9 @@
 	HandleProgress(p *peerpb.Progress)
 }
 
-// Serve accepts connections from other controllers and answers their requests until the listener is closed. It then
-// waits for its connections to end. It returns nil if the context has ended, or else the error of the listener. The
-// caller closes the listener; the end of the context alone only closes the connections.
+// Serve accepts connections from other controllers and answers their requests. To stop it, the caller cancels the
+// context, which closes the connections, and then closes the listener. Serve then returns nil, after its connections
+// have ended. It retries after network errors of the listener and returns any other error.
 func Serve(ctx context.Context, l net.Listener, h Handler) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -101,7 +101,8 @@
 	return b, nil
 }
 
-// The read functions below decode the value of a field into dst. Their results are those of a fieldFunc.
+// The read functions below decode the value of a field into dst. They return the results of a fieldFunc, with
+// handled=true.
 
 func readString(b []byte, dst *string) ([]byte, bool, error) {
 	if msgp.NextType(b) != msgp.StrType {
--- a/internal/wire/relay.go
+++ b/internal/wire/relay.go
@@ -6,7 +6,7 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// batchOverheadBytes bounds the size of a stored batch without its payload.
+// batchOverheadBytes bounds how much larger a stored batch is than its payload.
 const batchOverheadBytes = 100
 
 // RelayBatch is a batch of workers' heartbeats that a member relays to the leader through the state service, or a batch
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -102,9 +102,9 @@
 }
 
 // decodeTaskStatus decodes the status of one task. valid reports whether the status has a phase and its task name, if
-// present, is accepted by ParseTaskName.
+// it has one, is accepted by ParseTaskName.
 func decodeTaskStatus(b []byte) (t model.TaskStatus, valid bool, rest []byte, err error) {
-	var badName bool
+	var invalidName bool
 	rest, err = eachField(b, func(name string, b []byte) ([]byte, bool, error) {
 		switch name {
 		case workerTask:
@@ -113,7 +113,7 @@
 			if err == nil {
 				var nameErr error
 				t.Task, nameErr = ParseTaskName(s)
-				badName = nameErr != nil
+				invalidName = nameErr != nil
 			}
 			return rest, handled, err
 		case workerAttempt:
@@ -127,7 +127,7 @@
 		}
 		return b, false, nil
 	})
-	return t, t.Phase != 0 && !badName, rest, err
+	return t, t.Phase != 0 && !invalidName, rest, err
 }
 
 // readExitCause reads the cause of an exit. An unknown cause, which a later version may send, becomes CauseError.
