--- a/internal/wire/stored_size.go
+++ b/internal/wire/stored_size.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// storedSizeMargin covers amounts whose form at the state service is longer
-	// than the one here.
-	storedSizeMargin = 64
-	// escapeBytes is what escaping a byte beyond ASCII adds to it.
-	escapeBytes = 2
+	// storedSizeMarginBytes allows for numbers that the state service encodes in more characters than msgp does.
+	storedSizeMarginBytes = 64
+	// escapeOverheadBytes is how many bytes the \uXXXX escape of a non-ASCII character adds, at most, for each byte
+	// of the character in UTF-8.
+	escapeOverheadBytes = 2
 )
 
-// StoredSize bounds the size at which the state service counts a value: that of its
-// JSON form, however it writes amounts and characters beyond ASCII.
+// StoredSize returns an upper bound on the size in bytes of an encoded value as the state service measures it. That is
+// the length of the value in JSON, which depends on how numbers and non-ASCII characters are written; the bound holds
+// for any way. The result is math.MaxInt if the value is malformed.
 func StoredSize(value []byte) int {
 	var size byteCounter
 	if _, err := msgp.UnmarshalAsJSON(&size, value); err != nil {
 		return math.MaxInt
 	}
-	return int(size) + storedSizeMargin
+	return int(size) + storedSizeMarginBytes
 }
 
-// byteCounter is a writer that counts bytes, as if those beyond ASCII were escaped.
+// byteCounter is an io.Writer that counts bytes as if all non-ASCII characters were escaped.
 type byteCounter int
 
 func (c *byteCounter) Write(p []byte) (int, error) {
 	for _, b := range p {
 		*c++
 		if b >= utf8.RuneSelf {
-			*c += escapeBytes
+			*c += escapeOverheadBytes
 		}
 	}
 	return len(p), nil
