--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -12,60 +12,62 @@
 )
 
 func TestLedgerReadDuringFoldReturnsEachEntryOnce(t *testing.T) {
-	records, settings := recordsOfHours(300, "red", "blue")
+	records, settings := newHourlyRecords(300, "red", "blue")
 	client := newTestClient(t, records, settings)
 	entries, err := client.Ledger(url.Values{})
 	if err != nil || totalUsage(entries).CPU != 6000 || len(entries) != 600 {
 		t.Fatalf("got %d entries, %+v, %v, want 600 entries with 6000 CPU-microseconds",
 			len(entries), totalUsage(entries), err)
 	}
-	// One fold of a day between any two reads, three of them while entries are read.
+	// Before each read the segments of one day of one team are compacted, up to three times in all.
 	now := noon.Add(300 * time.Hour)
-	folds := 0
+	compactions := 0
 	records.beforeRead = func() {
 		for team, segments := range records.segments {
-			folded, first, n := ledger.Fold(&settings, segments, now, 12)
-			if n == 0 || folds >= 3 {
+			compacted, first, count := ledger.Fold(&settings, segments, now, 12)
+			if count == 0 || compactions >= 3 {
 				continue
 			}
-			behind := segments[first+n:]
-			segments = append(segments[:first:first], ledger.StoredSegment{Segment: *folded})
-			records.segments[team] = append(segments, behind...)
-			folds++
+			following := segments[first+count:]
+			segments = append(segments[:first:first], ledger.StoredSegment{Segment: *compacted})
+			records.segments[team] = append(segments, following...)
+			compactions++
 			return
 		}
 	}
 	entries, err = client.Ledger(url.Values{})
 	usage := totalUsage(entries)
-	if err != nil || usage.CPU != 6000 || usage.Starts != 600 || folds != 3 {
-		t.Errorf("while segments are folded: got %+v, %v, %d folds, want 6000 CPU-microseconds, 600 starts, 3 folds",
-			usage, err, folds)
+	if err != nil || usage.CPU != 6000 || usage.Starts != 600 || compactions != 3 {
+		t.Errorf("during compaction: got %+v, %v, %d compactions, want 6000 CPU-microseconds, 600 starts, 3 compactions",
+			usage, err, compactions)
 	}
-	folds = -1000 // fold all that is old enough
+	compactions = -1000 // so that all segments that are old enough are compacted
 	for range 100 {
 		records.beforeRead()
 	}
 	records.beforeRead = nil
-	list, err := client.Verify()
-	if err != nil || len(list) != 2 || list[0].Problem != "" || list[1].Problem != "" ||
-		list[0].VerifiedThrough != 299 || list[0].Segments >= 120 {
-		t.Errorf("verification: got %+v, %v, want two teams without a problem, verified through 299, folded", list, err)
+	verifications, err := client.Verify()
+	if err != nil || len(verifications) != 2 || verifications[0].Problem != "" || verifications[1].Problem != "" ||
+		verifications[0].VerifiedThrough != 299 || verifications[0].Segments >= 120 {
+		t.Errorf("after compaction: got %+v, %v, want two teams without a problem, verified through 299, below 120 segments",
+			verifications, err)
 	}
-	records.reads = 0
+	records.readCount = 0
 	entries, err = client.Ledger(url.Values{"team": {"red"}, "from": {"2026-03-10"}})
 	usage = totalUsage(entries)
-	if err != nil || usage.CPU == 0 || usage.CPU >= 3000 || records.reads > 4 {
-		t.Errorf("entries from a day on: got %+v, %v, %d reads, want below 3000 CPU-microseconds in at most 4 reads",
-			usage, err, records.reads)
+	if err != nil || usage.CPU == 0 || usage.CPU >= 3000 || records.readCount > 4 {
+		t.Errorf("entries since 2026-03-10: got %+v, %v, %d reads, want fewer than 3000 CPU-microseconds in at most 4 reads",
+			usage, err, records.readCount)
 	}
 	records.segments["red"] = records.segments["red"][1:]
-	if list, err = client.Verify(); err != nil || list[1].Problem == "" || list[0].Problem != "" {
-		t.Errorf("with a segment missing: got %+v, %v, want a problem of the second team alone", list, err)
+	if verifications, err = client.Verify(); err != nil ||
+		verifications[1].Problem == "" || verifications[0].Problem != "" {
+		t.Errorf("with a segment missing: got %+v, %v, want a problem only for the second team", verifications, err)
 	}
 }
 
 func TestBadRequestsAreRejectedWithReason(t *testing.T) {
-	records, settings := recordsOfHours(3, "red", "blue")
+	records, settings := newHourlyRecords(3, "red", "blue")
 	client := newTestClient(t, records, settings)
 	for query, want := range map[string]string{
 		"from=yesterday": "neither like",
@@ -77,11 +79,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := client.get(LedgerPath, values, &Entries{}); err == nil || !strings.Contains(err.Error(), want) {
+		if err := client.get(LedgerPath, values, &EntryPage{}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got error %v, want %q", query, err, want)
 		}
 	}
-	err := client.get("/v1/none", nil, &Entries{})
+	err := client.get("/v1/none", nil, &EntryPage{})
 	if err == nil || !strings.Contains(err.Error(), "no such path") {
 		t.Errorf("unknown path: got error %v, want %q", err, "no such path")
 	}
@@ -90,7 +92,7 @@
 	}
 	status, err := client.MemberStatus()
 	if err != nil || status.State != "leading" || status.VotesSeconds["tiller-1"] != 2.5 {
-		t.Errorf("status: got %+v, %v, want leading with a vote of tiller-1 for 2.5 s", status, err)
+		t.Errorf("status: got %+v, %v, want state leading and a vote of tiller-1 that is valid for 2.5 s", status, err)
 	}
 	for id, want := range map[string]string{
 		"wk-000002": "is over: done",
@@ -98,12 +100,12 @@
 		"wk-1":      "not the id",
 	} {
 		if _, err := client.Explain(id); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("explanation of %s: got error %v, want %q", id, err, want)
+			t.Errorf("explanation of job %s: got error %v, want %q", id, err, want)
 		}
 	}
-	records.failingReads = 1 // the client retries
+	records.remainingFailures = 1 // the client retries after one failed read
 	if shares, err := client.FairShares(); err != nil || len(shares.Teams) != 2 || shares.Teams[0].Factor != 1 {
-		t.Errorf("after an outage: got %+v, %v, want two teams, the first with factor 1", shares, err)
+		t.Errorf("after a failed read: got %+v, %v, want two teams, the first with factor 1", shares, err)
 	}
 	client.Token = []byte("some other token")
 	if _, err := client.FairShares(); err == nil || !strings.Contains(err.Error(), "token") {
@@ -112,7 +114,7 @@
 }
 
 func TestLedgerPathWithoutLedgerIsNotFound(t *testing.T) {
-	records, _ := recordsOfHours(3, "red", "blue")
+	records, _ := newHourlyRecords(3, "red", "blue")
 	s := New(Settings{BearerToken: testToken, ReadsPerSecond: 1}, records, fakeController{}, discardLog)
 	var ctx fasthttp.RequestCtx
 	ctx.Request.SetRequestURI(FairSharesPath)
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -13,33 +13,38 @@
 	"github.com/glentiller/glentiller/internal/reconciler"
 )
 
-// Client sends requests to a controller's operators' interface. It must not be used
-// concurrently.
+// Client sends requests to the admin API of one controller. It is not safe for concurrent use.
 type Client struct {
-	Addr       string
-	Token      []byte
-	Dial       fasthttp.DialFunc // nil: the network's
+	Addr  string // address of the API (host:port)
+	Token []byte // bearer token
+
+	// Dial connects to Addr. If it is nil, the client connects over TCP.
+	Dial       fasthttp.DialFunc
 	httpClient fasthttp.Client
 }
 
 const (
-	maxAttempts   = 5
-	retryPause    = time.Second
-	clientTimeout = 3 * requestTimeout // of one attempt
+	// maxAttempts bounds the attempts of one request, and how often the ledger is read from its beginning.
+	maxAttempts = 5
+	retryDelay  = time.Second
+
+	// attemptTimeout bounds one attempt. It includes the requestTimeout of the server.
+	attemptTimeout = 3 * requestTimeout
 )
 
-// ResponseError is a response of a controller whose status is not 200.
+// ResponseError reports a response with a status other than 200.
 type ResponseError struct {
-	Status  int    // of HTTP
-	Message string // of the controller
+	Status  int    // HTTP status code
+	Message string // the controller's error message, or the status code if the response contains none
 }
 
-// Error returns the controller's message.
+// Error returns the controller's error message.
 func (e *ResponseError) Error() string { return e.Message }
 
-// get sends one request and decodes the response into body. While the controller asks
-// to retry, it does, up to maxAttempts times.
-func (c *Client) get(path string, query url.Values, body any) error {
+// get sends a GET request and decodes the response into result, which must be a pointer. It retries a request that the
+// controller answers with 503 Service Unavailable, up to maxAttempts attempts in all. For 409 Conflict it returns
+// errSegmentsCompacted.
+func (c *Client) get(path string, query url.Values, result any) error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -47,16 +52,16 @@
 	request.Header.Set("Authorization", "Bearer "+string(c.Token))
 	c.httpClient.Dial = c.Dial
 	for attempt := 1; ; attempt++ {
-		if err := c.httpClient.DoTimeout(request, response, clientTimeout); err != nil {
+		if err := c.httpClient.DoTimeout(request, response, attemptTimeout); err != nil {
 			return fmt.Errorf("%s: %w", c.Addr, err)
 		}
 		switch status := response.StatusCode(); {
 		case status == fasthttp.StatusOK:
-			return json.Unmarshal(response.Body(), body)
+			return json.Unmarshal(response.Body(), result)
 		case status == fasthttp.StatusServiceUnavailable && attempt < maxAttempts:
-			time.Sleep(retryPause)
+			time.Sleep(retryDelay)
 		case status == fasthttp.StatusConflict:
-			return errSegmentsFolded
+			return errSegmentsCompacted
 		default:
 			return responseError(response)
 		}
@@ -71,23 +76,24 @@
 	return &ResponseError{Status: response.StatusCode(), Message: body.Error}
 }
 
-// Ledger returns all entries that match a query. If segments are folded while it reads,
-// it starts over.
+// Ledger returns all ledger entries that match a query. If segments are compacted while it reads, it starts over, up to
+// maxAttempts times. It removes the cursor from the query.
 func (c *Client) Ledger(query url.Values) ([]Entry, error) {
 	for range maxAttempts {
-		entries, err := c.ledgerOnce(query)
-		if !errors.Is(err, errSegmentsFolded) {
+		entries, err := c.readEntries(query)
+		if !errors.Is(err, errSegmentsCompacted) {
 			return entries, err
 		}
 	}
-	return nil, errSegmentsFolded
+	return nil, errSegmentsCompacted
 }
 
-func (c *Client) ledgerOnce(query url.Values) ([]Entry, error) {
+// readEntries reads all pages of entries once. It returns errSegmentsCompacted if segments are compacted meanwhile.
+func (c *Client) readEntries(query url.Values) ([]Entry, error) {
 	var entries []Entry
 	query.Del(cursorParameter)
 	for {
-		var page Entries
+		var page EntryPage
 		if err := c.get(LedgerPath, query, &page); err != nil {
 			return nil, err
 		}
@@ -99,19 +105,20 @@
 	}
 }
 
-// Explain returns why the leader starts no tasks of a job.
+// Explain returns the reasons why the leader does not start the waiting tasks of a job.
 func (c *Client) Explain(id string) (*reconciler.Explanation, error) {
 	explanation := &reconciler.Explanation{}
 	return explanation, c.get(JobsPath+id+explainSuffix, nil, explanation)
 }
 
-// MemberStatus returns the controller's status.
+// MemberStatus returns the status of the controller.
 func (c *Client) MemberStatus() (*MemberStatus, error) {
 	status := &MemberStatus{}
 	return status, c.get(MemberPath, nil, status)
 }
 
-// Verify verifies the segments of all teams.
+// Verify has the controller verify the closed ledger segments of all teams, and returns one result per team. After an
+// error it also returns the results that it has received so far.
 func (c *Client) Verify() ([]Verification, error) {
 	var verifications []Verification
 	query := url.Values{}
@@ -130,12 +137,13 @@
 	}
 }
 
-// Intervals returns all intervals that no leader accounted for.
-func (c *Client) Intervals() ([]Interval, error) {
-	var intervals []Interval
+// Intervals returns all intervals for which no leader recorded usage. After an error it also returns the intervals that
+// it has received so far.
+func (c *Client) Intervals() ([]UnaccountedInterval, error) {
+	var intervals []UnaccountedInterval
 	query := url.Values{}
 	for {
-		var page Intervals
+		var page IntervalPage
 		if err := c.get(IntervalsPath, query, &page); err != nil {
 			return intervals, err
 		}
@@ -147,7 +155,7 @@
 	}
 }
 
-// FairShares returns the positions of all teams by fair share.
+// FairShares returns the fair-share standing of all teams.
 func (c *Client) FairShares() (*FairShares, error) {
 	shares := &FairShares{}
 	return shares, c.get(FairSharesPath, nil, shares)
--- a/internal/admin/explain.go
+++ b/internal/admin/explain.go
@@ -10,14 +10,15 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-var errJobNotAtLeader = errors.New("the leader has not heard of the job yet")
+var errJobUnknownToLeader = errors.New("the leader has not heard of the job yet")
 
-// explain returns why the leader starts no tasks of a job.
+// explain returns the reasons why the leader does not start the waiting tasks of a job. It returns errNotFound if the
+// job has ended or never existed, and errJobUnknownToLeader if the leader has not read the job's record yet.
 func (s *Server) explain(ctx context.Context, id string) (any, error) {
 	if !model.ValidJobID(id) {
 		return nil, fmt.Errorf("%w: %q is not the id of a job", errBadRequest, id)
 	}
-	if err := s.throttle(ctx); err != nil {
+	if err := s.waitForReadLimit(ctx); err != nil {
 		return nil, err
 	}
 	explanation, err := s.controller.Explain(ctx, id)
@@ -33,5 +34,5 @@
 	case state.Ended():
 		return nil, fmt.Errorf("%w: job %s is over: %s", errNotFound, id, state)
 	}
-	return nil, errJobNotAtLeader
+	return nil, errJobUnknownToLeader
 }
--- a/internal/admin/fakes_test.go
+++ b/internal/admin/fakes_test.go
@@ -24,19 +24,19 @@
 	errUnavailable = errors.New("out")
 )
 
-// fakeRecords keeps the ledger's records in memory.
+// fakeRecords implements Records in memory.
 type fakeRecords struct {
-	accounts     []ledger.StoredAccount
-	segments     map[string][]ledger.StoredSegment // by team
-	beforeRead   func()                            // if not nil, called before each read
-	failingReads int                               // reads that fail from now on
-	reads        int                               // so far
+	accounts          []ledger.StoredAccount
+	segments          map[string][]ledger.StoredSegment // closed segments by team, in order
+	beforeRead        func()                            // called before each read unless nil
+	remainingFailures int                               // number of the next reads that fail
+	readCount         int                               // number of reads, including failed ones
 }
 
 func (r *fakeRecords) read() error {
-	r.reads++
-	if r.failingReads > 0 {
-		r.failingReads--
+	r.readCount++
+	if r.remainingFailures > 0 {
+		r.remainingFailures--
 		return errUnavailable
 	}
 	if r.beforeRead != nil {
@@ -69,7 +69,7 @@
 	return []ledger.Interval{interval}, false, r.read()
 }
 
-// fakeController knows an unfinished job, wk-000001, and a done one, wk-000002.
+// fakeController implements Controller. Job wk-000001 is unfinished, wk-000002 is done, and no other job exists.
 type fakeController struct{}
 
 func (fakeController) Explain(_ context.Context, id string) ([]byte, error) {
@@ -94,9 +94,9 @@
 	return wire.StateUnknown, nil
 }
 
-// recordsOfHours returns the records of teams that used ten CPU-microseconds in each of
-// some hours.
-func recordsOfHours(hours int, teams ...string) (*fakeRecords, ledger.Settings) {
+// newHourlyRecords returns the ledger records of teams that have each used ten CPU-microseconds and started one task in
+// every hour of a number of hours, and the settings under which the records were made.
+func newHourlyRecords(hours int, teams ...string) (*fakeRecords, ledger.Settings) {
 	settings := ledger.Settings{
 		SettleInterval: time.Second,
 		HalfLife:       time.Hour,
@@ -127,7 +127,7 @@
 	return records, settings
 }
 
-// newTestClient returns a client of a server over records.
+// newTestClient starts a server that reads from records, and returns a client of it. The server ends with the test.
 func newTestClient(t *testing.T, records *fakeRecords, settings ledger.Settings) *Client {
 	t.Helper()
 	s := New(Settings{
@@ -139,7 +139,7 @@
 		ReadsPerSecond: 1e6,
 	}, records, fakeController{}, discardLog)
 	listener := fasthttputil.NewInmemoryListener()
-	go func() { _ = s.Serve(listener) }() // ends with the listener
+	go func() { _ = s.Serve(listener) }() // returns when the listener is closed
 	t.Cleanup(func() { _ = listener.Close() })
 	dial := func(string) (net.Conn, error) { return listener.Dial() }
 	return &Client{Addr: "controller", Token: testToken, Dial: dial}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -7,8 +7,8 @@
 )
 
 func TestAnswersToOperatorsKeepTheirJSON(t *testing.T) {
-	golden.CheckJSON[Entries](t, "ledger")
-	golden.CheckJSON[Intervals](t, "stretches")
+	golden.CheckJSON[EntryPage](t, "ledger")
+	golden.CheckJSON[IntervalPage](t, "stretches")
 	golden.CheckJSON[FairShares](t, "shares")
 	golden.CheckJSON[MemberStatus](t, "member")
 	golden.CheckJSON[Verification](t, "verify")
--- a/internal/admin/ledger.go
+++ b/internal/admin/ledger.go
@@ -10,16 +10,17 @@
 	"github.com/glentiller/glentiller/internal/ledger"
 )
 
-// maxVerifyAttempts is how often a team's segments are read before a problem is
-// reported: segments that are folded or closed meanwhile look like a gap.
+// maxVerifyAttempts is how often a team's segments are read before a problem is reported. A segment that is closed or
+// compacted during an attempt looks like a gap.
 const maxVerifyAttempts = 3
 
-// throttle waits until the interface may read from the state service once more.
-func (s *Server) throttle(ctx context.Context) error { return s.limiter.Wait(ctx) }
+// waitForReadLimit waits until the rate limit allows another read from the state service, or ctx ends.
+func (s *Server) waitForReadLimit(ctx context.Context) error { return s.limiter.Wait(ctx) }
 
-// accounts returns the accounts of all teams, sorted by team.
+// accounts returns the accounts of all teams, sorted by team. If a record cannot be decoded, it returns an error
+// together with all accounts.
 func (s *Server) accounts(ctx context.Context) ([]ledger.StoredAccount, error) {
-	if err := s.throttle(ctx); err != nil {
+	if err := s.waitForReadLimit(ctx); err != nil {
 		return nil, err
 	}
 	accounts, err := s.records.Accounts(ctx)
@@ -34,8 +35,9 @@
 	return accounts, err
 }
 
-// teamAfter returns the first team after another one; "": there is none.
-func teamAfter(accounts []ledger.StoredAccount, team string) string {
+// nextTeam returns the team that follows another one in accounts, which must be sorted by team. It returns "" if no
+// team follows.
+func nextTeam(accounts []ledger.StoredAccount, team string) string {
 	for _, account := range accounts {
 		if account.Open.Team > team {
 			return account.Open.Team
@@ -44,15 +46,17 @@
 	return ""
 }
 
+// segments reads up to segmentPageSize closed segments of a team that follow the segment whose First is after. The
+// boolean result reports whether more segments follow.
 func (s *Server) segments(ctx context.Context, team string, after uint64) ([]ledger.StoredSegment, bool, error) {
-	if err := s.throttle(ctx); err != nil {
+	if err := s.waitForReadLimit(ctx); err != nil {
 		return nil, false, err
 	}
-	return s.records.Segments(ctx, team, after, segmentsPerRead)
+	return s.records.Segments(ctx, team, after, segmentPageSize)
 }
 
-// verifyNextTeam verifies the segments of one team, "" for the first, and names the
-// next one.
+// verifyNextTeam verifies the segments of one team, or of the first team if team is "". The cursor in the result is the
+// next team.
 func (s *Server) verifyNextTeam(ctx context.Context, team string) (*Verification, error) {
 	accounts, err := s.accounts(ctx)
 	if err != nil {
@@ -61,7 +65,7 @@
 	if team == "" && len(accounts) > 0 {
 		team = accounts[0].Open.Team
 	}
-	verification := &Verification{Team: team, NextCursor: teamAfter(accounts, team)}
+	verification := &Verification{Team: team, NextCursor: nextTeam(accounts, team)}
 	for range maxVerifyAttempts {
 		verification.Problem, err = s.verifyTeam(ctx, verification)
 		if err != nil || verification.Problem == "" {
@@ -71,15 +75,15 @@
 	return verification, err
 }
 
-// verifyTeam reads a team's segments and account once and returns the problem that it
-// finds, or "".
+// verifyTeam reads a team's segments and account once. It returns the problem that it finds, or "" if there is none,
+// and sets the number of verified segments in verification. err reports that the records could not be read.
 func (s *Server) verifyTeam(ctx context.Context, verification *Verification) (problem string, err error) {
 	verification.Segments, verification.VerifiedThrough = 0, 0
-	var link string
-	var first uint64
+	var link string  // hash link of the last verified segment
+	var after uint64 // First of the last verified segment
 	for more := true; more; {
 		var segments []ledger.StoredSegment
-		if segments, more, err = s.segments(ctx, verification.Team, first); err != nil {
+		if segments, more, err = s.segments(ctx, verification.Team, after); err != nil {
 			return "", err
 		}
 		for _, segment := range segments {
@@ -88,7 +92,7 @@
 			if err != nil {
 				return err.Error(), nil
 			}
-			first = segment.First
+			after = segment.First
 			verification.Segments++
 		}
 	}
@@ -111,9 +115,9 @@
 	return "", nil
 }
 
-// intervals answers one page of the intervals that no leader accounted for. Its cursor
-// is the fencing token of the last one.
-func (s *Server) intervals(ctx context.Context, cursorText string) (*Intervals, error) {
+// intervals returns one page of the intervals for which no leader recorded usage. A cursor is the fencing token of the
+// last interval of the previous page.
+func (s *Server) intervals(ctx context.Context, cursorText string) (*IntervalPage, error) {
 	var after uint64
 	if cursorText != "" {
 		var err error
@@ -121,16 +125,16 @@
 			return nil, errMalformedCursor
 		}
 	}
-	if err := s.throttle(ctx); err != nil {
+	if err := s.waitForReadLimit(ctx); err != nil {
 		return nil, err
 	}
-	intervals, more, err := s.records.Intervals(ctx, after, intervalsPerRead)
+	intervals, more, err := s.records.Intervals(ctx, after, intervalPageSize)
 	if err != nil {
 		return nil, err
 	}
-	page := &Intervals{Intervals: []Interval{}}
+	page := &IntervalPage{Intervals: []UnaccountedInterval{}}
 	for _, interval := range intervals {
-		page.Intervals = append(page.Intervals, Interval(interval))
+		page.Intervals = append(page.Intervals, UnaccountedInterval(interval))
 		after = interval.FencingToken
 	}
 	if more {
@@ -139,7 +143,7 @@
 	return page, nil
 }
 
-// fairShares answers the positions of all teams by fair share.
+// fairShares returns the fair-share standing of all teams.
 func (s *Server) fairShares(ctx context.Context) (*FairShares, error) {
 	accounts, err := s.accounts(ctx)
 	if err != nil {
--- a/internal/admin/ledger_api.go
+++ b/internal/admin/ledger_api.go
@@ -6,18 +6,18 @@
 	"github.com/glentiller/glentiller/internal/ledger"
 )
 
-// Amounts are what was used and waited for.
+// Amounts is the JSON form of ledger.Usage.
 type Amounts struct {
 	CPU       uint64            `json:"cpu_us"`      // CPU-microseconds
 	GPU       uint64            `json:"gpu_us"`      // GPU-microseconds
 	Mem       uint64            `json:"gb_us"`       // GB-microseconds
-	Lost      uint64            `json:"lost_cpu_us"` // of CPU: by attempts that neither completed nor saved
-	Starts    uint64            `json:"starts"`
-	TakenOver uint64            `json:"taken_over"` // attempts that a new leader found running
-	Wait      map[string]uint64 `json:"wait_ms"`    // task-milliseconds by cause
+	Lost      uint64            `json:"lost_cpu_us"` // part of CPU: attempts that neither completed nor saved a checkpoint
+	Starts    uint64            `json:"starts"`      // attempts that began to run
+	TakenOver uint64            `json:"taken_over"`  // attempts that a new leader found running after a failover
+	Wait      map[string]uint64 `json:"wait_ms"`     // waiting time in task-milliseconds by cause, without zeros
 }
 
-// AmountsOf converts usage to amounts.
+// AmountsOf converts usage to its JSON form.
 func AmountsOf(usage ledger.Usage) Amounts {
 	amounts := Amounts{
 		CPU:       usage.CPU,
@@ -28,15 +28,15 @@
 		TakenOver: usage.TakenOver,
 		Wait:      map[string]uint64{},
 	}
-	for cause, millis := range usage.Wait {
-		if millis > 0 {
-			amounts.Wait[ledger.WaitCause(cause).String()] = millis
+	for cause, milliseconds := range usage.Wait {
+		if milliseconds > 0 {
+			amounts.Wait[ledger.WaitCause(cause).String()] = milliseconds
 		}
 	}
 	return amounts
 }
 
-// Usage converts amounts to usage. Causes that this version does not know are left out.
+// Usage converts amounts to ledger.Usage. It omits causes of waiting that this version does not know.
 func (a Amounts) Usage() ledger.Usage {
 	usage := ledger.Usage{
 		CPU:       a.CPU,
@@ -52,59 +52,60 @@
 	return usage
 }
 
-// Entry is what a team used for one class of jobs in an hour, day or month.
+// Entry is a team's usage by one job class in an hour, a day or a month.
 type Entry struct {
 	Team  string    `json:"team"`
 	Class string    `json:"class"`
-	Start time.Time `json:"from"` // of the hour, day or month
+	Start time.Time `json:"from"` // start of the hour, day or month, in UTC
 	Unit  string    `json:"unit"` // "hour", "day" or "month"
 	Amounts
 }
 
-// Entries is one page of the ledger's entries.
-type Entries struct {
+// EntryPage is one page of ledger entries.
+type EntryPage struct {
 	Entries    []Entry `json:"rows"`
-	NextCursor string  `json:"next,omitempty"` // of the next page; "": this is the last one
+	NextCursor string  `json:"next,omitempty"` // cursor of the next page; "" on the last page
 }
 
-// Interval is a time that no leader accounted for.
-type Interval struct {
+// UnaccountedInterval is an interval for which no leader recorded usage: from the last settlement of one leader to the
+// takeover of the next leader that keeps a ledger.
+type UnaccountedInterval struct {
 	Start            time.Time `json:"from"`
 	End              time.Time `json:"to"`
-	FencingToken     uint64    `json:"token"` // of the leader that took over behind it
-	UnsettledLeaders uint64    `json:"leaders_without_ledger"`
+	FencingToken     uint64    `json:"token"`                  // of the leader that took over at End
+	UnsettledLeaders uint64    `json:"leaders_without_ledger"` // leaders in between that settled no account
 }
 
-// Intervals is one page of intervals.
-type Intervals struct {
-	Intervals  []Interval `json:"stretches"`
-	NextCursor string     `json:"next,omitempty"` // of the next page; "": this is the last one
+// IntervalPage is one page of unaccounted intervals.
+type IntervalPage struct {
+	Intervals  []UnaccountedInterval `json:"stretches"`
+	NextCursor string                `json:"next,omitempty"` // cursor of the next page; "" on the last page
 }
 
-// FairShare is a team's position by fair share.
+// FairShare is a team's fair-share standing.
 type FairShare struct {
-	Rank          int       `json:"place"` // from 1
+	Rank          int       `json:"place"` // by Factor, from 1; teams with equal factors share a rank
 	Team          string    `json:"team"`
-	Weight        float64   `json:"weight"`         // fraction of all weights
+	Weight        float64   `json:"weight"`         // fraction of the weights of all teams
 	DecayedUsage  uint64    `json:"decayed_cpu_us"` // weighted CPU-microseconds
-	UsageFraction float64   `json:"part"`           // of all decayed usage
-	Factor        float64   `json:"factor"`
-	Band          int       `json:"band"` // teams of a lower one go first beyond their guarantees
-	SettledAt     time.Time `json:"settled_at"`
+	UsageFraction float64   `json:"part"`           // fraction of the decayed usage of all teams; 0 if that is very low
+	Factor        float64   `json:"factor"`         // 2^-(UsageFraction/Weight): 1 without usage, 1/2 at the fair share
+	Band          int       `json:"band"`           // teams in a lower band go first with work beyond their guarantees
+	SettledAt     time.Time `json:"settled_at"`     // time of the account's last settlement
 }
 
-// FairShares are the positions of all teams.
+// FairShares is the fair-share standing of all teams.
 type FairShares struct {
-	Enabled  bool        `json:"orders"` // fair share decides on what goes beyond guarantees
-	HalfLife float64     `json:"half_life_s"`
-	Teams    []FairShare `json:"teams"`
+	Enabled  bool        `json:"orders"`      // whether fair share orders the work beyond guarantees
+	HalfLife float64     `json:"half_life_s"` // half-life of usage in seconds
+	Teams    []FairShare `json:"teams"`       // sorted by rank
 }
 
-// Verification is the result of checking one team's segments.
+// Verification is the result of verifying one team's closed segments.
 type Verification struct {
 	Team            string `json:"team"`
-	Segments        int    `json:"pages"`
-	VerifiedThrough uint64 `json:"through"` // the last number that is verified
-	Problem         string `json:"problem,omitempty"`
-	NextCursor      string `json:"next,omitempty"` // of the next team; "": this is the last one
+	Segments        int    `json:"pages"`             // number of segments that were verified
+	VerifiedThrough uint64 `json:"through"`           // number of the last hourly segment that was verified
+	Problem         string `json:"problem,omitempty"` // "" if no segment is missing or changed
+	NextCursor      string `json:"next,omitempty"`    // cursor of the next team; "" for the last team
 }
--- a/internal/admin/ledger_entries.go
+++ b/internal/admin/ledger_entries.go
@@ -13,10 +13,10 @@
 	"github.com/glentiller/glentiller/internal/ledger"
 )
 
-// cursor is where the next page of entries begins.
+// cursor is the position in the ledger at which the next page of entries begins.
 type cursor struct {
 	team        string
-	first, last uint64 // numbers of the segment before; 0: the team's first one is next
+	first, last uint64 // First and Last of the team's previous segment; 0 before its first segment
 }
 
 // cursorFields is the number of fields of an encoded cursor.
@@ -38,15 +38,15 @@
 	return cursor{team: fields[2], first: first, last: last}, nil
 }
 
-// entriesQuery is a request for entries.
+// entriesQuery is a parsed request for entries.
 type entriesQuery struct {
-	team     string // "": all
-	class    string // "": all
+	team     string // "" selects all teams
+	class    string // "" selects all job classes
 	from, to time.Time
-	cursor   cursor // its team is "" if the request names neither a team nor a cursor
+	cursor   cursor // its team is "" if the request contains neither a team nor a cursor
 }
 
-// endOfTime is later than any entry.
+// endOfTime is later than the start of any entry.
 var endOfTime = time.Unix(1<<40, 0)
 
 func parseEntriesQuery(args *fasthttp.Args) (query entriesQuery, err error) {
@@ -72,8 +72,8 @@
 	return query, nil
 }
 
-// appendEntries appends the entries of the cursor's team for one segment, as far as the
-// query requests them.
+// appendEntries appends the entries of one segment of the cursor's team that match the query. A segment matches if it
+// starts before query.to and not before the unit (hour, day or month) that contains query.from.
 func (q *entriesQuery) appendEntries(
 	entries []Entry, unit ledger.Unit, start time.Time, usage []ledger.ClassUsage,
 ) []Entry {
@@ -95,15 +95,15 @@
 	return entries
 }
 
-// ledgerEntries answers one page of entries. Closed segments are read before the
-// account with the open one: a segment that is closed in between is read with the next
-// page, and so none is missed or read twice.
-func (s *Server) ledgerEntries(ctx context.Context, args *fasthttp.Args) (*Entries, error) {
+// ledgerEntries returns one page of entries. It reads the closed segments before the account, which contains the open
+// segment. A segment that is closed in between is returned with the next page, so that no segment is missed or read
+// twice.
+func (s *Server) ledgerEntries(ctx context.Context, args *fasthttp.Args) (*EntryPage, error) {
 	query, err := parseEntriesQuery(args)
 	if err != nil {
 		return nil, err
 	}
-	page := &Entries{Entries: []Entry{}}
+	page := &EntryPage{Entries: []Entry{}}
 	if query.cursor.team == "" {
 		accounts, err := s.accounts(ctx)
 		if err != nil || len(accounts) == 0 {
@@ -117,7 +117,7 @@
 	}
 	for _, segment := range segments {
 		if segment.First != query.cursor.last+1 {
-			return nil, errSegmentsFolded
+			return nil, errSegmentsCompacted
 		}
 		page.Entries = query.appendEntries(page.Entries, segment.Unit, segment.Start, segment.Usage)
 		query.cursor.first, query.cursor.last = segment.First, segment.Last
@@ -129,9 +129,9 @@
 	return s.appendOpenSegment(ctx, &query, page)
 }
 
-// appendOpenSegment completes a page with the team's open segment, and sets the cursor
-// to the next team.
-func (s *Server) appendOpenSegment(ctx context.Context, query *entriesQuery, page *Entries) (*Entries, error) {
+// appendOpenSegment appends the entries of the team's open segment to the page, and sets its cursor to the next team.
+// If a segment was closed after the closed segments were read, the cursor stays with the team instead.
+func (s *Server) appendOpenSegment(ctx context.Context, query *entriesQuery, page *EntryPage) (*EntryPage, error) {
 	accounts, err := s.accounts(ctx)
 	if err != nil {
 		return nil, err
@@ -142,31 +142,32 @@
 	case i < 0 && s.settings.Weights[team] == 0:
 		return nil, fmt.Errorf("%w: no team %q", errNotFound, team)
 	case i >= 0 && accounts[i].Open.Number > query.cursor.last+1:
-		page.NextCursor = query.cursor.String() // a segment was closed meanwhile
+		page.NextCursor = query.cursor.String() // a segment was closed in between
 		return page, nil
 	case i >= 0 && accounts[i].Open.Number <= query.cursor.last:
-		return nil, errSegmentsFolded // an older response of the state service
+		return nil, errSegmentsCompacted // the account was read from an older state than the closed segments
 	case i >= 0:
 		open := &accounts[i].Open
 		page.Entries = query.appendEntries(page.Entries, ledger.Hour, open.Start, open.Usage)
 	}
-	if next := teamAfter(accounts, team); next != "" && query.team == "" {
+	if next := nextTeam(accounts, team); next != "" && query.team == "" {
 		page.NextCursor = cursor{team: next}.String()
 	}
 	return page, nil
 }
 
-// timeArgument parses a parameter with ParseTime; without it, it returns absent.
-func timeArgument(args *fasthttp.Args, name string, absent time.Time) (time.Time, error) {
+// timeArgument parses the query parameter name with ParseTime. It returns defaultTime if the parameter is empty or
+// missing.
+func timeArgument(args *fasthttp.Args, name string, defaultTime time.Time) (time.Time, error) {
 	text := string(args.Peek(name))
 	if text == "" {
-		return absent, nil
+		return defaultTime, nil
 	}
 	return ParseTime(name, text)
 }
 
-// ParseTime parses a time as RFC 3339, or a day in UTC. name is the parameter's, for
-// the error.
+// ParseTime parses a time in RFC 3339 format, or a date, which stands for its beginning in UTC. name is the name of the
+// parameter, for the error message.
 func ParseTime(name, text string) (time.Time, error) {
 	for _, layout := range []string{time.RFC3339, time.DateOnly} {
 		if t, err := time.Parse(layout, text); err == nil {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,10 +1,9 @@
-// Package admin serves the operators' interface of a controller: JSON over HTTP on a
-// listener of its own, off by default, with a bearer token. docs/operators.md lists the
-// paths.
+// Package admin implements the admin API of a controller and its client. The API serves JSON over HTTP on a listener of
+// its own and requires a bearer token. It is off by default. docs/operators.md lists the paths.
 //
-// New takes what the interface reads (Records, Controller); Serve answers requests
-// until its listener is closed. Any controller answers, from the records of the state
-// service. Client is the other end, for the command line.
+// New creates a Server, which reads from the state service (Records) and from its own controller (Controller). Serve
+// answers requests until its listener is closed. Any controller can answer, leader or not. The command line uses
+// Client.
 package admin
 
 import (
@@ -26,18 +25,18 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Paths of the interface.
+// The paths of the API.
 const (
 	LedgerPath     = "/v1/ledger"
 	VerifyPath     = "/v1/ledger/verify"
 	IntervalsPath  = "/v1/ledger/stretches"
 	FairSharesPath = "/v1/shares"
 	MemberPath     = "/v1/member"
-	JobsPath       = "/v1/jobs/" // followed by an id and explainSuffix
+	JobsPath       = "/v1/jobs/" // followed by a job ID and explainSuffix
 	explainSuffix  = "/explain"
 )
 
-// Parameters of requests.
+// The query parameters of requests.
 const (
 	cursorParameter = "cursor"
 	teamParameter   = "team"
@@ -46,7 +45,7 @@
 	toParameter     = "to"
 )
 
-// ledgerParameters are the parameters of each path that reads the ledger.
+// ledgerParameters lists the permitted query parameters of each path that reads the ledger.
 var ledgerParameters = map[string][]string{
 	LedgerPath:     {teamParameter, classParameter, fromParameter, toParameter, cursorParameter},
 	VerifyPath:     {cursorParameter},
@@ -54,42 +53,43 @@
 	FairSharesPath: nil,
 }
 
-// Records are the ledger's records in the state service.
+// Records reads the ledger's records from the state service.
 type Records interface {
-	// Accounts returns the accounts of all teams.
+	// Accounts returns the accounts of all teams, in any order. An account whose record cannot be decoded has its Err
+	// set.
 	Accounts(ctx context.Context) ([]ledger.StoredAccount, error)
-	// Segments returns up to limit closed segments of a team behind the one that
-	// begins with number after, in order; more reports that others follow.
+	// Segments returns up to limit closed segments of a team whose First is greater than after, in ascending order. more
+	// reports whether further segments follow.
 	Segments(ctx context.Context, team string, after uint64, limit int) (
 		segments []ledger.StoredSegment, more bool, err error)
-	// Intervals returns up to limit intervals that no leader accounted for, behind the
-	// one with fencing token after, in order; more reports that others follow.
+	// Intervals returns up to limit unaccounted intervals whose FencingToken is greater than after, in ascending order.
+	// more reports whether further intervals follow.
 	Intervals(ctx context.Context, after uint64, limit int) (intervals []ledger.Interval, more bool, err error)
 }
 
-// Controller is the controller behind the interface.
+// Controller answers the requests that do not concern the ledger.
 type Controller interface {
-	// Explain returns as JSON why the leader starts no tasks of a job; empty: the job
-	// is not unfinished.
+	// Explain returns a reconciler.Explanation as JSON: the reasons why the leader does not start the waiting tasks of a
+	// job. The result is empty if the job is not among the leader's unfinished jobs.
 	Explain(ctx context.Context, id string) ([]byte, error)
 	// MemberStatus returns the status of this controller.
 	MemberStatus(ctx context.Context) (*MemberStatus, error)
-	// JobState returns a job's state.
+	// JobState returns the recorded state of a job, which is wire.StateUnknown if there is no such job.
 	JobState(ctx context.Context, id string) (wire.JobState, error)
 }
 
-// Settings configure a Server.
+// Settings configures a Server.
 type Settings struct {
-	BearerToken      []byte
-	LedgerEnabled    bool
-	FairShareEnabled bool
-	HalfLife         time.Duration      // of usage in fair share
-	Weights          map[string]float64 // in fair share, by team
-	Seal             *ledger.Seal
-	ReadsPerSecond   float64 // upper bound of requests to the state service
+	BearerToken      []byte             // token that requests must carry; if it is empty, all requests are rejected
+	LedgerEnabled    bool               // if it is false, the paths of the ledger are not found
+	FairShareEnabled bool               // fair share orders the work beyond guarantees
+	HalfLife         time.Duration      // half-life of usage in fair share
+	Weights          map[string]float64 // fair-share weights by team
+	Seal             *ledger.Seal       // verifies the hashes of segments
+	ReadsPerSecond   float64            // rate limit for reads from the state service
 }
 
-// Server answers operators' requests.
+// Server handles the requests of operators. It is safe for concurrent use.
 type Server struct {
 	settings   Settings
 	records    Records
@@ -102,16 +102,16 @@
 const (
 	maxConns         = 16
 	maxBodyBytes     = 4096
-	readBufferBytes  = 4096
+	readBufferBytes  = 4096 // also bounds the size of a request's header
 	idleTimeout      = time.Minute
-	transferTimeout  = 10 * time.Second // to read a request, or to write a response
-	requestTimeout   = 5 * time.Second
-	readBurst        = 4  // reads of the state service at once
-	segmentsPerRead  = 60 // in one response
-	intervalsPerRead = 4 * segmentsPerRead
+	readWriteTimeout = 10 * time.Second // bounds reading a request, and writing a response
+	requestTimeout   = 5 * time.Second  // bounds all reads for one request
+	readBurst        = 4                // reads from the state service that may follow each other without a delay
+	segmentPageSize  = 60               // closed segments in one response
+	intervalPageSize = 4 * segmentPageSize
 )
 
-// New returns a server.
+// New returns a server that reads from records and controller.
 func New(settings Settings, records Records, controller Controller, log *slog.Logger) *Server {
 	s := &Server{
 		settings:   settings,
@@ -128,8 +128,8 @@
 		ReadBufferSize:        readBufferBytes,
 		Concurrency:           maxConns,
 		IdleTimeout:           idleTimeout,
-		ReadTimeout:           transferTimeout,
-		WriteTimeout:          transferTimeout,
+		ReadTimeout:           readWriteTimeout,
+		WriteTimeout:          readWriteTimeout,
 		ReduceMemoryUsage:     true,
 		CloseOnShutdown:       true,
 		Logger:                discardLogger{},
@@ -137,33 +137,33 @@
 	return s
 }
 
-// discardLogger drops the HTTP library's own log.
+// discardLogger discards the log messages of the HTTP library.
 type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
 func (discardLogger) Printf(string, ...any) {}
 
-// Serve answers requests until the listener is closed.
+// Serve answers requests until the listener is closed or Shutdown is called.
 func (s *Server) Serve(listener net.Listener) error { return s.httpServer.Serve(listener) }
 
-// Shutdown stops serving.
+// Shutdown closes the listener and waits for the requests in progress.
 func (s *Server) Shutdown() error { return s.httpServer.Shutdown() }
 
-// Errors that have a status code of their own.
+// Errors that replyError maps to a status code of their own.
 var (
-	errBadRequest     = errors.New("malformed request")
-	errNotFound       = errors.New("not found")
-	errSegmentsFolded = errors.New("pages were folded meanwhile: begin again without a cursor")
+	errBadRequest        = errors.New("malformed request")
+	errNotFound          = errors.New("not found")
+	errSegmentsCompacted = errors.New("pages were folded meanwhile: begin again without a cursor")
 
 	errMalformedCursor = fmt.Errorf("%w: not a cursor", errBadRequest)
 )
 
-// ErrorResponse is the body of every response whose status is not 200.
+// ErrorResponse is the body of every response with a status other than 200.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-// Handle answers one request.
+// Handle authorizes and answers one request.
 func (s *Server) Handle(reqCtx *fasthttp.RequestCtx) {
 	if !s.authorized(reqCtx) {
 		reqCtx.Response.Header.Set("WWW-Authenticate", "Bearer")
@@ -186,7 +186,8 @@
 	s.reply(reqCtx, fasthttp.StatusOK, body)
 }
 
-// authorized reports whether the request carries the token.
+// authorized reports whether the request carries the bearer token. It compares in constant time, so that response times
+// do not reveal the token.
 func (s *Server) authorized(reqCtx *fasthttp.RequestCtx) bool {
 	header := string(reqCtx.Request.Header.Peek("Authorization"))
 	token, ok := strings.CutPrefix(header, "Bearer ")
@@ -196,7 +197,7 @@
 
 func (s *Server) reply(reqCtx *fasthttp.RequestCtx, status int, body any) {
 	encoded, err := json.Marshal(body)
-	if err != nil { // a value that JSON cannot hold, such as an infinite number
+	if err != nil { // a value that JSON cannot represent, such as an infinite number
 		status, encoded = fasthttp.StatusInternalServerError, []byte(`{"error":"internal error"}`)
 	}
 	reqCtx.SetStatusCode(status)
@@ -210,17 +211,17 @@
 		s.reply(reqCtx, fasthttp.StatusBadRequest, ErrorResponse{err.Error()})
 	case errors.Is(err, errNotFound):
 		s.reply(reqCtx, fasthttp.StatusNotFound, ErrorResponse{err.Error()})
-	case errors.Is(err, errSegmentsFolded):
+	case errors.Is(err, errSegmentsCompacted):
 		s.reply(reqCtx, fasthttp.StatusConflict, ErrorResponse{err.Error()})
 	default:
-		s.log.Info("admin request not answered", "path", path, "err", err)
+		s.log.Info("admin API request failed", "path", path, "err", err)
 		reqCtx.Response.Header.Set("Retry-After", "1")
 		message := "the records cannot be read now: " + err.Error()
 		s.reply(reqCtx, fasthttp.StatusServiceUnavailable, ErrorResponse{message})
 	}
 }
 
-// answer returns the body of the response to a request.
+// answer returns the response to a request as a value to be encoded as JSON.
 func (s *Server) answer(ctx context.Context, path string, args *fasthttp.Args) (any, error) {
 	if id, ok := strings.CutPrefix(path, JobsPath); ok && strings.HasSuffix(id, explainSuffix) {
 		return s.explain(ctx, strings.TrimSuffix(id, explainSuffix))
--- a/internal/admin/status_api.go
+++ b/internal/admin/status_api.go
@@ -5,73 +5,75 @@
 	"github.com/glentiller/glentiller/internal/route"
 )
 
-// MemberStatus is the status of the controller that is asked. Durations are in seconds.
+// MemberStatus is the status of the controller that answers the request. Durations are in seconds.
 type MemberStatus struct {
-	Member       string `json:"member"`
-	State        string `json:"state"` // in the election
-	Leader       string `json:"leader,omitempty"`
-	FencingToken uint64 `json:"token"`
+	Member       string `json:"member"`           // name of the controller
+	State        string `json:"state"`            // state in the leader election
+	Leader       string `json:"leader,omitempty"` // name of the last known leader; "" if none is known
+	FencingToken uint64 `json:"token"`            // of this controller's leadership; may be outdated if it does not lead
 
-	// StateLeaseSeconds is what is left of the lease at the state service.
+	// StateLeaseSeconds is the remaining time of this controller's leadership as proved by its lease at the state
+	// service. It is zero if the controller does not lead, and negative if the lease has expired.
 	StateLeaseSeconds float64 `json:"lease_s"`
-	// LeadershipSeconds is what is left of the leadership lease, by the state service or
-	// by votes.
+	// LeadershipSeconds is the remaining time of this controller's leadership as proved by its lease or by votes. It is
+	// zero if the controller does not lead, and negative if the leadership has expired.
 	LeadershipSeconds float64 `json:"right_s"`
-	// VoteSeconds is how long a vote holds; 0: votes are turned off.
+	// VoteSeconds is for how long a vote is valid. It is zero if votes are turned off.
 	VoteSeconds float64 `json:"promise_s"`
-	// VotesSeconds is what is left of the votes for this leader, by member.
+	// VotesSeconds is the remaining validity of each vote for this leader, by the member that cast it.
 	VotesSeconds map[string]float64 `json:"promises_s"`
-	// ClaimBlockedSeconds is how long this member must not claim the leadership because of
-	// a vote that it has given.
+	// ClaimBlockedSeconds is for how long this controller must not claim the leadership, because it has voted for
+	// another one or may have done so before its restart.
 	ClaimBlockedSeconds float64 `json:"bound_s"`
-	// StateUnansweredSeconds is for how long the state service has not answered.
+	// StateUnansweredSeconds is for how long requests to the state service have failed. It is zero if the last request
+	// succeeded.
 	StateUnansweredSeconds float64 `json:"state_unanswered_s"`
 
 	Connections Connections   `json:"sockets"`
 	Load        Load          `json:"load"`
-	Requests    *route.Status `json:"requests,omitempty"` // nil: requests are not forwarded
-	Rollout     *Rollout      `json:"rollout,omitempty"`  // nil: feature levels are not managed
+	Requests    *route.Status `json:"requests,omitempty"` // nil if requests are not forwarded to other controllers
+	Rollout     *Rollout      `json:"rollout,omitempty"`  // nil if feature levels are not managed
 }
 
 // Rollout is the status of the feature levels.
 type Rollout struct {
-	Level     uint32               `json:"level"` // in force
-	Supported uint32               `json:"knows"` // the highest that the controller that is asked supports
-	State     string               `json:"state"` // featuregate.State
-	Reason    string               `json:"why"`
-	Paused    bool                 `json:"held"` // the settings keep the level from being raised
-	Features  []Feature            `json:"features"`
-	Members   []featuregate.Member `json:"members"` // that have announced themselves lately
+	Level     uint32               `json:"level"`    // level in force
+	Supported uint32               `json:"knows"`    // highest level that this controller supports
+	State     string               `json:"state"`    // name of a featuregate.State
+	Reason    string               `json:"why"`      // human-readable reason for State
+	Paused    bool                 `json:"held"`     // the settings keep the level from being raised
+	Features  []Feature            `json:"features"` // all features that this controller supports
+	Members   []featuregate.Member `json:"members"`  // members with an unexpired announcement
 }
 
-// Feature is a feature that comes with a level.
+// Feature is a feature that is enabled by a feature level.
 type Feature struct {
 	Name    string `json:"feature"`
-	Level   uint32 `json:"level"`
+	Level   uint32 `json:"level"` // lowest level that enables the feature
 	InForce bool   `json:"in_force"`
 }
 
-// Connections is the status of a controller's sockets.
+// Connections describes how many connections (sockets) a controller has open, and their quotas.
 type Connections struct {
-	Occupancy string                      `json:"level"` // connquota.Occupancy
+	Occupancy string                      `json:"level"` // name of a connquota.Occupancy
 	Used      int                         `json:"used"`
-	Peak      int                         `json:"peak"` // of Used since the start
-	Capacity  int                         `json:"most"`
-	Classes   map[string]ClassConnections `json:"owners"` // by connquota.Class
+	Peak      int                         `json:"peak"`   // highest value of Used since the start of the process
+	Capacity  int                         `json:"most"`   // upper bound of Used
+	Classes   map[string]ClassConnections `json:"owners"` // by name of the connquota.Class
 }
 
-// ClassConnections is the part of Connections about one class.
+// ClassConnections describes the connections of one class.
 type ClassConnections struct {
 	Used     int    `json:"used"`
-	Quota    int    `json:"share"`
-	Rejected uint64 `json:"turned_away"` // since the start
+	Quota    int    `json:"share"`       // upper bound of Used
+	Rejected uint64 `json:"turned_away"` // rejected connections since the start of the process
 }
 
-// Load describes how busy a controller's event loop is.
+// Load describes the load of a controller's event loop.
 type Load struct {
-	// LongestHoldSeconds is the longest that one event took since the last log line
-	// about it, and LongestHoldEvent that event.
+	// LongestHoldSeconds is the longest time that one event has taken since the statistics were last logged.
+	// LongestHoldEvent is the kind of that event, for example "election" or "pass".
 	LongestHoldSeconds float64 `json:"longest_hold_s"`
 	LongestHoldEvent   string  `json:"longest_hold_by"`
-	Inbox              int     `json:"inbox"` // events that wait
+	Inbox              int     `json:"inbox"` // number of events in the queue
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,7 +1,7 @@
-// Package cloud is the client of the cloud, which provisions and releases machines.
+// Package cloud implements the client of the cloud, which provisions and releases machines.
 //
-// Reads wait for the rate limit by themselves. Provision and Release do not: their
-// caller waits first and then checks that its leadership lease is still valid.
+// Catalog and ListMachines wait for the rate limit themselves. Provision and Release do not: their caller calls Wait
+// first and then checks that its leadership lease is still valid, since the lease may expire during the wait.
 package cloud
 
 import (
@@ -19,33 +19,34 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// The published paths.
+// Paths and query parameters of the cloud's published API.
 const (
-	catalogPath   = "/catalog"
-	provisionPath = "/rentals"
-	releasePath   = "/rentals/return"
-	listPath      = "/rentals?page=500"
-	listAfter     = "&after="
+	catalogPath        = "/catalog"
+	provisionPath      = "/rentals"
+	releasePath        = "/rentals/return"
+	listPath           = "/rentals?page=500"
+	listAfterParameter = "&after=" // followed by the name of the last machine of the previous page
 )
 
-// noCapacity is what the body of a 503 contains where the cloud has no machines of a
-// kind left.
-const noCapacity = "capacity"
+// noCapacityText is contained in the body of a 503 response if the cloud has no machines of the requested kind left. A
+// 503 without it has another cause, such as an exceeded rate limit.
+const noCapacityText = "capacity"
 
+// maxConns bounds the connections to the cloud.
 const maxConns = 8
 
-// Client sends requests to the cloud within a rate limit. It may be used from several
-// goroutines. Its errors are those of package rpc, of a malformed answer, or of a
-// context that ended while a read waited for the rate limit.
+// Client sends requests to the cloud within a rate limit. It is safe for concurrent use. Its methods return the errors
+// of package rpc, errors for malformed responses, and the error of a context that ends during the wait for the rate
+// limit.
 type Client struct {
 	rpc     *rpc.Client
 	limiter *rate.Limiter
 	timeout time.Duration
 }
 
-// New returns a client of the cloud at addr (host:port). perSecond is this controller's
-// share of the published limit; timeout bounds each request without the wait for the
-// rate limit.
+// New returns a client of the cloud at addr (host:port). perSecond is this controller's share of the published rate
+// limit, in requests per second. timeout bounds each request, excluding the wait for the rate limit. wrapDial may be
+// nil.
 func New(addr string, perSecond float64, timeout time.Duration, wrapDial rpc.DialWrapper) *Client {
 	return &Client{
 		rpc:     rpc.New(addr, maxConns, wrapDial),
@@ -54,13 +55,14 @@
 	}
 }
 
-// SetRate sets this controller's share of the published limit.
+// SetRate sets this controller's share of the published rate limit, in requests per second. It allows bursts of one
+// second's requests.
 func (c *Client) SetRate(perSecond float64) {
 	c.limiter.SetLimit(rate.Limit(perSecond))
 	c.limiter.SetBurst(max(1, int(perSecond)))
 }
 
-// Wait waits until a request is within the rate limit.
+// Wait waits until the rate limit allows another request. It returns an error if ctx ends before.
 func (c *Client) Wait(ctx context.Context) error { return c.limiter.Wait(ctx) }
 
 func (c *Client) get(ctx context.Context, uri string) ([]byte, error) {
@@ -70,7 +72,7 @@
 	return c.rpc.Call(fasthttp.MethodGet, uri, nil, c.timeout)
 }
 
-// Catalog returns the machine types.
+// Catalog returns the machine types that the cloud offers.
 func (c *Client) Catalog(ctx context.Context) ([]model.MachineType, error) {
 	body, err := c.get(ctx, catalogPath)
 	if err != nil {
@@ -79,42 +81,42 @@
 	return wire.DecodeCatalog(body)
 }
 
-// Provision requests machines and returns their names. refused reports that the cloud
-// refuses this kind of machine, for now or for good. After an error without it the
-// outcome is unknown; a repetition under the same Provisioning.Name provisions nothing
-// twice.
-func (c *Client) Provision(p model.Provisioning) (names []string, refused bool, err error) {
-	body, err := c.rpc.Call(fasthttp.MethodPost, provisionPath, wire.AppendProvisioning(nil, p), c.timeout)
-	var status *rpc.StatusError
+// Provision requests machines and returns their names. refused reports that the cloud does not provide this kind of
+// machine: temporarily, for lack of capacity, or never, because it rejects the request as invalid. If refused is false
+// and err is not nil, the outcome is unknown. The request is idempotent: a retry with the same Provisioning.Name does
+// not provision machines a second time.
+func (c *Client) Provision(provisioning model.Provisioning) (names []string, refused bool, err error) {
+	body, err := c.rpc.Call(fasthttp.MethodPost, provisionPath, wire.AppendProvisioning(nil, provisioning), c.timeout)
+	var statusErr *rpc.StatusError
 	switch {
 	case err == nil:
 		names, err = wire.DecodeMachineNames(body)
 		return names, false, err
-	case !errors.As(err, &status):
+	case !errors.As(err, &statusErr):
 		return nil, false, err
-	case status.Status == fasthttp.StatusBadRequest:
-		return nil, true, nil // no repetition of the request can succeed
-	case status.Status == fasthttp.StatusServiceUnavailable:
-		return nil, bytes.Contains(status.Body, []byte(noCapacity)), err
+	case statusErr.Status == fasthttp.StatusBadRequest:
+		return nil, true, nil // a retry of the request cannot succeed
+	case statusErr.Status == fasthttp.StatusServiceUnavailable:
+		return nil, bytes.Contains(statusErr.Body, []byte(noCapacityText)), err
 	}
 	return nil, false, err
 }
 
-// Release releases machines. Without an error they are gone; after one the outcome is
-// unknown.
+// Release releases machines. If it returns nil, the machines are gone; otherwise the outcome is unknown.
 func (c *Client) Release(names []string) error {
 	_, err := c.rpc.Call(fasthttp.MethodPost, releasePath, wire.AppendMachineNames(nil, names), c.timeout)
 	return err
 }
 
-// ListMachines returns all provisioned machines. The cloud's list lags behind.
+// ListMachines returns all provisioned machines. The cloud's list lags behind its actual state: it may lack machines
+// that were provisioned recently, and still contain machines that were released recently.
 func (c *Client) ListMachines(ctx context.Context) ([]model.MachineInfo, error) {
 	var machines []model.MachineInfo
 	after := ""
 	for {
 		uri := listPath
 		if after != "" {
-			uri += listAfter + url.QueryEscape(after)
+			uri += listAfterParameter + url.QueryEscape(after)
 		}
 		body, err := c.get(ctx, uri)
 		if err != nil {
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -17,19 +17,19 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		// One machine, and others behind it.
+		// A page with one machine, which says that more pages follow.
 		_, _ = w.Write([]byte("\x82\xa4more\xc3\xa7tillers\x91\x81\xa3ref\xa3n 1"))
 	})
 	c := New(requests.Addr, 1e6, 5*time.Second, nil)
 	if _, err := c.ListMachines(context.Background()); err == nil {
-		t.Error("the second page was refused, and the list is taken as whole")
+		t.Error("list of machines whose second page was refused: got no error, want one")
 	}
 	if _, err := c.Catalog(context.Background()); err == nil {
-		t.Error("a list of machines is taken as a catalogue")
+		t.Error("catalog decoded from a list of machines: got no error, want one")
 	}
 	provisioning := model.Provisioning{Name: "h-1", Type: "g8", Zone: "a", Spot: true, Count: 50}
 	if _, _, err := c.Provision(provisioning); err == nil {
-		t.Error("a list of machines is taken as a list of names")
+		t.Error("names decoded from a list of machines: got no error, want one")
 	}
 	if err := c.Release([]string{"n-000231", "n-000232"}); err != nil {
 		t.Error(err)
