--- a/internal/connquota/class.go
+++ b/internal/connquota/class.go
@@ -1,23 +1,23 @@
 package connquota
 
-// Class is what a socket is used for.
+// Class is the purpose that a socket is used for. Each class has a quota.
 type Class uint8
 
-// The classes.
+// The classes of connections.
 const (
-	Unclassified Class = iota // accepted connections that have sent no request yet
-	Users
-	Heartbeats // of workers
-	HealthChecks
-	DirectCommands // sent to workers between heartbeats
-	Peers
-	StateService
-	Cloud
-	Operators
+	Unclassified   Class = iota // accepted connections whose first request has not arrived yet
+	Users                       // requests of users
+	Heartbeats                  // heartbeats of workers
+	HealthChecks                // health checks of the platform
+	DirectCommands              // commands that are sent to workers between their heartbeats
+	Peers                       // other controllers, in both directions
+	StateService                // requests to the state service
+	Cloud                       // requests to the cloud
+	Operators                   // requests to the admin API
 	classCount
 )
 
-// String returns the name of the class.
+// String returns the name of the class in the status of the controller.
 func (c Class) String() string {
 	names := [...]string{
 		"newcomers", "users", "reports", "health", "direct", "peers", "state", "cloud", "operators",
@@ -25,6 +25,6 @@
 	return names[c]
 }
 
-// reserved reports whether the class's quota is set aside for it, so that a burst of
-// workers and users leaves the sockets that the leadership lease is renewed with.
+// reserved reports whether the class has sockets reserved for it, as many as its quota. A burst of connections of
+// workers and users can then not take the sockets that the renewal of the leadership lease needs.
 func (c Class) reserved() bool { return c >= Peers }
--- a/internal/connquota/conn.go
+++ b/internal/connquota/conn.go
@@ -7,35 +7,35 @@
 	"github.com/glentiller/glentiller/internal/rpc"
 )
 
-// Conn is a connection with a slot in the quotas.
+// Conn is a connection whose socket counts against the quotas until the connection is closed.
 type Conn struct {
 	net.Conn
 	*Slot
 }
 
-// Close closes the connection and releases its slot.
+// Close releases the slot and closes the connection.
 func (c *Conn) Close() error {
 	c.Release()
 	return c.Conn.Close()
 }
 
-// Listener accepts connections within the quotas.
+// Listener accepts connections that are within the quotas, and closes all others.
 type Listener struct {
 	net.Listener
 	Quotas *Quotas
-	Class  Class // of connections when they are accepted
+	Class  Class // class that connections have when they are accepted
 	Now    func() time.Time
-	Reject func(net.Conn) // if not nil, answers a connection beyond the quotas before it is closed
+	Reject func(net.Conn) // called with a connection beyond the quotas before it is closed, unless nil
 }
 
-// Accept waits for the next connection that there is a socket for.
+// Accept waits for the next connection that is within the quotas. It returns a *Conn.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		closeConn := func() { _ = conn.Close() } // its reader gets the error
+		closeConn := func() { _ = conn.Close() } // the goroutine that reads from the connection gets an error
 		slot, err := l.Quotas.Acquire(l.Now(), l.Class, closeConn)
 		if err == nil {
 			return &Conn{conn, slot}, nil
@@ -47,8 +47,9 @@
 	}
 }
 
-// Dialer returns a wrapper of dial functions that acquires a slot of a class before
-// each connection is made. On nil quotas it returns nil: no limit.
+// Dialer returns a wrapper for dial functions. A wrapped function acquires a slot of the class before it makes a
+// connection, and returns ErrFull if there is none. Dialer may be called on nil quotas; it then returns nil, which
+// stands for no limit.
 func (q *Quotas) Dialer(class Class) func(rpc.DialFunc) rpc.DialFunc {
 	if q == nil {
 		return nil
@@ -56,6 +57,8 @@
 	return func(dial rpc.DialFunc) rpc.DialFunc { return q.limitDial(class, dial) }
 }
 
+// limitDial wraps dial for Dialer. It calls Acquire with the zero time, at which no connection counts as idle long
+// enough, so dialing a connection evicts none.
 func (q *Quotas) limitDial(class Class, dial rpc.DialFunc) rpc.DialFunc {
 	return func(addr string) (net.Conn, error) {
 		slot, err := q.Acquire(time.Time{}, class, nil)
--- a/internal/connquota/memory.go
+++ b/internal/connquota/memory.go
@@ -2,42 +2,44 @@
 
 import "sync/atomic"
 
-// MemoryMonitor reports whether there is memory for more jobs. Jobs that are known
-// already are served whatever it says; only new submissions wait.
+// MemoryMonitor decides whether the process has enough memory for new jobs. Under memory pressure new submissions have
+// to wait; jobs that were already accepted are served as usual. UnderPressure may be called by any goroutine.
 type MemoryMonitor struct {
-	limit    uint64 // bytes that the process may hold; 0: unknown, never under pressure
+	limit    uint64 // memory limit of the process in bytes; if it is 0, there is never any pressure
 	pressure atomic.Bool
 	onChange func(pressure bool, used, limit uint64)
 }
 
 const (
-	// pressureFrom is the fraction of the limit from which on new jobs wait. The
-	// garbage collector's limit is 0.6; with more than this in use it runs all the time.
-	pressureFrom = 0.45
-	// pressureBelow is the fraction below which new jobs are accepted again.
-	pressureBelow = 0.38
+	// pressureThreshold is the fraction of the limit at which memory pressure begins. The garbage collector's soft limit
+	// is 0.6 of the limit: with more than pressureThreshold in use it would run all the time.
+	pressureThreshold = 0.45
+
+	// pressureClearThreshold is the fraction of the limit below which memory pressure ends. It is lower than
+	// pressureThreshold, so that the state does not flap.
+	pressureClearThreshold = 0.38
 )
 
-// NewMemoryMonitor returns the monitor of a process that may hold limit bytes.
-// onChange, if not nil, is called with each change.
+// NewMemoryMonitor returns the monitor of a process with a memory limit in bytes. A limit of 0 means that the limit is
+// unknown. onChange is called whenever memory pressure begins or ends, unless it is nil.
 func NewMemoryMonitor(limit uint64, onChange func(pressure bool, used, limit uint64)) *MemoryMonitor {
 	return &MemoryMonitor{limit: limit, onChange: onChange}
 }
 
-// Observe records how many bytes are in use by stacks, and by the heap after its last
-// garbage collection. It must be called by one goroutine only.
+// Observe updates the monitor with the number of bytes that are in use: by stacks, and by the heap after its last
+// garbage collection. It must not be called concurrently.
 func (m *MemoryMonitor) Observe(used uint64) {
-	before := m.pressure.Load()
-	pressure := before
+	wasUnderPressure := m.pressure.Load()
+	pressure := wasUnderPressure
 	switch fraction := float64(used) / float64(max(m.limit, 1)); {
 	case m.limit == 0:
 		pressure = false
-	case fraction >= pressureFrom:
+	case fraction >= pressureThreshold:
 		pressure = true
-	case fraction < pressureBelow:
+	case fraction < pressureClearThreshold:
 		pressure = false
 	}
-	if pressure == before {
+	if pressure == wasUnderPressure {
 		return
 	}
 	m.pressure.Store(pressure)
@@ -46,5 +48,5 @@
 	}
 }
 
-// UnderPressure reports that there is no memory for new jobs now.
+// UnderPressure reports whether new jobs have to wait for lack of memory.
 func (m *MemoryMonitor) UnderPressure() bool { return m.pressure.Load() }
--- a/internal/connquota/occupancy.go
+++ b/internal/connquota/occupancy.go
@@ -1,34 +1,33 @@
 package connquota
 
-// Occupancy is how much of the sockets that the classes without a reserved quota share
-// is in use.
+// Occupancy is a measure of how many of the shared sockets are in use. Shared sockets are those that are not reserved
+// for one class.
 type Occupancy uint8
 
 // The levels of occupancy.
 const (
 	Low  Occupancy = iota
 	High           // users' connections are not kept alive between requests
-	Full           // nor are those of workers, and new users are rejected
+	Full           // workers' connections are not kept alive either, and new users are rejected
 )
 
-// String returns the name of the level.
+// String returns the name of the level in the status of the controller and in its log.
 func (o Occupancy) String() string { return [...]string{"roomy", "tight", "full"}[o] }
 
 const (
-	highFrom   = 0.80 // of the shared sockets
-	fullFrom   = 0.93
-	hysteresis = 0.05 // a level is left only this far below where it begins
+	highThreshold = 0.80 // fraction of the shared sockets at which High begins
+	fullThreshold = 0.93 // fraction of the shared sockets at which Full begins
+	hysteresis    = 0.05 // a level ends only this far below its threshold
 )
 
-// next returns the level that follows on o when a fraction of the shared sockets is in
-// use.
+// next returns the level that follows o when the given fraction of the shared sockets is in use.
 func (o Occupancy) next(fraction float64) Occupancy {
 	switch {
-	case fraction >= fullFrom:
+	case fraction >= fullThreshold:
 		return Full
-	case fraction >= highFrom && (o != Full || fraction < fullFrom-hysteresis):
+	case fraction >= highThreshold && (o != Full || fraction < fullThreshold-hysteresis):
 		return High
-	case fraction < highFrom-hysteresis, o == Full && fraction < highFrom:
+	case fraction < highThreshold-hysteresis, o == Full && fraction < highThreshold:
 		return Low
 	}
 	return o
--- a/internal/connquota/quotas.go
+++ b/internal/connquota/quotas.go
@@ -1,11 +1,11 @@
-// Package connquota divides the sockets that the platform allows a process among the
-// classes of its connections, by quotas, and keeps count of them.
+// Package connquota limits the number of open sockets of a process. It divides the sockets that the platform allows
+// among classes of connections, each of which has a quota.
 //
-// Quotas.Acquire counts a socket in before it is opened and returns its Slot;
-// Slot.Release counts it out. Listener and Quotas.Dialer do both for connections. The
-// server sets the class of a Slot once a request shows it, and marks it busy or idle
-// with its connection: idle connections of users are closed to make room. The package
-// opens no socket and reads no clock.
+// Quotas.Acquire counts a socket before it is opened and returns its Slot; Slot.Release ends the count. Listener and
+// Quotas.Dialer do both for connections. The HTTP server assigns a Slot to a class when the first request shows the
+// class, and marks it busy or idle together with its connection. Idle connections of users, and connections without a
+// request so far, may be closed to free sockets for others. The package opens no socket and reads no clock. It also
+// contains MemoryMonitor, which limits new jobs by memory.
 package connquota
 
 import (
@@ -16,61 +16,60 @@
 )
 
 const (
-	// processFiles are file descriptors that are not connections: standard streams,
-	// listeners, and what the runtime opens.
-	processFiles = 16
-	minCapacity  = 16
-
-	// Quotas that are reserved for their class.
-	stateServiceQuota = 48 + 8
-	cloudQuota        = 8
-	operatorsQuota    = 17
-	// Two connections each way for a peer, and as many that its end has left without
-	// closing them.
+	// nonConnectionFiles is the number of file descriptors set aside for everything but connections: standard streams,
+	// listeners, and files that the runtime opens.
+	nonConnectionFiles = 16
+	minCapacity        = 16
+
+	// Quotas of the classes with reserved sockets.
+	stateServiceQuota = 48 + 8 // the state service's client has 48 connections for requests and 8 for watches
+	cloudQuota        = 8      // connections of the cloud's client
+	operatorsQuota    = 17     // one more than the admin API serves at a time
+	// quotaPerPeer allows two connections in each direction, and as many that the peer has abandoned without closing
+	// them.
 	quotaPerPeer  = 8
 	minPeersQuota = 4
 
-	// Upper bounds as fractions of the shared sockets. Workers and health checks may
-	// have any that is free.
+	// Quotas as fractions of the shared sockets. Heartbeats and health checks may use all shared sockets.
 	usersFraction          = 1.0 / 3
 	directCommandsFraction = 1.0 / 6
 	unclassifiedFraction   = 1.0 / 4
 	minSharedQuota         = 4
 
-	// How long a connection has to be idle before it may be closed to make room.
-	unclassifiedIdleLimit = 5 * time.Second
-	usersIdleLimit        = time.Second
+	// How long a connection must have been idle before it may be closed to free its socket.
+	unclassifiedMinIdle = 5 * time.Second
+	usersMinIdle        = time.Second
 
-	// Number of values, one second apart, among which Retry-After is spread.
+	// retrySpreadSteps is the number of different values of Retry-After, which are one second apart.
 	retrySpreadSteps = 3
 )
 
-// ErrFull is returned when the quota of a class, or the process, has no socket left.
-var ErrFull = errors.New("no socket is free")
+// ErrFull is returned if no socket is free: the class has used up its quota, or all shared sockets are in use.
+var ErrFull = errors.New("connection quota exhausted")
 
-// Quotas counts the sockets of a process by class. It is safe for concurrent use.
+// Quotas limits and counts the open sockets of a process by class. It is safe for concurrent use.
 type Quotas struct {
 	capacity          int             // sockets of the process
 	quotas            [classCount]int // upper bounds by class
-	sharedCapacity    int             // sockets of all classes without a reserved quota
+	sharedCapacity    int             // sockets that are not reserved for a class
 	onOccupancyChange func(from, to Occupancy, used, capacity int)
 
-	mu          sync.Mutex // guards everything below, and the slots
-	used        [classCount]int
-	rejected    [classCount]uint64 // since the start
-	total       int
-	sharedUsed  int // of total, by classes without a reserved quota
-	peak        int // of total
-	occupancy   Occupancy
-	idle        [classCount]*list.List // of *Slot, the one that is idle for longest first
-	retrySpread uint64                 // number of calls of RetryAfter
+	mu              sync.Mutex         // guards the fields below and those of all slots
+	used            [classCount]int    // sockets in use by class
+	rejected        [classCount]uint64 // rejected connections by class since the start
+	totalUsed       int                // sockets in use by all classes
+	sharedUsed      int                // sockets in use by classes without reserved sockets
+	peak            int                // highest value of totalUsed since the start
+	occupancy       Occupancy
+	idle            [classCount]*list.List // idle slots (*Slot) by class, the one that has been idle longest first
+	retryAfterCalls uint64                 // number of calls of RetryAfter
 }
 
-// New returns the quotas of a process that may open maxFiles files, with some number of
-// peers. onOccupancyChange, if not nil, is called under a lock, so it must not call the
-// quotas.
+// New returns the quotas of a process that may open maxFiles files and communicates with the given number of peers.
+// onOccupancyChange is called when the level of occupancy changes, unless it is nil. It is called under a lock, so it
+// must not call methods of Quotas or Slot.
 func New(maxFiles, peers int, onOccupancyChange func(from, to Occupancy, used, capacity int)) *Quotas {
-	q := &Quotas{capacity: max(maxFiles-processFiles, minCapacity), onOccupancyChange: onOccupancyChange}
+	q := &Quotas{capacity: max(maxFiles-nonConnectionFiles, minCapacity), onOccupancyChange: onOccupancyChange}
 	for class := range q.idle {
 		q.idle[class] = list.New()
 	}
@@ -95,14 +94,13 @@
 	return q
 }
 
-// Acquire takes a socket for a class. If there is none, it closes the connection that
-// has been idle for longest, of a class that may have to make room; if there is no such
-// connection either, it returns ErrFull. closeConn closes the connection from outside;
-// nil: it is never closed to make room.
+// Acquire counts a socket for a class and returns its slot. If no socket is free, it closes an idle connection to free
+// one. If there is no connection that may be closed, it returns ErrFull. closeConn closes the connection that is to use
+// the slot; it may be called by any goroutine. If closeConn is nil, the connection is never closed to free its socket.
 func (q *Quotas) Acquire(now time.Time, class Class, closeConn func()) (*Slot, error) {
 	slot, closeEvicted, err := q.acquire(now, class, closeConn)
 	if closeEvicted != nil {
-		closeEvicted() // not under the lock, since it does input and output
+		closeEvicted() // outside the lock, since closing a connection is I/O
 	}
 	return slot, err
 }
@@ -117,32 +115,31 @@
 		}
 	}
 	slot = &Slot{quotas: q, class: class, closeConn: closeConn, idleSince: now}
-	q.adjust(class, 1)
+	q.adjustUsed(class, 1)
 	if class == Unclassified {
 		slot.idleElement = q.idle[class].PushBack(slot)
 	}
 	return slot, closeEvicted, nil
 }
 
-// evictIdle releases an idle slot so that class may have another one, and returns the
-// function that closes its connection; nil: there is none to release. q.mu must be
-// held.
+// evictIdle releases a slot that has been idle long enough, so that class can acquire another one. It returns the
+// function that closes the evicted connection, or nil if no slot can be released. q.mu must be held.
 func (q *Quotas) evictIdle(now time.Time, class Class) func() {
 	candidates := []Class{Unclassified, Users}
 	if q.used[class] >= q.quotas[class] {
-		candidates = []Class{class} // only its own slots count against its quota
+		candidates = []Class{class} // only slots of the class itself count against its quota
 	}
 	for _, candidate := range candidates {
-		idleLimit := usersIdleLimit
+		minIdle := usersMinIdle
 		if candidate == Unclassified {
-			idleLimit = unclassifiedIdleLimit
+			minIdle = unclassifiedMinIdle
 		}
 		oldest := q.idle[candidate].Front()
 		if oldest == nil {
 			continue
 		}
 		slot := oldest.Value.(*Slot)
-		if slot.closeConn == nil || now.Sub(slot.idleSince) < idleLimit {
+		if slot.closeConn == nil || now.Sub(slot.idleSince) < minIdle {
 			continue
 		}
 		q.release(slot)
@@ -151,30 +148,30 @@
 	return nil
 }
 
-// release counts a slot out. q.mu must be held.
+// release ends the count of a slot, unless it was released before. q.mu must be held.
 func (q *Quotas) release(slot *Slot) {
 	if slot.released {
 		return
 	}
-	q.removeIdle(slot)
+	q.removeFromIdleList(slot)
 	slot.released = true
-	q.adjust(slot.class, -1)
+	q.adjustUsed(slot.class, -1)
 }
 
-// removeIdle takes a slot out of the list of idle ones. q.mu must be held.
-func (q *Quotas) removeIdle(slot *Slot) {
+// removeFromIdleList marks a slot as not idle. q.mu must be held.
+func (q *Quotas) removeFromIdleList(slot *Slot) {
 	if slot.idleElement != nil {
 		q.idle[slot.class].Remove(slot.idleElement)
 		slot.idleElement = nil
 	}
 }
 
-// adjust changes the number of slots of a class, and the occupancy with it; nothing
-// else changes the occupancy. q.mu must be held.
-func (q *Quotas) adjust(class Class, change int) {
+// adjustUsed changes the number of sockets that a class uses, and updates the occupancy. No other function changes the
+// occupancy. q.mu must be held.
+func (q *Quotas) adjustUsed(class Class, change int) {
 	q.used[class] += change
-	q.total += change
-	q.peak = max(q.peak, q.total)
+	q.totalUsed += change
+	q.peak = max(q.peak, q.totalUsed)
 	if !class.reserved() {
 		q.sharedUsed += change
 	}
@@ -185,49 +182,49 @@
 	}
 	q.occupancy = to
 	if q.onOccupancyChange != nil {
-		q.onOccupancyChange(from, to, q.total, q.capacity)
+		q.onOccupancyChange(from, to, q.totalUsed, q.capacity)
 	}
 }
 
-// RetryAfter returns when a rejected client is to retry, at least minimum from now. It
-// is spread in time, so that clients rejected together do not return together.
+// RetryAfter returns the delay after which a rejected client should retry: minimum, or up to retrySpreadSteps-1 seconds
+// more. Successive calls return different delays, so that clients that are rejected together do not retry together.
 func (q *Quotas) RetryAfter(minimum time.Duration) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.retrySpread++
-	return minimum + time.Duration(q.retrySpread%retrySpreadSteps)*time.Second
+	q.retryAfterCalls++
+	return minimum + time.Duration(q.retryAfterCalls%retrySpreadSteps)*time.Second
 }
 
-// Occupancy returns the present occupancy.
+// Occupancy returns the current occupancy of the shared sockets.
 func (q *Quotas) Occupancy() Occupancy {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.occupancy
 }
 
-// Status is a snapshot of the quotas.
+// Status is a snapshot of the quotas and the sockets in use.
 type Status struct {
 	Occupancy Occupancy
-	Used      int
-	Peak      int // of Used since the start
-	Capacity  int
+	Used      int // sockets in use
+	Peak      int // highest value of Used since the start of the process
+	Capacity  int // upper bound of Used
 	Classes   map[Class]ClassStatus
 }
 
-// ClassStatus is the part of a Status about one class.
+// ClassStatus is a snapshot of one class.
 type ClassStatus struct {
-	Used     int
-	Quota    int
-	Rejected uint64 // since the start
+	Used     int    // sockets in use
+	Quota    int    // upper bound of Used
+	Rejected uint64 // rejected connections since the start of the process
 }
 
-// Status returns a snapshot.
+// Status returns a snapshot of the quotas and the sockets in use.
 func (q *Quotas) Status() Status {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	status := Status{
 		Occupancy: q.occupancy,
-		Used:      q.total,
+		Used:      q.totalUsed,
 		Peak:      q.peak,
 		Capacity:  q.capacity,
 		Classes:   map[Class]ClassStatus{},
--- a/internal/connquota/quotas_test.go
+++ b/internal/connquota/quotas_test.go
@@ -8,8 +8,8 @@
 
 var startTime = time.Unix(1e9, 0)
 
-// acquireSlots acquires up to n idle slots of a class, and counts the slots that are
-// closed to make room for them.
+// acquireSlots acquires up to n slots of a class and marks them idle. It adds to closed how many of these slots are
+// evicted later, and stops at the first slot that is rejected.
 func acquireSlots(q *Quotas, now time.Time, class Class, n int, closed *int) (slots []*Slot) {
 	for range n {
 		slot, err := q.Acquire(now, Unclassified, func() { *closed++ })
@@ -34,7 +34,7 @@
 			sum += status.Classes[class].Quota
 		}
 		if sum > status.Capacity || status.Capacity >= maxFiles {
-			t.Errorf("%d files: got quotas of %d and a capacity of %d, want quotas within it, and it below the files",
+			t.Errorf("%d files: got quotas of %d and capacity %d, want quotas within the capacity, and it below the files",
 				maxFiles, sum, status.Capacity)
 		}
 	}
@@ -44,7 +44,7 @@
 	q, closed := New(1000, 2, nil), 0
 	users := acquireSlots(q, startTime, Users, 1000, &closed)
 	if want := q.Status().Classes[Users].Quota; len(users) != want {
-		t.Fatalf("slots of users: got %d, want %d, their quota", len(users), want)
+		t.Fatalf("slots of users: got %d, want their quota, %d", len(users), want)
 	}
 	if q.Status().Classes[Users].Rejected == 0 {
 		t.Error("rejected users: got 0, want some")
@@ -55,7 +55,7 @@
 	if n := len(acquireSlots(q, startTime, HealthChecks, 3, &closed)); n != 3 {
 		t.Errorf("slots of health checks: got %d, want 3", n)
 	}
-	// Heartbeats evict idle users, and nobody else.
+	// Heartbeats evict idle connections of users, but none of other classes.
 	later := startTime.Add(10 * time.Second)
 	if acquireSlots(q, later, Heartbeats, 400, &closed); closed == 0 {
 		t.Error("evicted users: got 0, want some")
@@ -74,7 +74,7 @@
 			quota := q.Status().Classes[class].Quota
 			for i := range quota {
 				if _, err := q.Acquire(time.Time{}, class, nil); err != nil {
-					t.Fatalf("%d files, %v: got %d slots, want %d", maxFiles, class, i, quota)
+					t.Fatalf("%d files, class %v: got %d slots, want %d", maxFiles, class, i, quota)
 				}
 			}
 		}
@@ -97,7 +97,7 @@
 		t.Fatalf("silent connections: got %d, want fewer than the capacity, %d", silent, capacity)
 	}
 	if _, err := q.Acquire(startTime.Add(time.Second), Unclassified, func() {}); err == nil {
-		t.Error("after 1 s: got a slot, want none: the silent connections are too recent to be evicted")
+		t.Error("after 1 s: got a slot, want none: the silent connections have not been idle long enough")
 	}
 	slot, err := q.Acquire(startTime.Add(6*time.Second), Unclassified, func() {})
 	if err != nil || closed != 1 || !slot.Classify(Heartbeats) {
@@ -126,11 +126,11 @@
 			q.Occupancy(), user.KeepAlive(), workers[0].KeepAlive(), Full)
 	}
 	if slot, err := q.Acquire(startTime, Unclassified, nil); err != nil || slot.Classify(Users) {
-		t.Errorf("new user at full occupancy: got %v, or a slot, want it rejected by Classify", err)
+		t.Errorf("new user at full occupancy: got %v, or a slot, want Classify to reject it", err)
 	}
 	for _, slot := range workers {
 		slot.Release()
-		slot.Release() // does nothing
+		slot.Release() // the second call has no effect
 	}
 	if status := q.Status(); status.Occupancy != Low || status.Used != 2 {
 		t.Errorf("after the release: got %+v, want %v with 2 slots in use", status, Low)
--- a/internal/connquota/slot.go
+++ b/internal/connquota/slot.go
@@ -8,18 +8,18 @@
 // Slot is one socket that counts against the quotas. It is safe for concurrent use.
 type Slot struct {
 	quotas    *Quotas
-	closeConn func() // closes the connection from outside; nil: never done
+	closeConn func() // closes the connection to free its socket; nil if the connection must not be closed
 
-	// Guarded by the mutex of quotas.
+	// The fields below are guarded by the mutex of quotas.
 	class       Class
-	idleElement *list.Element // in the list of idle slots of its class; nil: not idle
-	idleSince   time.Time     // set when it became idle
+	idleElement *list.Element // element in the list of idle slots of its class; nil if the slot is not idle
+	idleSince   time.Time     // when the slot last became idle
 	released    bool
 }
 
-// Classify moves the slot to the class that a request on its connection shows. It
-// reports whether the class has room; if not, the connection should be closed after the
-// response.
+// Classify moves the slot to a class, which is known when the first request arrives on the connection. It returns false
+// if the class is Users and its quota is used up or the occupancy is Full. The slot then keeps its class, and the
+// connection should be closed after the response.
 func (s *Slot) Classify(class Class) bool {
 	q := s.quotas
 	q.mu.Lock()
@@ -31,36 +31,36 @@
 		q.rejected[class]++
 		return false
 	}
-	q.removeIdle(s)
+	q.removeFromIdleList(s)
 	q.used[s.class]--
 	s.class = class
 	q.used[class]++
 	return true
 }
 
-// MarkBusy records that a request is being answered on the connection.
+// MarkBusy records that a request is in progress on the connection.
 func (s *Slot) MarkBusy() {
 	s.quotas.mu.Lock()
 	defer s.quotas.mu.Unlock()
-	s.quotas.removeIdle(s)
+	s.quotas.removeFromIdleList(s)
 }
 
-// MarkIdle records that the connection waits for its next request.
+// MarkIdle records that the connection is waiting for its next request since now.
 func (s *Slot) MarkIdle(now time.Time) {
 	q := s.quotas
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.removeIdle(s)
+	q.removeFromIdleList(s)
 	if !s.released {
 		s.idleSince = now
 		s.idleElement = q.idle[s.class].PushBack(s)
 	}
 }
 
-// KeepAlive reports whether the connection is to stay open after the present response.
-// At high occupancy users' connections are closed, so that their sockets go to whoever
-// asks next. At full occupancy workers' are too: each heartbeat then takes a socket for
-// a moment only, however many machines there are.
+// KeepAlive reports whether the connection should stay open after the current response. At high occupancy users'
+// connections are closed, which frees their sockets for other clients. At full occupancy workers' connections are
+// closed too, so that each heartbeat holds a socket only for the duration of the request, however many machines there
+// are.
 func (s *Slot) KeepAlive() bool {
 	q := s.quotas
 	q.mu.Lock()
@@ -74,7 +74,7 @@
 	return true
 }
 
-// Release counts the socket out when it is closed. Further calls do nothing.
+// Release ends the count of the socket. It is called when the connection is closed; further calls have no effect.
 func (s *Slot) Release() {
 	s.quotas.mu.Lock()
 	defer s.quotas.mu.Unlock()
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,10 +1,11 @@
-// Package golden compares what tests make with files under testdata/golden of their package. The files hold what is
-// sent and stored, byte by byte, so that a change of the code's names can't change a message or a record. They are
-// written anew only by an explicit
+// Package golden compares the output of tests with golden files in the directory testdata/golden of the tested package.
+// Golden files contain messages and records byte by byte as they are sent or stored, so that a change of names in the
+// code cannot change them unnoticed. A difference in a golden file is a change of a published or stored format. Golden
+// files are written only on explicit request:
 //
 //	go test ./internal/wire -update
 //
-// and a difference in them is a change of a published or stored form. Only tests import this package.
+// Only tests import this package.
 package golden
 
 import (
@@ -22,9 +23,10 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "overwrite the golden files with the output of the tests")
 
-// Check compares bytes with the golden file of a name, and returns what the file holds.
+// Check fails the test if got differs from the golden file called name. It returns the content of the file. With the
+// flag -update it writes got to the file first.
 func Check(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -46,31 +48,33 @@
 	return want
 }
 
-// CheckMessagePack compares a MessagePack value with the golden file of a name, which holds it as JSON for people and
-// as hexadecimal digits for the comparison. It returns the bytes that the file holds.
+// CheckMessagePack fails the test if the MessagePack value got differs from the golden file called name with the suffix
+// .txt. The file contains the value twice: as JSON, which is readable, and as hexadecimal digits, which are exact. It
+// returns the decoded digits.
 func CheckMessagePack(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	want := Check(t, name+".txt", []byte(JSON(t, got)+"\n"+hex.EncodeToString(got)+"\n"))
 	_, digits, _ := strings.Cut(strings.TrimSpace(string(want)), "\n")
-	b, err := hex.DecodeString(digits)
+	value, err := hex.DecodeString(digits)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	return b
+	return value
 }
 
-// JSON is a MessagePack value as text, its fields in their order.
+// JSON converts a MessagePack value to JSON. Fields keep their order. It fails the test if value is not exactly one
+// MessagePack value.
 func JSON(t *testing.T, value []byte) string {
 	t.Helper()
 	var out bytes.Buffer
 	rest, err := msgp.UnmarshalAsJSON(&out, value)
 	if err != nil || len(rest) > 0 {
-		t.Fatalf("%x is not one MessagePack value: %d bytes behind it, %v", value, len(rest), err)
+		t.Fatalf("%x is not exactly one MessagePack value: %d bytes follow it, error %v", value, len(rest), err)
 	}
 	return out.String()
 }
 
-// Equal fails the test where a value that was read back is not the one that was written.
+// Equal fails the test if got, a value that was read back, is not deeply equal to want, the value that was written.
 func Equal(t *testing.T, name string, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
@@ -78,49 +82,51 @@
 	}
 }
 
-// Fill sets every exported field of what a pointer points to, and of what that holds, to a value of its own that is not
-// zero: lists and maps get one entry.
+// Fill sets the variable that pointer points to, including all exported fields and elements in it, to non-zero values.
+// Slices and maps get one element. The values are derived from a counter in the order of the fields, so that no two
+// numbers, strings or times are equal and swapped fields are noticed. Fill panics if a type is not supported.
 func Fill(pointer any) {
-	n := 0
-	fill(reflect.ValueOf(pointer).Elem(), &n)
+	counter := 0
+	fill(reflect.ValueOf(pointer).Elem(), &counter)
 }
 
-func fill(v reflect.Value, n *int) {
-	*n++
+// fill increments the counter and sets v to a value that is derived from it.
+func fill(v reflect.Value, counter *int) {
+	*counter++
 	if v.Type() == reflect.TypeFor[time.Time]() {
-		v.Set(reflect.ValueOf(time.Unix(1_790_000_000+int64(*n), 0).UTC()))
+		v.Set(reflect.ValueOf(time.Unix(1_790_000_000+int64(*counter), 0).UTC()))
 		return
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
+		fill(v.Elem(), counter)
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if v.Type().Field(i).IsExported() {
-				fill(v.Field(i), n)
+				fill(v.Field(i), counter)
 			}
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0), n)
+		fill(v.Index(0), counter)
 	case reflect.Map:
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(key, n)
-		fill(value, n)
+		fill(key, counter)
+		fill(value, counter)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	case reflect.String:
-		v.SetString(fmt.Sprintf("text %d", *n))
+		v.SetString(fmt.Sprintf("text %d", *counter))
 	case reflect.Bool:
 		v.SetBool(true)
 	case reflect.Float64, reflect.Float32:
-		v.SetFloat(float64(*n) + 0.5)
+		v.SetFloat(float64(*counter) + 0.5)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(*n))
+		v.SetInt(int64(*counter))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(*n))
+		v.SetUint(uint64(*counter))
 	default:
-		panic("no value for " + v.Type().String())
+		panic("golden: cannot fill a value of type " + v.Type().String())
 	}
 }
--- a/internal/golden/requests.go
+++ b/internal/golden/requests.go
@@ -10,15 +10,15 @@
 	"testing"
 )
 
-// RequestLog is an HTTP server that notes the requests it receives. It is safe for concurrent use.
+// RequestLog is an HTTP server that records the requests that it receives. It is safe for concurrent use.
 type RequestLog struct {
-	Addr string // of the server
+	Addr string // address of the server (host:port)
 
 	mu    sync.Mutex // guards lines
 	lines strings.Builder
 }
 
-// LogRequests starts a RequestLog that answers by a handler; it ends with the test.
+// LogRequests starts a RequestLog that answers requests with the handler respond. The server stops when the test ends.
 func LogRequests(t *testing.T, respond http.HandlerFunc) *RequestLog {
 	t.Helper()
 	log := &RequestLog{}
@@ -41,8 +41,8 @@
 	l.lines.WriteString(line)
 }
 
-// Bytes returns the requests in the order of their arrival, one a line: method, URI, content type, and the body as
-// hexadecimal digits.
+// Bytes returns the recorded requests in the order of their arrival, each on one line: method, URI, quoted content type
+// and body in hexadecimal digits.
 func (l *RequestLog) Bytes() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,9 +1,9 @@
-// Package rpc is the common part of the clients of the outside services: one request
-// over HTTP with a MessagePack body and a timeout.
+// Package rpc implements what the clients of the state service, the cloud and the workers have in common: sending one
+// HTTP request with a MessagePack body and a timeout.
 //
-// Its errors tell what has become of a request: with ErrNotSent it is certainly not
-// executed, with a *StatusError the service has answered it, and after any other error
-// it may still be executed.
+// The error of a request tells its outcome. ErrNotSent means that the request was not executed and never will be. A
+// *StatusError means that the server has responded with a status other than 200. After any other error the request may
+// have been executed, or may still be.
 package rpc
 
 import (
@@ -18,49 +18,48 @@
 const (
 	dialTimeout     = time.Second
 	connIdleTimeout = 20 * time.Second
-	connWaitTimeout = 500 * time.Millisecond // for a connection that is in use to become free
+	connWaitTimeout = 500 * time.Millisecond // bounds the wait for a free connection if all are in use
 )
 
-// ErrNotSent marks a request that did not reach the other side and never will:
-// a connection attempt that was given up does not complete afterwards.
-var ErrNotSent = errors.New("not sent")
+// ErrNotSent means that a request has not reached the server and never will, because there was no connection to send it
+// on. A connection attempt that was given up does not succeed later.
+var ErrNotSent = errors.New("request not sent")
 
-// StatusError is an answer other than 200.
+// StatusError reports a response with a status other than 200.
 type StatusError struct {
-	Status int
-	Body   []byte
+	Status int    // HTTP status code
+	Body   []byte // body of the response
 }
 
-// Error returns the status as text.
-func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
+// Error returns the status code as text.
+func (e *StatusError) Error() string { return fmt.Sprintf("HTTP status %d", e.Status) }
 
-// StatusCode returns the status of an answer other than 200, or 0.
+// StatusCode returns the HTTP status code of a StatusError in the chain of err, or 0 if there is none.
 func StatusCode(err error) int {
-	var s *StatusError
-	if errors.As(err, &s) {
-		return s.Status
+	var statusErr *StatusError
+	if errors.As(err, &statusErr) {
+		return statusErr.Status
 	}
 	return 0
 }
 
-// DialFunc makes a connection.
+// DialFunc connects to an address (host:port).
 type DialFunc func(addr string) (net.Conn, error)
 
-// DialWrapper puts the making of connections under a condition, such as a quota of
-// sockets.
+// DialWrapper wraps a DialFunc in one that makes connections only under a condition, such as a quota of sockets.
 type DialWrapper func(DialFunc) DialFunc
 
-// Client sends requests to one address. It may be used from several goroutines.
+// Client sends requests to one address. It is safe for concurrent use.
 type Client struct {
 	http *fasthttp.HostClient
 }
 
-// New returns a client for an address with up to maxConns connections. The wrapper
-// may be nil.
-func New(addr string, maxConns int, wrap DialWrapper) *Client {
-	open := DialFunc(dial)
-	if wrap != nil {
-		open = wrap(open)
+// New returns a client for an address (host:port) that opens up to maxConns connections. It never retries a request.
+// wrapDial may be nil.
+func New(addr string, maxConns int, wrapDial DialWrapper) *Client {
+	dial := DialFunc(dialTCP)
+	if wrapDial != nil {
+		dial = wrapDial(dial)
 	}
 	return &Client{http: &fasthttp.HostClient{
 		Addr:                          addr,
@@ -73,7 +72,7 @@
 		DisableHeaderNamesNormalizing: true,
 		MaxConnWaitTimeout:            connWaitTimeout,
 		Dial: func(addr string) (net.Conn, error) {
-			conn, err := open(addr)
+			conn, err := dial(addr)
 			if err != nil {
 				return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 			}
@@ -82,13 +81,14 @@
 	}}
 }
 
-func dial(addr string) (net.Conn, error) { return net.DialTimeout("tcp4", addr, dialTimeout) }
+func dialTCP(addr string) (net.Conn, error) { return net.DialTimeout("tcp4", addr, dialTimeout) }
 
-// Close closes the idle connections.
+// Close closes the idle connections. Requests in progress continue, and the client remains usable.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Call sends a request and returns the body of a 200, which belongs to the caller. Any
-// other answer is a *StatusError; for other errors see the package comment.
+// Call sends a request and returns the body of a 200 response, which the caller may keep and modify. uri is the path and
+// the query. If body is nil, the request has none. timeout bounds the whole call, including the wait for a connection.
+// Call returns a *StatusError for a response with another status; the package comment describes the other errors.
 func (c *Client) Call(method, uri string, body []byte, timeout time.Duration) ([]byte, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -106,9 +106,9 @@
 		}
 		return nil, err
 	}
-	answer := append([]byte(nil), response.Body()...)
+	responseBody := append([]byte(nil), response.Body()...)
 	if response.StatusCode() != fasthttp.StatusOK {
-		return nil, &StatusError{Status: response.StatusCode(), Body: answer}
+		return nil, &StatusError{Status: response.StatusCode(), Body: responseBody}
 	}
-	return answer, nil
+	return responseBody, nil
 }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -12,16 +12,16 @@
 func TestCallReturnsStatusError(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusConflict)
-		_, _ = w.Write([]byte("taken")) // the check below shows if it is missing
+		_, _ = w.Write([]byte("taken")) // an incomplete body makes the check below fail
 	}))
 	defer s.Close()
 	_, err := New(s.Listener.Addr().String(), 1, nil).Call(http.MethodGet, "/", nil, 5*time.Second)
 	var status *StatusError
 	if !errors.As(err, &status) || string(status.Body) != "taken" {
-		t.Errorf("got %v, want a StatusError with the body %q", err, "taken")
+		t.Errorf("got %v, want a StatusError with body %q", err, "taken")
 	}
 	if got := StatusCode(err); got != http.StatusConflict {
-		t.Errorf("got the status %d, want %d", got, http.StatusConflict)
+		t.Errorf("got status %d, want %d", got, http.StatusConflict)
 	}
 	if errors.Is(err, ErrNotSent) {
 		t.Errorf("got %v, want an error other than ErrNotSent", err)
@@ -30,25 +30,25 @@
 
 func TestCallReturnsErrNotSentWithoutConnection(t *testing.T) {
 	errRefused := errors.New("no connection allowed")
-	wrap := func(DialFunc) DialFunc {
+	wrapDial := func(DialFunc) DialFunc {
 		return func(string) (net.Conn, error) { return nil, errRefused }
 	}
-	_, err := New("127.0.0.1:1", 1, wrap).Call(http.MethodGet, "/", nil, 5*time.Second)
+	_, err := New("127.0.0.1:1", 1, wrapDial).Call(http.MethodGet, "/", nil, 5*time.Second)
 	if !errors.Is(err, ErrNotSent) || !errors.Is(err, errRefused) {
-		t.Errorf("got %v, want %v because of %v", err, ErrNotSent, errRefused)
+		t.Errorf("got %v, want %v, caused by %v", err, ErrNotSent, errRefused)
 	}
 	if got := StatusCode(err); got != 0 {
-		t.Errorf("got the status %d, want 0", got)
+		t.Errorf("got status %d, want 0", got)
 	}
 }
 
 func TestCallTimeoutIsNotErrNotSent(t *testing.T) {
-	done := make(chan struct{})
-	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-done }))
+	release := make(chan struct{})
+	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
 	defer s.Close()
-	defer close(done)
+	defer close(release)
 	_, err := New(s.Listener.Addr().String(), 1, nil).Call(http.MethodGet, "/", nil, 50*time.Millisecond)
 	if err == nil || errors.Is(err, ErrNotSent) {
-		t.Errorf("got %v, want an error other than ErrNotSent: the request may still be executed", err)
+		t.Errorf("got %v, want an error other than ErrNotSent: the request may have been executed", err)
 	}
 }
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -18,9 +18,9 @@
 		{Op: model.OpStop, Task: task, Attempt: 3, GracePeriod: 7500 * time.Millisecond},
 		{Op: model.OpForget, Task: task, Attempt: 4},
 	}
-	r := c.Send(requests.Addr, 41, 1<<63, commands, true)
-	if !r.Executed || r.Heartbeat != nil {
-		t.Errorf("an empty answer of 200: got %+v, want executed, without a heartbeat", r)
+	reply := c.Send(requests.Addr, 41, 1<<63, commands, true)
+	if !reply.Executed || reply.Heartbeat != nil {
+		t.Errorf("empty response with status 200: got %+v, want the commands executed and no heartbeat", reply)
 	}
 	golden.Check(t, "requests.txt", requests.Bytes())
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,9 +1,8 @@
-// Package worker is the client of the workers: it sends direct commands to their
-// addresses.
+// Package worker implements the client that sends commands to the addresses of workers directly, instead of in the
+// responses to their heartbeats.
 //
-// There may be thousands of workers and few sockets. The client keeps connections to
-// the workers that it used most recently, and closes idle ones where the quota of
-// sockets does not allow a new one.
+// There may be thousands of workers, but only few sockets. The client keeps the connections to the workers that it used
+// most recently. If the quota of sockets does not allow a new connection, it closes idle connections to other workers.
 package worker
 
 import (
@@ -22,58 +21,59 @@
 )
 
 const (
-	commandsPath      = "/commands" // published
+	commandsPath      = "/commands" // path of the workers' published API
 	maxConnsPerWorker = 2
 
-	// idleTimeout is after which time without a command a worker is removed:
-	// machines come and go, and their addresses with them.
+	// idleTimeout is the time without a call after which a worker is removed from the client. Machines come and
+	// go, and the addresses of released ones would accumulate otherwise.
 	idleTimeout = 2 * time.Minute
 
-	maxClosedAtOnce  = 16  // workers whose connections are closed for one new connection
-	maxIdleInspected = 128 // the least recently used workers that are considered for that
+	// maxEvictionsPerDial bounds the workers whose connections are closed to make one new connection.
+	maxEvictionsPerDial = 16
+	// maxEvictionCandidates bounds the workers, least recently used first, that are considered for eviction.
+	maxEvictionCandidates = 128
 )
 
-// Client sends commands to workers. It may be used from several goroutines.
+// Client sends commands to workers. It is safe for concurrent use.
 type Client struct {
 	timeout  time.Duration
 	wrapDial rpc.DialWrapper
 
-	mu           sync.Mutex // guards the fields below and those of all connections
-	byAddr       map[string]*list.Element
-	recentlyUsed *list.List // of *connection, the least recently used first
+	mu        sync.Mutex               // guards the fields below, and the changing ones of workerClients
+	byAddr    map[string]*list.Element // elements of byLastUse by the worker's address
+	byLastUse *list.List               // of *workerClient, least recently used first
 }
 
-// connection holds the connections to one worker. The client's mutex guards it.
-type connection struct {
-	addr          string
-	client        *rpc.Client
-	lastUsed      time.Time
-	callsInFlight int
-	lastUrgent    bool // the last call is urgent
+// workerClient is the client of one worker. addr and rpcClient do not change; Client.mu guards the other fields.
+type workerClient struct {
+	addr           string // host:port
+	rpcClient      *rpc.Client
+	lastUsed       time.Time // start of the last call
+	callsInFlight  int
+	lastCallUrgent bool // the last call was urgent
 }
 
-// New returns a client. timeout bounds each request; wrapDial may put the making of
-// connections under a condition, and may be nil.
+// New returns a client. timeout bounds each request. wrapDial is applied to the making of connections, for example to
+// enforce a quota of sockets; it may be nil.
 func New(timeout time.Duration, wrapDial rpc.DialWrapper) *Client {
 	return &Client{
-		timeout:      timeout,
-		wrapDial:     wrapDial,
-		byAddr:       map[string]*list.Element{},
-		recentlyUsed: list.New(),
+		timeout:   timeout,
+		wrapDial:  wrapDial,
+		byAddr:    map[string]*list.Element{},
+		byLastUse: list.New(),
 	}
 }
 
-// dialFor returns the wrapper for connections to one worker: it applies the client's
-// own, and where the quota of sockets is used up closes idle connections and dials
-// once more.
-func (c *Client) dialFor(worker *connection) rpc.DialWrapper {
+// wrapWorkerDial returns the wrapper for dialing one worker. It applies the wrapper of the client. If the quota of
+// sockets is used up, it closes idle connections to other workers and dials once more.
+func (c *Client) wrapWorkerDial(worker *workerClient) rpc.DialWrapper {
 	return func(dial rpc.DialFunc) rpc.DialFunc {
 		if c.wrapDial != nil {
 			dial = c.wrapDial(dial)
 		}
 		return func(addr string) (net.Conn, error) {
 			conn, err := dial(addr)
-			if errors.Is(err, connquota.ErrFull) && c.closeIdle(worker) {
+			if errors.Is(err, connquota.ErrFull) && c.evictIdle(worker) {
 				conn, err = dial(addr)
 			}
 			return conn, err
@@ -81,106 +81,106 @@
 	}
 }
 
-// closeIdle closes idle connections of the least recently used workers, and reports
-// whether there were any. An urgent call may close any of them: it would otherwise
-// wait for its worker's next heartbeat, for seconds. Other calls close only those that
-// were not used within the timeout, so that thousands of launches a second don't make
-// and close a connection each; their commands go in the answer to the next heartbeat,
-// which costs nothing.
-func (c *Client) closeIdle(caller *connection) bool {
+// evictIdle closes the connections to some of the least recently used workers that have no call in flight. It reports
+// whether it evicted any. For an urgent call it may evict any of them: without a connection the urgent command would
+// wait for its worker's next heartbeat, for seconds. For other calls it evicts only workers that have not been
+// used within the request timeout. Otherwise, thousands of launches per second would each open and close a connection.
+// Commands without a connection are sent in the response to the worker's next heartbeat, at no extra cost.
+func (c *Client) evictIdle(caller *workerClient) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	closed := 0
-	e := c.recentlyUsed.Front()
-	for range maxIdleInspected {
-		if e == nil || closed == maxClosedAtOnce {
+	evicted := 0
+	e := c.byLastUse.Front()
+	for range maxEvictionCandidates {
+		if e == nil || evicted == maxEvictionsPerDial {
 			break
 		}
 		next := e.Next()
-		w := e.Value.(*connection)
-		if w.callsInFlight == 0 && (caller.lastUrgent || time.Since(w.lastUsed) > c.timeout) {
+		w := e.Value.(*workerClient)
+		if w.callsInFlight == 0 && (caller.lastCallUrgent || time.Since(w.lastUsed) > c.timeout) {
 			c.remove(e)
-			closed++
+			evicted++
 		}
 		e = next
 	}
-	return closed > 0
+	return evicted > 0
 }
 
-// remove removes a worker and closes the connections to it. The mutex is held.
+// remove removes a worker from the client and closes the idle connections to it. c.mu must be held.
 func (c *Client) remove(e *list.Element) {
-	w := c.recentlyUsed.Remove(e).(*connection)
-	w.client.Close()
+	w := c.byLastUse.Remove(e).(*workerClient)
+	w.rpcClient.Close()
 	delete(c.byAddr, w.addr)
 }
 
-// removeExpired removes the workers that were not used for idleTimeout. The mutex is
-// held.
+// removeExpired removes the workers that have not been used for longer than idleTimeout. c.mu must be held.
 func (c *Client) removeExpired(now time.Time) {
 	for {
-		e := c.recentlyUsed.Front()
-		if e == nil || now.Sub(e.Value.(*connection).lastUsed) <= idleTimeout {
+		e := c.byLastUse.Front()
+		if e == nil || now.Sub(e.Value.(*workerClient).lastUsed) <= idleTimeout {
 			return
 		}
 		c.remove(e)
 	}
 }
 
-// acquire returns the connection to a worker for one call; release ends the call.
-func (c *Client) acquire(addr string, urgent bool, now time.Time) *connection {
+// acquire returns the client of a worker for one call, and creates it if necessary. The caller must call release at the
+// end of the call.
+func (c *Client) acquire(addr string, urgent bool, now time.Time) *workerClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.byAddr[addr]
 	if e == nil {
 		c.removeExpired(now)
-		w := &connection{addr: addr}
-		w.client = rpc.New(addr, maxConnsPerWorker, c.dialFor(w))
-		e = c.recentlyUsed.PushBack(w)
+		w := &workerClient{addr: addr}
+		w.rpcClient = rpc.New(addr, maxConnsPerWorker, c.wrapWorkerDial(w))
+		e = c.byLastUse.PushBack(w)
 		c.byAddr[addr] = e
 	}
-	c.recentlyUsed.MoveToBack(e)
-	w := e.Value.(*connection)
-	w.lastUsed, w.lastUrgent = now, urgent
+	c.byLastUse.MoveToBack(e)
+	w := e.Value.(*workerClient)
+	w.lastUsed, w.lastCallUrgent = now, urgent
 	w.callsInFlight++
 	return w
 }
 
-func (c *Client) release(w *connection) {
+// release marks the end of a call that began with acquire.
+func (c *Client) release(w *workerClient) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w.callsInFlight--
 }
 
-// Reply is the outcome of a request with commands.
+// Reply is the outcome of a request with commands. If neither Executed nor NotSent is true, the outcome is unknown.
 type Reply struct {
 	Executed  bool             // the commands were executed
-	Heartbeat *model.Heartbeat // the worker's heartbeat after them; nil where none came
-	NotSent   bool             // the commands were not executed and never will be
-	Err       error            // why the commands were not executed, or their heartbeat cannot be read
+	Heartbeat *model.Heartbeat // status of the worker after the request; nil if the response contains none
+	NotSent   bool             // the commands were not executed and never will be: not sent, or refused by the worker
+	Err       error            // why the request failed, or why the heartbeat in the response cannot be decoded
 }
 
-// Send sends commands to the worker at addr (host:port) and waits for its reply;
-// without commands it is a probe. An urgent call may close idle connections to other
-// workers to get a socket. The caller checks its leadership lease right before.
+// Send sends commands to the worker at addr (host:port) and waits for its reply. Without commands the request is a
+// probe. An urgent call may close idle connections to other workers to get a socket. The caller must check its
+// leadership lease right before the call.
 func (c *Client) Send(addr string, fencingToken, epoch uint64, commands []model.Command, urgent bool) Reply {
 	w := c.acquire(addr, urgent, time.Now())
 	defer c.release(w)
 	request := wire.AppendCommands(nil, fencingToken, epoch, commands)
-	body, err := w.client.Call(fasthttp.MethodPost, commandsPath, request, c.timeout)
-	var status *rpc.StatusError
+	body, err := w.rpcClient.Call(fasthttp.MethodPost, commandsPath, request, c.timeout)
+	var statusErr *rpc.StatusError
 	switch {
 	case err == nil:
 		heartbeat, err := decodeHeartbeat(body)
 		return Reply{Executed: true, Heartbeat: heartbeat, Err: err}
-	case errors.As(err, &status):
-		// A refusal may come without a heartbeat, so it is no error if there is none.
-		heartbeat, _ := decodeHeartbeat(status.Body)
+	case errors.As(err, &statusErr):
+		// A worker may refuse commands without sending a heartbeat, so a missing one is not an error.
+		heartbeat, _ := decodeHeartbeat(statusErr.Body)
 		return Reply{Heartbeat: heartbeat, NotSent: true, Err: err}
 	}
 	return Reply{NotSent: errors.Is(err, rpc.ErrNotSent), Err: err}
 }
 
-// decodeHeartbeat reads the heartbeat in an answer, or returns nil and an error.
+// decodeHeartbeat decodes the heartbeat in the body of a response. It returns nil with an error.
 func decodeHeartbeat(body []byte) (*model.Heartbeat, error) {
 	h, err := wire.DecodeHeartbeat(body)
 	if err != nil {
