--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -13,7 +13,8 @@
 	"github.com/glentiller/glentiller/internal/reconciler"
 )
 
-// Client sends requests to the admin API of one controller. It is not safe for concurrent use.
+// Client sends requests to the admin API of one controller. Its methods return a *ResponseError if the controller
+// rejects a request. It is not safe for concurrent use.
 type Client struct {
 	Addr  string // address of the API (host:port)
 	Token []byte // bearer token
@@ -35,15 +36,15 @@
 // ResponseError reports a response with a status other than 200.
 type ResponseError struct {
 	Status  int    // HTTP status code
-	Message string // the controller's error message, or the status code if the response contains none
+	Message string // error message in the response, or the status code if there is none
 }
 
-// Error returns the controller's error message.
+// Error returns the message.
 func (e *ResponseError) Error() string { return e.Message }
 
-// get sends a GET request and decodes the response into result, which must be a pointer. It retries a request that the
-// controller answers with 503 Service Unavailable, up to maxAttempts attempts in all. For 409 Conflict it returns
-// errSegmentsCompacted.
+// get sends a GET request and decodes the response into result, which must be a pointer. It retries a request that
+// the controller answers with 503 Service Unavailable, up to maxAttempts attempts in all. For 409 Conflict it
+// returns errSegmentsCompacted.
 func (c *Client) get(path string, query url.Values, result any) error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -76,8 +77,8 @@
 	return &ResponseError{Status: response.StatusCode(), Message: body.Error}
 }
 
-// Ledger returns all ledger entries that match a query. If segments are compacted while it reads, it starts over, up to
-// maxAttempts times. It removes the cursor from the query.
+// Ledger returns all ledger entries that match a query. If segments are compacted while it reads, it starts over, up
+// to maxAttempts times. It overwrites the cursor in the query.
 func (c *Client) Ledger(query url.Values) ([]Entry, error) {
 	for range maxAttempts {
 		entries, err := c.readEntries(query)
@@ -105,7 +106,7 @@
 	}
 }
 
-// Explain returns the reasons why the leader does not start the waiting tasks of a job.
+// Explain returns an explanation of why tasks of a job are waiting, and why its running tasks are on their machines.
 func (c *Client) Explain(id string) (*reconciler.Explanation, error) {
 	explanation := &reconciler.Explanation{}
 	return explanation, c.get(JobsPath+id+explainSuffix, nil, explanation)
@@ -137,8 +138,8 @@
 	}
 }
 
-// Intervals returns all intervals for which no leader recorded usage. After an error it also returns the intervals that
-// it has received so far.
+// Intervals returns all intervals for which no leader recorded usage. After an error it also returns the intervals
+// that it has received so far.
 func (c *Client) Intervals() ([]UnaccountedInterval, error) {
 	var intervals []UnaccountedInterval
 	query := url.Values{}
--- a/internal/admin/explain.go
+++ b/internal/admin/explain.go
@@ -12,7 +12,7 @@
 
 var errJobUnknownToLeader = errors.New("the leader has not heard of the job yet")
 
-// explain returns the reasons why the leader does not start the waiting tasks of a job. It returns errNotFound if the
+// explain returns the leader's explanation of why tasks of a job are waiting, as JSON. It returns errNotFound if the
 // job has ended or never existed, and errJobUnknownToLeader if the leader has not read the job's record yet.
 func (s *Server) explain(ctx context.Context, id string) (any, error) {
 	if !model.ValidJobID(id) {
--- a/internal/admin/fakes_test.go
+++ b/internal/admin/fakes_test.go
@@ -94,8 +94,8 @@
 	return wire.StateUnknown, nil
 }
 
-// newHourlyRecords returns the ledger records of teams that have each used ten CPU-microseconds and started one task in
-// every hour of a number of hours, and the settings under which the records were made.
+// newHourlyRecords returns the ledger records of teams that have each used ten CPU-microseconds and started one task
+// in every hour of a number of hours, and the settings under which the records were made.
 func newHourlyRecords(hours int, teams ...string) (*fakeRecords, ledger.Settings) {
 	settings := ledger.Settings{
 		SettleInterval: time.Second,
--- a/internal/admin/ledger.go
+++ b/internal/admin/ledger.go
@@ -55,9 +55,9 @@
 	return s.records.Segments(ctx, team, after, segmentPageSize)
 }
 
-// verifyNextTeam verifies the segments of one team, or of the first team if team is "". The cursor in the result is the
-// next team.
-func (s *Server) verifyNextTeam(ctx context.Context, team string) (*Verification, error) {
+// verifyTeam verifies the segments of one team, or of the first team if team is "". It tries again if it finds a
+// problem. The cursor in the result is the next team.
+func (s *Server) verifyTeam(ctx context.Context, team string) (*Verification, error) {
 	accounts, err := s.accounts(ctx)
 	if err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	}
 	verification := &Verification{Team: team, NextCursor: nextTeam(accounts, team)}
 	for range maxVerifyAttempts {
-		verification.Problem, err = s.verifyTeam(ctx, verification)
+		verification.Problem, err = s.verifyTeamOnce(ctx, verification)
 		if err != nil || verification.Problem == "" {
 			break
 		}
@@ -75,9 +75,10 @@
 	return verification, err
 }
 
-// verifyTeam reads a team's segments and account once. It returns the problem that it finds, or "" if there is none,
-// and sets the number of verified segments in verification. err reports that the records could not be read.
-func (s *Server) verifyTeam(ctx context.Context, verification *Verification) (problem string, err error) {
+// verifyTeamOnce reads the segments and the account of verification.Team once. It returns the first problem that it
+// finds, or "" if there is none, and stores in verification how many segments it has verified. It returns an error if
+// the records cannot be read.
+func (s *Server) verifyTeamOnce(ctx context.Context, verification *Verification) (problem string, err error) {
 	verification.Segments, verification.VerifiedThrough = 0, 0
 	var link string  // hash link of the last verified segment
 	var after uint64 // First of the last verified segment
@@ -115,8 +116,8 @@
 	return "", nil
 }
 
-// intervals returns one page of the intervals for which no leader recorded usage. A cursor is the fencing token of the
-// last interval of the previous page.
+// intervals returns one page of the intervals for which no leader recorded usage. A cursor is the fencing token of
+// the last interval of the previous page.
 func (s *Server) intervals(ctx context.Context, cursorText string) (*IntervalPage, error) {
 	var after uint64
 	if cursorText != "" {
--- a/internal/admin/ledger_api.go
+++ b/internal/admin/ledger_api.go
@@ -14,7 +14,7 @@
 	Lost      uint64            `json:"lost_cpu_us"` // part of CPU: attempts that neither completed nor saved a checkpoint
 	Starts    uint64            `json:"starts"`      // attempts that began to run
 	TakenOver uint64            `json:"taken_over"`  // attempts that a new leader found running after a failover
-	Wait      map[string]uint64 `json:"wait_ms"`     // waiting time in task-milliseconds by cause, without zeros
+	Wait      map[string]uint64 `json:"wait_ms"`     // task-milliseconds of waiting by cause; zeros are omitted
 }
 
 // AmountsOf converts usage to its JSON form.
@@ -67,8 +67,8 @@
 	NextCursor string  `json:"next,omitempty"` // cursor of the next page; "" on the last page
 }
 
-// UnaccountedInterval is an interval for which no leader recorded usage: from the last settlement of one leader to the
-// takeover of the next leader that keeps a ledger.
+// UnaccountedInterval is an interval for which no leader recorded usage: from the last settlement of one leader to
+// the takeover of the next leader that keeps a ledger.
 type UnaccountedInterval struct {
 	Start            time.Time `json:"from"`
 	End              time.Time `json:"to"`
@@ -86,9 +86,9 @@
 type FairShare struct {
 	Rank          int       `json:"place"` // by Factor, from 1; teams with equal factors share a rank
 	Team          string    `json:"team"`
-	Weight        float64   `json:"weight"`         // fraction of the weights of all teams
+	Weight        float64   `json:"weight"`         // fraction of the sum of all weights
 	DecayedUsage  uint64    `json:"decayed_cpu_us"` // weighted CPU-microseconds
-	UsageFraction float64   `json:"part"`           // fraction of the decayed usage of all teams; 0 if that is very low
+	UsageFraction float64   `json:"part"`           // fraction of all decayed usage; 0 if that is too low to compare
 	Factor        float64   `json:"factor"`         // 2^-(UsageFraction/Weight): 1 without usage, 1/2 at the fair share
 	Band          int       `json:"band"`           // teams in a lower band go first with work beyond their guarantees
 	SettledAt     time.Time `json:"settled_at"`     // time of the account's last settlement
@@ -106,6 +106,6 @@
 	Team            string `json:"team"`
 	Segments        int    `json:"pages"`             // number of segments that were verified
 	VerifiedThrough uint64 `json:"through"`           // number of the last hourly segment that was verified
-	Problem         string `json:"problem,omitempty"` // "" if no segment is missing or changed
+	Problem         string `json:"problem,omitempty"` // first problem that was found; "" if there is none
 	NextCursor      string `json:"next,omitempty"`    // cursor of the next team; "" for the last team
 }
--- a/internal/admin/ledger_entries.go
+++ b/internal/admin/ledger_entries.go
@@ -49,6 +49,7 @@
 // endOfTime is later than the start of any entry.
 var endOfTime = time.Unix(1<<40, 0)
 
+// parseEntriesQuery parses the query parameters of a request for entries. Its errors wrap errBadRequest.
 func parseEntriesQuery(args *fasthttp.Args) (query entriesQuery, err error) {
 	query.team = string(args.Peek(teamParameter))
 	query.class = string(args.Peek(classParameter))
@@ -96,8 +97,8 @@
 }
 
 // ledgerEntries returns one page of entries. It reads the closed segments before the account, which contains the open
-// segment. A segment that is closed in between is returned with the next page, so that no segment is missed or read
-// twice.
+// segment. A segment that is closed in between is returned with the next page, so that no segment is missed or
+// read twice.
 func (s *Server) ledgerEntries(ctx context.Context, args *fasthttp.Args) (*EntryPage, error) {
 	query, err := parseEntriesQuery(args)
 	if err != nil {
@@ -117,7 +118,7 @@
 	}
 	for _, segment := range segments {
 		if segment.First != query.cursor.last+1 {
-			return nil, errSegmentsCompacted
+			return nil, errSegmentsCompacted // the segments have been compacted since the previous page
 		}
 		page.Entries = query.appendEntries(page.Entries, segment.Unit, segment.Start, segment.Usage)
 		query.cursor.first, query.cursor.last = segment.First, segment.Last
@@ -156,8 +157,8 @@
 	return page, nil
 }
 
-// timeArgument parses the query parameter name with ParseTime. It returns defaultTime if the parameter is empty or
-// missing.
+// timeArgument parses the query parameter name with ParseTime. It returns defaultTime if the parameter is empty
+// or missing.
 func timeArgument(args *fasthttp.Args, name string, defaultTime time.Time) (time.Time, error) {
 	text := string(args.Peek(name))
 	if text == "" {
@@ -166,8 +167,8 @@
 	return ParseTime(name, text)
 }
 
-// ParseTime parses a time in RFC 3339 format, or a date, which stands for its beginning in UTC. name is the name of the
-// parameter, for the error message.
+// ParseTime parses a time in RFC 3339 format, or a date, which stands for its beginning in UTC. name is the name of
+// the parameter, for the error message.
 func ParseTime(name, text string) (time.Time, error) {
 	for _, layout := range []string{time.RFC3339, time.DateOnly} {
 		if t, err := time.Parse(layout, text); err == nil {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,9 +1,9 @@
-// Package admin implements the admin API of a controller and its client. The API serves JSON over HTTP on a listener of
-// its own and requires a bearer token. It is off by default. docs/operators.md lists the paths.
+// Package admin implements the admin API of a controller and its client. The API serves JSON over HTTP on a listener
+// of its own and requires a bearer token. It is off by default. docs/operators.md lists the paths.
 //
 // New creates a Server, which reads from the state service (Records) and from its own controller (Controller). Serve
-// answers requests until its listener is closed. Any controller can answer, leader or not. The command line uses
-// Client.
+// answers requests until its listener is closed. Any controller can answer, leader or not. The command line
+// uses Client.
 package admin
 
 import (
@@ -55,8 +55,8 @@
 
 // Records reads the ledger's records from the state service.
 type Records interface {
-	// Accounts returns the accounts of all teams, in any order. An account whose record cannot be decoded has its Err
-	// set.
+	// Accounts returns the accounts of all teams, in any order. An account whose record cannot be decoded has its
+	// Err set.
 	Accounts(ctx context.Context) ([]ledger.StoredAccount, error)
 	// Segments returns up to limit closed segments of a team whose First is greater than after, in ascending order. more
 	// reports whether further segments follow.
@@ -69,8 +69,8 @@
 
 // Controller answers the requests that do not concern the ledger.
 type Controller interface {
-	// Explain returns a reconciler.Explanation as JSON: the reasons why the leader does not start the waiting tasks of a
-	// job. The result is empty if the job is not among the leader's unfinished jobs.
+	// Explain returns the leader's explanation of why tasks of a job are waiting: a reconciler.Explanation as JSON. The
+	// result is empty if the job is not among the leader's unfinished jobs.
 	Explain(ctx context.Context, id string) ([]byte, error)
 	// MemberStatus returns the status of this controller.
 	MemberStatus(ctx context.Context) (*MemberStatus, error)
@@ -81,7 +81,7 @@
 // Settings configures a Server.
 type Settings struct {
 	BearerToken      []byte             // token that requests must carry; if it is empty, all requests are rejected
-	LedgerEnabled    bool               // if it is false, the paths of the ledger are not found
+	LedgerEnabled    bool               // if it is false, requests for the ledger are answered with 404 Not Found
 	FairShareEnabled bool               // fair share orders the work beyond guarantees
 	HalfLife         time.Duration      // half-life of usage in fair share
 	Weights          map[string]float64 // fair-share weights by team
@@ -105,8 +105,8 @@
 	readBufferBytes  = 4096 // also bounds the size of a request's header
 	idleTimeout      = time.Minute
 	readWriteTimeout = 10 * time.Second // bounds reading a request, and writing a response
-	requestTimeout   = 5 * time.Second  // bounds all reads for one request
-	readBurst        = 4                // reads from the state service that may follow each other without a delay
+	requestTimeout   = 5 * time.Second  // bounds the handling of one request
+	readBurst        = 4                // reads from the state service that are allowed without a delay
 	segmentPageSize  = 60               // closed segments in one response
 	intervalPageSize = 4 * segmentPageSize
 )
@@ -186,8 +186,8 @@
 	s.reply(reqCtx, fasthttp.StatusOK, body)
 }
 
-// authorized reports whether the request carries the bearer token. It compares in constant time, so that response times
-// do not reveal the token.
+// authorized reports whether the request carries the bearer token. It compares in constant time, so that response
+// times do not reveal the token.
 func (s *Server) authorized(reqCtx *fasthttp.RequestCtx) bool {
 	header := string(reqCtx.Request.Header.Peek("Authorization"))
 	token, ok := strings.CutPrefix(header, "Bearer ")
@@ -245,7 +245,7 @@
 	case LedgerPath:
 		return s.ledgerEntries(ctx, args)
 	case VerifyPath:
-		return s.verifyNextTeam(ctx, string(args.Peek(cursorParameter)))
+		return s.verifyTeam(ctx, string(args.Peek(cursorParameter)))
 	case IntervalsPath:
 		return s.intervals(ctx, string(args.Peek(cursorParameter)))
 	}
--- a/internal/admin/status_api.go
+++ b/internal/admin/status_api.go
@@ -20,19 +20,19 @@
 	LeadershipSeconds float64 `json:"right_s"`
 	// VoteSeconds is for how long a vote is valid. It is zero if votes are turned off.
 	VoteSeconds float64 `json:"promise_s"`
-	// VotesSeconds is the remaining validity of each vote for this leader, by the member that cast it.
+	// VotesSeconds is the remaining validity of each vote for this controller as leader, by the member that cast it.
 	VotesSeconds map[string]float64 `json:"promises_s"`
 	// ClaimBlockedSeconds is for how long this controller must not claim the leadership, because it has voted for
 	// another one or may have done so before its restart.
 	ClaimBlockedSeconds float64 `json:"bound_s"`
-	// StateUnansweredSeconds is for how long requests to the state service have failed. It is zero if the last request
-	// succeeded.
+	// StateUnansweredSeconds is for how long requests to the state service have failed. It is zero if the last
+	// request succeeded.
 	StateUnansweredSeconds float64 `json:"state_unanswered_s"`
 
 	Connections Connections   `json:"sockets"`
 	Load        Load          `json:"load"`
 	Requests    *route.Status `json:"requests,omitempty"` // nil if requests are not forwarded to other controllers
-	Rollout     *Rollout      `json:"rollout,omitempty"`  // nil if feature levels are not managed
+	Rollout     *Rollout      `json:"rollout,omitempty"`  // nil if feature levels are not managed or not known yet
 }
 
 // Rollout is the status of the feature levels.
@@ -58,7 +58,7 @@
 	Occupancy string                      `json:"level"` // name of a connquota.Occupancy
 	Used      int                         `json:"used"`
 	Peak      int                         `json:"peak"`   // highest value of Used since the start of the process
-	Capacity  int                         `json:"most"`   // upper bound of Used
+	Capacity  int                         `json:"most"`   // sockets that the process may use
 	Classes   map[string]ClassConnections `json:"owners"` // by name of the connquota.Class
 }
 
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -28,16 +28,16 @@
 	listAfterParameter = "&after=" // followed by the name of the last machine of the previous page
 )
 
-// noCapacityText is contained in the body of a 503 response if the cloud has no machines of the requested kind left. A
-// 503 without it has another cause, such as an exceeded rate limit.
+// noCapacityText is contained in the body of a 503 response if the cloud has no machines of the requested kind left.
+// A 503 without it has another cause, such as an exceeded rate limit.
 const noCapacityText = "capacity"
 
 // maxConns bounds the connections to the cloud.
 const maxConns = 8
 
-// Client sends requests to the cloud within a rate limit. It is safe for concurrent use. Its methods return the errors
-// of package rpc, errors for malformed responses, and the error of a context that ends during the wait for the rate
-// limit.
+// Client sends requests to the cloud within a rate limit. It is safe for concurrent use. Its methods return the
+// errors of package rpc, errors for malformed responses, and the error of a context that ends during the wait for the
+// rate limit.
 type Client struct {
 	rpc     *rpc.Client
 	limiter *rate.Limiter
@@ -45,8 +45,8 @@
 }
 
 // New returns a client of the cloud at addr (host:port). perSecond is this controller's share of the published rate
-// limit, in requests per second. timeout bounds each request, excluding the wait for the rate limit. wrapDial may be
-// nil.
+// limit, in requests per second. timeout bounds each request, excluding the wait for the rate limit. wrapDial may
+// be nil.
 func New(addr string, perSecond float64, timeout time.Duration, wrapDial rpc.DialWrapper) *Client {
 	return &Client{
 		rpc:     rpc.New(addr, maxConns, wrapDial),
@@ -82,9 +82,9 @@
 }
 
 // Provision requests machines and returns their names. refused reports that the cloud does not provide this kind of
-// machine: temporarily, for lack of capacity, or never, because it rejects the request as invalid. If refused is false
-// and err is not nil, the outcome is unknown. The request is idempotent: a retry with the same Provisioning.Name does
-// not provision machines a second time.
+// machine: temporarily, for lack of capacity, or never, because it rejects the request as invalid. If refused is
+// false and err is not nil, the outcome is unknown. The request is idempotent: a retry with the same
+// Provisioning.Name does not provision machines a second time.
 func (c *Client) Provision(provisioning model.Provisioning) (names []string, refused bool, err error) {
 	body, err := c.rpc.Call(fasthttp.MethodPost, provisionPath, wire.AppendProvisioning(nil, provisioning), c.timeout)
 	var statusErr *rpc.StatusError
--- a/internal/connquota/class.go
+++ b/internal/connquota/class.go
@@ -8,7 +8,7 @@
 	Unclassified   Class = iota // accepted connections whose first request has not arrived yet
 	Users                       // requests of users
 	Heartbeats                  // heartbeats of workers
-	HealthChecks                // health checks of the platform
+	HealthChecks                // requests to the health check endpoint
 	DirectCommands              // commands that are sent to workers between their heartbeats
 	Peers                       // other controllers, in both directions
 	StateService                // requests to the state service
--- a/internal/connquota/conn.go
+++ b/internal/connquota/conn.go
@@ -25,7 +25,7 @@
 	Quotas *Quotas
 	Class  Class // class that connections have when they are accepted
 	Now    func() time.Time
-	Reject func(net.Conn) // called with a connection beyond the quotas before it is closed, unless nil
+	Reject func(net.Conn) // answers a connection beyond the quotas before it is closed; may be nil
 }
 
 // Accept waits for the next connection that is within the quotas. It returns a *Conn.
--- a/internal/connquota/memory.go
+++ b/internal/connquota/memory.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// MemoryMonitor decides whether the process has enough memory for new jobs. Under memory pressure new submissions have
-// to wait; jobs that were already accepted are served as usual. UnderPressure may be called by any goroutine.
+// MemoryMonitor decides whether the process has enough memory for new jobs. Under memory pressure new submissions
+// have to wait; jobs that were already accepted are served as usual. UnderPressure may be called by any goroutine.
 type MemoryMonitor struct {
 	limit    uint64 // memory limit of the process in bytes; if it is 0, there is never any pressure
 	pressure atomic.Bool
@@ -11,8 +11,8 @@
 }
 
 const (
-	// pressureThreshold is the fraction of the limit at which memory pressure begins. The garbage collector's soft limit
-	// is 0.6 of the limit: with more than pressureThreshold in use it would run all the time.
+	// pressureThreshold is the fraction of the limit at which memory pressure begins. The soft limit of the garbage
+	// collector is 0.6 of the limit; with more than pressureThreshold in use, the collector would run all the time.
 	pressureThreshold = 0.45
 
 	// pressureClearThreshold is the fraction of the limit below which memory pressure ends. It is lower than
@@ -20,8 +20,8 @@
 	pressureClearThreshold = 0.38
 )
 
-// NewMemoryMonitor returns the monitor of a process with a memory limit in bytes. A limit of 0 means that the limit is
-// unknown. onChange is called whenever memory pressure begins or ends, unless it is nil.
+// NewMemoryMonitor returns the monitor of a process with a memory limit in bytes. A limit of 0 means that the limit
+// is unknown. onChange is called whenever memory pressure begins or ends, unless it is nil.
 func NewMemoryMonitor(limit uint64, onChange func(pressure bool, used, limit uint64)) *MemoryMonitor {
 	return &MemoryMonitor{limit: limit, onChange: onChange}
 }
--- a/internal/connquota/quotas.go
+++ b/internal/connquota/quotas.go
@@ -3,9 +3,9 @@
 //
 // Quotas.Acquire counts a socket before it is opened and returns its Slot; Slot.Release ends the count. Listener and
 // Quotas.Dialer do both for connections. The HTTP server assigns a Slot to a class when the first request shows the
-// class, and marks it busy or idle together with its connection. Idle connections of users, and connections without a
-// request so far, may be closed to free sockets for others. The package opens no socket and reads no clock. It also
-// contains MemoryMonitor, which limits new jobs by memory.
+// class, and marks it busy or idle together with its connection. Idle connections of users, and connections that have
+// not sent a request yet, may be closed to free sockets for others. The package opens no socket and reads no clock.
+// It also contains MemoryMonitor, which limits new jobs by memory.
 package connquota
 
 import (
@@ -25,8 +25,8 @@
 	stateServiceQuota = 48 + 8 // the state service's client has 48 connections for requests and 8 for watches
 	cloudQuota        = 8      // connections of the cloud's client
 	operatorsQuota    = 17     // one more than the admin API serves at a time
-	// quotaPerPeer allows two connections in each direction, and as many that the peer has abandoned without closing
-	// them.
+	// quotaPerPeer allows two connections in each direction, and as many that the peer has abandoned without
+	// closing them.
 	quotaPerPeer  = 8
 	minPeersQuota = 4
 
@@ -49,7 +49,7 @@
 
 // Quotas limits and counts the open sockets of a process by class. It is safe for concurrent use.
 type Quotas struct {
-	capacity          int             // sockets of the process
+	capacity          int             // sockets that the process may use
 	quotas            [classCount]int // upper bounds by class
 	sharedCapacity    int             // sockets that are not reserved for a class
 	onOccupancyChange func(from, to Occupancy, used, capacity int)
@@ -83,7 +83,7 @@
 			shared -= q.quotas[class]
 		}
 	}
-	shared = max(shared, q.capacity/2)
+	shared = max(shared, q.capacity/2) // even if the reserved quotas then exceed the rest
 	q.sharedCapacity = shared
 	fraction := func(f float64) int { return max(int(f*float64(shared)), minSharedQuota) }
 	q.quotas[Users] = fraction(usersFraction)
@@ -94,9 +94,10 @@
 	return q
 }
 
-// Acquire counts a socket for a class and returns its slot. If no socket is free, it closes an idle connection to free
-// one. If there is no connection that may be closed, it returns ErrFull. closeConn closes the connection that is to use
-// the slot; it may be called by any goroutine. If closeConn is nil, the connection is never closed to free its socket.
+// Acquire counts a socket for a class and returns its slot. If no socket is free, it closes an idle connection to
+// free one. If there is no connection that may be closed, it returns ErrFull. closeConn closes the connection that is
+// to use the slot; it may be called by any goroutine. If closeConn is nil, the connection is never closed to free
+// its socket.
 func (q *Quotas) Acquire(now time.Time, class Class, closeConn func()) (*Slot, error) {
 	slot, closeEvicted, err := q.acquire(now, class, closeConn)
 	if closeEvicted != nil {
@@ -166,8 +167,8 @@
 	}
 }
 
-// adjustUsed changes the number of sockets that a class uses, and updates the occupancy. No other function changes the
-// occupancy. q.mu must be held.
+// adjustUsed changes the number of sockets that a class uses, and updates the occupancy. No other function changes
+// the occupancy. q.mu must be held.
 func (q *Quotas) adjustUsed(class Class, change int) {
 	q.used[class] += change
 	q.totalUsed += change
@@ -186,8 +187,9 @@
 	}
 }
 
-// RetryAfter returns the delay after which a rejected client should retry: minimum, or up to retrySpreadSteps-1 seconds
-// more. Successive calls return different delays, so that clients that are rejected together do not retry together.
+// RetryAfter returns the delay after which a rejected client should retry: minimum, or up to retrySpreadSteps-1
+// seconds more. Successive calls return different delays, so that clients that are rejected together do not
+// retry together.
 func (q *Quotas) RetryAfter(minimum time.Duration) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -207,7 +209,7 @@
 	Occupancy Occupancy
 	Used      int // sockets in use
 	Peak      int // highest value of Used since the start of the process
-	Capacity  int // upper bound of Used
+	Capacity  int // sockets that the process may use
 	Classes   map[Class]ClassStatus
 }
 
--- a/internal/connquota/quotas_test.go
+++ b/internal/connquota/quotas_test.go
@@ -34,7 +34,7 @@
 			sum += status.Classes[class].Quota
 		}
 		if sum > status.Capacity || status.Capacity >= maxFiles {
-			t.Errorf("%d files: got quotas of %d and capacity %d, want quotas within the capacity, and it below the files",
+			t.Errorf("%d files: got quotas of %d and capacity %d, want quotas <= capacity < files",
 				maxFiles, sum, status.Capacity)
 		}
 	}
--- a/internal/connquota/slot.go
+++ b/internal/connquota/slot.go
@@ -17,9 +17,9 @@
 	released    bool
 }
 
-// Classify moves the slot to a class, which is known when the first request arrives on the connection. It returns false
-// if the class is Users and its quota is used up or the occupancy is Full. The slot then keeps its class, and the
-// connection should be closed after the response.
+// Classify moves the slot to a class, which is known when the first request arrives on the connection. It returns
+// false if the class is Users and its quota is used up or the occupancy is Full. The slot then keeps its class, and
+// the connection should be closed after the response.
 func (s *Slot) Classify(class Class) bool {
 	q := s.quotas
 	q.mu.Lock()
@@ -45,7 +45,7 @@
 	s.quotas.removeFromIdleList(s)
 }
 
-// MarkIdle records that the connection is waiting for its next request since now.
+// MarkIdle records that the connection has been waiting for its next request since now.
 func (s *Slot) MarkIdle(now time.Time) {
 	q := s.quotas
 	q.mu.Lock()
@@ -59,8 +59,8 @@
 
 // KeepAlive reports whether the connection should stay open after the current response. At high occupancy users'
 // connections are closed, which frees their sockets for other clients. At full occupancy workers' connections are
-// closed too, so that each heartbeat holds a socket only for the duration of the request, however many machines there
-// are.
+// closed too, so that each heartbeat holds a socket only for the duration of the request, however many machines
+// there are.
 func (s *Slot) KeepAlive() bool {
 	q := s.quotas
 	q.mu.Lock()
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
-// Package golden compares the output of tests with golden files in the directory testdata/golden of the tested package.
-// Golden files contain messages and records byte by byte as they are sent or stored, so that a change of names in the
-// code cannot change them unnoticed. A difference in a golden file is a change of a published or stored format. Golden
-// files are written only on explicit request:
+// Package golden compares the output of tests with golden files in the directory testdata/golden of the tested
+// package. Golden files contain messages and records byte by byte as they are sent or stored, so that a change of
+// names in the code cannot change them unnoticed. A difference in a golden file is a change of a published or stored
+// format. Golden files are written only on explicit request:
 //
 //	go test ./internal/wire -update
 //
@@ -48,9 +48,9 @@
 	return want
 }
 
-// CheckMessagePack fails the test if the MessagePack value got differs from the golden file called name with the suffix
-// .txt. The file contains the value twice: as JSON, which is readable, and as hexadecimal digits, which are exact. It
-// returns the decoded digits.
+// CheckMessagePack fails the test if the MessagePack value got differs from the golden file called name with the
+// suffix .txt. The file contains the value twice: as JSON, which is readable, and as hexadecimal digits, which are
+// exact. It returns the decoded digits.
 func CheckMessagePack(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	want := Check(t, name+".txt", []byte(JSON(t, got)+"\n"+hex.EncodeToString(got)+"\n"))
@@ -82,9 +82,9 @@
 	}
 }
 
-// Fill sets the variable that pointer points to, including all exported fields and elements in it, to non-zero values.
-// Slices and maps get one element. The values are derived from a counter in the order of the fields, so that no two
-// numbers, strings or times are equal and swapped fields are noticed. Fill panics if a type is not supported.
+// Fill sets the variable that pointer points to, including all exported fields and elements in it, to non-zero
+// values. Slices and maps get one element. The values are derived from a counter in the order of the fields, so that
+// no two numbers, strings or times are equal and swapped fields are noticed. Fill panics if a type is not supported.
 func Fill(pointer any) {
 	counter := 0
 	fill(reflect.ValueOf(pointer).Elem(), &counter)
--- a/internal/golden/json.go
+++ b/internal/golden/json.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// CheckJSON fails the test if the JSON encoding of a T that Fill has set differs from the golden file called name with
-// the suffix .json, or if decoding that file does not return the same T.
+// CheckJSON fails the test if the JSON encoding of a T that Fill has set differs from the golden file called name
+// with the suffix .json, or if decoding that file does not return the same T.
 func CheckJSON[T any](t *testing.T, name string) {
 	t.Helper()
 	var want, got T
--- a/internal/golden/requests.go
+++ b/internal/golden/requests.go
@@ -18,7 +18,8 @@
 	lines strings.Builder
 }
 
-// LogRequests starts a RequestLog that answers requests with the handler respond. The server stops when the test ends.
+// LogRequests starts a RequestLog that answers requests with the handler respond. The server stops when the
+// test ends.
 func LogRequests(t *testing.T, respond http.HandlerFunc) *RequestLog {
 	t.Helper()
 	log := &RequestLog{}
@@ -41,8 +42,8 @@
 	l.lines.WriteString(line)
 }
 
-// Bytes returns the recorded requests in the order of their arrival, each on one line: method, URI, quoted content type
-// and body in hexadecimal digits.
+// Bytes returns the recorded requests in the order of their arrival, each on one line: method, URI, quoted content
+// type and body in hexadecimal digits.
 func (l *RequestLog) Bytes() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -2,8 +2,8 @@
 // HTTP request with a MessagePack body and a timeout.
 //
 // The error of a request tells its outcome. ErrNotSent means that the request was not executed and never will be. A
-// *StatusError means that the server has responded with a status other than 200. After any other error the request may
-// have been executed, or may still be.
+// *StatusError means that the server has responded with a status other than 200. After any other error the request
+// may have been executed, or may still be.
 package rpc
 
 import (
@@ -21,8 +21,8 @@
 	connWaitTimeout = 500 * time.Millisecond // bounds the wait for a free connection if all are in use
 )
 
-// ErrNotSent means that a request has not reached the server and never will, because there was no connection to send it
-// on. A connection attempt that was given up does not succeed later.
+// ErrNotSent means that a request has not reached the server and never will, because there was no connection to send
+// it on. A connection attempt that was given up does not succeed later.
 var ErrNotSent = errors.New("request not sent")
 
 // StatusError reports a response with a status other than 200.
@@ -86,9 +86,10 @@
 // Close closes the idle connections. Requests in progress continue, and the client remains usable.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Call sends a request and returns the body of a 200 response, which the caller may keep and modify. uri is the path and
-// the query. If body is nil, the request has none. timeout bounds the whole call, including the wait for a connection.
-// Call returns a *StatusError for a response with another status; the package comment describes the other errors.
+// Call sends a request and returns the body of a 200 response, which the caller may keep and modify. uri is the path
+// with the query. If body is nil, the request has none. timeout bounds the whole call, including the wait for a
+// connection. Call returns a *StatusError for a response with another status. The package comment describes the
+// other errors.
 func (c *Client) Call(method, uri string, body []byte, timeout time.Duration) ([]byte, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,8 +1,9 @@
 // Package worker implements the client that sends commands to the addresses of workers directly, instead of in the
 // responses to their heartbeats.
 //
-// There may be thousands of workers, but only few sockets. The client keeps the connections to the workers that it used
-// most recently. If the quota of sockets does not allow a new connection, it closes idle connections to other workers.
+// There may be thousands of workers, but only few sockets. The client keeps the connections to the workers that it
+// used most recently. If the quota of sockets does not allow a new connection, it closes idle connections to
+// other workers.
 package worker
 
 import (
@@ -24,8 +25,8 @@
 	commandsPath      = "/commands" // path of the workers' published API
 	maxConnsPerWorker = 2
 
-	// idleTimeout is the time without a call after which a worker is removed from the client. Machines come and
-	// go, and the addresses of released ones would accumulate otherwise.
+	// idleTimeout is the time without a call after which a worker is removed from the client. Machines come and go, and
+	// the addresses of released ones would accumulate otherwise.
 	idleTimeout = 2 * time.Minute
 
 	// maxEvictionsPerDial bounds the workers whose connections are closed to make one new connection.
@@ -83,8 +84,8 @@
 
 // evictIdle closes the connections to some of the least recently used workers that have no call in flight. It reports
 // whether it evicted any. For an urgent call it may evict any of them: without a connection the urgent command would
-// wait for its worker's next heartbeat, for seconds. For other calls it evicts only workers that have not been
-// used within the request timeout. Otherwise, thousands of launches per second would each open and close a connection.
+// wait for its worker's next heartbeat, for seconds. For other calls it evicts only workers that have not been used
+// within the request timeout. Otherwise, thousands of launches per second would each open and close a connection.
 // Commands without a connection are sent in the response to the worker's next heartbeat, at no extra cost.
 func (c *Client) evictIdle(caller *workerClient) bool {
 	c.mu.Lock()
@@ -124,8 +125,8 @@
 	}
 }
 
-// acquire returns the client of a worker for one call, and creates it if necessary. The caller must call release at the
-// end of the call.
+// acquire returns the client of a worker for one call, and creates it if necessary. The caller must call release at
+// the end of the call.
 func (c *Client) acquire(addr string, urgent bool, now time.Time) *workerClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
