--- a/internal/ledger/fairshare.go
+++ b/internal/ledger/fairshare.go
@@ -7,27 +7,29 @@
 )
 
 const (
-	// maxBand is the highest band: beyond eight times its share a team is served last anyway.
+	// maxBand is the highest fair-share band. It holds all teams that have used more than four times their share. A
+	// team beyond eight times its share is served last anyway, so there are no higher bands.
 	maxBand = 3
 
-	// minTotalUsage is the decayed usage of all teams together, in weighted CPU-microseconds, below which no team has
-	// used notably more than others.
+	// minTotalUsage is the decayed usage of all teams together, in weighted CPU-microseconds, below which all teams
+	// get the same factor and band, because no team has used significantly more than the others.
 	minTotalUsage = 600 * 1_000_000
 )
 
-// FairShare is how a team's decayed usage relates to its fair share.
+// FairShare compares a team's decayed usage with its fair share of all usage.
 type FairShare struct {
 	Team          string
-	Weight        float64 // its fraction of all weights
+	Weight        float64 // the team's fraction of the weights of all teams
 	DecayedUsage  uint64  // in weighted CPU-microseconds
-	UsageFraction float64 // its fraction of all decayed usage
-	Factor        float64 // 2^-(UsageFraction/Weight): 1 without usage, 1/2 at its share
-	Band          int     // of work beyond guarantees, teams with a lower band are served first
-	Rank          int     // by factor, from 1
+	UsageFraction float64 // the team's fraction of all decayed usage; 0 if all teams together are below minTotalUsage
+	Factor        float64 // 2^-(UsageFraction/Weight): 1 without usage, 1/2 if the team has used exactly its share
+	Band          int     // work beyond guarantees is served in ascending order of its team's band
+	Rank          int     // position by descending Factor, starting at 1; teams with equal factors share a rank
 }
 
-// FairShares compares teams by their weights and decayed usage, best factor first. What a team does not use is not
-// saved up for it: no factor is above that of a team that never ran anything.
+// FairShares returns the fair shares of all teams in weights, in descending order of Factor. decayedUsage returns a
+// team's decayed usage in weighted CPU-microseconds. Unused shares do not accumulate: no team has a higher factor
+// than one that never ran anything.
 func FairShares(weights map[string]float64, decayedUsage func(team string) uint64) []FairShare {
 	var totalWeight float64
 	var totalUsage uint64
@@ -53,7 +55,7 @@
 	return shares
 }
 
-// compute turns the weight into a fraction and fills in what depends on the totals of all teams.
+// compute normalizes the weight to a fraction of totalWeight and fills in UsageFraction, Factor and Band.
 func (s *FairShare) compute(totalWeight float64, totalUsage uint64) {
 	if totalWeight > 0 {
 		s.Weight /= totalWeight
@@ -71,8 +73,8 @@
 	s.Band = band(s.UsageFraction, s.Weight)
 }
 
-// band is how far a team is beyond its share: 0 within it, 1 up to twice, 2 up to four times, 3 beyond that. Teams of
-// one band compete by slack.
+// band returns the fair-share band of a team: 0 if it has used no more than its share, 1 up to twice its share, 2 up
+// to four times its share, and 3 beyond that. The work of teams in the same band is ordered by slack.
 func band(usageFraction, weight float64) int {
 	if usageFraction <= weight {
 		return 0
--- a/internal/ledger/fold.go
+++ b/internal/ledger/fold.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// Retention says for how long segments keep their unit.
+// Retention defines the age up to which hourly and daily segments are kept. Age is measured from a segment's Start.
 type Retention struct {
-	Hours time.Duration // hourly segments older than this are folded into days
-	Days  time.Duration // daily segments older than this are folded into months
+	Hours time.Duration // older hourly segments are compacted into daily ones
+	Days  time.Duration // older hourly and daily segments are compacted into monthly ones
 }
 
-// unitAt is the unit that a segment should have by its age.
-func (r Retention) unitAt(now time.Time, segment *Segment) Unit {
+// targetUnit returns the unit that a segment of this age is compacted to, or its present unit if it is not old
+// enough.
+func (r Retention) targetUnit(now time.Time, segment *Segment) Unit {
 	age := now.Sub(segment.Start)
 	switch {
 	case segment.Unit < Month && age > r.Days:
@@ -23,60 +24,62 @@
 	return segment.Unit
 }
 
-// Fold looks for the first run of segments, in order, that are old enough to become one segment of a day or a month,
-// and returns that: at most maxCount segments in one, and no larger than a record may be. It replaces count segments
-// from index first on; count is 0 where there is no such run.
+// Fold compacts the first run of at least two segments that are old enough to be merged into one daily or monthly
+// segment. segments are the closed segments of one team in the order of their numbers; now is the time of day. At
+// most maxCount segments are merged, and the result is at most as large as settings.MaxRecordBytes. It replaces count
+// segments, starting at index first. If there is no such run, compacted is nil and count is 0.
 func Fold(
 	settings *Settings, segments []StoredSegment, now time.Time, maxCount int,
-) (folded *Segment, first, count int) {
+) (compacted *Segment, first, count int) {
 	for first := range segments {
 		run := segments[first:min(len(segments), first+max(maxCount, 1))]
-		if folded, count := foldRun(settings, run, now); count > 1 {
-			folded.Sum = settings.Seal.Sum(folded)
-			return folded, first, count
+		if compacted, count := compactRun(settings, run, now); count > 1 {
+			compacted.Sum = settings.Seal.Sum(compacted)
+			return compacted, first, count
 		}
 	}
 	return nil, 0, 0
 }
 
-// foldRun folds the first of some segments with as many of those behind it as belong to it, and returns how many it
-// folded.
-func foldRun(settings *Settings, segments []StoredSegment, now time.Time) (folded *Segment, count int) {
+// compactRun merges the first segment with as many of the following ones as possible. count is the number of merged
+// segments, including the first. compacted.Sum is not up to date.
+func compactRun(settings *Settings, segments []StoredSegment, now time.Time) (compacted *Segment, count int) {
 	result := segments[0].Segment
-	result.Unit = settings.Retention.unitAt(now, &result)
+	result.Unit = settings.Retention.targetUnit(now, &result)
 	result.Start = result.Unit.Start(result.Start)
 	result.Usage = slices.Clone(result.Usage)
 	count = 1
 	for i := range segments[1:] {
 		next := &segments[1+i].Segment
-		if settings.Retention.unitAt(now, next) != result.Unit || !result.accepts(next) {
+		if settings.Retention.targetUnit(now, next) != result.Unit || !result.canMerge(next) {
 			break
 		}
-		grown := result.with(next)
-		if RecordSize(grown.Team, grown.Usage) > settings.MaxRecordBytes {
+		merged := result.mergedWith(next)
+		if RecordSizeBound(merged.Team, merged.Usage) > settings.MaxRecordBytes {
 			break
 		}
-		result = grown
+		result = merged
 		count++
 	}
 	return &result, count
 }
 
-// accepts reports whether the next segment can be folded into this one.
-func (s *Segment) accepts(next *Segment) bool {
+// canMerge reports whether next can be merged into s: it has to have the next number, lie in the same day or month,
+// and have no larger unit than s.
+func (s *Segment) canMerge(next *Segment) bool {
 	if s.Unit == Hour || next.Unit > s.Unit || next.First != s.Last+1 {
 		return false
 	}
 	return s.Unit.Start(next.Start).Equal(s.Start)
 }
 
-// with is the segment with the next one folded into it; Sum is not computed.
-func (s *Segment) with(next *Segment) Segment {
-	grown := *s
-	grown.Usage = slices.Clone(s.Usage)
+// mergedWith returns a copy of s with next merged into it. Its Sum is not up to date.
+func (s *Segment) mergedWith(next *Segment) Segment {
+	merged := *s
+	merged.Usage = slices.Clone(s.Usage)
 	for _, class := range next.Usage {
-		grown.Usage = AddUsage(grown.Usage, class.Class, class.Usage)
+		merged.Usage = AddUsage(merged.Usage, class.Class, class.Usage)
 	}
-	grown.Last, grown.Head = next.Last, next.Link()
-	return grown
+	merged.Last, merged.Head = next.Last, next.Link()
+	return merged
 }
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The hashes of segments are stored: what is hashed, and how, never changes.
+// Stored segments contain their hashes, so a change of the hash function or of the hashed content would make every
+// older segment fail verification.
 func TestSegmentHashesStay(t *testing.T) {
 	train := FromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})
 	segment := Segment{
@@ -30,23 +31,25 @@
 		"\"train\" 1 2 3 4 5 6 7 8 9 10 11 12 13\n" +
 		"\"serve\" 0 0 0 0 0 0 0 0 0 0 0 0 0\n"
 	if got := string(segment.canonical()); got != text {
-		t.Errorf("what is hashed: got\n%s\nwant\n%s", got, text)
+		t.Errorf("hashed content: got\n%s\nwant\n%s", got, text)
 	}
 }
 
-// The order of the amounts in a record, and the names of causes and units, never change.
+// Records store the amounts by position, so another order would give stored usage another meaning. The names of wait
+// causes and units are published and never change.
 func TestAmountsKeepTheirOrder(t *testing.T) {
-	var list []uint64
+	var numbers []uint64
 	for i := range uint64(13) {
-		list = append(list, i+1)
+		numbers = append(numbers, i+1)
 	}
-	u := FromNumbers(list)
-	if u.CPU != 1 || u.GPU != 2 || u.Mem != 3 || u.Lost != 4 || u.Starts != 5 || u.TakenOver != 6 {
-		t.Errorf("the first six amounts: got %+v, want 1 to 6", u)
+	usage := FromNumbers(numbers)
+	if usage.CPU != 1 || usage.GPU != 2 || usage.Mem != 3 ||
+		usage.Lost != 4 || usage.Starts != 5 || usage.TakenOver != 6 {
+		t.Errorf("first six amounts: got %+v, want 1 to 6", usage)
 	}
 	for i, want := range []string{"limit", "guarantee", "room", "share", "awaits", "backoff", "takeover"} {
-		if got := WaitCause(i).String(); got != want || u.Wait[i] != uint64(7+i) {
-			t.Errorf("cause %d: got %s with %d, want %s with %d", i, got, u.Wait[i], want, 7+i)
+		if got := WaitCause(i).String(); got != want || usage.Wait[i] != uint64(7+i) {
+			t.Errorf("wait cause %d: got %s with %d, want %s with %d", i, got, usage.Wait[i], want, 7+i)
 		}
 	}
 	for i, want := range []string{"none", "hour", "day", "month"} {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,13 +1,14 @@
-// Package ledger accounts for what teams use and why their tasks wait: integer amounts, one account a team, segments
-// that are chained by their hashes, and fair shares from decayed usage. It is pure: it performs no input or output and
-// reads no clock.
+// Package ledger accounts for the resources that teams use and for the time that their tasks wait, by cause. Each
+// team has one account, which is stored as a hash chain of segments with integer amounts. The package also computes
+// the teams' fair shares from their decayed usage. It performs no input or output and reads no clock. Its types are
+// not safe for concurrent use.
 //
-// A leader creates its Accounts from the records that it finds, calls Charge for what is used, and settles the accounts
-// that DueTeams lists: it sends what Settle returns to the state service and reports the outcome by
-// SettlementCompleted or SettlementRefused. The records of accounts that Unreconciled lists have to be read and passed
-// to Reconcile. Old segments are merged by Fold.
+// A leader creates Accounts from the stored records, adds usage with Charge, and settles the accounts of the teams
+// that DueTeams returns: it sends the Settlement that Settle returns to the state service and reports the outcome
+// with SettlementCompleted or SettlementRefused. It reads the records of the teams that Unreconciled returns and
+// passes them to Reconcile. Fold merges old segments.
 //
-// docs/ledger.md says what counts and why; docs/safety.md, "Ledger", why nothing is charged twice.
+// docs/ledger.md defines what is charged and why; docs/safety.md, "Ledger", argues why nothing is charged twice.
 package ledger
 
 import (
@@ -16,100 +17,105 @@
 )
 
 const (
-	// checksPerSettleInterval is how often accounts are checked within Settings.SettleInterval.
+	// checksPerSettleInterval is the number of times per Settings.SettleInterval that DueTeams checks the accounts.
 	checksPerSettleInterval = 2
 
-	// decayWritesPerHalfLife is how often the decay of an account without charges is recorded within a half-life.
+	// decayWritesPerHalfLife is the number of times per half-life that the decayed usage of an account without
+	// charges is recorded.
 	decayWritesPerHalfLife = 16
 
-	// maxReconcileWait is how long the end of a job waits for an account that has to be reconciled.
+	// maxReconcileWait bounds the time that the end of a job waits for an unreconciled account.
 	maxReconcileWait = 2 * time.Second
 )
 
 // Settings are the operators' settings of the ledger.
 type Settings struct {
-	SettleInterval time.Duration // between settlements of one account
-	HalfLife       time.Duration // of decayed usage
+	SettleInterval time.Duration // minimum time between periodic settlements of one account
+	HalfLife       time.Duration // half-life of decayed usage; usage does not decay if it is 0
 	Weights        Weights
-	MaxRecordBytes int // of one stored segment
+	MaxRecordBytes int // maximum size of one stored segment
 	Retention      Retention
 	Seal           *Seal
 }
 
-// Accounts are the accounts of all teams, as one leader keeps them under one fencing token. Times are those of the
-// leader's monotonic clock; the time of day only names segments.
+// Accounts holds the accounts of all teams for one leader with one fencing token. Parameters named now are times of
+// the leader's monotonic clock. The time of day is used only for the stored start times of segments and times of
+// settlements.
 type Accounts struct {
-	settings     Settings
-	fencingToken uint64
-	start        time.Time
-	byTeam       map[string]*account
-	nextCheck    time.Time
-	unreconciled int // accounts that have to be reconciled
+	settings          Settings
+	fencingToken      uint64
+	takeoverAt        time.Time // when the leader took over
+	byTeam            map[string]*teamAccount
+	nextCheck         time.Time // earliest time at which DueTeams checks the accounts again
+	unreconciledCount int       // number of accounts in the state accountUnreconciled
 }
 
 // StoredAccount is the stored record of a team's account.
 type StoredAccount struct {
 	Open    OpenSegment
-	Version uint64 // of the record; 0: there is none
-	Err     error  // why this program version cannot read the record: of Open only the team is known then
+	Version uint64 // version of the record; 0 if there is no record
+	Err     error  // why this program version cannot read the record; only Open.Team is valid if it is not nil
 }
 
-// NewAccounts returns the accounts of a leader that has just taken over, as their records say.
+// NewAccounts returns the accounts that a leader with the given fencing token restores from the stored records. now
+// is the time of the takeover.
 func NewAccounts(now time.Time, settings Settings, fencingToken uint64, records []StoredAccount) *Accounts {
-	l := &Accounts{
+	accounts := &Accounts{
 		settings:     settings,
 		fencingToken: fencingToken,
-		start:        now,
-		byTeam:       map[string]*account{},
+		takeoverAt:   now,
+		byTeam:       map[string]*teamAccount{},
 		nextCheck:    now.Add(settings.SettleInterval / checksPerSettleInterval),
 	}
 	for _, stored := range records {
-		a := l.account(now, stored.Open.Team)
-		a.record, a.version, a.unreadable = stored.Open, stored.Version, stored.Err != nil
+		account := accounts.getOrCreate(now, stored.Open.Team)
+		account.record, account.version, account.unreadable = stored.Open, stored.Version, stored.Err != nil
 	}
-	return l
+	return accounts
 }
 
-// account is a team's account, which is created where there is none.
-func (l *Accounts) account(now time.Time, team string) *account {
-	a := l.byTeam[team]
-	if a == nil {
-		a = &account{state: accountClean, record: newOpenSegment(team), asOf: now}
-		l.byTeam[team] = a
+// getOrCreate returns a team's account. It creates an empty one for a team without a stored record.
+func (a *Accounts) getOrCreate(now time.Time, team string) *teamAccount {
+	account := a.byTeam[team]
+	if account == nil {
+		account = &teamAccount{state: accountClean, record: newOpenSegment(team), recordAsOf: now}
+		a.byTeam[team] = account
 	}
-	return a
+	return account
 }
 
-// Instant is a moment of the monotonic clock in whole milliseconds since the takeover. Differences of instants add up
-// to that of the first and the last one, so a span that is charged in parts is charged the same as in one.
-func (l *Accounts) Instant(t time.Time) uint64 {
-	return uint64(max(t.Sub(l.start)/time.Millisecond, 0))
+// Instant converts a time of the monotonic clock to whole milliseconds since the takeover. Times before the takeover
+// yield 0. Charges are computed from the difference of two instants, so that rounding does not accumulate: a period
+// that is charged in several parts costs the same as one that is charged at once.
+func (a *Accounts) Instant(t time.Time) uint64 {
+	return uint64(max(t.Sub(a.takeoverAt)/time.Millisecond, 0))
 }
 
-// Charge adds usage of one job class to a team's account.
-func (l *Accounts) Charge(now time.Time, team, class string, usage Usage) {
+// Charge adds the usage of one job class to a team's account. The usage is stored with the next settlement.
+func (a *Accounts) Charge(now time.Time, team, class string, usage Usage) {
 	if usage == (Usage{}) {
 		return
 	}
-	a := l.account(now, team)
-	a.unsettled = AddUsage(a.unsettled, class, usage)
-	if a.state == accountClean {
-		a.transition(accountCharged)
+	account := a.getOrCreate(now, team)
+	account.unsettled = AddUsage(account.unsettled, class, usage)
+	if account.state == accountClean {
+		account.transition(accountCharged)
 	}
 }
 
-// NextCheck is when DueTeams is to be called next.
-func (l *Accounts) NextCheck() time.Time { return l.nextCheck }
+// NextCheck returns the earliest time at which DueTeams checks the accounts again.
+func (a *Accounts) NextCheck() time.Time { return a.nextCheck }
 
-// DueTeams lists the teams whose accounts are to be settled now.
-func (l *Accounts) DueTeams(now time.Time) []string {
-	if now.Before(l.nextCheck) {
+// DueTeams returns the sorted names of the teams whose accounts are to be settled now. It returns nil before
+// NextCheck.
+func (a *Accounts) DueTeams(now time.Time) []string {
+	if now.Before(a.nextCheck) {
 		return nil
 	}
-	l.nextCheck = now.Add(l.settings.SettleInterval / checksPerSettleInterval)
+	a.nextCheck = now.Add(a.settings.SettleInterval / checksPerSettleInterval)
 	var teams []string
-	for team, a := range l.byTeam {
-		if l.due(now, a) {
+	for team, account := range a.byTeam {
+		if a.isDue(now, account) {
 			teams = append(teams, team)
 		}
 	}
@@ -117,58 +123,62 @@
 	return teams
 }
 
-// due reports whether an account is to be settled: it has had charges for long enough, or its decay has not been
-// recorded for long. Without the latter the decayed usage of an idle team would stand still through one failover after
-// another.
-func (l *Accounts) due(now time.Time, a *account) bool {
-	if a.unreadable {
+// isDue reports whether an account is to be settled: either it has charges and its record is older than the settle
+// interval, or it has no charges and its decay has not been recorded for a fraction of the half-life. Without the
+// second condition the decayed usage of an idle team would not decrease if the leader changes often, since a new
+// leader starts from the recorded value.
+func (a *Accounts) isDue(now time.Time, account *teamAccount) bool {
+	if account.unreadable {
 		return false
 	}
-	age := now.Sub(a.asOf)
-	switch a.state {
+	age := now.Sub(account.recordAsOf)
+	switch account.state {
 	case accountCharged:
-		return age >= l.settings.SettleInterval
+		return age >= a.settings.SettleInterval
 	case accountClean:
-		return a.record.DecayedUsage > 0 && age > l.settings.HalfLife/decayWritesPerHalfLife
+		return account.record.DecayedUsage > 0 && age > a.settings.HalfLife/decayWritesPerHalfLife
 	}
 	return false
 }
 
-// HasPending reports whether a settlement of the team has been made whose outcome is not known.
-func (l *Accounts) HasPending(team string) bool {
-	a := l.byTeam[team]
-	return a != nil && a.pending != nil
+// HasPending reports whether the team has a settlement whose outcome is not known yet.
+func (a *Accounts) HasPending(team string) bool {
+	account := a.byTeam[team]
+	return account != nil && account.pending != nil
 }
 
-// BlocksJobEnd reports whether the end of a job of the team has to wait for its account. It does not wait for long for
-// one that has to be reconciled: a record that cannot be read must not keep every job of its team from ending.
-func (l *Accounts) BlocksJobEnd(now time.Time, team string) bool {
-	a := l.byTeam[team]
-	if a == nil || a.pending == nil {
+// BlocksJobEnd reports whether the end of a job of the team has to wait because the team has a pending settlement.
+// The wait for an unreconciled account is bounded by maxReconcileWait: a record that cannot be read must not keep all
+// jobs of the team from ending.
+func (a *Accounts) BlocksJobEnd(now time.Time, team string) bool {
+	account := a.byTeam[team]
+	if account == nil || account.pending == nil {
 		return false
 	}
-	return a.state != accountUnreconciled || now.Sub(a.unreconciledSince) < maxReconcileWait
+	return account.state != accountUnreconciled || now.Sub(account.unreconciledSince) < maxReconcileWait
 }
 
-// UnrecordedUsage is what a team has used that is not on record: it may be lost with this leader.
-func (l *Accounts) UnrecordedUsage(team string) Usage {
-	a := l.byTeam[team]
-	if a == nil {
+// UnrecordedUsage returns the usage of a team that is not known to be in its stored record. It may be lost if this
+// leader fails.
+func (a *Accounts) UnrecordedUsage(team string) Usage {
+	account := a.byTeam[team]
+	if account == nil {
 		return Usage{}
 	}
-	usage := Total(a.unsettled)
-	if a.pending != nil {
-		usage.Add(Total(a.pending.charges))
+	usage := Total(account.unsettled)
+	if account.pending != nil {
+		usage.Add(Total(account.pending.charges))
 	}
 	return usage
 }
 
-// DecayedUsage is a team's decayed usage as of now, with what is not on record yet, in weighted CPU-microseconds.
-func (l *Accounts) DecayedUsage(now time.Time, team string) uint64 {
-	a := l.byTeam[team]
-	if a == nil {
+// DecayedUsage returns a team's decayed usage at the time now, including its unrecorded usage, in weighted
+// CPU-microseconds. Unrecorded usage is not decayed.
+func (a *Accounts) DecayedUsage(now time.Time, team string) uint64 {
+	account := a.byTeam[team]
+	if account == nil {
 		return 0
 	}
-	recorded := decay(a.record.DecayedUsage, now.Sub(a.asOf), l.settings.HalfLife)
-	return recorded + l.settings.Weights.cost(l.UnrecordedUsage(team))
+	recorded := decay(account.record.DecayedUsage, now.Sub(account.recordAsOf), a.settings.HalfLife)
+	return recorded + a.settings.Weights.cost(a.UnrecordedUsage(team))
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain draws the same cases every time, unless a flag gives another seed.
+// TestMain sets defaults for the flags of rapid, so that each run draws the same cases unless a flag sets another
+// seed.
 func TestMain(m *testing.M) {
 	flags := map[string]string{"rapid.seed": "20260301", "rapid.checks": "400", "rapid.nofailfile": "true"}
 	for name, value := range flags {
@@ -35,8 +36,8 @@
 	}
 }
 
-// fakeStore stands in for the state service: it holds one team's account and its closed segments, and carries a
-// settlement out if its condition holds.
+// fakeStore is a fake of the state service. It holds one team's account and closed segments, and commits a settlement
+// if the settlement's condition holds.
 type fakeStore struct {
 	account      StoredAccount
 	segments     []StoredSegment
@@ -44,7 +45,7 @@
 	fencingToken uint64
 }
 
-// commit carries a settlement out, and reports whether its condition held.
+// commit applies a settlement if its condition holds, and reports whether it was applied.
 func (f *fakeStore) commit(s *Settlement, fencingToken uint64) bool {
 	if fencingToken != f.fencingToken || s.Version != f.account.Version {
 		return false
@@ -57,8 +58,8 @@
 	return true
 }
 
-// total is all usage on record.
-func (f *fakeStore) total() Usage {
+// recordedUsage returns the sum of all usage in the store.
+func (f *fakeStore) recordedUsage() Usage {
 	usage := Total(f.account.Open.Usage)
 	for _, segment := range f.segments {
 		usage.Add(Total(segment.Usage))
@@ -66,7 +67,7 @@
 	return usage
 }
 
-// verify checks the chain of segments.
+// verify checks the hash chain of the closed segments and the open one.
 func (f *fakeStore) verify(seal *Seal) error {
 	var segments []Segment
 	for _, stored := range f.segments {
@@ -79,63 +80,65 @@
 	return err
 }
 
-// sentSettlement is a copy of a settlement on its way to the state service.
+// sentSettlement is a settlement that a leader has sent to the state service. It may be delivered any number of
+// times.
 type sentSettlement struct {
 	settlement   *Settlement
 	fencingToken uint64
 }
 
-// id identifies the settlement, however often it is sent.
+// id identifies the settlement. It is the same if the settlement is sent again.
 func (s sentSettlement) id() string {
 	return fmt.Sprint(s.fencingToken, "/", s.settlement.Open.Settlements)
 }
 
-// ledgerMachine plays leaders that keep the account of team red, one after the other, over one fakeStore.
-type ledgerMachine struct {
-	settings Settings
-	store    *fakeStore
-	accounts *Accounts
-	now, day time.Time
-	copies   []sentSettlement
-	charges  map[string]Usage // of the settlements, by id
-	recorded Usage            // that has to be on record
-	charged  Usage            // by this leader, since the settlement that is pending
+// ledgerStateMachine simulates successive leaders that keep the account of team red in one fakeStore. Its methods
+// with a *rapid.T parameter are the actions of a property test.
+type ledgerStateMachine struct {
+	settings       Settings
+	store          *fakeStore
+	accounts       *Accounts
+	now, timeOfDay time.Time
+	sent           []sentSettlement
+	chargesByID    map[string]Usage // sum of each settlement's charges, by sentSettlement.id
+	wantRecorded   Usage            // usage that the store must hold
+	unsettled      Usage            // usage that the present leader has charged and not put into a settlement
 }
 
-// takeOver replaces the leader: what was charged and not settled is lost.
-func (m *ledgerMachine) takeOver(*rapid.T) {
+// takeOver replaces the leader. Unsettled usage of the former leader is lost.
+func (m *ledgerStateMachine) takeOver(*rapid.T) {
 	m.store.fencingToken++
 	var records []StoredAccount
 	if m.store.account.Version > 0 {
 		records = append(records, m.store.account)
 	}
-	m.accounts, m.charged = NewAccounts(m.now, m.settings, m.store.fencingToken, records), Usage{}
+	m.accounts, m.unsettled = NewAccounts(m.now, m.settings, m.store.fencingToken, records), Usage{}
 }
 
-// commit delivers a copy of a settlement to the store.
-func (m *ledgerMachine) commit(c sentSettlement) bool {
-	if !m.store.commit(c.settlement, c.fencingToken) {
+// deliver delivers a settlement to the store, and reports whether the store has applied it.
+func (m *ledgerStateMachine) deliver(sent sentSettlement) bool {
+	if !m.store.commit(sent.settlement, sent.fencingToken) {
 		return false
 	}
-	m.recorded.Add(m.charges[c.id()])
+	m.wantRecorded.Add(m.chargesByID[sent.id()])
 	return true
 }
 
-func (m *ledgerMachine) send(s *Settlement) sentSettlement {
+func (m *ledgerStateMachine) send(s *Settlement) sentSettlement {
 	sent := sentSettlement{settlement: s, fencingToken: m.store.fencingToken}
-	m.copies = append(m.copies, sent)
+	m.sent = append(m.sent, sent)
 	return sent
 }
 
-// drawCopy draws one of the copies that were sent, delivered before or not.
-func (m *ledgerMachine) drawCopy(t *rapid.T) sentSettlement {
-	if len(m.copies) == 0 {
+// drawSent draws one of the settlements that were sent. It may have been delivered before.
+func (m *ledgerStateMachine) drawSent(t *rapid.T) sentSettlement {
+	if len(m.sent) == 0 {
 		t.Skip()
 	}
-	return m.copies[rapid.IntRange(0, len(m.copies)-1).Draw(t, "which")]
+	return m.sent[rapid.IntRange(0, len(m.sent)-1).Draw(t, "which")]
 }
 
-func (m *ledgerMachine) charge(t *rapid.T) {
+func (m *ledgerStateMachine) charge(t *rapid.T) {
 	usage := Usage{
 		CPU:    rapid.Uint64Range(1, 1e12).Draw(t, "cpu"),
 		GPU:    rapid.Uint64Range(0, 1e9).Draw(t, "gpu"),
@@ -143,31 +146,31 @@
 	}
 	usage.Wait[WaitQuota] = rapid.Uint64Range(0, 1e9).Draw(t, "wait")
 	m.accounts.Charge(m.now, "red", rapid.StringMatching(`[a-z<é]{1,30}`).Draw(t, "class"), usage)
-	m.charged.Add(usage)
+	m.unsettled.Add(usage)
 }
 
-func (m *ledgerMachine) settle(t *rapid.T) {
-	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 7200).Draw(t, "s")) * time.Second)
-	s := m.accounts.Settle(m.now, m.day, "red")
-	if s == nil {
+func (m *ledgerStateMachine) settle(t *rapid.T) {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 7200).Draw(t, "seconds")) * time.Second)
+	settlement := m.accounts.Settle(m.now, m.timeOfDay, "red")
+	if settlement == nil {
 		return
 	}
-	// Job classes that the segment has no room for are left for the next settlement.
-	settled, left := Total(s.charges), Total(m.accounts.byTeam["red"].unsettled)
+	// Charges of job classes for which the segment has no room are left for the next settlement.
+	settled, left := Total(settlement.charges), Total(m.accounts.byTeam["red"].unsettled)
 	all := settled
-	if all.Add(left); all != m.charged {
-		t.Fatalf("settled %+v and left %+v, want %+v together", settled, left, m.charged)
+	if all.Add(left); all != m.unsettled {
+		t.Fatalf("settled %+v and left %+v, want %+v together", settled, left, m.unsettled)
 	}
-	m.charged = left
-	m.charges[m.send(s).id()] = settled
+	m.unsettled = left
+	m.chargesByID[m.send(settlement).id()] = settled
 }
 
-// answer delivers a copy; its sender learns of the outcome if it still leads.
-func (m *ledgerMachine) answer(t *rapid.T) {
-	sent := m.drawCopy(t)
-	ok := m.commit(sent)
-	a := m.accounts.byTeam["red"]
-	if sent.fencingToken != m.store.fencingToken || a == nil || a.pending != sent.settlement {
+// deliverWithAnswer delivers a settlement and reports the outcome to its sender, if that is still the leader.
+func (m *ledgerStateMachine) deliverWithAnswer(t *rapid.T) {
+	sent := m.drawSent(t)
+	ok := m.deliver(sent)
+	account := m.accounts.byTeam["red"]
+	if sent.fencingToken != m.store.fencingToken || account == nil || account.pending != sent.settlement {
 		return
 	}
 	if ok {
@@ -176,60 +179,61 @@
 	}
 	m.accounts.SettlementRefused(m.now, "red")
 	for range m.accounts.Unreconciled() {
-		if again, _ := m.accounts.Reconcile("red", m.store.account); again != nil {
-			m.send(again)
+		if resend, _ := m.accounts.Reconcile("red", m.store.account); resend != nil {
+			m.send(resend)
 		}
 	}
 }
 
-// deliver delivers a copy late, or without an answer.
-func (m *ledgerMachine) deliver(t *rapid.T) { m.commit(m.drawCopy(t)) }
+// deliverWithoutAnswer delivers a settlement late, again, or with the answer lost.
+func (m *ledgerStateMachine) deliverWithoutAnswer(t *rapid.T) { m.deliver(m.drawSent(t)) }
 
-func (m *ledgerMachine) jumpClock(t *rapid.T) {
-	m.day = m.day.Add(time.Duration(rapid.IntRange(-40, 60).Draw(t, "h")) * time.Hour)
+func (m *ledgerStateMachine) jumpTimeOfDay(t *rapid.T) {
+	m.timeOfDay = m.timeOfDay.Add(time.Duration(rapid.IntRange(-40, 60).Draw(t, "hours")) * time.Hour)
 }
 
-func (m *ledgerMachine) fold(t *rapid.T) {
-	folded, first, n := Fold(&m.settings, m.store.segments, m.day, rapid.IntRange(2, 12).Draw(t, "most"))
-	if n > 0 {
-		replacement := StoredSegment{Segment: *folded, Version: m.store.revision}
-		m.store.segments = slices.Replace(m.store.segments, first, first+n, replacement)
+func (m *ledgerStateMachine) fold(t *rapid.T) {
+	compacted, first, count := Fold(
+		&m.settings, m.store.segments, m.timeOfDay, rapid.IntRange(2, 12).Draw(t, "max count"))
+	if count > 0 {
+		replacement := StoredSegment{Segment: *compacted, Version: m.store.revision}
+		m.store.segments = slices.Replace(m.store.segments, first, first+count, replacement)
 	}
 }
 
-func (m *ledgerMachine) check(t *rapid.T) {
-	if got := m.store.total(); got != m.recorded {
-		t.Fatalf("%+v on record, want %+v", got, m.recorded)
+func (m *ledgerStateMachine) check(t *rapid.T) {
+	if got := m.store.recordedUsage(); got != m.wantRecorded {
+		t.Fatalf("recorded usage: got %+v, want %+v", got, m.wantRecorded)
 	}
 	if err := m.store.verify(m.settings.Seal); err != nil {
-		t.Fatalf("chain of segments: got %v, want no error", err)
+		t.Fatalf("verification of the hash chain: got %v, want no error", err)
 	}
 	usage := m.store.account.Open.Usage
-	if size := RecordSize("red", usage); size > m.settings.MaxRecordBytes && len(usage) > 1 {
-		t.Fatalf("record of %d bytes, want at most %d", size, m.settings.MaxRecordBytes)
+	if size := RecordSizeBound("red", usage); size > m.settings.MaxRecordBytes && len(usage) > 1 {
+		t.Fatalf("record size: got up to %d bytes, want at most %d", size, m.settings.MaxRecordBytes)
 	}
 }
 
-// Whatever the order of charges, settlements, copies that are lost, late or doubled, missing answers, failovers, clocks
-// that jump and folds: what is on record is what was charged up to the last settlement that was carried out, and the
-// segments are chained.
+// The store holds exactly the charges of all settlements that it has applied, and the hash chain is intact, after any
+// sequence of charges, settlements, lost, late or duplicate deliveries, missing answers, failovers, jumps of the time
+// of day and compactions.
 func TestRecordsHoldSettledUsageInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &ledgerMachine{
-			settings: newSettings(rapid.IntRange(700, 2000).Draw(t, "most")),
-			store:    &fakeStore{},
-			now:      noon,
-			day:      noon,
-			charges:  map[string]Usage{},
+		m := &ledgerStateMachine{
+			settings:    newSettings(rapid.IntRange(700, 2000).Draw(t, "max record bytes")),
+			store:       &fakeStore{},
+			now:         noon,
+			timeOfDay:   noon,
+			chargesByID: map[string]Usage{},
 		}
 		m.takeOver(nil)
 		t.Repeat(map[string]func(*rapid.T){
 			"charge":              m.charge,
 			"settle":              m.settle,
-			"answered":            m.answer,
-			"unanswered, or late": m.deliver,
+			"answered":            m.deliverWithAnswer,
+			"unanswered, or late": m.deliverWithoutAnswer,
 			"takeover":            m.takeOver,
-			"clock jumps":         m.jumpClock,
+			"clock jumps":         m.jumpTimeOfDay,
 			"fold":                m.fold,
 			"":                    m.check,
 		})
@@ -243,22 +247,22 @@
 	now := noon
 	for hour := range 6 {
 		accounts.Charge(now, "red", "work", Usage{CPU: uint64(hour + 1)})
-		s := accounts.Settle(now, now, "red")
-		if !store.commit(s, 1) {
-			t.Fatalf("settlement %d was not carried out, want that it is", hour)
+		settlement := accounts.Settle(now, now, "red")
+		if !store.commit(settlement, 1) {
+			t.Fatalf("settlement %d was not applied, want it applied", hour)
 		}
 		accounts.SettlementCompleted("red", store.account.Version)
 		now = now.Add(time.Hour)
 	}
 	if err := store.verify(settings.Seal); err != nil || len(store.segments) != 5 {
-		t.Fatalf("%d segments and %v, want 5 and no error", len(store.segments), err)
+		t.Fatalf("verification: got %d segments and error %v, want 5 and none", len(store.segments), err)
 	}
 	for _, c := range []struct {
 		name   string
 		want   error
 		change func(f *fakeStore, seal **Seal)
 	}{
-		{"another amount", ErrChanged, func(f *fakeStore, _ **Seal) {
+		{"the usage of a segment is changed", ErrChanged, func(f *fakeStore, _ **Seal) {
 			f.segments[2].Usage = []ClassUsage{{Class: "work", Usage: Usage{CPU: 99}}}
 		}},
 		{"a segment is missing", ErrGap, func(f *fakeStore, _ **Seal) {
@@ -271,7 +275,7 @@
 			f.segments[4].Usage = nil
 			f.segments[4].Sum = NewSeal(nil).Sum(&f.segments[4].Segment)
 		}},
-		{"another key", ErrChanged, func(_ *fakeStore, seal **Seal) {
+		{"verification with another key", ErrChanged, func(_ *fakeStore, seal **Seal) {
 			*seal = NewSeal([]byte("some other secret"))
 		}},
 	} {
@@ -284,7 +288,7 @@
 	}
 }
 
-// cpuHours is the usage of a number of CPU-hours.
+// cpuHours returns the usage of n CPU-hours.
 func cpuHours(n uint64) Usage { return Usage{CPU: n * 3600 * 1_000_000} }
 
 func TestFairShareDecaysAndSavesNothingUp(t *testing.T) {
@@ -299,37 +303,38 @@
 		return byTeam
 	}
 	accounts.Charge(noon, "red", "work", cpuHours(300))
-	s := accounts.Settle(noon, noon, "red")
+	settlement := accounts.Settle(noon, noon, "red")
 	accounts.SettlementCompleted("red", 1)
-	if got, want := s.Open.DecayedUsage, cpuHours(300).CPU; got != want {
-		t.Fatalf("decayed usage is %d, want %d", got, want)
+	if got, want := settlement.Open.DecayedUsage, cpuHours(300).CPU; got != want {
+		t.Fatalf("decayed usage: got %d, want %d", got, want)
 	}
 	shares := sharesAt(noon)
 	if red := shares["red"]; red.Band == 0 || red.Rank != 3 || red.Factor >= 0.5 {
-		t.Errorf("a team that has used everything: got %+v, want a band above 0, rank 3, a factor below 1/2", red)
+		t.Errorf("team with all of the usage: got %+v, want a band above 0, rank 3 and a factor below 1/2", red)
 	}
-	// Blue was idle for weeks; it ranks like a team that never ran anything.
-	if blue, never := shares["blue"], shares["new"]; blue.Factor != 1 || never.Factor != 1 || blue.Rank != never.Rank {
-		t.Errorf("idle %+v, never ran %+v; want the factor 1 and the same rank", blue, never)
+	// Teams without usage have the same factor and rank whatever their weights: unused shares do not accumulate.
+	if blue, other := shares["blue"], shares["new"]; blue.Factor != 1 || other.Factor != 1 || blue.Rank != other.Rank {
+		t.Errorf("teams without usage: got %+v and %+v, want factor 1 and the same rank", blue, other)
 	}
 	if got, want := accounts.DecayedUsage(noon.Add(time.Hour), "red"), cpuHours(150).CPU; got != want {
-		t.Errorf("decayed usage after a half-life is %d, want %d", got, want)
+		t.Errorf("decayed usage after one half-life: got %d, want %d", got, want)
 	}
-	// Blue works at an eighth of the pace: red is back within its share by the half-life.
+	// While red is idle, the others use 60 and 120 CPU-hours per hour. Red's usage halves every hour, so red soon
+	// returns to its share.
 	accounts.Charge(noon, "blue", "work", cpuHours(40))
-	back := time.Duration(0)
-	for sharesAt(noon.Add(back))["red"].Band > 0 && back < 24*time.Hour {
-		back += 10 * time.Minute
-		accounts.Charge(noon.Add(back), "blue", "work", cpuHours(10))
-		accounts.Charge(noon.Add(back), "new", "work", cpuHours(20))
+	elapsed := time.Duration(0)
+	for sharesAt(noon.Add(elapsed))["red"].Band > 0 && elapsed < 24*time.Hour {
+		elapsed += 10 * time.Minute
+		accounts.Charge(noon.Add(elapsed), "blue", "work", cpuHours(10))
+		accounts.Charge(noon.Add(elapsed), "new", "work", cpuHours(20))
 	}
-	if back == 0 || back > 4*time.Hour {
-		t.Errorf("back within its share after %v with a half-life of an hour, want up to four hours", back)
+	if elapsed == 0 || elapsed > 4*time.Hour {
+		t.Errorf("time until red is within its share: got %v, want more than 0 and at most 4h (4 half-lives)", elapsed)
 	}
-	// Only the monotonic clock counts: a jump of the time of day by hours decays nothing.
+	// Usage decays by the monotonic clock: a jump of the time of day by 9 hours does not change it.
 	before := accounts.DecayedUsage(noon, "red")
 	accounts.Charge(noon, "red", "work", Usage{CPU: 1})
 	if s := accounts.Settle(noon, noon.Add(9*time.Hour), "red"); s.Open.DecayedUsage != before+1 {
-		t.Errorf("decayed usage after a jump of the time of day is %d, want %d", s.Open.DecayedUsage, before+1)
+		t.Errorf("decayed usage after a jump of the time of day: got %d, want %d", s.Open.DecayedUsage, before+1)
 	}
 }
--- a/internal/ledger/seal.go
+++ b/internal/ledger/seal.go
@@ -10,27 +10,31 @@
 )
 
 const (
-	sumBytes = 16 // of a segment's hash
-	keyBytes = 32 // of the key of a hash
+	hashBytes = 16 // size of a segment's hash
+	keyBytes  = 32 // size of the key of a keyed hash
 
-	// keyContext separates the keys of segments from others that are derived from the same secret.
+	// keyContext is the key derivation context. It separates the key from others that are derived from the same
+	// secret.
 	keyContext = "glentiller ledger pages, version 1"
 
-	// canonicalNumbers is how many amounts the first version hashed. Later ones that are zero do not change a hash.
-	canonicalNumbers = 13
+	// minHashedAmounts is the number of amounts that the first version of the ledger hashed. Amounts that were added
+	// later are only hashed up to the last one that is not zero, so that the hashes of older segments stay valid.
+	minHashedAmounts = 13
 )
 
-// What Verify and VerifyOpen find.
+// The errors of Seal.Verify and OpenSegment.VerifyOpen.
 var (
-	ErrGap     = errors.New("pages are missing")
-	ErrChanged = errors.New("the page was changed")
+	// ErrGap means that at least one segment of the chain is missing.
+	ErrGap = errors.New("segments are missing")
+	// ErrChanged means that a segment was changed after it was closed, or was not hashed with the same key.
+	ErrChanged = errors.New("content was changed")
 )
 
-// Seal computes the hashes of segments. With a key, only who has it can change a segment without being noticed; without
-// one, hashes only reveal accidents.
+// Seal computes the hashes of segments. If it has a key, a segment can be changed undetected only by someone who
+// knows the key. Without a key, hashes reveal only accidental changes.
 type Seal struct{ key []byte }
 
-// NewSeal returns a seal with a key that is derived from a secret; an empty secret: without a key.
+// NewSeal returns a seal whose key is derived from the secret. If the secret is empty, the seal has no key.
 func NewSeal(secret []byte) *Seal {
 	s := &Seal{}
 	if len(secret) > 0 {
@@ -40,21 +44,21 @@
 	return s
 }
 
-// Sum is the hash of a segment's content.
+// Sum returns the hexadecimal hash of a segment's content, which excludes Segment.Sum.
 func (s *Seal) Sum(segment *Segment) string {
-	hash := blake3.New(sumBytes, s.key)
-	_, _ = hash.Write(segment.canonical()) // a hash accepts everything
+	hash := blake3.New(hashBytes, s.key)
+	_, _ = hash.Write(segment.canonical()) // never returns an error
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// canonical is all that a segment holds but its hash, in a form that does not depend on how records are stored and must
-// never change.
+// canonical returns the hashed encoding of a segment: all fields except Sum. It is independent of the encoding of
+// stored records and must never change, because stored hashes would become invalid.
 func (s *Segment) canonical() []byte {
 	b := fmt.Appendf(nil, "1 %q %d %d %d %d %q %q\n", s.Team, s.First, s.Last, s.Unit, s.Start.Unix(), s.Prev, s.Head)
 	for _, class := range s.Usage {
 		b = strconv.AppendQuote(b, class.Class)
 		numbers := class.Numbers()
-		for len(numbers) > canonicalNumbers && numbers[len(numbers)-1] == 0 {
+		for len(numbers) > minHashedAmounts && numbers[len(numbers)-1] == 0 {
 			numbers = numbers[:len(numbers)-1]
 		}
 		for _, n := range numbers {
@@ -65,33 +69,35 @@
 	return b
 }
 
-// Verify checks the segments of one team, in order, that follow a segment with a number and link (0 and "": the first
-// one). It returns the number and link of the last segment that is right, to go on from, and what is wrong with the
-// next one: ErrGap or ErrChanged.
+// Verify checks consecutive closed segments of one team. last and link are the number and the link of the segment
+// before them; they are 0 and "" if segments starts with the team's first one. Verify returns the number and the link
+// of the last valid segment, from which a later call can continue. If a segment is not valid, the error wraps ErrGap
+// or ErrChanged.
 func (s *Seal) Verify(segments []Segment, last uint64, link string) (uint64, string, error) {
 	for i := range segments {
 		segment := &segments[i]
 		switch {
 		case segment.First != last+1 || segment.Last < segment.First:
-			return last, link, fmt.Errorf("%w: page %d follows page %d", ErrGap, segment.First, last)
+			return last, link, fmt.Errorf("%w: segment %d follows segment %d", ErrGap, segment.First, last)
 		case segment.Prev != link:
-			return last, link, fmt.Errorf("page %d: %w, or the one before it: it names another before it",
+			return last, link, fmt.Errorf("segment %d: %w, or that of the segment before it: their link does not match",
 				segment.First, ErrChanged)
 		case s.Sum(segment) != segment.Sum:
-			return last, link, fmt.Errorf("page %d: %w", segment.First, ErrChanged)
+			return last, link, fmt.Errorf("segment %d: %w", segment.First, ErrChanged)
 		}
 		last, link = segment.Last, segment.Link()
 	}
 	return last, link, nil
 }
 
-// VerifyOpen checks that the open segment follows the last closed one. Its error is ErrGap or ErrChanged.
+// VerifyOpen checks that the open segment directly follows the last closed one, which has the number last and the
+// given link. An error wraps ErrGap or ErrChanged.
 func (o *OpenSegment) VerifyOpen(last uint64, link string) error {
 	if o.Number != last+1 {
-		return fmt.Errorf("%w: the open page %d follows page %d", ErrGap, o.Number, last)
+		return fmt.Errorf("%w: open segment %d follows segment %d", ErrGap, o.Number, last)
 	}
 	if o.Prev != link {
-		return fmt.Errorf("page %d: %w: the open page names another before it", last, ErrChanged)
+		return fmt.Errorf("segment %d: %w: the link of the open segment does not match", last, ErrChanged)
 	}
 	return nil
 }
--- a/internal/ledger/segment.go
+++ b/internal/ledger/segment.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Unit is the length of the time that a segment is about.
+// Unit is the length of the period that a segment covers.
 type Unit uint8
 
 // The units of segments.
@@ -15,9 +15,10 @@
 	Month
 )
 
+// String returns the unit's name for logs, "none" for the zero value.
 func (u Unit) String() string { return [...]string{"none", "hour", "day", "month"}[u] }
 
-// Start is the beginning, in UTC, of the unit that a time of day lies in.
+// Start returns the beginning, in UTC, of the hour, day or month that contains t.
 func (u Unit) Start(t time.Time) time.Time {
 	t = t.UTC()
 	y, m, d := t.Date()
@@ -30,21 +31,22 @@
 	return time.Date(y, m, d, t.Hour(), 0, 0, 0, time.UTC)
 }
 
-// Segment is a closed segment of a team's account. It never changes, except that segments of one day or month are
-// folded into one. Segments are numbered, not dated: after a time of day that jumps back the next one merely has an
-// earlier start.
+// Segment is a closed segment of a team's account. It is immutable, except that Fold replaces the segments of one day
+// or month by a single one. Segments are ordered by their numbers and not by their start times: after the time of day
+// has jumped back, the next segment only has an earlier start than the previous one.
 type Segment struct {
 	Team        string
-	First, Last uint64 // the numbers of the hourly segments that it contains
+	First, Last uint64 // range of numbers of the hourly segments that were merged into it; equal if none were
 	Unit        Unit
-	Start       time.Time // the time of day that names it, in UTC
-	Usage       []ClassUsage
-	Prev        string // the link of the previous segment
-	Head        string // the link of the last segment that was folded into it; "": none was
-	Sum         string // the hash of everything above
+	Start       time.Time    // beginning of the hour, day or month that it covers, in UTC
+	Usage       []ClassUsage // sorted by class
+	Prev        string       // link of the previous segment; "" for the first one
+	Head        string       // link of the last segment that was merged into it; "" if none was
+	Sum         string       // hash of all fields above
 }
 
-// Link identifies the segment in the one that follows it. It stays the same when segments are folded.
+// Link returns the value by which the next segment refers to this one. It does not change when this segment is merged
+// with earlier ones, so the chain stays intact.
 func (s *Segment) Link() string {
 	if s.Head != "" {
 		return s.Head
@@ -52,23 +54,24 @@
 	return s.Sum
 }
 
-// OpenSegment is the stored record of a team's account: the segment that is being written, and the account's state.
+// OpenSegment is the stored record of a team's account: the segment to which charges are added, and the state of the
+// account.
 type OpenSegment struct {
 	Team         string
-	Number       uint64 // of the segment
-	Settlements  uint64 // how often the account was settled, ever
-	FencingToken uint64 // of the leader that settled it last
-	Start        time.Time
-	SettledAt    time.Time // the time of day of the last settlement, for readers only
-	Usage        []ClassUsage
-	Prev         string // the link of the previous segment
-	DecayedUsage uint64 // in weighted CPU-microseconds
+	Number       uint64       // number of the segment, starting at 1
+	Settlements  uint64       // number of settlements of the account since it was created
+	FencingToken uint64       // fencing token of the leader that settled the account last
+	Start        time.Time    // beginning of the hour that the segment covers, in UTC
+	SettledAt    time.Time    // time of day of the last settlement; it has no effect on charges
+	Usage        []ClassUsage // sorted by class
+	Prev         string       // link of the previous segment; "" for the first one
+	DecayedUsage uint64       // decayed usage at SettledAt, in weighted CPU-microseconds
 }
 
-// newOpenSegment is the record of an account that was never settled.
+// newOpenSegment returns the record of an account that was never settled.
 func newOpenSegment(team string) OpenSegment { return OpenSegment{Team: team, Number: 1} }
 
-// close returns the segment as a closed one of a team.
+// close returns the closed form of the segment, which is hashed with the seal.
 func (o *OpenSegment) close(team string, seal *Seal) *Segment {
 	closed := &Segment{
 		Team:  team,
@@ -83,28 +86,29 @@
 	return closed
 }
 
-// StoredSegment is a closed segment with the version of its record.
+// StoredSegment is a closed segment and the version of its stored record.
 type StoredSegment struct {
 	Segment
 	Version uint64
 }
 
-// The parts of the upper bound on the size of a stored segment, in bytes.
+// The parts of the upper bound on the size of a stored segment.
 const (
-	recordOverhead = 400 // fields, two hashes, numbers of twenty digits
-	classOverhead  = 8
-	numberOverhead = 2 // a separator and the first digit
-	quotes         = 2
-	maxEscape      = 6 // of one byte
+	recordOverheadBytes = 400 // field names, two hashes, and numbers of up to twenty digits
+	classOverheadBytes  = 8   // punctuation of one class
+	numberOverheadBytes = 2   // a separator and the first digit
+	quotesBytes         = 2   // the quotes around a string
+	maxEscapeBytes      = 6   // one escaped byte, as in \u003c
 )
 
-// RecordSize is an upper bound on the size of a stored segment in bytes, in JSON.
-func RecordSize(team string, usage []ClassUsage) int {
-	size := recordOverhead + jsonTextSize(team)
+// RecordSizeBound returns an upper bound on the size of a stored segment in bytes. The bound is that of a JSON
+// encoding.
+func RecordSizeBound(team string, usage []ClassUsage) int {
+	size := recordOverheadBytes + jsonStringSizeBound(team)
 	for _, class := range usage {
-		size += jsonTextSize(class.Class) + classOverhead
+		size += jsonStringSizeBound(class.Class) + classOverheadBytes
 		for _, number := range class.Numbers() {
-			size += numberOverhead
+			size += numberOverheadBytes
 			for ; number >= 10; number /= 10 {
 				size++
 			}
@@ -113,13 +117,14 @@
 	return size
 }
 
-// jsonTextSize is an upper bound on the size of a text in JSON, where any character may be escaped.
-func jsonTextSize(text string) int {
-	if strings.ContainsFunc(text, isEscaped) {
-		return maxEscape*len(text) + quotes
+// jsonStringSizeBound returns an upper bound on the size of a JSON string in bytes. If text contains a character that
+// may be escaped, the bound is that of a string whose bytes are all escaped.
+func jsonStringSizeBound(text string) int {
+	if strings.ContainsFunc(text, mayBeEscaped) {
+		return maxEscapeBytes*len(text) + quotesBytes
 	}
-	return len(text) + quotes
+	return len(text) + quotesBytes
 }
 
-// isEscaped reports whether JSON may escape a character.
-func isEscaped(r rune) bool { return r < ' ' || r > '~' || strings.ContainsRune(`"\<>&`, r) }
+// mayBeEscaped reports whether a JSON encoder may escape r.
+func mayBeEscaped(r rune) bool { return r < ' ' || r > '~' || strings.ContainsRune(`"\<>&`, r) }
--- a/internal/ledger/settlement.go
+++ b/internal/ledger/settlement.go
@@ -5,69 +5,71 @@
 	"time"
 )
 
-// Settlement is one change of a team's record. It stays the same however often it is sent: its condition, the version
-// of the record that it is based on, lets it be carried out at most once (docs/safety.md, "Ledger").
+// Settlement is an update of a team's stored record that adds charges to it. It is committed by compare-and-swap on
+// the version of the record, and its content stays the same whenever it is sent again. Therefore it is applied at
+// most once (docs/safety.md, "Ledger").
 type Settlement struct {
-	Version uint64 // of the record that it is based on; 0: there must be none
-	Open    OpenSegment
-	Closed  *Segment // that it closes; nil: none
-	sentAt  time.Time
-	charges []ClassUsage // that it adds to the record
+	Version   uint64       // required version of the stored record; 0 if the record must not exist
+	Open      OpenSegment  // new content of the record
+	Closed    *Segment     // segment that the settlement closes; nil if there is none
+	createdAt time.Time    // time on the monotonic clock at which Open.DecayedUsage was computed
+	charges   []ClassUsage // charges that Open contains and the former record does not
 }
 
-// Empty reports whether a settlement says nothing that its record does not.
+// Empty reports whether the settlement neither adds charges nor closes a segment.
 func (s *Settlement) Empty() bool { return s.Closed == nil && len(s.charges) == 0 }
 
-// Settle makes the settlement of a team's account; day is the time of day. It returns nil while one is pending or the
-// record cannot be read.
-func (l *Accounts) Settle(now, day time.Time, team string) *Settlement {
-	a := l.account(now, team)
-	if a.unreadable || a.pending != nil || !a.transition(accountSettling) {
+// Settle creates a settlement of a team's account, which is then pending until its outcome is reported. now is a time
+// of the monotonic clock. Settle returns nil if a settlement is pending already or the record cannot be read.
+func (a *Accounts) Settle(now, timeOfDay time.Time, team string) *Settlement {
+	account := a.getOrCreate(now, team)
+	if account.unreadable || account.pending != nil || !account.transition(accountSettling) {
 		return nil
 	}
-	s := &Settlement{Version: a.version, Open: a.record, sentAt: now}
-	s.Open.Usage = slices.Clone(a.record.Usage)
-	l.startSegment(s, team, a.unsettled, Hour.Start(day))
-	a.unsettled = l.addCharges(s, team, a.unsettled)
-	decayed := decay(a.record.DecayedUsage, now.Sub(a.asOf), l.settings.HalfLife)
-	s.Open.DecayedUsage = decayed + l.cost(s.charges)
+	s := &Settlement{Version: account.version, Open: account.record, createdAt: now}
+	s.Open.Usage = slices.Clone(account.record.Usage)
+	a.rotateSegment(s, team, account.unsettled, Hour.Start(timeOfDay))
+	account.unsettled = a.addCharges(s, team, account.unsettled)
+	decayed := decay(account.record.DecayedUsage, now.Sub(account.recordAsOf), a.settings.HalfLife)
+	s.Open.DecayedUsage = decayed + a.cost(s.charges)
 	s.Open.Settlements++
-	s.Open.FencingToken, s.Open.SettledAt = l.fencingToken, day
-	a.pending = s
+	s.Open.FencingToken, s.Open.SettledAt = a.fencingToken, timeOfDay
+	account.pending = s
 	return s
 }
 
-// startSegment closes the open segment of a settlement in another hour, or where it has no room for a job class of the
-// charges: then the next one has the same start, and the next number.
-func (l *Accounts) startSegment(s *Settlement, team string, charges []ClassUsage, hour time.Time) {
+// rotateSegment prepares the open segment of a settlement for charges. It closes the segment and begins a new one if
+// the hour has changed or the segment has no room for the charges. In the latter case two segments have the same
+// start.
+func (a *Accounts) rotateSegment(s *Settlement, team string, charges []ClassUsage, hour time.Time) {
 	open := &s.Open
 	if len(open.Usage) == 0 {
 		open.Start = hour
 		return
 	}
-	if hour.Equal(open.Start) && l.fits(open, charges) {
+	if hour.Equal(open.Start) && a.hasRoom(open, charges) {
 		return
 	}
-	s.Closed = open.close(team, l.settings.Seal)
+	s.Closed = open.close(team, a.settings.Seal)
 	open.Number++
 	open.Prev, open.Usage, open.Start = s.Closed.Link(), nil, hour
 }
 
-// fits reports whether an open segment has room for charges.
-func (l *Accounts) fits(open *OpenSegment, charges []ClassUsage) bool {
+// hasRoom reports whether an open segment can take all charges without exceeding the maximum record size.
+func (a *Accounts) hasRoom(open *OpenSegment, charges []ClassUsage) bool {
 	usage := slices.Clone(open.Usage)
 	for _, charge := range charges {
 		usage = AddUsage(usage, charge.Class, charge.Usage)
 	}
-	return RecordSize(open.Team, usage) <= l.settings.MaxRecordBytes
+	return RecordSizeBound(open.Team, usage) <= a.settings.MaxRecordBytes
 }
 
-// addCharges adds charges to a settlement as far as its segment has room, and returns the rest, which is left for the
-// next one.
-func (l *Accounts) addCharges(s *Settlement, team string, charges []ClassUsage) (rest []ClassUsage) {
+// addCharges adds charges to a settlement and returns those for which its open segment has no room. They are left for
+// the next settlement. An empty segment always takes one job class, whatever its size.
+func (a *Accounts) addCharges(s *Settlement, team string, charges []ClassUsage) (rest []ClassUsage) {
 	for _, charge := range charges {
 		usage := AddUsage(slices.Clone(s.Open.Usage), charge.Class, charge.Usage)
-		if len(usage) > 1 && RecordSize(team, usage) > l.settings.MaxRecordBytes {
+		if len(usage) > 1 && RecordSizeBound(team, usage) > a.settings.MaxRecordBytes {
 			rest = append(rest, charge)
 			continue
 		}
@@ -77,53 +79,56 @@
 	return rest
 }
 
-// cost is the weighted cost of charges. It is rounded for each job class.
-func (l *Accounts) cost(charges []ClassUsage) uint64 {
+// cost returns the weighted cost of charges in CPU-microseconds. The cost of each job class is rounded down
+// separately.
+func (a *Accounts) cost(charges []ClassUsage) uint64 {
 	var sum uint64
 	for _, charge := range charges {
-		sum += l.settings.Weights.cost(charge.Usage)
+		sum += a.settings.Weights.cost(charge.Usage)
 	}
 	return sum
 }
 
-// Discard takes back an empty settlement that was not sent.
-func (l *Accounts) Discard(team string) {
-	if a := l.byTeam[team]; a != nil && a.pending != nil && a.pending.Empty() {
-		a.clearPending()
+// Discard removes the pending settlement of a team if it is empty. The caller must not have sent it.
+func (a *Accounts) Discard(team string) {
+	if account := a.byTeam[team]; account != nil && account.pending != nil && account.pending.Empty() {
+		account.clearPending()
 	}
 }
 
-// SettlementCompleted notes that the pending settlement was carried out, and the version of the record since then.
-func (l *Accounts) SettlementCompleted(team string, version uint64) {
-	a := l.byTeam[team]
-	if a == nil || a.pending == nil {
+// SettlementCompleted records that the pending settlement of a team was committed. version is the new version of the
+// stored record. The call has no effect if no settlement is pending.
+func (a *Accounts) SettlementCompleted(team string, version uint64) {
+	account := a.byTeam[team]
+	if account == nil || account.pending == nil {
 		return
 	}
-	a.record, a.version, a.asOf = a.pending.Open, version, a.pending.sentAt
-	a.clearPending()
+	account.record, account.version, account.recordAsOf = account.pending.Open, version, account.pending.createdAt
+	account.clearPending()
 }
 
-// SettlementRefused notes that the condition of the pending settlement did not hold: it was carried out before, or the
-// record is not what this leader expects. The record has to be read.
-func (l *Accounts) SettlementRefused(now time.Time, team string) {
-	a := l.byTeam[team]
-	if a == nil || a.pending == nil || a.state == accountUnreconciled {
+// SettlementRefused records that the stored record did not have the version that the pending settlement of a team
+// requires. Either the settlement was committed before, or the record is not the one that this leader expects. The
+// account is unreconciled until the record is passed to Reconcile.
+func (a *Accounts) SettlementRefused(now time.Time, team string) {
+	account := a.byTeam[team]
+	if account == nil || account.pending == nil || account.state == accountUnreconciled {
 		return
 	}
-	if a.transition(accountUnreconciled) {
-		a.unreconciledSince = now
-		l.unreconciled++
+	if account.transition(accountUnreconciled) {
+		account.unreconciledSince = now
+		a.unreconciledCount++
 	}
 }
 
-// Unreconciled lists the teams whose records have to be read.
-func (l *Accounts) Unreconciled() []string {
-	if l.unreconciled == 0 {
-		return nil // as almost always
+// Unreconciled returns the sorted names of the teams whose records have to be read and passed to Reconcile.
+func (a *Accounts) Unreconciled() []string {
+	if a.unreconciledCount == 0 {
+		return nil // the common case
 	}
 	var teams []string
-	for team, a := range l.byTeam {
-		if a.state == accountUnreconciled {
+	for team, account := range a.byTeam {
+		if account.state == accountUnreconciled {
 			teams = append(teams, team)
 		}
 	}
@@ -131,36 +136,39 @@
 	return teams
 }
 
-// Reconcile compares the record of a team with its pending settlement. Only this leader writes under its fencing token,
-// one settlement at a time, so the record is either the result of that settlement or what it is based on. In the first
-// case Reconcile returns nil, in the second the settlement to send again. Any other record was written by a later
-// leader, of which this one is about to learn, or changed by hand: then foreign is true, the account goes on from that
-// record, and the next settlement contains the charges.
-func (l *Accounts) Reconcile(team string, stored StoredAccount) (again *Settlement, foreign bool) {
-	a := l.byTeam[team]
-	if a == nil || a.state != accountUnreconciled {
+// Reconcile compares the stored record of a team with its refused settlement. Only this leader writes with its
+// fencing token, and it has one pending settlement per team. Therefore the record is normally either the result of
+// the settlement, which then counts as completed, or the record that the settlement is based on. In the latter case
+// Reconcile returns the settlement, with the current version, to be sent again.
+//
+// Any other record was written by a later leader, which this leader does not know of yet, or was changed by hand.
+// Then foreign is true, the account continues from that record, and its next settlement contains the charges again.
+// The call has no effect if the account is not unreconciled.
+func (a *Accounts) Reconcile(team string, stored StoredAccount) (resend *Settlement, foreign bool) {
+	account := a.byTeam[team]
+	if account == nil || account.state != accountUnreconciled {
 		return nil, false
 	}
-	l.unreconciled--
-	record, expected := &stored.Open, &a.pending.Open
+	a.unreconciledCount--
+	record, expected := &stored.Open, &account.pending.Open
 	switch {
-	case record.FencingToken == l.fencingToken && record.Settlements == expected.Settlements:
-		l.SettlementCompleted(team, stored.Version)
+	case record.FencingToken == a.fencingToken && record.Settlements == expected.Settlements:
+		a.SettlementCompleted(team, stored.Version)
 		return nil, false
 	case record.Settlements == expected.Settlements-1:
-		retry := *a.pending
+		retry := *account.pending
 		retry.Version = stored.Version
-		a.pending, a.version = &retry, stored.Version
-		a.transition(accountSettling)
-		return a.pending, false
+		account.pending, account.version = &retry, stored.Version
+		account.transition(accountSettling)
+		return account.pending, false
 	}
-	for _, charge := range a.pending.charges {
-		a.unsettled = AddUsage(a.unsettled, charge.Class, charge.Usage)
+	for _, charge := range account.pending.charges {
+		account.unsettled = AddUsage(account.unsettled, charge.Class, charge.Usage)
 	}
-	a.record, a.version = *record, stored.Version
+	account.record, account.version = *record, stored.Version
 	if stored.Version == 0 {
-		a.record = newOpenSegment(team)
+		account.record = newOpenSegment(team)
 	}
-	a.clearPending()
+	account.clearPending()
 	return nil, true
 }
--- a/internal/ledger/usage.go
+++ b/internal/ledger/usage.go
@@ -9,22 +9,22 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// WaitCause says why tasks wait.
+// WaitCause is the cause for which a task waits to be started.
 type WaitCause uint8
 
-// The causes of waiting, in the order in which records hold them. New ones are appended.
+// The wait causes, in the order in which records store them. New causes are appended.
 const (
 	WaitQuota        WaitCause = iota // the team's quota is used up
-	WaitGuarantee                     // production and work within other teams' guarantees are served first
-	WaitCapacity                      // no feasible machine has capacity
-	WaitFairShare                     // teams further below their fair share are served first
-	WaitDependencies                  // other jobs have to be done first
-	WaitBackoff                       // a failed task is retried later
-	WaitFailover                      // a new leader does not know yet what runs where
+	WaitGuarantee                     // production jobs and work within other teams' guarantees are served first
+	WaitCapacity                      // no feasible machine has free capacity
+	WaitFairShare                     // teams that have used less of their fair share are served first
+	WaitDependencies                  // the job depends on jobs that are not done
+	WaitBackoff                       // the job is in its retry back-off period after a failure
+	WaitFailover                      // a new leader does not know yet which tasks are running on which machines
 	NumWaitCauses                     // the number of causes
 )
 
-// waitCauseNames are the causes as users and operators read them.
+// waitCauseNames holds the names of the wait causes that users and operators see.
 var waitCauseNames = [...]string{
 	WaitQuota:        "limit",
 	WaitGuarantee:    "guarantee",
@@ -36,20 +36,21 @@
 	NumWaitCauses:    "causes",
 }
 
+// String returns the cause's name for users and operators.
 func (c WaitCause) String() string { return waitCauseNames[c] }
 
-// Usage is what was used and waited for. It holds integers, so that sums are exact.
+// Usage holds amounts of used resources and of waiting time. The amounts are integers, so that their sums are exact.
 type Usage struct {
 	CPU       uint64                // CPU-microseconds
 	GPU       uint64                // GPU-microseconds
 	Mem       uint64                // GB-microseconds
 	Lost      uint64                // CPU-microseconds of attempts that neither completed nor saved a checkpoint
-	Starts    uint64                // attempts that began to run
-	TakenOver uint64                // attempts that a new leader found running: they began or ended unobserved
-	Wait      [NumWaitCauses]uint64 // task-milliseconds, by cause
+	Starts    uint64                // number of attempts that began to run
+	TakenOver uint64                // number of attempts found running whose start or former end was not observed
+	Wait      [NumWaitCauses]uint64 // waiting time by cause, in task-milliseconds
 }
 
-// Add adds another amount.
+// Add adds the amounts of other to u.
 func (u *Usage) Add(other Usage) {
 	u.CPU += other.CPU
 	u.GPU += other.GPU
@@ -62,7 +63,7 @@
 	}
 }
 
-// fields lists the amounts in the order of the records.
+// fields returns pointers to the amounts in the order in which records store them.
 func (u *Usage) fields() []*uint64 {
 	fields := []*uint64{&u.CPU, &u.GPU, &u.Mem, &u.Lost, &u.Starts, &u.TakenOver}
 	for i := range u.Wait {
@@ -71,7 +72,7 @@
 	return fields
 }
 
-// Numbers lists the amounts in the order of the records.
+// Numbers returns the amounts in the order in which records store them.
 func (u Usage) Numbers() []uint64 {
 	var numbers []uint64
 	for _, field := range u.fields() {
@@ -80,7 +81,8 @@
 	return numbers
 }
 
-// FromNumbers is the inverse of Numbers. Missing amounts are zero; those that a later version has appended are ignored.
+// FromNumbers is the inverse of Numbers. Missing amounts are zero, and amounts that a later program version has
+// appended are ignored.
 func FromNumbers(numbers []uint64) (u Usage) {
 	for i, field := range u.fields() {
 		if i < len(numbers) {
@@ -90,73 +92,75 @@
 	return u
 }
 
-// Rate is what a task takes of its machine, in thousandths of a CPU, a GPU and a GB.
+// Rate is the rate at which a running task uses resources, in thousandths of a CPU, a GPU and a GB of memory.
 type Rate struct{ CPU, GPU, Mem uint64 }
 
-// unitsPerResource is how many units of a Rate are one CPU, GPU or GB.
-const unitsPerResource = 1000
+// rateUnitsPerResource is the value of a Rate's field for one CPU, GPU or GB.
+const rateUnitsPerResource = 1000
 
-// RateOf rounds a demand to a rate.
+// RateOf returns the rate of a task with the given demand, rounded to the nearest thousandth. Negative amounts count
+// as zero.
 func RateOf(demand model.Resources) Rate {
-	round := func(amount float64) uint64 { return uint64(math.Round(max(amount, 0) * unitsPerResource)) }
+	round := func(amount float64) uint64 { return uint64(math.Round(max(amount, 0) * rateUnitsPerResource)) }
 	return Rate{CPU: round(demand.CPU), GPU: round(demand.GPU), Mem: round(demand.MemGB)}
 }
 
-// Usage is what is used at the rate in some milliseconds. Nothing is rounded: a thousandth of a CPU for a millisecond
-// is a CPU-microsecond.
-func (r Rate) Usage(ms uint64) Usage {
-	return Usage{CPU: r.CPU * ms, GPU: r.GPU * ms, Mem: r.Mem * ms}
+// Usage returns the usage at the rate for a number of milliseconds. The result is exact: a thousandth of a CPU for
+// one millisecond is one CPU-microsecond.
+func (r Rate) Usage(milliseconds uint64) Usage {
+	return Usage{CPU: r.CPU * milliseconds, GPU: r.GPU * milliseconds, Mem: r.Mem * milliseconds}
 }
 
-// ClassUsage is the usage of one job class of a team.
+// ClassUsage is the usage of a team's jobs of one job class.
 type ClassUsage struct {
 	Class string
 	Usage
 }
 
-// AddUsage adds an amount to that of a job class in a list that is sorted by class.
-func AddUsage(list []ClassUsage, class string, usage Usage) []ClassUsage {
-	i, found := slices.BinarySearchFunc(list, class, func(c ClassUsage, class string) int {
+// AddUsage adds the usage of a job class to usages, which is sorted by class, and returns the updated slice. It
+// modifies usages in place if the class is present or the slice has spare capacity.
+func AddUsage(usages []ClassUsage, class string, usage Usage) []ClassUsage {
+	i, found := slices.BinarySearchFunc(usages, class, func(c ClassUsage, class string) int {
 		return strings.Compare(c.Class, class)
 	})
 	if !found {
-		list = slices.Insert(list, i, ClassUsage{Class: class})
+		usages = slices.Insert(usages, i, ClassUsage{Class: class})
 	}
-	list[i].Add(usage)
-	return list
+	usages[i].Add(usage)
+	return usages
 }
 
-// Total is the usage of all job classes.
-func Total(list []ClassUsage) (total Usage) {
-	for _, class := range list {
+// Total returns the sum of the usage of all job classes.
+func Total(usages []ClassUsage) (total Usage) {
+	for _, class := range usages {
 		total.Add(class.Usage)
 	}
 	return total
 }
 
-// Interval is a time that no leader accounted for: from the last settlement of one leader to the takeover of the next
-// one that keeps a ledger. Its ends are times of day.
+// Interval is a period for which no usage is accounted: from the last settlement of one leader to the takeover of the
+// next leader that keeps a ledger.
 type Interval struct {
-	Start, End       time.Time
-	FencingToken     uint64 // of the leader that took over
-	UnsettledLeaders uint64 // leaders in between that settled nothing, for lack of a ledger or of time
+	Start, End       time.Time // times of day
+	FencingToken     uint64    // fencing token of the leader that took over at End
+	UnsettledLeaders uint64    // number of leaders in between that settled nothing, for lack of a ledger or of time
 }
 
-// Weights say what counts towards a team's decayed usage.
+// Weights convert usage of other resources than CPU to CPU-microseconds.
 type Weights struct {
-	GPU float64 // CPUs that a GPU counts as
-	Mem float64 // CPUs that a GB counts as
+	GPU float64 // number of CPUs that one GPU counts as
+	Mem float64 // number of CPUs that one GB of memory counts as
 }
 
-// cost is an amount in weighted CPU-microseconds.
+// cost returns a usage in weighted CPU-microseconds.
 func (w Weights) cost(u Usage) uint64 {
 	return u.CPU + uint64(float64(u.GPU)*w.GPU) + uint64(float64(u.Mem)*w.Mem)
 }
 
-// decay is what is left of an amount after some time, by its half-life.
-func decay(amount uint64, after, halfLife time.Duration) uint64 {
-	if after <= 0 || halfLife <= 0 || amount == 0 {
+// decay returns what remains of an amount after the elapsed time. An amount does not decay if halfLife is 0.
+func decay(amount uint64, elapsed, halfLife time.Duration) uint64 {
+	if elapsed <= 0 || halfLife <= 0 || amount == 0 {
 		return amount
 	}
-	return uint64(float64(amount) * math.Exp2(-float64(after)/float64(halfLife)))
+	return uint64(float64(amount) * math.Exp2(-float64(elapsed)/float64(halfLife)))
 }
--- a/internal/model/completion.go
+++ b/internal/model/completion.go
@@ -52,10 +52,10 @@
 // LoadDone marks the tasks of a recorded chunk as done. The chunk's first bit is
 // the task firstTask.
 func (j *Job) LoadDone(firstTask int, bits []byte) {
-	for k, b := range bits {
-		for n := 0; b != 0; n++ {
-			if i := firstTask + k*8 + n; b&1 != 0 && i < len(j.states) {
-				j.SetTask(i, TaskDone)
+	for byteIndex, b := range bits {
+		for bitIndex := 0; b != 0; bitIndex++ {
+			if task := firstTask + byteIndex*8 + bitIndex; b&1 != 0 && task < len(j.states) {
+				j.SetTask(task, TaskDone)
 			}
 			b >>= 1
 		}
@@ -68,8 +68,8 @@
 	if c.durableBits == nil {
 		c.durableBits = make([]byte, len(c.DoneBits))
 	}
-	for k, b := range bits {
-		if i := firstTask/8 + k; i < len(c.durableBits) {
+	for byteIndex, b := range bits {
+		if i := firstTask/8 + byteIndex; i < len(c.durableBits) {
 			c.durableBits[i] |= b
 		}
 	}
--- a/internal/model/dependency_graph.go
+++ b/internal/model/dependency_graph.go
@@ -66,8 +66,8 @@
 // that have ended, once their end is propagated downstream, so that its size and
 // the cost of a change do not grow with history.
 type DependencyGraph struct {
-	nodes      map[string]*DependencyNode
-	referenced int // nodes in the state DependencyReferenced
+	nodes           map[string]*DependencyNode
+	referencedCount int // nodes in the state DependencyReferenced
 }
 
 // NewDependencyGraph returns an empty graph.
@@ -79,7 +79,7 @@
 func (g *DependencyGraph) Node(id string) *DependencyNode { return g.nodes[id] }
 
 // nodeFor returns the node of a job, and creates it if need be.
-func (g *DependencyGraph) nodeFor(id string) *DependencyNode {
+func (g *DependencyGraph) getOrCreate(id string) *DependencyNode {
 	n := g.nodes[id]
 	if n == nil {
 		n = &DependencyNode{ID: id}
@@ -90,18 +90,18 @@
 
 // Add enters an unfinished job. It is satisfied at once if it depends on nothing.
 func (g *DependencyGraph) Add(id string, dependencies []string, submitted time.Time) *DependencyNode {
-	n := g.nodeFor(id)
+	n := g.getOrCreate(id)
 	if n.State == DependencyReferenced {
-		g.referenced--
+		g.referencedCount--
 	}
 	if !n.transition(DependencyWaiting) {
 		return n // known already
 	}
 	n.SatisfiedAt = submitted
 	for _, dependency := range dependencies {
-		upstream := g.nodeFor(dependency)
+		upstream := g.getOrCreate(dependency)
 		if upstream.transition(DependencyReferenced) {
-			g.referenced++
+			g.referencedCount++
 		}
 		connect(upstream, n)
 		if upstream.State == DependencyFailed {
@@ -134,7 +134,7 @@
 		return nil, nil
 	}
 	if n.State == DependencyReferenced {
-		g.referenced--
+		g.referencedCount--
 	}
 	n.transition(DependencyEnded)
 	delete(g.nodes, id)
@@ -163,7 +163,7 @@
 func (g *DependencyGraph) disconnect(upstream, downstream *DependencyNode) {
 	delete(upstream.Downstream, downstream.ID)
 	if upstream.State == DependencyReferenced && len(upstream.Downstream) == 0 {
-		g.referenced--
+		g.referencedCount--
 		delete(g.nodes, upstream.ID)
 	}
 }
@@ -199,9 +199,9 @@
 	if len(n.Downstream) == 0 {
 		return
 	}
-	replacement := g.nodeFor(id)
+	replacement := g.getOrCreate(id)
 	replacement.transition(DependencyReferenced)
-	g.referenced++
+	g.referencedCount++
 	for _, downstream := range n.Downstream {
 		connect(replacement, downstream)
 	}
@@ -209,7 +209,7 @@
 
 // Referenced lists the jobs in the state DependencyReferenced.
 func (g *DependencyGraph) Referenced() []string {
-	if g.referenced == 0 {
+	if g.referencedCount == 0 {
 		return nil
 	}
 	var ids []string
@@ -225,7 +225,7 @@
 // upstream of a job, at any distance.
 func (g *DependencyGraph) ReferencedUpstream(id string) []string {
 	n := g.nodes[id]
-	if g.referenced == 0 || n == nil {
+	if g.referencedCount == 0 || n == nil {
 		return nil
 	}
 	var ids []string
--- a/internal/model/dependency_graph_test.go
+++ b/internal/model/dependency_graph_test.go
@@ -9,15 +9,15 @@
 
 // derivedGraph holds jobs with their dependencies and outcomes, from which the
 // states in a graph can be derived anew.
-type derivedGraph struct {
+type graphOracle struct {
 	dependencies [][]string // by job; ids are indices
 	outcomes     []Outcome
 	added        []bool
 }
 
-func newDerivedGraph(r *rand.Rand) *derivedGraph {
+func newGraphOracle(r *rand.Rand) *graphOracle {
 	n := 2 + r.Intn(12)
-	d := &derivedGraph{dependencies: make([][]string, n), outcomes: make([]Outcome, n)}
+	d := &graphOracle{dependencies: make([][]string, n), outcomes: make([]Outcome, n)}
 	for i := range n {
 		for k := range i {
 			if r.Intn(3) == 0 {
@@ -29,13 +29,13 @@
 	return d
 }
 
-func (d *derivedGraph) state(i int) DependencyState {
+func (d *graphOracle) expectedState(i int) DependencyState {
 	s := DependencySatisfied
 	for _, id := range d.dependencies[i] {
 		k, _ := strconv.Atoi(id) // ids are made by strconv.Itoa
 		switch {
 		case d.outcomes[k] == OutcomeCancelled,
-			d.outcomes[k] == OutcomeUnknown && d.added[k] && d.state(k) == DependencyFailed:
+			d.outcomes[k] == OutcomeUnknown && d.added[k] && d.expectedState(k) == DependencyFailed:
 			return DependencyFailed
 		case d.outcomes[k] == OutcomeUnknown:
 			s = DependencyWaiting
@@ -45,7 +45,7 @@
 }
 
 // step adds a random job to the graph, or ends it.
-func (d *derivedGraph) step(r *rand.Rand, g *DependencyGraph, at time.Time) {
+func (d *graphOracle) step(r *rand.Rand, g *DependencyGraph, at time.Time) {
 	i := r.Intn(len(d.added))
 	id := strconv.Itoa(i)
 	switch {
@@ -59,7 +59,7 @@
 	case d.outcomes[i] == OutcomeUnknown && r.Intn(4) == 0:
 		d.outcomes[i] = OutcomeCancelled
 		g.End(id, d.outcomes[i], at)
-	case d.outcomes[i] == OutcomeUnknown && d.state(i) == DependencySatisfied:
+	case d.outcomes[i] == OutcomeUnknown && d.expectedState(i) == DependencySatisfied:
 		d.outcomes[i] = OutcomeDone
 		g.End(id, d.outcomes[i], at)
 	}
@@ -70,7 +70,7 @@
 func TestDependencyGraphMatchesStatesDerivedFromOutcomes(t *testing.T) {
 	for seed := range int64(300) {
 		r := rand.New(rand.NewSource(seed))
-		d := newDerivedGraph(r)
+		d := newGraphOracle(r)
 		g, at := NewDependencyGraph(), time.Unix(0, 0)
 		for range 4 * len(d.added) {
 			at = at.Add(time.Second)
@@ -79,7 +79,7 @@
 				if !d.added[k] || d.outcomes[k] != OutcomeUnknown {
 					continue
 				}
-				if got, want := g.Node(strconv.Itoa(k)).State, d.state(k); got != want {
+				if got, want := g.Node(strconv.Itoa(k)).State, d.expectedState(k); got != want {
 					t.Fatalf("seed %d: state of job %d: got %v, want %v", seed, k, got, want)
 				}
 			}
--- a/internal/model/feasibility.go
+++ b/internal/model/feasibility.go
@@ -7,11 +7,11 @@
 	if team == nil {
 		return false, "unknown team"
 	}
-	atOnce := s.Demand
+	concurrentDemand := s.Demand
 	if s.Shape != Array {
-		atOnce = s.TotalDemand()
+		concurrentDemand = s.TotalDemand()
 	}
-	if !team.Quota.Allows(atOnce) {
+	if !team.Quota.Allows(concurrentDemand) {
 		return false, "more than the team's limit"
 	}
 	if s.Shape != Array && s.Spread && s.Tasks > 1 && (s.SingleZone || s.Zone != "") {
@@ -19,7 +19,7 @@
 		return false, "its tasks are to be spread and in one zone"
 	}
 	spreadGang := s.Shape == Gang && s.Spread && s.Tasks != 1
-	zones := map[string]bool{}
+	feasibleZones := map[string]bool{}
 	for i := range types {
 		t := &types[i]
 		if !s.AllowsType(t.Name) || !s.Demand.Fits(t.Capacity) || s.Zone != "" && !t.OfferedIn(s.Zone) {
@@ -29,12 +29,12 @@
 			return true, ""
 		}
 		for _, zone := range t.Zones {
-			if zones[zone] = true; len(zones) > 1 {
+			if feasibleZones[zone] = true; len(feasibleZones) > 1 {
 				return true, ""
 			}
 		}
 	}
-	if len(zones) > 0 {
+	if len(feasibleZones) > 0 {
 		return false, "a gang that is to be spread fits in one zone only"
 	}
 	return false, "fits no allowed machine type"
--- a/internal/model/resources.go
+++ b/internal/model/resources.go
@@ -43,14 +43,14 @@
 // may be infinite.
 func (r Resources) FitCount(free Resources) int {
 	count := math.MaxInt32
-	for _, d := range [...]struct{ demand, free float64 }{
+	for _, resource := range [...]struct{ demand, free float64 }{
 		{r.CPU, free.CPU}, {r.GPU, free.GPU}, {r.MemGB, free.MemGB},
 	} {
-		if d.demand <= roundingTolerance {
+		if resource.demand <= roundingTolerance {
 			continue
 		}
 		// Compare before the conversion: an infinite quotient has no int value.
-		if times := (d.free + roundingTolerance) / d.demand; times < float64(count) {
+		if times := (resource.free + roundingTolerance) / resource.demand; times < float64(count) {
 			count = int(times)
 		}
 	}
