--- a/internal/model/completion.go
+++ b/internal/model/completion.go
@@ -1,21 +1,22 @@
 package model
 
-// Chunk identifies a record of finished tasks. With StartsAtTask, Number is the
-// first task of the record. Otherwise it is the number of a chunk in the layout
-// of the first version, in which the size of a chunk followed from a limit of the
-// state service: such records are read at the size that they were written with,
-// and only number 0 is still written, for arrays that fit into one record, where
-// both layouts agree.
+// Chunk identifies one of the records that store a job's finished tasks. There are two layouts of these records.
+//
+// In the present layout StartsAtTask is true, and Number is the index of the first task of the record.
+//
+// In the layout of the first version Number is the number of the chunk, and the chunk size was derived from a limit
+// of the state service. Such records are still read, with the chunk size with which they were written. Only chunk 0
+// is still written, for jobs whose tasks fit into one record, since both layouts are the same for them.
 type Chunk struct {
 	StartsAtTask bool
 	Number       int
 }
 
-// ChunkTasks is how many tasks a record of finished tasks holds. It does not
-// depend on any limit, and the record stays below 600 bytes.
+// ChunkTasks is the number of tasks in a chunk of the present layout. It does not depend on any limit of the state
+// service, and a record stays below 600 bytes.
 const ChunkTasks = 2048
 
-// ChunkOf returns the chunk that a task's end is written to.
+// ChunkOf returns the chunk to which the end of a task is written.
 func (s *Spec) ChunkOf(task int) Chunk {
 	if s.Tasks <= ChunkTasks {
 		return Chunk{}
@@ -23,8 +24,8 @@
 	return Chunk{StartsAtTask: true, Number: task / ChunkTasks * ChunkTasks}
 }
 
-// First returns the first task of a chunk; numberedChunkTasks is how many tasks a
-// numbered chunk has.
+// First returns the index of the first task of a chunk. numberedChunkTasks is the number of tasks per chunk in the
+// layout of the first version.
 func (c Chunk) First(numberedChunkTasks int) int {
 	if c.StartsAtTask {
 		return c.Number
@@ -32,13 +33,12 @@
 	return c.Number * numberedChunkTasks
 }
 
-// JobCompletion is the record of a job's finished tasks, and how much of it is
-// durable.
+// JobCompletion tracks which tasks of a job are finished, and for which of them that is stored durably.
 type JobCompletion struct {
-	DoneBits       []byte         // finished tasks, one bit each
-	DirtyChunks    map[Chunk]bool // chunks of DoneBits that are not durable yet
-	RecordedChunks map[Chunk]bool // chunks of which a record was ever written
-	durableBits    []byte         // the part of DoneBits that is durable; nil: none
+	DoneBits       []byte         // one bit per task, set if it is done; task i has bit i%8 of byte i/8
+	DirtyChunks    map[Chunk]bool // chunks with finished tasks that still have to be written
+	RecordedChunks map[Chunk]bool // chunks for which a record may exist; it is deleted when the job ends
+	durableBits    []byte         // the bits of DoneBits that are stored; nil if there are none
 }
 
 func newJobCompletion(tasks int) JobCompletion {
@@ -49,8 +49,8 @@
 	}
 }
 
-// LoadDone marks the tasks of a recorded chunk as done. The chunk's first bit is
-// the task firstTask.
+// LoadDone marks as done the tasks whose bits are set in the record of a chunk. The record's first bit is that of the
+// task firstTask. Bits beyond the last task are ignored.
 func (j *Job) LoadDone(firstTask int, bits []byte) {
 	for byteIndex, b := range bits {
 		for bitIndex := 0; b != 0; bitIndex++ {
@@ -62,8 +62,8 @@
 	}
 }
 
-// MarkDurable marks a chunk of finished tasks as durable. The chunk's first bit
-// is the task firstTask.
+// MarkDurable marks the tasks whose bits are set in the record of a chunk as durably finished. The record's first bit
+// is that of the task firstTask, which must be a multiple of 8.
 func (c *JobCompletion) MarkDurable(firstTask int, bits []byte) {
 	if c.durableBits == nil {
 		c.durableBits = make([]byte, len(c.DoneBits))
@@ -75,7 +75,7 @@
 	}
 }
 
-// IsDurable reports whether the end of a finished task is durable.
+// IsDurable reports whether the end of a finished task is stored, in a chunk or with the end of the whole job.
 func (j *Job) IsDurable(task int) bool {
 	return j.State == JobEnded || j.durableBits != nil && j.durableBits[task/8]&(1<<(task%8)) != 0
 }
--- a/internal/model/dependency_graph.go
+++ b/internal/model/dependency_graph.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// Outcome is how a job has ended.
+// Outcome is the way in which a job has ended.
 type Outcome uint8
 
 // The outcomes of a job.
 const (
-	OutcomeUnknown Outcome = iota // not ended, or not known
-	OutcomeDone
+	OutcomeUnknown Outcome = iota // the job has not ended, or its outcome is not known
+	OutcomeDone                   // all tasks are done
 	OutcomeCancelled
 )
 
 // DependencyState is the state of a job in the dependency graph.
 type DependencyState uint8
 
-// The states of a job in the graph. Only the durable end of a job changes the
-// states of the jobs downstream of it: docs/safety.md, "Pipelines".
+// The states of a job in the dependency graph. The end of a job affects its downstream jobs only once it is durable.
+// See docs/safety.md, "Pipelines".
 const (
-	DependencyReferenced DependencyState = iota + 1 // a job depends on it; nothing else is known of it
-	DependencyWaiting                               // depends on jobs that are not known to be done
+	DependencyReferenced DependencyState = iota + 1 // another job depends on it; the job itself was not added
+	DependencyWaiting                               // it depends on jobs that are not known to be done
 	DependencySatisfied                             // all jobs that it depends on are done
-	DependencyFailed                                // a job upstream of it, at any distance, is cancelled
-	DependencyEnded
+	DependencyFailed                                // a direct or transitive dependency was cancelled
+	DependencyEnded                                 // it has ended and was removed from the graph
 )
 
-// String returns the state's name for logs and explanations.
+// String returns the state's name for logs and explanations, "none" for the zero value.
 func (s DependencyState) String() string {
 	return [...]string{"none", "named", "waiting", "free", "doomed", "over"}[s]
 }
 
-// dependencyTransitions holds the allowed changes of a job's state in the graph.
+// dependencyTransitions lists the states that may follow each state of a job in the dependency graph.
 var dependencyTransitions = map[DependencyState][]DependencyState{
 	0:                    {DependencyReferenced, DependencyWaiting},
 	DependencyReferenced: {DependencyWaiting, DependencyEnded},
@@ -46,14 +46,16 @@
 type DependencyNode struct {
 	ID          string
 	State       DependencyState
-	SatisfiedAt time.Time                  // when its last dependency was done, or it was submitted
-	Upstream    map[string]*DependencyNode // the jobs that it depends on and that are not known to be done
-	Downstream  map[string]*DependencyNode // the unfinished jobs that depend on it
-	DecidedBy   string                     // failed: the cancelled job; satisfied: the job that was done last
+	SatisfiedAt time.Time                  // the later of its submission and the last completion of a dependency
+	Upstream    map[string]*DependencyNode // direct dependencies that are not known to be done, by job ID
+	Downstream  map[string]*DependencyNode // unfinished jobs that directly depend on it, by job ID
+	// DecidedBy is the ID of the cancelled job if the state is DependencyFailed. If the state is DependencySatisfied,
+	// it is the ID of the dependency that was done last, or "" if there was none.
+	DecidedBy string
 }
 
-// transition changes the node's state; nothing else does. It reports whether the
-// change is allowed.
+// transition changes the node's state if the change is allowed, and reports whether it is. The state is not changed
+// in any other way.
 func (n *DependencyNode) transition(to DependencyState) bool {
 	if !slices.Contains(dependencyTransitions[n.State], to) {
 		return false
@@ -62,12 +64,12 @@
 	return true
 }
 
-// DependencyGraph holds which unfinished jobs depend on which. It forgets jobs
-// that have ended, once their end is propagated downstream, so that its size and
-// the cost of a change do not grow with history.
+// DependencyGraph tracks the dependencies between unfinished jobs. A job that has ended is removed once its end is
+// propagated to its downstream jobs, so the size of the graph and the cost of a change do not grow with the number of
+// ended jobs. A graph is not safe for concurrent use.
 type DependencyGraph struct {
 	nodes           map[string]*DependencyNode
-	referencedCount int // nodes in the state DependencyReferenced
+	referencedCount int // number of nodes in the state DependencyReferenced
 }
 
 // NewDependencyGraph returns an empty graph.
@@ -75,46 +77,48 @@
 	return &DependencyGraph{nodes: map[string]*DependencyNode{}}
 }
 
-// Node returns the node of a job that is unfinished or referenced, or nil.
+// Node returns the node of a job that was added or that another job depends on, or nil if there is none.
 func (g *DependencyGraph) Node(id string) *DependencyNode { return g.nodes[id] }
 
-// nodeFor returns the node of a job, and creates it if need be.
+// getOrCreate returns the node of a job. It creates one without a state if there is none.
 func (g *DependencyGraph) getOrCreate(id string) *DependencyNode {
-	n := g.nodes[id]
-	if n == nil {
-		n = &DependencyNode{ID: id}
-		g.nodes[id] = n
+	node := g.nodes[id]
+	if node == nil {
+		node = &DependencyNode{ID: id}
+		g.nodes[id] = node
 	}
-	return n
+	return node
 }
 
-// Add enters an unfinished job. It is satisfied at once if it depends on nothing.
-func (g *DependencyGraph) Add(id string, dependencies []string, submitted time.Time) *DependencyNode {
-	n := g.getOrCreate(id)
-	if n.State == DependencyReferenced {
+// Add adds an unfinished job and its direct dependencies to the graph, and returns its node. A job without
+// dependencies is satisfied immediately, and a job with a failed dependency fails immediately. If the job was added
+// before, Add only returns its node.
+func (g *DependencyGraph) Add(id string, dependencies []string, submittedAt time.Time) *DependencyNode {
+	node := g.getOrCreate(id)
+	if node.State == DependencyReferenced {
 		g.referencedCount--
 	}
-	if !n.transition(DependencyWaiting) {
-		return n // known already
+	if !node.transition(DependencyWaiting) {
+		return node // already added
 	}
-	n.SatisfiedAt = submitted
+	node.SatisfiedAt = submittedAt
 	for _, dependency := range dependencies {
 		upstream := g.getOrCreate(dependency)
 		if upstream.transition(DependencyReferenced) {
 			g.referencedCount++
 		}
-		connect(upstream, n)
+		connect(upstream, node)
 		if upstream.State == DependencyFailed {
-			g.failDownstream(n, upstream.DecidedBy, nil)
+			g.failDownstream(node, upstream.DecidedBy, nil)
 		}
 	}
-	if len(n.Upstream) == 0 {
-		n.transition(DependencySatisfied)
+	if len(node.Upstream) == 0 {
+		node.transition(DependencySatisfied)
 	}
-	return n
+	return node
 }
 
-// connect makes one node depend on another.
+// connect adds an edge, which makes downstream depend on upstream.
 func connect(upstream, downstream *DependencyNode) {
 	if downstream.Upstream == nil {
 		downstream.Upstream = map[string]*DependencyNode{}
@@ -125,30 +129,31 @@
 	downstream.Upstream[upstream.ID], upstream.Downstream[downstream.ID] = upstream, downstream
 }
 
-// End removes a job whose end is durable, and propagates the end. It returns the
-// jobs whose dependencies it has satisfied, or those that it has failed, at any
-// distance downstream.
-func (g *DependencyGraph) End(id string, outcome Outcome, at time.Time) (satisfied, failed []*DependencyNode) {
-	n := g.nodes[id]
-	if n == nil || outcome == OutcomeUnknown {
+// End removes a job whose end is durable, and propagates its outcome to its downstream jobs. If the job is done,
+// satisfied holds the nodes whose last pending dependency it was. If the job was cancelled, failed holds the direct
+// and transitive dependents that were not failed before. The call has no effect if the outcome is OutcomeUnknown or
+// the job is not in the graph.
+func (g *DependencyGraph) End(id string, outcome Outcome, endedAt time.Time) (satisfied, failed []*DependencyNode) {
+	node := g.nodes[id]
+	if node == nil || outcome == OutcomeUnknown {
 		return nil, nil
 	}
-	if n.State == DependencyReferenced {
+	if node.State == DependencyReferenced {
 		g.referencedCount--
 	}
-	n.transition(DependencyEnded)
+	node.transition(DependencyEnded)
 	delete(g.nodes, id)
-	for _, upstream := range n.Upstream {
-		g.disconnect(upstream, n)
+	for _, upstream := range node.Upstream {
+		g.disconnect(upstream, node)
 	}
-	for _, downstream := range n.Downstream {
+	for _, downstream := range node.Downstream {
 		delete(downstream.Upstream, id)
 		if outcome == OutcomeCancelled {
 			failed = g.failDownstream(downstream, id, failed)
 			continue
 		}
-		if at.After(downstream.SatisfiedAt) {
-			downstream.SatisfiedAt = at
+		if endedAt.After(downstream.SatisfiedAt) {
+			downstream.SatisfiedAt = endedAt
 		}
 		if len(downstream.Upstream) == 0 && downstream.transition(DependencySatisfied) {
 			downstream.DecidedBy = id
@@ -158,8 +163,8 @@
 	return satisfied, failed
 }
 
-// disconnect removes the edge from a node to one downstream of it. A node that is
-// only referenced goes with its last edge.
+// disconnect removes an edge. It also removes the upstream node if that is only referenced and this was its last
+// edge.
 func (g *DependencyGraph) disconnect(upstream, downstream *DependencyNode) {
 	delete(upstream.Downstream, downstream.ID)
 	if upstream.State == DependencyReferenced && len(upstream.Downstream) == 0 {
@@ -168,74 +173,78 @@
 	}
 }
 
-// failDownstream fails a node and all that are downstream of it, and appends them
-// to failed. It does not recurse, since chains of jobs may be long.
-func (g *DependencyGraph) failDownstream(n *DependencyNode, cause string, failed []*DependencyNode) []*DependencyNode {
-	for stack := []*DependencyNode{n}; len(stack) > 0; {
-		n, stack = stack[len(stack)-1], stack[:len(stack)-1]
-		if !n.transition(DependencyFailed) {
+// failDownstream puts a node and all its direct and transitive dependents into DependencyFailed, and appends the
+// nodes that were not failed before to failed. cause is the ID of the cancelled job. The traversal is iterative,
+// since dependency chains may be long.
+func (g *DependencyGraph) failDownstream(
+	node *DependencyNode, cause string, failed []*DependencyNode,
+) []*DependencyNode {
+	for stack := []*DependencyNode{node}; len(stack) > 0; {
+		node, stack = stack[len(stack)-1], stack[:len(stack)-1]
+		if !node.transition(DependencyFailed) {
 			continue
 		}
-		n.DecidedBy = cause
-		failed = append(failed, n)
-		for _, downstream := range n.Downstream {
+		node.DecidedBy = cause
+		failed = append(failed, node)
+		for _, downstream := range node.Downstream {
 			stack = append(stack, downstream)
 		}
 	}
 	return failed
 }
 
-// Forget takes back that a job is known to be unfinished: a view that has missed
-// changes cannot tell how it ended. Jobs that depend on it wait.
+// Forget removes a job that is no longer known to be unfinished and whose outcome is unknown. This happens if the
+// caller has missed changes. If other jobs depend on it, it stays in the graph as DependencyReferenced, and they wait
+// until its end is known.
 func (g *DependencyGraph) Forget(id string) {
-	n := g.nodes[id]
-	if n == nil || n.State == DependencyReferenced {
+	node := g.nodes[id]
+	if node == nil || node.State == DependencyReferenced {
 		return
 	}
 	delete(g.nodes, id)
-	for _, upstream := range n.Upstream {
-		g.disconnect(upstream, n)
+	for _, upstream := range node.Upstream {
+		g.disconnect(upstream, node)
 	}
-	if len(n.Downstream) == 0 {
+	if len(node.Downstream) == 0 {
 		return
 	}
 	replacement := g.getOrCreate(id)
 	replacement.transition(DependencyReferenced)
 	g.referencedCount++
-	for _, downstream := range n.Downstream {
+	for _, downstream := range node.Downstream {
 		connect(replacement, downstream)
 	}
 }
 
-// Referenced lists the jobs in the state DependencyReferenced.
+// Referenced returns the IDs of the jobs in the state DependencyReferenced, in no particular order.
 func (g *DependencyGraph) Referenced() []string {
 	if g.referencedCount == 0 {
 		return nil
 	}
 	var ids []string
-	for id, n := range g.nodes {
-		if n.State == DependencyReferenced {
+	for id, node := range g.nodes {
+		if node.State == DependencyReferenced {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// ReferencedUpstream lists the jobs in the state DependencyReferenced that are
-// upstream of a job, at any distance.
+// ReferencedUpstream returns the IDs of the direct and transitive dependencies of a job that are in the state
+// DependencyReferenced, in no particular order. It returns nil if the job is not in the graph.
 func (g *DependencyGraph) ReferencedUpstream(id string) []string {
-	n := g.nodes[id]
-	if g.referencedCount == 0 || n == nil {
+	node := g.nodes[id]
+	if g.referencedCount == 0 || node == nil {
 		return nil
 	}
 	var ids []string
-	seen := map[*DependencyNode]bool{n: true}
-	for stack := []*DependencyNode{n}; len(stack) > 0; {
-		n, stack = stack[len(stack)-1], stack[:len(stack)-1]
-		if n.State == DependencyReferenced {
-			ids = append(ids, n.ID)
+	seen := map[*DependencyNode]bool{node: true}
+	for stack := []*DependencyNode{node}; len(stack) > 0; {
+		node, stack = stack[len(stack)-1], stack[:len(stack)-1]
+		if node.State == DependencyReferenced {
+			ids = append(ids, node.ID)
 		}
-		for _, upstream := range n.Upstream {
+		for _, upstream := range node.Upstream {
 			if !seen[upstream] {
 				seen[upstream] = true
 				stack = append(stack, upstream)
--- a/internal/model/dependency_graph_test.go
+++ b/internal/model/dependency_graph_test.go
@@ -7,80 +7,81 @@
 	"time"
 )
 
-// derivedGraph holds jobs with their dependencies and outcomes, from which the
-// states in a graph can be derived anew.
+// graphOracle computes the expected states of jobs directly from their dependencies and outcomes. Jobs are numbered,
+// and the ID of a job is its decimal index. A job depends only on jobs with lower indices.
 type graphOracle struct {
-	dependencies [][]string // by job; ids are indices
+	dependencies [][]string // IDs, by index of the dependent job
 	outcomes     []Outcome
 	added        []bool
 }
 
 func newGraphOracle(r *rand.Rand) *graphOracle {
-	n := 2 + r.Intn(12)
-	d := &graphOracle{dependencies: make([][]string, n), outcomes: make([]Outcome, n)}
-	for i := range n {
-		for k := range i {
+	jobCount := 2 + r.Intn(12)
+	oracle := &graphOracle{dependencies: make([][]string, jobCount), outcomes: make([]Outcome, jobCount)}
+	for i := range jobCount {
+		for dependency := range i {
 			if r.Intn(3) == 0 {
-				d.dependencies[i] = append(d.dependencies[i], strconv.Itoa(k))
+				oracle.dependencies[i] = append(oracle.dependencies[i], strconv.Itoa(dependency))
 			}
 		}
 	}
-	d.added = make([]bool, n)
-	return d
+	oracle.added = make([]bool, jobCount)
+	return oracle
 }
 
-func (d *graphOracle) expectedState(i int) DependencyState {
-	s := DependencySatisfied
-	for _, id := range d.dependencies[i] {
-		k, _ := strconv.Atoi(id) // ids are made by strconv.Itoa
+func (o *graphOracle) expectedState(i int) DependencyState {
+	state := DependencySatisfied
+	for _, id := range o.dependencies[i] {
+		dependency, _ := strconv.Atoi(id) // cannot fail: IDs are made by strconv.Itoa
 		switch {
-		case d.outcomes[k] == OutcomeCancelled,
-			d.outcomes[k] == OutcomeUnknown && d.added[k] && d.expectedState(k) == DependencyFailed:
+		case o.outcomes[dependency] == OutcomeCancelled,
+			o.outcomes[dependency] == OutcomeUnknown && o.added[dependency] &&
+				o.expectedState(dependency) == DependencyFailed:
 			return DependencyFailed
-		case d.outcomes[k] == OutcomeUnknown:
-			s = DependencyWaiting
+		case o.outcomes[dependency] == OutcomeUnknown:
+			state = DependencyWaiting
 		}
 	}
-	return s
+	return state
 }
 
-// step adds a random job to the graph, or ends it.
-func (d *graphOracle) step(r *rand.Rand, g *DependencyGraph, at time.Time) {
-	i := r.Intn(len(d.added))
+// step adds a random job to the graph or, if it was added before, may end it.
+func (o *graphOracle) step(r *rand.Rand, g *DependencyGraph, at time.Time) {
+	i := r.Intn(len(o.added))
 	id := strconv.Itoa(i)
 	switch {
-	case !d.added[i]:
-		d.added[i] = true
-		g.Add(id, d.dependencies[i], at)
-		for _, dependency := range d.dependencies[i] { // outcomes that were known before
-			k, _ := strconv.Atoi(dependency)
-			g.End(dependency, d.outcomes[k], at)
+	case !o.added[i]:
+		o.added[i] = true
+		g.Add(id, o.dependencies[i], at)
+		for _, dependency := range o.dependencies[i] { // apply outcomes that are known already
+			index, _ := strconv.Atoi(dependency)
+			g.End(dependency, o.outcomes[index], at)
 		}
-	case d.outcomes[i] == OutcomeUnknown && r.Intn(4) == 0:
-		d.outcomes[i] = OutcomeCancelled
-		g.End(id, d.outcomes[i], at)
-	case d.outcomes[i] == OutcomeUnknown && d.expectedState(i) == DependencySatisfied:
-		d.outcomes[i] = OutcomeDone
-		g.End(id, d.outcomes[i], at)
+	case o.outcomes[i] == OutcomeUnknown && r.Intn(4) == 0:
+		o.outcomes[i] = OutcomeCancelled
+		g.End(id, o.outcomes[i], at)
+	case o.outcomes[i] == OutcomeUnknown && o.expectedState(i) == DependencySatisfied:
+		o.outcomes[i] = OutcomeDone
+		g.End(id, o.outcomes[i], at)
 	}
 }
 
-// The states in the graph are those that follow from all outcomes, in whatever
-// order jobs and outcomes become known.
+// Jobs can be added and their outcomes can become known in any order. The incrementally updated states in the graph
+// must be those that follow from all known outcomes.
 func TestDependencyGraphMatchesStatesDerivedFromOutcomes(t *testing.T) {
 	for seed := range int64(300) {
 		r := rand.New(rand.NewSource(seed))
-		d := newGraphOracle(r)
-		g, at := NewDependencyGraph(), time.Unix(0, 0)
-		for range 4 * len(d.added) {
+		oracle := newGraphOracle(r)
+		graph, at := NewDependencyGraph(), time.Unix(0, 0)
+		for range 4 * len(oracle.added) {
 			at = at.Add(time.Second)
-			d.step(r, g, at)
-			for k := range d.added {
-				if !d.added[k] || d.outcomes[k] != OutcomeUnknown {
+			oracle.step(r, graph, at)
+			for i := range oracle.added {
+				if !oracle.added[i] || oracle.outcomes[i] != OutcomeUnknown {
 					continue
 				}
-				if got, want := g.Node(strconv.Itoa(k)).State, d.expectedState(k); got != want {
-					t.Fatalf("seed %d: state of job %d: got %v, want %v", seed, k, got, want)
+				if got, want := graph.Node(strconv.Itoa(i)).State, oracle.expectedState(i); got != want {
+					t.Fatalf("seed %d: state of job %d: got %v, want %v", seed, i, got, want)
 				}
 			}
 		}
--- a/internal/model/feasibility.go
+++ b/internal/model/feasibility.go
@@ -1,34 +1,36 @@
 package model
 
-// CheckFeasibility reports whether the job can ever run: whether a task fits some
-// machine type that the job allows, and whether all tasks that must run at once
-// fit the team's quota and the zones. If not, it returns the reason.
-func CheckFeasibility(s *Spec, team *Team, types []MachineType) (ok bool, reason string) {
+// CheckFeasibility reports whether a job of the team can ever run on machines of the given types. A task must fit at
+// least one machine type that the job allows, and the tasks that have to run at the same time must fit the team's
+// quota and the zones. If the job can never run, reason explains why to the user; otherwise it is "". team is nil if
+// it is unknown.
+func CheckFeasibility(spec *Spec, team *Team, types []MachineType) (ok bool, reason string) {
 	if team == nil {
 		return false, "unknown team"
 	}
-	concurrentDemand := s.Demand
-	if s.Shape != Array {
-		concurrentDemand = s.TotalDemand()
+	concurrentDemand := spec.Demand
+	if spec.Shape != Array {
+		concurrentDemand = spec.TotalDemand()
 	}
 	if !team.Quota.Allows(concurrentDemand) {
 		return false, "more than the team's limit"
 	}
-	if s.Shape != Array && s.Spread && s.Tasks > 1 && (s.SingleZone || s.Zone != "") {
-		// Once accepted, a part of the tasks would wait for ever.
+	if spec.Shape != Array && spec.Spread && spec.Tasks > 1 && (spec.SingleZone || spec.Zone != "") {
+		// If the job were accepted, some of its tasks would wait forever.
 		return false, "its tasks are to be spread and in one zone"
 	}
-	spreadGang := s.Shape == Gang && s.Spread && s.Tasks != 1
+	spreadGang := spec.Shape == Gang && spec.Spread && spec.Tasks != 1
 	feasibleZones := map[string]bool{}
 	for i := range types {
-		t := &types[i]
-		if !s.AllowsType(t.Name) || !s.Demand.Fits(t.Capacity) || s.Zone != "" && !t.OfferedIn(s.Zone) {
+		machineType := &types[i]
+		if !spec.AllowsType(machineType.Name) || !spec.Demand.Fits(machineType.Capacity) ||
+			spec.Zone != "" && !machineType.OfferedIn(spec.Zone) {
 			continue
 		}
 		if !spreadGang {
 			return true, ""
 		}
-		for _, zone := range t.Zones {
+		for _, zone := range machineType.Zones {
 			if feasibleZones[zone] = true; len(feasibleZones) > 1 {
 				return true, ""
 			}
--- a/internal/model/quota.go
+++ b/internal/model/quota.go
@@ -5,25 +5,25 @@
 	"math"
 )
 
-// Bound is an upper bound of one amount in use, or none: the zero value does not
-// bound anything. It is a type of its own so that an absent quota can't be
-// mistaken for a quota of zero (docs/incidents/exams-limits.md).
+// Bound is an optional upper bound on the amount of a resource in use. The zero value means that there is no bound. A
+// bound is not a plain number, so that a missing quota cannot be mistaken for a quota of zero
+// (docs/incidents/exams-limits.md).
 type Bound struct {
 	max     float64
 	limited bool
 }
 
-// AtMost returns a bound of an amount. Settings say 0 where they mean no bound.
+// AtMost returns a bound for an amount from the settings. An amount of 0 or less means that there is no bound.
 func AtMost(amount float64) Bound { return Bound{max: amount, limited: amount > 0} }
 
-// Max returns the bound; ok is false where there is none.
+// Max returns the bound. ok is false if there is none.
 func (b Bound) Max() (amount float64, ok bool) { return b.max, b.limited }
 
-// Allows reports whether the amount may be in use.
+// Allows reports whether the amount is within the bound.
 func (b Bound) Allows(amount float64) bool { return !b.limited || amount <= b.max+roundingTolerance }
 
-// Remaining returns how much more may be used: below zero where the amount used
-// exceeds the bound, infinite where there is none.
+// Remaining returns the amount that may be used in addition to used. It is negative if used exceeds the bound, and
+// infinite if there is no bound.
 func (b Bound) Remaining(used float64) float64 {
 	if !b.limited {
 		return math.Inf(1)
@@ -31,12 +31,13 @@
 	return b.max - used
 }
 
-// ExceedsFraction reports whether more than a fraction of the bound is in use.
+// ExceedsFraction reports whether used is more than the given fraction of the bound. It is false if there is no
+// bound.
 func (b Bound) ExceedsFraction(used, fraction float64) bool {
 	return b.limited && used > fraction*b.max
 }
 
-// String returns the bound as text for people.
+// String returns the bound as text for users, "no limit" if there is none.
 func (b Bound) String() string {
 	if !b.limited {
 		return "no limit"
@@ -44,35 +45,34 @@
 	return fmt.Sprintf("%g", b.max)
 }
 
-// Quota bounds what a team's tasks may use at once, each resource by itself; the
-// zero value does not limit anything. Memory is never limited.
+// Quota bounds the resources that a team's tasks may use at the same time. CPUs and GPUs are bounded independently,
+// and memory is not bounded. The zero value does not limit anything.
 type Quota struct{ CPU, GPU Bound }
 
-// NewQuota returns a quota of amounts as settings give them: 0 where there is none.
+// NewQuota returns a quota for amounts from the settings. An amount of 0 or less means that there is no bound.
 func NewQuota(cpus, gpus float64) Quota { return Quota{AtMost(cpus), AtMost(gpus)} }
 
-// Allows reports whether the resources stay within the quota.
+// Allows reports whether the amount of each resource is within its bound.
 func (q Quota) Allows(amount Resources) bool {
 	return q.CPU.Allows(amount.CPU) && q.GPU.Allows(amount.GPU)
 }
 
-// Limited reports whether any resource is limited.
+// Limited reports whether any resource is bounded.
 func (q Quota) Limited() bool { return q.CPU.limited || q.GPU.limited }
 
-// Remaining returns how much more may be used. Amounts may be infinite, or below
-// zero.
+// Remaining returns the resources that may be used in addition to used. An amount is negative if used exceeds the
+// bound, and infinite if there is no bound.
 func (q Quota) Remaining(used Resources) Resources {
 	return Resources{q.CPU.Remaining(used.CPU), q.GPU.Remaining(used.GPU), math.Inf(1)}
 }
 
-// ExceedsFraction reports whether more than a fraction of any limited resource is
-// in use.
+// ExceedsFraction reports whether used is more than the given fraction of any bound.
 func (q Quota) ExceedsFraction(used Resources, fraction float64) bool {
 	return q.CPU.ExceedsFraction(used.CPU, fraction) || q.GPU.ExceedsFraction(used.GPU, fraction)
 }
 
-// FormatUsage describes the use of the quota to people. It leaves GPUs out where
-// they are neither limited nor used.
+// FormatUsage returns a description of the usage of the quota for users. It omits GPUs if they are neither bounded
+// nor used.
 func (q Quota) FormatUsage(used Resources) string {
 	text := fmt.Sprintf("%g of %s CPUs", used.CPU, q.CPU)
 	if q.GPU.limited || used.GPU > 0 {
@@ -81,18 +81,21 @@
 	return text
 }
 
-// Team is one tenant with its guarantee and its quota.
+// Team is a tenant of the cluster.
 type Team struct {
-	Name      string
-	Guarantee Resources // MemGB is unused; 0: none of that resource
+	Name string
+	// Guarantee is the amount of CPUs and GPUs that is guaranteed to the team. Work within the guarantee of its team
+	// is served before other work. An amount of 0 means that there is no guarantee for that resource. MemGB is not
+	// used.
+	Guarantee Resources
 	Quota     Quota
 }
 
-// WithinGuarantee reports whether the team's guarantee covers the resources. A
-// team without any guarantee has nothing covered.
+// WithinGuarantee reports whether the team's guarantee covers the CPUs and GPUs of amount. It is false if the team
+// has no guarantee at all.
 func (t *Team) WithinGuarantee(amount Resources) bool {
-	g := t.Guarantee
-	return (g.CPU > 0 || g.GPU > 0) &&
-		amount.CPU <= g.CPU+roundingTolerance &&
-		amount.GPU <= g.GPU+roundingTolerance
+	guarantee := t.Guarantee
+	return (guarantee.CPU > 0 || guarantee.GPU > 0) &&
+		amount.CPU <= guarantee.CPU+roundingTolerance &&
+		amount.GPU <= guarantee.GPU+roundingTolerance
 }
--- a/internal/model/tasks.go
+++ b/internal/model/tasks.go
@@ -5,55 +5,57 @@
 
 // The states of a task.
 const (
-	TaskNew       TaskState = iota // never started
+	TaskNew       TaskState = iota // not known to have been started; it waits to be started
 	TaskActive                     // it has an active attempt
-	TaskRetry                      // waits to be started again after a failure
-	TaskPreempted                  // was stopped to free capacity for other work, and queues like new tasks
-	TaskDone
+	TaskRetry                      // its last attempt ended without completing it; it waits to be started again
+	TaskPreempted                  // it was stopped to free capacity for other work; it is queued like a new task
+	TaskDone                       // it completed
 )
 
-// JobTasks holds the states of a job's tasks.
+// JobTasks tracks the states of a job's tasks.
 type JobTasks struct {
-	states []TaskState
-	counts [TaskDone + 1]int
-	// pending lists the tasks that wait, by state. It may hold tasks that have
-	// left the state since.
+	states []TaskState       // by task index
+	counts [TaskDone + 1]int // number of tasks, by state
+	// pending holds stacks of the indices of waiting tasks, by state. A stack may contain tasks that have left the
+	// state since they were pushed.
 	pending [TaskDone + 1][]int
-	// restarted holds the tasks that were started more than once: the run time
-	// of their last attempt is not that of a whole task.
+	// restarted holds the unfinished tasks that had an attempt which ended. The run time of their last attempt may be
+	// less than the run time of a whole task, so it does not count for estimates.
 	restarted map[int]bool
 }
 
-func newJobTasks(n int) JobTasks {
-	t := JobTasks{states: make([]TaskState, n), restarted: map[int]bool{}}
-	t.counts[TaskNew] = n
-	for i := n - 1; i >= 0; i-- {
-		t.pending[TaskNew] = append(t.pending[TaskNew], i)
+func newJobTasks(taskCount int) JobTasks {
+	tasks := JobTasks{states: make([]TaskState, taskCount), restarted: map[int]bool{}}
+	tasks.counts[TaskNew] = taskCount
+	for i := taskCount - 1; i >= 0; i-- {
+		tasks.pending[TaskNew] = append(tasks.pending[TaskNew], i)
 	}
-	return t
+	return tasks
 }
 
-// Task returns a task's state.
+// Task returns the state of the task with index i.
 func (t *JobTasks) Task(i int) TaskState { return t.states[i] }
 
-// Count returns how many tasks are in a state.
+// Count returns the number of tasks in a state.
 func (t *JobTasks) Count(s TaskState) int { return t.counts[s] }
 
-// Waiting returns how many tasks wait to be started.
+// Waiting returns the number of tasks that wait to be started.
 func (t *JobTasks) Waiting() int {
 	return t.counts[TaskNew] + t.counts[TaskRetry] + t.counts[TaskPreempted]
 }
 
-// Started reports whether any task was ever started, as far as is known.
+// Started reports whether any task is known to have been started.
 func (t *JobTasks) Started() bool { return t.counts[TaskNew] < len(t.states) }
 
-// Unfinished returns how many tasks are not done.
+// Unfinished returns the number of tasks that are not done.
 func (t *JobTasks) Unfinished() int { return len(t.states) - t.counts[TaskDone] }
 
-// Restarted reports whether a task was started more than once.
+// Restarted reports whether the unfinished task with index i is known to have been started more than once, or waits
+// to be started again.
 func (t *JobTasks) Restarted(i int) bool { return t.restarted[i] }
 
-// TakePending removes and returns one task that waits in the state.
+// TakePending returns the index of one task in the waiting state s. ok is false if there is none. The state of the
+// task does not change, but TakePending does not return it again until SetTask puts it into a waiting state.
 func (t *JobTasks) TakePending(s TaskState) (task int, ok bool) {
 	pending := t.pending[s]
 	for len(pending) > 0 {
@@ -68,8 +70,8 @@
 	return 0, false
 }
 
-// SetTask changes a task's state; nothing else does. A finished task stays
-// finished.
+// SetTask changes the state of the task with index i. The state must not be changed in any other way. SetTask has no
+// effect on a task that is done.
 func (j *Job) SetTask(i int, to TaskState) {
 	from := j.states[i]
 	if from == to || from == TaskDone {
