--- a/internal/ledger/fairshare.go
+++ b/internal/ledger/fairshare.go
@@ -12,7 +12,7 @@
 	maxBand = 3
 
 	// minTotalUsage is the decayed usage of all teams together, in weighted CPU-microseconds, below which all teams
-	// get the same factor and band, because no team has used significantly more than the others.
+	// get the same factor and band. It is 10 CPU-minutes: with less, no team has used significantly more than others.
 	minTotalUsage = 600 * 1_000_000
 )
 
@@ -27,9 +27,9 @@
 	Rank          int     // position by descending Factor, starting at 1; teams with equal factors share a rank
 }
 
-// FairShares returns the fair shares of all teams in weights, in descending order of Factor. decayedUsage returns a
-// team's decayed usage in weighted CPU-microseconds. Unused shares do not accumulate: no team has a higher factor
-// than one that never ran anything.
+// FairShares returns the fair shares of all teams in descending order of Factor. weights holds the weight of each
+// team by its name, and decayedUsage returns a team's decayed usage in weighted CPU-microseconds. Unused shares do
+// not accumulate: no team has a higher factor than one that never ran anything.
 func FairShares(weights map[string]float64, decayedUsage func(team string) uint64) []FairShare {
 	var totalWeight float64
 	var totalUsage uint64
--- a/internal/ledger/fold.go
+++ b/internal/ledger/fold.go
@@ -13,8 +13,8 @@
 
 // targetUnit returns the unit that a segment of this age is compacted to, or its present unit if it is not old
 // enough.
-func (r Retention) targetUnit(now time.Time, segment *Segment) Unit {
-	age := now.Sub(segment.Start)
+func (r Retention) targetUnit(timeOfDay time.Time, segment *Segment) Unit {
+	age := timeOfDay.Sub(segment.Start)
 	switch {
 	case segment.Unit < Month && age > r.Days:
 		return Month
@@ -25,15 +25,15 @@
 }
 
 // Fold compacts the first run of at least two segments that are old enough to be merged into one daily or monthly
-// segment. segments are the closed segments of one team in the order of their numbers; now is the time of day. At
-// most maxCount segments are merged, and the result is at most as large as settings.MaxRecordBytes. It replaces count
-// segments, starting at index first. If there is no such run, compacted is nil and count is 0.
+// segment. segments are the closed segments of one team in the order of their numbers. At most maxCount segments are
+// merged, and the size of the result is at most settings.MaxRecordBytes. The result replaces count segments, starting
+// with the one at index first. If there is no such run, compacted is nil and count is 0.
 func Fold(
-	settings *Settings, segments []StoredSegment, now time.Time, maxCount int,
+	settings *Settings, segments []StoredSegment, timeOfDay time.Time, maxCount int,
 ) (compacted *Segment, first, count int) {
 	for first := range segments {
 		run := segments[first:min(len(segments), first+max(maxCount, 1))]
-		if compacted, count := compactRun(settings, run, now); count > 1 {
+		if compacted, count := compactRun(settings, run, timeOfDay); count > 1 {
 			compacted.Sum = settings.Seal.Sum(compacted)
 			return compacted, first, count
 		}
@@ -43,15 +43,15 @@
 
 // compactRun merges the first segment with as many of the following ones as possible. count is the number of merged
 // segments, including the first. compacted.Sum is not up to date.
-func compactRun(settings *Settings, segments []StoredSegment, now time.Time) (compacted *Segment, count int) {
+func compactRun(settings *Settings, segments []StoredSegment, timeOfDay time.Time) (compacted *Segment, count int) {
 	result := segments[0].Segment
-	result.Unit = settings.Retention.targetUnit(now, &result)
+	result.Unit = settings.Retention.targetUnit(timeOfDay, &result)
 	result.Start = result.Unit.Start(result.Start)
 	result.Usage = slices.Clone(result.Usage)
 	count = 1
 	for i := range segments[1:] {
 		next := &segments[1+i].Segment
-		if settings.Retention.targetUnit(now, next) != result.Unit || !result.canMerge(next) {
+		if settings.Retention.targetUnit(timeOfDay, next) != result.Unit || !result.canMerge(next) {
 			break
 		}
 		merged := result.mergedWith(next)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,12 +1,15 @@
 // Package ledger accounts for the resources that teams use and for the time that their tasks wait, by cause. Each
-// team has one account, which is stored as a hash chain of segments with integer amounts. The package also computes
-// the teams' fair shares from their decayed usage. It performs no input or output and reads no clock. Its types are
-// not safe for concurrent use.
+// team has one account, which is stored as a hash chain of segments with integer amounts. A segment covers one hour,
+// and old ones are merged into days and months.
 //
-// A leader creates Accounts from the stored records, adds usage with Charge, and settles the accounts of the teams
-// that DueTeams returns: it sends the Settlement that Settle returns to the state service and reports the outcome
-// with SettlementCompleted or SettlementRefused. It reads the records of the teams that Unreconciled returns and
-// passes them to Reconcile. Fold merges old segments.
+// The package also computes the teams' fair shares. They are based on decayed usage: the past usage of a team, whose
+// value halves with each half-life. The package performs no input or output and reads no clock. Its types are not
+// safe for concurrent use.
+//
+// A leader creates Accounts from the stored records and adds usage with Charge. Charges are stored by settlements:
+// the leader sends the Settlement that Settle returns for each of the DueTeams to the state service, and reports the
+// outcome with SettlementCompleted or SettlementRefused. It reads the records of the teams that Unreconciled returns
+// and passes them to Reconcile. Fold merges old segments.
 //
 // docs/ledger.md defines what is charged and why; docs/safety.md, "Ledger", argues why nothing is charged twice.
 package ledger
@@ -124,9 +127,9 @@
 }
 
 // isDue reports whether an account is to be settled: either it has charges and its record is older than the settle
-// interval, or it has no charges and its decay has not been recorded for a fraction of the half-life. Without the
-// second condition the decayed usage of an idle team would not decrease if the leader changes often, since a new
-// leader starts from the recorded value.
+// interval, or it has no charges and its decayed usage was recorded more than HalfLife/decayWritesPerHalfLife ago.
+// Without the second condition the decayed usage of an idle team would not decrease if the leader changes often,
+// since a new leader starts from the recorded value.
 func (a *Accounts) isDue(now time.Time, account *teamAccount) bool {
 	if account.unreadable {
 		return false
--- a/internal/ledger/seal.go
+++ b/internal/ledger/seal.go
@@ -36,12 +36,12 @@
 
 // NewSeal returns a seal whose key is derived from the secret. If the secret is empty, the seal has no key.
 func NewSeal(secret []byte) *Seal {
-	s := &Seal{}
+	seal := &Seal{}
 	if len(secret) > 0 {
-		s.key = make([]byte, keyBytes)
-		blake3.DeriveKey(s.key, keyContext, secret)
+		seal.key = make([]byte, keyBytes)
+		blake3.DeriveKey(seal.key, keyContext, secret)
 	}
-	return s
+	return seal
 }
 
 // Sum returns the hexadecimal hash of a segment's content, which excludes Segment.Sum.
@@ -54,19 +54,20 @@
 // canonical returns the hashed encoding of a segment: all fields except Sum. It is independent of the encoding of
 // stored records and must never change, because stored hashes would become invalid.
 func (s *Segment) canonical() []byte {
-	b := fmt.Appendf(nil, "1 %q %d %d %d %d %q %q\n", s.Team, s.First, s.Last, s.Unit, s.Start.Unix(), s.Prev, s.Head)
+	encoded := fmt.Appendf(nil, "1 %q %d %d %d %d %q %q\n",
+		s.Team, s.First, s.Last, s.Unit, s.Start.Unix(), s.Prev, s.Head)
 	for _, class := range s.Usage {
-		b = strconv.AppendQuote(b, class.Class)
+		encoded = strconv.AppendQuote(encoded, class.Class)
 		numbers := class.Numbers()
 		for len(numbers) > minHashedAmounts && numbers[len(numbers)-1] == 0 {
 			numbers = numbers[:len(numbers)-1]
 		}
 		for _, n := range numbers {
-			b = strconv.AppendUint(append(b, ' '), n, 10)
+			encoded = strconv.AppendUint(append(encoded, ' '), n, 10)
 		}
-		b = append(b, '\n')
+		encoded = append(encoded, '\n')
 	}
-	return b
+	return encoded
 }
 
 // Verify checks consecutive closed segments of one team. last and link are the number and the link of the segment
--- a/internal/ledger/segment.go
+++ b/internal/ledger/segment.go
@@ -21,14 +21,14 @@
 // Start returns the beginning, in UTC, of the hour, day or month that contains t.
 func (u Unit) Start(t time.Time) time.Time {
 	t = t.UTC()
-	y, m, d := t.Date()
+	year, month, day := t.Date()
 	switch u {
 	case Month:
-		return time.Date(y, m, 1, 0, 0, 0, 0, time.UTC)
+		return time.Date(year, month, 1, 0, 0, 0, 0, time.UTC)
 	case Day:
-		return time.Date(y, m, d, 0, 0, 0, 0, time.UTC)
+		return time.Date(year, month, day, 0, 0, 0, 0, time.UTC)
 	}
-	return time.Date(y, m, d, t.Hour(), 0, 0, 0, time.UTC)
+	return time.Date(year, month, day, t.Hour(), 0, 0, 0, time.UTC)
 }
 
 // Segment is a closed segment of a team's account. It is immutable, except that Fold replaces the segments of one day
@@ -62,7 +62,7 @@
 	Settlements  uint64       // number of settlements of the account since it was created
 	FencingToken uint64       // fencing token of the leader that settled the account last
 	Start        time.Time    // beginning of the hour that the segment covers, in UTC
-	SettledAt    time.Time    // time of day of the last settlement; it has no effect on charges
+	SettledAt    time.Time    // time of day of the last settlement, at which an unaccounted Interval may begin
 	Usage        []ClassUsage // sorted by class
 	Prev         string       // link of the previous segment; "" for the first one
 	DecayedUsage uint64       // decayed usage at SettledAt, in weighted CPU-microseconds
--- a/internal/ledger/settlement.go
+++ b/internal/ledger/settlement.go
@@ -26,23 +26,23 @@
 	if account.unreadable || account.pending != nil || !account.transition(accountSettling) {
 		return nil
 	}
-	s := &Settlement{Version: account.version, Open: account.record, createdAt: now}
-	s.Open.Usage = slices.Clone(account.record.Usage)
-	a.rotateSegment(s, team, account.unsettled, Hour.Start(timeOfDay))
-	account.unsettled = a.addCharges(s, team, account.unsettled)
+	settlement := &Settlement{Version: account.version, Open: account.record, createdAt: now}
+	settlement.Open.Usage = slices.Clone(account.record.Usage)
+	a.rotateSegment(settlement, team, account.unsettled, Hour.Start(timeOfDay))
+	account.unsettled = a.addCharges(settlement, team, account.unsettled)
 	decayed := decay(account.record.DecayedUsage, now.Sub(account.recordAsOf), a.settings.HalfLife)
-	s.Open.DecayedUsage = decayed + a.cost(s.charges)
-	s.Open.Settlements++
-	s.Open.FencingToken, s.Open.SettledAt = a.fencingToken, timeOfDay
-	account.pending = s
-	return s
+	settlement.Open.DecayedUsage = decayed + a.cost(settlement.charges)
+	settlement.Open.Settlements++
+	settlement.Open.FencingToken, settlement.Open.SettledAt = a.fencingToken, timeOfDay
+	account.pending = settlement
+	return settlement
 }
 
 // rotateSegment prepares the open segment of a settlement for charges. It closes the segment and begins a new one if
 // the hour has changed or the segment has no room for the charges. In the latter case two segments have the same
 // start.
-func (a *Accounts) rotateSegment(s *Settlement, team string, charges []ClassUsage, hour time.Time) {
-	open := &s.Open
+func (a *Accounts) rotateSegment(settlement *Settlement, team string, charges []ClassUsage, hour time.Time) {
+	open := &settlement.Open
 	if len(open.Usage) == 0 {
 		open.Start = hour
 		return
@@ -50,9 +50,9 @@
 	if hour.Equal(open.Start) && a.hasRoom(open, charges) {
 		return
 	}
-	s.Closed = open.close(team, a.settings.Seal)
+	settlement.Closed = open.close(team, a.settings.Seal)
 	open.Number++
-	open.Prev, open.Usage, open.Start = s.Closed.Link(), nil, hour
+	open.Prev, open.Usage, open.Start = settlement.Closed.Link(), nil, hour
 }
 
 // hasRoom reports whether an open segment can take all charges without exceeding the maximum record size.
@@ -66,15 +66,15 @@
 
 // addCharges adds charges to a settlement and returns those for which its open segment has no room. They are left for
 // the next settlement. An empty segment always takes one job class, whatever its size.
-func (a *Accounts) addCharges(s *Settlement, team string, charges []ClassUsage) (rest []ClassUsage) {
+func (a *Accounts) addCharges(settlement *Settlement, team string, charges []ClassUsage) (rest []ClassUsage) {
 	for _, charge := range charges {
-		usage := AddUsage(slices.Clone(s.Open.Usage), charge.Class, charge.Usage)
+		usage := AddUsage(slices.Clone(settlement.Open.Usage), charge.Class, charge.Usage)
 		if len(usage) > 1 && RecordSizeBound(team, usage) > a.settings.MaxRecordBytes {
 			rest = append(rest, charge)
 			continue
 		}
-		s.Open.Usage = usage
-		s.charges = append(s.charges, charge)
+		settlement.Open.Usage = usage
+		settlement.charges = append(settlement.charges, charge)
 	}
 	return rest
 }
@@ -143,7 +143,7 @@
 //
 // Any other record was written by a later leader, which this leader does not know of yet, or was changed by hand.
 // Then foreign is true, the account continues from that record, and its next settlement contains the charges again.
-// The call has no effect if the account is not unreconciled.
+// The call has no effect if the team has no refused settlement.
 func (a *Accounts) Reconcile(team string, stored StoredAccount) (resend *Settlement, foreign bool) {
 	account := a.byTeam[team]
 	if account == nil || account.state != accountUnreconciled {
--- a/internal/ledger/usage.go
+++ b/internal/ledger/usage.go
@@ -41,12 +41,14 @@
 
 // Usage holds amounts of used resources and of waiting time. The amounts are integers, so that their sums are exact.
 type Usage struct {
-	CPU       uint64                // CPU-microseconds
-	GPU       uint64                // GPU-microseconds
-	Mem       uint64                // GB-microseconds
-	Lost      uint64                // CPU-microseconds of attempts that neither completed nor saved a checkpoint
-	Starts    uint64                // number of attempts that began to run
-	TakenOver uint64                // number of attempts found running whose start or former end was not observed
+	CPU    uint64 // CPU-microseconds
+	GPU    uint64 // GPU-microseconds
+	Mem    uint64 // GB-microseconds
+	Lost   uint64 // CPU-microseconds, contained in CPU, of attempts that neither completed nor saved a checkpoint
+	Starts uint64 // number of attempts that began to run
+	// TakenOver is the number of attempts that a new leader found running, or that ran on after the leader had
+	// dropped them. Their beginning or end was not observed, so they are not counted in Starts.
+	TakenOver uint64
 	Wait      [NumWaitCauses]uint64 // waiting time by cause, in task-milliseconds
 }
 
@@ -153,8 +155,8 @@
 }
 
 // cost returns a usage in weighted CPU-microseconds.
-func (w Weights) cost(u Usage) uint64 {
-	return u.CPU + uint64(float64(u.GPU)*w.GPU) + uint64(float64(u.Mem)*w.Mem)
+func (w Weights) cost(usage Usage) uint64 {
+	return usage.CPU + uint64(float64(usage.GPU)*w.GPU) + uint64(float64(usage.Mem)*w.Mem)
 }
 
 // decay returns what remains of an amount after the elapsed time. An amount does not decay if halfLife is 0.
