--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -71,8 +71,9 @@
 
 // AttemptDelivery records which commands about an attempt were sent to the worker.
 type AttemptDelivery struct {
-	// CommandedState is the state that the last direct command conveyed. A direct command is due if it differs from
-	// State. It is 0 if no direct command was sent or the grace period has changed since.
+	// CommandedState is the state that the last direct command conveyed. It is 0 if there was none or the grace
+	// period has changed since. A direct command is due if State is another one, and is AttemptLaunching or
+	// AttemptStopping.
 	CommandedState   AttemptState
 	LaunchedDirectly bool // whether its launch was ever sent as a direct command
 	// SentInReplyTo is the number of the first heartbeat whose response conveyed the present state. Only heartbeats
--- a/internal/model/heartbeat.go
+++ b/internal/model/heartbeat.go
@@ -11,7 +11,7 @@
 // Phase is the stage of an attempt on its machine, as reported by the worker.
 type Phase uint8
 
-// The phases of an attempt, in the order in which it goes through them. It may skip any of them but PhaseExited.
+// The phases of an attempt, in the order in which it goes through them. An attempt may skip phases.
 const (
 	PhaseFetching      Phase = iota + 1 // its image is being fetched
 	PhaseWaiting                        // it waits until all tasks of its gang can run
--- a/internal/model/quota.go
+++ b/internal/model/quota.go
@@ -85,8 +85,8 @@
 type Team struct {
 	Name string
 	// Guarantee is the amount of CPUs and GPUs that is guaranteed to the team. Work within the guarantee of its team
-	// is served before other work. An amount of 0 means that there is no guarantee for that resource. MemGB is not
-	// used.
+	// is served before work beyond guarantees. An amount of 0 means that there is no guarantee for that resource.
+	// MemGB is not used.
 	Guarantee Resources
 	Quota     Quota
 }
