--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -99,7 +99,7 @@
 }
 
 // Usage is the sum of the resources that the active attempts of one team hold. Attempt.Transition keeps it up to
-// date.
+// date, so that it never has to be recomputed.
 type Usage struct {
 	Allocated   Resources // held by all active attempts
 	Stopping    Resources // the part of Allocated that is held by stopping attempts
