--- a/cmd/clustersim/capacity.go
+++ b/cmd/clustersim/capacity.go
@@ -7,10 +7,10 @@
 )
 
 type capacityCmd struct {
-	Runs string `default:"docs/capacity" placeholder:"DIR" help:"Folder with results of scale in files runs*.jsonl (docs/capacity)."`
+	Runs string `default:"docs/capacity" placeholder:"DIR" help:"Directory with results of the scale subcommand in files runs*.jsonl (default docs/capacity)."`
 }
 
-// Run prints the table of docs/CAPACITY.md.
+// Run reads the results and prints the table of docs/CAPACITY.md.
 func (c *capacityCmd) Run() error {
 	runs, err := capacity.Read(c.Runs)
 	if err != nil {
--- a/cmd/clustersim/election.go
+++ b/cmd/clustersim/election.go
@@ -6,19 +6,21 @@
 	"github.com/glentiller/glentiller/internal/clustersim/electionsim"
 )
 
-var errSplitBrain = errors.New("more than one member may act, or one with an outdated fencing token")
+var errSplitBrain = errors.New(
+	"the election lets several members act at once, or one under an outdated fencing token or feature level")
 
 type electionCmd struct {
-	Members int    `default:"3" help:"Members, from 2 to 5."`
-	Seconds int    `default:"10" help:"Seconds to explore, from when a member leads."`
-	Faults  int    `default:"2" help:"Faults in one course at most."`
-	Most    int    `default:"5000000" help:"States to explore at most."`
-	Break   string `default:"" enum:",cut-short,forgotten,late,lives,readable,beside" help:"A part of the protocol to leave out: cut-short, forgotten or late; with --blink lives; with --levels readable or beside."`
-	Levels  bool   `help:"Members change their programs, and the feature level is raised."`
-	Blink   bool   `help:"Members crash at any step of an election and restart at once."`
+	Members int    `default:"3" help:"Number of members, from 2 to 5."`
+	Seconds int    `default:"10" help:"Simulated seconds to explore, starting when a member leads."`
+	Faults  int    `default:"2" help:"Maximum number of faults in one sequence of events."`
+	Most    int    `default:"5000000" help:"Maximum number of distinct states; the run fails if there are more."`
+	Break   string `default:"" enum:",cut-short,forgotten,late,lives,readable,beside" help:"Part of the protocol to disable, to show that a run detects it: cut-short, forgotten or late; lives with --blink; readable or beside with --levels."`
+	Levels  bool   `help:"Also upgrade and downgrade members and raise the feature level."`
+	Blink   bool   `help:"Also let members crash at any step of an election and restart at once."`
 }
 
-// Run explores every course and prints what was found.
+// Run explores every sequence of events that the flags allow, and prints the result. It returns an error if an
+// invariant was violated.
 func (c *electionCmd) Run() error {
 	r, err := electionsim.Run(electionsim.Settings{
 		Members:         c.Members,
--- a/cmd/clustersim/ledger.go
+++ b/cmd/clustersim/ledger.go
@@ -8,21 +8,21 @@
 	"github.com/glentiller/glentiller/internal/clustersim/ledgersim"
 )
 
-// maxDays bounds a simulation of the ledger.
+// maxDays bounds --days.
 const maxDays = 366
 
 var (
-	errInvalidDays   = fmt.Errorf("--days: from 1 to %d", maxDays)
-	errLedgerDiffers = errors.New("the ledger differs from the audit, or another invariant is violated")
+	errInvalidDays   = fmt.Errorf("--days must be between 1 and %d", maxDays)
+	errLedgerDiffers = errors.New("the ledger differs from the audit, or another invariant was violated")
 )
 
 type ledgerCmd struct {
-	Days int    `default:"7" help:"Days to simulate."`
-	Seed uint64 `default:"1" help:"Selects the submissions and faults."`
+	Days int    `default:"7" help:"Number of days to simulate, from 1 to 366."`
+	Seed uint64 `default:"1" help:"Seed of the random submissions and faults."`
 	JSON bool   `help:"Print only the result, as one JSON object."`
 }
 
-// Run simulates the days and prints the comparison.
+// Run simulates the days and prints how the ledger compares with the audit. It returns an error if they differ.
 func (c *ledgerCmd) Run() error {
 	if c.Days < 1 || c.Days > maxDays {
 		return errInvalidDays
@@ -40,8 +40,8 @@
 	return printResult(r, r.Good(), errLedgerDiffers)
 }
 
-// printTeam prints a team's usage in the ledger and in the audit.
+// printTeam prints a team's usage according to the ledger and according to the audit of the stand-in workers.
 func printTeam(t *ledgersim.Team) {
 	fmt.Printf("%-14s ledger %15d CPU-us %14d GPU-us; ", t.Team, t.LedgerCPU, t.LedgerGPU)
-	fmt.Printf("stand-ins %15d %14d\n", t.RuntimeCPU, t.RuntimeGPU)
+	fmt.Printf("audit %15d CPU-us %14d GPU-us\n", t.RuntimeCPU, t.RuntimeGPU)
 }
--- a/cmd/clustersim/main.go
+++ b/cmd/clustersim/main.go
@@ -1,5 +1,5 @@
-// Command clustersim simulates deployments with faults, on stand-ins for the state service, the cloud, workers and
-// users, and reports which invariants do not hold. docs/clustersim.md tells how to use it.
+// Command clustersim simulates deployments with faults and reports violated invariants. The state service, the
+// cloud, the workers and the users are stand-ins. docs/clustersim.md describes its use.
 package main
 
 import (
@@ -9,24 +9,24 @@
 	"github.com/glentiller/glentiller/internal/cli"
 )
 
-// commands are the subcommands; their names and flags are derived from the fields' names. The aliases are the names
-// of earlier versions.
+// commands holds the subcommands. Kong derives the names of subcommands and flags from the names of the fields. The
+// aliases are names of earlier versions.
 type commands struct {
-	Capacity capacityCmd `cmd:"" help:"Fit lines to results of scale and print the table of docs/CAPACITY.md."`
-	Scale    scaleCmd    `cmd:"" help:"Run real controllers with thousands of hollow workers and measure their load."`
+	Capacity capacityCmd `cmd:"" help:"Fit lines to results of the scale subcommand and print the table of docs/CAPACITY.md."`
+	Scale    scaleCmd    `cmd:"" help:"Run real controllers with thousands of hollow workers and measure the controllers' load."`
 
-	OverlappingFaults overlappingFaultsCmd `cmd:"" aliases:"meetings" help:"Simulate two or three faults at a time, with cancellations and tasks that outlast them."`
+	OverlappingFaults overlappingFaultsCmd `cmd:"" aliases:"meetings" help:"Simulate two or three overlapping faults, with cancellations and with tasks that run longer than the faults."`
 	Faults            faultsCmd            `cmd:"" aliases:"troubles" help:"Simulate unresponsive machines, duplicate messages, partitioned members and quick restarts."`
 
-	Election electionCmd `cmd:"" help:"Explore the election through every course that a few faults can take."`
-	Ledger   ledgerCmd   `cmd:"" help:"Simulate a week and compare the ledger with an independent audit."`
+	Election electionCmd `cmd:"" help:"Explore the election under every possible sequence of a few faults."`
+	Ledger   ledgerCmd   `cmd:"" help:"Simulate days of operation and compare the ledger with an independent audit."`
 }
 
 func main() {
-	cli.Main("clustersim", "Simulates deployments of glentiller with faults.", &commands{})
+	cli.Main("clustersim", "Simulates glentiller deployments with faults.", &commands{})
 }
 
-// printResult prints a result as one line of JSON, and returns the failure unless the result is good.
+// printResult prints the result as one line of JSON. It returns failure unless good is true.
 func printResult(result any, good bool, failure error) error {
 	if err := json.NewEncoder(os.Stdout).Encode(result); err != nil {
 		return err
--- a/cmd/clustersim/main_test.go
+++ b/cmd/clustersim/main_test.go
@@ -17,11 +17,11 @@
 		t.Run(name, func(t *testing.T) {
 			parser, err := kong.New(&commands{}, kong.Name("clustersim"))
 			if err != nil {
-				t.Fatalf("got error %v of the commands, want none", err)
+				t.Fatalf("building the parser: got error %v, want none", err)
 			}
 			ctx, err := parser.Parse([]string{name, "--machines", "12", "--at-once", "1"})
 			if err != nil {
-				t.Fatalf("got error %v, want none", err)
+				t.Fatalf("parsing the command line: got error %v, want none", err)
 			}
 			if got := ctx.Selected().Name; got != want {
 				t.Errorf("got subcommand %q, want %q", got, want)
@@ -44,14 +44,14 @@
 		t.Run(name, func(t *testing.T) {
 			parser, err := kong.New(&commands{}, kong.Name("clustersim"))
 			if err != nil {
-				t.Fatalf("got error %v of the commands, want none", err)
+				t.Fatalf("building the parser: got error %v, want none", err)
 			}
 			ctx, err := parser.Parse(test.args)
 			if err != nil {
-				t.Fatalf("got error %v, want none", err)
+				t.Fatalf("parsing the command line: got error %v, want none", err)
 			}
 			if got := ctx.Run(); !errors.Is(got, test.want) {
-				t.Errorf("got error %v, want %v", got, test.want)
+				t.Errorf("running the subcommand: got error %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/cmd/clustersim/scale.go
+++ b/cmd/clustersim/scale.go
@@ -12,39 +12,40 @@
 )
 
 type scaleCmd struct {
-	Plan        string   `placeholder:"FILE"         help:"A plan (TOML) with the same names as the flags, which override it."`
-	Workers     *int     `placeholder:"N"            help:"Hollow workers over all regions (1000)."`
-	Regions     *int     `placeholder:"R"            help:"Regions: independent deployments (1)."`
-	Zones       *int     `placeholder:"Z"            help:"Zones of each region (3)."`
-	Controllers *int     `placeholder:"C"            help:"Controllers of each region, real processes (3)."`
-	Seconds     *int     `placeholder:"S"            help:"Seconds to measure, once all workers are connected (40)."`
-	Starts      *float64 `placeholder:"P"            help:"Requested task starts a second (a fortieth of the workers)."               name:"starts-per-second"`
-	Teams       *int     `placeholder:"N"            help:"Teams with quotas (140)."`
-	Seed        *uint64  `placeholder:"N"            help:"Seed of the random choices (1)."`
-	Churn       *float64 `placeholder:"X"            help:"Replace machines at X times the target's daily rate (0: none)."`
-	Fault       []string `placeholder:"KIND@SECONDS" help:"A scheduled fault: leader, rack or zone."`
-	Break       *string  `placeholder:"KIND"         help:"A deliberate fault of the stand-ins that the checks must detect: twice."`
-	Program     *string  `placeholder:"FILE"         help:"The controller to run; it is built by default."`
-	Operator    *string  `placeholder:"FILE"         help:"The operators' settings of all controllers (deploy/run.xml)."`
-	Profile     *string  `placeholder:"DIR"          help:"Where to write the controllers' CPU profiles."`
-	Logs        *string  `placeholder:"DIR"          help:"Where to keep the controllers' logs."`
+	Plan        string   `placeholder:"FILE"         help:"Plan of the run (TOML), with the names of the flags; the flags override it."`
+	Workers     *int     `placeholder:"N"            help:"Number of hollow workers in all regions together (default 1000)."`
+	Regions     *int     `placeholder:"R"            help:"Number of regions, which are independent deployments (default 1)."`
+	Zones       *int     `placeholder:"Z"            help:"Number of zones in each region (default 3)."`
+	Controllers *int     `placeholder:"C"            help:"Number of controllers in each region, run as real processes (default 3)."`
+	Seconds     *int     `placeholder:"S"            help:"Duration of the measurement in seconds, after all workers have connected (default 40)."`
+	Starts      *float64 `placeholder:"P"            help:"Requested task starts per second (default: the number of workers / 40)." name:"starts-per-second"`
+	Teams       *int     `placeholder:"N"            help:"Number of teams with quotas (default 140)."`
+	Seed        *uint64  `placeholder:"N"            help:"Seed of the random choices (default 1)."`
+	Churn       *float64 `placeholder:"X"            help:"Rate of machine failures and replacements, as a multiple of the target's daily rate (default 0: none)."`
+	Fault       []string `placeholder:"KIND@SECONDS" help:"Fault to inject that many seconds into the measurement: leader, rack or zone."`
+	Break       *string  `placeholder:"KIND"         help:"Deliberate fault of the stand-ins, to show that the checks detect it: twice."`
+	Program     *string  `placeholder:"FILE"         help:"Controller program to run (default: built by the run)."`
+	Operator    *string  `placeholder:"FILE"         help:"Operators' settings of all controllers (default deploy/run.xml)."`
+	Profile     *string  `placeholder:"DIR"          help:"Directory to write CPU profiles of the controllers to."`
+	Logs        *string  `placeholder:"DIR"          help:"Directory to keep the controllers' logs in."`
 	JSON        bool     `                           help:"Print only the result, as one JSON object."`
 }
 
-var errScaleFailed = errors.New("an invariant is violated, a controller ended by itself, or no task started")
+var errScaleFailed = errors.New("an invariant was violated, a controller exited unexpectedly, or no task started")
 
-// Help returns the detailed help.
+// Help returns the long description that kong shows with --help.
 func (*scaleCmd) Help() string {
-	return `Runs real controllers, which it builds and starts as processes, against stand-ins for the state service, the
-cloud and the users on loopback addresses, and against hollow workers: these speak the whole worker protocol (leases,
-epochs, fencing tokens, gangs, image fetches as delays) and run nothing. First all workers connect and services are
-placed on them; then jobs arrive at the requested rate, and the load is measured. The invariants are checked all along.
-
-The resources that a run needs are estimated before anything starts, and the run is refused if the machine lacks them.
-The last line is one JSON object; docs/clustersim.md describes its fields. All processes end with the run.`
+	return `Builds the controller and runs it as real processes. The state service, the cloud and the users are stand-ins
+on loopback addresses. Hollow workers speak the complete worker protocol (leases, epochs, fencing tokens, gangs, image
+fetches as delays) but run no tasks. First all workers connect and services are placed on them. Then jobs arrive at the
+requested rate and the load is measured. The invariants are checked throughout the run.
+
+The resources that a run needs are estimated before anything starts. If the machine lacks them, the run is refused.
+The last line of the output is one JSON object; docs/clustersim.md describes its fields. All processes that a run starts
+end with it.`
 }
 
-// buildPlan combines the defaults, the plan's file and the flags.
+// buildPlan starts from the default plan and applies the plan file, if there is one, and then the flags.
 func (c *scaleCmd) buildPlan() (scale.Plan, error) {
 	p := scale.DefaultPlan()
 	if c.Plan != "" {
@@ -79,14 +80,14 @@
 	return p, nil
 }
 
-// override sets a value from a flag that is given.
+// override sets *value to *flag if the flag was given.
 func override[T any](value *T, flag *T) {
 	if flag != nil {
 		*value = *flag
 	}
 }
 
-// Run simulates the plan and prints what was measured.
+// Run carries out the plan and prints the measurements. It returns an error if a check failed.
 func (c *scaleCmd) Run() error {
 	p, err := c.buildPlan()
 	if err != nil {
@@ -104,7 +105,8 @@
 	return printResult(r, r.Good(), errScaleFailed)
 }
 
-// progress returns the function that prints what a run is doing. With --json it prints only to a terminal.
+// progress returns the function that prints the progress of a run to standard error. With --json it prints only if
+// standard error is a terminal.
 func (c *scaleCmd) progress() func(format string, args ...any) {
 	if c.JSON && !isTerminal(os.Stderr) {
 		return func(string, ...any) {}
@@ -112,16 +114,16 @@
 	return func(format string, args ...any) { fmt.Fprintf(os.Stderr, "scale: "+format+"\n", args...) }
 }
 
-// isTerminal reports whether a file is a terminal.
+// isTerminal reports whether f is a character device, such as a terminal.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// maxPrintedViolations is how many violations are printed one by one.
+// maxPrintedViolations bounds how many violations are printed one by one.
 const maxPrintedViolations = 10
 
-// printScale prints a result for people.
+// printScale prints a result as text.
 func printScale(r *scale.Result) {
 	fmt.Printf("%d hollow workers in %d regions, real controllers, %.0f s:\n", r.Workers, r.Regions, r.Seconds)
 	printLatencies(r)
@@ -129,30 +131,30 @@
 	printViolations(r)
 }
 
-// printLatencies prints how fast tasks started and heartbeats were answered.
+// printLatencies prints the start latency of tasks and the latency of heartbeats.
 func printLatencies(r *scale.Result) {
-	fmt.Printf("  starts       %.1f/s of %.1f/s asked for; ", r.Starts, r.RequestedStarts)
-	fmt.Printf("urgent tasks start after %d ms (p50), %d ms (p99); ", r.UrgentP50, r.UrgentP99)
-	fmt.Printf("other jobs %d, %d ms\n", r.OthersP50, r.OthersP99)
-	fmt.Printf("  reports      %.1f/s; ", r.Heartbeats)
+	fmt.Printf("  starts       %.1f/s of %.1f/s requested; ", r.Starts, r.RequestedStarts)
+	fmt.Printf("start latency of urgent tasks %d ms (p50), %d ms (p99); ", r.UrgentP50, r.UrgentP99)
+	fmt.Printf("of other tasks %d ms, %d ms\n", r.OthersP50, r.OthersP99)
+	fmt.Printf("  heartbeats   %.1f/s; ", r.Heartbeats)
 	fmt.Printf("round trip %.1f ms (p50), %.1f ms (p99); ", r.HeartbeatP50, r.HeartbeatP99)
-	fmt.Printf("%.3f%% later than 4 s; %d leases ran out\n", 100*r.LateHeartbeatShare, r.LeaseExpiries)
+	fmt.Printf("%.3f%% not answered within 4 s; %d leases expired\n", 100*r.LateHeartbeatShare, r.LeaseExpiries)
 }
 
-// printLoad prints the load on each role.
+// printLoad prints the load of each role: leader, other members, state service, worker and stand-ins.
 func printLoad(r *scale.Result) {
 	fmt.Printf("  leader       %.2f of a core, %.0f MB, %d open files; ", r.LeaderCores, r.LeaderMB, r.LeaderSockets)
-	fmt.Printf("its loop was held for %.0f ms at the longest (%s)\n", r.LongestHoldMs, r.LongestHoldBy)
+	fmt.Printf("its event loop was blocked for up to %.0f ms (%s)\n", r.LongestHoldMs, r.LongestHoldBy)
 	fmt.Printf("  members      %.3f of a core, %.0f MB, %d open files\n", r.MemberCores, r.MemberMB, r.MemberSockets)
-	fmt.Printf("  state        %.1f requests/s, %.1f changes/s\n", r.StateRPS, r.StateWrites)
+	fmt.Printf("  state        %.1f requests/s, %.1f writes/s\n", r.StateRPS, r.StateWrites)
 	fmt.Printf("  worker       %.0f bytes/s each\n", r.WorkerBytes)
 	fmt.Printf("  stand-ins    %.2f cores, %.0f MB ", r.StandInCores, r.StandInMB)
 	fmt.Print("(hollow workers, state service, cloud and users in one process)\n")
 }
 
-// printViolations prints the first violations and how many there are.
+// printViolations prints the number of violations and the first of them.
 func printViolations(r *scale.Result) {
-	fmt.Printf("  rules        %d broken; %d controllers ended by themselves\n", len(r.Violations), r.EndedProcesses)
+	fmt.Printf("  invariants   %d violations; %d controllers exited unexpectedly\n", len(r.Violations), r.EndedProcesses)
 	for i, violation := range r.Violations {
 		if i == maxPrintedViolations {
 			fmt.Printf("               and %d more\n", len(r.Violations)-i)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is what the project's commands have in common: how a program parses its command line, runs
-// the subcommand and ends.
+// Package cli holds what the commands of this project share: they parse the command line, run a subcommand, report
+// its error and print results as JSON in the same way.
 package cli
 
 import (
@@ -11,8 +11,9 @@
 	"github.com/alecthomas/kong"
 )
 
-// Main parses the command line into commands, a pointer to a struct with kong's tags, and runs the
-// subcommand that was chosen. An error of it is printed and ends the process with exit code 1.
+// Main parses the command line into commands, which is a pointer to a struct with kong tags, and runs the selected
+// subcommand. If the subcommand returns an error, Main prints it to standard error and exits with code 1. Kong
+// reports an invalid command line together with the usage and exits the process.
 func Main(program, description string, commands any) {
 	ctx := kong.Parse(commands, kong.Name(program), kong.Description(description), kong.UsageOnError())
 	if err := ctx.Run(); err != nil {
@@ -21,7 +22,7 @@
 	}
 }
 
-// WriteJSON writes a result for programs: one JSON value, indented.
+// WriteJSON writes v to w as one indented JSON value, followed by a newline.
 func WriteJSON(w io.Writer, v any) error {
 	out := json.NewEncoder(w)
 	out.SetIndent("", "  ")
