--- a/cmd/glentiller/constraints.go
+++ b/cmd/glentiller/constraints.go
@@ -11,30 +11,32 @@
 )
 
 type constraintsCmd struct {
-	Check constraintsCheckCmd `cmd:"" help:"Check rules against a catalogue: what may run such a job, or what excludes what."`
+	Check constraintsCheckCmd `cmd:"" help:"Check the rules of a job against a catalog: print which machines can run it, or which rules contradict each other."`
 }
 
-// constraintsCheckCmd has the fields of a submission by their names on the wire.
+// constraintsCheckCmd takes a job as flags. The flags have the names that the fields of a submission have on the
+// wire.
 type constraintsCheckCmd struct {
-	Catalog      string   `required:"" placeholder:"FILE" help:"The answer of the cloud's catalogue, as JSON."`
-	Zones        []string `placeholder:"A,B" help:"Only these zones; by default all that the catalogue names."`
-	Shape        string   `enum:"array,ensemble,daemon" default:"array" help:"The job's shape (${enum})."`
-	Tasks        int      `name:"rows" default:"1" help:"Its tasks."`
-	CPUs         float64  `name:"cores" help:"CPUs of a task."`
-	GPUs         float64  `name:"cards" help:"GPUs of a task."`
-	MemoryGB     float64  `name:"memory" help:"GB of a task."`
-	MachineTypes []string `name:"breeds" placeholder:"A,B" help:"Its machine types."`
-	Zone         string   `name:"field" placeholder:"ZONE" help:"Its only zone."`
-	NoSpot       bool     `help:"It may not use spot machines."`
-	SingleZone   bool     `name:"one-zone" help:"All its tasks in one zone."`
-	Spread       bool     `name:"scatter" help:"At most half of its tasks in one zone."`
-	Text         string   `arg:"" help:"The rules."`
+	Catalog      string   `required:"" placeholder:"FILE" help:"Machine catalog, the response of the cloud to GET /catalog as JSON."`
+	Zones        []string `placeholder:"A,B" help:"Zones to consider (default: all zones in the catalog)."`
+	Shape        string   `enum:"array,ensemble,daemon" default:"array" help:"Shape of the job (${enum})."`
+	Tasks        int      `name:"rows" default:"1" help:"Number of tasks."`
+	CPUs         float64  `name:"cores" help:"CPUs per task."`
+	GPUs         float64  `name:"cards" help:"GPUs per task."`
+	MemoryGB     float64  `name:"memory" help:"Memory per task, in GB."`
+	MachineTypes []string `name:"breeds" placeholder:"A,B" help:"Machine types that the job may use (default: all)."`
+	Zone         string   `name:"field" placeholder:"ZONE" help:"Zone that the job must run in (default: any)."`
+	NoSpot       bool     `help:"The job may not use spot instances."`
+	SingleZone   bool     `name:"one-zone" help:"All tasks must run in one zone."`
+	Spread       bool     `name:"scatter" help:"At most half of the tasks may run in one zone."`
+	Text         string   `arg:"" help:"The rules, in the language of docs/constraints.md."`
 }
 
-// shapes are the jobs' shapes by their names on the wire.
+// shapes maps the names of job shapes on the wire to the shapes.
 var shapes = map[string]model.Shape{"array": model.Array, "ensemble": model.Gang, "daemon": model.Service}
 
-// Run checks constraints as a submission's are checked, and prints which machine classes they allow.
+// Run checks the rules in the same way as those of a submission, and prints which machine classes they allow. It
+// returns an error if no machine class can run the job.
 func (c *constraintsCheckCmd) Run() error {
 	catalog, err := os.ReadFile(c.Catalog)
 	if err != nil {
@@ -45,7 +47,7 @@
 		return fmt.Errorf("%s: %w", c.Catalog, err)
 	}
 	if c.Tasks < 1 {
-		return errors.New("--rows: from 1 on")
+		return errors.New("--rows must be at least 1")
 	}
 	spec := c.spec()
 	set, err := constraint.Parse(c.Text)
@@ -57,25 +59,25 @@
 	}
 	var allowed, excluded []string
 	for _, class := range constraint.Classes(types) {
-		by, ok := set.Allows(class)
+		violated, ok := set.Allows(class)
 		switch {
 		case !ok:
-			excluded = append(excluded, fmt.Sprintf("%s: %s", class, by))
+			excluded = append(excluded, fmt.Sprintf("%s: %s", class, violated))
 		case !constraint.SpecAllows(spec, class):
-			excluded = append(excluded, fmt.Sprintf("%s: the job's other fields", class))
+			excluded = append(excluded, fmt.Sprintf("%s: excluded by the job's other fields", class))
 		default:
-			allowed = append(allowed, fmt.Sprintf("%s, wishes %+g (with the image %+g)",
+			allowed = append(allowed, fmt.Sprintf("%s, preference weight %+g (%+g with the image)",
 				class, set.PreferenceWeight(class, false), set.PreferenceWeight(class, true)))
 		}
 	}
-	fmt.Printf("May run it:\n  %s\n", strings.Join(allowed, "\n  "))
+	fmt.Printf("Machine classes that can run the job:\n  %s\n", strings.Join(allowed, "\n  "))
 	if len(excluded) > 0 {
-		fmt.Printf("May not:\n  %s\n", strings.Join(excluded, "\n  "))
+		fmt.Printf("Machine classes that cannot:\n  %s\n", strings.Join(excluded, "\n  "))
 	}
 	return nil
 }
 
-// spec is the job that the flags describe.
+// spec returns the specification of the job that the flags describe.
 func (c *constraintsCheckCmd) spec() *model.Spec {
 	return &model.Spec{
 		Shape:        shapes[c.Shape],
--- a/cmd/glentiller/explain.go
+++ b/cmd/glentiller/explain.go
@@ -10,11 +10,11 @@
 
 type explainCmd struct {
 	adminFlags
-	JSON bool   `help:"Write JSON."`
-	Job  string `arg:"" help:"The job's id."`
+	JSON bool   `help:"Print JSON."`
+	Job  string `arg:"" help:"ID of the job."`
 }
 
-// Run prints why a job's tasks wait, and why the others are where they are.
+// Run prints why tasks of a job are waiting, and why its placed tasks are on their machines.
 func (c *explainCmd) Run() error {
 	client, err := c.connect()
 	if err != nil {
@@ -32,7 +32,7 @@
 }
 
 func printExplanation(e *reconciler.Explanation) {
-	fmt.Printf("%s, class %s, team %s, rank %s: %d of %d tasks done, %d on machines, %d waiting\n",
+	fmt.Printf("%s, class %s, team %s, priority %s: %d of %d tasks done, %d on machines, %d waiting\n",
 		e.Job, e.Class, e.Team, e.Priority, e.Done, e.Tasks, e.OnMachines, e.Waiting)
 	var machines, placed []string
 	for _, m := range e.Machines {
@@ -41,23 +41,23 @@
 	for _, p := range e.Placements {
 		placed = append(placed, fmt.Sprintf("task %d on %s (%s): %s", p.Task, p.Machine, p.Class, p.Reason))
 	}
-	printList("Its rules:", e.Constraints)
-	printList("It waits because:", e.Reasons)
+	printList("Rules:", e.Constraints)
+	printList("Reasons for waiting:", e.Reasons)
 	printList("Machines:", machines)
-	printList("On the way:", e.Coming)
-	printList("What would have to change:", e.Remedies)
-	printList("Placed:", placed)
+	printList("Incoming machines:", e.Coming)
+	printList("Changes that would let tasks start:", e.Remedies)
+	printList("Placed tasks:", placed)
 	if more := e.OnMachines - len(e.Placements); more > 0 {
 		fmt.Printf("  and %d more\n", more)
 	}
 }
 
-// printList prints lines under a head, and nothing if there are none.
-func printList(head string, lines []string) {
+// printList prints lines under a heading. It prints nothing if there are no lines.
+func printList(heading string, lines []string) {
 	if len(lines) == 0 {
 		return
 	}
-	fmt.Println(head)
+	fmt.Println(heading)
 	for _, line := range lines {
 		fmt.Println("  " + line)
 	}
--- a/cmd/glentiller/ledger.go
+++ b/cmd/glentiller/ledger.go
@@ -15,27 +15,28 @@
 )
 
 type ledgerCmd struct {
-	Show   ledgerShowCmd   `cmd:"" default:"withargs" help:"Use and waiting time by team, class or time."`
-	Verify ledgerVerifyCmd `cmd:"" help:"Check that no closed page is missing or changed."`
+	Show   ledgerShowCmd   `cmd:"" default:"withargs" help:"Show resource usage and waiting time by team, class, day or hour."`
+	Verify ledgerVerifyCmd `cmd:"" help:"Verify that no closed page of the ledger is missing or was changed."`
 }
 
 type ledgerShowCmd struct {
 	adminFlags
 	outputFormat
-	Team  string `placeholder:"T" help:"Only this team."`
-	Class string `placeholder:"C" help:"Only this class of jobs."`
-	From  string `placeholder:"TIME" help:"From here on: 2006-01-02 or 2006-01-02T15:04:05Z. Pages count by their beginning."`
-	To    string `placeholder:"TIME" help:"Up to here."`
-	By    string `enum:"team,class,day,hour" default:"team" help:"A row for each team, class, day or hour (${enum})."`
+	Team  string `placeholder:"T" help:"Only usage of this team."`
+	Class string `placeholder:"C" help:"Only usage of jobs of this class."`
+	From  string `placeholder:"TIME" help:"Only pages from the one that contains this time on: 2006-01-02 or 2006-01-02T15:04:05Z."`
+	To    string `placeholder:"TIME" help:"Only pages that begin before this time."`
+	By    string `enum:"team,class,day,hour" default:"team" help:"Print one row for each team, class, day or hour (${enum})."`
 }
 
-// ledgerGroup is a row of the table.
+// ledgerGroup holds the summed usage of all entries with the same key, which is a team, a class, a day or an hour.
 type ledgerGroup struct {
 	Key string `json:"key"`
 	admin.Amounts
 }
 
-// Run reads the entries, adds them up by group and prints the sums.
+// Run reads the ledger entries that match the flags, sums them by group and prints the sums. The table for people
+// is followed by the intervals without accounting.
 func (c *ledgerShowCmd) Run() error {
 	client, err := c.connect()
 	if err != nil {
@@ -49,11 +50,11 @@
 	if err := c.write(os.Stdout, groups, usageTable(c.By, groups)); err != nil || c.JSON || c.CSV {
 		return err
 	}
-	fmt.Println("\nHours of CPUs, GPUs and GB; hours that tasks waited, by cause.")
+	fmt.Println("\nUsage in CPU-hours, GPU-hours and GB-hours; waiting time in task-hours, by cause.")
 	return c.printUnaccounted(client)
 }
 
-// query has the filters that were given.
+// query returns the filters that were given as flags.
 func (c *ledgerShowCmd) query() url.Values {
 	query := url.Values{}
 	for name, value := range map[string]string{"team": c.Team, "class": c.Class, "from": c.From, "to": c.To} {
@@ -64,11 +65,11 @@
 	return query
 }
 
-// usageTable makes the table of usage: hours for people, exact numbers for programs.
-func usageTable(by string, groups []ledgerGroup) table {
-	t := table{head: []string{by, "cpu", "gpu", "mem_gb", "lost_cpu", "starts", "taken_over"}}
+// usageTable returns the table of usage: in hours for people, in exact integers for programs.
+func usageTable(groupBy string, groups []ledgerGroup) table {
+	t := table{header: []string{groupBy, "cpu", "gpu", "mem_gb", "lost_cpu", "starts", "taken_over"}}
 	for cause := range ledger.NumWaitCauses {
-		t.head = append(t.head, "wait_"+cause.String())
+		t.header = append(t.header, "wait_"+cause.String())
 	}
 	for _, group := range groups {
 		usage := group.Usage()
@@ -93,13 +94,13 @@
 	return t
 }
 
-// printUnaccounted prints the intervals that no entry covers.
+// printUnaccounted prints the intervals between --from and --to that no leader accounted for.
 func (c *ledgerShowCmd) printUnaccounted(client *admin.Client) error {
 	intervals, err := client.Intervals()
 	if err != nil {
 		return err
 	}
-	from, to := time.Time{}, time.Unix(1<<40, 0) // by default all time there is
+	from, to := time.Time{}, time.Unix(1<<40, 0) // by default, all intervals
 	if c.From != "" {
 		if from, err = admin.ParseTime("from", c.From); err != nil {
 			return err
@@ -112,18 +113,18 @@
 	}
 	for _, interval := range intervals {
 		if interval.End.After(from) && interval.Start.Before(to) {
-			fmt.Printf("Not accounted: %s to %s (%d leaders without a ledger in between)\n",
+			fmt.Printf("Not accounted: %s to %s (%d leaders in between wrote no settlement)\n",
 				interval.Start.Format(time.RFC3339), interval.End.Format(time.RFC3339), interval.UnsettledLeaders)
 		}
 	}
 	return nil
 }
 
-// groupEntries adds entries up by team, class, day or hour, in the order of the keys.
-func groupEntries(entries []admin.Entry, by string) []ledgerGroup {
+// groupEntries sums entries by team, class, day or hour. The groups are sorted by key.
+func groupEntries(entries []admin.Entry, groupBy string) []ledgerGroup {
 	sums := map[string]*ledger.Usage{}
 	for _, entry := range entries {
-		key := groupKey(entry, by)
+		key := groupKey(entry, groupBy)
 		if sums[key] == nil {
 			sums[key] = &ledger.Usage{}
 		}
@@ -137,16 +138,17 @@
 	return groups
 }
 
-// groupKey is the group of an entry. One that was compacted to a day or a month is not split again.
-func groupKey(entry admin.Entry, by string) string {
-	switch by {
+// groupKey returns the key of the group that an entry belongs to. An entry that was compacted to a day or a month
+// cannot be split, so it gets the key of that day or month even if shorter groups are requested.
+func groupKey(entry admin.Entry, groupBy string) string {
+	switch groupBy {
 	case "class":
 		return entry.Class
 	case "day", "hour":
 		switch {
 		case entry.Unit == ledger.Month.String():
 			return entry.Start.Format("2006-01")
-		case by == "hour" && entry.Unit == ledger.Hour.String():
+		case groupBy == "hour" && entry.Unit == ledger.Hour.String():
 			return entry.Start.Format("2006-01-02T15")
 		}
 		return entry.Start.Format(time.DateOnly)
@@ -156,13 +158,14 @@
 
 type ledgerVerifyCmd struct {
 	adminFlags
-	JSON bool `help:"Write JSON."`
+	JSON bool `help:"Print JSON."`
 }
 
-// errLedgerIncomplete is returned if segments are missing or were changed.
-var errLedgerIncomplete = errors.New("the ledger is not whole")
+// errLedgerIncomplete is returned if the verification of any team's ledger segments failed.
+var errLedgerIncomplete = errors.New("ledger verification failed: pages are missing or were changed")
 
-// Run has a controller verify the ledger segments of all teams.
+// Run asks a controller to verify the ledger segments of all teams and prints the results. It returns an error if
+// any verification failed.
 func (c *ledgerVerifyCmd) Run() error {
 	client, err := c.connect()
 	if err != nil {
@@ -172,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	t := table{head: []string{"team", "pages", "through", "state"}}
+	t := table{header: []string{"team", "pages", "through", "state"}}
 	for _, v := range verifications {
 		state := "whole"
 		if v.Problem != "" {
--- a/cmd/glentiller/member.go
+++ b/cmd/glentiller/member.go
@@ -13,10 +13,10 @@
 
 type memberCmd struct {
 	adminFlags
-	JSON bool `help:"Write JSON."`
+	JSON bool `help:"Print JSON."`
 }
 
-// Run prints the status of a controller.
+// Run requests the status of a controller and prints it.
 func (c *memberCmd) Run() error {
 	status, err := c.memberStatus()
 	if err != nil {
@@ -33,62 +33,62 @@
 	return nil
 }
 
-// printElection prints who leads, and by what lease and votes.
+// printElection prints the member's state in the election, and the lease and votes that support its leadership.
 func printElection(s *admin.MemberStatus) {
-	fmt.Printf("%s: %s, leader %q, token %d\n", s.Member, s.State, s.Leader, s.FencingToken)
+	fmt.Printf("%s: %s, leader %q, fencing token %d\n", s.Member, s.State, s.Leader, s.FencingToken)
 	if s.LeadershipSeconds > 0 {
-		restsOn := "the lease at the state service"
+		basis := "the lease at the state service"
 		if s.StateLeaseSeconds <= 0 {
-			restsOn = "the promises of all other members"
+			basis = "the votes of all other members"
 		}
-		fmt.Printf("right to act for %.1f s, by %s\n", s.LeadershipSeconds, restsOn)
+		fmt.Printf("leadership valid for %.1f s, based on %s\n", s.LeadershipSeconds, basis)
 	}
 	if s.VoteSeconds == 0 {
-		fmt.Println("promises are off")
+		fmt.Println("votes are disabled")
 	}
 	for _, voter := range slices.Sorted(maps.Keys(s.VotesSeconds)) {
-		fmt.Printf("promised by %s for %.1f s\n", voter, s.VotesSeconds[voter])
+		fmt.Printf("vote of %s valid for %.1f s\n", voter, s.VotesSeconds[voter])
 	}
 	if s.ClaimBlockedSeconds > 0 {
-		fmt.Printf("claims nothing for %.1f s, for what it has promised\n", s.ClaimBlockedSeconds)
+		fmt.Printf("must not claim the leadership for %.1f s because of a vote that it has cast\n", s.ClaimBlockedSeconds)
 	}
 	if s.StateUnansweredSeconds > 0 {
-		fmt.Printf("the state service has not answered it for %.1f s\n", s.StateUnansweredSeconds)
+		fmt.Printf("no answer from the state service for %.1f s\n", s.StateUnansweredSeconds)
 	}
 }
 
-// printLoad prints who holds the connections, and what holds the event loop.
+// printLoad prints the use of sockets by connection class, and the load of the event loop.
 func printLoad(s *admin.MemberStatus) {
 	connections := s.Connections
-	fmt.Printf("sockets: %s, %d of %d held, %d at the most\n",
+	fmt.Printf("sockets: %s, %d of %d in use, peak %d\n",
 		connections.Occupancy, connections.Used, connections.Capacity, connections.Peak)
 	for _, name := range slices.Sorted(maps.Keys(connections.Classes)) {
 		if class := connections.Classes[name]; class.Used > 0 || class.Rejected > 0 {
-			fmt.Printf("  %-10s %d of %d, %d turned away\n", name, class.Used, class.Quota, class.Rejected)
+			fmt.Printf("  %-10s %d of %d, %d rejected\n", name, class.Used, class.Quota, class.Rejected)
 		}
 	}
 	if s.Load.LongestHoldEvent != "" {
-		fmt.Printf("the loop was held for %.3f s at the most by %s lately; %d messages wait\n",
+		fmt.Printf("event loop: recently blocked for up to %.3f s by %s; %d events queued\n",
 			s.Load.LongestHoldSeconds, s.Load.LongestHoldEvent, s.Load.Inbox)
 	}
 }
 
-// printRequests prints where users' requests are answered.
+// printRequests prints the state of request routing: circuit breakers, concurrency limits and counters.
 func printRequests(r *route.Status) {
-	fmt.Printf("requests: the way by its own means is %s; %.0f second attempts left\n", r.Local, r.RetriesLeft)
+	fmt.Printf("requests: circuit breaker of this member %s; %.0f retries left in the budget\n", r.Local, r.RetriesLeft)
 	for _, member := range slices.Sorted(maps.Keys(r.Members)) {
-		fmt.Printf("  by %s: %s\n", member, r.Members[member])
+		fmt.Printf("  circuit breaker of %s: %s\n", member, r.Members[member])
 	}
 	for _, kind := range slices.Sorted(maps.Keys(r.Limits)) {
-		fmt.Printf("  %-7s %d of %d at once", kind, r.InFlight[kind], r.Limits[kind])
+		fmt.Printf("  %-7s %d of %d concurrent requests", kind, r.InFlight[kind], r.Limits[kind])
 		if r.HedgeMillis[kind] > 0 {
-			fmt.Printf(", asked elsewhere too after %d ms", r.HedgeMillis[kind])
+			fmt.Printf(", hedged after %d ms", r.HedgeMillis[kind])
 		}
 		fmt.Println()
 	}
 	counts := r.Counts
-	fmt.Printf("  %d begun here, %d handed over (%d hedged, %d again), %d taken for others; ",
+	fmt.Printf("  %d attempts here, %d forwarded (%d hedged, %d retried), %d served for other members; ",
 		counts.Local, counts.Forwarded, counts.Hedged, counts.Retried, counts.ServedForOthers)
-	fmt.Printf("%d users sent away, %d at the limit, %d without a second attempt\n",
+	fmt.Printf("%d requests rejected, %d shed at the concurrency limit, %d retries denied\n",
 		counts.Rejected, counts.Shed, counts.RetriesDenied)
 }
--- a/cmd/glentiller/output.go
+++ b/cmd/glentiller/output.go
@@ -13,12 +13,13 @@
 	"github.com/glentiller/glentiller/internal/config"
 )
 
-// adminFlags say which operators' interface a command queries.
+// adminFlags select the operators' interface that a subcommand queries.
 type adminFlags struct {
-	Admin     string `default:"127.0.0.1:18090" env:"GLENTILLER_ADMIN" placeholder:"ADDR" help:"The operators' interface of any controller."`
-	TokenFile string `required:"" env:"GLENTILLER_TOKEN_FILE" placeholder:"FILE" help:"File with its bearer token."`
+	Admin     string `default:"127.0.0.1:18090" env:"GLENTILLER_ADMIN" placeholder:"ADDR" help:"Address of the operators' interface of any controller."`
+	TokenFile string `required:"" env:"GLENTILLER_TOKEN_FILE" placeholder:"FILE" help:"File that holds the bearer token of the operators' interface."`
 }
 
+// connect returns a client of the operators' interface. It reads the token but does not contact the controller.
 func (f *adminFlags) connect() (*admin.Client, error) {
 	token, err := config.ReadSecret(f.TokenFile)
 	return &admin.Client{Addr: f.Admin, Token: token}, err
@@ -33,33 +34,33 @@
 	return client.MemberStatus()
 }
 
-// outputFormat is how a table is printed.
+// outputFormat holds the flags that select how a table is printed. Without a flag it is printed for people.
 type outputFormat struct {
-	JSON bool `xor:"format" help:"Write JSON, amounts in integers."`
-	CSV  bool `xor:"format" help:"Write CSV, amounts in integers."`
+	JSON bool `xor:"format" help:"Print JSON, with amounts as exact integers."`
+	CSV  bool `xor:"format" help:"Print CSV, with amounts as exact integers."`
 }
 
-// table is a result as rows of text.
+// table is a result in rows and columns.
 type table struct {
-	head  []string
-	rows  [][]string // for people
-	exact [][]string // with all digits
+	header []string
+	rows   [][]string // for people, with rounded amounts
+	exact  [][]string // for programs, with exact amounts
 }
 
-// write writes a table for people or as CSV, or the data itself as JSON.
+// write writes data as JSON, or t as CSV or as a table for people.
 func (f *outputFormat) write(w io.Writer, data any, t table) error {
 	switch {
 	case f.JSON:
 		return cli.WriteJSON(w, data)
 	case f.CSV:
 		out := csv.NewWriter(w)
-		if err := out.WriteAll(append([][]string{t.head}, t.exact...)); err != nil {
+		if err := out.WriteAll(append([][]string{t.header}, t.exact...)); err != nil {
 			return err
 		}
 		return out.Error()
 	}
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	for _, row := range append([][]string{t.head}, t.rows...) {
+	for _, row := range append([][]string{t.header}, t.rows...) {
 		_, _ = fmt.Fprintln(out, strings.TrimRight(strings.Join(row, "\t"), "\t"))
 	}
 	return out.Flush()
--- a/cmd/glentiller/rollout.go
+++ b/cmd/glentiller/rollout.go
@@ -12,19 +12,19 @@
 )
 
 type rolloutCmd struct {
-	Status rolloutStatusCmd `cmd:"" help:"Which level is in force, what each member knows, and what holds the next one."`
+	Status rolloutStatusCmd `cmd:"" help:"Show the feature level in force, the level that each member supports, and what blocks the next level."`
 }
 
 type rolloutStatusCmd struct {
 	adminFlags
-	JSON bool `help:"Write JSON."`
+	JSON bool `help:"Print JSON."`
 }
 
-// errNoRollout is returned by a controller that does not watch a rollout.
-var errNoRollout = errors.New("nothing is known of a rollout yet: " +
-	"the state service has not answered, or <rollout> is not in the operators' settings")
+// errNoRollout is returned if the controller reports no rollout status.
+var errNoRollout = errors.New("the controller has no rollout status: " +
+	"the state service has not answered yet, or <rollout> is missing from the operators' settings")
 
-// Run prints which feature level is in force and what the members support.
+// Run prints the feature level in force, the features and their levels, and the level that each member supports.
 func (c *rolloutStatusCmd) Run() error {
 	status, err := c.memberStatus()
 	if err != nil {
@@ -37,10 +37,10 @@
 	if c.JSON {
 		return cli.WriteJSON(os.Stdout, rollout)
 	}
-	fmt.Printf("level %d is in force, %s knows %d; %s: %s\n",
+	fmt.Printf("feature level %d is in force, %s supports level %d; %s: %s\n",
 		rollout.Level, status.Member, rollout.Supported, rollout.State, rollout.Reason)
 	if rollout.Paused {
-		fmt.Println("this member is held: it raises nothing")
+		fmt.Println("this member does not raise the level: <hold> is set in its operators' settings")
 	}
 	for _, feature := range rollout.Features {
 		state := "not in force"
@@ -51,7 +51,7 @@
 	}
 	slices.SortFunc(rollout.Members, func(a, b featuregate.Member) int { return cmp.Compare(a.Name, b.Name) })
 	for _, member := range rollout.Members {
-		fmt.Printf("  %-12s release %s, knows level %d\n", member.Name, member.Release, member.Supported)
+		fmt.Printf("  %-12s release %s, supports level %d\n", member.Name, member.Release, member.Supported)
 	}
 	return nil
 }
--- a/cmd/glentiller/serve.go
+++ b/cmd/glentiller/serve.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	// gcPercent lets the heap grow to four times what is live in it: it is small beside the memory there is.
+	// gcPercent lets the heap grow to four times the live data between collections. The live data is small compared
+	// with the memory of the machine.
 	gcPercent = 300
 
-	// heapShare is the fraction of the memory limit that the Go heap may fill before it is collected harder;
-	// the rest is for stacks, code and buffers.
-	heapShare = 0.6
+	// memoryLimitFraction is the Go runtime's soft memory limit as a fraction of the machine's memory limit. Above
+	// it the garbage collector runs more often. The rest is for stacks, code and buffers.
+	memoryLimitFraction = 0.6
 )
 
-// configFlags name the files with the settings.
+// configFlags holds the paths of the settings files.
 type configFlags struct {
-	Config   string `required:"" placeholder:"FILE" help:"The platform's settings (TOML)."`
-	Operator string `placeholder:"FILE" help:"The operators' settings (XML). Without it the defaults hold."`
+	Config   string `required:"" placeholder:"FILE" help:"Platform's settings (TOML)."`
+	Operator string `placeholder:"FILE" help:"Operators' settings (XML); without it, the defaults apply."`
 }
 
-// load reads and checks the settings.
+// load reads both settings files, checks each one, and checks that they are consistent with each other.
 func (f *configFlags) load() (*config.Platform, *config.Operator, error) {
 	platform, err := config.ReadPlatform(f.Config)
 	if err != nil {
@@ -51,21 +52,21 @@
 
 type checkCmd struct{ configFlags }
 
-// Run checks the settings and says so.
+// Run checks the settings. It prints a message if they are valid and returns an error otherwise.
 func (c *checkCmd) Run() error {
 	if _, _, err := c.load(); err != nil {
 		return err
 	}
-	_, err := fmt.Println("the settings are good")
+	_, err := fmt.Println("the settings are valid")
 	return err
 }
 
 type serveCmd struct {
 	configFlags
-	Profile string `placeholder:"FILE" help:"Write a profile of the processor's time there, from the start to the end."`
+	Profile string `placeholder:"FILE" help:"Write a CPU profile of the whole run to this file."`
 }
 
-// Run serves until the process gets an interrupt or SIGTERM.
+// Run runs a controller until the process receives SIGINT or SIGTERM.
 func (c *serveCmd) Run() error {
 	platform, operator, err := c.load()
 	if err != nil {
@@ -89,7 +90,7 @@
 	return controller.New(platform, operator, version, log).Run(ctx)
 }
 
-// logLevel reads LOG_LEVEL; unset, it is info.
+// logLevel returns the level that the environment variable LOG_LEVEL names, or info if it is not set.
 func logLevel() (slog.Level, error) {
 	level := slog.LevelInfo
 	value := os.Getenv("LOG_LEVEL")
@@ -97,23 +98,23 @@
 		return level, nil
 	}
 	if err := level.UnmarshalText([]byte(value)); err != nil {
-		return level, fmt.Errorf("LOG_LEVEL: %w", err)
+		return level, fmt.Errorf("invalid environment variable LOG_LEVEL: %w", err)
 	}
 	return level, nil
 }
 
-// limitResources fits the Go runtime to what a controller gets: a fraction of one core, so that more threads
-// would only wait for each other, and memMB of memory (0: no limit).
+// limitResources adapts the Go runtime to the machine of a controller, which has a fraction of one core, so that
+// more threads would only wait for each other, and memMB megabytes of memory. If memMB is 0, memory is not limited.
 func limitResources(memMB float64) {
 	runtime.GOMAXPROCS(1)
 	if memMB > 0 {
 		debug.SetGCPercent(gcPercent)
-		debug.SetMemoryLimit(int64(memMB * heapShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(memMB * memoryLimitFraction * (1 << 20)))
 	}
 }
 
-// startProfile writes a profile of the processor's time to a file until ctx ends; after that a controller
-// only closes its connections. wait returns once the file is complete.
+// startProfile starts a CPU profile, which is written to the file when ctx ends. After that a controller only
+// closes its connections. The returned function waits until the file is complete.
 func startProfile(ctx context.Context, path string) (wait func(), err error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -125,7 +126,7 @@
 	written := make(chan struct{})
 	context.AfterFunc(ctx, func() {
 		pprof.StopCPUProfile()
-		_ = f.Close() // the reader of a profile that was cut short reports it
+		_ = f.Close() // a truncated profile is reported by the tool that reads it
 		close(written)
 	})
 	return func() { <-written }, nil
--- a/cmd/glentiller/shares.go
+++ b/cmd/glentiller/shares.go
@@ -13,7 +13,7 @@
 	outputFormat
 }
 
-// Run prints the teams' standings by fair share.
+// Run requests the fair-share ranking of the teams and prints it.
 func (c *sharesCmd) Run() error {
 	client, err := c.connect()
 	if err != nil {
@@ -26,18 +26,18 @@
 	if err := c.write(os.Stdout, shares, sharesTable(shares.Teams)); err != nil || c.JSON || c.CSV {
 		return err
 	}
-	orders := "Bands order what goes beyond guarantees: lower ones first."
+	effect := "Beyond the guarantees, teams in lower bands go first."
 	if !shares.Enabled {
-		orders = "Fair share is off: it orders nothing."
+		effect = "Fair share is disabled and does not affect the order of jobs."
 	}
 	halfLife := time.Duration(shares.HalfLife * float64(time.Second))
-	fmt.Printf("\nDecayed use in CPU-hours by the weights, half-life %v. %s\n", halfLife, orders)
+	fmt.Printf("\nDecayed usage in weighted CPU-hours, half-life %v. %s\n", halfLife, effect)
 	return nil
 }
 
-// sharesTable makes the table of standings: rounded for people, exact for programs.
+// sharesTable returns the ranking as a table, with rounded numbers for people and exact ones for programs.
 func sharesTable(teams []admin.FairShare) table {
-	t := table{head: []string{"place", "team", "weight", "decayed", "part", "factor", "band"}}
+	t := table{header: []string{"place", "team", "weight", "decayed", "part", "factor", "band"}}
 	for _, team := range teams {
 		t.rows = append(t.rows, []string{
 			fmt.Sprint(team.Rank),
