--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -2,19 +2,20 @@
 
 import "time"
 
+// day is 24 hours, the largest unit of retention times and upper bounds.
 const day = 24 * time.Hour
 
-// Duration is a duration as operators write it, such as 1.5s or 2m.
+// Duration is a duration in the operators' file. Its text form is that of time.ParseDuration, such as 1.5s or 2m.
 type Duration time.Duration
 
-// UnmarshalText reads a duration.
+// UnmarshalText parses a duration. It returns an error if the unit is missing.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	*d = Duration(v)
 	return err
 }
 
-// MarshalText writes a duration.
+// MarshalText returns the text form of the duration.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
 // Std returns the duration as a time.Duration.
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -13,17 +13,19 @@
 	"github.com/glentiller/glentiller/internal/golden"
 )
 
-// setting is what a part of the program goes by, and the setting that it comes from.
-type setting struct {
+// derivedSetting is a setting that a part of the program receives. Its name is that of the part and of the setting
+// in the files that the value comes from. The golden files contain the names.
+type derivedSetting struct {
 	name  string
 	value any
 }
 
-// What is read from the files of deploy, under the names that the files use.
+// The names and values in the settings files must not change. The test reads the files in deploy, and settings with
+// all fields set, and compares what was read with golden files that use the names of the settings files.
 func TestFilesAreReadAsBefore(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "deploy", "*.xml"))
 	if err != nil || len(files) < 9 {
-		t.Fatalf("got %d operators' files, %v, want nine or more", len(files), err)
+		t.Fatalf("got %d operators' files and error %v, want nine or more files", len(files), err)
 	}
 	for _, path := range files {
 		t.Run(filepath.Base(path), func(t *testing.T) {
@@ -39,7 +41,7 @@
 		})
 	}
 	t.Run("every setting", func(t *testing.T) {
-		// Each has a value of its own, so that none is taken for another.
+		// Each setting has a different value, so that a mix-up of two settings is detected.
 		o := &Operator{}
 		golden.Fill(o)
 		checkOperator(t, "filled.xml", o)
@@ -58,6 +60,7 @@
 	})
 }
 
+// checkOperator compares the operators' settings with a golden file and reads them back from it without loss.
 func checkOperator(t *testing.T, name string, o *Operator) {
 	t.Helper()
 	b, err := xml.MarshalIndent(o, "", " ")
@@ -68,12 +71,13 @@
 	if err := xml.Unmarshal(golden.Check(t, name, append(b, '\n')), &got); err != nil {
 		t.Fatal(err)
 	}
-	again, err := xml.MarshalIndent(&got, "", " ")
-	if err != nil || string(again) != string(b) {
-		t.Errorf("%s: read back as\n%s\n%v, want\n%s", name, again, err, b)
+	remarshaled, err := xml.MarshalIndent(&got, "", " ")
+	if err != nil || string(remarshaled) != string(b) {
+		t.Errorf("%s: read back from the golden file: got\n%s\nand error %v, want\n%s", name, remarshaled, err, b)
 	}
 }
 
+// checkPlatform compares the platform's settings with a golden file and reads them back from it without loss.
 func checkPlatform(t *testing.T, name string, p *Platform) {
 	t.Helper()
 	b, err := toml.Marshal(p)
@@ -84,13 +88,14 @@
 	if err := toml.Unmarshal(golden.Check(t, name, b), &got); err != nil {
 		t.Fatal(err)
 	}
-	again, err := toml.Marshal(&got)
-	if err != nil || string(again) != string(b) {
-		t.Errorf("%s: read back as\n%s\n%v, want\n%s", name, again, err, b)
+	remarshaled, err := toml.Marshal(&got)
+	if err != nil || string(remarshaled) != string(b) {
+		t.Errorf("%s: read back from the golden file: got\n%s\nand error %v, want\n%s", name, remarshaled, err, b)
 	}
 }
 
-// What the parts of the program are given: every setting arrives where it did.
+// Every setting must reach the part of the program that it is meant for. The test compares the settings of all
+// parts with golden files.
 func TestSettingsReachTheirParts(t *testing.T) {
 	p := &Platform{}
 	golden.Fill(p)
@@ -123,111 +128,112 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		p    *Platform
 		o    *Operator
 	}{{"filled", p, filled}, {"product", example, product}} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var out strings.Builder
-			for _, s := range settings(c.p, c.o) {
+			for _, s := range derivedSettings(test.p, test.o) {
 				fmt.Fprintf(&out, "%s: %v\n", s.name, s.value)
 			}
-			golden.Check(t, "parts-"+c.name+".txt", []byte(out.String()))
+			golden.Check(t, "parts-"+test.name+".txt", []byte(out.String()))
 		})
 	}
 	t.Run("switches", func(t *testing.T) {
-		// Each switch by itself, since all of them are on above.
+		// All boolean settings are true above, so they are set to false one at a time.
 		var out strings.Builder
-		on := settings(p, filled)
+		on := derivedSettings(p, filled)
 		for _, s := range []struct {
-			name string
-			at   *bool
+			name    string
+			enabled *bool
 		}{
 			{"scheduler/preempt-for-guarantees", &filled.Scheduler.PreemptForGuarantees},
 			{"scheduler/production-image-first", &filled.Scheduler.ImageFirst},
 			{"scheduler/fetch-in-time", &filled.Scheduler.FetchByDeadline},
 			{"scheduler/vacate", &filled.Scheduler.Drain},
 		} {
-			*s.at = false
-			for i, off := range settings(p, filled) {
-				if was, is := fmt.Sprint(on[i].value), fmt.Sprint(off.value); was != is {
-					fmt.Fprintf(&out, "%s off: %s: %s, not %s\n", s.name, off.name, is, was)
+			*s.enabled = false
+			for i, off := range derivedSettings(p, filled) {
+				if before, after := fmt.Sprint(on[i].value), fmt.Sprint(off.value); before != after {
+					fmt.Fprintf(&out, "%s off: %s: %s, not %s\n", s.name, off.name, after, before)
 				}
 			}
-			*s.at = true
+			*s.enabled = true
 		}
 		golden.Check(t, "parts-switches.txt", []byte(out.String()))
 	})
 }
 
-func settings(p *Platform, o *Operator) []setting {
-	core, administration, records := ReconcilerSettings(p, o), AdminSettings(p, o), StoreLimits(p)
+// derivedSettings returns the settings of all parts of the program. The optional sections of o must be present.
+func derivedSettings(p *Platform, o *Operator) []derivedSetting {
+	reconciler, admin, storeLimits := ReconcilerSettings(p, o), AdminSettings(p, o), StoreLimits(p)
 	election, routing, relay := ElectionSettings(p, o), RoutingSettings(p, o), RelaySettings(p, o)
-	stale, bounded := StalenessBound(p)
-	return []setting{
-		{"leader: member", core.Member},
-		{"leader: deployment.teams", core.Teams},
-		{"leader: deployment.objectives", core.Objectives},
-		{"leader: deployment.workers.report_s", core.HeartbeatInterval},
-		{"leader: deployment.workers.lease_s", core.WorkerLease},
-		{"leader: deployment.workers.gang_wait_s", core.GangWait},
-		{"leader: deployment.workers.gang_peer_s", core.GangPeer},
-		{"leader: deployment.workers.cancel_s", core.CancelWithin},
-		{"leader: deployment.cloud.list_lag_s", core.MachineListLag},
-		{"scheduler: scheduler/idle-power", core.Scheduler.IdlePowerFraction},
-		{"scheduler: scheduler/overtake", core.Scheduler.PromoteAfter},
-		{"scheduler: scheduler/overtake-late", core.Scheduler.PromoteLateAfter},
-		{"scheduler: scheduler/preempt-most", core.Scheduler.MaxPreemptions},
-		{"scheduler: scheduler/start-most", core.Scheduler.MaxStarts},
-		{"scheduler: scheduler/min-run", core.Scheduler.MinRuntime},
-		{"scheduler: scheduler/dear", core.Scheduler.ExpensiveFactor},
-		{"scheduler: scheduler/production-image-first", core.Scheduler.ImageFirst},
-		{"scheduler: scheduler/tight", core.Scheduler.TightSlack},
-		{"scheduler: scheduler/fetch-in-time", core.Scheduler.FetchByDeadline},
-		{"scheduler: scheduler/vacate", core.Scheduler.Drain},
-		{"scheduler: scheduler/begin-within", core.Scheduler.StarvationBound},
-		{"scheduler: scheduler/preempt-for-guarantees", core.Scheduler.PreemptForGuarantees},
-		{"fleet: fleet/keep-idle", core.Autoscaler.IdleTimeout},
-		{"fleet: fleet/keep-boots", core.Autoscaler.IdleBootFactor},
-		{"fleet: fleet/least-paid", core.Autoscaler.MinBilledTime},
-		{"fleet: fleet/keep-spot", core.Autoscaler.SpotIdleFactor},
-		{"fleet: fleet/boot-factor", core.Autoscaler.BootTimeoutFactor},
-		{"fleet: fleet/boot-extra", core.Autoscaler.BootTimeoutExtra},
-		{"fleet: fleet/refused", core.Autoscaler.RefusalBackoff},
-		{"fleet: fleet/soon-boots", core.Autoscaler.LookaheadBoots},
-		{"fleet: machines of one request", core.Autoscaler.MaxPerRequest},
-		{"leader: workers/lease-margin", core.LeaseMargin},
-		{"leader: scheduler/pass", core.PassInterval},
-		{"leader: scheduler/flush", core.FlushInterval},
-		{"leader: fleet/list", core.MachineListInterval},
-		{"leader: fleet/catalog", core.CatalogInterval},
-		{"leader: workers/silent-after", core.UnresponsiveAfter},
-		{"leader: workers/silent-share", core.MaxUnresponsiveShare},
-		{"leader: scheduler/backoff", core.Backoff},
-		{"leader: scheduler/backoff-most", core.MaxBackoff},
-		{"leader: workers/sick-errors", core.MachineFaultErrors},
-		{"leader: workers/direct-hold", core.CommandHoldOff},
-		{"leader: scheduler/consolidate", core.ConsolidateInterval},
-		{"leader: deployment.state.txn_ops", core.MaxTxnOps},
-		{"leader: tasks of a numbered chunk", core.NumberedChunkTasks},
-		{"ledger: ledger/settle", core.Ledger.SettleInterval},
-		{"ledger: fair-share/half-life", core.Ledger.HalfLife},
-		{"ledger: fair-share/gpu-weight", core.Ledger.Settings.Weights.GPU},
-		{"ledger: fair-share/memory-weight", core.Ledger.Settings.Weights.Mem},
-		{"ledger: bytes of a record", core.Ledger.MaxRecordBytes},
-		{"ledger: ledger/keep-hours", core.Ledger.Retention.Hours},
-		{"ledger: ledger/keep-days", core.Ledger.Retention.Days},
-		{"ledger: fair-share", core.Ledger.FairShare},
-		{"ledger: weights of teams", core.Ledger.Weights},
-		{"admin: token", string(administration.BearerToken)},
-		{"admin: ledger", administration.LedgerEnabled},
-		{"admin: fair-share", administration.FairShareEnabled},
-		{"admin: fair-share/half-life", administration.HalfLife},
-		{"admin: weights of teams", administration.Weights},
-		{"admin: requests a second", administration.ReadsPerSecond},
-		{"records: deployment.state.value_kb", records.MaxValueBytes},
-		{"records: deployment.state.txn_ops", records.MaxChanges},
+	staleness, bounded := StalenessBound(p)
+	return []derivedSetting{
+		{"leader: member", reconciler.Member},
+		{"leader: deployment.teams", reconciler.Teams},
+		{"leader: deployment.objectives", reconciler.Objectives},
+		{"leader: deployment.workers.report_s", reconciler.HeartbeatInterval},
+		{"leader: deployment.workers.lease_s", reconciler.WorkerLease},
+		{"leader: deployment.workers.gang_wait_s", reconciler.GangWait},
+		{"leader: deployment.workers.gang_peer_s", reconciler.GangPeer},
+		{"leader: deployment.workers.cancel_s", reconciler.CancelWithin},
+		{"leader: deployment.cloud.list_lag_s", reconciler.MachineListLag},
+		{"scheduler: scheduler/idle-power", reconciler.Scheduler.IdlePowerFraction},
+		{"scheduler: scheduler/overtake", reconciler.Scheduler.PromoteAfter},
+		{"scheduler: scheduler/overtake-late", reconciler.Scheduler.PromoteLateAfter},
+		{"scheduler: scheduler/preempt-most", reconciler.Scheduler.MaxPreemptions},
+		{"scheduler: scheduler/start-most", reconciler.Scheduler.MaxStarts},
+		{"scheduler: scheduler/min-run", reconciler.Scheduler.MinRuntime},
+		{"scheduler: scheduler/dear", reconciler.Scheduler.ExpensiveFactor},
+		{"scheduler: scheduler/production-image-first", reconciler.Scheduler.ImageFirst},
+		{"scheduler: scheduler/tight", reconciler.Scheduler.TightSlack},
+		{"scheduler: scheduler/fetch-in-time", reconciler.Scheduler.FetchByDeadline},
+		{"scheduler: scheduler/vacate", reconciler.Scheduler.Drain},
+		{"scheduler: scheduler/begin-within", reconciler.Scheduler.StarvationBound},
+		{"scheduler: scheduler/preempt-for-guarantees", reconciler.Scheduler.PreemptForGuarantees},
+		{"fleet: fleet/keep-idle", reconciler.Autoscaler.IdleTimeout},
+		{"fleet: fleet/keep-boots", reconciler.Autoscaler.IdleBootFactor},
+		{"fleet: fleet/least-paid", reconciler.Autoscaler.MinBilledTime},
+		{"fleet: fleet/keep-spot", reconciler.Autoscaler.SpotIdleFactor},
+		{"fleet: fleet/boot-factor", reconciler.Autoscaler.BootTimeoutFactor},
+		{"fleet: fleet/boot-extra", reconciler.Autoscaler.BootTimeoutExtra},
+		{"fleet: fleet/refused", reconciler.Autoscaler.RefusalBackoff},
+		{"fleet: fleet/soon-boots", reconciler.Autoscaler.LookaheadBoots},
+		{"fleet: machines of one request", reconciler.Autoscaler.MaxPerRequest},
+		{"leader: workers/lease-margin", reconciler.LeaseMargin},
+		{"leader: scheduler/pass", reconciler.PassInterval},
+		{"leader: scheduler/flush", reconciler.FlushInterval},
+		{"leader: fleet/list", reconciler.MachineListInterval},
+		{"leader: fleet/catalog", reconciler.CatalogInterval},
+		{"leader: workers/silent-after", reconciler.UnresponsiveAfter},
+		{"leader: workers/silent-share", reconciler.MaxUnresponsiveShare},
+		{"leader: scheduler/backoff", reconciler.Backoff},
+		{"leader: scheduler/backoff-most", reconciler.MaxBackoff},
+		{"leader: workers/sick-errors", reconciler.MachineFaultErrors},
+		{"leader: workers/direct-hold", reconciler.CommandHoldOff},
+		{"leader: scheduler/consolidate", reconciler.ConsolidateInterval},
+		{"leader: deployment.state.txn_ops", reconciler.MaxTxnOps},
+		{"leader: tasks of a numbered chunk", reconciler.NumberedChunkTasks},
+		{"ledger: ledger/settle", reconciler.Ledger.SettleInterval},
+		{"ledger: fair-share/half-life", reconciler.Ledger.HalfLife},
+		{"ledger: fair-share/gpu-weight", reconciler.Ledger.Settings.Weights.GPU},
+		{"ledger: fair-share/memory-weight", reconciler.Ledger.Settings.Weights.Mem},
+		{"ledger: bytes of a record", reconciler.Ledger.MaxRecordBytes},
+		{"ledger: ledger/keep-hours", reconciler.Ledger.Retention.Hours},
+		{"ledger: ledger/keep-days", reconciler.Ledger.Retention.Days},
+		{"ledger: fair-share", reconciler.Ledger.FairShare},
+		{"ledger: weights of teams", reconciler.Ledger.Weights},
+		{"admin: token", string(admin.BearerToken)},
+		{"admin: ledger", admin.LedgerEnabled},
+		{"admin: fair-share", admin.FairShareEnabled},
+		{"admin: fair-share/half-life", admin.HalfLife},
+		{"admin: weights of teams", admin.Weights},
+		{"admin: requests a second", admin.ReadsPerSecond},
+		{"records: deployment.state.value_kb", storeLimits.MaxValueBytes},
+		{"records: deployment.state.txn_ops", storeLimits.MaxChanges},
 		{"election: member", election.Member},
 		{"election: leadership/lease", election.LeaseDuration},
 		{"election: leadership/margin", election.SafetyMargin},
@@ -248,7 +254,7 @@
 		{"relay: wait for an answer", relay.HeartbeatTimeout},
 		{"relay: pause after no answer", relay.RetryAfter},
 		{"cancellations: bounded", bounded},
-		{"cancellations: bound for leases", stale.KeepLeases},
-		{"cancellations: bound for starts", stale.StartTasks},
+		{"cancellations: bound for leases", staleness.KeepLeases},
+		{"cancellations: bound for starts", staleness.StartTasks},
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -1,25 +1,26 @@
 package config
 
-// bytesPerKB converts limits on the size of values.
+// bytesPerKB is the size of a KB in the limits on values.
 const bytesPerKB = 1024
 
-// StateLimits are the limits of the state service.
+// StateLimits holds the limits of the state service. In the platform's file, 0 means that a limit is not stated.
 type StateLimits struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+	RPS      float64 `toml:"rps"`       // requests per second of all controllers together
+	WriteRPS float64 `toml:"write_rps"` // writes per second of all controllers together
+	ValueKB  float64 `toml:"value_kb"`  // size of a value, in KB of 1024 bytes
+	TxnOps   int     `toml:"txn_ops"`   // operations in one transaction
 }
 
-// The limits that are kept where the platform states none.
+// defaultStateLimits replaces limits that the platform does not state.
 var defaultStateLimits = StateLimits{RPS: 200, WriteRPS: 80, ValueKB: 8, TxnOps: 12}
 
+// defaultCloudRPS replaces the limit on requests to the cloud, per second, if the platform does not state one.
 const defaultCloudRPS = 1.0
 
-// StateLimits returns the limits to keep within: the smaller of the present and the
-// upcoming ones, since the change comes without notice. A limit that is 0 or missing
-// is not stated, which must not keep a controller from starting: a modest one is
-// assumed, and refusals of the service are obeyed in any case.
+// StateLimits returns the limits that the controllers must observe: the smaller of the present and the upcoming
+// ones, because the switch to the upcoming limits happens without notice. A limit that is 0 or missing in the file
+// is not stated. This must not prevent a controller from starting, so a modest default applies. The controllers
+// respect refusals of the service in any case.
 func (p *Platform) StateLimits() StateLimits {
 	l, next := p.Deployment.State.StateLimits, p.Deployment.State.Next
 	setDefault(&l.RPS, defaultStateLimits.RPS)
@@ -33,28 +34,28 @@
 	return l
 }
 
-// valueKB returns the present limit on values, whatever the upcoming one is.
+// valueKB returns the present limit on the size of a value, in KB. It ignores the upcoming limit.
 func (p *Platform) valueKB() float64 {
 	v := p.Deployment.State.ValueKB
 	setDefault(&v, defaultStateLimits.ValueKB)
 	return v
 }
 
-// CloudRPS returns how many requests a second the cloud takes of all controllers.
+// CloudRPS returns the limit on requests to the cloud, per second, of all controllers together.
 func (p *Platform) CloudRPS() float64 {
 	rps := p.Deployment.Cloud.RPS
 	setDefault(&rps, defaultCloudRPS)
 	return rps
 }
 
-// setDefault sets a limit that is not stated.
+// setDefault sets a limit that is not stated (0) to value.
 func setDefault[N int | float64](limit *N, value N) {
 	if *limit == 0 {
 		*limit = value
 	}
 }
 
-// lowerTo lowers a limit to an upcoming one, if that is stated.
+// lowerTo lowers a limit to next, the upcoming one, if that is stated (above 0) and smaller.
 func lowerTo[N int | float64](limit *N, next N) {
 	if next > 0 && next < *limit {
 		*limit = next
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// minSecretLength is the least length of a token or key.
+// minSecretLength is the minimum length of a token or key, in bytes.
 const minSecretLength = 16
 
-// Operator is what operators may set. deploy/operator.xml explains every
-// setting and holds the defaults.
+// Operator holds the settings in the operators' file. deploy/operator.xml explains every setting and shows its
+// default.
 type Operator struct {
 	XMLName    xml.Name   `xml:"glentiller"`
 	Leadership Leadership `xml:"leadership"`
@@ -23,7 +23,7 @@
 	Workers    Workers    `xml:"workers"`
 	HTTPAPI    HTTPAPI    `xml:"front"`
 
-	// The optional sections: each is nil unless its element is present.
+	// The optional sections. Each is nil if the file lacks its element.
 	Admin       *Admin       `xml:"admin"`
 	Ledger      *Ledger      `xml:"ledger"`
 	FairShare   *FairShare   `xml:"fair-share"`
@@ -35,22 +35,22 @@
 	unknownSettings
 }
 
-// Leadership holds the settings of the leadership lease.
+// Leadership holds the settings of the leader election.
 type Leadership struct {
-	Lease         Duration `xml:"lease"`
-	Margin        Duration `xml:"margin"`
-	PollInterval  Duration `xml:"look"`
-	RetryInterval Duration `xml:"retry"`
+	Lease         Duration `xml:"lease"`  // of the leader, at the state service
+	Margin        Duration `xml:"margin"` // by which the leadership ends before the lease can expire
+	PollInterval  Duration `xml:"look"`   // between reads of the leader's keys
+	RetryInterval Duration `xml:"retry"`  // after a failed renewal or read
 	unknownSettings
 }
 
-// Scheduler holds the settings of the scheduler.
+// Scheduler holds the settings of scheduling passes. scheduler.Settings describes those without a comment here.
 type Scheduler struct {
 	IdlePowerFraction    float64  `xml:"idle-power"`
 	PromoteAfter         Duration `xml:"overtake"`
 	PromoteLateAfter     Duration `xml:"overtake-late"`
-	PassInterval         Duration `xml:"pass"`
-	FlushInterval        Duration `xml:"flush"`
+	PassInterval         Duration `xml:"pass"`  // minimum time between passes
+	FlushInterval        Duration `xml:"flush"` // between writes of finished-task records
 	PreemptForGuarantees bool     `xml:"preempt-for-guarantees"`
 	MaxPreemptions       int      `xml:"preempt-most"`
 	MaxStarts            int      `xml:"start-most"`
@@ -58,16 +58,17 @@
 	ImageFirst           bool     `xml:"production-image-first"`
 	TightSlack           Duration `xml:"tight"`
 	ExpensiveFactor      float64  `xml:"dear"`
-	ConsolidateInterval  Duration `xml:"consolidate"`
+	ConsolidateInterval  Duration `xml:"consolidate"` // between moves of service replicas; 0 disables moves
 	FetchByDeadline      bool     `xml:"fetch-in-time"`
 	Drain                bool     `xml:"vacate"`
 	StarvationBound      Duration `xml:"begin-within"`
-	Backoff              Duration `xml:"backoff"`
-	MaxBackoff           Duration `xml:"backoff-most"`
+	Backoff              Duration `xml:"backoff"`      // of a job whose tasks fail on several machines; it doubles
+	MaxBackoff           Duration `xml:"backoff-most"` // upper bound of the doubled Backoff
 	unknownSettings
 }
 
-// Autoscaler holds the settings of which machines are provisioned and released.
+// Autoscaler holds the settings for provisioning and releasing machines. autoscaler.Settings describes those
+// without a comment here.
 type Autoscaler struct {
 	IdleTimeout       Duration `xml:"keep-idle"`
 	IdleBootFactor    float64  `xml:"keep-boots"`
@@ -77,31 +78,31 @@
 	BootTimeoutExtra  Duration `xml:"boot-extra"`
 	RefusalBackoff    Duration `xml:"refused"`
 	LookaheadBoots    float64  `xml:"soon-boots"`
-	ListInterval      Duration `xml:"list"`
-	CatalogInterval   Duration `xml:"catalog"`
+	ListInterval      Duration `xml:"list"`    // between reads of the cloud's machine list
+	CatalogInterval   Duration `xml:"catalog"` // between reads of the cloud's catalog
 	unknownSettings
 }
 
-// Workers holds the settings of how workers are monitored and commanded.
+// Workers holds the settings for monitoring workers and sending commands to them.
 type Workers struct {
-	LeaseMargin          Duration `xml:"lease-margin"`
-	UnresponsiveAfter    Duration `xml:"silent-after"` // 0: derived from the heartbeat interval
-	MaxUnresponsiveShare float64  `xml:"silent-share"`
-	MachineFaultErrors   int      `xml:"sick-errors"`
-	CommandTimeout       Duration `xml:"direct-wait"`
-	CommandHoldOff       Duration `xml:"direct-hold"`
+	LeaseMargin          Duration `xml:"lease-margin"` // added to a worker's lease before it counts as expired
+	UnresponsiveAfter    Duration `xml:"silent-after"` // 0 means that it is derived from the heartbeat interval
+	MaxUnresponsiveShare float64  `xml:"silent-share"` // fraction of machines; if more are silent, a partition is assumed
+	MachineFaultErrors   int      `xml:"sick-errors"`  // number of failing jobs that make a machine count as faulty
+	CommandTimeout       Duration `xml:"direct-wait"`  // of a command that is sent directly to a worker
+	CommandHoldOff       Duration `xml:"direct-hold"`  // without direct commands after one was not answered
 	unknownSettings
 }
 
-// HTTPAPI holds the settings of the interface of users.
+// HTTPAPI holds the settings of the users' interface.
 type HTTPAPI struct {
-	StateTimeout    Duration `xml:"state-timeout"`
-	RetryAfter      Duration `xml:"retry-after"`
-	EndedJobsCached int      `xml:"keep-ended"`
+	StateTimeout    Duration `xml:"state-timeout"` // of one request to the state service
+	RetryAfter      Duration `xml:"retry-after"`   // lower bound of the Retry-After header
+	EndedJobsCached int      `xml:"keep-ended"`    // maximum number of ended jobs in the cache
 	unknownSettings
 }
 
-// Defaults returns the settings of operators who set nothing.
+// Defaults returns the settings that apply without an operators' file. All optional sections are nil.
 func Defaults() *Operator {
 	return &Operator{
 		Leadership: Leadership{
@@ -157,9 +158,8 @@
 	}
 }
 
-// ReadOperator reads and checks the operators' file, and the secrets that it names.
-// Settings that it leaves out keep their defaults; anything that is not a setting is
-// an error.
+// ReadOperator reads and checks the operators' file, and reads the secrets whose files it names. Settings that the
+// file omits keep their defaults. An unknown element or attribute is an error.
 func ReadOperator(path string) (*Operator, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -190,7 +190,7 @@
 			break
 		}
 		if text, ok := token.(xml.CharData); err != nil || !ok || len(bytes.TrimSpace(text)) > 0 {
-			return nil, errors.New("something stands behind </glentiller>")
+			return nil, errors.New("unexpected content after </glentiller>")
 		}
 	}
 	if err := o.checkUnknown(); err != nil {
@@ -199,14 +199,15 @@
 	return o, errors.Join(o.validateOptional(), o.validate())
 }
 
-// ReadSecret reads a token or a key from a file: one line.
+// ReadSecret reads a token or a key from a file. The file must hold a single line of at least 16 bytes; white space
+// around it is removed.
 func ReadSecret(path string) ([]byte, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	if b = bytes.TrimSpace(b); len(b) < minSecretLength || bytes.ContainsAny(b, "\r\n") {
-		return nil, fmt.Errorf("%s: a secret is one line of %d characters or more", path, minSecretLength)
+		return nil, fmt.Errorf("%s: a secret must be a single line of at least %d characters", path, minSecretLength)
 	}
 	return b, nil
 }
--- a/internal/config/operator_optional.go
+++ b/internal/config/operator_optional.go
@@ -7,69 +7,70 @@
 
 // Admin holds the settings of the operators' interface.
 type Admin struct {
-	Listen    string `xml:"listen"`
-	TokenFile string `xml:"token-file"`
-	Token     []byte `xml:"-"` // read from TokenFile
+	Listen    string `xml:"listen"`     // address as host:port
+	TokenFile string `xml:"token-file"` // required
+	Token     []byte `xml:"-"`          // bearer token that ReadOperator has read from TokenFile
 	unknownSettings
 }
 
-// Ledger holds the settings of the accounting.
+// Ledger holds the settings of the usage ledger. ReadOperator fills in Key.
 type Ledger struct {
-	SettleInterval Duration `xml:"settle"`
-	KeepHours      Duration `xml:"keep-hours"`
-	KeepDays       Duration `xml:"keep-days"`
-	KeyFile        string   `xml:"key-file"` // "": segments have plain hashes
-	Key            []byte   `xml:"-"`        // read from KeyFile
+	SettleInterval Duration `xml:"settle"`     // minimum time between settlements of one account
+	KeepHours      Duration `xml:"keep-hours"` // age at which hourly segments are compacted to days
+	KeepDays       Duration `xml:"keep-days"`  // age at which daily segments are compacted to months
+	KeyFile        string   `xml:"key-file"`   // if empty, segments have hashes without a key
+	Key            []byte   `xml:"-"`          // secret that ReadOperator has read from KeyFile
 	unknownSettings
 }
 
-// FairShare holds the settings of the order of teams beyond their guarantees.
+// FairShare holds the settings of fair share, which orders the teams' work beyond their guarantees.
 type FairShare struct {
-	HalfLife     Duration     `xml:"half-life"`
-	GPUWeight    float64      `xml:"gpu-weight"`
-	MemoryWeight float64      `xml:"memory-weight"`
-	Weights      []TeamWeight `xml:"weight"`
+	HalfLife     Duration     `xml:"half-life"`     // after which usage counts half
+	GPUWeight    float64      `xml:"gpu-weight"`    // CPUs that a GPU counts as
+	MemoryWeight float64      `xml:"memory-weight"` // CPUs that a GB of memory counts as
+	Weights      []TeamWeight `xml:"weight"`        // of the teams whose weight is not the default
 	unknownSettings
 }
 
-// TeamWeight is a team's weight beside those of the others.
+// TeamWeight is a team's weight relative to the weights of the other teams.
 type TeamWeight struct {
 	Team  string  `xml:"team,attr"`
 	Value float64 `xml:",chardata"`
 }
 
-// Constraints turns on the rules in submissions. There is nothing to set.
+// Constraints enables rules in submissions. It has no settings.
 type Constraints struct{ unknownSettings }
 
-// Votes turns on the votes of the other members for the leader, with which it keeps
-// its lease during outages of the state service.
+// Votes enables votes of the other members for the leader. With them, the leader keeps its leadership during
+// outages of the state service.
 type Votes struct {
-	Outage Duration `xml:"outage"` // length of a vote during an outage; 0: as otherwise
+	Outage Duration `xml:"outage"` // duration of a vote during an outage; 0 means no longer than at other times
 	unknownSettings
 }
 
-// Routing turns on the routing of users' requests around failures, to a member that
-// can take them, within limits that adapt.
+// Routing enables the routing of users' requests around failures, to members that can serve them, within adaptive
+// concurrency limits.
 type Routing struct {
-	RetryRatio    float64  `xml:"retries"`
-	MinHedgeDelay Duration `xml:"hedge"`
-	MaxConcurrent int      `xml:"most"`
+	RetryRatio    float64  `xml:"retries"` // retries that each successful request allows
+	MinHedgeDelay Duration `xml:"hedge"`   // minimum time before a request is hedged; 0 disables hedging
+	MaxConcurrent int      `xml:"most"`    // upper bound of the concurrency limit of each kind of request
 	unknownSettings
 }
 
-// Rollout turns on the announcement of what the members' programs support, and the
-// feature levels that come into force once all support them.
+// Rollout enables feature levels: members announce the level that their program supports, and a level comes into
+// force once all members support it.
 type Rollout struct {
-	SettleTime Duration `xml:"steady"` // all must have supported the next level for so long, without a restart
-	Paused     bool     `xml:"hold"`   // this member raises no level
+	SettleTime Duration `xml:"steady"` // for which all members must have supported the next level without a restart
+	Paused     bool     `xml:"hold"`   // this member does not raise the level
 	unknownSettings
 }
 
-// Relay turns on the relay of heartbeats through the state service to a leader that
-// can't be reached. There is nothing to set.
+// Relay enables the relay of heartbeats through the state service if the leader cannot be reached. It has no
+// settings.
 type Relay struct{ unknownSettings }
 
-// UnmarshalXML starts from the defaults: the element alone turns the section on.
+// UnmarshalXML decodes an <admin> element. Settings that it omits get their defaults, so an empty element enables
+// the section.
 func (a *Admin) UnmarshalXML(d *xml.Decoder, start xml.StartElement) error {
 	type plain Admin
 	p := plain{Listen: "127.0.0.1:18090"}
@@ -78,7 +79,8 @@
 	return err
 }
 
-// UnmarshalXML starts from the defaults: the element alone turns the section on.
+// UnmarshalXML decodes a <ledger> element. Settings that it omits get their defaults, so an empty element enables
+// the section.
 func (l *Ledger) UnmarshalXML(d *xml.Decoder, start xml.StartElement) error {
 	type plain Ledger
 	p := plain{
@@ -91,7 +93,8 @@
 	return err
 }
 
-// UnmarshalXML starts from the defaults: the element alone turns the section on.
+// UnmarshalXML decodes a <fair-share> element. Settings that it omits get their defaults, so an empty element
+// enables the section.
 func (f *FairShare) UnmarshalXML(d *xml.Decoder, start xml.StartElement) error {
 	type plain FairShare
 	p := plain(defaultFairShare())
@@ -100,7 +103,8 @@
 	return err
 }
 
-// UnmarshalXML starts from the defaults: the element alone turns the section on.
+// UnmarshalXML decodes a <requests> element. Settings that it omits get their defaults, so an empty element enables
+// the section.
 func (r *Routing) UnmarshalXML(d *xml.Decoder, start xml.StartElement) error {
 	type plain Routing
 	p := plain{RetryRatio: 0.2, MinHedgeDelay: Duration(150 * time.Millisecond), MaxConcurrent: 256}
@@ -109,7 +113,8 @@
 	return err
 }
 
-// UnmarshalXML starts from the defaults: the element alone turns the section on.
+// UnmarshalXML decodes a <rollout> element. Settings that it omits get their defaults, so an empty element enables
+// the section.
 func (r *Rollout) UnmarshalXML(d *xml.Decoder, start xml.StartElement) error {
 	type plain Rollout
 	p := plain{SettleTime: Duration(5 * time.Minute)}
@@ -118,6 +123,5 @@
 	return err
 }
 
-// defaultFairShare returns the defaults. The ledger keeps decayed usage by them even
-// where fair share is off.
+// defaultFairShare returns the default settings. The ledger uses them for decayed usage if fair share is disabled.
 func defaultFairShare() FairShare { return FairShare{HalfLife: Duration(day), GPUWeight: 8} }
--- a/internal/config/operator_validate.go
+++ b/internal/config/operator_validate.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// unknownSettings collects what a section holds besides its settings.
+// unknownSettings collects the attributes and elements of a section that are not settings, so that they can be
+// reported.
 type unknownSettings struct {
 	Attrs    []xml.Attr       `xml:",any,attr"`
 	Elements []unknownElement `xml:",any"`
@@ -16,18 +17,19 @@
 
 type unknownElement struct{ XMLName xml.Name }
 
+// check returns an error for the first unknown attribute or element of a section.
 func (u *unknownSettings) check(section string) error {
 	for _, a := range u.Attrs {
-		return fmt.Errorf("<%s>: there is no attribute %q", section, a.Name.Local)
+		return fmt.Errorf("<%s>: unknown attribute %q", section, a.Name.Local)
 	}
 	for _, e := range u.Elements {
-		return fmt.Errorf("<%s>: there is no setting <%s>", section, e.XMLName.Local)
+		return fmt.Errorf("<%s>: unknown setting <%s>", section, e.XMLName.Local)
 	}
 	return nil
 }
 
-// checkUnknown returns an error for the first unknown setting of the sections that
-// are always present.
+// checkUnknown returns an error for the first unknown setting in the root element or in a section that is not
+// optional. validateOptional checks the optional sections.
 func (o *Operator) checkUnknown() error {
 	for _, section := range []struct {
 		name    string
@@ -47,23 +49,23 @@
 	return nil
 }
 
-// checkDuration checks that a setting is between two bounds, inclusive.
-func checkDuration(name string, v Duration, least, most time.Duration) error {
-	if v.Std() < least || v.Std() > most {
-		return fmt.Errorf("%s: %v is not between %v and %v", name, v.Std(), least, most)
+// checkDuration returns an error unless the setting v is between minimum and maximum, inclusive.
+func checkDuration(name string, v Duration, minimum, maximum time.Duration) error {
+	if v.Std() < minimum || v.Std() > maximum {
+		return fmt.Errorf("%s: %v is out of range, must be between %v and %v", name, v.Std(), minimum, maximum)
 	}
 	return nil
 }
 
-// checkNumber checks that a setting is between two bounds, inclusive. NaN is not.
-func checkNumber(name string, v, least, most float64) error {
-	if !(v >= least && v <= most) {
-		return fmt.Errorf("%s: %v is not between %v and %v", name, v, least, most)
+// checkNumber returns an error unless the setting v is between minimum and maximum, inclusive. NaN is an error.
+func checkNumber(name string, v, minimum, maximum float64) error {
+	if !(v >= minimum && v <= maximum) {
+		return fmt.Errorf("%s: %v is out of range, must be between %v and %v", name, v, minimum, maximum)
 	}
 	return nil
 }
 
-// validate checks the sections that are always present.
+// validate checks the values in the sections that are not optional. It reports all errors.
 func (o *Operator) validate() error {
 	return errors.Join(
 		o.Leadership.validate(),
@@ -136,7 +138,7 @@
 	)
 }
 
-// validateOptional checks the optional sections.
+// validateOptional checks the optional sections that are present, for unknown settings and for invalid values.
 func (o *Operator) validateOptional() error {
 	var errs []error
 	if a := o.Admin; a != nil {
@@ -169,11 +171,11 @@
 func (a *Admin) validate() error {
 	_, port, err := net.SplitHostPort(a.Listen)
 	if err != nil || port == "" {
-		err = fmt.Errorf("admin/listen: %q is not an address with a port", a.Listen)
+		err = fmt.Errorf("admin/listen: invalid address %q, must have the form host:port", a.Listen)
 	}
 	if a.TokenFile == "" {
 		err = errors.Join(err,
-			errors.New("admin/token-file: missing; the interface is not opened without a token"))
+			errors.New("admin/token-file: missing; the operators' interface requires a token"))
 	}
 	return err
 }
@@ -195,27 +197,28 @@
 	)
 }
 
+// validate checks the settings. hasLedger tells whether the ledger is enabled, which fair share requires.
 func (f *FairShare) validate(hasLedger bool) error {
 	errs := []error{checkDuration("fair-share/half-life", f.HalfLife, time.Minute, 366*day)}
 	if !hasLedger {
-		errs = append(errs, errors.New("fair-share: needs <ledger>, which knows who used what"))
+		errs = append(errs, errors.New("fair-share: needs <ledger>, which records the usage of the teams"))
 	}
 	errs = append(errs, checkWeight("gpu-weight", f.GPUWeight), checkWeight("memory-weight", f.MemoryWeight))
-	named := map[string]bool{}
+	seenTeams := map[string]bool{}
 	for _, w := range f.Weights {
 		errs = append(errs, checkWeight(fmt.Sprintf("weight of team %q", w.Team), w.Value))
-		if w.Team == "" || named[w.Team] {
-			errs = append(errs, fmt.Errorf("fair-share/weight: team %q has none or several", w.Team))
+		if w.Team == "" || seenTeams[w.Team] {
+			errs = append(errs, fmt.Errorf("fair-share/weight: team name %q is missing or repeated", w.Team))
 		}
-		named[w.Team] = true
+		seenTeams[w.Team] = true
 	}
 	return errors.Join(errs...)
 }
 
-// checkWeight checks a weight of fair share. NaN is none.
+// checkWeight returns an error unless the weight v of fair share is between 0 and 1e9. NaN is an error.
 func checkWeight(name string, v float64) error {
 	if !(v >= 0 && v <= 1e9) {
-		return fmt.Errorf("fair-share/%s: %v is not between 0 and 1e9", name, v)
+		return fmt.Errorf("fair-share/%s: %v is out of range, must be between 0 and 1e9", name, v)
 	}
 	return nil
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,14 +1,14 @@
-// Package config reads and checks the settings: the platform's TOML file, which
-// says where this controller is and what the deployment is like, and the
-// operators' XML file, which says how it is to behave.
+// Package config reads and checks the settings files. The platform's file (TOML) describes this controller's
+// addresses and the deployment that it belongs to. The operators' file (XML) controls the behavior of the
+// controller.
 //
-// ReadPlatform and ReadOperator read the files, CheckConsistency checks them against
-// each other. The names in the files are published and can't change; the tags of
-// the fields map them to the usual terms and are the only place that knows them.
+// ReadPlatform and ReadOperator read the files. CheckConsistency checks them against each other. The names in the
+// files are published and cannot change. Only the struct tags in this package contain them; they map them to fields
+// with the usual terms.
 //
-// The functions in settings.go and its neighbours then fill the Settings of the other
-// packages. For that this package alone imports eleven of them: none of them knows
-// the files, and which setting reaches which package is seen in one place.
+// The functions in settings.go, settings_ledger.go and settings_members.go then fill the Settings of other
+// packages. For this purpose this package alone imports eleven other packages. None of those depends on the files,
+// and this is the one place that shows which setting reaches which package.
 package config
 
 import (
@@ -21,36 +21,36 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Platform is the content of the platform's file. Fields that are not known are
-// ignored.
+// Platform is the content of the platform's file. Unknown names in the file are ignored. Addresses consist of an
+// IPv4 address and a port.
 type Platform struct {
-	Member     string     `toml:"member"`
-	Zone       string     `toml:"domain"`
-	HTTPAddr   string     `toml:"front"`
-	PeerAddr   string     `toml:"back"`
-	Members    []Peer     `toml:"members"`
+	Member     string     `toml:"member"`  // name of this controller
+	Zone       string     `toml:"domain"`  // of this controller
+	HTTPAddr   string     `toml:"front"`   // for users and workers
+	PeerAddr   string     `toml:"back"`    // for the other controllers
+	Members    []Peer     `toml:"members"` // the other controllers
 	Services   Services   `toml:"outside"`
 	Deployment Deployment `toml:"deployment"`
 }
 
-// Peer is another controller.
+// Peer describes another controller of the deployment.
 type Peer struct {
-	Member string `toml:"member"`
+	Member string `toml:"member"` // its name
 	Zone   string `toml:"domain"`
 	Addr   string `toml:"peer_addr"`
 }
 
-// Services are the addresses of the outside services.
+// Services holds the addresses of the services that the controllers depend on.
 type Services struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
 
-// Deployment describes the deployment that the controllers serve.
+// Deployment describes the deployment that the controllers manage.
 type Deployment struct {
-	Nodes         int           `toml:"nodes"`
+	Nodes         int           `toml:"nodes"` // number of controllers; 0 if not stated
 	Zones         []string      `toml:"zones"`
-	ClockOffsetMS float64       `toml:"clock_off_ms"`
+	ClockOffsetMS float64       `toml:"clock_off_ms"` // clock offset between machines, in milliseconds; not used
 	Teams         []team        `toml:"teams"`
 	Objectives    []Objective   `toml:"objectives"`
 	Workers       WorkerTimes   `toml:"workers"`
@@ -59,53 +59,53 @@
 	Limits        MachineLimits `toml:"machine_limits"`
 }
 
-// team is a team with its guarantee and its quota.
+// team is a team with its guarantee and its quota. For each resource, 0 means no guarantee or no quota.
 type team struct {
 	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	CPUs    float64 `toml:"cpus"`     // guaranteed
+	CPUsMax float64 `toml:"cpus_max"` // quota
+	GPUs    float64 `toml:"gpus"`     // guaranteed
+	GPUsMax float64 `toml:"gpus_max"` // quota
 }
 
-// Objective is a service-level objective of a class of jobs.
+// Objective is a service-level objective of a job class. Kinds other than those listed below are ignored.
 type Objective struct {
-	Kind   string  `toml:"kind"`
+	Kind   string  `toml:"kind"` // "wait" (start of a task), "finished" (end of a job) or "deadline"
 	Class  string  `toml:"class"`
-	Within float64 `toml:"within_s"`
-	Share  float64 `toml:"share"`
-	Times  float64 `toml:"times"`
+	Within float64 `toml:"within_s"` // of the kinds "wait" and "finished": seconds since the job became eligible
+	Share  float64 `toml:"share"`    // of the jobs; not used
+	Times  float64 `toml:"times"`    // of the kind "deadline": multiple of a job's own deadline
 }
 
-// WorkerTimes are the timings of the workers, in seconds.
+// WorkerTimes holds the timings of the workers, in seconds.
 type WorkerTimes struct {
-	Heartbeat float64 `toml:"report_s"` // between heartbeats
-	Lease     float64 `toml:"lease_s"`  // after the answer to a heartbeat
-	GangWait  float64 `toml:"gang_wait_s"`
-	GangPeer  float64 `toml:"gang_peer_s"`
-	Cancel    float64 `toml:"cancel_s"` // from a cancellation to the end of the job's tasks, at the most
+	Heartbeat float64 `toml:"report_s"`    // between heartbeats
+	Lease     float64 `toml:"lease_s"`     // validity of a lease after the response to a heartbeat
+	GangWait  float64 `toml:"gang_wait_s"` // for which a gang's task waits for the other tasks to be ready
+	GangPeer  float64 `toml:"gang_peer_s"` // timeout between the workers of a gang; not used by controllers
+	Cancel    float64 `toml:"cancel_s"`    // maximum time from a cancellation to the end of the job's tasks
 }
 
-// StateService holds the limits of the state service, present and upcoming.
+// StateService holds the present and the upcoming limits of the state service.
 type StateService struct {
 	StateLimits
-	Next StateLimits `toml:"next"` // from some moment on; a limit that is missing stays
+	Next StateLimits `toml:"next"` // apply from an unknown time on; 0 means that the present limit stays
 }
 
 // CloudService holds the limits of the cloud.
 type CloudService struct {
-	RPS     float64 `toml:"rps"`
-	ListLag float64 `toml:"list_lag_s"`
+	RPS     float64 `toml:"rps"`        // requests per second of all controllers together; 0 if not stated
+	ListLag float64 `toml:"list_lag_s"` // maximum age of the cloud's machine list, in seconds
 }
 
-// MachineLimits are the limits of the machine that this controller runs on.
+// MachineLimits holds the limits of the machine that this controller runs on. 0 means that a limit is not stated.
 type MachineLimits struct {
-	Cores          float64 `toml:"cores"`
+	Cores          float64 `toml:"cores"` // not used
 	MemMB          float64 `toml:"mem_mb"`
-	MaxConnections int     `toml:"max_connections"`
+	MaxConnections int     `toml:"max_connections"` // sockets of the process
 }
 
-// ReadPlatform reads and checks the platform's file.
+// ReadPlatform reads and checks the platform's file. If settings are invalid, the error lists all of them.
 func ReadPlatform(path string) (*Platform, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return p, nil
 }
 
-// Teams returns the teams.
+// Teams returns the teams of the deployment, in the order of the file.
 func (p *Platform) Teams() []model.Team {
 	var teams []model.Team
 	for _, t := range p.Deployment.Teams {
@@ -134,7 +134,7 @@
 	return teams
 }
 
-// peers returns the names of the other controllers.
+// peers returns the names of the other controllers, in the order of the file.
 func (p *Platform) peers() []string {
 	var names []string
 	for _, m := range p.Members {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,16 +10,15 @@
 )
 
 const (
-	// missedHeartbeats is how many missed heartbeats make a worker unresponsive,
-	// where the operators don't say after which time it is; extraHeartbeatTime is
-	// added for one try at another controller.
+	// missedHeartbeats is the number of missed heartbeats after which a worker counts as unresponsive if the
+	// operators have not set a time. heartbeatRetryTime is added to let the worker try one more controller.
 	missedHeartbeats   = 3
-	extraHeartbeatTime = time.Second
-	// machinesPerRequest bounds a request to the cloud.
-	machinesPerRequest = 50
+	heartbeatRetryTime = time.Second
+	// maxMachinesPerRequest bounds the machines that one request to the cloud provisions.
+	maxMachinesPerRequest = 50
 )
 
-// ReconcilerSettings returns the settings of a leader's reconciler.
+// ReconcilerSettings returns the settings of the reconciler that a controller runs while it leads.
 func ReconcilerSettings(p *Platform, o *Operator) reconciler.Settings {
 	d := &p.Deployment
 	return reconciler.Settings{
@@ -84,50 +83,48 @@
 		BootTimeoutExtra:  a.BootTimeoutExtra.Std(),
 		RefusalBackoff:    a.RefusalBackoff.Std(),
 		LookaheadBoots:    a.LookaheadBoots,
-		MaxPerRequest:     machinesPerRequest,
+		MaxPerRequest:     maxMachinesPerRequest,
 	}
 }
 
-// unresponsiveAfter returns after which time without a heartbeat a worker is
-// unresponsive.
+// unresponsiveAfter returns the time without a heartbeat after which a worker counts as unresponsive.
 func unresponsiveAfter(p *Platform, o *Operator) time.Duration {
 	if after := o.Workers.UnresponsiveAfter.Std(); after != 0 {
 		return after
 	}
-	return Seconds(missedHeartbeats*p.Deployment.Workers.Heartbeat) + extraHeartbeatTime
+	return Seconds(missedHeartbeats*p.Deployment.Workers.Heartbeat) + heartbeatRetryTime
 }
 
-// numberedChunkTasks returns how many tasks a numbered chunk of the finished-task
-// record has. The first version derived that from the limit on a value: a chunk took
-// half of it, at two digits for eight tasks, in multiples of 64 tasks.
+// numberedChunkTasks returns the number of tasks in a numbered chunk of the finished-task record, the layout of the
+// first program version. That version derived the number from the limit on the size of a value: a chunk took half
+// of a value, encoded eight tasks in two digits, and held a multiple of 64 tasks.
 func numberedChunkTasks(valueKB float64) int {
 	const step = 64
 	chunkBytes := int(valueKB * bytesPerKB / 2)
 	return max(chunkBytes/2*8/step*step, step)
 }
 
-// classObjectives returns, by class, the objectives that the order of pending tasks
-// depends on.
+// classObjectives returns, by job class, the objectives that affect the order of pending tasks.
 func classObjectives(objectives []Objective) map[string][]reconciler.Objective {
 	byClass := map[string][]reconciler.Objective{}
-	for _, o := range objectives {
+	for _, objective := range objectives {
 		var target reconciler.Objective
-		switch o.Kind {
+		switch objective.Kind {
 		case "wait":
-			target.StartWithin = Seconds(o.Within)
+			target.StartWithin = Seconds(objective.Within)
 		case "finished":
-			target.FinishWithin = Seconds(o.Within)
+			target.FinishWithin = Seconds(objective.Within)
 		case "deadline":
-			target.DeadlineMultiple = o.Times
+			target.DeadlineMultiple = objective.Times
 		}
-		if o.Class != "" && target != (reconciler.Objective{}) {
-			byClass[o.Class] = append(byClass[o.Class], target)
+		if objective.Class != "" && target != (reconciler.Objective{}) {
+			byClass[objective.Class] = append(byClass[objective.Class], target)
 		}
 	}
 	return byClass
 }
 
-// StoreLimits returns the limits that records are kept within.
+// StoreLimits returns the limits that every record and transaction must observe.
 func StoreLimits(p *Platform) store.Limits {
 	l := p.StateLimits()
 	return store.Limits{MaxValueBytes: int(l.ValueKB * bytesPerKB), MaxChanges: l.TxnOps}
--- a/internal/config/settings_ledger.go
+++ b/internal/config/settings_ledger.go
@@ -12,90 +12,89 @@
 )
 
 const (
-	// settlementChangeShare is the share of the state service's changes that
-	// settlements take at the most.
-	settlementChangeShare = 0.02
-	// maxLedgerRecordBytes bounds a ledger record: two go into one transaction.
+	// settlementWriteShare bounds the writes of settlements, as a fraction of the state service's write limit.
+	settlementWriteShare = 0.02
+	// maxLedgerRecordBytes bounds the size of a ledger record, because one transaction writes two records.
 	maxLedgerRecordBytes = 12 << 10
-	// adminRequestShare is the share of the state service's requests that operators'
-	// reads take at the most, out of the share that a controller has anyway.
+	// adminRequestShare bounds the reads for operators, as a fraction of the state service's request limit. They
+	// are part of the fraction that each controller may use in total.
 	adminRequestShare = 0.02
-	// minWriteRPS keeps quotients by the limit on changes finite.
+	// minWriteRPS, in writes per second, avoids a division by a write limit near 0.
 	minWriteRPS = 1e-3
 )
 
-// LedgerSettings returns the settings of the accounting; nil: no ledger is kept.
+// LedgerSettings returns the settings of the usage ledger. It returns nil if the ledger is disabled.
 func LedgerSettings(p *Platform, o *Operator) *reconciler.LedgerSettings {
 	if o.Ledger == nil {
 		return nil
 	}
-	share := defaultFairShare()
+	fairShare := defaultFairShare()
 	if o.FairShare != nil {
-		share = *o.FairShare
+		fairShare = *o.FairShare
 	}
 	teams := p.Teams()
 	return &reconciler.LedgerSettings{
 		Settings: ledger.Settings{
 			SettleInterval: settleInterval(p, o.Ledger, len(teams)),
-			HalfLife:       share.HalfLife.Std(),
-			Weights:        ledger.Weights{GPU: share.GPUWeight, Mem: share.MemoryWeight},
+			HalfLife:       fairShare.HalfLife.Std(),
+			Weights:        ledger.Weights{GPU: fairShare.GPUWeight, Mem: fairShare.MemoryWeight},
 			MaxRecordBytes: min(int(p.StateLimits().ValueKB*bytesPerKB), maxLedgerRecordBytes),
 			Retention:      ledger.Retention{Hours: o.Ledger.KeepHours.Std(), Days: o.Ledger.KeepDays.Std()},
 			Seal:           ledger.NewSeal(o.Ledger.Key),
 		},
 		FairShare: o.FairShare != nil,
-		Weights:   teamWeights(teams, &share),
+		Weights:   teamWeights(teams, &fairShare),
 		TimeOfDay: func(now time.Time) time.Time { return now },
 	}
 }
 
-// settleInterval returns the time between settlements of an account. Each team's
-// settlement is one change, so many teams stretch the interval that operators set.
+// settleInterval returns the time between settlements of one account. A settlement of a team's account is one
+// write. If there are so many teams that the interval in the settings would exceed settlementWriteShare, it is
+// lengthened.
 func settleInterval(p *Platform, l *Ledger, teams int) time.Duration {
-	changesPerSecond := settlementChangeShare * max(p.StateLimits().WriteRPS, minWriteRPS)
-	return max(l.SettleInterval.Std(), Seconds(float64(teams)/changesPerSecond))
+	writesPerSecond := settlementWriteShare * max(p.StateLimits().WriteRPS, minWriteRPS)
+	return max(l.SettleInterval.Std(), Seconds(float64(teams)/writesPerSecond))
 }
 
-// teamWeights returns the teams' weights in fair share. By default it is a team's
-// guarantee. A team without one must not count for nothing beside the others: it
-// weighs as much as the least of those that have one, and where no team has one all
-// weigh alike.
-func teamWeights(teams []model.Team, share *FairShare) map[string]float64 {
+// teamWeights returns the fair-share weight of each team. The default is the team's guarantee in CPUs, but at least
+// 1. A team without a guarantee must not have a weight of 0, so it gets the smallest weight of the teams with a
+// guarantee. If no team has a guarantee, all get the same weight.
+func teamWeights(teams []model.Team, fairShare *FairShare) map[string]float64 {
 	weights := map[string]float64{}
-	least := 0.0
+	minWeight := 0.0
 	for _, t := range teams {
-		if guarantee := t.Guarantee.CPU + share.GPUWeight*t.Guarantee.GPU; guarantee > 0 {
+		if guarantee := t.Guarantee.CPU + fairShare.GPUWeight*t.Guarantee.GPU; guarantee > 0 {
 			weights[t.Name] = max(guarantee, 1)
-			if least == 0 || weights[t.Name] < least {
-				least = weights[t.Name]
+			if minWeight == 0 || weights[t.Name] < minWeight {
+				minWeight = weights[t.Name]
 			}
 		}
 	}
 	for _, t := range teams {
 		if _, ok := weights[t.Name]; !ok {
-			weights[t.Name] = max(least, 1)
+			weights[t.Name] = max(minWeight, 1)
 		}
 	}
-	for _, w := range share.Weights {
+	for _, w := range fairShare.Weights {
 		weights[w.Team] = w.Value
 	}
 	return weights
 }
 
-// CheckConsistency checks the operators' file against the platform's.
+// CheckConsistency returns an error if the operators' settings name a team that the platform's settings lack.
 func CheckConsistency(p *Platform, o *Operator) error {
 	if o.FairShare == nil {
 		return nil
 	}
 	for _, w := range o.FairShare.Weights {
 		if !slices.ContainsFunc(p.Deployment.Teams, func(t team) bool { return t.Name == w.Team }) {
-			return fmt.Errorf("fair-share: there is no team %q to have a weight", w.Team)
+			return fmt.Errorf("fair-share/weight: unknown team %q", w.Team)
 		}
 	}
 	return nil
 }
 
-// AdminSettings returns the settings of the operators' interface.
+// AdminSettings returns the settings of the operators' interface. o.Admin must not be nil.
 func AdminSettings(p *Platform, o *Operator) admin.Settings {
 	s := admin.Settings{
 		BearerToken:      o.Admin.Token,
--- a/internal/config/settings_members.go
+++ b/internal/config/settings_members.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// voteSlack covers messages in flight, margins and clock drift.
+	// voteSlack covers messages in flight, safety margins and clock drift.
 	voteSlack = 3 * time.Second
 
-	// relayChangeShare is the share of the state service's changes that the
-	// heartbeats of one member take at the most; their answers take as much.
-	relayChangeShare = 0.05
+	// relayWriteShare bounds the writes of one member's relayed heartbeats, as a fraction of the state service's
+	// write limit. The responses to them take the same number of writes.
+	relayWriteShare = 0.05
 
-	minBatchInterval      = 200 * time.Millisecond
-	maxBatchInterval      = time.Second
-	maxRelayQueue         = 512
-	maxRelayQueueBytes    = 2 << 20
-	maxBatchesInFlight    = 3
-	relayHeartbeatTimeout = 3300 * time.Millisecond
-	relayRetryAfter       = 8 * time.Second
+	minBatchInterval      = 200 * time.Millisecond  // between batches of relayed heartbeats
+	maxBatchInterval      = time.Second             // between batches, however low the write limit is
+	maxRelayQueue         = 512                     // heartbeats that wait for a batch
+	maxRelayQueueBytes    = 2 << 20                 // size of these heartbeats together
+	maxBatchesInFlight    = 3                       // batches without a response
+	relayHeartbeatTimeout = 3300 * time.Millisecond // for the response to a heartbeat
+	relayRetryAfter       = 8 * time.Second         // before an unreachable leader is tried again
 )
 
-// ElectionSettings returns the settings of the election.
+// ElectionSettings returns the settings of the leader election. Its vote durations are 0 if votes are disabled, or
+// if the workers' lease and the leader's lease are too long for them.
 func ElectionSettings(p *Platform, o *Operator) election.Settings {
 	s := election.Settings{
 		Member:        p.Member,
@@ -44,19 +45,19 @@
 	return s
 }
 
-// voteDurations returns for how long members vote for a leader, and for how long
-// while the state service is out; 0: they do not, or no longer than otherwise.
+// voteDurations returns how long a vote for a leader is valid, and how long it is valid during an outage of the
+// state service. A vote of 0 means that members must not vote, and an outageVote of 0 that it is no longer than
+// vote.
 //
-// A leader learns of a cancellation only at the end of its leadership, in the worst
-// case. The workers' leases, which it has renewed until then, must expire before the
-// job's tasks have to be gone.
+// In the worst case, a leader learns of a cancellation only at the end of its leadership. The workers' leases,
+// which it has renewed until then, must expire before the cancelled job's tasks must have ended.
 func voteDurations(p *Platform, lease, outage time.Duration) (vote, outageVote time.Duration) {
 	workerLease, cancelWithin := Seconds(p.Deployment.Workers.Lease), Seconds(p.Deployment.Workers.Cancel)
 	if workerLease+lease+voteSlack >= cancelWithin {
 		return 0, 0
 	}
 	vote = lease * 7 / 8
-	// The same holds for a cancellation right after a vote during an outage.
+	// The same applies to a cancellation directly after a vote during an outage.
 	outageVote = min(outage, cancelWithin-workerLease-voteSlack)
 	if outageVote <= vote {
 		outageVote = 0
@@ -64,15 +65,15 @@
 	return vote, outageVote
 }
 
-// StalenessBound returns how stale a leader's knowledge of cancellations may be; ok is
-// false where the workers' leases are too long for any bound.
+// StalenessBound returns how stale a leader's knowledge of cancellations may be. ok is false if the workers' leases
+// are too long for any bound to ensure that the tasks of a cancelled job end in time.
 func StalenessBound(p *Platform) (b staleness.Bound, ok bool) {
 	w := &p.Deployment.Workers
 	return staleness.BoundFor(Seconds(w.Cancel), Seconds(w.Lease))
 }
 
-// RoutingSettings returns the settings of the routing of users' requests; nil: they are
-// answered by the member that receives them.
+// RoutingSettings returns the settings for routing users' requests. It returns nil if routing is disabled, so that
+// each member answers the requests that it receives.
 func RoutingSettings(p *Platform, o *Operator) *route.Settings {
 	if o.Routing == nil {
 		return nil
@@ -85,14 +86,14 @@
 	}
 }
 
-// RelaySettings returns the settings of the relay of heartbeats through the state
-// service; nil: heartbeats are not relayed that way.
+// RelaySettings returns the settings for relaying heartbeats through the state service. It returns nil if this
+// relay is disabled.
 func RelaySettings(p *Platform, o *Operator) *relay.Settings {
 	if o.Relay == nil {
 		return nil
 	}
-	// A batch is one change, and so are its answers.
-	batchesPerSecond := relayChangeShare * max(p.StateLimits().WriteRPS, minWriteRPS)
+	// A batch is one write, and so are the responses to it.
+	batchesPerSecond := relayWriteShare * max(p.StateLimits().WriteRPS, minWriteRPS)
 	return &relay.Settings{
 		BatchInterval:    min(max(Seconds(1/batchesPerSecond), minBatchInterval), maxBatchInterval),
 		MaxQueued:        maxRelayQueue,
