--- a/cmd/glentiller/output.go
+++ b/cmd/glentiller/output.go
@@ -13,7 +13,7 @@
 	"github.com/glentiller/glentiller/internal/config"
 )
 
-// adminFlags select the operators' interface that a subcommand queries.
+// adminFlags holds the flags for the connection to the operators' interface of a controller.
 type adminFlags struct {
 	Admin     string `default:"127.0.0.1:18090" env:"GLENTILLER_ADMIN" placeholder:"ADDR" help:"Address of the operators' interface of any controller."`
 	TokenFile string `required:"" env:"GLENTILLER_TOKEN_FILE" placeholder:"FILE" help:"File that holds the bearer token of the operators' interface."`
--- a/cmd/glentiller/serve.go
+++ b/cmd/glentiller/serve.go
@@ -114,7 +114,7 @@
 }
 
 // startProfile starts a CPU profile, which is written to the file when ctx ends. After that a controller only
-// closes its connections. The returned function waits until the file is complete.
+// closes its connections. The returned wait function blocks until the file is complete.
 func startProfile(ctx context.Context, path string) (wait func(), err error) {
 	f, err := os.Create(path)
 	if err != nil {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -60,7 +60,8 @@
 	})
 }
 
-// checkOperator compares the operators' settings with a golden file and reads them back from it without loss.
+// checkOperator compares the encoded operators' settings with a golden file, and checks that decoding the file
+// gives the same settings.
 func checkOperator(t *testing.T, name string, o *Operator) {
 	t.Helper()
 	b, err := xml.MarshalIndent(o, "", " ")
@@ -77,7 +78,8 @@
 	}
 }
 
-// checkPlatform compares the platform's settings with a golden file and reads them back from it without loss.
+// checkPlatform compares the encoded platform's settings with a golden file, and checks that decoding the file
+// gives the same settings.
 func checkPlatform(t *testing.T, name string, p *Platform) {
 	t.Helper()
 	b, err := toml.Marshal(p)
@@ -108,10 +110,10 @@
 		team{Name: "none"},
 	)
 	p.Deployment.Objectives = []Objective{
-		{Kind: "wait", Class: "a", Within: 30},
-		{Kind: "finished", Class: "b", Within: 600},
-		{Kind: "deadline", Class: "a", Times: 1.5},
-		{Kind: "other", Class: "c", Within: 1},
+		{Kind: "wait", Class: "a", WithinSeconds: 30},
+		{Kind: "finished", Class: "b", WithinSeconds: 600},
+		{Kind: "deadline", Class: "a", DeadlineMultiple: 1.5},
+		{Kind: "other", Class: "c", WithinSeconds: 1},
 	}
 	filled := &Operator{}
 	golden.Fill(filled)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -38,7 +38,7 @@
 // Leadership holds the settings of the leader election.
 type Leadership struct {
 	Lease         Duration `xml:"lease"`  // of the leader, at the state service
-	Margin        Duration `xml:"margin"` // by which the leadership ends before the lease can expire
+	SafetyMargin  Duration `xml:"margin"` // by which the leadership ends before the lease can expire
 	PollInterval  Duration `xml:"look"`   // between reads of the leader's keys
 	RetryInterval Duration `xml:"retry"`  // after a failed renewal or read
 	unknownSettings
@@ -107,7 +107,7 @@
 	return &Operator{
 		Leadership: Leadership{
 			Lease:         Duration(4 * time.Second),
-			Margin:        Duration(200 * time.Millisecond),
+			SafetyMargin:  Duration(200 * time.Millisecond),
 			PollInterval:  Duration(2 * time.Second),
 			RetryInterval: Duration(250 * time.Millisecond),
 		},
--- a/internal/config/operator_validate.go
+++ b/internal/config/operator_validate.go
@@ -79,7 +79,7 @@
 func (l *Leadership) validate() error {
 	return errors.Join(
 		checkDuration("leadership/lease", l.Lease, time.Second, 10*time.Minute),
-		checkDuration("leadership/margin", l.Margin, 50*time.Millisecond, l.Lease.Std()/2),
+		checkDuration("leadership/margin", l.SafetyMargin, 50*time.Millisecond, l.Lease.Std()/2),
 		checkDuration("leadership/look", l.PollInterval, 100*time.Millisecond, time.Minute),
 		checkDuration("leadership/retry", l.RetryInterval, 20*time.Millisecond, 10*time.Second),
 	)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -3,8 +3,8 @@
 // controller.
 //
 // ReadPlatform and ReadOperator read the files. CheckConsistency checks them against each other. The names in the
-// files are published and cannot change. Only the struct tags in this package contain them; they map them to fields
-// with the usual terms.
+// files are published and cannot change. Only the struct tags in this package refer to them; the fields have names
+// in standard terms.
 //
 // The functions in settings.go, settings_ledger.go and settings_members.go then fill the Settings of other
 // packages. For this purpose this package alone imports eleven other packages. None of those depends on the files,
@@ -70,11 +70,11 @@
 
 // Objective is a service-level objective of a job class. Kinds other than those listed below are ignored.
 type Objective struct {
-	Kind   string  `toml:"kind"` // "wait" (start of a task), "finished" (end of a job) or "deadline"
-	Class  string  `toml:"class"`
-	Within float64 `toml:"within_s"` // of the kinds "wait" and "finished": seconds since the job became eligible
-	Share  float64 `toml:"share"`    // of the jobs; not used
-	Times  float64 `toml:"times"`    // of the kind "deadline": multiple of a job's own deadline
+	Kind             string  `toml:"kind"` // "wait" (start of a task), "finished" (end of a job) or "deadline"
+	Class            string  `toml:"class"`
+	WithinSeconds    float64 `toml:"within_s"` // of the kinds "wait" and "finished": seconds since the job became eligible
+	Share            float64 `toml:"share"`    // of the jobs; not used
+	DeadlineMultiple float64 `toml:"times"`    // of the kind "deadline": multiple of a job's own deadline
 }
 
 // WorkerTimes holds the timings of the workers, in seconds.
@@ -143,5 +143,5 @@
 	return names
 }
 
-// Seconds converts a number of seconds into a duration.
-func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// seconds converts a number of seconds, such as 1.5, to a duration.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/config/platform_validate.go
+++ b/internal/config/platform_validate.go
@@ -67,7 +67,7 @@
 
 func (p *Platform) checkAddresses(e *platformErrors) {
 	if p.Member == "" {
-		e.addf("member: missing")
+		e.addf("member: the name of this controller is missing")
 	}
 	e.checkAddr("front", p.HTTPAddr)
 	e.checkAddr("back", p.PeerAddr)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -26,12 +26,12 @@
 		Teams:      p.Teams(),
 		Objectives: classObjectives(d.Objectives),
 
-		HeartbeatInterval: Seconds(d.Workers.Heartbeat),
-		WorkerLease:       Seconds(d.Workers.Lease),
-		GangWait:          Seconds(d.Workers.GangWait),
-		GangPeer:          Seconds(d.Workers.GangPeer),
-		CancelWithin:      Seconds(d.Workers.Cancel),
-		MachineListLag:    Seconds(d.Cloud.ListLag),
+		HeartbeatInterval: seconds(d.Workers.Heartbeat),
+		WorkerLease:       seconds(d.Workers.Lease),
+		GangWait:          seconds(d.Workers.GangWait),
+		GangPeer:          seconds(d.Workers.GangPeer),
+		CancelWithin:      seconds(d.Workers.Cancel),
+		MachineListLag:    seconds(d.Cloud.ListLag),
 
 		Scheduler:  schedulerSettings(&o.Scheduler),
 		Autoscaler: autoscalerSettings(&o.Autoscaler),
@@ -92,7 +92,7 @@
 	if after := o.Workers.UnresponsiveAfter.Std(); after != 0 {
 		return after
 	}
-	return Seconds(missedHeartbeats*p.Deployment.Workers.Heartbeat) + heartbeatRetryTime
+	return seconds(missedHeartbeats*p.Deployment.Workers.Heartbeat) + heartbeatRetryTime
 }
 
 // numberedChunkTasks returns the number of tasks in a numbered chunk of the finished-task record, the layout of the
@@ -111,11 +111,11 @@
 		var target reconciler.Objective
 		switch objective.Kind {
 		case "wait":
-			target.StartWithin = Seconds(objective.Within)
+			target.StartWithin = seconds(objective.WithinSeconds)
 		case "finished":
-			target.FinishWithin = Seconds(objective.Within)
+			target.FinishWithin = seconds(objective.WithinSeconds)
 		case "deadline":
-			target.DeadlineMultiple = objective.Times
+			target.DeadlineMultiple = objective.DeadlineMultiple
 		}
 		if objective.Class != "" && target != (reconciler.Objective{}) {
 			byClass[objective.Class] = append(byClass[objective.Class], target)
--- a/internal/config/settings_ledger.go
+++ b/internal/config/settings_ledger.go
@@ -53,7 +53,7 @@
 // lengthened.
 func settleInterval(p *Platform, l *Ledger, teams int) time.Duration {
 	writesPerSecond := settlementWriteShare * max(p.StateLimits().WriteRPS, minWriteRPS)
-	return max(l.SettleInterval.Std(), Seconds(float64(teams)/writesPerSecond))
+	return max(l.SettleInterval.Std(), seconds(float64(teams)/writesPerSecond))
 }
 
 // teamWeights returns the fair-share weight of each team. The default is the team's guarantee in CPUs, but at least
--- a/internal/config/settings_members.go
+++ b/internal/config/settings_members.go
@@ -33,7 +33,7 @@
 	s := election.Settings{
 		Member:        p.Member,
 		LeaseDuration: o.Leadership.Lease.Std(),
-		SafetyMargin:  o.Leadership.Margin.Std(),
+		SafetyMargin:  o.Leadership.SafetyMargin.Std(),
 		PollInterval:  o.Leadership.PollInterval.Std(),
 		RetryInterval: o.Leadership.RetryInterval.Std(),
 		Peers:         p.peers(),
@@ -52,7 +52,7 @@
 // In the worst case, a leader learns of a cancellation only at the end of its leadership. The workers' leases,
 // which it has renewed until then, must expire before the cancelled job's tasks must have ended.
 func voteDurations(p *Platform, lease, outage time.Duration) (vote, outageVote time.Duration) {
-	workerLease, cancelWithin := Seconds(p.Deployment.Workers.Lease), Seconds(p.Deployment.Workers.Cancel)
+	workerLease, cancelWithin := seconds(p.Deployment.Workers.Lease), seconds(p.Deployment.Workers.Cancel)
 	if workerLease+lease+voteSlack >= cancelWithin {
 		return 0, 0
 	}
@@ -69,7 +69,7 @@
 // are too long for any bound to ensure that the tasks of a cancelled job end in time.
 func StalenessBound(p *Platform) (b staleness.Bound, ok bool) {
 	w := &p.Deployment.Workers
-	return staleness.BoundFor(Seconds(w.Cancel), Seconds(w.Lease))
+	return staleness.BoundFor(seconds(w.Cancel), seconds(w.Lease))
 }
 
 // RoutingSettings returns the settings for routing users' requests. It returns nil if routing is disabled, so that
@@ -95,7 +95,7 @@
 	// A batch is one write, and so are the responses to it.
 	batchesPerSecond := relayWriteShare * max(p.StateLimits().WriteRPS, minWriteRPS)
 	return &relay.Settings{
-		BatchInterval:    min(max(Seconds(1/batchesPerSecond), minBatchInterval), maxBatchInterval),
+		BatchInterval:    min(max(seconds(1/batchesPerSecond), minBatchInterval), maxBatchInterval),
 		MaxQueued:        maxRelayQueue,
 		MaxQueuedBytes:   maxRelayQueueBytes,
 		MaxInFlight:      maxBatchesInFlight,
