--- a/internal/fake/answers.go
+++ b/internal/fake/answers.go
@@ -8,24 +8,25 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// jobAnswers is what users were answered about one job, in the order of the answers. In a World each question is
-// answered at once, so an answer is stale if it says less than one before it: an accepted job stays known, and a final
-// state stays as it is.
+// jobAnswers summarizes what users have been answered about one job, in the order of the answers. A World answers each
+// question at once, so an answer that says less than an earlier one is stale: an accepted job stays known, and a final
+// state never changes.
 type jobAnswers struct {
-	answeredBy      string        // the member that gave the last answer that was not stale
-	finalState      wire.JobState // StateUnknown: none was answered
-	cancelRequested bool          // its user has asked to cancel it
+	answeredBy      string        // the member that gave the latest answer, up to the first one with a final state
+	finalState      wire.JobState // wire.StateUnknown until an answer has a final state
+	cancelRequested bool          // whether the user has asked to cancel the job
 }
 
-// polls is how users ask the controllers of a World about their jobs.
-type polls struct {
-	PollOnCommit  bool // users ask every controller about a job as a transaction changes its record
-	StaleReads    bool // a deliberate fault: members answer from what they have read last
-	AnsweredPolls int
-	polling       bool // a poll of PollOnCommit is under way
+// userPolls controls how the users of a World poll the controllers for the states of their jobs.
+type userPolls struct {
+	PollOnCommit  bool // poll every controller for a job whenever a transaction changes the job's record
+	StaleReads    bool // an injected fault: members answer from the job records that they have read last
+	AnsweredPolls int  // polls that were answered without the fault StaleReads
+	polling       bool // whether a poll for PollOnCommit is in progress
 }
 
-// recordAnswer checks what a member has answered a user about a job against all answers before.
+// recordAnswer records the state that a member has answered a user about a job, and checks it against all earlier
+// answers about the job.
 func (e *Environment) recordAnswer(member, id string, state wire.JobState) {
 	history := e.answers[id]
 	if history == nil {
@@ -35,18 +36,21 @@
 		history = &jobAnswers{}
 		e.answers[id] = history
 	}
-	known, final := history.answeredBy, history.finalState
+	lastMember, finalState := history.answeredBy, history.finalState
 	switch {
 	case state == wire.StateUnknown:
-		e.violated("forgotten: %s says that %s is not known, %s knew it", member, id, known)
-	case final != wire.StateUnknown && state != final:
-		e.violated("went_back: %s says that %s is %v, %s said %v", member, id, state, known, final)
+		e.recordViolation("forgotten: %s answered that %s is unknown, but %s had answered that it is known",
+			member, id, lastMember)
+	case finalState != wire.StateUnknown && state != finalState:
+		e.recordViolation("went_back: %s answered that %s is %v, but %s had answered that it is %v",
+			member, id, state, lastMember, finalState)
 	case state == wire.StateCancelled && !e.cancelRequested(id):
-		e.violated("went_back: %s says that %s is cancelled, which nobody has asked for", member, id)
+		e.recordViolation("went_back: %s answered that %s is cancelled, but no user has asked to cancel it or a dependency",
+			member, id)
 	case state == wire.StateDone && !e.mayBeDone(id):
-		e.violated("not_done: %s says that %s is done", member, id)
+		e.recordViolation("not_done: %s answered that %s is done, but its tasks have not completed", member, id)
 	}
-	if state == wire.StateUnknown || final != wire.StateUnknown {
+	if state == wire.StateUnknown || finalState != wire.StateUnknown {
 		return
 	}
 	history.answeredBy = member
@@ -55,19 +59,22 @@
 	}
 }
 
-// mayBeDone tells whether a job may be called done: all of its tasks have completed, or one of a gang's.
+// mayBeDone reports whether a controller may answer that a job is done: all tasks of the job have completed, or at
+// least one task if the job is a gang.
 func (e *Environment) mayBeDone(id string) bool {
 	return e.AllCompleted(id) || e.Specs[id].Shape == model.Gang && e.anyCompleted(id)
 }
 
-// recordCancelRequest notes that the user of a job asks to cancel it.
+// recordCancelRequest records that a user has asked to cancel a job. It ignores a job about which no user has been
+// answered yet.
 func (e *Environment) recordCancelRequest(id string) {
 	if history := e.answers[id]; history != nil {
 		history.cancelRequested = true
 	}
 }
 
-// cancelRequested tells whether a user has asked to cancel a job or one that it depends on.
+// cancelRequested reports whether a user has asked to cancel a job or another one that it depends on, directly or
+// indirectly.
 func (e *Environment) cancelRequested(id string) bool {
 	if history := e.answers[id]; history != nil && history.cancelRequested {
 		return true
@@ -80,7 +87,8 @@
 	return false
 }
 
-// Poll has a user ask a controller about a job.
+// Poll asks a controller for the state of a job, as a user does, and checks the answer. The error is that of the
+// controller's lookup.
 func (w *World) Poll(c *Controller, id string) (wire.JobState, error) {
 	if record := c.Jobs.Peek(id); w.StaleReads && record.State != wire.StateUnknown {
 		w.recordAnswer(c.Member, id, record.State)
@@ -94,22 +102,23 @@
 	return record.State, err
 }
 
-// PollAll has users ask all controllers about a job, one right after the other.
+// PollAll polls all controllers that are up and not frozen for the state of a job, without letting time pass meanwhile.
 func (w *World) PollAll(id string) {
 	for _, c := range w.Controllers {
 		if c.Up && !c.Frozen {
-			_, _ = w.Poll(c, id) // a controller need not answer
+			_, _ = w.Poll(c, id) // a controller that cannot answer is no violation
 		}
 	}
 }
 
-// pollCommitted has users ask every controller about the jobs of a transaction at the moment at which it is carried
-// out: before its sender knows, and whether or not it ever learns of it.
+// pollCommitted polls every controller for the jobs whose records a transaction has changed, if PollOnCommit is set. It
+// is called when the state service has applied the transaction. At that moment the sender does not know the outcome
+// yet, and it may never learn it.
 func (w *World) pollCommitted(ops []Operation) {
 	if !w.PollOnCommit || w.polling {
 		return
 	}
-	w.polling = true // transactions that a poll causes are not polled for
+	w.polling = true // a transaction that results from a poll triggers no further polls
 	defer func() { w.polling = false }()
 	seen := map[string]bool{}
 	for _, op := range ops {
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -7,27 +7,28 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Cloud is a stand-in for the cloud's provisioning: which machines were provisioned under which request, and which of
-// them still boot. Machines that are up belong to whoever simulates the workers.
+// Cloud is a fake of the cloud's provisioning service. It keeps track of the machines that were provisioned for each
+// request, and of those that are still booting. The caller keeps track of the machines that are up.
 type Cloud struct {
-	BootTime     time.Duration        // how long a machine takes to come up, where DrawBootTime is nil
-	DrawBootTime func() time.Duration // called for each machine
-	Capacity     int                  // machines that the cloud has at once; 0: any number
-	NamePrefix   string               // of machines' names
+	BootTime     time.Duration        // time that each machine takes to boot if DrawBootTime is nil
+	DrawBootTime func() time.Duration // returns the boot time of the next machine; may be nil
+	Capacity     int                  // maximum number of machines that are booting or up; 0 means no limit
+	NamePrefix   string               // prefix of the names of machines
 
-	runningCount  func() int          // machines that are up
-	provisioned   map[string][]string // machines' names, by the name of the request
-	booting       map[string]bootingMachine
-	namedMachines int
+	runningCount  func() int                // returns the number of machines that are up
+	provisioned   map[string][]string       // names of the machines, by name of the request
+	booting       map[string]bootingMachine // by name
+	namesAssigned int                       // number of names that NextName has returned
 }
 
-// bootingMachine is a machine that has been provisioned and is not up yet.
+// bootingMachine is a machine that was provisioned and is not up yet.
 type bootingMachine struct {
 	model.MachineInfo
 	readyAt time.Time
 }
 
-// NewCloud makes a cloud without machines; runningCount counts those that have come up and were not released.
+// NewCloud returns a cloud without machines. runningCount must return the number of machines that are up, which are
+// those that have finished booting and were not released.
 func NewCloud(runningCount func() int) *Cloud {
 	return &Cloud{
 		BootTime:     5 * time.Second,
@@ -38,8 +39,9 @@
 	}
 }
 
-// Provision carries a request out, or answers a repeated one with the machines of the first. It is false where there
-// is no machine left.
+// Provision provisions machines and returns their names. If the capacity does not suffice for the whole request, it
+// provisions fewer; ok is false if it can provision none. Requests are idempotent: one with the name of an earlier
+// request returns the machines of that request.
 func (c *Cloud) Provision(now time.Time, request model.Provisioning) (names []string, ok bool) {
 	if names = c.provisioned[request.Name]; names != nil {
 		return names, true
@@ -73,13 +75,14 @@
 	return names, true
 }
 
-// NextName gives the next machine its name.
+// NextName returns a name for a new machine. It never returns a name twice.
 func (c *Cloud) NextName() string {
-	c.namedMachines++
-	return fmt.Sprintf("%s%06d", c.NamePrefix, c.namedMachines)
+	c.namesAssigned++
+	return fmt.Sprintf("%s%06d", c.NamePrefix, c.namesAssigned)
 }
 
-// TakeBooted takes the machines whose boot has ended off the list of those that boot.
+// TakeBooted returns the machines that have finished booting since the last call. The caller keeps track of them from
+// then on.
 func (c *Cloud) TakeBooted(now time.Time) (booted []model.MachineInfo) {
 	for name, machine := range c.booting {
 		if !now.Before(machine.readyAt) {
@@ -91,13 +94,14 @@
 	return booted
 }
 
-// Forget takes a machine that is released off the list of those that boot.
+// Forget removes a released machine from those that are booting. It ignores a machine that is not booting.
 func (c *Cloud) Forget(name string) { delete(c.booting, name) }
 
-// ProvisionedTotal counts the machines that were ever provisioned.
-func (c *Cloud) ProvisionedTotal() int { return c.namedMachines }
+// ProvisionedTotal returns how many machines have ever been created, counting those that a caller has created with a
+// name from NextName.
+func (c *Cloud) ProvisionedTotal() int { return c.namesAssigned }
 
-// Booting lists the machines that boot, by name.
+// Booting returns the machines that are booting, by name.
 func (c *Cloud) Booting() map[string]model.MachineInfo {
 	machines := make(map[string]model.MachineInfo, len(c.booting))
 	for name, machine := range c.booting {
--- a/internal/fake/controller.go
+++ b/internal/fake/controller.go
@@ -15,11 +15,12 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// stateRate is the rate limit of a controller's requests to the state service: none that matters here.
-const stateRate = 1e9
+// unlimitedRate limits a controller's requests and changes to the state service, each per second. It is so high that
+// the limit never applies.
+const unlimitedRate = 1e9
 
-// Controller is one controller of a World: the real election, reconciler and store client, with the stand-ins in
-// place of sockets and timers.
+// Controller is one controller of a World: the real election, reconciler and store client, with fakes in place of
+// sockets and timers.
 type Controller struct {
 	world            *World
 	Member           string
@@ -27,62 +28,62 @@
 	electionSettings election.Settings
 	log              *slog.Logger
 
-	Up bool
+	Up bool // whether the controller is running; a frozen one is up
 	ControllerFaults
-	ClockOffset         time.Duration // how far its time of day is off
-	WithoutLedger       bool          // from its next start on it runs a version without a ledger
-	WithoutFeatureGates bool          // it runs a version from before feature gates
+	ClockOffset         time.Duration // added to the simulated time to get the controller's time of day
+	WithoutLedger       bool          // whether it runs a version without a ledger from its next start on
+	WithoutFeatureGates bool          // whether it runs a version that predates feature gates
 
 	State        *store.Client
 	Jobs         *store.JobCache
 	Election     *election.StateMachine
-	ReadRevision uint64 // of the state service when the job records were last read
+	ReadRevision uint64 // revision of the state service when the changes of the job records were last read
 
 	leadership
 	inbox
 }
 
-// ControllerFaults are the failures that a controller can be given.
+// ControllerFaults are the faults that can be injected into a controller.
 type ControllerFaults struct {
-	StateUnreachable   bool // the state service answers 503
-	ReadsBlocked       bool // the state service does not answer its reads; all else it does
-	PeersUnreachable   bool // it is cut off from the other controllers
-	WorkersUnreachable bool // it is cut off from the workers
-	Frozen             bool // it stands still while its clocks run on
+	StateUnreachable   bool // the state service answers every request of the controller with status 503
+	ReadsBlocked       bool // the controller's reads from the state service time out; other requests are answered
+	PeersUnreachable   bool // no messages pass between the controller and the other controllers
+	WorkersUnreachable bool // no messages pass between the controller and the workers
+	Frozen             bool // the controller does nothing, while its clocks advance
 }
 
-// leadership is what a controller has only while it leads.
+// leadership is the state that a controller needs only while it leads.
 type leadership struct {
-	Reconciler     *reconciler.Core                    // nil: it does not lead
-	staleness      *staleness.Tracker                  // nil: it does not lead
-	acknowledgedBy map[string]store.CancellationCursor // by member: the cancellations that are known from it
+	Reconciler     *reconciler.Core                    // nil unless the controller leads
+	staleness      *staleness.Tracker                  // nil unless the controller leads
+	acknowledgedBy map[string]store.CancellationCursor // by member: how far it has reported the cancellations it knows
 	fencingToken   uint64
-	tokenVersion   uint64 // of the token's record
-	suspended      bool   // it has a reconciler and may not act for now
+	tokenVersion   uint64 // version of the record that holds the fencing token
+	suspended      bool   // whether the controller has a reconciler but may not act at present
 }
 
-// depose ends a leadership.
+// depose ends the leadership.
 func (l *leadership) depose() { l.Reconciler, l.staleness = nil, nil }
 
-// inbox is what is on its way to a controller.
+// inbox holds the input that a controller has not processed yet.
 type inbox struct {
-	jobChanges     []store.JobChange
-	deferred       []func() // carried out in the controller's next step
+	jobChanges     []store.JobChange // changes of job records that the reconciler has not received yet
+	deferred       []func()          // called in the controller's next step
 	delayedReplies []delayedReply
-	nextReadAt     time.Time // before which the changes of the job records are not read
+	nextReadAt     time.Time // earliest time of the next read of the changes of the job records
 }
 
-// delayedReply is an answer of the state service that is on its way.
+// delayedReply is an answer of the state service that reaches the controller later.
 type delayedReply struct {
 	dueAt   time.Time
 	deliver func()
 }
 
-// collectDelayedReplies defers the replies that are due.
+// collectDelayedReplies moves the delayed replies that are due to the deferred functions.
 func (in *inbox) collectDelayedReplies(now time.Time) {
-	waiting := in.delayedReplies
+	replies := in.delayedReplies
 	in.delayedReplies = nil
-	for _, reply := range waiting {
+	for _, reply := range replies {
 		if now.Before(reply.dueAt) {
 			in.delayedReplies = append(in.delayedReplies, reply)
 		} else {
@@ -91,7 +92,7 @@
 	}
 }
 
-// runDeferred carries out what was deferred before.
+// runDeferred calls the deferred functions. What they defer in turn is left for the next call.
 func (in *inbox) runDeferred() {
 	deferred := in.deferred
 	in.deferred = nil
@@ -100,7 +101,7 @@
 	}
 }
 
-// Start starts a controller with nothing in memory.
+// Start starts or restarts the controller with nothing in memory. It ends the fault Frozen; other faults persist.
 func (c *Controller) Start() {
 	w := c.world
 	c.Up, c.Frozen, c.suspended = true, false, false
@@ -109,7 +110,7 @@
 	c.inbox = inbox{}
 	w.controllerStarts++
 	c.State = store.NewOver(c, c, time.Second)
-	c.State.SetRateLimits(stateRate, stateRate)
+	c.State.SetRateLimits(unlimitedRate, unlimitedRate)
 	c.settings.Ledger = c.ledgerSettings()
 	onChanges := func(changes []store.JobChange) { c.jobChanges = append(c.jobChanges, changes...) }
 	c.Jobs = store.NewJobCache(c.State, w.controllerStarts, w.EndedJobsKept, w.Limits, onChanges, c.log)
@@ -123,7 +124,8 @@
 	c.Election = election.New(w.now, c.electionSettings, c.log)
 }
 
-// ledgerSettings are the world's, with the controller's own time of day; nil: it keeps no ledger.
+// ledgerSettings returns the ledger settings of the World with the controller's own time of day, or nil if the
+// controller keeps no ledger.
 func (c *Controller) ledgerSettings() *reconciler.LedgerSettings {
 	if c.WithoutLedger || c.world.ledger == nil {
 		return nil
@@ -133,23 +135,25 @@
 	return &settings
 }
 
-// Crash ends a controller without notice to anybody.
+// Crash stops the controller without notifying anything else.
 func (c *Controller) Crash() {
 	c.Up = false
 	c.depose()
 }
 
-// Leads tells whether the controller may act as the leader.
+// Leads reports whether the controller may act as the leader: it holds the leadership lease, and its knowledge of
+// cancellations is recent enough.
 func (c *Controller) Leads() bool {
 	return c.holdsLease() && c.world.now.Before(c.staleness.KnownAsOf().Add(c.world.StalenessBound.KeepLeases))
 }
 
-// holdsLease tells whether the controller holds the leadership lease, whatever it knows of cancellations.
+// holdsLease reports whether the controller holds the leadership lease. It doesn't check how recent the controller's
+// knowledge of cancellations is.
 func (c *Controller) holdsLease() bool {
 	return c.Up && c.Reconciler != nil && c.Election.LeadershipValid(c.world.now)
 }
 
-// Team is a team as the controller knows it; nil: it does not.
+// Team returns the team with a name as the controller's settings define it, or nil if they define none.
 func (c *Controller) Team(name string) *model.Team {
 	for i := range c.settings.Teams {
 		if c.settings.Teams[i].Name == name {
@@ -159,7 +163,8 @@
 	return nil
 }
 
-// Call carries a controller's requests to the state service.
+// Call sends a request of the controller to the state service, unless an injected fault prevents that. It implements
+// store.Transport.
 func (c *Controller) Call(method, uri string, body []byte, timeout time.Duration) ([]byte, error) {
 	if c.StateUnreachable {
 		return nil, &rpc.StatusError{Status: http.StatusServiceUnavailable}
@@ -184,9 +189,9 @@
 	return answer, err
 }
 
-// onStateReply takes the answer to a request to the state service with the next step, or as late as StateLatency
-// says. The request was carried out when it was sent.
-func (c *Controller) onStateReply(deliver func()) {
+// scheduleStateReply has deliver called when the answer to a request to the state service arrives: in the controller's
+// next step, or after the time that World.StateLatency returns. The request itself took effect when it was sent.
+func (c *Controller) scheduleStateReply(deliver func()) {
 	if c.world.StateLatency == nil {
 		c.deferred = append(c.deferred, deliver)
 		return
@@ -195,7 +200,7 @@
 	c.delayedReplies = append(c.delayedReplies, delayedReply{dueAt, deliver})
 }
 
-// step lets the controller act once, as its event loop would.
+// step runs the controller once, as one iteration of its event loop would.
 func (c *Controller) step() {
 	if !c.Up || c.Frozen {
 		return
@@ -210,7 +215,7 @@
 	}
 	if c.Reconciler == nil {
 		if !c.Jobs.Loaded() {
-			_ = c.Jobs.Refresh(context.Background()) // tried again with the next step
+			_ = c.Jobs.Refresh(context.Background()) // retried in the next step
 		}
 		return
 	}
@@ -222,27 +227,27 @@
 	}
 	c.staleness.RecordsRead(readAsOf)
 	if !c.Leads() && c.world.now.Before(c.Election.LeaseValidUntil()) {
-		c.stepElection(election.Resign{}) // it reaches the state service, and knows too little to act
+		c.stepElection(election.Resign{}) // it renews its lease, but its knowledge of cancellations is too old to act on
 		return
 	}
 	if c.Leads() {
-		c.lead()
+		c.actAsLeader()
 	}
 	c.suspended = c.Reconciler != nil && !c.Leads()
 }
 
-// readJobRecords follows the changes of the job records, as late as StateLatency says.
+// readJobRecords reads the changes of the job records, with the interval that World.StateLatency returns between reads.
 func (c *Controller) readJobRecords() {
 	if !c.Jobs.Loaded() || c.world.now.Before(c.nextReadAt) {
 		return
 	}
-	_ = c.Jobs.CatchUp(context.Background()) // tried again with the next step
+	_ = c.Jobs.CatchUp(context.Background()) // retried in a later step
 	if c.world.StateLatency != nil {
 		c.nextReadAt = c.world.now.Add(c.world.StateLatency())
 	}
 }
 
-// applyJobChanges hands changes of the job records to the reconciler.
+// applyJobChanges passes the changes of the job records that were read to the reconciler.
 func (c *Controller) applyJobChanges() {
 	changes := c.jobChanges
 	c.jobChanges = nil
@@ -251,8 +256,8 @@
 	}
 }
 
-// lead has the reconciler of a leader act.
-func (c *Controller) lead() {
+// actAsLeader runs the reconciler of a leader once. A leader that is probably cut off from its workers resigns.
+func (c *Controller) actAsLeader() {
 	now := c.world.now
 	if c.suspended {
 		c.Reconciler.Resume(now)
--- a/internal/fake/controller_clients.go
+++ b/internal/fake/controller_clients.go
@@ -12,7 +12,7 @@
 	"github.com/glentiller/glentiller/internal/worker"
 )
 
-// The stand-ins through which a controller's effects are carried out.
+// The fake services on which a controller's effects are executed.
 var (
 	_ effects.StateService  = stateRequests{}
 	_ effects.ElectionState = stateRequests{}
@@ -20,10 +20,10 @@
 	_ effects.Workers       = workerRequests{}
 )
 
-// errNoAnswer is a request of which nothing is known.
-var errNoAnswer = errors.New("no answer")
+// errNoAnswer is returned for a request that was not answered, so that its outcome is unknown.
+var errNoAnswer = errors.New("request was not answered; its outcome is unknown")
 
-// stateRequests are a controller's requests to the state service.
+// stateRequests sends a controller's requests to the state service.
 type stateRequests struct {
 	*store.Client
 	controller *Controller
@@ -31,14 +31,16 @@
 
 func (c *Controller) stateRequests() stateRequests { return stateRequests{c.State, c} }
 
-// TokenUnchanged reports whether the token's record still has a version. A refused commit counts as refused in the
-// simulations even where the record cannot be read, so a failed read reports no change.
+// TokenUnchanged reports whether the record of the fencing token still has the version tokenVersion. A record that
+// cannot be read counts as unchanged, and the error is always nil: in the simulations a refused commit has to count as
+// refused even if the record cannot be read.
 func (s stateRequests) TokenUnchanged(ctx context.Context, tokenVersion uint64) (bool, error) {
 	unchanged, err := s.Client.TokenUnchanged(ctx, tokenVersion)
 	return unchanged || err != nil, nil
 }
 
-// ReadLeaderRecord reads who leads. A program from before feature gates takes every record there for a token's.
+// ReadLeaderRecord reads the record of the leader. A version that predates feature gates knows nothing of the feature
+// level, and decodes every record with the prefix "leader/" as a leader's record.
 func (s stateRequests) ReadLeaderRecord(ctx context.Context) (election.Record, uint64, error) {
 	record, revision, err := s.Client.ReadLeaderRecord(ctx)
 	if !s.controller.WithoutFeatureGates || err != nil {
@@ -46,28 +48,28 @@
 	}
 	entries, _, err := s.List(ctx, "leader/")
 	for _, entry := range entries {
-		if _, _, malformed := wire.DecodeLeaderRecord(entry.Value); malformed != nil {
-			err = malformed
+		if _, _, decodeErr := wire.DecodeLeaderRecord(entry.Value); decodeErr != nil {
+			err = decodeErr
 		}
 	}
 	record.Level, record.LevelVersion = 0, 0
 	return record, revision, err
 }
 
-// ClaimLeadership takes the leader's key and the next token.
+// ClaimLeadership writes the leader's key with the next fencing token. ok is false if another controller has done so.
 func (s stateRequests) ClaimLeadership(
 	_ context.Context, _ string, claim election.Claim,
 ) (tokenVersion uint64, ok bool, err error) {
 	return s.controller.claim(claim)
 }
 
-// cloudRequests are a controller's requests to the cloud.
+// cloudRequests sends a controller's requests to the cloud.
 type cloudRequests struct{ world *World }
 
 // Wait returns at once: the simulated cloud has no rate limit.
 func (cloudRequests) Wait(context.Context) error { return nil }
 
-// Provision asks the cloud for machines.
+// Provision requests machines from the cloud. refused is true if the cloud has none left.
 func (r cloudRequests) Provision(request model.Provisioning) (names []string, refused bool, err error) {
 	w := r.world
 	if w.cloudExhausted {
@@ -83,7 +85,7 @@
 	return names, false, nil
 }
 
-// Release gives machines back to the cloud, which ends them.
+// Release returns machines to the cloud, which terminates them at once. It never fails.
 func (r cloudRequests) Release(names []string) error {
 	for _, name := range names {
 		delete(r.world.Workers, name)
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// ListMachines lists the machines that the cloud has up.
+// ListMachines returns the machines that are up.
 func (r cloudRequests) ListMachines(context.Context) ([]model.MachineInfo, error) {
 	var machines []model.MachineInfo
 	for _, name := range r.world.WorkerNames() {
@@ -108,40 +110,40 @@
 	return machines, nil
 }
 
-// Catalog lists the machine types.
+// Catalog returns the machine types that the cloud offers.
 func (r cloudRequests) Catalog(context.Context) ([]model.MachineType, error) {
 	return r.world.Types, nil
 }
 
-// workerRequests are a controller's direct commands to the worker on a machine.
+// workerRequests sends a controller's direct commands to the worker on a machine.
 type workerRequests struct {
 	controller *Controller
 	machine    string
 }
 
-// Send sends commands as the network delivers them: now, later, or never.
+// Send sends commands to the worker. The network decides whether they arrive now, later or never.
 func (r workerRequests) Send(_ string, fencingToken, epoch uint64, commands []model.Command, _ bool) worker.Reply {
 	w := r.controller.world
 	w.DirectCommands++
 	target := w.Workers[r.machine]
 	deliver := func() worker.Reply {
 		if target == nil || w.Workers[r.machine] != target {
-			return worker.Reply{Err: errNoAnswer} // the machine has restarted since: the connection is gone
+			return worker.Reply{Err: errNoAnswer} // the connection was lost when the machine restarted
 		}
 		executed := target.HandleCommands(fencingToken, epoch, commands)
 		return worker.Reply{Executed: executed, NotSent: !executed, Heartbeat: target.heartbeat()}
 	}
-	later := func() { deliver() }
+	deliverLater := func() { deliver() }
 	delivery := w.nextDelivery()
 	switch {
 	case w.HoldCommands, delivery == Delayed:
-		w.hold(later)
+		w.holdCommand(deliverLater)
 	case delivery == Dropped:
 	case target != nil && target.Hung:
-		w.hold(later) // it is carried out when the machine goes on
-	case r.controller.reaches(target):
+		w.holdCommand(deliverLater) // executed once the network delivers it after the fault
+	case r.controller.canReach(target):
 		if len(commands) > 0 {
-			w.retainCommand(w.now, later)
+			w.retainCommand(w.now, deliverLater)
 		}
 		if reply := deliver(); delivery != AnswerLost {
 			return reply
@@ -150,7 +152,7 @@
 	return worker.Reply{Err: errNoAnswer}
 }
 
-// reaches tells whether a worker takes what the controller sends it now.
-func (c *Controller) reaches(target *Worker) bool {
+// canReach reports whether a message that the controller sends to a worker now would arrive and be accepted.
+func (c *Controller) canReach(target *Worker) bool {
 	return target != nil && !target.Partitioned && !target.InboundBlocked && !c.WorkersUnreachable && c.Leads()
 }
--- a/internal/fake/controller_clients_test.go
+++ b/internal/fake/controller_clients_test.go
@@ -12,7 +12,7 @@
 	tests := []struct {
 		name          string
 		prepare       func(*World, *Worker)
-		epoch         uint64 // added to the worker's
+		epoch         uint64 // added to the worker's current epoch
 		wantExecuted  bool
 		wantNotSent   bool
 		wantHeartbeat bool
@@ -47,7 +47,7 @@
 	}
 }
 
-// deliverNext decides what becomes of all direct commands from now on.
+// deliverNext makes the network treat all direct commands from now on in the given way.
 func deliverNext(delivery Delivery) func(*World, *Worker) {
 	return func(w *World, _ *Worker) { w.NextDelivery = func() Delivery { return delivery } }
 }
@@ -55,7 +55,7 @@
 func checkReply(t *testing.T, reply worker.Reply, executed, notSent, heartbeat bool) {
 	t.Helper()
 	if reply.Executed != executed || reply.NotSent != notSent || (reply.Heartbeat != nil) != heartbeat {
-		t.Errorf("got %+v, want executed=%v, not sent=%v, with a heartbeat=%v", reply, executed, notSent, heartbeat)
+		t.Errorf("reply: got %+v, want executed=%v, not sent=%v, with a heartbeat=%v", reply, executed, notSent, heartbeat)
 	}
 }
 
@@ -78,7 +78,7 @@
 			test.prepare(w)
 			machines, refused, err := cloudRequests{w}.Provision(model.Provisioning{Name: "p", Count: 2})
 			if len(machines) != test.wantMachines || refused != test.wantRefused || (err != nil) != test.wantErr {
-				t.Errorf("got %q, refused=%v, error %v, want %d machines, refused=%v, an error=%v",
+				t.Errorf("provisioning: got %q, refused=%v, error %v, want %d machines, refused=%v, an error=%v",
 					machines, refused, err, test.wantMachines, test.wantRefused, test.wantErr)
 			}
 		})
@@ -102,7 +102,7 @@
 			leader.ReadsBlocked = test.readsBlocked
 			unchanged, err := leader.stateRequests().TokenUnchanged(context.Background(), test.version)
 			if unchanged != test.want || err != nil {
-				t.Errorf("got %v, %v, want %v and no error", unchanged, err, test.want)
+				t.Errorf("token unchanged: got %v, error %v, want %v and no error", unchanged, err, test.want)
 			}
 		})
 	}
--- a/internal/fake/controller_effects.go
+++ b/internal/fake/controller_effects.go
@@ -11,35 +11,37 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// heartbeatAnswer is what a worker is answered.
+// heartbeatAnswer is a controller's answer to a worker's heartbeat.
 type heartbeatAnswer struct {
 	token    uint64
 	commands []model.Command
 }
 
-// completion hands the outcome of an effect to the reconciler that wanted it.
+// completion passes the outcome of an effect to the reconciler that requested the effect.
 type completion func(reconciler.Event)
 
-// handleHeartbeat takes a worker's heartbeat, directly or relayed. It is false where the controller does not answer.
+// handleHeartbeat processes a heartbeat that a worker has sent or another controller has relayed. The second result is
+// false if the controller does not answer it.
 func (c *Controller) handleHeartbeat(heartbeat *model.Heartbeat, relayed bool) (heartbeatAnswer, bool) {
 	if !c.Leads() || c.WorkersUnreachable || c.Frozen {
 		return heartbeatAnswer{}, false
 	}
 	answer, ok := heartbeatAnswer{token: c.fencingToken}, true
 	for _, effect := range c.stepReconciler(reconciler.HeartbeatReceived{Heartbeat: heartbeat, Relayed: relayed}) {
-		if response, is := effect.(reconciler.HeartbeatResponse); is {
+		if response, isResponse := effect.(reconciler.HeartbeatResponse); isResponse {
 			answer.commands, ok = response.Commands, !response.Refused
 		}
 	}
 	return answer, ok
 }
 
-// stepReconciler hands an event to the reconciler and carries out the effects.
+// stepReconciler passes an event to the reconciler, executes the effects and returns them. It does nothing if the
+// controller has no reconciler.
 func (c *Controller) stepReconciler(event reconciler.Event) []reconciler.Effect {
 	if c.Reconciler == nil {
 		return nil
 	}
-	c.observe(event)
+	c.notifyObserver(event)
 	requested := append([]reconciler.Effect(nil), c.Reconciler.Step(c.world.now, event)...)
 	complete := c.completionFor(c.Reconciler)
 	for _, effect := range requested {
@@ -48,8 +50,8 @@
 	return requested
 }
 
-// observe tells the observer of a heartbeat that the reconciler takes.
-func (c *Controller) observe(event reconciler.Event) {
+// notifyObserver notifies the observer, if any, of a heartbeat that is about to be passed to the reconciler.
+func (c *Controller) notifyObserver(event reconciler.Event) {
 	if c.world.Observer == nil {
 		return
 	}
@@ -63,8 +65,8 @@
 	}
 }
 
-// completionFor hands outcomes to a reconciler for as long as the controller leads with it. Answers of the state
-// service may be delayed.
+// completionFor returns the function that passes outcomes to a reconciler. It drops those that arrive after the
+// controller has stopped to lead with that reconciler. Outcomes of requests to the state service arrive with its delay.
 func (c *Controller) completionFor(core *reconciler.Core) completion {
 	return func(event reconciler.Event) {
 		deliver := func() {
@@ -74,18 +76,18 @@
 		}
 		switch event.(type) {
 		case reconciler.CommitCompleted, reconciler.FenceCompleted:
-			c.onStateReply(deliver)
+			c.scheduleStateReply(deliver)
 		default:
 			c.deferred = append(c.deferred, deliver)
 		}
 	}
 }
 
-// noLog takes the log records of failed requests, of which the simulations make many on purpose.
-var noLog = slog.New(slog.DiscardHandler)
+// discardLog discards the log records of failed requests, since the simulations let many requests fail on purpose.
+var discardLog = slog.New(slog.DiscardHandler)
 
-// executor carries out the effects of the present leadership. The simulation's network decides as a message arrives
-// whether the controller may act, so nothing is checked before one leaves.
+// executor returns the executor for the effects of the current leadership. It sends without checking whether the
+// controller may act, since the fake network checks that when a message arrives.
 func (c *Controller) executor() *effects.Executor {
 	always := func() bool { return true }
 	return &effects.Executor{
@@ -101,15 +103,15 @@
 		Jobs:  c.Jobs,
 		Cloud: cloudRequests{c.world},
 		Now:   c.world.Now,
-		Log:   noLog,
+		Log:   discardLog,
 	}
 }
 
-// execute carries out an effect of the reconciler.
+// execute executes an effect of the reconciler and passes its outcome to complete.
 func (c *Controller) execute(effect reconciler.Effect, complete completion) {
 	ctx, executor := context.Background(), c.executor()
 	switch effect := effect.(type) {
-	case reconciler.HeartbeatResponse: // handleHeartbeat answers with it
+	case reconciler.HeartbeatResponse: // handleHeartbeat sends it to the worker
 	case reconciler.SendCommands:
 		executor.Workers = workerRequests{c, effect.Machine}
 		complete(executor.Execute(ctx, effect))
@@ -128,7 +130,7 @@
 	}
 }
 
-// fence rewrites the token's record, so that no transaction from before is carried out any more.
+// fence rewrites the record of the fencing token, so that no transaction that was sent before can take effect later.
 func (c *Controller) fence(executor *effects.Executor, complete completion) {
 	result := executor.Fence(context.Background())
 	switch result.Outcome {
--- a/internal/fake/controller_election.go
+++ b/internal/fake/controller_election.go
@@ -11,23 +11,24 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// contactSlack is by how much a voter's last contact with the state service may be more recent than the leader's.
-const contactSlack = 2 * time.Second
+// maxContactLead is how much more recently than the leader a member may have had contact with the state service and
+// still vote for the leader.
+const maxContactLead = 2 * time.Second
 
-// stepElection hands an event to the election and carries out the effects.
+// stepElection passes an event to the election and executes the effects.
 func (c *Controller) stepElection(event election.Event) {
 	for _, effect := range c.Election.Step(c.world.now, event) {
 		c.executeElection(effect)
 	}
 }
 
-// electionExecutor carries out the election's requests to the state service.
+// electionExecutor returns the executor for the election's requests to the state service.
 func (c *Controller) electionExecutor() effects.ElectionExecutor {
 	return effects.ElectionExecutor{Member: c.Member, State: c.stateRequests(), Now: c.world.Now}
 }
 
-// executeElection carries out an effect of the election. A request to the state service is carried out at once, and
-// its answer is on its way for a while.
+// executeElection executes an effect of the election. A request to the state service takes effect at once, and its
+// answer arrives later.
 func (c *Controller) executeElection(effect election.Effect) {
 	ctx, executor := context.Background(), c.electionExecutor()
 	switch effect := effect.(type) {
@@ -40,15 +41,15 @@
 	case election.RenewLease:
 		c.stepElectionOnReply(executor.RenewLease(effect.LeaseID))
 	case election.RequestVotes:
-		c.toPeers(func(peer *Controller) { c.requestVote(peer, effect) })
+		c.forEachPeer(func(peer *Controller) { c.requestVote(peer, effect) })
 	case election.QueryLeadership:
-		c.toPeers(c.queryLeadership)
+		c.forEachPeer(c.queryLeadership)
 	case election.ReleaseVotes:
-		c.toPeers(func(peer *Controller) {
+		c.forEachPeer(func(peer *Controller) {
 			c.world.sendBetween(c, peer, func() { peer.Election.HandleVoteRelease(effect.FencingToken) })
 		})
 	case election.RevokeLease:
-		_ = c.State.RevokeLease(effect.LeaseID) // if it is lost, the next claim waits for the lease's expiry
+		_ = c.State.RevokeLease(effect.LeaseID) // if this fails, the next claim has to wait until the lease expires
 	case election.Elected:
 		c.fencingToken, c.tokenVersion = effect.FencingToken, effect.TokenVersion
 		c.takeOver()
@@ -57,13 +58,13 @@
 	}
 }
 
-// stepElectionOnReply has the election take the answer to a request to the state service.
+// stepElectionOnReply passes the answer to a request to the state service to the election when it arrives.
 func (c *Controller) stepElectionOnReply(event election.Event) {
-	c.onStateReply(func() { c.stepElection(event) })
+	c.scheduleStateReply(func() { c.stepElection(event) })
 }
 
-// toPeers sends something to each other controller.
-func (c *Controller) toPeers(send func(peer *Controller)) {
+// forEachPeer calls send for each other controller.
+func (c *Controller) forEachPeer(send func(peer *Controller)) {
 	for _, peer := range c.world.Controllers {
 		if peer != c {
 			send(peer)
@@ -71,10 +72,11 @@
 	}
 }
 
-// requestVote asks a peer for its vote. Its answer also carries the cancellations that it knows of.
+// requestVote requests the vote of a peer. The answer also reports the cancellations that the peer knows of, even if
+// the peer does not vote for this controller.
 func (c *Controller) requestVote(peer *Controller, effect election.RequestVotes) {
 	sent := c.world.now
-	revision, acknowledged := c.Jobs.Revision(), c.acknowledgedBy[peer.Member]
+	revision, cursor := c.Jobs.Revision(), c.acknowledgedBy[peer.Member]
 	sinceContact := sent.Sub(c.State.LastContact())
 	request := election.VoteRequest{
 		Leader:       c.Member,
@@ -84,7 +86,7 @@
 		Supersedes:   effect.Supersedes,
 	}
 	c.world.sendBetween(c, peer, func() {
-		cancellations := peer.Jobs.CancellationsAfter(revision, acknowledged)
+		cancellations := peer.Jobs.CancellationsAfter(revision, cursor)
 		duration := peer.vote(request, sinceContact)
 		c.world.sendBetween(peer, c, func() {
 			if c.fencingToken != request.FencingToken || c.Reconciler == nil {
@@ -109,7 +111,7 @@
 	})
 }
 
-// queryLeadership asks a peer whether it leads.
+// queryLeadership asks a peer whether it leads. A peer that leads, or tries to, does not answer.
 func (c *Controller) queryLeadership(peer *Controller) {
 	sent, incarnation := c.world.now, c.Election
 	c.world.sendBetween(c, peer, func() {
@@ -124,19 +126,21 @@
 	})
 }
 
-// vote decides as package controller does: a member that has not read the records, or that reached the state service
-// well after the leader did and still reaches it, does not vote.
+// vote answers a vote request and returns the duration of the vote, or 0 if the controller does not vote. As in package
+// controller, a member does not vote if it has not read the job records, or if it can reach the state service and has
+// done so more recently than the leader by more than maxContactLead.
 func (c *Controller) vote(request election.VoteRequest, leaderSinceContact time.Duration) time.Duration {
 	now := c.world.now
 	leaderContact := now.Add(-leaderSinceContact)
 	if c.Jobs.Revision() == 0 ||
-		c.State.LastContact().Sub(leaderContact) > contactSlack && c.State.UnreachableFor(now) == 0 {
+		c.State.LastContact().Sub(leaderContact) > maxContactLead && c.State.UnreachableFor(now) == 0 {
 		return 0
 	}
 	return c.Election.HandleVoteRequest(now, request)
 }
 
-// claim takes the leader's key and the next token. A program from before feature gates has no condition on the level.
+// claim writes the leader's key with the next fencing token. A version that predates feature gates does so without a
+// condition on the feature level.
 func (c *Controller) claim(claim election.Claim) (tokenVersion uint64, ok bool, err error) {
 	if !c.WithoutFeatureGates {
 		return c.State.ClaimLeadership(context.Background(), c.Member, claim)
@@ -154,7 +158,8 @@
 	}, true)
 }
 
-// takeOver reads the records and begins to lead by them. It is tried again with the next step until it succeeds.
+// takeOver reads the records and creates the reconciler with which the controller leads. If a read fails, it is retried
+// in the next step.
 func (c *Controller) takeOver() {
 	ctx := context.Background()
 	if err := c.Jobs.Refresh(ctx); err != nil {
--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -1,8 +1,9 @@
-// Package fake holds in-memory stand-ins for everything outside a controller: the state service (State), the cloud
+// Package fake provides in-memory fakes of everything outside a controller: the state service (State), the cloud
 // (Cloud), the workers (Worker) and the network between them.
 //
-// A World puts them together with controllers in a simulated time: NewWorld makes the deployment, World.Advance lets
-// time pass, and the fields of World, Controller and Worker named after a fault begin and end it. The invariants are
-// checked all along; World.Violations lists what was broken. A Fleet is workers alone, for callers that run real
-// controllers and carry the messages themselves.
+// A World combines the fakes with controllers in simulated time: NewWorld creates the deployment and World.Advance
+// moves the time on. A fault is injected by setting the field of World, Controller or Worker that is named after it,
+// and ends when the field is cleared. The invariants are checked after every step of the time; World.Violations lists
+// those that were broken. A Fleet consists of workers only, for callers that run real controllers and carry the
+// messages themselves.
 package fake
--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -8,67 +8,68 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Environment is what the stand-in workers of one deployment share: the simulated time, the jobs that users have
-// submitted, and what has happened so far. It is not safe for concurrent use.
+// Environment is the state that the fake workers of one deployment share: the simulated time, the jobs that users have
+// submitted, and a record of what has happened so far. It is not safe for concurrent use.
 type Environment struct {
 	now time.Time
 	Timing
 	TaskCounts
 	violationLog
 
-	Specs        map[string]*model.Spec
-	Dependencies map[string][]string // the jobs that a job was submitted to wait for
-	Completed    map[model.TaskID]bool
-	CancelledAt  map[string]time.Time // when a user was first answered that the job is cancelled
+	Specs        map[string]*model.Spec // the submitted jobs, by job ID
+	Dependencies map[string][]string    // by job ID: the jobs that the job depended on when it was submitted
+	Completed    map[model.TaskID]bool  // tasks that have completed
+	CancelledAt  map[string]time.Time   // by job ID: when a user was first answered that the job is cancelled
 
-	FailingJobs      map[string]bool                 // jobs whose tasks fail on every machine
-	PlacementAllowed map[string]func(w *Worker) bool // a job's constraints, checked when one of its tasks starts
-	AcceptAnyToken   bool                            // a deliberate fault: workers accept commands under any token
+	FailingJobs      map[string]bool                 // IDs of jobs whose tasks fail on every machine
+	PlacementAllowed map[string]func(w *Worker) bool // by job ID: the job's constraints, checked when a task starts
+	AcceptAnyToken   bool                            // an injected fault: workers accept commands with any fencing token
 
 	OnTaskMoved    func(w *Worker, t *Task, onMachine bool) // called when a task arrives on or leaves a machine
-	OnAttemptKnown func(w *Worker, t *Task, known bool)     // called when a worker takes a launch or forgets it
+	OnAttemptKnown func(w *Worker, t *Task, known bool)     // called when a worker learns of an attempt or forgets it
 
-	answers   map[string]*jobAnswers                           // what users were answered, by job
-	gangTasks func(job string, attempt uint64) iter.Seq[*Task] // the tasks of a gang's attempt, on all machines
+	answers   map[string]*jobAnswers                           // what users have been answered, by job ID
+	gangTasks func(job string, attempt uint64) iter.Seq[*Task] // yields the tasks of an attempt at a gang on all machines
 }
 
-// Timing is how long things take on workers, and the intervals of the worker protocol.
+// Timing holds the durations of tasks on workers and the intervals of the worker protocol.
 type Timing struct {
-	Tick              time.Duration // step of the simulated time
-	FetchTime         time.Duration // of an image
-	RunTime           time.Duration // of a task, where RunTimeOf is nil
-	Lease             time.Duration // for which a worker's lease lasts
-	HeartbeatInterval time.Duration
-	GangWait          time.Duration // for which a gang's task waits for the others
-	CancelDeadline    time.Duration // in which a cancelled job has to be off all machines
-
-	RunTimeOf       func(id model.TaskID) time.Duration // nil: RunTime for all tasks
-	HeartbeatJitter func() float64                      // factor on each heartbeat interval; nil: 1
+	Tick              time.Duration // step by which the simulated time advances
+	FetchTime         time.Duration // time to fetch an image
+	RunTime           time.Duration // run time of each task if RunTimeOf is nil
+	Lease             time.Duration // duration of a worker's lease
+	HeartbeatInterval time.Duration // time between two heartbeats of a worker whose status does not change
+	GangWait          time.Duration // maximum time for which a task of a gang waits for the others
+	CancelDeadline    time.Duration // time after a cancellation within which the job's tasks must have ended
+
+	RunTimeOf       func(id model.TaskID) time.Duration // returns the run time of a task; may be nil
+	HeartbeatJitter func() float64                      // returns a factor for the next heartbeat interval; nil means 1
 }
 
-// TaskCounts count what has happened to tasks on the workers.
+// TaskCounts counts the events of tasks on the workers.
 type TaskCounts struct {
-	KilledTasks   int                  // tasks that ended with their worker's lease
-	LeaseExpiries int                  // worker epochs that ended with their lease
-	Starts        map[model.TaskID]int // launches that workers carried out
-	Checkpoints   map[model.TaskID]int // graceful stops that saved a checkpoint
+	KilledTasks   int                  // tasks that were killed when their worker's lease expired
+	LeaseExpiries int                  // worker leases that have expired, each of which ended an epoch
+	Starts        map[model.TaskID]int // launches that workers have executed, by task
+	Checkpoints   map[model.TaskID]int // graceful stops that have saved a checkpoint, by task
 }
 
-// violationLog collects broken invariants, each text once.
+// violationLog collects the descriptions of broken invariants, each distinct one once.
 type violationLog struct {
 	Violations     []string
 	seenViolations map[string]bool
 }
 
-// violated records a broken invariant.
-func (l *violationLog) violated(format string, args ...any) {
+// recordViolation records a broken invariant. Its description begins with the name of the invariant and a colon.
+func (l *violationLog) recordViolation(format string, args ...any) {
 	if text := fmt.Sprintf(format, args...); !l.seenViolations[text] {
 		l.seenViolations[text] = true
 		l.Violations = append(l.Violations, text)
 	}
 }
 
-// newEnvironment makes an environment without jobs; gangTasks finds the tasks of a gang's attempt.
+// newEnvironment returns an environment without jobs whose time begins at now. gangTasks must yield the tasks of an
+// attempt at a gang on all machines.
 func newEnvironment(now time.Time, gangTasks func(job string, attempt uint64) iter.Seq[*Task]) Environment {
 	return Environment{
 		now:              now,
@@ -86,10 +87,10 @@
 	}
 }
 
-// Now is the simulated time.
+// Now returns the simulated time.
 func (e *Environment) Now() time.Time { return e.now }
 
-// AllCompleted tells whether all tasks of a job have completed.
+// AllCompleted reports whether all tasks of a job have completed.
 func (e *Environment) AllCompleted(id string) bool {
 	for i := range e.Specs[id].Tasks {
 		if !e.Completed[model.TaskID{Job: id, Index: i}] {
@@ -99,7 +100,7 @@
 	return true
 }
 
-// anyCompleted tells whether a task of a job has completed.
+// anyCompleted reports whether at least one task of a job has completed.
 func (e *Environment) anyCompleted(id string) bool {
 	for i := range e.Specs[id].Tasks {
 		if e.Completed[model.TaskID{Job: id, Index: i}] {
@@ -109,7 +110,7 @@
 	return false
 }
 
-// gangReady tells whether all tasks of an attempt have their images.
+// gangReady reports whether all tasks of the gang's attempt that t belongs to have fetched their images.
 func (e *Environment) gangReady(t *Task) bool {
 	ready := 0
 	for other := range e.gangTasks(t.ID.Job, t.Attempt) {
@@ -120,7 +121,7 @@
 	return ready == t.Spec.Tasks
 }
 
-// gangIntact tells whether no task of a running attempt is missing.
+// gangIntact reports whether all tasks of the gang's attempt that t belongs to are still on machines or have completed.
 func (e *Environment) gangIntact(t *Task) bool {
 	intact := 0
 	for other := range e.gangTasks(t.ID.Job, t.Attempt) {
@@ -138,8 +139,9 @@
 	}
 }
 
-// nextInterval is the time until a worker's next heartbeat while its status does not change.
-func (e *Environment) nextInterval() time.Duration {
+// nextHeartbeatInterval returns the time after which a worker sends its next heartbeat if its status does not change
+// before.
+func (e *Environment) nextHeartbeatInterval() time.Duration {
 	if e.HeartbeatJitter == nil {
 		return e.HeartbeatInterval
 	}
--- a/internal/fake/fleet.go
+++ b/internal/fake/fleet.go
@@ -9,34 +9,34 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Fleet is many stand-in workers without controllers: its caller carries their messages and moves the time with
-// SetNow. Unlike a World it never looks at all workers at once, but checks the invariants as tasks arrive on machines
-// and leave them. It is not safe for concurrent use.
+// Fleet is a large set of fake workers without controllers. Its caller carries their messages and sets the time with
+// SetNow. Unlike a World, a Fleet never scans all workers: it checks the invariants for each task that arrives on a
+// machine or leaves it. It is not safe for concurrent use.
 type Fleet struct {
 	Environment
-	Workers  map[string]*Worker
-	OnLaunch func(t *Task) // called with each launch that a worker takes; nil: nothing is
-
-	quotas     map[string]model.Quota // by team
-	gangs      map[gangAttempt]map[*Task]bool
-	workerOf   map[model.TaskID]*Worker
-	usedByTeam map[string]model.Resources
-	placements map[string]*placement // by job
+	Workers  map[string]*Worker // by name of the machine
+	OnLaunch func(t *Task)      // called for each launch that a worker executes; may be nil
+
+	quotas     map[string]model.Quota         // by team
+	gangs      map[gangAttempt]map[*Task]bool // the tasks that workers know of each attempt at a gang
+	workerOf   map[model.TaskID]*Worker       // the workers of the tasks that are on machines
+	usedByTeam map[string]model.Resources     // resources of the tasks that are on machines, by team
+	placements map[string]*placement          // by job ID
 }
 
-// gangAttempt names an attempt at a gang.
+// gangAttempt identifies an attempt at a gang.
 type gangAttempt struct {
 	job     string
 	attempt uint64
 }
 
-// placement is where the tasks of a job are.
+// placement counts the tasks of a job that are on machines.
 type placement struct {
 	tasks int
 	zones map[string]int // tasks by zone
 }
 
-// NewFleet makes a fleet without workers, in which teams have quotas.
+// NewFleet returns a fleet without workers that begins at now and checks the quotas of the teams.
 func NewFleet(now time.Time, teams []model.Team) *Fleet {
 	f := &Fleet{
 		Workers:    map[string]*Worker{},
@@ -47,24 +47,24 @@
 		placements: map[string]*placement{},
 	}
 	f.Environment = newEnvironment(now, f.gangAttemptTasks)
-	f.OnTaskMoved, f.OnAttemptKnown = f.trackPlacement, f.trackLaunch
+	f.OnTaskMoved, f.OnAttemptKnown = f.trackPlacement, f.trackAttempt
 	for _, team := range teams {
 		f.quotas[team.Name] = team.Quota
 	}
 	return f
 }
 
-// SetNow moves the fleet's time.
+// SetNow sets the fleet's time.
 func (f *Fleet) SetNow(now time.Time) { f.now = now }
 
-// Add brings a machine up.
+// Add adds a machine that has just booted and returns its worker.
 func (f *Fleet) Add(m model.MachineInfo) *Worker {
 	w := newWorker(&f.Environment, m)
 	f.Workers[m.Name] = w
 	return w
 }
 
-// Remove ends a machine and everything on it.
+// Remove removes a machine and kills its tasks. It ignores an unknown name.
 func (f *Fleet) Remove(name string) {
 	if w := f.Workers[name]; w != nil {
 		w.KillTasks()
@@ -72,41 +72,45 @@
 	}
 }
 
-// RecordAnswer checks what a controller has answered the user of a job against all answers before. Answers about one
-// job are to be recorded in the order in which its user asked.
+// RecordAnswer records the state that a controller has answered the user of a job, and checks it against all earlier
+// answers. Answers about one job must be recorded in the order in which its user asked.
 func (f *Fleet) RecordAnswer(member, id string, state wire.JobState) {
 	f.recordAnswer(member, id, state)
 }
 
-// RecordCancelRequest notes that the user of a job asks to cancel it.
+// RecordCancelRequest records that the user of a job asks to cancel it. Without it, an answer that the job is cancelled
+// is a violation.
 func (f *Fleet) RecordCancelRequest(id string) { f.recordCancelRequest(id) }
 
-// RecordCancelled notes that the user of a job was answered that it is cancelled.
+// RecordCancelled records that the user of a job was answered that it is cancelled. The deadline for the job's tasks to
+// end counts from the first call.
 func (f *Fleet) RecordCancelled(id string) {
 	if _, known := f.CancelledAt[id]; !known {
 		f.CancelledAt[id] = f.now
 	}
 }
 
-// ActiveTasks counts the tasks that are on machines.
+// ActiveTasks returns the number of tasks that are on machines.
 func (f *Fleet) ActiveTasks() int { return len(f.workerOf) }
 
-// CheckCancelled looks for tasks of cancelled jobs that are still on machines.
+// CheckCancelled records a violation for each cancelled job that still has tasks on machines after the deadline of its
+// cancellation.
 func (f *Fleet) CheckCancelled() {
 	for id, at := range f.CancelledAt {
 		if p := f.placements[id]; p != nil && p.tasks > 0 && f.now.Sub(at) > f.CancelDeadline {
-			f.violated("ran_cancelled: %d tasks of %s", p.tasks, id)
+			f.recordViolation("ran_cancelled: %d tasks of %s run after the deadline of its cancellation", p.tasks, id)
 		}
 	}
 }
 
-// gangAttemptTasks finds the tasks of a gang's attempt on all machines.
+// gangAttemptTasks yields the tasks of an attempt at a gang on all machines.
 func (f *Fleet) gangAttemptTasks(job string, attempt uint64) iter.Seq[*Task] {
 	return maps.Keys(f.gangs[gangAttempt{job, attempt}])
 }
 
-// trackLaunch reports a launch to the caller, and keeps the tasks of each gang's attempt.
-func (f *Fleet) trackLaunch(_ *Worker, t *Task, known bool) {
+// trackAttempt handles OnAttemptKnown: it reports launches to the caller, and keeps track of the tasks of each attempt
+// at a gang.
+func (f *Fleet) trackAttempt(_ *Worker, t *Task, known bool) {
 	if known && f.OnLaunch != nil {
 		f.OnLaunch(t)
 	}
@@ -126,7 +130,7 @@
 	}
 }
 
-// trackPlacement keeps where tasks are.
+// trackPlacement handles OnTaskMoved: it keeps track of the tasks that are on machines.
 func (f *Fleet) trackPlacement(w *Worker, t *Task, onMachine bool) {
 	if onMachine {
 		f.taskPlaced(w, t)
@@ -135,16 +139,16 @@
 	}
 }
 
-// taskPlaced checks the invariants for a task that has arrived on a machine.
+// taskPlaced records a task that has arrived on a machine and checks the invariants for it.
 func (f *Fleet) taskPlaced(w *Worker, t *Task) {
 	spec := t.Spec
 	if other := f.workerOf[t.ID]; other != nil {
-		f.violated("ran_twice: %v on %s and %s", t.ID, other.Name, w.Name)
+		f.recordViolation("ran_twice: %v is on %s and on %s", t.ID, other.Name, w.Name)
 	}
 	f.workerOf[t.ID] = w
 	f.usedByTeam[spec.Team] = f.usedByTeam[spec.Team].Add(spec.Demand)
 	if used := f.usedByTeam[spec.Team]; !f.quotas[spec.Team].Allows(used) {
-		f.violated("quota: %s uses %v", spec.Team, used)
+		f.recordViolation("quota: team %s exceeds its quota with %v in use", spec.Team, used)
 	}
 	p := f.placements[t.ID.Job]
 	if p == nil {
@@ -154,17 +158,17 @@
 	p.tasks++
 	p.zones[w.Zone]++
 	if !spec.AllowSpot && w.Spot || !spec.AllowsType(w.Type) || spec.Zone != "" && spec.Zone != w.Zone {
-		f.violated("wrong_place: %v on %s", t.ID, w.Name)
+		f.recordViolation("wrong_place: %v is on %s, where its job may not run", t.ID, w.Name)
 	}
 	if spec.SingleZone && len(p.zones) > 1 || spec.Spread && p.zones[w.Zone] > spec.MaxTasksPerZone() {
-		f.violated("wrong_place: %s has %d tasks in %s", spec.ID, p.zones[w.Zone], w.Zone)
+		f.recordViolation("wrong_place: %s has %d tasks in zone %s, against its zone rules", spec.ID, p.zones[w.Zone], w.Zone)
 	}
 	if at, ok := f.CancelledAt[t.ID.Job]; ok && f.now.Sub(at) > f.CancelDeadline {
-		f.violated("ran_cancelled: %v on %s", t.ID, w.Name)
+		f.recordViolation("ran_cancelled: %v arrived on %s after the deadline of its job's cancellation", t.ID, w.Name)
 	}
 }
 
-// taskRemoved takes a task that has left its machine out of what is kept.
+// taskRemoved removes the record of a task that has left its machine.
 func (f *Fleet) taskRemoved(w *Worker, t *Task) {
 	if f.workerOf[t.ID] == w {
 		delete(f.workerOf, t.ID)
--- a/internal/fake/gang_test.go
+++ b/internal/fake/gang_test.go
@@ -21,40 +21,40 @@
 		})
 		submitJob(t, w, spec)
 		waitUntil(t, w, 60*second, "the tasks are on machines", func() bool {
-			n := 0
+			onMachines := 0
 			for _, worker := range w.Workers {
 				for _, task := range worker.Tasks {
 					if task.ID.Job == spec.ID && task.Phase != model.PhaseExited {
-						n++
+						onMachines++
 					}
 				}
 			}
-			return n == 3
+			return onMachines == 3
 		})
 		if when == "while it runs" {
-			waitUntil(t, w, 60*second, "runs", func() bool { return activeTasks(w, spec) == 3 })
+			waitUntil(t, w, 60*second, "the gang runs", func() bool { return activeTasks(w, spec) == 3 })
 			w.Advance(2 * second)
 		}
-		for _, n := range w.WorkerNames() {
-			if worker := w.Workers[n]; len(worker.Tasks) > 0 {
+		for _, name := range w.WorkerNames() {
+			if worker := w.Workers[name]; len(worker.Tasks) > 0 {
 				worker.Partitioned = true
 				break
 			}
 		}
-		waitUntil(t, w, 200*second, "done although it lost a task "+when, jobDone(t, w, spec))
+		waitUntil(t, w, 200*second, "the job is done although it lost a task "+when, jobDone(t, w, spec))
 	}
 }
 
 func TestIncompleteGangIsRestartedAfterTimeout(t *testing.T) {
 	w := newDeployment(t, 2)
-	w.Workers["n-000002"].FetchDelay = 40 * second // longer than a gang waits
+	w.Workers["n-000002"].FetchDelay = 40 * second // longer than GangWait
 	spec := newJob(model.Gang, 2, func(spec *model.Spec) { spec.Demand.CPU = 6 })
 	submitJob(t, w, spec)
-	waitUntil(t, w, 60*second, "the task that waited gave up", func() bool {
+	waitUntil(t, w, 60*second, "the waiting task has been started again after a timeout", func() bool {
 		return w.Starts[model.TaskID{Job: spec.ID, Index: 0}] > 1
 	})
 	w.Workers["n-000002"].FetchDelay = 0
-	waitUntil(t, w, 150*second, "done", jobDone(t, w, spec))
+	waitUntil(t, w, 150*second, "the job is done", jobDone(t, w, spec))
 }
 
 func TestGangUnderInterruptionNoticeCheckpointsAndResumes(t *testing.T) {
@@ -66,15 +66,15 @@
 		spec.CheckpointTime = 2 * second
 	})
 	submitJob(t, w, spec)
-	waitUntil(t, w, 30*second, "the tasks are there", func() bool { return activeTasks(w, spec) == 2 })
-	w.Advance(2 * second) // the tasks run
+	waitUntil(t, w, 30*second, "the tasks are on machines", func() bool { return activeTasks(w, spec) == 2 })
+	w.Advance(2 * second) // the images are fetched, and the tasks run
 	worker := w.Workers[w.MachinesOf(model.TaskID{Job: spec.ID})[0]]
 	worker.InterruptionNotice, worker.statusChanged = 10*second, true
-	waitUntil(t, w, 5*second, "both tasks have saved", func() bool {
+	waitUntil(t, w, 5*second, "both tasks have saved a checkpoint", func() bool {
 		return w.Checkpoints[model.TaskID{Job: spec.ID}] == 1 && w.Checkpoints[model.TaskID{Job: spec.ID, Index: 1}] == 1
 	})
-	waitUntil(t, w, 30*second, "runs elsewhere", func() bool {
+	waitUntil(t, w, 30*second, "the gang runs on other machines", func() bool {
 		return activeTasks(w, spec) == 2 && len(w.MachinesOf(model.TaskID{Job: spec.ID})) == 1
 	})
-	waitUntil(t, w, 90*second, "done", jobDone(t, w, spec))
+	waitUntil(t, w, 90*second, "the job is done", jobDone(t, w, spec))
 }
--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -2,17 +2,18 @@
 
 import "github.com/glentiller/glentiller/internal/model"
 
-// invariantCheck is one pass over all machines of a World.
+// invariantCheck is one check of the invariants over all machines of a World.
 type invariantCheck struct {
 	*World
-	machineOf  map[model.TaskID]string
-	usedByTeam map[string]model.Resources
-	zones      map[string]map[string]int // tasks by job and zone
+	machineOf  map[model.TaskID]string    // the machines of the tasks that were checked so far
+	usedByTeam map[string]model.Resources // resources of these tasks, by team
+	zones      map[string]map[string]int  // number of these tasks, by job ID and zone
 }
 
-// CheckInvariants looks for broken invariants: a task on two machines, one that started before its dependencies were
-// done, that is on a machine where its job may not run, or that still is there after the deadline of its
-// cancellation; a team over its quota; a job whose tasks are not in the zones that it allows.
+// CheckInvariants checks the tasks that are on machines at present, and records each broken invariant as a violation:
+// a task is on two machines, is on a machine before the dependencies of its job are done, is on a machine on which its
+// job may not run, or is on a machine after the deadline of its job's cancellation; a team exceeds its quota; or the
+// tasks of a job break the job's zone rules.
 func (w *World) CheckInvariants() {
 	check := &invariantCheck{
 		World:      w,
@@ -24,23 +25,23 @@
 		worker := w.Workers[name]
 		for _, t := range worker.Tasks {
 			if t.OnMachine() {
-				check.task(worker, t)
+				check.checkTask(worker, t)
 			}
 		}
 	}
-	check.quotas()
-	check.zoneSpread()
+	check.checkQuotas()
+	check.checkZones()
 }
 
-// task checks one task on a machine.
-func (c *invariantCheck) task(worker *Worker, t *Task) {
+// checkTask checks a task that is on a machine, and counts it for the other checks.
+func (c *invariantCheck) checkTask(worker *Worker, t *Task) {
 	if other, ok := c.machineOf[t.ID]; ok {
-		c.violated("ran_twice: %v on %s and %s", t.ID, other, worker.Name)
+		c.recordViolation("ran_twice: %v is on %s and on %s", t.ID, other, worker.Name)
 	}
 	c.machineOf[t.ID] = worker.Name
 	for _, dependency := range c.Dependencies[t.ID.Job] {
 		if !c.AllCompleted(dependency) {
-			c.violated("too_early: %v on %s before %s is done", t.ID, worker.Name, dependency)
+			c.recordViolation("too_early: %v is on %s although its dependency %s is not done", t.ID, worker.Name, dependency)
 		}
 	}
 	c.usedByTeam[t.Spec.Team] = c.usedByTeam[t.Spec.Team].Add(t.Spec.Demand)
@@ -49,33 +50,34 @@
 	}
 	c.zones[t.ID.Job][worker.Zone]++
 	if !t.Spec.AllowSpot && worker.Spot || !t.Spec.AllowsType(worker.Type) {
-		c.violated("wrong_place: %v on %s", t.ID, worker.Name)
+		c.recordViolation("wrong_place: %v is on %s, where its job may not run", t.ID, worker.Name)
 	}
 	if at, ok := c.CancelledAt[t.ID.Job]; ok {
 		since := c.now.Sub(at)
 		c.LongestCancellation = max(c.LongestCancellation, since)
 		if since > c.CancelDeadline {
-			c.violated("ran_cancelled: %v on %s, told by %s", t.ID, worker.Name, c.CancelConfirmedBy[t.ID.Job])
+			c.recordViolation("ran_cancelled: %v is on %s after the deadline of a cancellation that %s has confirmed",
+				t.ID, worker.Name, c.CancelConfirmedBy[t.ID.Job])
 		}
 	}
 }
 
-// quotas checks what teams use.
-func (c *invariantCheck) quotas() {
+// checkQuotas checks that no team uses more than its quota.
+func (c *invariantCheck) checkQuotas() {
 	for team, used := range c.usedByTeam {
 		if !c.Teams[team].Quota.Allows(used) {
-			c.violated("quota: %s uses %v", team, used)
+			c.recordViolation("quota: team %s exceeds its quota with %v in use", team, used)
 		}
 	}
 }
 
-// zoneSpread checks the zones of each job's tasks.
-func (c *invariantCheck) zoneSpread() {
+// checkZones checks that the tasks of each job are in zones that the job's spread or its single zone allows.
+func (c *invariantCheck) checkZones() {
 	for id, zones := range c.zones {
 		spec := c.Specs[id]
 		for zone, tasks := range zones {
 			if spec.Spread && tasks > spec.MaxTasksPerZone() || spec.SingleZone && len(zones) > 1 {
-				c.violated("wrong_place: %s has %d tasks in %s", id, tasks, zone)
+				c.recordViolation("wrong_place: %s has %d tasks in zone %s, against its zone rules", id, tasks, zone)
 			}
 		}
 	}
--- a/internal/fake/launch_test.go
+++ b/internal/fake/launch_test.go
@@ -10,7 +10,7 @@
 	w := newDeployment(t, 3)
 	spec := newJob(model.Array, 4, nil)
 	w.RunTime = 30 * second
-	w.HoldCommands = true // direct launches are held in the network
+	w.HoldCommands = true // the network holds direct launches
 	submitJob(t, w, spec)
 	waitUntil(t, w, 3*second, "direct launches are on their way", func() bool { return len(w.HeldCommands) > 0 })
 	old := w.Leader()
@@ -18,11 +18,11 @@
 	w.HoldCommands = false
 	waitForOtherLeader(t, w, 20*second, old)
 	waitUntil(t, w, 20*second, "all tasks run", func() bool { return activeTasks(w, spec) == 4 })
-	for _, f := range w.HeldCommands {
-		f() // minutes late: the new leader's token is known to the workers
+	for _, deliver := range w.HeldCommands {
+		deliver() // the launches arrive after the workers know the new leader's fencing token
 	}
 	w.Advance(5 * second)
-	waitUntil(t, w, 60*second, "done", jobDone(t, w, spec))
+	waitUntil(t, w, 60*second, "the job is done", jobDone(t, w, spec))
 }
 
 func TestDelayedLaunchAfterCompletionStartsNothing(t *testing.T) {
@@ -31,48 +31,48 @@
 	spec := newJob(model.Array, 1, nil)
 	w.HoldCommands = true
 	submitJob(t, w, spec)
-	waitUntil(t, w, 30*second, "done by the launch in a report's answer", jobDone(t, w, spec))
+	waitUntil(t, w, 30*second, "the job is done by the launch in the answer to a heartbeat", jobDone(t, w, spec))
 	w.Advance(10 * second)
-	delete(w.Completed, model.TaskID{Job: spec.ID}) // a second start would show as one that runs
-	for _, f := range w.HeldCommands {
-		f()
+	delete(w.Completed, model.TaskID{Job: spec.ID}) // otherwise a second start would exit at once and go unnoticed
+	for _, deliver := range w.HeldCommands {
+		deliver()
 	}
 	w.Advance(3 * second)
-	if n := activeTasks(w, spec); n != 0 {
-		t.Errorf("a late copy of the launch started the task again: on %d machines", n)
+	if active := activeTasks(w, spec); active != 0 {
+		t.Errorf("a delayed copy of the launch started the task again: it is on %d machines, want none", active)
 	}
 }
 
-// Two copies of a launch are out at once: the first one hangs in the network, the second
-// one, sent with a stop, is answered. The answer says nothing of the first.
+// Two copies of a launch are in transit at once: the network holds the first one, and the second one, sent with a stop,
+// is answered. The answer does not show whether the first copy can still arrive, which must not start the task again.
 func TestAnsweredDuplicateLaunchIsNotStartedAgain(t *testing.T) {
 	w := newDeployment(t, 2)
-	answers := func(lost bool) {
+	setInboundBlocked := func(blocked bool) {
 		for _, worker := range w.Workers {
-			worker.InboundBlocked = lost
+			worker.InboundBlocked = blocked
 		}
 	}
-	answers(true) // they would bring the launch before the second copy does
+	setInboundBlocked(true) // answers to heartbeats would deliver the launch before the second copy
 	spec := newJob(model.Array, 1, nil)
 	w.HoldCommands = true
 	submitJob(t, w, spec)
-	waitUntil(t, w, 3*second, "the first copy is on its way", func() bool { return len(w.HeldCommands) > 0 })
+	waitUntil(t, w, 3*second, "the first copy is in transit", func() bool { return len(w.HeldCommands) > 0 })
 	w.HoldCommands = false
 	if _, err := w.Cancel(w.Controllers[0], spec.ID); err != nil {
 		t.Fatal(err)
 	}
-	w.Advance(4 * second) // a command that was not answered puts the next one off
-	sent := w.DirectCommands
-	submitJob(t, w, newJob(model.Array, 4, nil)) // the command for these takes the second copy along
-	waitUntil(t, w, 3*second, "the second copy is answered", func() bool { return w.DirectCommands > sent })
-	answers(false)
-	w.Advance(20 * second) // the worker has long forgotten the tasks that it may
-	starts := w.Starts[model.TaskID{Job: spec.ID}]
-	for _, f := range w.HeldCommands {
-		f()
+	w.Advance(4 * second) // an unanswered command delays the next one
+	sentBefore := w.DirectCommands
+	submitJob(t, w, newJob(model.Array, 4, nil)) // the command that launches these also carries the second copy
+	waitUntil(t, w, 3*second, "the second copy is answered", func() bool { return w.DirectCommands > sentBefore })
+	setInboundBlocked(false)
+	w.Advance(20 * second) // enough for the worker to be told to forget all tasks that may be forgotten
+	startsBefore := w.Starts[model.TaskID{Job: spec.ID}]
+	for _, deliver := range w.HeldCommands {
+		deliver()
 	}
-	if got := w.Starts[model.TaskID{Job: spec.ID}]; got != starts {
-		t.Errorf("the first copy started the task again: %d starts, then %d", starts, got)
+	if got := w.Starts[model.TaskID{Job: spec.ID}]; got != startsBefore {
+		t.Errorf("the first copy started the task again: got %d starts before it and %d after", startsBefore, got)
 	}
 }
 
@@ -87,11 +87,11 @@
 		t.Fatal(err)
 	}
 	w.Advance(20 * second)
-	for _, f := range w.HeldCommands {
-		f()
+	for _, deliver := range w.HeldCommands {
+		deliver()
 	}
-	w.Advance(60 * second) // the world checks ran_cancelled
-	if n := activeTasks(w, spec); n != 0 {
-		t.Errorf("%d tasks of a cancelled job run", n)
+	w.Advance(60 * second) // the World checks the invariant ran_cancelled
+	if active := activeTasks(w, spec); active != 0 {
+		t.Errorf("got %d running tasks of a cancelled job, want none", active)
 	}
 }
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -6,37 +6,38 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// network is what becomes of messages between controllers, and between controllers and workers.
+// network simulates the network between the controllers, and between controllers and workers. It can partition the
+// controllers; it can lose, delay or repeat direct commands; and it keeps copies of heartbeats for replay.
 type network struct {
-	ControllersPartitioned bool // controllers do not reach each other
-
-	RetainedHeartbeats    []*model.Heartbeat // copies that the network keeps; the oldest go first
-	MaxRetainedHeartbeats int                // that the network keeps, and as many direct commands
-	HeldCommands          []func()           // direct commands that may be delivered later
-	HoldCommands          bool               // hold all direct commands back; their senders give up
-	NextDelivery          func() Delivery    // what becomes of the next direct command; nil: Delivered
-	RepeatableCommands    []RepeatableCommand
-	DirectCommands        int // that controllers have sent
+	ControllersPartitioned bool // no messages pass between controllers
+
+	RetainedHeartbeats    []*model.Heartbeat  // copies of the latest heartbeats, oldest first
+	MaxRetainedHeartbeats int                 // maximum number of retained heartbeats, and of repeatable commands
+	HeldCommands          []func()            // undelivered direct commands; calling one delivers it
+	HoldCommands          bool                // hold all direct commands; their senders receive no answer
+	NextDelivery          func() Delivery     // returns how the next direct command is delivered; nil means Delivered
+	RepeatableCommands    []RepeatableCommand // the latest direct commands that were executed, oldest first
+	DirectCommands        int                 // number of direct commands that controllers have sent
 }
 
-// RepeatableCommand is a direct command that was carried out, and that the network may repeat.
+// RepeatableCommand is a direct command that was delivered and that the network may deliver again.
 type RepeatableCommand struct {
 	DeliveredAt time.Time
-	Repeat      func()
+	Repeat      func() // delivers the command again; its answer is lost
 }
 
-// Delivery is what becomes of a direct command on its way.
+// Delivery is how the network treats a direct command.
 type Delivery uint8
 
-// The ways in which direct commands are delivered.
+// The ways in which the network treats a direct command.
 const (
-	Delivered  Delivery = iota
-	AnswerLost          // carried out, but its answer is lost
-	Delayed             // not answered; it may arrive later
-	Dropped             // not answered, and never arrives
+	Delivered  Delivery = iota // the command and its answer are delivered
+	AnswerLost                 // the command is delivered, but its answer is lost
+	Delayed                    // the sender receives no answer, and the command may be delivered later
+	Dropped                    // the sender receives no answer, and the command is never delivered
 )
 
-// retainHeartbeat keeps a copy of a heartbeat.
+// retainHeartbeat retains a heartbeat for replay and drops the oldest one if there are too many.
 func (n *network) retainHeartbeat(h *model.Heartbeat) {
 	if n.MaxRetainedHeartbeats == 0 {
 		return
@@ -47,7 +48,7 @@
 	n.RetainedHeartbeats = append(n.RetainedHeartbeats, h)
 }
 
-// retainCommand keeps a direct command that is carried out now.
+// retainCommand retains a direct command that is delivered now, and drops the oldest ones if there are too many.
 func (n *network) retainCommand(now time.Time, repeat func()) {
 	if n.MaxRetainedHeartbeats == 0 {
 		return
@@ -56,10 +57,10 @@
 	n.RepeatableCommands = append(n.RepeatableCommands[surplus:], RepeatableCommand{now, repeat})
 }
 
-// hold keeps a direct command back.
-func (n *network) hold(deliver func()) { n.HeldCommands = append(n.HeldCommands, deliver) }
+// holdCommand holds a direct command; deliver delivers it.
+func (n *network) holdCommand(deliver func()) { n.HeldCommands = append(n.HeldCommands, deliver) }
 
-// nextDelivery decides what becomes of the next direct command.
+// nextDelivery returns how to treat the next direct command.
 func (n *network) nextDelivery() Delivery {
 	if n.NextDelivery == nil {
 		return Delivered
@@ -67,7 +68,7 @@
 	return n.NextDelivery()
 }
 
-// DeliverHeldCommands has the commands arrive that the network has held back.
+// DeliverHeldCommands delivers the commands that the network holds, and checks the invariants after each.
 func (w *World) DeliverHeldCommands() {
 	held := w.HeldCommands
 	w.HeldCommands = nil
@@ -77,8 +78,9 @@
 	}
 }
 
-// sendBetween carries a message from one controller to another, unless one is down or they are cut off from each
-// other. One that is sent to a controller that restarts meanwhile is lost.
+// sendBetween sends a message from one controller to another, which receives it in its next step, when deliver is
+// called. The message is lost if a controller is down, if they cannot reach each other, or if the receiver restarts
+// before it has received the message.
 func (w *World) sendBetween(from, to *Controller, deliver func()) {
 	if !from.Up || !to.Up || w.ControllersPartitioned || from.PeersUnreachable || to.PeersUnreachable {
 		return
@@ -91,18 +93,18 @@
 	})
 }
 
-// sendHeartbeat has a worker report to its controller and take the answer.
+// sendHeartbeat sends a heartbeat of a worker to the controller that it reports to, and passes the answer back.
 func (w *World) sendHeartbeat(worker *Worker) {
 	sent := w.now
 	c := w.Controllers[worker.controllerIndex]
 	heartbeat := worker.NextHeartbeat()
 	w.retainHeartbeat(heartbeat)
 	answer, ok := c.handleHeartbeat(heartbeat, false)
-	if leader := w.Leader(); worker.InboundBlocked && !ok && w.relays(c, leader) {
+	if leader := w.Leader(); worker.InboundBlocked && !ok && w.canRelay(c, leader) {
 		leader.handleHeartbeat(heartbeat, true)
 	}
 	switch {
-	case worker.InboundBlocked: // it waits for its answer, and then tries the next controller
+	case worker.InboundBlocked: // the worker waits in vain for the answer
 		w.tryNextController(worker, 5*time.Second)
 		worker.awaitingAnswer = true
 	case ok:
@@ -112,18 +114,18 @@
 	}
 }
 
-// relays tells whether a controller passes heartbeats on to the leader.
-func (w *World) relays(c, leader *Controller) bool {
+// canRelay reports whether a controller can forward heartbeats to the leader.
+func (w *World) canRelay(c, leader *Controller) bool {
 	return c.Up && leader != nil && leader != c && !c.PeersUnreachable && !leader.PeersUnreachable
 }
 
-// tryNextController has a worker report to the next controller after a delay.
+// tryNextController makes a worker send its next heartbeat to the next controller after a delay.
 func (w *World) tryNextController(worker *Worker, after time.Duration) {
 	worker.controllerIndex = (worker.controllerIndex + 1) % len(w.Controllers)
 	worker.Retry(after)
 }
 
-// ReplayHeartbeat has a copy of an earlier heartbeat arrive at a controller. Nobody waits for its answer.
+// ReplayHeartbeat delivers a copy of an earlier heartbeat to a controller. The answer is lost.
 func (w *World) ReplayHeartbeat(c *Controller, heartbeat *model.Heartbeat) {
 	c.handleHeartbeat(heartbeat, false)
 	w.CheckInvariants()
--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -7,33 +7,35 @@
 )
 
 const (
-	// maxWaitWithRoom is how long a job may wait, once all faults have ended, while a machine that fits has room and
-	// its team is under its quota.
+	// maxWaitWithRoom bounds how long a job may wait while suitable machines have room for it and its team is under
+	// its quota. It applies once all faults have ended.
 	maxWaitWithRoom = 90 * time.Second
-	// starvationInterval is the time between two checks for jobs that wait.
+	// starvationInterval is the minimum time between two checks for starving jobs.
 	starvationInterval = time.Second
 )
 
-// starvation is how long jobs wait for which there is room.
-type starvation struct {
-	LongestWait         time.Duration // of a job for which there was room, once all faults had ended
-	faultsEndedAt       time.Time     // zero: faults go on, and waits are not checked
-	waitingSince        map[string]time.Time
-	starvationCheckedAt time.Time
+// starvationState keeps track of the jobs that wait although there is room for them.
+type starvationState struct {
+	LongestWait         time.Duration        // longest wait of a job that had room, after all faults had ended
+	faultsEndedAt       time.Time            // the zero time means that faults may continue: no waits are checked
+	waitingSince        map[string]time.Time // start of the current wait with room, by job ID
+	starvationCheckedAt time.Time            // time of the latest check
 }
 
-// occupancy is what is on the machines of a World.
+// occupancy summarizes the tasks that the workers of a World know and that have not ended.
 type occupancy struct {
-	usedByTeam map[string]model.Resources
-	tasks      map[model.TaskID]bool // that a worker knows and that have not ended
-	free       map[*Worker]model.Resources
-	zones      map[string]map[string]int // tasks by job and zone
+	usedByTeam map[string]model.Resources // resources of the tasks, by team
+	tasks      map[model.TaskID]bool
+	free       map[*Worker]model.Resources // resources that the tasks leave free on each machine
+	zones      map[string]map[string]int   // number of tasks, by job ID and zone
 }
 
-// MarkFaultsEnded notes that all faults have ended: from here on no job waits for long while there is room for it.
+// MarkFaultsEnded declares that all faults have ended. From then on it is a violation if a job waits for more than
+// maxWaitWithRoom although there is room for it.
 func (w *World) MarkFaultsEnded() { w.faultsEndedAt, w.waitingSince = w.now, map[string]time.Time{} }
 
-// checkStarvation looks for jobs that wait although there is room for them.
+// checkStarvation records a violation for each job that has waited for too long although there was room for it. Jobs
+// whose cancellation was requested or whose tasks fail are exempt.
 func (w *World) checkStarvation() {
 	if w.faultsEndedAt.IsZero() || w.now.Sub(w.starvationCheckedAt) < starvationInterval {
 		return
@@ -54,13 +56,13 @@
 		}
 		if wait := w.now.Sub(since); wait > w.LongestWait {
 			if w.LongestWait = wait; wait > maxWaitWithRoom {
-				w.violated("waits: %s for over %v although there is room", id, maxWaitWithRoom)
+				w.recordViolation("waits: %s has waited for more than %v although there is room for it", id, maxWaitWithRoom)
 			}
 		}
 	}
 }
 
-// occupancy sums up what is on the machines.
+// occupancy returns the current occupancy of the machines.
 func (w *World) occupancy() *occupancy {
 	o := &occupancy{
 		usedByTeam: map[string]model.Resources{},
@@ -86,7 +88,7 @@
 	return o
 }
 
-// capacityOf is what a machine of a type has; zero: the cloud does not offer the type.
+// capacityOf returns the resources of a machine of a type, or none if the cloud does not offer the type.
 func (w *World) capacityOf(machineType string) model.Resources {
 	for _, t := range w.Types {
 		if t.Name == machineType {
@@ -96,7 +98,8 @@
 	return model.Resources{}
 }
 
-// hasWaitingTasks tells whether a task of a job could start and is on no machine.
+// hasWaitingTasks reports whether a job has tasks that could start: its dependencies are done, and a task has neither
+// completed nor is among those onMachines. For a gang this must hold for all tasks, since they start together.
 func (w *World) hasWaitingTasks(spec *model.Spec, onMachines map[model.TaskID]bool) bool {
 	for _, dependency := range w.Dependencies[spec.ID] {
 		if !w.AllCompleted(dependency) {
@@ -111,13 +114,14 @@
 		case !onMachines[id]:
 			waiting++
 		case spec.Shape == model.Gang:
-			return false // its attempt has not ended
+			return false // the current attempt has not ended
 		}
 	}
 	return waiting > 0 && (spec.Shape != model.Gang || waiting == spec.Tasks)
 }
 
-// hasRoomFor tells whether machines have room for a task of a job, or for all of a gang.
+// hasRoomFor reports whether the machines and the quota of the team have room for one more task of a job, or for all
+// tasks of a gang.
 func (w *World) hasRoomFor(spec *model.Spec, occupied *occupancy) bool {
 	tasks := 1
 	if spec.Shape == model.Gang {
@@ -143,8 +147,8 @@
 	return !spec.SingleZone && total >= tasks
 }
 
-// mayRunOn tells whether a job's tasks may start on a machine, apart from its free resources; zones are where tasks
-// of the job are.
+// mayRunOn reports whether a job's tasks may start on a machine, without regard to the machine's free resources. zones
+// counts the job's current tasks by zone.
 func (w *World) mayRunOn(spec *model.Spec, worker *Worker, zones map[string]int) bool {
 	switch {
 	case !worker.usable() || worker.InterruptionNotice != 0,
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	maxLogEntries       = 10_000   // changes that are kept for watches
-	maxTransactionBytes = 64 << 10 // of all values of a transaction, in JSON
-	conditionsPerOp     = 4        // conditions that a transaction may have for each change that it may have
+	maxLogEntries       = 10_000   // number of latest changes that the log keeps at least, for watches
+	maxTransactionBytes = 64 << 10 // limit on the total size of the values of a transaction, encoded as JSON
+	conditionsPerOp     = 4        // number of conditions that a transaction may have for each change that MaxOps allows
 )
 
-// State is a stand-in for the state service, a consensus-backed key-value store with leases. Call answers requests of
-// the published protocol without a network. It is not safe for concurrent use.
+// State is a fake of the state service, a consensus-backed key-value store with leases. Call answers requests of the
+// service's published protocol without a network. It is not safe for concurrent use.
 type State struct {
 	now               func() time.Time
-	Down              bool // answers 503 to all requests
-	revision          uint64
+	Down              bool   // all requests are answered with status 503; set by SetDown
+	revision          uint64 // incremented by each transaction that is applied, and by each expiry that removes keys
 	keys              *btree.Map[string, *wire.Entry]
-	log               []wire.Entry // the last changes in their order
-	compactedRevision uint64       // changes up to this revision are not kept any more
-	leases            map[uint64]*stateLease
-	lastLease         uint64
-	Transactions      int // that were carried out
+	log               []wire.Entry           // the latest changes, oldest first
+	compactedRevision uint64                 // the log no longer has the changes up to this revision
+	leases            map[uint64]*stateLease // by lease ID
+	lastLease         uint64                 // ID of the lease that was granted last
+	Transactions      int                    // number of transactions that were applied
 
-	MaxValueBytes int // bytes of a value, in JSON; 0: any number
-	MaxOps        int // changes of a transaction; 0: any number
-	LargestValue  int // bytes of the largest value that was ever accepted
+	MaxValueBytes int // maximum size of a value in bytes, encoded as JSON; 0 means no limit
+	MaxOps        int // maximum number of changes in a transaction; 0 means no limit
+	LargestValue  int // size in bytes of the largest value so far that was within the limits
 
-	OnCommit func(ops []Operation) // called with each transaction that is carried out
+	OnCommit func(ops []Operation) // called with the changes of each transaction that was applied; may be nil
 }
 
-// Operation is one change of a transaction.
+// Operation is one change of a transaction: it either writes or removes a key.
 type Operation struct {
-	Write  string // key that is written; "": none
-	Remove string // key that is removed; "": none
-	Value  any    // that is written, decoded
-	Lease  uint64 // that the written key belongs to; 0: none
+	Write  string // key to write, or "" if the operation removes a key
+	Remove string // key to remove, or "" if the operation writes a key
+	Value  any    // value to write, decoded from MessagePack
+	Lease  uint64 // ID of the lease that the written key is attached to; 0 means none
 }
 
 type stateLease struct {
@@ -51,15 +51,16 @@
 	renewedAt time.Time
 }
 
-// NewState makes an empty state service.
+// NewState returns an empty state service whose leases expire by the clock now.
 func NewState(now func() time.Time) *State {
 	return &State{now: now, revision: 1, keys: &btree.Map[string, *wire.Entry]{}, leases: map[uint64]*stateLease{}}
 }
 
-// Revision counts the changes.
+// Revision returns the current revision, which grows whenever keys change.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Preload sets a key to a value that stands there from before. It panics where the value is not MessagePack.
+// Preload sets a key to a value directly, as if it had been written earlier. It panics if the value is not valid
+// MessagePack.
 func (s *State) Preload(key string, value []byte) {
 	if _, err := msgp.Skip(value); err != nil {
 		panic(err)
@@ -68,19 +69,20 @@
 	s.put(wire.Entry{Key: key, Value: value, Version: s.revision})
 }
 
-// put sets a key.
+// put sets a key and logs the change.
 func (s *State) put(e wire.Entry) {
 	s.keys.Set(e.Key, &e)
 	s.appendLog(e)
 }
 
-// removeKey removes a key.
+// removeKey removes a key and logs the change.
 func (s *State) removeKey(key string) {
 	s.keys.Delete(key)
 	s.appendLog(wire.Entry{Key: key, Version: s.revision, Removed: true})
 }
 
-// appendLog notes a change and lets the oldest ones go.
+// appendLog appends a change to the log. A log that has reached twice maxLogEntries is compacted to its latest
+// maxLogEntries entries.
 func (s *State) appendLog(e wire.Entry) {
 	if s.log = append(s.log, e); len(s.log) >= 2*maxLogEntries {
 		s.compactedRevision = s.log[len(s.log)-maxLogEntries-1].Version
@@ -88,13 +90,14 @@
 	}
 }
 
-// logAfter is the part of the log that follows a revision.
+// logAfter returns the changes in the log that follow a revision.
 func (s *State) logAfter(revision uint64) []wire.Entry {
 	first := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > revision })
 	return s.log[first:]
 }
 
-// Changed tells whether a key with a prefix has changed after a revision, or whether that is not known any more.
+// Changed reports whether a key with a prefix has changed after a revision. It also returns true if that can no longer
+// be determined because the log was compacted.
 func (s *State) Changed(prefix string, after uint64) bool {
 	if after < s.compactedRevision {
 		return true
@@ -107,13 +110,13 @@
 	return false
 }
 
-// entry finds a key; nil: it does not exist.
+// entry returns the entry of a key, or nil if the key does not exist.
 func (s *State) entry(key string) *wire.Entry {
 	e, _ := s.keys.Get(key)
 	return e
 }
 
-// RawValue is what a key holds, in MessagePack; nil: it does not exist.
+// RawValue returns the value of a key as MessagePack, or nil if the key does not exist.
 func (s *State) RawValue(key string) []byte {
 	if e := s.entry(key); e != nil {
 		return e.Value
@@ -121,7 +124,7 @@
 	return nil
 }
 
-// Value is what a key holds, decoded; nil: it does not exist.
+// Value returns the decoded value of a key, or nil if the key does not exist.
 func (s *State) Value(key string) any {
 	value, _, err := msgp.ReadIntfBytes(s.RawValue(key))
 	if err != nil {
@@ -130,7 +133,7 @@
 	return value
 }
 
-// Keys lists the keys with a prefix.
+// Keys returns the keys with a prefix in ascending order.
 func (s *State) Keys(prefix string) []string {
 	var keys []string
 	s.keys.Ascend(prefix, func(key string, _ *wire.Entry) bool {
@@ -143,24 +146,24 @@
 	return keys
 }
 
-// withinLimits tells whether a transaction keeps within the limits.
+// withinLimits reports whether a transaction is within the limits on its size.
 func (s *State) withinLimits(conditions []wire.Condition, ops []Operation) bool {
 	if s.MaxOps > 0 && (len(ops) > s.MaxOps || len(conditions) > conditionsPerOp*s.MaxOps) {
 		return false
 	}
 	total := 0
 	for _, op := range ops {
-		b, err := json.Marshal(op.Value)
-		total += len(b)
-		if err != nil || s.MaxValueBytes > 0 && len(b) > s.MaxValueBytes || total > maxTransactionBytes {
+		encoded, err := json.Marshal(op.Value)
+		total += len(encoded)
+		if err != nil || s.MaxValueBytes > 0 && len(encoded) > s.MaxValueBytes || total > maxTransactionBytes {
 			return false
 		}
-		s.LargestValue = max(s.LargestValue, len(b))
+		s.LargestValue = max(s.LargestValue, len(encoded))
 	}
 	return true
 }
 
-// apply carries a transaction's changes out; ops are the same ones, decoded.
+// apply applies the changes of a transaction. ops are the same changes, decoded for OnCommit.
 func (s *State) apply(changes []wire.Change, ops []Operation) {
 	s.revision++
 	s.Transactions++
@@ -176,7 +179,8 @@
 	}
 }
 
-// SetDown starts or ends an outage. After one, every lease has its full time again.
+// SetDown starts or ends an outage. Leases do not expire during an outage, and have their full duration again when it
+// ends.
 func (s *State) SetDown(down bool) {
 	s.Expire()
 	s.Down = down
@@ -185,7 +189,7 @@
 	}
 }
 
-// Expire ends the leases whose time is over and removes their keys. In an outage none ends.
+// Expire removes the expired leases and their keys. During an outage it does nothing.
 func (s *State) Expire() {
 	if s.Down {
 		return
@@ -197,7 +201,7 @@
 	}
 }
 
-// revokeLease ends a lease and removes its keys.
+// revokeLease removes a lease and the keys that are attached to it.
 func (s *State) revokeLease(id uint64) {
 	delete(s.leases, id)
 	var keys []string
--- a/internal/fake/state_test.go
+++ b/internal/fake/state_test.go
@@ -11,7 +11,7 @@
 	"github.com/glentiller/glentiller/internal/rpc"
 )
 
-// newTestState is a state service with the key "a" at version 2, and a clock that the test moves.
+// newTestState returns a state service with the key "a" at version 2, and its clock, which the test can advance.
 func newTestState(t *testing.T) (*State, *time.Time) {
 	t.Helper()
 	now := time.Unix(1000, 0)
@@ -21,7 +21,7 @@
 	return s, &now
 }
 
-// encodeRequest writes a request's body.
+// encodeRequest encodes the body of a request.
 func encodeRequest(t *testing.T, fields map[string]any) []byte {
 	t.Helper()
 	body, err := msgp.AppendIntf(nil, fields)
@@ -34,11 +34,11 @@
 func TestStateCommitChecksLimitsAndConditions(t *testing.T) {
 	write := func(key, value string) any { return map[string]any{"write": key, "value": value} }
 	condition := func(key string, version int64) any { return map[string]any{"k": key, "stamp": version} }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name       string
 		conditions []any
 		ops        []any
-		want       int // status
+		want       int // expected status
 	}{
 		{"conditions hold", []any{condition("a", 2), condition("none", 0)}, []any{write("b", "y")}, http.StatusOK},
 		{"a version differs", []any{condition("a", 1)}, []any{write("b", "y")}, http.StatusConflict},
@@ -46,19 +46,19 @@
 		{"a value is too large", nil, []any{write("b", "far too many bytes")}, http.StatusBadRequest},
 		{"no such lease", nil, []any{map[string]any{"write": "b", "tenancy": 7}}, http.StatusBadRequest},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			s, _ := newTestState(t)
-			body := encodeRequest(t, map[string]any{"if": c.conditions, "apply": c.ops})
+			body := encodeRequest(t, map[string]any{"if": test.conditions, "apply": test.ops})
 			_, err := s.Call(http.MethodPost, "/commit", body, time.Second)
 			got := http.StatusOK
 			if err != nil {
 				got = rpc.StatusCode(err)
 			}
-			if got != c.want {
-				t.Errorf("status: got %d (%v), want %d", got, err, c.want)
+			if got != test.want {
+				t.Errorf("status: got %d (%v), want %d", got, err, test.want)
 			}
-			if wrote := s.Value("b") != nil; wrote != (c.want == http.StatusOK) {
-				t.Errorf("key b written: got %v, want %v", wrote, c.want == http.StatusOK)
+			if wrote := s.Value("b") != nil; wrote != (test.want == http.StatusOK) {
+				t.Errorf("key b written: got %v, want %v", wrote, test.want == http.StatusOK)
 			}
 		})
 	}
--- a/internal/fake/task.go
+++ b/internal/fake/task.go
@@ -6,33 +6,35 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Task is an attempt at a task on a stand-in worker.
+// Task is an attempt at a task on a fake worker.
 type Task struct {
 	ID           model.TaskID
 	Attempt      uint64
-	Spec         *model.Spec
+	Spec         *model.Spec // nil if the job is unknown
 	Phase        model.Phase
-	Cause        model.ExitCause
-	Checkpointed bool
-	phaseSince   time.Time
-	phaseEnd     time.Time // when it has its image, completes, or has saved its checkpoint
+	Cause        model.ExitCause // why the attempt has exited
+	Checkpointed bool            // whether the attempt has saved a checkpoint
+	phaseSince   time.Time       // when the current phase began
+	phaseEnd     time.Time       // when the image is fetched, the run completes or the checkpoint is saved
 }
 
-// OnMachine tells whether the task counts as being on its machine.
+// OnMachine reports whether the task counts as being on its machine: it has its image and has not exited.
 func (t *Task) OnMachine() bool {
 	return t.Phase >= model.PhaseWaiting && t.Phase <= model.PhaseCheckpointing
 }
 
-// launch starts an attempt: it fetches its image, or ends at once where the worker cannot run it.
+// launch starts an attempt and returns it. The attempt begins to fetch its image, or exits at once if the job is
+// unknown or the worker has another attempt at the task that has not exited.
 func (w *Worker) launch(key model.AttemptKey) *Task {
 	now := w.env.now
 	w.env.Starts[key.Task]++
 	if at, ok := w.env.CancelledAt[key.Task.Job]; ok && now.Sub(at) > w.env.CancelDeadline {
-		w.env.violated("ran_cancelled: %v started on %s", key.Task, w.Name)
+		w.env.recordViolation("ran_cancelled: %v was launched on %s after the deadline of its job's cancellation",
+			key.Task, w.Name)
 	}
 	defer func() {
 		if allowed := w.env.PlacementAllowed[key.Task.Job]; allowed != nil && !allowed(w) {
-			w.env.violated("rules: %v started on %s", key.Task, w.Name)
+			w.env.recordViolation("rules: %v was launched on %s against the constraints of its job", key.Task, w.Name)
 		}
 	}()
 	t := &Task{
@@ -55,8 +57,8 @@
 	return t
 }
 
-// stop ends a task, after a checkpoint where it can save one within the grace period. A second stop ends one that
-// saves only if it has no grace period.
+// stop stops a task. A running task that can save a checkpoint within the grace period does so first. A task that is
+// already saving its checkpoint is stopped only if there is no grace period.
 func (w *Worker) stop(t *Task, grace time.Duration) {
 	w.statusChanged = true
 	if t.Phase == model.PhaseRunning && t.Spec.CheckpointInterval > 0 && grace >= t.Spec.CheckpointTime {
@@ -67,22 +69,22 @@
 	}
 }
 
-// transition changes a task's phase; nothing else does.
+// transition changes a task's phase. No other method changes it.
 func (w *Worker) transition(t *Task, p model.Phase) {
-	before := t.OnMachine()
+	wasOnMachine := t.OnMachine()
 	t.Phase, t.phaseSince = p, w.env.now
-	if onMachine := t.OnMachine(); onMachine != before && w.env.OnTaskMoved != nil {
+	if onMachine := t.OnMachine(); onMachine != wasOnMachine && w.env.OnTaskMoved != nil {
 		w.env.OnTaskMoved(w, t, onMachine)
 	}
 }
 
-// exit ends a task.
+// exit ends a task for the given cause.
 func (w *Worker) exit(t *Task, cause model.ExitCause) {
 	t.Cause = cause
 	w.transition(t, model.PhaseExited)
 }
 
-// finishPhase moves a task whose phase has ended to the next one.
+// finishPhase moves a task whose phase may have ended to the next phase. A service runs until it is stopped.
 func (w *Worker) finishPhase(t *Task) {
 	switch t.Phase {
 	case model.PhaseFetching:
@@ -106,7 +108,7 @@
 	}
 }
 
-// imageFetched moves on a task whose image has arrived.
+// imageFetched moves a task whose image has been fetched to the next phase.
 func (w *Worker) imageFetched(t *Task) {
 	w.statusChanged = true
 	switch {
@@ -122,7 +124,8 @@
 	}
 }
 
-// awaitGang starts a gang's task once all tasks of its attempt are ready, and ends it when it has waited too long.
+// awaitGang starts a task of a gang if all tasks of the attempt are ready, and ends it if it has waited for longer than
+// GangWait.
 func (w *Worker) awaitGang(t *Task) {
 	if w.env.gangReady(t) {
 		w.statusChanged = true
@@ -133,7 +136,7 @@
 	}
 }
 
-// startRunning has a task run for as long as the environment says.
+// startRunning starts to run a task, for the time that RunTimeOf or RunTime gives.
 func (w *Worker) startRunning(t *Task) {
 	runTime := w.env.RunTime
 	if w.env.RunTimeOf != nil {
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -8,53 +8,53 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// minHeartbeatGap is the least time between two heartbeats.
-const minHeartbeatGap = 500 * time.Millisecond
+// minHeartbeatInterval is the minimum time from one heartbeat to the next one that reports a change of the status.
+const minHeartbeatInterval = 500 * time.Millisecond
 
-// Worker is a stand-in for a machine's worker, which follows the published worker protocol.
+// Worker is a fake of the worker on a machine. It follows the published worker protocol.
 type Worker struct {
 	env          *Environment
-	Name         string
-	Addr         string // "": its name
+	Name         string // name of the machine
+	Addr         string // address in heartbeats; if empty, heartbeats contain the name instead
 	Type         string
 	Zone         string
 	Spot         bool
-	Epoch        uint64
-	Seq          uint64
-	FencingToken uint64 // the highest that it has accepted
+	Epoch        uint64 // incremented when the lease expires
+	Seq          uint64 // sequence number of the last heartbeat
+	FencingToken uint64 // the highest fencing token that the worker has accepted
 	Tasks        map[model.AttemptKey]*Task
 	WorkerFaults
-	InterruptionNotice time.Duration // until the cloud takes the machine back; 0: it does not
+	InterruptionNotice time.Duration // reported time until the cloud reclaims the machine; 0 means no notice
 
-	leaseRenewedAt time.Time // when the last answered heartbeat was sent, or the epoch began
+	leaseRenewedAt time.Time // when the last answered heartbeat was sent, or when the epoch began if that is later
 	heartbeatState
 }
 
-// WorkerFaults are the failures that a worker can be given.
+// WorkerFaults are the faults that can be injected into a worker.
 type WorkerFaults struct {
-	Partitioned     bool          // neither heartbeats nor commands get through
-	InboundBlocked  bool          // its heartbeats get through, but neither answers nor commands reach it
-	OutboundBlocked bool          // its heartbeats reach no controller, while commands reach it
-	Hung            bool          // it does nothing, while its lease runs on
-	Faulty          bool          // every task on it fails
-	FetchDelay      time.Duration // how much longer it takes to fetch an image
+	Partitioned     bool          // neither heartbeats nor commands arrive
+	InboundBlocked  bool          // heartbeats arrive, but neither answers nor commands reach the worker
+	OutboundBlocked bool          // heartbeats reach no controller, but commands reach the worker
+	Hung            bool          // the worker does nothing, while its lease may expire
+	Faulty          bool          // every task fails
+	FetchDelay      time.Duration // added to the time that it takes to fetch an image
 }
 
-// usable tells whether tasks can be started on the worker and complete there.
+// usable reports whether no fault prevents tasks from starting and completing on the worker.
 func (f *WorkerFaults) usable() bool {
 	return !f.Partitioned && !f.InboundBlocked && !f.OutboundBlocked && !f.Hung && !f.Faulty
 }
 
-// heartbeatState is when, why and to whom a worker reports next.
+// heartbeatState determines when a worker sends its next heartbeat and to which controller.
 type heartbeatState struct {
-	nextHeartbeatAt time.Time
+	nextHeartbeatAt time.Time // when a heartbeat is due even if the status does not change
 	lastHeartbeatAt time.Time
-	statusChanged   bool // something is to be reported before the interval ends
-	awaitingAnswer  bool // the answer to the last heartbeat is lost
-	controllerIndex int  // the controller that it reports to
+	statusChanged   bool // the status has changed since the last heartbeat, so the next one is due early
+	awaitingAnswer  bool // the worker waits in vain for an answer, and sends no early heartbeat meanwhile
+	controllerIndex int  // index in World.Controllers of the controller that heartbeats are sent to
 }
 
-// newWorker makes the worker of a machine that has just come up.
+// newWorker returns the worker of a machine that has just booted.
 func newWorker(env *Environment, m model.MachineInfo) *Worker {
 	return &Worker{
 		env:            env,
@@ -69,7 +69,7 @@
 	}
 }
 
-// heartbeat is the worker's status of now with the next message number.
+// heartbeat returns a heartbeat with the current status of the worker and the next sequence number.
 func (w *Worker) heartbeat() *model.Heartbeat {
 	w.Seq++
 	h := &model.Heartbeat{
@@ -96,26 +96,28 @@
 	return h
 }
 
-// NextHeartbeat is the worker's heartbeat of now. It counts as sent: the next one is due after the usual interval
-// unless the status changes before.
+// NextHeartbeat returns a heartbeat that the caller must send now. The next one is due after the heartbeat interval, or
+// earlier if the status changes.
 func (w *Worker) NextHeartbeat() *model.Heartbeat {
 	now := w.env.now
-	w.lastHeartbeatAt, w.nextHeartbeatAt = now, now.Add(w.env.nextInterval())
+	w.lastHeartbeatAt, w.nextHeartbeatAt = now, now.Add(w.env.nextHeartbeatInterval())
 	w.statusChanged, w.awaitingAnswer = false, false
 	return w.heartbeat()
 }
 
-// HandleAnswer takes the answer to a heartbeat of an epoch that was sent at some time.
+// HandleAnswer processes the answer to a heartbeat. epoch is that of the heartbeat, and sent is when it was sent: an
+// accepted answer renews the lease from then on. An answer for another epoch or with a fencing token that is too low is
+// ignored.
 func (w *Worker) HandleAnswer(epoch uint64, sent time.Time, token uint64, commands []model.Command) {
 	if epoch != w.Epoch || !w.acceptToken(token) {
-		return // an answer that is dropped does not renew the lease
+		return // an ignored answer does not renew the lease
 	}
 	w.leaseRenewedAt = sent
 	w.Execute(commands)
 }
 
-// HandleCommands takes commands that a leader sends directly. It is false where they are refused, by their token or
-// their epoch.
+// HandleCommands processes commands that a leader has sent directly, and reports whether they were executed. They are
+// refused if they are for another epoch or their fencing token is too low.
 func (w *Worker) HandleCommands(token, epoch uint64, commands []model.Command) bool {
 	if token < w.FencingToken && !w.env.AcceptAnyToken || epoch != w.Epoch {
 		return false
@@ -125,13 +127,15 @@
 	return true
 }
 
-// Retry makes the next heartbeat due after a delay.
+// Retry schedules the next heartbeat after a delay.
 func (w *Worker) Retry(after time.Duration) { w.nextHeartbeatAt = w.env.now.Add(after) }
 
-// Inspect is the worker's status of now as the answer to a probe: the next heartbeat is due as before.
+// Inspect returns a heartbeat as the answer to a probe. Unlike NextHeartbeat, it doesn't change when the next heartbeat
+// is due.
 func (w *Worker) Inspect() *model.Heartbeat { return w.heartbeat() }
 
-// acceptToken raises the worker's fencing token; a lower one is refused.
+// acceptToken reports whether the worker accepts a fencing token, and remembers one that is higher than all before. A
+// lower one is accepted only with AcceptAnyToken.
 func (w *Worker) acceptToken(token uint64) bool {
 	if token < w.FencingToken {
 		return w.env.AcceptAnyToken
@@ -142,7 +146,8 @@
 	return true
 }
 
-// Execute carries out commands.
+// Execute executes commands in order. It ignores launches of known attempts, stops of attempts that are unknown or have
+// exited, and requests to forget attempts that are unknown or have not exited.
 func (w *Worker) Execute(commands []model.Command) {
 	for _, command := range commands {
 		key := model.AttemptKey{Task: command.Task, Number: command.Attempt}
@@ -167,7 +172,7 @@
 	}
 }
 
-// CountTasks counts the tasks on the machine of jobs whose id has a prefix.
+// CountTasks returns the number of tasks on the machine that belong to jobs whose ID has a prefix.
 func (w *Worker) CountTasks(prefix string) int {
 	count := 0
 	for _, t := range w.Tasks {
@@ -178,7 +183,7 @@
 	return count
 }
 
-// KillTasks ends and forgets all tasks, and tells how many were on the machine.
+// KillTasks ends and forgets all tasks, and returns how many of them were on the machine.
 func (w *Worker) KillTasks() int {
 	killed := 0
 	for _, t := range w.Tasks {
@@ -194,7 +199,8 @@
 	return killed
 }
 
-// Advance lets the worker act up to the environment's time. It tells whether a heartbeat is due.
+// Advance brings the worker's lease and its tasks up to the environment's time, and reports whether a heartbeat is due.
+// If the lease has expired, all tasks are killed and a new epoch begins.
 func (w *Worker) Advance() bool {
 	now := w.env.now
 	if now.Sub(w.leaseRenewedAt) > w.env.Lease {
@@ -214,6 +220,6 @@
 			w.finishPhase(t)
 		}
 	}
-	news := w.statusChanged && !w.awaitingAnswer && now.Sub(w.lastHeartbeatAt) >= minHeartbeatGap
-	return !now.Before(w.nextHeartbeatAt) || news
+	statusDue := w.statusChanged && !w.awaitingAnswer && now.Sub(w.lastHeartbeatAt) >= minHeartbeatInterval
+	return !now.Before(w.nextHeartbeatAt) || statusDue
 }
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -15,66 +15,66 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// World is a deployment in memory: controllers, the state service, the cloud and workers, in a simulated time. It
+// World is an in-memory deployment of controllers, the state service, the cloud and workers in simulated time. It
 // checks the invariants as time passes. It is not safe for concurrent use.
 type World struct {
 	Environment
 	*Cloud
 	cloudFaults
 	network
-	polls
-	starvation
+	userPolls
+	starvationState
 
 	State       *State
 	Controllers []*Controller
-	Workers     map[string]*Worker
-	Types       []model.MachineType
-	Teams       map[string]model.Team
+	Workers     map[string]*Worker    // by name of the machine
+	Types       []model.MachineType   // the cloud's catalog
+	Teams       map[string]model.Team // by name
 
-	Limits           store.Limits    // of records and transactions, which the controllers keep
-	StalenessBound   staleness.Bound // on a leader's knowledge of cancellations
-	EndedJobsKept    int             // ended jobs that a controller remembers
-	ledger           *reconciler.LedgerSettings
-	controllerStarts uint64 // counts the starts of all controllers, and numbers their incarnations
+	Limits           store.Limits               // limits on records and transactions that the controllers observe
+	StalenessBound   staleness.Bound            // bound on the age of a leader's knowledge of cancellations
+	EndedJobsKept    int                        // number of ended jobs that a controller remembers
+	ledger           *reconciler.LedgerSettings // nil if no ledger is kept
+	controllerStarts uint64                     // number of starts of all controllers, which numbers their incarnations
 
-	StateLatency    func() time.Duration // until the state service's answer reaches a leader; nil: none
-	InterceptCommit CommitInterceptor    // nil: no transaction is intercepted
-	Observer        Observer             // nil: nobody observes
+	StateLatency    func() time.Duration // returns the delay of an answer of the state service; nil means none
+	InterceptCommit CommitInterceptor    // may be nil
+	Observer        Observer             // may be nil
 
-	RejectedKeys        []string          // records that the state service rejected
-	CancelConfirmedBy   map[string]string // by job: the member that first confirmed its cancellation
-	LongestCancellation time.Duration     // the longest from there to the end of a job's last task
+	RejectedKeys        []string          // keys of the records in commits that were rejected as too large or malformed
+	CancelConfirmedBy   map[string]string // by job ID: the member that first confirmed the cancellation to a user
+	LongestCancellation time.Duration     // longest time that a task was on a machine after the confirmation
 }
 
-// CommitInterceptor may take the place of the state service for a transaction of a controller. Where it does, the
-// controller gets its error in place of an answer.
+// CommitInterceptor is called with the body of each commit request before it reaches the state service. If it returns
+// true, the request does not reach the service, and the controller gets err in place of an answer.
 type CommitInterceptor func(c *Controller, body []byte) (intercepted bool, err error)
 
-// Observer is told what passes between controllers and the stand-ins.
+// Observer is notified of messages between controllers and the fakes.
 type Observer interface {
-	// HeartbeatAccepted is called when a leader takes a worker's heartbeat.
+	// HeartbeatAccepted is called when the leader with a fencing token accepts a heartbeat of a worker.
 	HeartbeatAccepted(c *Controller, token uint64, heartbeat *model.Heartbeat)
-	// TransactionSent is called when a transaction leaves a controller, for the first time or as a retry.
+	// TransactionSent is called when a controller sends a transaction, for the first time or as a retry.
 	TransactionSent(ops []Operation)
 }
 
-// cloudFaults are the failures of the cloud, and the releases that they hold up.
+// cloudFaults holds the faults injected into the cloud, and the releases that they delay.
 type cloudFaults struct {
-	cloudExhausted   bool // the cloud has no more machines
-	CloudAnswersLost bool // the cloud provisions machines, but its answers are lost
-	ReleasesBlocked  bool // releases wait in the cloud's queue
-	ReleaseRequests  int  // that controllers have sent
-	pendingReleases  []func()
+	cloudExhausted   bool     // the cloud refuses all requests for machines
+	CloudAnswersLost bool     // machines are provisioned, but the answers to the requests are lost
+	ReleasesBlocked  bool     // releases are queued until the fault ends
+	ReleaseRequests  int      // number of releases that controllers have requested
+	pendingReleases  []func() // the queued releases, oldest first
 }
 
-// requestRelease has the cloud carry a release out, now or as soon as releases are not blocked.
+// requestRelease executes a release now, or as soon as releases are not blocked.
 func (f *cloudFaults) requestRelease(release func()) {
 	f.ReleaseRequests++
 	f.pendingReleases = append(f.pendingReleases, release)
 	f.runPendingReleases()
 }
 
-// runPendingReleases carries out the releases that wait.
+// runPendingReleases executes the queued releases unless releases are blocked.
 func (f *cloudFaults) runPendingReleases() {
 	for !f.ReleasesBlocked && len(f.pendingReleases) > 0 {
 		release := f.pendingReleases[0]
@@ -83,7 +83,8 @@
 	}
 }
 
-// NewWorld makes a deployment with some members, which work by the settings, and starts them.
+// NewWorld returns a deployment with a number of controllers, which are started with the given settings. It has no
+// machines; the caller sets Types and adds machines.
 func NewWorld(
 	members int,
 	settings reconciler.Settings,
@@ -126,7 +127,8 @@
 	return w
 }
 
-// Leader is the controller that may act; nil: none may. Two that hold the leadership lease break an invariant.
+// Leader returns the controller that may act as the leader, or nil if none may. It records a violation if two hold the
+// leadership lease.
 func (w *World) Leader() *Controller {
 	var leader *Controller
 	for _, c := range w.Controllers {
@@ -134,7 +136,7 @@
 			continue
 		}
 		if leader != nil {
-			w.violated("two leaders: %s and %s", leader.Member, c.Member)
+			w.recordViolation("two leaders: %s and %s both hold the leadership lease", leader.Member, c.Member)
 		}
 		leader = c
 	}
@@ -144,7 +146,8 @@
 	return leader
 }
 
-// Advance lets time pass, tick by tick.
+// Advance advances the simulated time in steps of Tick. In each step, releases are executed, machines finish booting,
+// controllers and workers run, and the invariants are checked.
 func (w *World) Advance(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(w.Tick)
@@ -166,7 +169,7 @@
 	}
 }
 
-// WorkerNames lists the machines that are up, in order.
+// WorkerNames returns the names of the machines that are up in ascending order.
 func (w *World) WorkerNames() []string {
 	var names []string
 	for name := range w.Workers {
@@ -176,15 +179,15 @@
 	return names
 }
 
-// StepElection has a controller that is up take an event of its election.
+// StepElection passes an event to the election of a controller, unless the controller is down.
 func (w *World) StepElection(c *Controller, event election.Event) {
 	if c.Up {
 		c.stepElection(event)
 	}
 }
 
-// RestartWorker ends a machine and has it back at once, with its faults: everything on it is gone, and its worker
-// begins with epoch and message number 1 again.
+// RestartWorker restarts a machine without letting time pass. The tasks on it are lost, and its worker begins again
+// with epoch and sequence number 1. Its faults persist.
 func (w *World) RestartWorker(worker *Worker) {
 	w.Workers[worker.Name] = nil
 	restarted := w.AddMachine(model.MachineInfo{
@@ -196,18 +199,18 @@
 	restarted.controllerIndex, restarted.WorkerFaults = worker.controllerIndex, worker.WorkerFaults
 }
 
-// AddMachine brings a machine up.
+// AddMachine adds a machine that has just booted and returns its worker.
 func (w *World) AddMachine(m model.MachineInfo) *Worker {
 	worker := newWorker(&w.Environment, m)
 	w.Workers[m.Name] = worker
 	return worker
 }
 
-// Submit has a job accepted by a controller.
+// Submit submits a job through a controller. On an error, the job may or may not have been accepted.
 func (w *World) Submit(c *Controller, spec *model.Spec) error {
 	w.Specs[spec.ID] = spec
 	ctx := context.Background()
-	dependencies := spec.Dependencies // resolving leaves those out that are done
+	dependencies := spec.Dependencies // ResolveDependencies removes those that are done
 	doomed, err := c.Jobs.ResolveDependencies(ctx, spec)
 	if err != nil {
 		return err
@@ -222,7 +225,8 @@
 	return err
 }
 
-// Cancel cancels a job through a controller.
+// Cancel cancels a job through a controller, and returns the record that results. Its state can be another one than
+// cancelled if the job had already ended.
 func (w *World) Cancel(c *Controller, id string) (store.JobRecord, error) {
 	w.recordCancelRequest(id)
 	record, err := c.Jobs.Cancel(context.Background(), id, w.now)
@@ -236,7 +240,7 @@
 	return record, nil
 }
 
-// MachinesOf lists the machines that a task is on.
+// MachinesOf returns the names of the machines that a task is on.
 func (w *World) MachinesOf(id model.TaskID) []string {
 	var machines []string
 	for _, name := range w.WorkerNames() {
@@ -249,7 +253,7 @@
 	return machines
 }
 
-// gangAttemptTasks finds the tasks of a gang's attempt on all machines.
+// gangAttemptTasks yields the tasks of an attempt at a gang on all machines.
 func (w *World) gangAttemptTasks(job string, attempt uint64) iter.Seq[*Task] {
 	return func(yield func(*Task) bool) {
 		for _, worker := range w.Workers {
