--- a/internal/fake/answers.go
+++ b/internal/fake/answers.go
@@ -8,20 +8,20 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// jobAnswers summarizes what users have been answered about one job, in the order of the answers. A World answers each
-// question at once, so an answer that says less than an earlier one is stale: an accepted job stays known, and a final
-// state never changes.
+// jobAnswers summarizes the answers that users have received about one job. In a World each question is answered at
+// once, so the answers are in the order of the questions. An answer that says less than an earlier one is therefore
+// stale: an accepted job stays known, and a final state never changes.
 type jobAnswers struct {
-	answeredBy      string        // the member that gave the latest answer, up to the first one with a final state
+	answeredBy      string        // the member that gave the latest answer, or the first one with a final state
 	finalState      wire.JobState // wire.StateUnknown until an answer has a final state
 	cancelRequested bool          // whether the user has asked to cancel the job
 }
 
 // userPolls controls how the users of a World poll the controllers for the states of their jobs.
 type userPolls struct {
-	PollOnCommit  bool // poll every controller for a job whenever a transaction changes the job's record
+	PollOnCommit  bool // users poll every controller for a job whenever a transaction changes its record
 	StaleReads    bool // an injected fault: members answer from the job records that they have read last
-	AnsweredPolls int  // polls that were answered without the fault StaleReads
+	AnsweredPolls int  // number of polls that were answered without the fault StaleReads
 	polling       bool // whether a poll for PollOnCommit is in progress
 }
 
@@ -106,14 +106,14 @@
 func (w *World) PollAll(id string) {
 	for _, c := range w.Controllers {
 		if c.Up && !c.Frozen {
-			_, _ = w.Poll(c, id) // a controller that cannot answer is no violation
+			_, _ = w.Poll(c, id) // it is no violation if a controller cannot answer
 		}
 	}
 }
 
 // pollCommitted polls every controller for the jobs whose records a transaction has changed, if PollOnCommit is set. It
-// is called when the state service has applied the transaction. At that moment the sender does not know the outcome
-// yet, and it may never learn it.
+// is called as soon as the state service has applied the transaction: before the sender learns the outcome, and even if
+// the sender never learns it.
 func (w *World) pollCommitted(ops []Operation) {
 	if !w.PollOnCommit || w.polling {
 		return
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -27,8 +27,8 @@
 	readyAt time.Time
 }
 
-// NewCloud returns a cloud without machines. runningCount must return the number of machines that are up, which are
-// those that have finished booting and were not released.
+// NewCloud returns a cloud without machines. runningCount must return the number of machines that have finished booting
+// and were not released.
 func NewCloud(runningCount func() int) *Cloud {
 	return &Cloud{
 		BootTime:     5 * time.Second,
@@ -97,8 +97,8 @@
 // Forget removes a released machine from those that are booting. It ignores a machine that is not booting.
 func (c *Cloud) Forget(name string) { delete(c.booting, name) }
 
-// ProvisionedTotal returns how many machines have ever been created, counting those that a caller has created with a
-// name from NextName.
+// ProvisionedTotal returns the number of machines that were ever provisioned, including those that a caller has created
+// itself under a name from NextName.
 func (c *Cloud) ProvisionedTotal() int { return c.namesAssigned }
 
 // Booting returns the machines that are booting, by name.
--- a/internal/fake/controller.go
+++ b/internal/fake/controller.go
@@ -15,8 +15,8 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// unlimitedRate limits a controller's requests and changes to the state service, each per second. It is so high that
-// the limit never applies.
+// unlimitedRate is the limit on a controller's requests to the state service, and on its changes there, per second. It
+// is so high that it never takes effect.
 const unlimitedRate = 1e9
 
 // Controller is one controller of a World: the real election, reconciler and store client, with fakes in place of
@@ -30,7 +30,7 @@
 
 	Up bool // whether the controller is running; a frozen one is up
 	ControllerFaults
-	ClockOffset         time.Duration // added to the simulated time to get the controller's time of day
+	ClockOffset         time.Duration // offset of the controller's time of day from the simulated time
 	WithoutLedger       bool          // whether it runs a version without a ledger from its next start on
 	WithoutFeatureGates bool          // whether it runs a version that predates feature gates
 
@@ -56,7 +56,7 @@
 type leadership struct {
 	Reconciler     *reconciler.Core                    // nil unless the controller leads
 	staleness      *staleness.Tracker                  // nil unless the controller leads
-	acknowledgedBy map[string]store.CancellationCursor // by member: how far it has reported the cancellations it knows
+	acknowledgedBy map[string]store.CancellationCursor // by member: up to where it has reported its cancellations
 	fencingToken   uint64
 	tokenVersion   uint64 // version of the record that holds the fencing token
 	suspended      bool   // whether the controller has a reconciler but may not act at present
@@ -135,25 +135,25 @@
 	return &settings
 }
 
-// Crash stops the controller without notifying anything else.
+// Crash stops the controller at once: it releases neither its lease nor the votes for it.
 func (c *Controller) Crash() {
 	c.Up = false
 	c.depose()
 }
 
-// Leads reports whether the controller may act as the leader: it holds the leadership lease, and its knowledge of
+// Leads reports whether the controller may act as the leader: its leadership is valid, and its knowledge of
 // cancellations is recent enough.
 func (c *Controller) Leads() bool {
-	return c.holdsLease() && c.world.now.Before(c.staleness.KnownAsOf().Add(c.world.StalenessBound.KeepLeases))
+	return c.leadershipValid() && c.world.now.Before(c.staleness.KnownAsOf().Add(c.world.StalenessBound.KeepLeases))
 }
 
-// holdsLease reports whether the controller holds the leadership lease. It doesn't check how recent the controller's
-// knowledge of cancellations is.
-func (c *Controller) holdsLease() bool {
+// leadershipValid reports whether the controller leads by a valid lease or valid votes. Unlike Leads, it ignores how
+// recent the controller's knowledge of cancellations is.
+func (c *Controller) leadershipValid() bool {
 	return c.Up && c.Reconciler != nil && c.Election.LeadershipValid(c.world.now)
 }
 
-// Team returns the team with a name as the controller's settings define it, or nil if they define none.
+// Team returns the team called name in the controller's settings, or nil if there is none.
 func (c *Controller) Team(name string) *model.Team {
 	for i := range c.settings.Teams {
 		if c.settings.Teams[i].Name == name {
@@ -189,8 +189,8 @@
 	return answer, err
 }
 
-// scheduleStateReply has deliver called when the answer to a request to the state service arrives: in the controller's
-// next step, or after the time that World.StateLatency returns. The request itself took effect when it was sent.
+// scheduleStateReply schedules deliver, which processes the answer to a request to the state service, for the
+// controller's next step, or for the time after World.StateLatency. The request itself took effect when it was sent.
 func (c *Controller) scheduleStateReply(deliver func()) {
 	if c.world.StateLatency == nil {
 		c.deferred = append(c.deferred, deliver)
@@ -227,7 +227,7 @@
 	}
 	c.staleness.RecordsRead(readAsOf)
 	if !c.Leads() && c.world.now.Before(c.Election.LeaseValidUntil()) {
-		c.stepElection(election.Resign{}) // it renews its lease, but its knowledge of cancellations is too old to act on
+		c.stepElection(election.Resign{}) // it can renew its lease, but knows too little of cancellations to act
 		return
 	}
 	if c.Leads() {
@@ -236,7 +236,8 @@
 	c.suspended = c.Reconciler != nil && !c.Leads()
 }
 
-// readJobRecords reads the changes of the job records, with the interval that World.StateLatency returns between reads.
+// readJobRecords reads the changes of the job records. If World.StateLatency is set, it returns the minimum time until
+// the next read.
 func (c *Controller) readJobRecords() {
 	if !c.Jobs.Loaded() || c.world.now.Before(c.nextReadAt) {
 		return
@@ -247,7 +248,7 @@
 	}
 }
 
-// applyJobChanges passes the changes of the job records that were read to the reconciler.
+// applyJobChanges passes the job changes in the inbox to the reconciler.
 func (c *Controller) applyJobChanges() {
 	changes := c.jobChanges
 	c.jobChanges = nil
--- a/internal/fake/controller_clients.go
+++ b/internal/fake/controller_clients.go
@@ -12,36 +12,36 @@
 	"github.com/glentiller/glentiller/internal/worker"
 )
 
-// The fake services on which a controller's effects are executed.
+// The clients that a controller's effects use in place of the real ones.
 var (
-	_ effects.StateService  = stateRequests{}
-	_ effects.ElectionState = stateRequests{}
-	_ effects.Cloud         = cloudRequests{}
-	_ effects.Workers       = workerRequests{}
+	_ effects.StateService  = stateClient{}
+	_ effects.ElectionState = stateClient{}
+	_ effects.Cloud         = cloudClient{}
+	_ effects.Workers       = workerClient{}
 )
 
 // errNoAnswer is returned for a request that was not answered, so that its outcome is unknown.
 var errNoAnswer = errors.New("request was not answered; its outcome is unknown")
 
-// stateRequests sends a controller's requests to the state service.
-type stateRequests struct {
+// stateClient sends a controller's requests to the fake state service.
+type stateClient struct {
 	*store.Client
 	controller *Controller
 }
 
-func (c *Controller) stateRequests() stateRequests { return stateRequests{c.State, c} }
+func (c *Controller) stateClient() stateClient { return stateClient{c.State, c} }
 
 // TokenUnchanged reports whether the record of the fencing token still has the version tokenVersion. A record that
 // cannot be read counts as unchanged, and the error is always nil: in the simulations a refused commit has to count as
 // refused even if the record cannot be read.
-func (s stateRequests) TokenUnchanged(ctx context.Context, tokenVersion uint64) (bool, error) {
+func (s stateClient) TokenUnchanged(ctx context.Context, tokenVersion uint64) (bool, error) {
 	unchanged, err := s.Client.TokenUnchanged(ctx, tokenVersion)
 	return unchanged || err != nil, nil
 }
 
-// ReadLeaderRecord reads the record of the leader. A version that predates feature gates knows nothing of the feature
-// level, and decodes every record with the prefix "leader/" as a leader's record.
-func (s stateRequests) ReadLeaderRecord(ctx context.Context) (election.Record, uint64, error) {
+// ReadLeaderRecord reads the record of the leader. A version that predates feature gates knows no feature level: it
+// decodes every record with the prefix "leader/" as a leader's record, and fails if one is in another format.
+func (s stateClient) ReadLeaderRecord(ctx context.Context) (election.Record, uint64, error) {
 	record, revision, err := s.Client.ReadLeaderRecord(ctx)
 	if !s.controller.WithoutFeatureGates || err != nil {
 		return record, revision, err
@@ -57,20 +57,20 @@
 }
 
 // ClaimLeadership writes the leader's key with the next fencing token. ok is false if another controller has done so.
-func (s stateRequests) ClaimLeadership(
+func (s stateClient) ClaimLeadership(
 	_ context.Context, _ string, claim election.Claim,
 ) (tokenVersion uint64, ok bool, err error) {
 	return s.controller.claim(claim)
 }
 
-// cloudRequests sends a controller's requests to the cloud.
-type cloudRequests struct{ world *World }
+// cloudClient sends a controller's requests to the fake cloud.
+type cloudClient struct{ world *World }
 
-// Wait returns at once: the simulated cloud has no rate limit.
-func (cloudRequests) Wait(context.Context) error { return nil }
+// Wait returns at once, since the fake cloud has no rate limit.
+func (cloudClient) Wait(context.Context) error { return nil }
 
 // Provision requests machines from the cloud. refused is true if the cloud has none left.
-func (r cloudRequests) Provision(request model.Provisioning) (names []string, refused bool, err error) {
+func (r cloudClient) Provision(request model.Provisioning) (names []string, refused bool, err error) {
 	w := r.world
 	if w.cloudExhausted {
 		return nil, true, nil
@@ -86,7 +86,7 @@
 }
 
 // Release returns machines to the cloud, which terminates them at once. It never fails.
-func (r cloudRequests) Release(names []string) error {
+func (r cloudClient) Release(names []string) error {
 	for _, name := range names {
 		delete(r.world.Workers, name)
 		r.world.Forget(name)
@@ -95,7 +95,7 @@
 }
 
 // ListMachines returns the machines that are up.
-func (r cloudRequests) ListMachines(context.Context) ([]model.MachineInfo, error) {
+func (r cloudClient) ListMachines(context.Context) ([]model.MachineInfo, error) {
 	var machines []model.MachineInfo
 	for _, name := range r.world.WorkerNames() {
 		worker := r.world.Workers[name]
@@ -111,24 +111,24 @@
 }
 
 // Catalog returns the machine types that the cloud offers.
-func (r cloudRequests) Catalog(context.Context) ([]model.MachineType, error) {
+func (r cloudClient) Catalog(context.Context) ([]model.MachineType, error) {
 	return r.world.Types, nil
 }
 
-// workerRequests sends a controller's direct commands to the worker on a machine.
-type workerRequests struct {
+// workerClient sends a controller's direct commands to the worker on a machine.
+type workerClient struct {
 	controller *Controller
 	machine    string
 }
 
 // Send sends commands to the worker. The network decides whether they arrive now, later or never.
-func (r workerRequests) Send(_ string, fencingToken, epoch uint64, commands []model.Command, _ bool) worker.Reply {
+func (r workerClient) Send(_ string, fencingToken, epoch uint64, commands []model.Command, _ bool) worker.Reply {
 	w := r.controller.world
 	w.DirectCommands++
 	target := w.Workers[r.machine]
 	deliver := func() worker.Reply {
 		if target == nil || w.Workers[r.machine] != target {
-			return worker.Reply{Err: errNoAnswer} // the connection was lost when the machine restarted
+			return worker.Reply{Err: errNoAnswer} // the connection was lost when the machine restarted or was released
 		}
 		executed := target.HandleCommands(fencingToken, epoch, commands)
 		return worker.Reply{Executed: executed, NotSent: !executed, Heartbeat: target.heartbeat()}
@@ -140,7 +140,7 @@
 		w.holdCommand(deliverLater)
 	case delivery == Dropped:
 	case target != nil && target.Hung:
-		w.holdCommand(deliverLater) // executed once the network delivers it after the fault
+		w.holdCommand(deliverLater) // a hung worker executes commands only when it resumes
 	case r.controller.canReach(target):
 		if len(commands) > 0 {
 			w.retainCommand(w.now, deliverLater)
@@ -152,7 +152,8 @@
 	return worker.Reply{Err: errNoAnswer}
 }
 
-// canReach reports whether a message that the controller sends to a worker now would arrive and be accepted.
+// canReach reports whether a message that the controller sends to a worker now arrives. The fake network drops messages
+// of a controller that may not act as the leader.
 func (c *Controller) canReach(target *Worker) bool {
 	return target != nil && !target.Partitioned && !target.InboundBlocked && !c.WorkersUnreachable && c.Leads()
 }
--- a/internal/fake/controller_clients_test.go
+++ b/internal/fake/controller_clients_test.go
@@ -12,17 +12,17 @@
 	tests := []struct {
 		name          string
 		prepare       func(*World, *Worker)
-		epoch         uint64 // added to the worker's current epoch
+		epochOffset   uint64 // added to the worker's current epoch
 		wantExecuted  bool
 		wantNotSent   bool
 		wantHeartbeat bool
 		wantHeld      int
 	}{
 		{name: "delivered", wantExecuted: true, wantHeartbeat: true},
-		{name: "another epoch", epoch: 1, wantNotSent: true, wantHeartbeat: true},
-		{name: "answer lost", prepare: deliverNext(AnswerLost)},
-		{name: "dropped", prepare: deliverNext(Dropped)},
-		{name: "delayed", prepare: deliverNext(Delayed), wantHeld: 1},
+		{name: "another epoch", epochOffset: 1, wantNotSent: true, wantHeartbeat: true},
+		{name: "answer lost", prepare: setDelivery(AnswerLost)},
+		{name: "dropped", prepare: setDelivery(Dropped)},
+		{name: "delayed", prepare: setDelivery(Delayed), wantHeld: 1},
 		{name: "held", prepare: func(w *World, _ *Worker) { w.HoldCommands = true }, wantHeld: 1},
 		{name: "hung", prepare: func(_ *World, target *Worker) { target.Hung = true }, wantHeld: 1},
 		{name: "partitioned", prepare: func(_ *World, target *Worker) { target.Partitioned = true }},
@@ -37,8 +37,8 @@
 			if test.prepare != nil {
 				test.prepare(w, target)
 			}
-			requests := workerRequests{leader, target.Name}
-			reply := requests.Send("", leader.fencingToken, target.Epoch+test.epoch, nil, false)
+			client := workerClient{leader, target.Name}
+			reply := client.Send("", leader.fencingToken, target.Epoch+test.epochOffset, nil, false)
 			checkReply(t, reply, test.wantExecuted, test.wantNotSent, test.wantHeartbeat)
 			if got := len(w.HeldCommands); got != test.wantHeld {
 				t.Errorf("held commands: got %d, want %d", got, test.wantHeld)
@@ -47,8 +47,8 @@
 	}
 }
 
-// deliverNext makes the network treat all direct commands from now on in the given way.
-func deliverNext(delivery Delivery) func(*World, *Worker) {
+// setDelivery makes the network treat all direct commands from now on in the given way.
+func setDelivery(delivery Delivery) func(*World, *Worker) {
 	return func(w *World, _ *Worker) { w.NextDelivery = func() Delivery { return delivery } }
 }
 
@@ -76,7 +76,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			w := newDeployment(t, 2)
 			test.prepare(w)
-			machines, refused, err := cloudRequests{w}.Provision(model.Provisioning{Name: "p", Count: 2})
+			machines, refused, err := cloudClient{w}.Provision(model.Provisioning{Name: "p", Count: 2})
 			if len(machines) != test.wantMachines || refused != test.wantRefused || (err != nil) != test.wantErr {
 				t.Errorf("provisioning: got %q, refused=%v, error %v, want %d machines, refused=%v, an error=%v",
 					machines, refused, err, test.wantMachines, test.wantRefused, test.wantErr)
@@ -100,7 +100,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			leader.ReadsBlocked = test.readsBlocked
-			unchanged, err := leader.stateRequests().TokenUnchanged(context.Background(), test.version)
+			unchanged, err := leader.stateClient().TokenUnchanged(context.Background(), test.version)
 			if unchanged != test.want || err != nil {
 				t.Errorf("token unchanged: got %v, error %v, want %v and no error", unchanged, err, test.want)
 			}
--- a/internal/fake/controller_effects.go
+++ b/internal/fake/controller_effects.go
@@ -13,8 +13,8 @@
 
 // heartbeatAnswer is a controller's answer to a worker's heartbeat.
 type heartbeatAnswer struct {
-	token    uint64
-	commands []model.Command
+	fencingToken uint64
+	commands     []model.Command
 }
 
 // completion passes the outcome of an effect to the reconciler that requested the effect.
@@ -26,7 +26,7 @@
 	if !c.Leads() || c.WorkersUnreachable || c.Frozen {
 		return heartbeatAnswer{}, false
 	}
-	answer, ok := heartbeatAnswer{token: c.fencingToken}, true
+	answer, ok := heartbeatAnswer{fencingToken: c.fencingToken}, true
 	for _, effect := range c.stepReconciler(reconciler.HeartbeatReceived{Heartbeat: heartbeat, Relayed: relayed}) {
 		if response, isResponse := effect.(reconciler.HeartbeatResponse); isResponse {
 			answer.commands, ok = response.Commands, !response.Refused
@@ -65,8 +65,8 @@
 	}
 }
 
-// completionFor returns the function that passes outcomes to a reconciler. It drops those that arrive after the
-// controller has stopped to lead with that reconciler. Outcomes of requests to the state service arrive with its delay.
+// completionFor returns the function that passes outcomes to a reconciler. Outcomes that arrive when the controller no
+// longer leads with that reconciler are dropped. The state service may delay the outcomes of requests to it.
 func (c *Controller) completionFor(core *reconciler.Core) completion {
 	return func(event reconciler.Event) {
 		deliver := func() {
@@ -86,8 +86,8 @@
 // discardLog discards the log records of failed requests, since the simulations let many requests fail on purpose.
 var discardLog = slog.New(slog.DiscardHandler)
 
-// executor returns the executor for the effects of the current leadership. It sends without checking whether the
-// controller may act, since the fake network checks that when a message arrives.
+// executor returns the executor for the effects of the current leadership. The executor sends messages without checking
+// whether the controller may act, since the fake network checks that when a message arrives.
 func (c *Controller) executor() *effects.Executor {
 	always := func() bool { return true }
 	return &effects.Executor{
@@ -99,9 +99,9 @@
 			MayProvision: always,
 			ReportFenced: func(event election.Fenced) { c.stepElection(event) },
 		},
-		State: c.stateRequests(),
+		State: c.stateClient(),
 		Jobs:  c.Jobs,
-		Cloud: cloudRequests{c.world},
+		Cloud: cloudClient{c.world},
 		Now:   c.world.Now,
 		Log:   discardLog,
 	}
@@ -113,7 +113,7 @@
 	switch effect := effect.(type) {
 	case reconciler.HeartbeatResponse: // handleHeartbeat sends it to the worker
 	case reconciler.SendCommands:
-		executor.Workers = workerRequests{c, effect.Machine}
+		executor.Workers = workerClient{c, effect.Machine}
 		complete(executor.Execute(ctx, effect))
 	case reconciler.Release:
 		c.world.requestRelease(func() { complete(executor.Execute(ctx, effect)) })
--- a/internal/fake/controller_election.go
+++ b/internal/fake/controller_election.go
@@ -11,8 +11,8 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// maxContactLead is how much more recently than the leader a member may have had contact with the state service and
-// still vote for the leader.
+// maxContactLead is how much more recent than the leader's a member's last contact with the state service may be if the
+// member is to vote for the leader.
 const maxContactLead = 2 * time.Second
 
 // stepElection passes an event to the election and executes the effects.
@@ -24,7 +24,7 @@
 
 // electionExecutor returns the executor for the election's requests to the state service.
 func (c *Controller) electionExecutor() effects.ElectionExecutor {
-	return effects.ElectionExecutor{Member: c.Member, State: c.stateRequests(), Now: c.world.Now}
+	return effects.ElectionExecutor{Member: c.Member, State: c.stateClient(), Now: c.world.Now}
 }
 
 // executeElection executes an effect of the election. A request to the state service takes effect at once, and its
@@ -111,7 +111,7 @@
 	})
 }
 
-// queryLeadership asks a peer whether it leads. A peer that leads, or tries to, does not answer.
+// queryLeadership asks a peer whether it leads. The peer answers only if it neither leads nor is claiming to lead.
 func (c *Controller) queryLeadership(peer *Controller) {
 	sent, incarnation := c.world.now, c.Election
 	c.world.sendBetween(c, peer, func() {
@@ -126,9 +126,9 @@
 	})
 }
 
-// vote answers a vote request and returns the duration of the vote, or 0 if the controller does not vote. As in package
-// controller, a member does not vote if it has not read the job records, or if it can reach the state service and has
-// done so more recently than the leader by more than maxContactLead.
+// vote processes a vote request of a leader and returns the duration of the vote, or 0 if the controller does not vote.
+// The rules are those of package controller: a member does not vote if it has not read the job records, or if it can
+// reach the state service and its last contact was more than maxContactLead after the leader's.
 func (c *Controller) vote(request election.VoteRequest, leaderSinceContact time.Duration) time.Duration {
 	now := c.world.now
 	leaderContact := now.Add(-leaderSinceContact)
--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -25,8 +25,10 @@
 	PlacementAllowed map[string]func(w *Worker) bool // by job ID: the job's constraints, checked when a task starts
 	AcceptAnyToken   bool                            // an injected fault: workers accept commands with any fencing token
 
-	OnTaskMoved    func(w *Worker, t *Task, onMachine bool) // called when a task arrives on or leaves a machine
-	OnAttemptKnown func(w *Worker, t *Task, known bool)     // called when a worker learns of an attempt or forgets it
+	// OnTaskMoved is called when a task arrives on a machine or leaves it. It may be nil.
+	OnTaskMoved func(w *Worker, t *Task, onMachine bool)
+	// OnAttemptKnown is called when a worker launches an attempt or forgets it. It may be nil.
+	OnAttemptKnown func(w *Worker, t *Task, known bool)
 
 	answers   map[string]*jobAnswers                           // what users have been answered, by job ID
 	gangTasks func(job string, attempt uint64) iter.Seq[*Task] // yields the tasks of an attempt at a gang on all machines
@@ -46,12 +48,12 @@
 	HeartbeatJitter func() float64                      // returns a factor for the next heartbeat interval; nil means 1
 }
 
-// TaskCounts counts the events of tasks on the workers.
+// TaskCounts counts what has happened to tasks on the workers.
 type TaskCounts struct {
-	KilledTasks   int                  // tasks that were killed when their worker's lease expired
-	LeaseExpiries int                  // worker leases that have expired, each of which ended an epoch
-	Starts        map[model.TaskID]int // launches that workers have executed, by task
-	Checkpoints   map[model.TaskID]int // graceful stops that have saved a checkpoint, by task
+	KilledTasks   int                  // number of tasks that were killed when their worker's lease expired
+	LeaseExpiries int                  // number of worker leases that have expired; each expiry ends an epoch
+	Starts        map[model.TaskID]int // number of launches that workers have executed, by task
+	Checkpoints   map[model.TaskID]int // number of graceful stops that have saved a checkpoint, by task
 }
 
 // violationLog collects the descriptions of broken invariants, each distinct one once.
@@ -110,7 +112,8 @@
 	return false
 }
 
-// gangReady reports whether all tasks of the gang's attempt that t belongs to have fetched their images.
+// gangReady reports whether all tasks of t's gang are ready to run in t's attempt: each has fetched its image, and has
+// not been stopped since.
 func (e *Environment) gangReady(t *Task) bool {
 	ready := 0
 	for other := range e.gangTasks(t.ID.Job, t.Attempt) {
@@ -121,7 +124,7 @@
 	return ready == t.Spec.Tasks
 }
 
-// gangIntact reports whether all tasks of the gang's attempt that t belongs to are still on machines or have completed.
+// gangIntact reports whether no task of t's gang was lost in t's attempt: each has either completed or not exited.
 func (e *Environment) gangIntact(t *Task) bool {
 	intact := 0
 	for other := range e.gangTasks(t.ID.Job, t.Attempt) {
--- a/internal/fake/fleet.go
+++ b/internal/fake/fleet.go
@@ -10,8 +10,8 @@
 )
 
 // Fleet is a large set of fake workers without controllers. Its caller carries their messages and sets the time with
-// SetNow. Unlike a World, a Fleet never scans all workers: it checks the invariants for each task that arrives on a
-// machine or leaves it. It is not safe for concurrent use.
+// SetNow. Unlike a World, a Fleet never scans all workers: it tracks the tasks that arrive on machines and leave them,
+// and checks the invariants for those that arrive. It is not safe for concurrent use.
 type Fleet struct {
 	Environment
 	Workers  map[string]*Worker // by name of the machine
@@ -78,12 +78,12 @@
 	f.recordAnswer(member, id, state)
 }
 
-// RecordCancelRequest records that the user of a job asks to cancel it. Without it, an answer that the job is cancelled
-// is a violation.
+// RecordCancelRequest records that the user of a job asks to cancel it. It must be called before an answer that the job
+// is cancelled is recorded, which is a violation otherwise.
 func (f *Fleet) RecordCancelRequest(id string) { f.recordCancelRequest(id) }
 
-// RecordCancelled records that the user of a job was answered that it is cancelled. The deadline for the job's tasks to
-// end counts from the first call.
+// RecordCancelled records that the user of a job was answered that it is cancelled. The first call for a job starts the
+// deadline by which its tasks must have ended.
 func (f *Fleet) RecordCancelled(id string) {
 	if _, known := f.CancelledAt[id]; !known {
 		f.CancelledAt[id] = f.now
@@ -161,7 +161,8 @@
 		f.recordViolation("wrong_place: %v is on %s, where its job may not run", t.ID, w.Name)
 	}
 	if spec.SingleZone && len(p.zones) > 1 || spec.Spread && p.zones[w.Zone] > spec.MaxTasksPerZone() {
-		f.recordViolation("wrong_place: %s has %d tasks in zone %s, against its zone rules", spec.ID, p.zones[w.Zone], w.Zone)
+		f.recordViolation("wrong_place: %s has %d tasks in zone %s, which breaks its zone rules",
+			spec.ID, p.zones[w.Zone], w.Zone)
 	}
 	if at, ok := f.CancelledAt[t.ID.Job]; ok && f.now.Sub(at) > f.CancelDeadline {
 		f.recordViolation("ran_cancelled: %v arrived on %s after the deadline of its job's cancellation", t.ID, w.Name)
--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -71,13 +71,14 @@
 	}
 }
 
-// checkZones checks that the tasks of each job are in zones that the job's spread or its single zone allows.
+// checkZones checks that no zone has more tasks of a job than the job's spread allows, and that the tasks of a job that
+// needs a single zone are in one zone.
 func (c *invariantCheck) checkZones() {
 	for id, zones := range c.zones {
 		spec := c.Specs[id]
 		for zone, tasks := range zones {
 			if spec.Spread && tasks > spec.MaxTasksPerZone() || spec.SingleZone && len(zones) > 1 {
-				c.recordViolation("wrong_place: %s has %d tasks in zone %s, against its zone rules", id, tasks, zone)
+				c.recordViolation("wrong_place: %s has %d tasks in zone %s, which breaks its zone rules", id, tasks, zone)
 			}
 		}
 	}
--- a/internal/fake/launch_test.go
+++ b/internal/fake/launch_test.go
@@ -12,11 +12,11 @@
 	w.RunTime = 30 * second
 	w.HoldCommands = true // the network holds direct launches
 	submitJob(t, w, spec)
-	waitUntil(t, w, 3*second, "direct launches are on their way", func() bool { return len(w.HeldCommands) > 0 })
-	old := w.Leader()
-	old.Crash()
+	waitUntil(t, w, 3*second, "direct launches are in transit", func() bool { return len(w.HeldCommands) > 0 })
+	formerLeader := w.Leader()
+	formerLeader.Crash()
 	w.HoldCommands = false
-	waitForOtherLeader(t, w, 20*second, old)
+	waitForOtherLeader(t, w, 20*second, formerLeader)
 	waitUntil(t, w, 20*second, "all tasks run", func() bool { return activeTasks(w, spec) == 4 })
 	for _, deliver := range w.HeldCommands {
 		deliver() // the launches arrive after the workers know the new leader's fencing token
@@ -44,7 +44,7 @@
 }
 
 // Two copies of a launch are in transit at once: the network holds the first one, and the second one, sent with a stop,
-// is answered. The answer does not show whether the first copy can still arrive, which must not start the task again.
+// is answered. The answer does not show whether the first copy may still arrive. It must not start the task again.
 func TestAnsweredDuplicateLaunchIsNotStartedAgain(t *testing.T) {
 	w := newDeployment(t, 2)
 	setInboundBlocked := func(blocked bool) {
@@ -82,7 +82,7 @@
 	spec := newJob(model.Service, 2, nil)
 	w.HoldCommands = true
 	submitJob(t, w, spec)
-	waitUntil(t, w, 3*second, "direct launches are on their way", func() bool { return len(w.HeldCommands) > 0 })
+	waitUntil(t, w, 3*second, "direct launches are in transit", func() bool { return len(w.HeldCommands) > 0 })
 	if _, err := w.Cancel(w.Controllers[1], spec.ID); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -6,13 +6,13 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// network simulates the network between the controllers, and between controllers and workers. It can partition the
-// controllers; it can lose, delay or repeat direct commands; and it keeps copies of heartbeats for replay.
+// network simulates the network between the controllers, and between controllers and workers. It can lose, delay and
+// repeat direct commands, and it keeps copies of heartbeats for replay.
 type network struct {
 	ControllersPartitioned bool // no messages pass between controllers
 
 	RetainedHeartbeats    []*model.Heartbeat  // copies of the latest heartbeats, oldest first
-	MaxRetainedHeartbeats int                 // maximum number of retained heartbeats, and of repeatable commands
+	MaxRetainedHeartbeats int                 // limit on retained heartbeats and on repeatable commands; 0 retains none
 	HeldCommands          []func()            // undelivered direct commands; calling one delivers it
 	HoldCommands          bool                // hold all direct commands; their senders receive no answer
 	NextDelivery          func() Delivery     // returns how the next direct command is delivered; nil means Delivered
@@ -78,9 +78,9 @@
 	}
 }
 
-// sendBetween sends a message from one controller to another, which receives it in its next step, when deliver is
-// called. The message is lost if a controller is down, if they cannot reach each other, or if the receiver restarts
-// before it has received the message.
+// sendBetween sends a message from one controller to another. deliver is called when the message arrives, in the
+// receiver's next step. The message is lost if one of them is down, if they cannot reach each other, or if the receiver
+// restarts before the message arrives.
 func (w *World) sendBetween(from, to *Controller, deliver func()) {
 	if !from.Up || !to.Up || w.ControllersPartitioned || from.PeersUnreachable || to.PeersUnreachable {
 		return
@@ -104,11 +104,11 @@
 		leader.handleHeartbeat(heartbeat, true)
 	}
 	switch {
-	case worker.InboundBlocked: // the worker waits in vain for the answer
+	case worker.InboundBlocked: // the worker waits for the answer, which is lost, and then tries the next controller
 		w.tryNextController(worker, 5*time.Second)
 		worker.awaitingAnswer = true
 	case ok:
-		worker.HandleAnswer(heartbeat.Epoch, sent, answer.token, answer.commands)
+		worker.HandleAnswer(heartbeat.Epoch, sent, answer.fencingToken, answer.commands)
 	default:
 		w.tryNextController(worker, time.Second)
 	}
--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -24,8 +24,8 @@
 
 // occupancy summarizes the tasks that the workers of a World know and that have not ended.
 type occupancy struct {
-	usedByTeam map[string]model.Resources // resources of the tasks, by team
-	tasks      map[model.TaskID]bool
+	usedByTeam map[string]model.Resources  // resources of the tasks, by team
+	tasks      map[model.TaskID]bool       // set of the tasks
 	free       map[*Worker]model.Resources // resources that the tasks leave free on each machine
 	zones      map[string]map[string]int   // number of tasks, by job ID and zone
 }
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	maxLogEntries       = 10_000   // number of latest changes that the log keeps at least, for watches
+	maxLogEntries       = 10_000   // number of changes that the log retains for watches when it is compacted
 	maxTransactionBytes = 64 << 10 // limit on the total size of the values of a transaction, encoded as JSON
-	conditionsPerOp     = 4        // number of conditions that a transaction may have for each change that MaxOps allows
+	conditionsPerOp     = 4        // conditions that a transaction may have for each change that MaxOps allows
 )
 
 // State is a fake of the state service, a consensus-backed key-value store with leases. Call answers requests of the
@@ -28,7 +28,7 @@
 	log               []wire.Entry           // the latest changes, oldest first
 	compactedRevision uint64                 // the log no longer has the changes up to this revision
 	leases            map[uint64]*stateLease // by lease ID
-	lastLease         uint64                 // ID of the lease that was granted last
+	lastLease         uint64                 // ID of the latest lease; 0 if none was ever granted
 	Transactions      int                    // number of transactions that were applied
 
 	MaxValueBytes int // maximum size of a value in bytes, encoded as JSON; 0 means no limit
--- a/internal/fake/state_protocol.go
+++ b/internal/fake/state_protocol.go
@@ -15,7 +15,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// defaultPageSize is the maximum number of keys in a page of a list if the request does not specify it.
+// defaultPageSize is the maximum number of keys in a page of a list if the request does not specify one.
 const defaultPageSize = 1000
 
 // errNoSuchPath is returned for a request whose path the protocol does not define.
--- a/internal/fake/task.go
+++ b/internal/fake/task.go
@@ -34,7 +34,7 @@
 	}
 	defer func() {
 		if allowed := w.env.PlacementAllowed[key.Task.Job]; allowed != nil && !allowed(w) {
-			w.env.recordViolation("rules: %v was launched on %s against the constraints of its job", key.Task, w.Name)
+			w.env.recordViolation("rules: %v was launched on %s, which breaks its job's constraints", key.Task, w.Name)
 		}
 	}()
 	t := &Task{
@@ -136,7 +136,7 @@
 	}
 }
 
-// startRunning starts to run a task, for the time that RunTimeOf or RunTime gives.
+// startRunning starts a task, which runs for the time that RunTimeOf or RunTime gives.
 func (w *Worker) startRunning(t *Task) {
 	runTime := w.env.RunTime
 	if w.env.RunTimeOf != nil {
--- a/internal/fake/unresponsive_test.go
+++ b/internal/fake/unresponsive_test.go
@@ -8,8 +8,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// These tests cover workers that commands reach but whose heartbeats reach no controller. Their leases expire even if
-// they answer the commands.
+// These tests cover workers whose messages with the controllers are blocked. If commands reach a worker while its
+// heartbeats reach no controller, its lease expires even though it answers the commands.
 
 // The outbound heartbeats of a worker are blocked, while it answers a stop every few seconds, since jobs on it are
 // cancelled one after another. These answers must not make it look healthy: it must receive no more tasks, which would
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -19,10 +19,10 @@
 	Type         string
 	Zone         string
 	Spot         bool
-	Epoch        uint64 // incremented when the lease expires
-	Seq          uint64 // sequence number of the last heartbeat
-	FencingToken uint64 // the highest fencing token that the worker has accepted
-	Tasks        map[model.AttemptKey]*Task
+	Epoch        uint64                     // incremented when the lease expires
+	Seq          uint64                     // sequence number of the last heartbeat
+	FencingToken uint64                     // the highest fencing token that the worker has accepted
+	Tasks        map[model.AttemptKey]*Task // attempts that the worker knows, including exited ones
 	WorkerFaults
 	InterruptionNotice time.Duration // reported time until the cloud reclaims the machine; 0 means no notice
 
@@ -50,7 +50,7 @@
 	nextHeartbeatAt time.Time // when a heartbeat is due even if the status does not change
 	lastHeartbeatAt time.Time
 	statusChanged   bool // the status has changed since the last heartbeat, so the next one is due early
-	awaitingAnswer  bool // the worker waits in vain for an answer, and sends no early heartbeat meanwhile
+	awaitingAnswer  bool // the worker waits for an answer that was lost, and sends no early heartbeat meanwhile
 	controllerIndex int  // index in World.Controllers of the controller that heartbeats are sent to
 }
 
@@ -96,8 +96,8 @@
 	return h
 }
 
-// NextHeartbeat returns a heartbeat that the caller must send now. The next one is due after the heartbeat interval, or
-// earlier if the status changes.
+// NextHeartbeat returns a heartbeat, which counts as sent at the current time. The next one is due after the heartbeat
+// interval, or earlier if the status changes.
 func (w *Worker) NextHeartbeat() *model.Heartbeat {
 	now := w.env.now
 	w.lastHeartbeatAt, w.nextHeartbeatAt = now, now.Add(w.env.nextHeartbeatInterval())
@@ -105,9 +105,9 @@
 	return w.heartbeat()
 }
 
-// HandleAnswer processes the answer to a heartbeat. epoch is that of the heartbeat, and sent is when it was sent: an
-// accepted answer renews the lease from then on. An answer for another epoch or with a fencing token that is too low is
-// ignored.
+// HandleAnswer processes the answer to a heartbeat. epoch is the epoch of the heartbeat, and sent is when it was sent,
+// from which an accepted answer renews the lease. An answer is ignored if the worker's epoch has changed or the fencing
+// token is too low.
 func (w *Worker) HandleAnswer(epoch uint64, sent time.Time, token uint64, commands []model.Command) {
 	if epoch != w.Epoch || !w.acceptToken(token) {
 		return // an ignored answer does not renew the lease
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -31,13 +31,13 @@
 	Types       []model.MachineType   // the cloud's catalog
 	Teams       map[string]model.Team // by name
 
-	Limits           store.Limits               // limits on records and transactions that the controllers observe
+	Limits           store.Limits               // limits on records and transactions that the controllers comply with
 	StalenessBound   staleness.Bound            // bound on the age of a leader's knowledge of cancellations
 	EndedJobsKept    int                        // number of ended jobs that a controller remembers
 	ledger           *reconciler.LedgerSettings // nil if no ledger is kept
 	controllerStarts uint64                     // number of starts of all controllers, which numbers their incarnations
 
-	StateLatency    func() time.Duration // returns the delay of an answer of the state service; nil means none
+	StateLatency    func() time.Duration // returns the delay of the next answer of the state service; may be nil
 	InterceptCommit CommitInterceptor    // may be nil
 	Observer        Observer             // may be nil
 
@@ -52,7 +52,7 @@
 
 // Observer is notified of messages between controllers and the fakes.
 type Observer interface {
-	// HeartbeatAccepted is called when the leader with a fencing token accepts a heartbeat of a worker.
+	// HeartbeatAccepted is called when a leader, whose fencing token is given, accepts a heartbeat of a worker.
 	HeartbeatAccepted(c *Controller, token uint64, heartbeat *model.Heartbeat)
 	// TransactionSent is called when a controller sends a transaction, for the first time or as a retry.
 	TransactionSent(ops []Operation)
@@ -127,16 +127,16 @@
 	return w
 }
 
-// Leader returns the controller that may act as the leader, or nil if none may. It records a violation if two hold the
-// leadership lease.
+// Leader returns the controller that may act as the leader, or nil if none may. It records a violation if two
+// controllers have a valid leadership.
 func (w *World) Leader() *Controller {
 	var leader *Controller
 	for _, c := range w.Controllers {
-		if !c.holdsLease() {
+		if !c.leadershipValid() {
 			continue
 		}
 		if leader != nil {
-			w.recordViolation("two leaders: %s and %s both hold the leadership lease", leader.Member, c.Member)
+			w.recordViolation("two leaders: %s and %s both have a valid leadership", leader.Member, c.Member)
 		}
 		leader = c
 	}
@@ -146,8 +146,8 @@
 	return leader
 }
 
-// Advance advances the simulated time in steps of Tick. In each step, releases are executed, machines finish booting,
-// controllers and workers run, and the invariants are checked.
+// Advance advances the simulated time by d, in steps of Tick. In each step, pending releases are executed, machines
+// finish booting, controllers and workers run, and the invariants are checked.
 func (w *World) Advance(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(w.Tick)
@@ -211,22 +211,21 @@
 	w.Specs[spec.ID] = spec
 	ctx := context.Background()
 	dependencies := spec.Dependencies // ResolveDependencies removes those that are done
-	doomed, err := c.Jobs.ResolveDependencies(ctx, spec)
+	dependencyCancelled, err := c.Jobs.ResolveDependencies(ctx, spec)
 	if err != nil {
 		return err
 	}
 	if w.Dependencies[spec.ID] == nil {
 		w.Dependencies[spec.ID] = dependencies
 	}
-	_, record, err := c.Jobs.Accept(ctx, spec, doomed, w.now)
+	_, record, err := c.Jobs.Accept(ctx, spec, dependencyCancelled, w.now)
 	if err == nil {
 		w.recordAnswer(c.Member, spec.ID, record.State)
 	}
 	return err
 }
 
-// Cancel cancels a job through a controller, and returns the record that results. Its state can be another one than
-// cancelled if the job had already ended.
+// Cancel cancels a job through a controller and returns the resulting record. A job that is already done stays done.
 func (w *World) Cancel(c *Controller, id string) (store.JobRecord, error) {
 	w.recordCancelRequest(id)
 	record, err := c.Jobs.Cancel(context.Background(), id, w.now)
