--- a/internal/fake/answers.go
+++ b/internal/fake/answers.go
@@ -21,7 +21,7 @@
 type userPolls struct {
 	PollOnCommit  bool // users poll every controller for a job whenever a transaction changes its record
 	StaleReads    bool // an injected fault: members answer from the job records that they have read last
-	AnsweredPolls int  // number of polls that were answered without the fault StaleReads
+	AnsweredPolls int  // number of polls that were answered, except from stale records under StaleReads
 	polling       bool // whether a poll for PollOnCommit is in progress
 }
 
@@ -102,7 +102,7 @@
 	return record.State, err
 }
 
-// PollAll polls all controllers that are up and not frozen for the state of a job, without letting time pass meanwhile.
+// PollAll polls all controllers that are up and not frozen for the state of a job. No time passes between the polls.
 func (w *World) PollAll(id string) {
 	for _, c := range w.Controllers {
 		if c.Up && !c.Frozen {
--- a/internal/fake/controller.go
+++ b/internal/fake/controller.go
@@ -52,14 +52,14 @@
 	Frozen             bool // the controller does nothing, while its clocks advance
 }
 
-// leadership is the state that a controller needs only while it leads.
+// leadership is the state that a controller has only while it leads.
 type leadership struct {
 	Reconciler     *reconciler.Core                    // nil unless the controller leads
 	staleness      *staleness.Tracker                  // nil unless the controller leads
-	acknowledgedBy map[string]store.CancellationCursor // by member: up to where it has reported its cancellations
+	acknowledgedBy map[string]store.CancellationCursor // by member: cursor into the cancellations it has reported
 	fencingToken   uint64
 	tokenVersion   uint64 // version of the record that holds the fencing token
-	suspended      bool   // whether the controller has a reconciler but may not act at present
+	suspended      bool   // whether the controller has a reconciler but may not act now
 }
 
 // depose ends the leadership.
@@ -190,7 +190,8 @@
 }
 
 // scheduleStateReply schedules deliver, which processes the answer to a request to the state service, for the
-// controller's next step, or for the time after World.StateLatency. The request itself took effect when it was sent.
+// controller's next step, or for the end of the delay that World.StateLatency returns. The request itself took effect
+// when it was sent.
 func (c *Controller) scheduleStateReply(deliver func()) {
 	if c.world.StateLatency == nil {
 		c.deferred = append(c.deferred, deliver)
@@ -200,7 +201,8 @@
 	c.delayedReplies = append(c.delayedReplies, delayedReply{dueAt, deliver})
 }
 
-// step runs the controller once, as one iteration of its event loop would.
+// step runs the controller once, like one iteration of its event loop. Instead of watching the leader's key, a follower
+// reads the record of the leader in each step.
 func (c *Controller) step() {
 	if !c.Up || c.Frozen {
 		return
--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -10,7 +10,7 @@
 	zones      map[string]map[string]int  // number of these tasks, by job ID and zone
 }
 
-// CheckInvariants checks the tasks that are on machines at present, and records each broken invariant as a violation:
+// CheckInvariants checks the tasks that are on machines now, and records each broken invariant as a violation:
 // a task is on two machines, is on a machine before the dependencies of its job are done, is on a machine on which its
 // job may not run, or is on a machine after the deadline of its job's cancellation; a team exceeds its quota; or the
 // tasks of a job break the job's zone rules.
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -93,7 +93,8 @@
 	})
 }
 
-// sendHeartbeat sends a heartbeat of a worker to the controller that it reports to, and passes the answer back.
+// sendHeartbeat sends a heartbeat of a worker to the controller that it reports to, and passes the answer back. If the
+// worker receives no answers, a controller that does not answer heartbeats itself relays the heartbeat to the leader.
 func (w *World) sendHeartbeat(worker *Worker) {
 	sent := w.now
 	c := w.Controllers[worker.controllerIndex]
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -210,7 +210,7 @@
 func (w *World) Submit(c *Controller, spec *model.Spec) error {
 	w.Specs[spec.ID] = spec
 	ctx := context.Background()
-	dependencies := spec.Dependencies // ResolveDependencies removes those that are done
+	dependencies := spec.Dependencies // kept here, since ResolveDependencies removes those that are done
 	dependencyCancelled, err := c.Jobs.ResolveDependencies(ctx, spec)
 	if err != nil {
 		return err
