--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -98,8 +98,8 @@
 	return model.Resources{}
 }
 
-// hasWaitingTasks reports whether a job has tasks that could start: its dependencies are done, and at least one task has
-// not completed and is not among onMachines. For a gang this must hold for all tasks, since they start together.
+// hasWaitingTasks reports whether a job has tasks that could start: its dependencies are done, and at least one task
+// has not completed and is not among onMachines. For a gang this must hold for all tasks, since they start together.
 func (w *World) hasWaitingTasks(spec *model.Spec, onMachines map[model.TaskID]bool) bool {
 	for _, dependency := range w.Dependencies[spec.ID] {
 		if !w.AllCompleted(dependency) {
