--- a/internal/fake/answers_test.go
+++ b/internal/fake/answers_test.go
@@ -69,7 +69,7 @@
 			outcomes := runUserWorkload(t, w, random, answerFaults[name](w, random))
 			done, cancelled := outcomes[wire.StateDone], outcomes[wire.StateCancelled]
 			if done < 5 || cancelled < 5 || w.AnsweredPolls < 500 {
-				t.Errorf("late cancellations: got %d done and %d cancelled, want 5 of each; answered polls: got %d, want 500",
+				t.Errorf("answers to late cancellations and polls: got %d done, %d cancelled, %d polls, want at least 5, 5 and 500",
 					done, cancelled, w.AnsweredPolls)
 			}
 		})
@@ -137,8 +137,8 @@
 	return false
 }
 
-// submitNewJob submits a job twice. It cancels the job at once, marks it for cancellation on completion, or leaves
-// it.
+// submitNewJob submits a job twice, because a user may repeat a submission. Then it cancels the job at once, marks it
+// for cancellation on completion, or leaves it alone.
 func (u *userWorkload) submitNewJob() {
 	spec := newJob(model.Array, 1+u.random.IntN(2), func(spec *model.Spec) {
 		spec.Demand = model.Resources{CPU: 0.2, MemGB: 0.2}
@@ -149,7 +149,7 @@
 	}
 	u.jobs = append(u.jobs, spec)
 	u.PollAll(spec.ID)
-	_ = u.sendWithRetries(submit) // the user repeats the submission
+	_ = u.sendWithRetries(submit)
 	switch u.random.IntN(6) {
 	case 0:
 		_ = u.sendWithRetries(func(c *Controller) error {
@@ -183,8 +183,8 @@
 	}
 }
 
-// allEnded polls each job at a random controller and reports whether all have ended. It stops at the first that has
-// not.
+// allEnded polls each job at a random controller and reports whether all have ended. It stops at the first job that
+// has not ended.
 func (u *userWorkload) allEnded() bool {
 	for _, spec := range u.jobs {
 		if state, err := u.Poll(u.randomController(), spec.ID); err != nil || !state.Ended() {
@@ -244,7 +244,8 @@
 			w.Advance(second)
 		}
 		if violated := len(w.Violations) > 0; violated != (team == "red") {
-			t.Errorf("job of team %s without a leader: got violations %v, longest wait %v", team, w.Violations, w.LongestWait)
+			t.Errorf("waiting job of team %s: got violations %v, longest wait %v, want a violation for team red only",
+				team, w.Violations, w.LongestWait)
 		}
 	}
 }
--- a/internal/fake/cancellation_test.go
+++ b/internal/fake/cancellation_test.go
@@ -14,8 +14,9 @@
 )
 
 // The leader cannot reach the state service for a while before an outage makes it unreachable for all controllers,
-// and another controller confirms cancellations in that time. The leader learns of them from the other controllers
-// and stops the tasks. If it was isolated for at most 3 s, it keeps its leadership and other tasks keep running.
+// and another controller confirms cancellations in that time. The cancelled tasks have to end although the leader
+// cannot read the records of the cancellations: other controllers report them to it. If the leader was isolated for
+// at most 3 s, it also has to keep its leadership, and other tasks have to keep running.
 func TestCancelledTasksStopWhenLeaderLosesStateBeforeOutage(t *testing.T) {
 	for _, members := range []int{2, 3, 5} {
 		for _, isolatedFor := range []time.Duration{second / 2, second, 2 * second, 3 * second, 5 * second, 10 * second} {
@@ -65,10 +66,8 @@
 				random := rand.New(rand.NewPCG(4, 4))
 				w := newVotingMembers(t, 3, 4)
 				w.PollOnCommit = true
-				cancelled, remaining := []*model.Spec{
-					newJob(model.Array, 2, nil),
-					newJob(model.Gang, 2, nil),
-				}, newJob(model.Service, 2, nil)
+				cancelled, remaining :=
+					[]*model.Spec{newJob(model.Array, 2, nil), newJob(model.Gang, 2, nil)}, newJob(model.Service, 2, nil)
 				startJobs(t, w, append(cancelled, remaining)...)
 				w.StateLatency = func() time.Duration { return time.Duration(random.Int64N(int64(maxLatency))) }
 				w.Advance(10 * second)
@@ -109,7 +108,7 @@
 }
 
 // The leader confirms a cancellation itself, and an outage of the state service begins before it has read the change.
-// It stops the tasks within the deadline all the same.
+// The leader still has to stop the tasks within the deadline.
 func TestLeaderAppliesItsOwnCancellationInOutage(t *testing.T) {
 	w := newVotingMembers(t, 3, 4)
 	spec := newJob(model.Array, 2, nil)
@@ -119,13 +118,13 @@
 	w.State.SetDown(true)
 	w.Advance(2 * w.CancelDeadline)
 	if w.Leader() != leader {
-		t.Error("the leader lost its leadership in the outage; the scenario requires that it keeps it")
+		t.Error("the leader lost its leadership in the outage, but the test needs the same leader throughout")
 	}
 }
 
 // All controllers but the leader restart after one of them has confirmed a cancellation. They can read its record,
-// but no longer remember that it was confirmed. The leader, which cannot read the record, has to learn of it all the
-// same.
+// but no longer remember that it was confirmed. The leader, which cannot read the record, still has to learn of the
+// cancellation.
 func TestCancellationSurvivesRestartOfConfirmingMember(t *testing.T) {
 	for _, members := range []int{2, 3} {
 		w := newVotingMembers(t, members, 4)
@@ -150,8 +149,8 @@
 	}
 }
 
-// The leader has to learn of more cancellations than one answer to a vote request carries. Until it knows all of them
-// it must not let the workers' leases expire, which would kill the tasks of other jobs.
+// More cancellations are confirmed than one answer to a vote request carries, so the leader needs several answers to
+// learn of all of them. Meanwhile no worker's lease may expire, since that would kill the tasks of other jobs.
 func TestManyCancellationsReachLeaderWithoutKillingTasks(t *testing.T) {
 	w := newVotingMembers(t, 3, 4)
 	remaining := newJob(model.Service, 2, nil)
@@ -170,7 +169,7 @@
 	cancelJobs(t, w, nonLeader(w, leader), append(queuedJobs, runningJob)...)
 	w.Advance(100 * time.Millisecond)
 	w.State.SetDown(true)
-	waitUntil(t, w, 8*second, "the leader knows all cancellations", func() bool { return activeTasks(w, runningJob) == 0 })
+	waitUntil(t, w, 8*second, "the cancelled tasks have ended", func() bool { return activeTasks(w, runningJob) == 0 })
 	w.Advance(2 * w.CancelDeadline)
 	if w.Leader() != leader || activeTasks(w, remaining) != 2 || w.KilledTasks > 0 {
 		t.Errorf("active replicas: got %d, want 2; killed tasks: got %d, want 0", activeTasks(w, remaining), w.KilledTasks)
@@ -258,8 +257,8 @@
 }
 
 // Users cancel an unknown job, a done job and an open job while there is no fault, while the leader cannot reach the
-// state service, and in an outage. Each answer has to follow the protocol; only a controller that cannot reach the
-// state service may return an error instead.
+// state service, and in an outage. Each answer has to follow the protocol. A controller that cannot reach the state
+// service may answer from its cache, and otherwise returns an error.
 func TestCancelAnswersFollowProtocolInEveryPhase(t *testing.T) {
 	w := newVotingMembers(t, 3, 4)
 	w.RunTime = 3 * second
@@ -268,7 +267,7 @@
 	submitJob(t, w, doneJob)
 	waitUntil(t, w, 60*second, "the array job is done", jobDone(t, w, doneJob))
 	leader := w.Leader()
-	w.Specs["wk-999999"] = doneJob
+	w.Specs["wk-999999"] = doneJob // World needs a spec for each ID whose answers it checks
 	for _, beginFault := range []func(){
 		func() {},
 		func() { leader.StateUnreachable = true },
@@ -308,11 +307,12 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { confirmed += runRandomCancellations(t, uint64(seed)) })
 	}
 	if confirmed < seedCount {
-		t.Errorf("confirmed cancellations: got %d with %d seeds, want at least one per seed", confirmed, seedCount)
+		t.Errorf("confirmed cancellations: got %d with %d seeds, want at least one per seed on average", confirmed, seedCount)
 	}
 }
 
-// runRandomCancellations runs the scenario with one seed and returns the number of confirmed cancellations.
+// runRandomCancellations runs the scenario with one seed and returns the number of confirmed cancellations. Once all
+// faults have ended, the jobs that were not cancelled have to be active.
 func runRandomCancellations(t *testing.T, seed uint64) (confirmed int) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
--- a/internal/fake/delayed_writes_test.go
+++ b/internal/fake/delayed_writes_test.go
@@ -14,7 +14,7 @@
 type heldTransactions struct{ bodies [][]byte }
 
 // hold intercepts transactions that write a key with the given prefix, until limit transactions are held. The sender
-// of a held transaction gets a timeout.
+// of a held transaction gets a deadline error instead of an answer.
 func (h *heldTransactions) hold(w *World, prefix string, limit int) {
 	w.InterceptCommit = func(c *Controller, body []byte) (bool, error) {
 		for _, op := range TransactionOps(body) {
@@ -92,9 +92,10 @@
 	}
 }
 
-// A transaction that records the end of a task gets no answer, so the leader fences it by rewriting the token's
-// record. The fence gets no answer either: it is committed, arrives late or is lost. The leader has to keep its
-// leadership, and each task has to start once.
+// A transaction that records the end of a task gets no answer. The leader therefore sends a fence: it rewrites the
+// token's record, after which the unanswered transaction can no longer be committed. The fence gets no answer either;
+// it may be committed, arrive late or be lost. The leader has to keep its leadership, and each task has to start only
+// once.
 func TestUnansweredFenceKeepsLeaderAndStartsTasksOnce(t *testing.T) {
 	for _, fenceOutcome := range []string{"committed", "delayed", "lost"} {
 		t.Run(fenceOutcome, func(t *testing.T) {
--- a/internal/fake/duplicates_test.go
+++ b/internal/fake/duplicates_test.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// faultInjectionWorld is a deployment with the random actions of a rapid test: they inject faults into messages,
-// controllers and machines, and act as users.
+// faultInjectionWorld is a deployment whose methods package rapid calls as random actions. They inject faults into
+// messages, controllers and machines, and submit, cancel and poll jobs as users do.
 type faultInjectionWorld struct {
 	*World
 	drawDelivery func() Delivery // decides how the next direct command is delivered
@@ -70,7 +70,7 @@
 	if names := f.WorkerNames(); len(names) > 0 {
 		return f.Workers[rapid.SampledFrom(names).Draw(rt, "worker")]
 	}
-	return &Worker{} // all machines have been released
+	return &Worker{} // all machines have been released; changes to this worker have no effect
 }
 
 func (f *faultInjectionWorld) drawController(rt *rapid.T) *Controller {
@@ -223,7 +223,7 @@
 }
 
 // endFaults ends all faults and lets the deployment recover. Then it delivers the commands that are still held and
-// waits long enough for a job that has room and is not started to be reported.
+// waits until a job that starves would have been reported.
 func (f *faultInjectionWorld) endFaults() {
 	f.drawDelivery = func() Delivery { return Delivered }
 	restoreControllers(f.World)
--- a/internal/fake/failover_test.go
+++ b/internal/fake/failover_test.go
@@ -13,7 +13,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// leadershipLosses holds ways in which a leader loses the leadership, for a moment or until it is restored.
+// leadershipLosses holds the ways in which a leader loses its leadership. In some of them it may regain it at once.
 var leadershipLosses = map[string]func(w *World, leader *Controller){
 	"leader crashes": func(w *World, leader *Controller) {
 		leader.Crash()
@@ -49,8 +49,8 @@
 
 // runTenFailovers makes the leader lose its leadership ten times, while tasks that outlast all failovers run, jobs
 // are submitted and cancelled, and two machines are partitioned. If outage is set, the fifth failover happens during
-// an outage of the state service. In the end all tasks have to run, no job may wait for long, and no more than 12
-// machines may have been provisioned.
+// an outage of the state service. In the end all tasks have to run, no job may starve, and at most 12 machines may
+// have been provisioned.
 func runTenFailovers(t *testing.T, loseLeadership func(w *World, leader *Controller), outage bool) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(3, 3))
@@ -147,7 +147,7 @@
 // spot machines. Tasks whose job may use them could still run on a partitioned machine, so they have to wait until
 // the leases of these machines have certainly expired.
 func TestNewLeaderStartsTasksSuspectMachinesCannotHold(t *testing.T) {
-	w := newScaledDeployment(t, 3, 4) // large quotas: suspect machines are charged as if they were full
+	w := newScaledDeployment(t, 3, 4) // large quotas, since suspect machines are charged as if full
 	w.cloudExhausted = true
 	for range 3 {
 		addMachine(w, "a", true)
@@ -179,7 +179,7 @@
 		return activeTasks(w, spotForbidden) == 4
 	})
 	if startCount(w, spotAllowed) > 4 && w.Now().Sub(electedAt) < w.Lease {
-		t.Error("a task that might still run on a partitioned machine was started again before its lease had expired")
+		t.Error("a task that might still run on a partitioned machine was started again before the leases had expired")
 	}
 }
 
--- a/internal/fake/overlapping_faults_test.go
+++ b/internal/fake/overlapping_faults_test.go
@@ -9,9 +9,9 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// The tests in this file let two faults overlap in ways that operators have observed. World checks the invariants all
-// the time. Further cases are in delayed_writes_test.go (delayed transactions) and cancellation_test.go
-// (cancellations).
+// The tests in this file let two faults overlap in ways that operators have observed. World checks the invariants
+// with each tick. Tests with delayed transactions are in delayed_writes_test.go, those with cancellations in
+// cancellation_test.go.
 
 // The leader crashes while one machine with long tasks is partitioned. A second machine stops receiving messages
 // after it has accepted the next leader's fencing token. No task may run twice, and all tasks have to run again once
@@ -44,7 +44,8 @@
 }
 
 // The leader resigns and so does its successor, then all controllers crash, and the first leader restarts alone
-// within a second. Commands that it sent in its first term are delayed until it leads again; they must do no harm.
+// within a second. Commands that it sent in its first term are delayed until it leads again. They must not violate an
+// invariant.
 func TestDelayedCommandsOfFirstTermAreHarmlessAfterReelection(t *testing.T) {
 	w := newVotingMembers(t, 3, 4)
 	first := w.Leader()
--- a/internal/fake/scenario_helpers_test.go
+++ b/internal/fake/scenario_helpers_test.go
@@ -259,7 +259,7 @@
 func refreshedState(t *testing.T, c *Controller, id string) wire.JobState {
 	t.Helper()
 	if err := c.Jobs.Refresh(context.Background()); err != nil {
-		t.Fatalf("refresh of the job records of %s: %v", c.Member, err)
+		t.Fatalf("refresh of the job records at %s: %v", c.Member, err)
 	}
 	if record := c.Jobs.Peek(id); record.State != wire.StateUnknown {
 		return record.State
--- a/internal/fake/votes_test.go
+++ b/internal/fake/votes_test.go
@@ -47,7 +47,7 @@
 	w.Advance(20 * second)
 	crashed.Crash()
 	w.Advance(5 * second)
-	crashed.Start() // it has lost its memory and cannot read the records, so it does not vote and no leader is elected
+	crashed.Start() // it has lost its state and cannot read the records, so it does not vote, and no leader is elected
 	w.Advance(10 * second)
 	if w.Leader() != nil {
 		t.Error("a controller leads without having read the state service")
@@ -93,7 +93,7 @@
 	w := newVotingDeployment(t, 4)
 	for _, c := range w.Controllers {
 		if c != w.Leader() {
-			c.electionSettings.VoteDuration = 0 // like a program version without votes
+			c.electionSettings.VoteDuration = 0 // as in a program version without votes
 			c.Crash()
 			c.Start()
 			break
@@ -143,9 +143,9 @@
 	}
 }
 
-// A controller other than the leader crashes in an outage and has lost its memory after the restart. The leader keeps
-// its leadership until the vote of that controller expires, so the workers' leases do not expire before the outage
-// ends. After the regular vote duration the leader starts no tasks, because the other controller may have confirmed
+// A controller other than the leader restarts in an outage and loses its in-memory state. The leader keeps its
+// leadership until the vote of that controller expires, so the workers' leases do not expire before the outage ends.
+// After the regular vote duration the leader starts no tasks, because the other controller may have confirmed
 // cancellations. Cancelled tasks still have to end within the deadline.
 func TestMemberCrashInStateOutageKillsNothing(t *testing.T) {
 	w := newVotingDeploymentWithOutageVotes(t, 4, 10*second)
@@ -195,8 +195,8 @@
 	}
 }
 
-// The leader crashes in an outage for which the other controllers have cast long votes. These end as soon as the
-// restarted controller states that it does not lead, so the failover takes no longer than usual.
+// The leader crashes in an outage for which the other controllers have cast long votes. These votes end as soon as
+// the restarted controller states that it does not lead, so the failover takes no longer than usual.
 func TestLongVoteDoesNotDelayFailover(t *testing.T) {
 	w := newVotingDeploymentWithOutageVotes(t, 2, 10*second)
 	leader := w.Leader()
