--- a/internal/fake/constraints_test.go
+++ b/internal/fake/constraints_test.go
@@ -7,7 +7,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// newConstraintDeployment is a deployment with a second type of machine that is larger and far more expensive.
+// newConstraintDeployment returns a deployment that has a leader and a second machine type, which is larger and far
+// more expensive than the first.
 func newConstraintDeployment(t *testing.T, machines int) *World {
 	t.Helper()
 	w := newDeployment(t, machines)
@@ -26,17 +27,18 @@
 	return w
 }
 
-// submitConstrained submits a job with constraints, and has every start of its tasks checked by a predicate.
+// submitConstrained submits a job with constraints and returns its specification. The test fails if a task of the job
+// starts on a worker for which allowed returns false.
 func submitConstrained(
 	t *testing.T,
 	w *World,
 	spec *model.Spec,
-	rules string,
-	holds func(worker *Worker) bool,
+	constraints string,
+	allowed func(worker *Worker) bool,
 ) *model.Spec {
 	t.Helper()
-	spec.Rules = rules
-	w.PlacementAllowed[spec.ID] = holds
+	spec.Rules = constraints
+	w.PlacementAllowed[spec.ID] = allowed
 	submitJob(t, w, spec)
 	return spec
 }
@@ -49,7 +51,7 @@
 		func(worker *Worker) bool {
 			return worker.Type == "big" && worker.Zone == "b" && !worker.Spot && worker.CountTasks("wk-") <= 1
 		})
-	waitUntil(t, w, 60*second, "its tasks run", func() bool { return activeTasks(w, spec) >= 3 })
+	waitUntil(t, w, 60*second, "half of the tasks run", func() bool { return activeTasks(w, spec) >= 3 })
 	for range 3 {
 		w.Leader().Crash()
 		w.Advance(3 * second)
@@ -60,57 +62,59 @@
 		}
 		waitForLeader(t, w, 20*second)
 	}
-	waitUntil(t, w, 120*second, "done", jobDone(t, w, spec))
+	waitUntil(t, w, 120*second, "the job is done", jobDone(t, w, spec))
 	for _, worker := range w.Workers {
 		if worker.Type == "big" && (worker.Zone != "b" || worker.Spot) {
-			t.Errorf("%s in %s was provisioned, spot %v", worker.Name, worker.Zone, worker.Spot)
+			t.Errorf("machine %s was provisioned in zone %s with spot=%v, want zone b and no spot machine",
+				worker.Name, worker.Zone, worker.Spot)
 		}
 	}
 }
 
 func TestAffinityAndAntiAffinityToOtherJobsHold(t *testing.T) {
 	w := newConstraintDeployment(t, 6)
-	data := newJob(model.Service, 1, func(spec *model.Spec) { spec.Zone = "b" })
-	submitJob(t, w, data)
-	waitUntil(t, w, 20*second, "the service runs", func() bool { return activeTasks(w, data) == 1 })
-	host := w.MachinesOf(model.TaskID{Job: data.ID})[0]
-	near := submitConstrained(t, w, newJob(model.Array, 3, nil), "require same zone as "+data.ID,
+	service := newJob(model.Service, 1, func(spec *model.Spec) { spec.Zone = "b" })
+	submitJob(t, w, service)
+	waitUntil(t, w, 20*second, "the service runs", func() bool { return activeTasks(w, service) == 1 })
+	serviceMachine := w.MachinesOf(model.TaskID{Job: service.ID})[0]
+	sameZone := submitConstrained(t, w, newJob(model.Array, 3, nil), "require same zone as "+service.ID,
 		func(worker *Worker) bool { return worker.Zone == "b" })
-	apart := submitConstrained(t, w, newJob(model.Array, 3, nil),
-		"require apart from "+data.ID+"; prefer 100 same zone as "+data.ID,
-		func(worker *Worker) bool { return worker.Name != host })
-	far := submitConstrained(t, w, newJob(model.Array, 2, nil), "require apart from "+data.ID+" by zone",
+	otherMachine := submitConstrained(t, w, newJob(model.Array, 3, nil),
+		"require apart from "+service.ID+"; prefer 100 same zone as "+service.ID,
+		func(worker *Worker) bool { return worker.Name != serviceMachine })
+	otherZone := submitConstrained(t, w, newJob(model.Array, 2, nil), "require apart from "+service.ID+" by zone",
 		func(worker *Worker) bool { return worker.Zone == "a" })
-	for _, spec := range []*model.Spec{near, apart, far} {
-		waitUntil(t, w, 90*second, "done", jobDone(t, w, spec))
+	for _, spec := range []*model.Spec{sameZone, otherMachine, otherZone} {
+		waitUntil(t, w, 90*second, "the constrained job is done", jobDone(t, w, spec))
 	}
 }
 
-// Both jobs are placed in one pass: the constraint holds against a task that was placed earlier in it.
+// Both jobs are placed in one scheduling pass. The gang's constraint must also hold against the task of the first
+// job, which is placed earlier in that pass.
 func TestAntiAffinityHoldsWithinOnePass(t *testing.T) {
 	w := newConstraintDeployment(t, 2)
 	w.RunTime = 30 * second
 	first := newJob(model.Array, 1, func(spec *model.Spec) { spec.Priority, spec.Team = model.PriorityProduction, "blue" })
-	behind := newJob(model.Gang, 2, func(spec *model.Spec) { spec.Demand.CPU = 2 })
-	behind.Rules = "require apart from " + first.ID + " by zone"
-	w.Leader().Crash() // both wait when the next leader makes its first pass
-	submitToFirstUp(t, w, w.Controllers, first, behind)
-	waitUntil(t, w, 60*second, "both run", func() bool {
-		return activeTasks(w, first) == 1 && activeTasks(w, behind) == 2
+	gang := newJob(model.Gang, 2, func(spec *model.Spec) { spec.Demand.CPU = 2 })
+	gang.Rules = "require apart from " + first.ID + " by zone"
+	w.Leader().Crash() // both jobs are pending when the next leader runs its first pass
+	submitToFirstUp(t, w, w.Controllers, first, gang)
+	waitUntil(t, w, 60*second, "both jobs run", func() bool {
+		return activeTasks(w, first) == 1 && activeTasks(w, gang) == 2
 	})
 	zone := w.Workers[w.MachinesOf(model.TaskID{Job: first.ID})[0]].Zone
-	for i := range behind.Tasks {
-		if at := w.Workers[w.MachinesOf(model.TaskID{Job: behind.ID, Index: i})[0]]; at.Zone == zone {
-			t.Errorf("task %d is on %s, in the other job's zone %s", i, at.Name, zone)
+	for i := range gang.Tasks {
+		if worker := w.Workers[w.MachinesOf(model.TaskID{Job: gang.ID, Index: i})[0]]; worker.Zone == zone {
+			t.Errorf("task %d of the gang is on %s in zone %s, where the other job runs", i, worker.Name, zone)
 		}
 	}
 }
 
-// submitToFirstUp submits jobs through the first controller that is up.
-func submitToFirstUp(t *testing.T, w *World, all []*Controller, specs ...*model.Spec) {
+// submitToFirstUp submits each job through the first of the controllers that is up and accepts it.
+func submitToFirstUp(t *testing.T, w *World, controllers []*Controller, specs ...*model.Spec) {
 	t.Helper()
 	for _, spec := range specs {
-		for _, c := range all {
+		for _, c := range controllers {
 			if c.Up && w.Submit(c, spec) == nil {
 				break
 			}
@@ -120,31 +124,33 @@
 
 func TestConstraintsHoldUnderPreemptionAndConsolidation(t *testing.T) {
 	w := newConstraintDeployment(t, 4) // two machines in each zone
-	low := newJob(model.Array, 8, func(spec *model.Spec) {
+	lowPriority := newJob(model.Array, 8, func(spec *model.Spec) {
 		spec.Priority, spec.CheckpointInterval, spec.CheckpointTime = model.PriorityLow, 5*second, second
 	})
 	w.RunTime = 300 * second
-	submitJob(t, w, low)
-	waitUntil(t, w, 20*second, "low-priority tasks fill all machines", func() bool { return activeTasks(w, low) == 8 })
-	serve := newJob(model.Service, 2, func(spec *model.Spec) {
+	submitJob(t, w, lowPriority)
+	waitUntil(t, w, 20*second, "low-priority tasks fill all machines", func() bool {
+		return activeTasks(w, lowPriority) == 8
+	})
+	service := newJob(model.Service, 2, func(spec *model.Spec) {
 		spec.Priority, spec.Team = model.PriorityProduction, "blue"
 	})
-	submitConstrained(t, w, serve, "require zone = \"a\"; require at most 1 per machine",
+	submitConstrained(t, w, service, "require zone = \"a\"; require at most 1 per machine",
 		func(worker *Worker) bool { return worker.Zone == "a" })
-	waitUntil(t, w, 30*second, "tasks are preempted in its zone", func() bool { return activeTasks(w, serve) == 2 })
-	cancelJobs(t, w, w.Controllers[0], low)
-	w.Advance(60 * second) // nothing waits: replicas are consolidated where they may be
-	if activeTasks(w, serve) != 2 {
-		t.Errorf("%d replicas", activeTasks(w, serve))
+	waitUntil(t, w, 30*second, "tasks are preempted in its zone", func() bool { return activeTasks(w, service) == 2 })
+	cancelJobs(t, w, w.Controllers[0], lowPriority)
+	w.Advance(60 * second) // no job is pending, so replicas are consolidated where their constraints allow it
+	if activeTasks(w, service) != 2 {
+		t.Errorf("replicas after consolidation: got %d, want 2", activeTasks(w, service))
 	}
 }
 
 func TestJobWaitsForMissingMachineType(t *testing.T) {
 	w := newConstraintDeployment(t, 2)
-	submitJob(t, w, newJob(model.Service, 2, func(spec *model.Spec) { spec.Demand.CPU = 8 })) // keeps both machines
-	all := w.Types
-	w.Types = all[:1]
-	w.Advance(70 * second) // the catalogue is read again
+	submitJob(t, w, newJob(model.Service, 2, func(spec *model.Spec) { spec.Demand.CPU = 8 })) // occupies both machines
+	allTypes := w.Types
+	w.Types = allTypes[:1]
+	w.Advance(70 * second) // long enough for the controllers to read the catalog again
 	spec := submitConstrained(t, w, newJob(model.Array, 1, nil), "require cpus >= 16", func(worker *Worker) bool {
 		return worker.Type == "big"
 	})
@@ -157,32 +163,32 @@
 		len(explanation.Machines) == 0 ||
 		explanation.Machines[0].Reason != refusal ||
 		explanation.Machines[0].Count != 2 {
-		t.Fatalf("%+v", explanation)
+		t.Fatalf("explanation while no machine type matches: got %+v", explanation)
 	}
-	w.Types = all
-	waitUntil(t, w, 120*second, "done once the type is back", jobDone(t, w, spec))
+	w.Types = allTypes
+	waitUntil(t, w, 120*second, "the job is done after the machine type has returned", jobDone(t, w, spec))
 }
 
 func TestUnreadableConstraintsStartNothing(t *testing.T) {
 	w := newConstraintDeployment(t, 2)
 	spec := newJob(model.Array, 1, nil)
-	spec.Rules = "require colour = \"blue\"" // of a later version
+	spec.Rules = "require colour = \"blue\"" // a constraint that only a later version can read
 	submitJob(t, w, spec)
 	w.Advance(30 * second)
 	explanation := w.Leader().Reconciler.Explain(w.Now(), spec.ID)
 	if activeTasks(w, spec) != 0 || explanation == nil || len(explanation.Reasons) != 1 ||
 		!strings.Contains(explanation.Reasons[0], "cannot be read") {
-		t.Errorf("%d tasks run, %+v", activeTasks(w, spec), explanation)
+		t.Errorf("with unreadable constraints %d tasks run, and the explanation is %+v", activeTasks(w, spec), explanation)
 	}
 }
 
 func TestExplanationsNameTheDecidingReason(t *testing.T) {
 	w := newConstraintDeployment(t, 8)
 	w.RunTime = 60 * second
-	limit := newJob(model.Array, 10, nil)
-	submitJob(t, w, limit)
-	behind := newJob(model.Array, 1, func(spec *model.Spec) { spec.Dependencies = []string{limit.ID} })
-	submitJob(t, w, behind)
+	overQuota := newJob(model.Array, 10, nil)
+	submitJob(t, w, overQuota)
+	dependent := newJob(model.Array, 1, func(spec *model.Spec) { spec.Dependencies = []string{overQuota.ID} })
+	submitJob(t, w, dependent)
 	preferred := newJob(model.Array, 1, func(spec *model.Spec) { spec.Team = "blue" })
 	submitConstrained(t, w, preferred, "prefer 100 zone = \"b\"",
 		func(worker *Worker) bool { return worker.Zone == "b" })
@@ -196,17 +202,17 @@
 		return text
 	}
 	for spec, want := range map[*model.Spec]string{
-		limit:     "team red is at its limit: 32 of 32 CPUs",
-		behind:    "it awaits [" + limit.ID + "]",
+		overQuota: "team red is at its limit: 32 of 32 CPUs",
+		dependent: "it awaits [" + overQuota.ID + "]",
 		preferred: "+1.00 for wishes",
 	} {
 		if got := explain(spec); !strings.Contains(got, want) {
-			t.Errorf("%s: %q, want %q", spec.ID, got, want)
+			t.Errorf("explanation of %s: got %q, want it to contain %q", spec.ID, got, want)
 		}
 	}
-	explanation := w.Leader().Reconciler.Explain(w.Now(), limit.ID)
+	explanation := w.Leader().Reconciler.Explain(w.Now(), overQuota.ID)
 	if explanation.OnMachines != 8 || explanation.Waiting != 2 || len(explanation.Placements) != 8 ||
 		!strings.Contains(explanation.Placements[0].Reason, "most efficient") {
-		t.Errorf("%+v", explanation)
+		t.Errorf("explanation of a job that is partly placed: got %+v", explanation)
 	}
 }
--- a/internal/fake/dependencies_test.go
+++ b/internal/fake/dependencies_test.go
@@ -14,21 +14,24 @@
 )
 
 func TestDependentJobsStartInOrderWithoutDelay(t *testing.T) {
-	w := newDeployment(t, 2) // the invariant too_early is checked all along
-	a := newJob(model.Array, 4, nil)
-	b1, b2 := newDependentJob(a), newDependentJob(a)
-	gang := newJob(model.Gang, 2, func(spec *model.Spec) { spec.Dependencies = []string{b1.ID, b2.ID, a.ID} })
-	huge := newJob(model.Array, 60, func(spec *model.Spec) { spec.Team = "blue"; spec.Dependencies = []string{gang.ID} })
-	submitJobs(t, w, a, b1, b2, gang, huge)
+	w := newDeployment(t, 2) // the invariant too_early is checked on every tick
+	root := newJob(model.Array, 4, nil)
+	left, right := newDependentJob(root), newDependentJob(root)
+	gang := newJob(model.Gang, 2, func(spec *model.Spec) { spec.Dependencies = []string{left.ID, right.ID, root.ID} })
+	lastStage := newJob(model.Array, 60, func(spec *model.Spec) {
+		spec.Team = "blue"
+		spec.Dependencies = []string{gang.ID}
+	})
+	submitJobs(t, w, root, left, right, gang, lastStage)
 	provisioned := w.ProvisionedTotal()
 	waitUntil(t, w, 60*second, "the gang runs", func() bool { return activeTasks(w, gang) == 2 })
 	if n := w.ProvisionedTotal(); n != provisioned {
-		t.Errorf("machines provisioned for tasks that may not start: got %d, want 0", n-provisioned)
+		t.Errorf("machines provisioned for tasks with unfinished dependencies: got %d, want 0", n-provisioned)
 	}
-	expectState(t, w, huge, wire.StateQueued)
+	expectState(t, w, lastStage, wire.StateQueued)
 	waitUntil(t, w, 60*second, "the gang is done", jobDone(t, w, gang))
-	waitUntil(t, w, 2*second, "the last stage starts at once", func() bool {
-		return w.Starts[model.TaskID{Job: huge.ID}] == 1
+	waitUntil(t, w, 2*second, "the last stage starts without delay", func() bool {
+		return w.Starts[model.TaskID{Job: lastStage.ID}] == 1
 	})
 }
 
@@ -37,35 +40,35 @@
 	w.State.MaxOps, w.Limits.MaxChanges = 4, 4
 	w.RunTime = 300 * second
 	restartAll(t, w, 0)
-	a := newJob(model.Array, 2, nil)
-	all := []*model.Spec{a}
-	for range 30 { // a chain with a fan at each link
-		all = append(all, newDependentJob(all[len(all)-1]), newDependentJob(a))
+	root := newJob(model.Array, 2, nil)
+	jobs := []*model.Spec{root}
+	for range 30 { // a chain of jobs, and as many jobs that depend on the first alone
+		jobs = append(jobs, newDependentJob(jobs[len(jobs)-1]), newDependentJob(root))
 	}
-	submitJobs(t, w, all...)
-	waitUntil(t, w, 20*second, "the first runs", func() bool { return activeTasks(w, a) == 2 })
+	submitJobs(t, w, jobs...)
+	waitUntil(t, w, 20*second, "the first job runs", func() bool { return activeTasks(w, root) == 2 })
 	w.Leader().Crash() // there is no leader while the user cancels
-	other := w.Controllers[0]
-	if !other.Up {
-		other = w.Controllers[1]
+	follower := w.Controllers[0]
+	if !follower.Up {
+		follower = w.Controllers[1]
 	}
-	if _, err := w.Cancel(other, a.ID); err != nil {
+	if _, err := w.Cancel(follower, root.ID); err != nil {
 		t.Fatal(err)
 	}
-	for _, spec := range all {
+	for _, spec := range jobs {
 		expectState(t, w, spec, wire.StateCancelled)
 	}
-	if n := len(w.State.Keys("job/a/")); n != len(all)-1 {
-		t.Fatalf("%d jobs unfinished on record", n)
+	if n := len(w.State.Keys("job/a/")); n != len(jobs)-1 {
+		t.Fatalf("active job records after the cancellation: got %d, want one for each dependent job", n)
 	}
-	late := newDependentJob(all[len(all)-1])
-	submitJobs(t, w, late) // it depends on a job whose own end is not on record yet
-	expectState(t, w, late, wire.StateCancelled)
-	waitUntil(t, w, 30*second, "a new leader has written all ends", func() bool {
+	lateDependent := newDependentJob(jobs[len(jobs)-1])
+	submitJobs(t, w, lateDependent) // it depends on a job whose end is not recorded yet
+	expectState(t, w, lateDependent, wire.StateCancelled)
+	waitUntil(t, w, 30*second, "a new leader has recorded the end of every job", func() bool {
 		return len(w.State.Keys("job/a/")) == 0
 	})
 	restartAll(t, w, 0)
-	for _, spec := range append(all, late) {
+	for _, spec := range append(jobs, lateDependent) {
 		expectState(t, w, spec, wire.StateCancelled)
 	}
 }
@@ -73,23 +76,23 @@
 func TestCancellationCascadeCompletesAfterOutage(t *testing.T) {
 	w := newDeployment(t, 2)
 	w.RunTime = 300 * second
-	a := newJob(model.Array, 1, nil)
-	b := newDependentJob(a)
-	c := newDependentJob(b)
-	submitJobs(t, w, a, b, c)
-	waitUntil(t, w, 20*second, "the first runs", func() bool { return activeTasks(w, a) == 1 })
-	if _, err := w.Cancel(w.Controllers[1], a.ID); err != nil {
+	root := newJob(model.Array, 1, nil)
+	child := newDependentJob(root)
+	grandchild := newDependentJob(child)
+	submitJobs(t, w, root, child, grandchild)
+	waitUntil(t, w, 20*second, "the first job runs", func() bool { return activeTasks(w, root) == 1 })
+	if _, err := w.Cancel(w.Controllers[1], root.ID); err != nil {
 		t.Fatal(err)
 	}
-	w.State.SetDown(true) // before the leader has read it
+	w.State.SetDown(true) // before the leader has read the cancellation
 	w.Advance(6 * second)
 	w.State.SetDown(false)
-	expectState(t, w, c, wire.StateCancelled)
-	waitUntil(t, w, 10*second, "the ends are on record", func() bool { return len(w.State.Keys("job/a/")) == 0 })
+	expectState(t, w, grandchild, wire.StateCancelled)
+	waitUntil(t, w, 10*second, "the end of every job is recorded", func() bool { return len(w.State.Keys("job/a/")) == 0 })
 }
 
 func TestCancelRacingCompletionDecidesDependents(t *testing.T) {
-	for _, when := range []time.Duration{
+	for _, cancelAfter := range []time.Duration{
 		0,
 		second,
 		4 * second,
@@ -99,115 +102,119 @@
 		20 * second,
 	} {
 		w := newDeployment(t, 2)
-		a := newJob(model.Array, 1, nil)
-		b := newDependentJob(a)
-		diamond := newDependentJob(a, b)
-		submitJobs(t, w, a, b, diamond)
-		w.Advance(when)
-		v, err := w.Cancel(w.Controllers[2], a.ID)
+		root := newJob(model.Array, 1, nil)
+		child := newDependentJob(root)
+		diamond := newDependentJob(root, child)
+		submitJobs(t, w, root, child, diamond)
+		w.Advance(cancelAfter)
+		record, err := w.Cancel(w.Controllers[2], root.ID)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if v.State == wire.StateCancelled {
-			expectState(t, w, b, wire.StateCancelled)
+		if record.State == wire.StateCancelled {
+			expectState(t, w, child, wire.StateCancelled)
 			expectState(t, w, diamond, wire.StateCancelled)
 			continue
 		}
-		waitUntil(t, w, 60*second, "those after a done job go on", jobDone(t, w, diamond))
+		waitUntil(t, w, 60*second, "the dependents of the completed job are done", jobDone(t, w, diamond))
 	}
 }
 
 func TestCancelDownstreamLeavesOtherJobs(t *testing.T) {
 	w := newDeployment(t, 2)
-	a := newJob(model.Array, 1, nil)
-	b, side := newDependentJob(a), newDependentJob(a)
-	c := newDependentJob(b, side)
-	submitJobs(t, w, a, b, side, c)
-	if _, err := w.Cancel(w.Controllers[1], b.ID); err != nil {
+	root := newJob(model.Array, 1, nil)
+	cancelled, sibling := newDependentJob(root), newDependentJob(root)
+	downstream := newDependentJob(cancelled, sibling)
+	submitJobs(t, w, root, cancelled, sibling, downstream)
+	if _, err := w.Cancel(w.Controllers[1], cancelled.ID); err != nil {
 		t.Fatal(err)
 	}
-	expectState(t, w, c, wire.StateCancelled)
-	waitUntil(t, w, 60*second, "what does not need it is done", func() bool {
-		return jobDone(t, w, a)() && jobDone(t, w, side)()
+	expectState(t, w, downstream, wire.StateCancelled)
+	waitUntil(t, w, 60*second, "the jobs that do not depend on the cancelled job are done", func() bool {
+		return jobDone(t, w, root)() && jobDone(t, w, sibling)()
 	})
-	if n := w.Starts[model.TaskID{Job: b.ID}] + w.Starts[model.TaskID{Job: c.ID}]; n != 0 {
-		t.Errorf("%d starts of what was cancelled while it waited", n)
+	if n := w.Starts[model.TaskID{Job: cancelled.ID}] + w.Starts[model.TaskID{Job: downstream.ID}]; n != 0 {
+		t.Errorf("task starts of jobs that were cancelled while pending: got %d, want 0", n)
 	}
 }
 
 func TestSubmissionValidatesDependencies(t *testing.T) {
 	w := newDeployment(t, 2)
-	ended, cancelled, service := newJob(model.Array, 1, nil), newJob(model.Array, 1, nil), newJob(model.Service, 1, nil)
-	submitJobs(t, w, ended, cancelled, service)
+	done, cancelled, service := newJob(model.Array, 1, nil), newJob(model.Array, 1, nil), newJob(model.Service, 1, nil)
+	submitJobs(t, w, done, cancelled, service)
 	if _, err := w.Cancel(w.Controllers[0], cancelled.ID); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, 60*second, "done", jobDone(t, w, ended))
-	restartAll(t, w, 0) // no controller remembers anything
+	waitUntil(t, w, 60*second, "the job is done", jobDone(t, w, done))
+	restartAll(t, w, 0) // clears the memory of all controllers
 	self := newDependentJob()
 	self.Dependencies = []string{self.ID}
 	unknown := newDependentJob(&model.Spec{ID: "wk-999999"})
-	for name, spec := range map[string]*model.Spec{"one never accepted": unknown, "itself": self} {
+	for name, spec := range map[string]*model.Spec{"a job that was never accepted": unknown, "itself": self} {
 		if err := w.Submit(w.Controllers[1], spec); !errors.Is(err, store.ErrUnknownDependency) {
-			t.Errorf("a job that awaits %s: %v", name, err)
+			t.Errorf("submission of a job that depends on %s: got error %v, want ErrUnknownDependency", name, err)
 		}
 	}
 	if err := w.Submit(w.Controllers[1], newDependentJob(service)); !errors.Is(err, store.ErrServiceDependency) {
-		t.Errorf("a job that awaits a service: %v", err)
+		t.Errorf("submission of a job that depends on a service: got error %v, want ErrServiceDependency", err)
 	}
-	below := newDependentJob(ended, cancelled)
-	submitJobs(t, w, below)
-	expectState(t, w, below, wire.StateCancelled)
-	created, v, err := w.Controllers[2].Jobs.Accept(context.Background(), below, false, w.now)
-	if created || err != nil || v.State != wire.StateCancelled {
-		t.Errorf("a retry of it: accepted=%v, %v, %v", created, v.State, err)
+	dependsOnCancelled := newDependentJob(done, cancelled)
+	submitJobs(t, w, dependsOnCancelled)
+	expectState(t, w, dependsOnCancelled, wire.StateCancelled)
+	created, record, err := w.Controllers[2].Jobs.Accept(context.Background(), dependsOnCancelled, false, w.now)
+	if created || err != nil || record.State != wire.StateCancelled {
+		t.Errorf("retried submission: got created=%v, state %v, error %v, want the existing cancelled job",
+			created, record.State, err)
 	}
-	free := newDependentJob(ended)
-	submitJobs(t, w, free)
-	waitUntil(t, w, 30*second, "a job that awaits only what is done runs", jobDone(t, w, free))
+	dependsOnDone := newDependentJob(done)
+	submitJobs(t, w, dependsOnDone)
+	waitUntil(t, w, 30*second, "a job whose dependencies are all done is done", jobDone(t, w, dependsOnDone))
 	w.Controllers[0].StateUnreachable = true
 	err = w.Submit(w.Controllers[0], newDependentJob(&model.Spec{ID: "wk-999998"}))
 	if err == nil || errors.Is(err, store.ErrUnknownDependency) {
-		t.Errorf("an unknown dependency without the state service: got %v, want another error", err)
+		t.Errorf("unknown dependency while the state service is unreachable: got error %v, want another one", err)
 	}
 }
 
-// A regression test: a leader forgot the end that a waiting job depended on. It remembers few ended jobs, and the job
-// was accepted when the end was on record already but not known everywhere.
+// Regression test: a new leader did not know the end of a job on which a pending job depended. Controllers keep only
+// a few ended jobs in memory, and the pending job was accepted after that end had been recorded but before every
+// controller had read it.
 func TestFailoverResolvesDependenciesEndedLongAgo(t *testing.T) {
 	w := newDeployment(t, 2)
 	w.EndedJobsKept = 1
 	restartAll(t, w, 0)
 	w.RunTime = 2 * second
-	a, b := newJob(model.Array, 1, nil), newJob(model.Array, 1, nil)
-	long := newJob(model.Array, 1, func(spec *model.Spec) {
-		spec.Team, spec.Demand.CPU = "blue", 100 // it fits no machine
+	done1, done2 := newJob(model.Array, 1, nil), newJob(model.Array, 1, nil)
+	unplaceable := newJob(model.Array, 1, func(spec *model.Spec) {
+		spec.Team, spec.Demand.CPU = "blue", 100 // fits on no machine
+	})
+	submitJobs(t, w, done1, done2, unplaceable)
+	earlyDependent := newDependentJob(done1, done2, unplaceable)
+	submitJobs(t, w, earlyDependent)
+	waitUntil(t, w, 60*second, "two of the three jobs are done", func() bool {
+		return jobDone(t, w, done1)() && jobDone(t, w, done2)()
 	})
-	submitJobs(t, w, a, b, long)
-	c := newDependentJob(a, b, long)
-	submitJobs(t, w, c)
-	waitUntil(t, w, 60*second, "two of three are done", func() bool { return jobDone(t, w, a)() && jobDone(t, w, b)() })
-	for range 3 { // others push them out of the controllers' memory
+	for range 3 { // further ended jobs evict these two from the controllers' memory
 		spec := newJob(model.Array, 1, nil)
 		submitJobs(t, w, spec)
-		waitUntil(t, w, 60*second, "done", jobDone(t, w, spec))
+		waitUntil(t, w, 60*second, "the job is done", jobDone(t, w, spec))
 	}
-	d := newDependentJob(a)
-	d.Dependencies = append(d.Dependencies, long.ID)
-	submitJobs(t, w, d)
+	lateDependent := newDependentJob(done1)
+	lateDependent.Dependencies = append(lateDependent.Dependencies, unplaceable.ID)
+	submitJobs(t, w, lateDependent)
 	restartAll(t, w, 0)
 	w.Advance(5 * second)
-	expectState(t, w, c, wire.StateQueued)
-	if _, err := w.Cancel(w.Controllers[1], long.ID); err != nil {
+	expectState(t, w, earlyDependent, wire.StateQueued)
+	if _, err := w.Cancel(w.Controllers[1], unplaceable.ID); err != nil {
 		t.Fatal(err)
 	}
-	expectState(t, w, c, wire.StateCancelled)
-	expectState(t, w, d, wire.StateCancelled)
-	waitUntil(t, w, 10*second, "their ends are on record", func() bool { return len(w.State.Keys("job/a/")) == 0 })
+	expectState(t, w, earlyDependent, wire.StateCancelled)
+	expectState(t, w, lateDependent, wire.StateCancelled)
+	waitUntil(t, w, 10*second, "the end of every job is recorded", func() bool { return len(w.State.Keys("job/a/")) == 0 })
 }
 
 func TestFailoverBetweenCompletionAndDependentStart(t *testing.T) {
-	for _, when := range []time.Duration{
+	for _, crashAfter := range []time.Duration{
 		10 * second,
 		11 * second,
 		11500 * time.Millisecond,
@@ -215,40 +222,40 @@
 		12500 * time.Millisecond,
 	} {
 		w := newDeployment(t, 2)
-		w.HoldCommands = when > 11*second // direct launches are held, and arrive late
-		a := newJob(model.Array, 2, nil)
-		b := newDependentJob(a)
-		submitJobs(t, w, a, b)
-		w.Advance(when)
+		w.HoldCommands = crashAfter > 11*second // launch commands sent directly to workers arrive late
+		root := newJob(model.Array, 2, nil)
+		child := newDependentJob(root)
+		submitJobs(t, w, root, child)
+		w.Advance(crashAfter)
 		if leader := w.Leader(); leader != nil {
 			leader.Crash()
 		}
 		w.HoldCommands = false
-		waitUntil(t, w, 60*second, "done", func() bool {
-			return w.Leader() != nil && refreshedState(t, w.Leader(), b.ID) == wire.StateDone
+		waitUntil(t, w, 60*second, "the dependent job is done", func() bool {
+			return w.Leader() != nil && refreshedState(t, w.Leader(), child.ID) == wire.StateDone
 		})
-		for _, f := range w.HeldCommands {
-			f()
+		for _, deliver := range w.HeldCommands {
+			deliver()
 		}
 		w.Advance(2 * second)
 	}
 }
 
-// The time at which a dependency completed is on record with its end.
+// A dependency's completion time is part of its end record, so a new leader still knows it.
 func TestDependencyCompletionTimeSurvivesFailover(t *testing.T) {
 	w := newDeployment(t, 2)
-	a := newJob(model.Array, 1, nil)
-	b := newDependentJob(a)
-	b.Demand.CPU = 100 // it fits no machine
-	submitJobs(t, w, a, b)
-	waitUntil(t, w, 60*second, "freed", jobDone(t, w, a))
-	freed := w.Now()
+	dependency := newJob(model.Array, 1, nil)
+	dependent := newDependentJob(dependency)
+	dependent.Demand.CPU = 100 // fits on no machine
+	submitJobs(t, w, dependency, dependent)
+	waitUntil(t, w, 60*second, "the dependency is done", jobDone(t, w, dependency))
+	completedAt := w.Now()
 	w.Advance(30 * second)
 	restartAll(t, w, 0)
 	w.Advance(5 * second)
-	for _, e := range w.Leader().Jobs.ReadEnds(context.Background(), []string{a.ID}) {
-		if d := freed.Sub(e.EndedAt); e.Outcome != model.OutcomeDone || d < 0 || d > second {
-			t.Errorf("the end on record is %v before the one that was seen", d)
+	for _, end := range w.Leader().Jobs.ReadEnds(context.Background(), []string{dependency.ID}) {
+		if earlier := completedAt.Sub(end.EndedAt); end.Outcome != model.OutcomeDone || earlier < 0 || earlier > second {
+			t.Errorf("recorded end of the dependency: got %v before its observed completion, want 0 s to 1 s", earlier)
 		}
 	}
 }
@@ -269,40 +276,43 @@
 	}
 	submitJobs(t, w, last)
 	if n := len(w.State.Keys("job/w/")); n < 5 {
-		t.Fatalf("a list of 400 long ids in %d parts", n)
+		t.Fatalf("parts of a list of 400 long dependency ids: got %d, want at least 5", n)
 	}
 	restartAll(t, w, 0)
-	waitUntil(t, w, 120*second, "done", jobDone(t, w, last))
-	waitUntil(t, w, 10*second, "the parts of its list are gone", func() bool { return len(w.State.Keys("job/w/")) == 0 })
+	waitUntil(t, w, 120*second, "the last job is done", jobDone(t, w, last))
+	waitUntil(t, w, 10*second, "the parts of its dependency list are deleted", func() bool {
+		return len(w.State.Keys("job/w/")) == 0
+	})
 	if len(w.RejectedKeys) > 0 {
-		t.Errorf("rejected: %v", w.RejectedKeys)
+		t.Errorf("records rejected by the state service: %v", w.RejectedKeys)
 	}
 	for i := range 2000 {
 		last.Dependencies = append(last.Dependencies, fmt.Sprintf("wk-7%030d", i))
 	}
 	if err := w.Controllers[0].Jobs.CheckSize(last); !errors.Is(err, store.ErrTooLarge) {
-		t.Errorf("a list that cannot be kept at all: %v", err)
+		t.Errorf("size check of a dependency list above the limit: got %v, want ErrTooLarge", err)
 	}
 }
 
-// A submission that fails between the parts of its list and its own record leaves parts behind, which a new leader
-// removes, and no job.
+// A submission that fails after it has written the parts of its dependency list, but before the job's own record,
+// leaves no job. A new leader deletes the orphaned parts.
 func TestPartialSubmissionIsCleanedUp(t *testing.T) {
 	w := newDeployment(t, 1)
 	spec := newDependentJob()
 	key := "job/w/" + spec.ID + "/cbf29ce484222325/0"
 	w.State.Preload(key, wire.AppendDependencies(nil, []string{"wk-000001"}))
 	restartAll(t, w, 0)
-	waitUntil(t, w, 10*second, "cleared away", func() bool { return w.State.Value(key) == nil })
-	if v, err := w.Controllers[0].Jobs.Lookup(context.Background(), spec.ID); err != nil || v.State != wire.StateUnknown {
-		t.Errorf("it is %v, %v", v.State, err)
+	waitUntil(t, w, 10*second, "the orphaned part is deleted", func() bool { return w.State.Value(key) == nil })
+	if record, err := w.Controllers[0].Jobs.Lookup(context.Background(), spec.ID); err != nil ||
+		record.State != wire.StateUnknown {
+		t.Errorf("state of a partly submitted job: got %v, error %v, want it unknown", record.State, err)
 	}
 	submitJobs(t, w, spec)
-	waitUntil(t, w, 30*second, "accepted in full it runs", jobDone(t, w, spec))
+	waitUntil(t, w, 30*second, "the job is done after a complete submission", jobDone(t, w, spec))
 }
 
-// A regression test: a leader retried one record that the state service rejects for ever. The other records are
-// written, and the job ends.
+// Regression test: a leader kept retrying one record that the state service always rejects. The other records must
+// still be written, and both jobs must end.
 func TestRejectedRecordDoesNotBlockOthers(t *testing.T) {
 	w := newDeployment(t, 2)
 	spec := newJob(model.Array, 1900, func(spec *model.Spec) { spec.Demand.CPU = 1 })
@@ -321,16 +331,18 @@
 	w.RunTime = 20 * second
 	w.State.MaxValueBytes = 300 // far below the published limit
 	submitJobs(t, w, other)
-	before := w.State.Transactions
-	waitUntil(t, w, 30*second, "runs", func() bool {
+	transactionsBefore := w.State.Transactions
+	waitUntil(t, w, 30*second, "an unfinished task runs", func() bool {
 		return len(w.MachinesOf(model.TaskID{Job: spec.ID, Index: 1897})) == 1
 	})
 	completeTask(w, spec, 1897)
-	waitUntil(t, w, 60*second, "both are done", func() bool { return jobDone(t, w, spec)() && jobDone(t, w, other)() })
+	waitUntil(t, w, 60*second, "both jobs are done", func() bool {
+		return jobDone(t, w, spec)() && jobDone(t, w, other)()
+	})
 	if len(w.RejectedKeys) == 0 || len(w.RejectedKeys) > 12 {
-		t.Errorf("rejected: %v", w.RejectedKeys)
+		t.Errorf("records rejected by the state service: %v", w.RejectedKeys)
 	}
-	if n := w.State.Transactions - before; n > 60 {
-		t.Errorf("%d transactions", n)
+	if n := w.State.Transactions - transactionsBefore; n > 60 {
+		t.Errorf("transactions: got %d, want at most 60", n)
 	}
 }
