--- a/internal/fake/fleet_invariants_test.go
+++ b/internal/fake/fleet_invariants_test.go
@@ -9,7 +9,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// A fleet has to find each violation alone, as it happens.
+// A fleet must detect each kind of violation on its own, and report none for a correct placement.
 func TestFleetDetectsEachViolation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	launch := func(worker *Worker, job string, index int) {
@@ -19,7 +19,7 @@
 			Attempt: uint64(index + 1),
 		}})
 	}
-	for rule, play := range map[string]func(f *Fleet, a, b *Worker){
+	for rule, provoke := range map[string]func(f *Fleet, a, b *Worker){
 		"ran_twice": func(_ *Fleet, a, b *Worker) { launch(a, "wk-000001", 0); launch(b, "wk-000001", 0) },
 		"quota": func(_ *Fleet, a, _ *Worker) {
 			launch(a, "wk-000001", 0)
@@ -51,25 +51,26 @@
 		}
 		a := f.Add(model.MachineInfo{Name: "n-1", Zone: "a"})
 		b := f.Add(model.MachineInfo{Name: "n-2", Zone: "a"})
-		play(f, a, b)
-		for range 2 { // the image arrives, and the tasks are on their machines
+		provoke(f, a, b)
+		for range 2 { // the images are fetched, and the tasks count as being on their machines
 			f.SetNow(f.Now().Add(2 * time.Second))
 			a.Advance()
 			b.Advance()
 		}
 		f.CheckCancelled()
-		if found := strings.Join(f.Violations, "; "); rule == "" && found != "" || !strings.Contains(found, rule) {
-			t.Errorf("%q: found %q", rule, found)
+		if violations := strings.Join(f.Violations, "; "); rule == "" && violations != "" ||
+			!strings.Contains(violations, rule) {
+			t.Errorf("rule %q: got violations %q, want those of the rule only, and none for the empty rule", rule, violations)
 		}
 	}
 }
 
-// A gang runs once all its tasks are ready, and ends where one of them is lost.
+// A gang's tasks start only when all of them are ready, and the others end when one of them is lost.
 func TestFleetGangTasksStartAndEndTogether(t *testing.T) {
 	now := time.Unix(1000, 0)
-	f := NewFleet(now, []model.Team{{Name: "red"}})
-	f.Lease, f.GangWait, f.RunTime = time.Hour, time.Hour, time.Hour
-	f.Specs["wk-000001"] = &model.Spec{
+	fleet := NewFleet(now, []model.Team{{Name: "red"}})
+	fleet.Lease, fleet.GangWait, fleet.RunTime = time.Hour, time.Hour, time.Hour
+	fleet.Specs["wk-000001"] = &model.Spec{
 		ID:     "wk-000001",
 		Team:   "red",
 		Shape:  model.Gang,
@@ -77,8 +78,8 @@
 		Demand: model.Resources{CPU: 4},
 	}
 	var machines [2]*Worker
-	phase := func(i int) model.Phase {
-		f.SetNow(f.Now().Add(2 * time.Second))
+	advance := func(i int) model.Phase {
+		fleet.SetNow(fleet.Now().Add(2 * time.Second))
 		for _, worker := range machines {
 			if worker != nil {
 				worker.Advance()
@@ -90,18 +91,18 @@
 		return 0
 	}
 	for i := range machines {
-		machines[i] = f.Add(model.MachineInfo{Name: string(rune('a' + i)), Zone: "a"})
+		machines[i] = fleet.Add(model.MachineInfo{Name: string(rune('a' + i)), Zone: "a"})
 		machines[i].Execute([]model.Command{{Op: model.OpLaunch, Task: model.TaskID{Job: "wk-000001", Index: i}, Attempt: 7}})
-		if phase(i); i == 0 && phase(0) != model.PhaseWaiting {
-			t.Error("the first task does not wait for the second")
+		if advance(i); i == 0 && advance(0) != model.PhaseWaiting {
+			t.Error("the first gang task does not wait for the second")
 		}
 	}
-	if phase(0); phase(0) != model.PhaseRunning {
-		t.Error("a whole gang does not run")
+	if advance(0); advance(0) != model.PhaseRunning {
+		t.Error("the gang does not run although all its tasks are ready")
 	}
-	f.Remove(machines[1].Name)
-	machines[0].Tasks[model.AttemptKey{Task: model.TaskID{Job: "wk-000001"}, Number: 7}].phaseEnd = f.Now()
-	if phase(0); phase(0) != model.PhaseExited {
-		t.Error("a gang that has lost a task goes on")
+	fleet.Remove(machines[1].Name)
+	machines[0].Tasks[model.AttemptKey{Task: model.TaskID{Job: "wk-000001"}, Number: 7}].phaseEnd = fleet.Now()
+	if advance(0); advance(0) != model.PhaseExited {
+		t.Error("a gang task keeps running although another task of the gang is lost")
 	}
 }
--- a/internal/fake/fleet_test.go
+++ b/internal/fake/fleet_test.go
@@ -9,7 +9,8 @@
 	"github.com/glentiller/glentiller/internal/reconciler"
 )
 
-// newBenchmarkFleet is a deployment of many machines with four tasks each, all known to its leader.
+// newBenchmarkFleet returns a deployment of many machines with four running tasks each, and its leader, which knows
+// them all.
 func newBenchmarkFleet(b *testing.B, machines int) (*World, *Controller) {
 	b.Helper()
 	w := newTestWorld(machines, float64(machines))
@@ -21,15 +22,16 @@
 	if err := w.Submit(w.Controllers[0], spec); err != nil {
 		b.Fatal(err)
 	}
-	w.Advance(time.Duration(machines) * 30 * time.Millisecond) // writing the records of machines takes a while
+	w.Advance(time.Duration(machines) * 30 * time.Millisecond) // the time in which the machine records are written
 	leader := w.Leader()
 	if leader == nil || activeTasks(w, spec) != 4*machines {
-		b.Fatalf("%d of %d tasks run", activeTasks(w, spec), 4*machines)
+		b.Fatalf("running tasks of the benchmark fleet: got %d, want %d", activeTasks(w, spec), 4*machines)
 	}
 	return w, leader
 }
 
-// BenchmarkHeartbeat measures a heartbeat without news in the leader's reconciler, at different sizes.
+// BenchmarkHeartbeat measures how long the leader's reconciler takes for a heartbeat that reports no change, at
+// different numbers of machines.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, machines := range []int{500, 2000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -43,8 +45,8 @@
 	}
 }
 
-// BenchmarkTwoThousandHeartbeatsInASecond measures 2,000 heartbeats at a new leader that knows nothing yet, with the
-// scheduling passes of that second.
+// BenchmarkTwoThousandHeartbeatsInASecond measures how long a new leader, which has received no heartbeat yet, takes
+// for 2,000 heartbeats and the scheduling passes of the same second.
 func BenchmarkTwoThousandHeartbeatsInASecond(b *testing.B) {
 	w, leader := newBenchmarkFleet(b, 2000)
 	for b.Loop() {
@@ -68,8 +70,8 @@
 	}
 }
 
-// crashAllFor ends all controllers for some time.
-func crashAllFor(w *World, downtime time.Duration) {
+// crashAllControllersFor crashes all controllers, and starts them again after the downtime.
+func crashAllControllersFor(w *World, downtime time.Duration) {
 	for _, c := range w.Controllers {
 		c.Crash()
 	}
@@ -79,36 +81,36 @@
 	}
 }
 
-// outageFor has the state service down while something happens, and for some time after it.
-func outageFor(w *World, d time.Duration, during func()) {
+// stopStateServiceFor stops the state service, calls during, and restarts the service after the extra time.
+func stopStateServiceFor(w *World, extra time.Duration, during func()) {
 	w.State.SetDown(true)
 	during()
-	w.Advance(d)
+	w.Advance(extra)
 	w.State.SetDown(false)
 }
 
-// partitionOneIn partitions one machine in a number of them, or ends that.
-func partitionOneIn(w *World, number int, partitioned bool) {
+// partitionEveryNth partitions every nth machine if partitioned is true, and reconnects it otherwise.
+func partitionEveryNth(w *World, n int, partitioned bool) {
 	for i, name := range w.WorkerNames() {
-		if i%number == 0 {
+		if i%n == 0 {
 			w.Workers[name].Partitioned = partitioned
 		}
 	}
 }
 
-// fleetFaults are faults that operators' fleets have seen.
+// fleetFaults lists faults that have occurred in production fleets.
 var fleetFaults = []struct {
-	name   string
-	within time.Duration // after the fault all replicas run again
-	play   func(w *World)
+	name         string
+	recoveryTime time.Duration // bounds the time from the end of the fault until all replicas run
+	inject       func(w *World)
 }{
-	{"all controllers crash, twice", 10 * second, func(w *World) {
-		crashAllFor(w, 3*second)
+	{"all controllers crash twice", 10 * second, func(w *World) {
+		crashAllControllersFor(w, 3*second)
 		w.Advance(4 * second)
-		crashAllFor(w, 3*second)
+		crashAllControllersFor(w, 3*second)
 	}},
-	{"a roll during an outage", 12 * second, func(w *World) {
-		outageFor(w, 2*second, func() {
+	{"rolling restart during a state service outage", 12 * second, func(w *World) {
+		stopStateServiceFor(w, 2*second, func() {
 			for _, c := range w.Controllers {
 				c.Crash()
 				w.Advance(3 * second)
@@ -116,34 +118,34 @@
 			}
 		})
 	}},
-	{"an outage just after all have crashed", 10 * second, func(w *World) {
-		crashAllFor(w, second)
-		outageFor(w, 14*second, func() {})
+	{"state service outage just after all controllers crash", 10 * second, func(w *World) {
+		crashAllControllersFor(w, second)
+		stopStateServiceFor(w, 14*second, func() {})
 	}},
-	{"half of all machines go and return in one moment", 5 * second, func(w *World) {
-		partitionOneIn(w, 2, true)
+	{"half of the machines disconnect and reconnect at once", 5 * second, func(w *World) {
+		partitionEveryNth(w, 2, true)
 		w.Advance(9 * second)
-		partitionOneIn(w, 2, false)
+		partitionEveryNth(w, 2, false)
 	}},
-	{"half of all machines are gone for longer than their leases", 20 * second, func(w *World) {
-		partitionOneIn(w, 2, true)
+	{"half of the machines are partitioned for longer than their leases", 20 * second, func(w *World) {
+		partitionEveryNth(w, 2, true)
 		w.Advance(w.Lease + 3*second)
-		partitionOneIn(w, 2, false)
+		partitionEveryNth(w, 2, false)
 	}},
-	{"machines go, and then all controllers crash", 20 * second, func(w *World) {
-		partitionOneIn(w, 4, true)
+	{"machines disconnect and then all controllers crash", 20 * second, func(w *World) {
+		partitionEveryNth(w, 4, true)
 		w.Advance(2 * second)
-		crashAllFor(w, 3*second)
+		crashAllControllersFor(w, 3*second)
 		w.Advance(10 * second)
-		partitionOneIn(w, 4, false)
+		partitionEveryNth(w, 4, false)
 	}},
-	{"members that do not reach each other", 10 * second, func(w *World) {
+	{"controllers cannot reach each other", 10 * second, func(w *World) {
 		w.ControllersPartitioned = true
 		w.Leader().Crash()
 		w.Advance(20 * second)
 		w.ControllersPartitioned = false
 	}},
-	{"the leader stands still and goes on", 10 * second, func(w *World) {
+	{"the leader pauses and resumes", 10 * second, func(w *World) {
 		old := w.Leader()
 		old.Up = false
 		w.Advance(20 * second)
@@ -151,7 +153,8 @@
 	}},
 }
 
-// After each fault, on forty machines, all replicas run again, and no invariant was broken meanwhile.
+// After each fault in a fleet of forty machines, all replicas run again in time, and no invariant is violated
+// meanwhile.
 func TestFleetRecoversFromEachFault(t *testing.T) {
 	for _, fault := range fleetFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -173,8 +176,8 @@
 				return true
 			}
 			waitUntil(t, w, 30*second, "all replicas run", allRun)
-			fault.play(w)
-			waitUntil(t, w, fault.within, "a controller leads and all replicas run", func() bool {
+			fault.inject(w)
+			waitUntil(t, w, fault.recoveryTime, "a controller leads and all replicas run", func() bool {
 				return w.Leader() != nil && allRun()
 			})
 			w.Advance(5 * second)
@@ -182,32 +185,32 @@
 	}
 }
 
-// At hundreds of machines the work that a leader causes grows with the number of tasks: each is started once, records
-// are written in batches, and there is about one command for each task.
+// On hundreds of machines, the work that a leader causes is bounded by the number of tasks: each task is started
+// once, records are written in batches, and there is about one command per task.
 func TestLeaderWorkAtFourHundredMachinesIsBounded(t *testing.T) {
 	w := newScaledDeployment(t, 400, 80)
-	var all []*model.Spec
+	var specs []*model.Spec
 	for i := range 4 {
 		spec := newJob(model.Array, 300, func(spec *model.Spec) { spec.Image = fmt.Sprint("img-", i) })
-		all = append(all, spec)
+		specs = append(specs, spec)
 		submitJob(t, w, spec)
 	}
-	before := w.State.Transactions
-	for _, spec := range all {
-		waitUntil(t, w, 90*second, "done", jobDone(t, w, spec))
+	transactionsBefore := w.State.Transactions
+	for _, spec := range specs {
+		waitUntil(t, w, 90*second, "the job is done", jobDone(t, w, spec))
 	}
-	for id, n := range w.Starts {
-		if n != 1 {
-			t.Errorf("%v was started %d times", id, n)
+	for id, starts := range w.Starts {
+		if starts != 1 {
+			t.Errorf("task %v was started %d times, want once", id, starts)
 		}
 	}
 	if len(w.Starts) != 1200 {
-		t.Errorf("%d tasks were started", len(w.Starts))
+		t.Errorf("started tasks: got %d, want 1200", len(w.Starts))
 	}
-	if txns := w.State.Transactions - before; txns > 150 {
-		t.Errorf("%d transactions for 1200 tasks of 4 jobs on 400 machines", txns)
+	if txns := w.State.Transactions - transactionsBefore; txns > 150 {
+		t.Errorf("transactions for 1200 tasks of 4 jobs on 400 machines: got %d, want at most 150", txns)
 	}
 	if w.DirectCommands > 1500 {
-		t.Errorf("%d commands for 1200 tasks", w.DirectCommands)
+		t.Errorf("commands for 1200 tasks: got %d, want at most 1500", w.DirectCommands)
 	}
 }
--- a/internal/fake/legacy_records_test.go
+++ b/internal/fake/legacy_records_test.go
@@ -11,7 +11,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Records as the version without dependencies between jobs writes them, byte by byte.
+// Records in hexadecimal, exactly as a version without job dependencies writes them.
 const (
 	legacyActive12 = "82a26174cf0000019b76daabe8a36a6f62de0011a3726566a9776b2d373030303031a86a6f62636c617373a4776f726b" +
 		"a56f776e6572a3726564a57368617065a56172726179a472616e6ba87374616e64617264a4726f77730ca5636f726573" +
@@ -24,31 +24,33 @@
 		"6e655a6f6e65c2a773636174746572c2a76c6f616e657273c3a473656564a3696d67a7696d6167654762cb3ff0000000" +
 		"000000a765787065637453cb4024000000000000a56d61726b53cb0000000000000000a673746f726553cb0000000000" +
 		"000000"
-	legacyTasks12   = "81a462697473a466663033" // tasks 0 to 9
+	legacyTasks12   = "81a462697473a466663033" // tasks 0 to 9 are done
 	legacyDone      = "82a3656e64a4646f6e65a16e0c"
 	legacyCancelled = "82a3656e64a977697468647261776ea16e0c"
 )
 
-// legacySpec is the job of the two active records.
+// legacySpec returns the job that the two active records describe, under the given id and with the given number of
+// tasks.
 func legacySpec(id string, tasks int) *model.Spec {
 	return newJob(model.Array, tasks, func(spec *model.Spec) { spec.ID = id })
 }
 
-// legacyChunk is a numbered chunk as that version writes it under a limit of 8 KiB, with some tasks not done.
-func legacyChunk(tasks int, not ...int) string {
+// legacyChunk returns, in hexadecimal, a numbered chunk as that version writes it under a value size limit of 8 KiB.
+// All its tasks are done except the unfinished ones, which are given by their index in the chunk.
+func legacyChunk(tasks int, unfinished ...int) string {
 	bits := make([]byte, (tasks+7)/8)
 	for i := range tasks {
 		bits[i/8] |= 1 << (i % 8)
 	}
-	for _, i := range not {
+	for _, i := range unfinished {
 		bits[i/8] &^= 1 << (i % 8)
 	}
-	s := hex.EncodeToString(bits)
-	head := fmt.Sprintf("81a462697473da%04x", len(s))
-	if len(s) < 256 {
-		head = fmt.Sprintf("81a462697473d9%02x", len(s))
+	encoded := hex.EncodeToString(bits)
+	header := fmt.Sprintf("81a462697473da%04x", len(encoded))
+	if len(encoded) < 256 {
+		header = fmt.Sprintf("81a462697473d9%02x", len(encoded))
 	}
-	return head + hex.EncodeToString([]byte(s))
+	return header + hex.EncodeToString([]byte(encoded))
 }
 
 func TestSmallLegacyArrayContinuesInLegacyLayout(t *testing.T) {
@@ -59,91 +61,98 @@
 	preloadHex(t, w, "job/a/wk-700001", legacyActive12)
 	preloadHex(t, w, "tasks/wk-700001/0", legacyTasks12)
 	restartAll(t, w, 16384)
-	waitUntil(t, w, 30*second, "the two that are left run", func() bool { return activeTasks(w, spec) == 2 })
-	tenth, eleventh := model.TaskID{Job: spec.ID, Index: 10}, model.TaskID{Job: spec.ID, Index: 11}
-	if len(w.Starts) != 2 || w.Starts[tenth] != 1 || w.Starts[eleventh] != 1 {
-		t.Errorf("started: %v", w.Starts)
+	waitUntil(t, w, 30*second, "the two unfinished tasks run", func() bool { return activeTasks(w, spec) == 2 })
+	task10, task11 := model.TaskID{Job: spec.ID, Index: 10}, model.TaskID{Job: spec.ID, Index: 11}
+	if len(w.Starts) != 2 || w.Starts[task10] != 1 || w.Starts[task11] != 1 {
+		t.Errorf("starts: got %v, want one each of tasks 10 and 11", w.Starts)
 	}
-	// One more task is done: the record is the one that the old version would write.
+	// When one more task is done, the record is the one that the old version would write.
 	completeTask(w, spec, 11)
 	want := map[string]any{"bits": "ff0b"}
-	waitUntil(t, w, 10*second, "it is on record as the old version reads it", func() bool {
+	waitUntil(t, w, 10*second, "the completion is recorded in the layout of the old version", func() bool {
 		return fmt.Sprint(w.State.Value("tasks/wk-700001/0")) == fmt.Sprint(want)
 	})
 	if keys := w.State.Keys("part/"); len(keys) != 0 {
-		t.Errorf("records that the old version does not know: %v", keys)
+		t.Errorf("records that the old version does not know: got %v, want none", keys)
 	}
-	// The record of a job that the new version accepts is, byte for byte, that of the old version.
+	// The new version writes the record of a job without dependencies byte for byte as the old version does.
 	submitted := time.Date(2026, 1, 1, 0, 0, 1, 0, time.UTC)
-	b := wire.AppendActiveJob(nil, spec, submitted, spec.Dependencies, wire.DependencyParts{})
-	if hex.EncodeToString(b) != legacyActive12 {
-		t.Errorf("the record of a job that awaits nothing differs:\n%x\n%s", b, legacyActive12)
+	encoded := wire.AppendActiveJob(nil, spec, submitted, spec.Dependencies, wire.DependencyParts{})
+	if hex.EncodeToString(encoded) != legacyActive12 {
+		t.Errorf("record of a job without dependencies: got\n%x\nwant\n%s", encoded, legacyActive12)
 	}
 }
 
-// The legacy layout has chunks of as many tasks as the limit of a value allows: under another limit every chunk after
-// the first would stand for other tasks.
+// In the legacy layout, the number of tasks in a chunk follows from the value size limit. If chunks were read under
+// another limit, every chunk after the first would be taken for other tasks.
 func TestLargeLegacyArraySurvivesLowerLimits(t *testing.T) {
 	w := newDeployment(t, 4)
 	w.Limits = store.Limits{MaxValueBytes: 2048, MaxChanges: 4}
 	spec := legacySpec("wk-700002", 100_000)
 	w.Specs[spec.ID] = spec
 	preloadHex(t, w, "job/a/wk-700002", legacyActive100k)
-	left := map[int]bool{7: true, 2047: true, 16384: true, 20000: true, 50000: true, 99999: true}
-	for n := 0; n*16384 < spec.Tasks; n++ {
-		var not []int
-		for i := range left {
-			if i/16384 == n {
-				not = append(not, i%16384)
+	unfinished := map[int]bool{7: true, 2047: true, 16384: true, 20000: true, 50000: true, 99999: true}
+	for chunk := 0; chunk*16384 < spec.Tasks; chunk++ {
+		var unfinishedInChunk []int
+		for i := range unfinished {
+			if i/16384 == chunk {
+				unfinishedInChunk = append(unfinishedInChunk, i%16384)
 			}
 		}
-		preloadHex(t, w, fmt.Sprintf("tasks/wk-700002/%d", n), legacyChunk(min(16384, spec.Tasks-n*16384), not...))
+		preloadHex(t, w, fmt.Sprintf("tasks/wk-700002/%d", chunk),
+			legacyChunk(min(16384, spec.Tasks-chunk*16384), unfinishedInChunk...))
 	}
-	old := w.State.Value("tasks/wk-700002/1")
+	secondChunk := w.State.Value("tasks/wk-700002/1")
 	for i := range spec.Tasks {
-		if !left[i] {
+		if !unfinished[i] {
 			w.Completed[model.TaskID{Job: spec.ID, Index: i}] = true
 		}
 	}
 	w.RunTime = 300 * second
 	restartAll(t, w, 16384)
-	waitUntil(t, w, 30*second, "what is left runs", func() bool {
-		n := 0
-		for i := range left {
-			n += len(w.MachinesOf(model.TaskID{Job: spec.ID, Index: i}))
+	waitUntil(t, w, 30*second, "all unfinished tasks run", func() bool {
+		active := 0
+		for i := range unfinished {
+			active += len(w.MachinesOf(model.TaskID{Job: spec.ID, Index: i}))
 		}
-		return n == len(left)
+		return active == len(unfinished)
 	})
-	if len(w.Starts) != len(left) {
-		t.Fatalf("%d tasks were started where %d were left", len(w.Starts), len(left))
+	if len(w.Starts) != len(unfinished) {
+		t.Fatalf("started tasks: got %d, want the %d unfinished ones", len(w.Starts), len(unfinished))
 	}
 	// The limits are lowered while the job runs.
 	w.State.MaxValueBytes, w.State.MaxOps, w.State.LargestValue = 2048, 4, 0
 	completeTask(w, spec, 20000)
 	completeTask(w, spec, 7)
-	waitUntil(t, w, 10*second, "both layouts hold it", func() bool { return len(w.State.Keys("part/")) == 2 })
-	// The operators change the settings to the new limit, and restart all controllers.
+	waitUntil(t, w, 10*second, "the completions are recorded in the current layout", func() bool {
+		return len(w.State.Keys("part/")) == 2
+	})
+	// The operators adapt the settings to the new limit and restart all controllers.
 	restartAll(t, w, 4096)
-	waitUntil(t, w, 30*second, "settled", func() bool { return w.Leader() != nil && activeTasksAmong(w, spec, left) == 4 })
+	waitUntil(t, w, 30*second, "a controller leads and four tasks run", func() bool {
+		return w.Leader() != nil && activeTasksAmong(w, spec, unfinished) == 4
+	})
 	w.Advance(5 * second)
-	if len(w.Starts) != len(left) {
-		t.Errorf("after the restart %d tasks had been started where %d were left", len(w.Starts), len(left))
+	if len(w.Starts) != len(unfinished) {
+		t.Errorf("started tasks after the restart: got %d, want still %d", len(w.Starts), len(unfinished))
 	}
-	if fmt.Sprint(w.State.Value("tasks/wk-700002/1")) != fmt.Sprint(old) {
-		t.Error("a record of the old layout was written again")
+	if fmt.Sprint(w.State.Value("tasks/wk-700002/1")) != fmt.Sprint(secondChunk) {
+		t.Error("a chunk in the legacy layout was rewritten")
 	}
-	for i := range left {
+	for i := range unfinished {
 		completeTask(w, spec, i)
 	}
-	waitUntil(t, w, 30*second, "done", jobDone(t, w, spec))
-	waitUntil(t, w, 30*second, "its records are removed", func() bool {
+	waitUntil(t, w, 30*second, "the job is done", jobDone(t, w, spec))
+	waitUntil(t, w, 30*second, "the records of its tasks are deleted", func() bool {
 		return len(w.State.Keys("part/"))+len(w.State.Keys("tasks/")) == 0
 	})
 	if len(w.RejectedKeys) > 0 || w.State.LargestValue > 1024 {
-		t.Errorf("rejected: %v; the largest value has %d bytes", w.RejectedKeys, w.State.LargestValue)
+		t.Errorf("rejected records: got %v, want none; largest value: got %d bytes, want at most 1024",
+			w.RejectedKeys, w.State.LargestValue)
 	}
 }
 
+// activeTasksAmong counts the machines that the given tasks of a job are on.
 func activeTasksAmong(w *World, spec *model.Spec, tasks map[int]bool) int {
 	n := 0
 	for i := range tasks {
@@ -154,21 +163,21 @@
 
 func TestLegacyEndsReleaseOrCancelDependents(t *testing.T) {
 	w := newDeployment(t, 1)
-	a, b := legacySpec("wk-700001", 12), legacySpec("wk-700003", 12)
-	w.Specs[a.ID], w.Specs[b.ID] = a, b
+	done, cancelled := legacySpec("wk-700001", 12), legacySpec("wk-700003", 12)
+	w.Specs[done.ID], w.Specs[cancelled.ID] = done, cancelled
 	preloadHex(t, w, "job/e/wk-700001", legacyDone)
 	preloadHex(t, w, "job/e/wk-700003", legacyCancelled)
 	for i := range 12 {
-		w.Completed[model.TaskID{Job: a.ID, Index: i}] = true
+		w.Completed[model.TaskID{Job: done.ID, Index: i}] = true
 	}
 	restartAll(t, w, 0)
-	free, doomed := newDependentJob(a), newDependentJob(a, b)
-	submitJobs(t, w, free, doomed)
-	expectState(t, w, doomed, wire.StateCancelled)
-	waitUntil(t, w, 30*second, "done", jobDone(t, w, free))
-	// The old version reads the end that the new one has written.
-	v, ok := w.State.Value("job/e/" + free.ID).(map[string]any)
-	if !ok || v["end"] != "done" || DecodeUint(v["n"]) != 1 {
-		t.Errorf("the end reads as %v", v)
+	dependsOnDone, dependsOnBoth := newDependentJob(done), newDependentJob(done, cancelled)
+	submitJobs(t, w, dependsOnDone, dependsOnBoth)
+	expectState(t, w, dependsOnBoth, wire.StateCancelled)
+	waitUntil(t, w, 30*second, "the job whose dependency is done is done", jobDone(t, w, dependsOnDone))
+	// The new version writes the end in a form that the old version can read.
+	end, ok := w.State.Value("job/e/" + dependsOnDone.ID).(map[string]any)
+	if !ok || end["end"] != "done" || DecodeUint(end["n"]) != 1 {
+		t.Errorf("end record as the old version reads it: got %v, want outcome done and 1 task", end)
 	}
 }
