--- a/internal/fake/quota_test.go
+++ b/internal/fake/quota_test.go
@@ -8,29 +8,30 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Teams at their quotas, and jobs that are cancelled on machines that hang or are out of reach. What may still run
-// there counts against the quota; what has ended soon does not.
+// In these tests teams are at their quotas, and jobs are cancelled on machines that are hung or unreachable. Tasks
+// that may still run there count against the quota. Tasks that have ended soon stop counting.
 
-// disconnection is a way in which a machine is out of reach.
+// disconnection is a fault by which a machine becomes unreachable. The function set begins the fault on a worker if
+// on is true, and ends it otherwise.
 type disconnection struct {
 	name string
-	set  func(k *Worker, on bool)
+	set  func(worker *Worker, on bool)
 }
 
 var disconnections = []disconnection{
-	{"hung", func(w *Worker, on bool) { w.Hung = on }},
-	{"partitioned", func(w *Worker, on bool) { w.Partitioned = on }},
-	{"inbound blocked", func(w *Worker, on bool) { w.InboundBlocked = on }},
-	{"outbound blocked", func(w *Worker, on bool) { w.OutboundBlocked = on }},
+	{"hung", func(worker *Worker, on bool) { worker.Hung = on }},
+	{"partitioned", func(worker *Worker, on bool) { worker.Partitioned = on }},
+	{"inbound blocked", func(worker *Worker, on bool) { worker.InboundBlocked = on }},
+	{"outbound blocked", func(worker *Worker, on bool) { worker.OutboundBlocked = on }},
 }
 
-// newDeploymentAtLimits is a deployment whose two teams are at their quotas with jobs of two long tasks; some save a
-// checkpoint when they are stopped. More jobs of each team wait.
-func newDeploymentAtLimits(t *testing.T) (w *World, run, wait []*model.Spec) {
+// newDeploymentAtLimits returns a deployment whose two teams are at their quotas. Jobs of two long tasks are running,
+// half of which save a checkpoint when they are stopped. Further jobs of each team are waiting for quota.
+func newDeploymentAtLimits(t *testing.T) (w *World, running, waiting []*model.Spec) {
 	t.Helper()
-	w = newVotingMembers(t, 3, 26) // red may use 128 CPUs, blue 64
+	w = newVotingMembers(t, 3, 26) // the quotas are 128 CPUs for team red and 64 for team blue
 	w.Capacity = 40
-	add := func(n int, team string) (out []*model.Spec) {
+	submit := func(n int, team string) (specs []*model.Spec) {
 		for i := range n {
 			spec := newJob(model.Array, 2, func(spec *model.Spec) {
 				spec.Team = team
@@ -39,100 +40,107 @@
 				}
 			})
 			submitJob(t, w, spec)
-			out = append(out, spec)
+			specs = append(specs, spec)
 		}
-		return out
+		return specs
 	}
-	run = append(add(16, "red"), add(8, "blue")...)
-	waitUntil(t, w, 60*second, "all run", func() bool {
-		for _, spec := range run {
+	running = append(submit(16, "red"), submit(8, "blue")...)
+	waitUntil(t, w, 60*second, "all tasks within the quotas run", func() bool {
+		for _, spec := range running {
 			if activeTasks(w, spec) < 2 {
 				return false
 			}
 		}
 		return true
 	})
-	wait = append(add(6, "red"), add(3, "blue")...)
+	waiting = append(submit(6, "red"), submit(3, "blue")...)
 	w.Advance(3 * second)
-	for _, spec := range wait {
+	for _, spec := range waiting {
 		if activeTasks(w, spec) > 0 {
-			t.Fatal("a job that has to wait for its team's quota runs")
+			t.Fatal("a job runs beyond its team's quota")
 		}
 	}
-	return w, run, wait
+	return w, running, waiting
 }
 
 func TestCancelledJobsOnUnreachableMachinesFreeTheirQuota(t *testing.T) {
-	for _, way := range disconnections {
-		for _, leaderFault := range []string{"stays", "ends", "ends first", "is refused, and the state service is out"} {
-			for _, long := range []time.Duration{5 * second, 11 * second, 40 * second} {
-				t.Run(fmt.Sprint(way.name, " ", long, ", the leader ", leaderFault), func(t *testing.T) {
-					playCancellationAtQuota(t, way, leaderFault, long)
+	for _, fault := range disconnections {
+		for _, leaderFault := range []string{
+			"keeps running",
+			"crashes after the cancellation",
+			"crashes before the cancellation",
+			"cannot reach the state service, which then stops",
+		} {
+			for _, duration := range []time.Duration{5 * second, 11 * second, 40 * second} {
+				t.Run(fmt.Sprint(fault.name, " ", duration, ", the leader ", leaderFault), func(t *testing.T) {
+					testCancellationAtQuota(t, fault, leaderFault, duration)
 				})
 			}
 		}
 	}
 }
 
-// playCancellationAtQuota cancels jobs whose machines are out of reach for some time.
-func playCancellationAtQuota(t *testing.T, way disconnection, leaderFault string, long time.Duration) {
+// testCancellationAtQuota cancels jobs while the fault keeps their machines unreachable for the given duration, and
+// checks that waiting jobs then use the freed quota.
+func testCancellationAtQuota(t *testing.T, fault disconnection, leaderFault string, duration time.Duration) {
 	t.Helper()
-	w, run, wait := newDeploymentAtLimits(t)
-	gone := []*model.Spec{run[0], run[1], run[16], run[17]}
-	var far []*Worker
-	for _, spec := range gone {
+	w, running, waiting := newDeploymentAtLimits(t)
+	cancelled := []*model.Spec{running[0], running[1], running[16], running[17]}
+	var unreachable []*Worker
+	for _, spec := range cancelled {
 		for _, worker := range workersOf(w, spec) {
-			way.set(worker, true)
-			far = append(far, worker)
+			fault.set(worker, true)
+			unreachable = append(unreachable, worker)
 		}
 	}
 	leader := w.Leader()
 	switch leaderFault {
-	case "ends first":
+	case "crashes before the cancellation":
 		leader.Crash()
 		waitForLeader(t, w, 20*second)
-		cancelJobs(t, w, w.Leader(), gone...)
-	case "is refused, and the state service is out":
+		cancelJobs(t, w, w.Leader(), cancelled...)
+	case "cannot reach the state service, which then stops":
 		leader.StateUnreachable = true
-		cancelJobs(t, w, nonLeader(w, leader), gone...)
+		cancelJobs(t, w, nonLeader(w, leader), cancelled...)
 		w.Advance(second)
 		w.State.SetDown(true)
-	case "ends":
-		cancelJobs(t, w, leader, gone...)
+	case "crashes after the cancellation":
+		cancelJobs(t, w, leader, cancelled...)
 		leader.Crash()
 	default:
-		cancelJobs(t, w, leader, gone...)
+		cancelJobs(t, w, leader, cancelled...)
 	}
-	w.Advance(long)
-	for _, worker := range far {
-		way.set(worker, false)
+	w.Advance(duration)
+	for _, worker := range unreachable {
+		fault.set(worker, false)
 	}
 	w.DeliverHeldCommands()
-	w.Advance(w.CancelDeadline + 5*second - long%w.CancelDeadline)
+	w.Advance(w.CancelDeadline + 5*second - duration%w.CancelDeadline)
 	w.State.SetDown(false)
 	restoreControllers(w)
 	w.Advance(second)
 	w.MarkFaultsEnded()
-	waitUntil(t, w, 90*second, "the jobs that waited use the freed quota", func() bool {
+	waitUntil(t, w, 90*second, "the waiting jobs use the freed quota", func() bool {
 		active := 0
-		for _, spec := range wait {
+		for _, spec := range waiting {
 			active += activeTasks(w, spec)
 		}
 		return active >= 8
 	})
-	for _, spec := range gone {
+	for _, spec := range cancelled {
 		if active := activeTasks(w, spec); active > 0 {
-			t.Errorf("tasks of the cancelled job %s: got %d, want none", spec.ID, active)
+			t.Errorf("active tasks of the cancelled job %s: got %d, want 0", spec.ID, active)
 		}
 	}
 }
 
-// A machine hangs while a task of a cancelled job saves its checkpoint, or right after it has answered the stop, and
-// goes on within its lease: the task is stopped in time all the same.
+// A machine hangs while a task of a cancelled job saves its checkpoint, or right after it has answered the stop
+// command, and in part of the cases resumes before its lease expires. The task must be stopped before the
+// cancellation deadline in every case.
 func TestCancelledCheckpointingTaskOnHungMachineStopsInTime(t *testing.T) {
-	for _, at := range []string{"asked to save, then cancelled, then hung", "cancelled and hung at once",
-		"cancelled, answered, hung"} {
-		for _, long := range []time.Duration{3 * second, 8 * second, 11 * second, 30 * second} {
+	for _, sequence := range []string{"checkpointing, then cancelled, then hung", "cancelled and hung at the same time",
+		"cancelled, stop answered, then hung"} {
+		for _, hungFor := range []time.Duration{3 * second, 8 * second, 11 * second, 30 * second} {
 			w := newVotingMembers(t, 3, 1)
 			w.Capacity = 1
 			spec := newJob(model.Array, 2, func(spec *model.Spec) {
@@ -140,22 +148,22 @@
 			})
 			startJobs(t, w, spec)
 			worker := workersOf(w, spec)[0]
-			switch at {
-			case "asked to save, then cancelled, then hung":
-				worker.InterruptionNotice = 60 * second // its tasks are moved to other machines
-				waitUntil(t, w, 20*second, "it saves its checkpoint", func() bool {
-					n := 0
+			switch sequence {
+			case "checkpointing, then cancelled, then hung":
+				worker.InterruptionNotice = 60 * second // the leader moves its tasks to other machines
+				waitUntil(t, w, 20*second, "a task saves its checkpoint", func() bool {
+					checkpointing := 0
 					for _, task := range worker.Tasks {
 						if task.Phase == model.PhaseCheckpointing {
-							n++
+							checkpointing++
 						}
 					}
-					return n > 0
+					return checkpointing > 0
 				})
 				w.Advance(second)
 				cancelJobs(t, w, nonLeader(w, w.Leader()), spec)
 				worker.Hung = true
-			case "cancelled and hung at once":
+			case "cancelled and hung at the same time":
 				cancelJobs(t, w, nonLeader(w, w.Leader()), spec)
 				worker.Hung = true
 			default:
@@ -163,12 +171,12 @@
 				w.Advance(150 * time.Millisecond)
 				worker.Hung = true
 			}
-			w.Advance(long)
+			w.Advance(hungFor)
 			worker.Hung = false
 			w.DeliverHeldCommands()
 			w.Advance(w.CancelDeadline)
 			if activeTasks(w, spec) > 0 {
-				t.Errorf("%s, for %v: the cancelled task runs", at, long)
+				t.Errorf("%s for %v: the cancelled task still runs after the cancellation deadline", sequence, hungFor)
 			}
 		}
 	}
@@ -177,17 +185,18 @@
 func TestQuotaHoldsWhileMachinesAreUnreachable(t *testing.T) {
 	w := newDeployment(t, 4)
 	w.RunTime = 200 * second
-	spec := newJob(model.Array, 12, func(spec *model.Spec) { spec.Team = "blue" }) // 48 CPUs, of which 16 may run
+	// The job needs 48 CPUs, of which the team's quota allows 16.
+	spec := newJob(model.Array, 12, func(spec *model.Spec) { spec.Team = "blue" })
 	submitJob(t, w, spec)
-	waitUntil(t, w, 20*second, "the limit is used", func() bool { return activeTasks(w, spec) == 4 })
+	waitUntil(t, w, 20*second, "the tasks use all of the quota", func() bool { return activeTasks(w, spec) == 4 })
 	for i := range spec.Tasks {
 		for _, n := range w.MachinesOf(model.TaskID{Job: spec.ID, Index: i}) {
 			w.Workers[n].Partitioned = true
 		}
 	}
 	w.Leader().Crash()
-	w.Advance(60 * second) // the invariant quota is checked all along
+	w.Advance(60 * second) // the invariant quota is checked on every tick
 	if n := activeTasks(w, spec); n != 4 {
-		t.Errorf("after the lost machines were replaced, %d of 4 tasks run", n)
+		t.Errorf("active tasks after the lost machines were replaced: got %d, want 4", n)
 	}
 }
--- a/internal/fake/zones_test.go
+++ b/internal/fake/zones_test.go
@@ -11,8 +11,9 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Every heartbeat of the last seconds arrives again at every controller just as a new leader takes over, and again
-// when it acts. The tasks of a job end far apart. Each task starts once.
+// Recent heartbeats are replayed to every controller just as a new leader takes over, and again while it leads. The
+// tasks of a job end at very different times, so the replayed heartbeats report tasks that have ended since. Each
+// task must start only once.
 func TestReplayedHeartbeatsAtFailoverStartTasksOnce(t *testing.T) {
 	for _, expireLeases := range []bool{false, true} {
 		w := newVotingMembers(t, 3, 4)
@@ -24,53 +25,54 @@
 			submitJob(t, w, spec)
 			jobs = append(jobs, spec)
 		}
-		again := func() {
-			for _, r := range slices.Clone(w.RetainedHeartbeats) {
+		replayHeartbeats := func() {
+			for _, heartbeat := range slices.Clone(w.RetainedHeartbeats) {
 				for _, c := range w.Controllers {
-					w.ReplayHeartbeat(c, r)
+					w.ReplayHeartbeat(c, heartbeat)
 				}
 			}
 		}
-		var killed int
+		var killedTasks int
 		for range 4 {
 			w.Advance(7 * second)
-			if expireLeases && killed == 0 { // heartbeats of an earlier epoch are among them
+			if expireLeases && killedTasks == 0 { // the replay then includes heartbeats of an earlier epoch
 				for _, worker := range w.Workers {
 					worker.Partitioned = true
 				}
 				w.Advance(w.Lease + second)
-				killed = w.KilledTasks
+				killedTasks = w.KilledTasks
 				for _, worker := range w.Workers {
 					worker.Partitioned = false
 				}
-				again()
+				replayHeartbeats()
 			}
-			old := w.Leader()
-			if old == nil {
+			leader := w.Leader()
+			if leader == nil {
 				waitForLeader(t, w, 30*second)
-				old = w.Leader()
+				leader = w.Leader()
 			}
-			restartController(old)
+			restartController(leader)
 			waitForLeader(t, w, 30*second)
-			again()
+			replayHeartbeats()
 			w.Advance(second)
-			again()
+			replayHeartbeats()
 		}
-		if len(w.RetainedHeartbeats) < 100 || expireLeases && killed == 0 {
-			t.Errorf("%d copies, %d tasks killed by their leases", len(w.RetainedHeartbeats), killed)
+		if len(w.RetainedHeartbeats) < 100 || expireLeases && killedTasks == 0 {
+			t.Errorf("got %d replayed heartbeats and %d tasks killed by lease expiry, want at least 100, and some with expiry",
+				len(w.RetainedHeartbeats), killedTasks)
 		}
 		w.MarkFaultsEnded()
 		for _, spec := range jobs {
-			waitUntil(t, w, 120*second, "done", jobDone(t, w, spec))
+			waitUntil(t, w, 120*second, "the job is done", jobDone(t, w, spec))
 			if n := startCount(w, spec); !expireLeases && n != spec.Tasks {
-				t.Errorf("%d starts of %d tasks", n, spec.Tasks)
+				t.Errorf("task starts: got %d, want one for each of %d tasks", n, spec.Tasks)
 			}
 		}
 	}
 }
 
-// Machines boot within two seconds and receive tasks at once, transactions are delayed or their answers lost, and the
-// leader restarts.
+// Machines boot within two seconds and receive tasks at once, while transactions are delayed or their answers are
+// lost, and the leader restarts. All tasks must still run, without more machines than they need.
 func TestFastBootWithDelayedWritesAndFailoverRunsAll(t *testing.T) {
 	for seed := range 6 {
 		for _, atOnce := range []bool{false, true} {
@@ -78,7 +80,7 @@
 			w := newVotingMembers(t, 3, 1)
 			w.BootTime = time.Duration(random.IntN(2000)) * time.Millisecond
 			w.PollOnCommit = true
-			later := loseCommitAnswers(w, random, 0.5, atOnce)
+			delayedCommits := loseCommitAnswers(w, random, 0.5, atOnce)
 			spec := newJob(model.Array, 12, nil)
 			accepted := false
 			for range 50 {
@@ -88,75 +90,80 @@
 				w.Advance(200 * time.Millisecond)
 			}
 			if !accepted {
-				t.Fatal("no controller has accepted the job")
+				t.Fatal("no controller accepted the job in 50 attempts")
 			}
 			for range 5 {
 				w.Advance(time.Duration(500+random.IntN(2500)) * time.Millisecond)
 				if leader := w.Leader(); leader != nil {
 					restartController(leader)
 				}
-				for _, f := range *later {
-					f()
+				for _, commit := range *delayedCommits {
+					commit()
 				}
-				*later = nil
+				*delayedCommits = nil
 			}
 			w.InterceptCommit = nil
 			waitForLeader(t, w, 30*second)
 			w.MarkFaultsEnded()
-			// The team's quota is four times 32 CPUs: all tasks can run at once.
-			waitUntil(t, w, 90*second, "all run", func() bool { return activeTasks(w, spec) == 12 })
+			// The team's quota is four times 32 CPUs, so all tasks can run at the same time.
+			waitUntil(t, w, 90*second, "all tasks run", func() bool { return activeTasks(w, spec) == 12 })
 			if n := len(w.Workers); n > 24 || w.ProvisionedTotal() < 6 {
-				t.Errorf("%d machines for 12 tasks of half a machine", n)
+				t.Errorf("machines for 12 tasks of half a machine each: got %d, want at most 24, and at least 6 provisioned", n)
 			}
 		}
 	}
 }
 
-// A zone with workers and a controller is partitioned for longer than a lease, or its machines are lost. Jobs that are
-// bound to it, or to any single zone, run nowhere else while a task of theirs may still be there, and again soon after.
+// A zone with workers and a controller is partitioned for longer than a lease, or its machines are lost. Jobs that
+// must run in this zone, or in any single zone, must run nowhere else while a task of theirs may still be there, and
+// must run again soon afterwards.
 func TestZoneBoundJobsSurviveZonePartition(t *testing.T) {
-	for _, how := range []string{"cut off", "cut off, and its controller leads", "machines are gone",
-		"cut off, and the leader ends"} {
-		t.Run(how, func(t *testing.T) {
+	for _, fault := range []string{"partitioned", "partitioned with the leader inside", "machines lost",
+		"partitioned, and the leader crashes"} {
+		t.Run(fault, func(t *testing.T) {
 			w := newVotingMembers(t, 3, 8)
 			w.Capacity = 10
-			bound := func(spec *model.Spec) { spec.Zone = "a" }
-			oneZone := func(spec *model.Spec) { spec.SingleZone = true }
-			jobs := []*model.Spec{newJob(model.Array, 3, bound), newJob(model.Array, 3, oneZone), newJob(model.Gang, 3, oneZone),
-				newJob(model.Service, 2, bound)}
+			boundToZone := func(spec *model.Spec) { spec.Zone = "a" }
+			singleZone := func(spec *model.Spec) { spec.SingleZone = true }
+			jobs := []*model.Spec{
+				newJob(model.Array, 3, boundToZone),
+				newJob(model.Array, 3, singleZone),
+				newJob(model.Gang, 3, singleZone),
+				newJob(model.Service, 2, boundToZone),
+			}
 			startJobs(t, w, jobs...)
-			inside := w.Controllers[0]
-			if how == "cut off, and its controller leads" {
-				for w.Leader() != inside {
+			zoneController := w.Controllers[0]
+			if fault == "partitioned with the leader inside" {
+				for w.Leader() != zoneController {
 					if leader := w.Leader(); leader != nil {
 						w.StepElection(leader, election.Resign{})
 					}
 					w.Advance(3 * second)
 				}
 			}
-			gone := how == "machines are gone"
+			machinesLost := fault == "machines lost"
 			for _, n := range w.WorkerNames() {
 				if worker := w.Workers[n]; worker.Zone == "a" {
-					if worker.Partitioned = true; gone {
+					if worker.Partitioned = true; machinesLost {
 						delete(w.Workers, n)
 					}
 				}
 			}
-			switch how {
-			case "cut off", "cut off, and its controller leads":
-				inside.StateUnreachable, inside.PeersUnreachable = true, true
-			case "cut off, and the leader ends":
+			switch fault {
+			case "partitioned", "partitioned with the leader inside":
+				zoneController.StateUnreachable, zoneController.PeersUnreachable = true, true
+			case "partitioned, and the leader crashes":
 				w.Leader().Crash()
 			}
 			w.Advance(2*w.Lease + 5*second)
-			if activeTasks(w, jobs[1]) != 3 && !gone {
-				t.Error("what may be in any one zone does not run in the other one")
+			if activeTasks(w, jobs[1]) != 3 && !machinesLost {
+				t.Error("the array that may run in any single zone does not run in the other zone")
 			}
 			w.Advance(w.Lease)
-			if !gone && w.KilledTasks == 0 {
-				t.Error("no lease has run out there")
+			if !machinesLost && w.KilledTasks == 0 {
+				t.Error("no worker lease expired in the partitioned zone")
 			}
-			inside.StateUnreachable, inside.PeersUnreachable = false, false
+			zoneController.StateUnreachable, zoneController.PeersUnreachable = false, false
 			for _, c := range w.Controllers {
 				if !c.Up {
 					c.Start()
@@ -166,7 +173,7 @@
 				worker.Partitioned = false
 			}
 			w.MarkFaultsEnded()
-			waitUntil(t, w, 90*second, "all run", func() bool {
+			waitUntil(t, w, 90*second, "all jobs run", func() bool {
 				return activeTasks(w, jobs[0]) == 3 && activeTasks(w, jobs[1]) == 3 &&
 					activeTasks(w, jobs[2]) == 3 && activeTasks(w, jobs[3]) == 2
 			})
@@ -175,22 +182,22 @@
 	}
 }
 
-// There are more tasks of all priorities than room, teams are at their quotas, and commands and their answers are
-// delayed or lost.
+// Tasks of all priorities need more capacity than there is, teams are at their quotas, and commands and their answers
+// are delayed or lost. All jobs must still complete.
 func TestOverloadWithDelayedCommandsCompletesAllJobs(t *testing.T) {
 	priorities := []model.Priority{model.PriorityLow, model.PriorityNormal, model.PriorityHigh, model.PriorityProduction}
-	held, stopped := 0, 0
+	delayedCommands, checkpoints := 0, 0
 	for seed := range 6 {
 		random := rand.New(rand.NewPCG(uint64(seed), 5))
 		w := newVotingMembers(t, 3, 6)
 		w.Capacity = 6
 		w.RunTime = 20 * second
 		w.NextDelivery = func() Delivery {
-			fate := []Delivery{Delivered, Delivered, AnswerLost, Delayed, Dropped}[random.IntN(5)]
-			if fate == Delayed {
-				held++
+			delivery := []Delivery{Delivered, Delivered, AnswerLost, Delayed, Dropped}[random.IntN(5)]
+			if delivery == Delayed {
+				delayedCommands++
 			}
-			return fate
+			return delivery
 		}
 		var jobs []*model.Spec
 		for i := range 30 {
@@ -213,26 +220,26 @@
 			}
 		}
 		w.NextDelivery = nil
-		for _, f := range w.HeldCommands {
-			f()
+		for _, deliver := range w.HeldCommands {
+			deliver()
 			w.CheckInvariants()
 		}
 		w.HeldCommands = nil
 		w.MarkFaultsEnded()
 		for _, spec := range jobs {
-			waitUntil(t, w, 600*second, "done", jobDone(t, w, spec))
+			waitUntil(t, w, 600*second, "the job is done", jobDone(t, w, spec))
 		}
 		for _, n := range w.Checkpoints {
-			stopped += n
+			checkpoints += n
 		}
 	}
-	if held < 20 || stopped == 0 {
-		t.Errorf("%d commands were held up, %d tasks were stopped for others and saved", held, stopped)
+	if delayedCommands < 20 || checkpoints == 0 {
+		t.Errorf("got %d delayed commands and %d checkpoints, want at least 20 and 1", delayedCommands, checkpoints)
 	}
 }
 
-// Four jobs of one task arrive each second for three minutes, and a quarter of them is cancelled. The number of
-// transactions is bounded, and all jobs end soon after.
+// Four jobs of one task each are submitted per second for three minutes, and a quarter of them are cancelled. The
+// number of transactions must be bounded, and all jobs must end soon afterwards.
 func TestManySmallJobsKeepWritesBounded(t *testing.T) {
 	w := newVotingMembers(t, 3, 8)
 	w.RunTime, w.FetchTime = 3*second, 200*time.Millisecond
@@ -242,7 +249,7 @@
 		spec.Team = []string{"red", "blue"}[random.IntN(2)]
 	}
 	var jobs []*model.Spec
-	before := w.State.Transactions
+	transactionsBefore := w.State.Transactions
 	for i := range 720 {
 		spec := newJob(model.Array, 1, tiny)
 		if err := w.Submit(w.Controllers[random.IntN(3)], spec); err != nil {
@@ -255,7 +262,7 @@
 		w.Advance(250 * time.Millisecond)
 	}
 	w.MarkFaultsEnded()
-	waitUntil(t, w, 60*second, "all are over", func() bool {
+	waitUntil(t, w, 60*second, "all jobs have ended", func() bool {
 		for _, spec := range jobs {
 			v, err := w.Controllers[random.IntN(3)].Jobs.Lookup(context.Background(), spec.ID)
 			if err != nil || !v.State.Ended() {
@@ -265,13 +272,13 @@
 		return true
 	})
 	w.Advance(30 * second)
-	// A submission, an end, and the records of machines and of completed tasks in between.
-	if n := w.State.Transactions - before; n > 4*len(jobs) {
-		t.Errorf("transactions for %d jobs: got %d, want %d at most", len(jobs), n, 4*len(jobs))
+	// A job needs one for its submission and one for its end. The others write machine and completed-task records.
+	if n := w.State.Transactions - transactionsBefore; n > 4*len(jobs) {
+		t.Errorf("transactions for %d jobs: got %d, want at most %d", len(jobs), n, 4*len(jobs))
 	}
-	for prefix, most := range map[string]int{"job/a/": 0, "part/": 0, "tasks/": 0} {
-		if n := len(w.State.Keys(prefix)); n > most {
-			t.Errorf("remaining records of %s: got %d, want %d at most", prefix, n, most)
+	for prefix, limit := range map[string]int{"job/a/": 0, "part/": 0, "tasks/": 0} {
+		if n := len(w.State.Keys(prefix)); n > limit {
+			t.Errorf("remaining records with prefix %s: got %d, want at most %d", prefix, n, limit)
 		}
 	}
 }
