--- a/internal/fake/operations_test.go
+++ b/internal/fake/operations_test.go
@@ -13,54 +13,56 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Faults of everyday operation: frozen controllers, a guest team without a guarantee, failing jobs, and machines that
-// boot late or never.
+// The tests in this file simulate faults of everyday operation: frozen controllers, a guest team without a guarantee,
+// failing jobs, and machines that boot late or never.
 
-// The leader, or all members, are frozen for seconds or a minute. They take what has queued up when they go on; no one
-// acts by a leadership that has expired, and what was cancelled meanwhile is stopped in time.
+// The leader or all controllers are frozen for between 1 s and 70 s. When they resume, they process the messages that
+// have queued up. None of them may act on an expired leadership, and tasks of a job that was cancelled meanwhile must
+// be stopped before the cancellation deadline.
 func TestFrozenControllersResumeWithoutViolations(t *testing.T) {
-	for _, all := range []bool{false, true} {
-		for _, long := range []time.Duration{second, 3 * second, 8 * second, 20 * second, 70 * second} {
-			t.Run(fmt.Sprint(long, ", all ", all), func(t *testing.T) {
+	for _, freezeAll := range []bool{false, true} {
+		for _, frozenFor := range []time.Duration{second, 3 * second, 8 * second, 20 * second, 70 * second} {
+			t.Run(fmt.Sprint(frozenFor, ", all ", freezeAll), func(t *testing.T) {
 				w := newVotingMembers(t, 3, 6)
 				w.PollOnCommit = true
-				stays, gone := newJob(model.Array, 6, nil), newJob(model.Array, 2, nil)
-				startJobs(t, w, stays, gone)
+				kept, cancelled := newJob(model.Array, 6, nil), newJob(model.Array, 2, nil)
+				startJobs(t, w, kept, cancelled)
 				leader := w.Leader()
-				more := newJob(model.Gang, 2, nil)
-				submitJob(t, w, more)
-				w.Advance(100 * time.Millisecond) // its launches may be in flight
+				gang := newJob(model.Gang, 2, nil)
+				submitJob(t, w, gang)
+				w.Advance(100 * time.Millisecond) // launch commands for the gang may be in flight
 				for _, c := range w.Controllers {
-					c.Frozen = all || c == leader
+					c.Frozen = freezeAll || c == leader
 				}
-				if !all {
-					cancelJobs(t, w, nonLeader(w, leader), gone)
+				if !freezeAll {
+					cancelJobs(t, w, nonLeader(w, leader), cancelled)
 				}
-				w.Advance(long)
+				w.Advance(frozenFor)
 				for _, c := range w.Controllers {
 					c.Frozen = false
 				}
-				if all {
+				if freezeAll {
 					w.Advance(second)
-					cancelJobs(t, w, w.Controllers[1], gone)
+					cancelJobs(t, w, w.Controllers[1], cancelled)
 				}
 				w.MarkFaultsEnded()
-				waitUntil(t, w, 60*second, "all runs", func() bool {
-					return activeTasks(w, stays) == 6 && activeTasks(w, more) == 2
+				waitUntil(t, w, 60*second, "all tasks of both jobs run", func() bool {
+					return activeTasks(w, kept) == 6 && activeTasks(w, gang) == 2
 				})
 				w.Advance(w.CancelDeadline)
-				if activeTasks(w, gone) > 0 {
-					t.Error("tasks of the cancelled job run")
+				if activeTasks(w, cancelled) > 0 {
+					t.Error("tasks of the cancelled job run after the cancellation deadline")
 				}
-				if long <= 3*second && !all && w.KilledTasks > 0 {
-					t.Errorf("%d tasks were killed", w.KilledTasks)
+				if frozenFor <= 3*second && !freezeAll && w.KilledTasks > 0 {
+					t.Errorf("tasks killed by lease expiry during a short freeze of the leader: got %d, want 0", w.KilledTasks)
 				}
 			})
 		}
 	}
 }
 
-// newGuestDeployment is a deployment with a third team, guest, that has neither a guarantee nor a quota.
+// newGuestDeployment returns a deployment with a leader and a third team, guest, which has neither a guarantee nor a
+// quota.
 func newGuestDeployment(t *testing.T) *World {
 	t.Helper()
 	w := newTestWorldOf(3, 12, 4)
@@ -77,7 +79,7 @@
 	return w
 }
 
-// newGuestJob makes a job of the team guest.
+// newGuestJob returns an array job of team guest with small tasks that are estimated to run for 6 s.
 func newGuestJob(tasks int, class string, priority model.Priority, deadline time.Duration) *model.Spec {
 	return newJob(model.Array, tasks, func(spec *model.Spec) {
 		spec.Team, spec.Class, spec.Priority = "guest", class, priority
@@ -86,59 +88,60 @@
 	})
 }
 
-// A guest team without a guarantee submits a swarm of small jobs with near deadlines, a huge array, and jobs of low
-// priority. The other teams' production and what is within their guarantees starts soon, and the guests are not
-// starved.
+// A guest team without a guarantee submits many small jobs with near deadlines, a huge array and low-priority jobs.
+// The production jobs of the other teams and their jobs within a guarantee must start soon, and the guest team must
+// not starve.
 func TestGuestTeamSwarmDoesNotStarveOthers(t *testing.T) {
 	w := newGuestDeployment(t)
-	atlas := newGuestJob(600, "atlas", model.PriorityLow, 0)
-	submitJob(t, w, atlas)
-	guests := []*model.Spec{atlas}
-	var own []*model.Spec
+	hugeArray := newGuestJob(600, "huge", model.PriorityLow, 0)
+	submitJob(t, w, hugeArray)
+	guestJobs := []*model.Spec{hugeArray}
+	var guaranteedJobs []*model.Spec
 	submittedAt := map[string]time.Time{}
 	submit := func(spec *model.Spec) *model.Spec {
 		submitJob(t, w, spec)
 		submittedAt[spec.ID] = w.Now()
 		return spec
 	}
-	late, waiting := 0, map[string]bool{}
+	lateStarts, waiting := 0, map[string]bool{}
 	for tick := range 1600 {
 		if tick%4 == 0 {
-			guests = append(guests, submit(newGuestJob(1, "swarm", model.PriorityNormal, 8*second)))
+			guestJobs = append(guestJobs, submit(newGuestJob(1, "urgent", model.PriorityNormal, 8*second)))
 		}
 		if tick%100 == 0 {
-			guests = append(guests, submit(newGuestJob(4, "idle", model.PriorityLow, 0)))
+			guestJobs = append(guestJobs, submit(newGuestJob(4, "low", model.PriorityLow, 0)))
 		}
-		if tick%160 == 80 && len(own) < 10 {
+		if tick%160 == 80 && len(guaranteedJobs) < 10 {
 			spec := newJob(model.Array, 2, nil)
-			if len(own)%3 == 0 {
+			if len(guaranteedJobs)%3 == 0 {
 				spec = newJob(model.Service, 2, func(spec *model.Spec) { spec.Priority = model.PriorityProduction })
 			}
-			own = append(own, submit(spec))
+			guaranteedJobs = append(guaranteedJobs, submit(spec))
 			waiting[spec.ID] = true
 		}
 		w.Advance(100 * time.Millisecond)
-		for _, spec := range own {
+		for _, spec := range guaranteedJobs {
 			if waiting[spec.ID] && startCount(w, spec) >= spec.Tasks {
 				delete(waiting, spec.ID)
 				if w.Now().Sub(submittedAt[spec.ID]) > 10*second {
-					late++
+					lateStarts++
 				}
 			}
 		}
 	}
-	if late > 1 || len(waiting) > 1 {
-		t.Errorf("of %d jobs within a guarantee %d started after 10 s, and %d did not", len(own), late, len(waiting))
+	if lateStarts > 1 || len(waiting) > 1 {
+		t.Errorf("of %d guaranteed jobs, %d started later than 10 s and %d did not start, want at most 1 of each",
+			len(guaranteedJobs), lateStarts, len(waiting))
 	}
 	w.MarkFaultsEnded()
 	w.Advance(95 * second)
-	expectHalfStarted(t, w, guests)
-	if started := startCount(w, atlas); started < 60 {
-		t.Errorf("started tasks of the huge array: got %d, want 60 at least", started)
+	expectHalfStarted(t, w, guestJobs)
+	if started := startCount(w, hugeArray); started < 60 {
+		t.Errorf("started tasks of the huge array: got %d, want at least 60", started)
 	}
 }
 
-// expectHalfStarted expects half of the jobs of each class to have started.
+// expectHalfStarted fails the test for each class of which less than half of the jobs have started.
 func expectHalfStarted(t *testing.T, w *World, specs []*model.Spec) {
 	t.Helper()
 	started, count := map[string]int{}, map[string]int{}
@@ -150,51 +153,76 @@
 	}
 	for class, n := range count {
 		if 2*started[class] < n {
-			t.Errorf("started jobs of the class %s: got %d of %d, want half of them", class, started[class], n)
+			t.Errorf("started jobs of class %s: got %d of %d, want at least half", class, started[class], n)
 		}
 	}
 }
 
-// faultyMachineRecorder is a log handler that notes which machines a leader drains as faulty.
-type faultyMachineRecorder struct {
+// drainRecorder is a log handler that records the names of the machines that a leader drains as faulty.
+type drainRecorder struct {
 	slog.Handler
 	names map[string]bool
 }
 
-func (d faultyMachineRecorder) Enabled(context.Context, slog.Level) bool { return true }
+func (h drainRecorder) Enabled(context.Context, slog.Level) bool { return true }
 
-func (d faultyMachineRecorder) Handle(_ context.Context, r slog.Record) error {
+func (h drainRecorder) Handle(_ context.Context, record slog.Record) error {
 	attrs := map[string]string{}
-	r.Attrs(func(a slog.Attr) bool { attrs[a.Key] = a.Value.String(); return true })
-	if r.Message == "draining" && attrs["reason"] == "sick" {
-		d.names[attrs["machine"]] = true
+	record.Attrs(func(a slog.Attr) bool { attrs[a.Key] = a.Value.String(); return true })
+	if record.Message == "draining" && attrs["reason"] == "sick" {
+		h.names[attrs["machine"]] = true
 	}
 	return nil
 }
 
-// Several jobs fail on every machine until they are cancelled. The number of their attempts is bounded, no healthy
-// machine is taken for faulty, and one that is faulty is found while they run.
-func TestFailingJobsDoNotHideFaultyMachine(t *testing.T) {
-	w := newVotingMembers(t, 3, 8)
-	w.RunTime, w.Capacity = 20*second, 12
+// recordDrains restarts all controllers with a drainRecorder as their log, and waits until one of them leads. The
+// names of the machines that are drained as faulty from then on are added to the returned set.
+func recordDrains(t *testing.T, w *World) map[string]bool {
+	t.Helper()
 	drained := map[string]bool{}
 	for _, c := range w.Controllers {
-		c.log = slog.New(faultyMachineRecorder{slog.NewTextHandler(io.Discard, nil), drained})
+		c.log = slog.New(drainRecorder{slog.NewTextHandler(io.Discard, nil), drained})
 		restartController(c)
 	}
 	waitForLeader(t, w, 20*second)
-	var bad, good []*model.Spec
+	return drained
+}
+
+// expectDrainRecorded fails the test if the drain of a faulty machine is not recorded. A drainRecorder that does not
+// recognize the log record, for example because its message has changed, would report no machine at all.
+func expectDrainRecorded(t *testing.T) {
+	t.Helper()
+	w := newDeployment(t, 2)
+	w.FetchTime = 200 * time.Millisecond
+	drained := recordDrains(t, w)
+	faulty := w.Workers["n-000001"]
+	faulty.Faulty = true
+	for range 3 {
+		submitJob(t, w, newJob(model.Array, 3, nil))
+	}
+	waitUntil(t, w, 60*second, "the drain of the faulty machine is recorded", func() bool { return drained[faulty.Name] })
+}
+
+// Several jobs fail on every machine until they are cancelled. The number of their attempts must be bounded, no
+// healthy machine may be drained as faulty because of them, and a faulty machine must still be released: as faulty if
+// its failures can be attributed to it, or else as idle.
+func TestFailingJobsDoNotHideFaultyMachine(t *testing.T) {
+	expectDrainRecorded(t)
+	w := newVotingMembers(t, 3, 8)
+	w.RunTime, w.Capacity = 20*second, 12
+	drained := recordDrains(t, w)
+	var failingJobs, healthyJobs []*model.Spec
 	for range 5 {
 		spec := newJob(model.Array, 4, func(spec *model.Spec) { spec.Demand.CPU = 1 })
 		w.FailingJobs[spec.ID] = true
 		submitJob(t, w, spec)
-		bad = append(bad, spec)
+		failingJobs = append(failingJobs, spec)
 	}
 	var faulty *Worker
 	for i := range 12 {
 		spec := newJob(model.Array, 4, func(spec *model.Spec) { spec.Demand.CPU = 2 })
 		submitJob(t, w, spec)
-		good = append(good, spec)
+		healthyJobs = append(healthyJobs, spec)
 		if i == 3 {
 			for _, worker := range w.Workers {
 				if faulty == nil && worker.CountTasks("wk") > 0 {
@@ -205,38 +233,38 @@
 		}
 		w.Advance(6 * second)
 	}
-	failed := 0
-	for _, spec := range bad {
-		failed += startCount(w, spec)
+	attempts := 0
+	for _, spec := range failingJobs {
+		attempts += startCount(w, spec)
 	}
-	// Five jobs of four tasks for 72 s, with a backoff that doubles after each round.
-	if failed > 5*4*8 {
-		t.Errorf("%d attempts at jobs that always fail", failed)
+	// Five jobs of four tasks are retried for 72 s, with a backoff that doubles after each round of attempts.
+	if attempts > 5*4*8 {
+		t.Errorf("attempts at jobs that always fail: got %d, want at most 160", attempts)
 	}
 	if w.Workers[faulty.Name] == faulty && faulty.Faulty {
 		waitUntil(t, w, 60*second, "the faulty machine is released", func() bool { return w.Workers[faulty.Name] != faulty })
 	}
 	if delete(drained, faulty.Name); len(drained) > 0 {
-		t.Errorf("healthy machines that were taken for faulty: got %v, want none", drained)
+		t.Errorf("healthy machines drained as faulty: got %v, want none", drained)
 	}
-	cancelJobs(t, w, w.Leader(), bad...)
+	cancelJobs(t, w, w.Leader(), failingJobs...)
 	w.MarkFaultsEnded()
-	for _, spec := range good {
-		waitUntil(t, w, 120*second, "done", jobDone(t, w, spec))
+	for _, spec := range healthyJobs {
+		waitUntil(t, w, 120*second, "the job is done", jobDone(t, w, spec))
 	}
 }
 
-// Machines boot late, and some never. A gang waits for them no longer than it has to: what does not come up is released
-// and provisioned again.
+// Some machines boot late, and some never. A gang must not wait for them indefinitely: machines that do not come up
+// are released, and others are provisioned in their place.
 func TestGangStartsWhenMachinesBootLateOrNever(t *testing.T) {
 	for seed := range 4 {
 		random := rand.New(rand.NewPCG(uint64(seed), 1))
 		w := newVotingMembers(t, 3, 0)
-		never := 0
+		neverBooting := 0
 		w.DrawBootTime = func() time.Duration {
 			switch random.IntN(4) {
 			case 0:
-				never++
+				neverBooting++
 				return time.Hour
 			case 1:
 				return 4 * w.BootTime
@@ -248,11 +276,12 @@
 		waitUntil(t, w, 200*second, "the gang runs", func() bool { return activeTasks(w, gang) == 6 })
 		w.MarkFaultsEnded()
 		w.Advance(120 * second)
-		if n := len(w.booting); n > 0 || never == 0 && seed > 0 {
-			t.Errorf("%d machines that never come up are still paid for; %d never came", n, never)
+		if n := len(w.booting); n > 0 || neverBooting == 0 && seed > 0 {
+			t.Errorf("booting machines after the gang runs: got %d, want none; machines that never boot: got %d, want some",
+				n, neverBooting)
 		}
 		if n := w.ProvisionedTotal(); n > 40 {
-			t.Errorf("provisioned machines for a gang of six: got %d, want 40 at most", n)
+			t.Errorf("provisioned machines for a gang of six: got %d, want at most 40", n)
 		}
 	}
 }
@@ -260,26 +289,26 @@
 func TestAlwaysFailingJobIsRetriedWithBackoff(t *testing.T) {
 	w := newDeployment(t, 3)
 	w.FetchTime = 200 * time.Millisecond
-	bad := newJob(model.Array, 3, nil)
-	w.FailingJobs[bad.ID] = true
-	good := newJob(model.Array, 6, nil)
-	submitJob(t, w, bad)
-	submitJob(t, w, good)
-	waitUntil(t, w, 90*second, "the good job is done", jobDone(t, w, good))
+	failing := newJob(model.Array, 3, nil)
+	w.FailingJobs[failing.ID] = true
+	healthy := newJob(model.Array, 6, nil)
+	submitJob(t, w, failing)
+	submitJob(t, w, healthy)
+	waitUntil(t, w, 90*second, "the healthy job is done", jobDone(t, w, healthy))
 	w.Advance(30 * second)
 	if leader := w.Leader(); leader != nil {
-		if st := refreshedState(t, leader, bad.ID); st != wire.StateQueued {
-			t.Errorf("the job that fails is %v: it stays accepted until its user cancels it", st)
+		if state := refreshedState(t, leader, failing.ID); state != wire.StateQueued {
+			t.Errorf("state of the failing job: got %v, want it queued until its user cancels it", state)
 		}
 	}
 	starts := 0
-	for i := range bad.Tasks {
-		starts += w.Starts[model.TaskID{Job: bad.ID, Index: i}]
+	for i := range failing.Tasks {
+		starts += w.Starts[model.TaskID{Job: failing.ID, Index: i}]
 	}
 	if starts < 4 || starts > 40 {
-		t.Errorf("a job that always fails was started %d times in two minutes", starts)
+		t.Errorf("starts of a job that always fails, in two minutes: got %d, want 4 to 40", starts)
 	}
-	if _, err := w.Cancel(w.Controllers[0], bad.ID); err != nil {
+	if _, err := w.Cancel(w.Controllers[0], failing.ID); err != nil {
 		t.Fatal(err)
 	}
 	w.Advance(5 * second)
