--- a/internal/fake/constraints_test.go
+++ b/internal/fake/constraints_test.go
@@ -147,7 +147,8 @@
 
 func TestJobWaitsForMissingMachineType(t *testing.T) {
 	w := newConstraintDeployment(t, 2)
-	submitJob(t, w, newJob(model.Service, 2, func(spec *model.Spec) { spec.Demand.CPU = 8 })) // occupies both machines
+	// The service occupies both machines.
+	submitJob(t, w, newJob(model.Service, 2, func(spec *model.Spec) { spec.Demand.CPU = 8 }))
 	allTypes := w.Types
 	w.Types = allTypes[:1]
 	w.Advance(70 * second) // long enough for the controllers to read the catalog again
@@ -196,8 +197,8 @@
 	explain := func(spec *model.Spec) string {
 		explanation := w.Leader().Reconciler.Explain(w.Now(), spec.ID)
 		text := strings.Join(append(append(explanation.Reasons, explanation.Remedies...), explanation.Constraints...), "; ")
-		for _, p := range explanation.Placements {
-			text += "; " + p.Reason
+		for _, placement := range explanation.Placements {
+			text += "; " + placement.Reason
 		}
 		return text
 	}
--- a/internal/fake/dependencies_test.go
+++ b/internal/fake/dependencies_test.go
@@ -35,6 +35,8 @@
 	})
 }
 
+// The first of many jobs is cancelled while no controller leads. All jobs that depend on it count as cancelled at once,
+// and the next leader records their ends in transactions of at most four operations.
 func TestCancellationCascadesAcrossFailover(t *testing.T) {
 	w := newDeployment(t, 2)
 	w.State.MaxOps, w.Limits.MaxChanges = 4, 4
@@ -42,12 +44,12 @@
 	restartAll(t, w, 0)
 	root := newJob(model.Array, 2, nil)
 	jobs := []*model.Spec{root}
-	for range 30 { // a chain of jobs, and as many jobs that depend on the first alone
+	for range 30 { // a chain of jobs, and as many jobs that depend on the first one only
 		jobs = append(jobs, newDependentJob(jobs[len(jobs)-1]), newDependentJob(root))
 	}
 	submitJobs(t, w, jobs...)
 	waitUntil(t, w, 20*second, "the first job runs", func() bool { return activeTasks(w, root) == 2 })
-	w.Leader().Crash() // there is no leader while the user cancels
+	w.Leader().Crash() // no controller leads when the user cancels the first job
 	follower := w.Controllers[0]
 	if !follower.Up {
 		follower = w.Controllers[1]
@@ -73,6 +75,8 @@
 	}
 }
 
+// The state service fails after the first job is cancelled and before the leader has read that. The jobs that depend
+// on it are cancelled when the service is back.
 func TestCancellationCascadeCompletesAfterOutage(t *testing.T) {
 	w := newDeployment(t, 2)
 	w.RunTime = 300 * second
@@ -91,6 +95,8 @@
 	waitUntil(t, w, 10*second, "the end of every job is recorded", func() bool { return len(w.State.Keys("job/a/")) == 0 })
 }
 
+// The first job completes 11 s after its submission, and the user cancels it before or after that. If the
+// cancellation comes first, all jobs that depend on it are cancelled; otherwise they run.
 func TestCancelRacingCompletionDecidesDependents(t *testing.T) {
 	for _, cancelAfter := range []time.Duration{
 		0,
@@ -152,11 +158,11 @@
 	unknown := newDependentJob(&model.Spec{ID: "wk-999999"})
 	for name, spec := range map[string]*model.Spec{"a job that was never accepted": unknown, "itself": self} {
 		if err := w.Submit(w.Controllers[1], spec); !errors.Is(err, store.ErrUnknownDependency) {
-			t.Errorf("submission of a job that depends on %s: got error %v, want ErrUnknownDependency", name, err)
+			t.Errorf("submission of a job that depends on %s: got %v, want ErrUnknownDependency", name, err)
 		}
 	}
 	if err := w.Submit(w.Controllers[1], newDependentJob(service)); !errors.Is(err, store.ErrServiceDependency) {
-		t.Errorf("submission of a job that depends on a service: got error %v, want ErrServiceDependency", err)
+		t.Errorf("submission of a job that depends on a service: got %v, want ErrServiceDependency", err)
 	}
 	dependsOnCancelled := newDependentJob(done, cancelled)
 	submitJobs(t, w, dependsOnCancelled)
@@ -213,6 +219,8 @@
 	waitUntil(t, w, 10*second, "the end of every job is recorded", func() bool { return len(w.State.Keys("job/a/")) == 0 })
 }
 
+// The first job completes 11 s after its submission, which lets the dependent job start. The leader crashes shortly
+// before or after that.
 func TestFailoverBetweenCompletionAndDependentStart(t *testing.T) {
 	for _, crashAfter := range []time.Duration{
 		10 * second,
@@ -222,7 +230,7 @@
 		12500 * time.Millisecond,
 	} {
 		w := newDeployment(t, 2)
-		w.HoldCommands = crashAfter > 11*second // launch commands sent directly to workers arrive late
+		w.HoldCommands = crashAfter > 11*second // direct launch commands are held back, and arrive after the failover
 		root := newJob(model.Array, 2, nil)
 		child := newDependentJob(root)
 		submitJobs(t, w, root, child)
@@ -284,7 +292,7 @@
 		return len(w.State.Keys("job/w/")) == 0
 	})
 	if len(w.RejectedKeys) > 0 {
-		t.Errorf("records rejected by the state service: %v", w.RejectedKeys)
+		t.Errorf("records rejected by the state service: got %v, want none", w.RejectedKeys)
 	}
 	for i := range 2000 {
 		last.Dependencies = append(last.Dependencies, fmt.Sprintf("wk-7%030d", i))
@@ -340,7 +348,7 @@
 		return jobDone(t, w, spec)() && jobDone(t, w, other)()
 	})
 	if len(w.RejectedKeys) == 0 || len(w.RejectedKeys) > 12 {
-		t.Errorf("records rejected by the state service: %v", w.RejectedKeys)
+		t.Errorf("records rejected by the state service: got %v, want 1 to 12", w.RejectedKeys)
 	}
 	if n := w.State.Transactions - transactionsBefore; n > 60 {
 		t.Errorf("transactions: got %d, want at most 60", n)
--- a/internal/fake/featuregate_test.go
+++ b/internal/fake/featuregate_test.go
@@ -114,12 +114,12 @@
 // A controller that has feature gates but does not support the current feature level never leads either.
 func TestControllerBelowLevelNeverLeads(t *testing.T) {
 	w := newDeployment(t, 1)
-	unsupporting, others := w.Controllers[0], w.Controllers[1:]
-	unsupporting.electionSettings.MaxLevel = 0
-	unsupporting.Crash()
+	limitedController, others := w.Controllers[0], w.Controllers[1:]
+	limitedController.electionSettings.MaxLevel = 0
+	limitedController.Crash()
 	w.Advance(8 * second)
 	raiseLevel(t, w, electOneOf(t, w, others...))
-	unsupporting.Start()
+	limitedController.Start()
 	for _, c := range others {
 		c.Crash()
 	}
--- a/internal/fake/fleet_invariants_test.go
+++ b/internal/fake/fleet_invariants_test.go
@@ -38,6 +38,7 @@
 			f.RecordAnswer("x", "wk-000001", wire.StateCancelled)
 			f.RecordAnswer("y", "wk-000001", wire.StateRunning)
 		},
+		// The empty rule stands for a valid placement, which violates nothing.
 		"": func(_ *Fleet, a, b *Worker) { launch(a, "wk-000001", 0); launch(b, "wk-000001", 1) },
 	} {
 		f := NewFleet(now, []model.Team{{Name: "red", Quota: model.NewQuota(8, 0)}})
@@ -60,7 +61,7 @@
 		f.CheckCancelled()
 		if violations := strings.Join(f.Violations, "; "); rule == "" && violations != "" ||
 			!strings.Contains(violations, rule) {
-			t.Errorf("rule %q: got violations %q, want those of the rule only, and none for the empty rule", rule, violations)
+			t.Errorf("rule %q: got violations %q, want one of the rule, or none for the empty rule", rule, violations)
 		}
 	}
 }
@@ -78,6 +79,7 @@
 		Demand: model.Resources{CPU: 4},
 	}
 	var machines [2]*Worker
+	// advance lets 2 s pass and returns the phase of the task on the machine with the given index.
 	advance := func(i int) model.Phase {
 		fleet.SetNow(fleet.Now().Add(2 * time.Second))
 		for _, worker := range machines {
--- a/internal/fake/fleet_test.go
+++ b/internal/fake/fleet_test.go
@@ -22,7 +22,7 @@
 	if err := w.Submit(w.Controllers[0], spec); err != nil {
 		b.Fatal(err)
 	}
-	w.Advance(time.Duration(machines) * 30 * time.Millisecond) // the time in which the machine records are written
+	w.Advance(time.Duration(machines) * 30 * time.Millisecond) // long enough to write all machine records
 	leader := w.Leader()
 	if leader == nil || activeTasks(w, spec) != 4*machines {
 		b.Fatalf("running tasks of the benchmark fleet: got %d, want %d", activeTasks(w, spec), 4*machines)
@@ -70,7 +70,7 @@
 	}
 }
 
-// crashAllControllersFor crashes all controllers, and starts them again after the downtime.
+// crashAllControllersFor crashes all controllers and restarts them after the downtime.
 func crashAllControllersFor(w *World, downtime time.Duration) {
 	for _, c := range w.Controllers {
 		c.Crash()
@@ -101,7 +101,7 @@
 // fleetFaults lists faults that have occurred in production fleets.
 var fleetFaults = []struct {
 	name         string
-	recoveryTime time.Duration // bounds the time from the end of the fault until all replicas run
+	recoveryTime time.Duration // longest allowed time from the end of the fault until all replicas run again
 	inject       func(w *World)
 }{
 	{"all controllers crash twice", 10 * second, func(w *World) {
@@ -118,21 +118,21 @@
 			}
 		})
 	}},
-	{"state service outage just after all controllers crash", 10 * second, func(w *World) {
+	{"state service outage just after a restart of all controllers", 10 * second, func(w *World) {
 		crashAllControllersFor(w, second)
 		stopStateServiceFor(w, 14*second, func() {})
 	}},
-	{"half of the machines disconnect and reconnect at once", 5 * second, func(w *World) {
+	{"half of the machines are partitioned for less than their lease", 5 * second, func(w *World) {
 		partitionEveryNth(w, 2, true)
 		w.Advance(9 * second)
 		partitionEveryNth(w, 2, false)
 	}},
-	{"half of the machines are partitioned for longer than their leases", 20 * second, func(w *World) {
+	{"half of the machines are partitioned for longer than their lease", 20 * second, func(w *World) {
 		partitionEveryNth(w, 2, true)
 		w.Advance(w.Lease + 3*second)
 		partitionEveryNth(w, 2, false)
 	}},
-	{"machines disconnect and then all controllers crash", 20 * second, func(w *World) {
+	{"machines are partitioned, and then all controllers crash", 20 * second, func(w *World) {
 		partitionEveryNth(w, 4, true)
 		w.Advance(2 * second)
 		crashAllControllersFor(w, 3*second)
@@ -146,10 +146,10 @@
 		w.ControllersPartitioned = false
 	}},
 	{"the leader pauses and resumes", 10 * second, func(w *World) {
-		old := w.Leader()
-		old.Up = false
+		leader := w.Leader()
+		leader.Up = false
 		w.Advance(20 * second)
-		old.Up = true
+		leader.Up = true
 	}},
 }
 
--- a/internal/fake/ledger_test.go
+++ b/internal/fake/ledger_test.go
@@ -42,7 +42,7 @@
 	submitJob(t, w, spec)
 	waitUntil(t, w, 60*second, "the job is done", jobDone(t, w, spec))
 	usage := ledger.Total(readOpenSegment(t, w, "red").Usage)
-	// Both tasks used 4 CPUs for 10 s. Heartbeats report this to within half a second each.
+	// Both tasks used 4 CPUs for 10 s. The run time of each is known from heartbeats to within half a second.
 	if usage.Starts != 2 || math.Abs(float64(usage.CPU)-80e6) > 8e6 || usage.Mem != 2*usage.CPU {
 		t.Errorf("usage of team red: got %+v, want 2 starts, about 80 CPU seconds and twice as much memory", usage)
 	}
@@ -82,13 +82,15 @@
 		for charged := range ledger.NumWaitCauses {
 			if waitMillis := waits[class][charged]; charged == cause && waitMillis < 5000 ||
 				charged != cause && waitMillis > 4000 {
-				t.Errorf("wait time of class %s: got %d ms charged to %v, want it charged to %v",
+				t.Errorf("wait of class %s: got %d ms charged to %v, want at least 5000 ms for %v and at most 4000 ms for others",
 					class, waitMillis, charged, cause)
 			}
 		}
 	}
 }
 
+// For 60 s, all controllers run a version without a ledger. Usage in that time is not charged to the team but listed
+// as an unaccounted interval.
 func TestLeaderWithoutLedgerLeavesUnaccountedInterval(t *testing.T) {
 	w := newAccountedDeployment(t, 2, nil)
 	spec := newJob(model.Service, 1, nil)
@@ -101,7 +103,7 @@
 	}
 	w.Advance(60 * second)
 	if cpuNow := ledger.Total(readOpenSegment(t, w, "red").Usage).CPU; cpuNow != cpuBefore {
-		t.Errorf("usage charged by leaders without a ledger: got %d CPU microseconds, want 0", cpuNow-cpuBefore)
+		t.Errorf("usage charged by leaders without a ledger: got %d CPU µs, want 0", cpuNow-cpuBefore)
 	}
 	for _, c := range w.Controllers {
 		c.WithoutLedger = false
--- a/internal/fake/legacy_records_test.go
+++ b/internal/fake/legacy_records_test.go
@@ -84,7 +84,8 @@
 }
 
 // In the legacy layout, the number of tasks in a chunk follows from the value size limit. If chunks were read under
-// another limit, every chunk after the first would be taken for other tasks.
+// another limit, every chunk after the first would describe the wrong tasks. The limits are lowered while such a job
+// runs.
 func TestLargeLegacyArraySurvivesLowerLimits(t *testing.T) {
 	w := newDeployment(t, 4)
 	w.Limits = store.Limits{MaxValueBytes: 2048, MaxChanges: 4}
@@ -154,11 +155,11 @@
 
 // activeTasksAmong counts the machines that the given tasks of a job are on.
 func activeTasksAmong(w *World, spec *model.Spec, tasks map[int]bool) int {
-	n := 0
+	active := 0
 	for i := range tasks {
-		n += len(w.MachinesOf(model.TaskID{Job: spec.ID, Index: i}))
+		active += len(w.MachinesOf(model.TaskID{Job: spec.ID, Index: i}))
 	}
-	return n
+	return active
 }
 
 func TestLegacyEndsReleaseOrCancelDependents(t *testing.T) {
@@ -174,7 +175,7 @@
 	dependsOnDone, dependsOnBoth := newDependentJob(done), newDependentJob(done, cancelled)
 	submitJobs(t, w, dependsOnDone, dependsOnBoth)
 	expectState(t, w, dependsOnBoth, wire.StateCancelled)
-	waitUntil(t, w, 30*second, "the job whose dependency is done is done", jobDone(t, w, dependsOnDone))
+	waitUntil(t, w, 30*second, "the job that depends on the completed job is done", jobDone(t, w, dependsOnDone))
 	// The new version writes the end in a form that the old version can read.
 	end, ok := w.State.Value("job/e/" + dependsOnDone.ID).(map[string]any)
 	if !ok || end["end"] != "done" || DecodeUint(end["n"]) != 1 {
--- a/internal/fake/machines_test.go
+++ b/internal/fake/machines_test.go
@@ -77,7 +77,7 @@
 func TestReleasesDoNotQueueBehindSlowCloud(t *testing.T) {
 	w := newDeployment(t, 40)
 	w.ReleasesBlocked = true
-	w.Advance(3 * time.Minute) // all machines are idle for long, and idle ones are charged by the minute
+	w.Advance(3 * time.Minute) // all machines have long been idle, and they are charged by the minute
 	if w.ReleaseRequests != 1 {
 		t.Errorf("release requests while the first one is pending: got %d, want 1", w.ReleaseRequests)
 	}
--- a/internal/fake/operations_test.go
+++ b/internal/fake/operations_test.go
@@ -134,7 +134,7 @@
 			len(guaranteedJobs), lateStarts, len(waiting))
 	}
 	w.MarkFaultsEnded()
-	w.Advance(95 * second)
+	w.Advance(95 * second) // longer than maxWaitWithRoom, so that jobs that wait despite free room are found
 	expectHalfStarted(t, w, guestJobs)
 	if started := startCount(w, hugeArray); started < 60 {
 		t.Errorf("started tasks of the huge array: got %d, want at least 60", started)
@@ -161,7 +161,7 @@
 // drainRecorder is a log handler that records the names of the machines that a leader drains as faulty.
 type drainRecorder struct {
 	slog.Handler
-	names map[string]bool
+	names map[string]bool // by machine name
 }
 
 func (h drainRecorder) Enabled(context.Context, slog.Level) bool { return true }
--- a/internal/fake/quota_test.go
+++ b/internal/fake/quota_test.go
@@ -9,7 +9,7 @@
 )
 
 // In these tests teams are at their quotas, and jobs are cancelled on machines that are hung or unreachable. Tasks
-// that may still run there count against the quota. Tasks that have ended soon stop counting.
+// that may still run there count against the quota. Tasks that have ended must soon stop counting.
 
 // disconnection is a fault by which a machine becomes unreachable. The function set begins the fault on a worker if
 // on is true, and ends it otherwise.
@@ -18,6 +18,7 @@
 	set  func(worker *Worker, on bool)
 }
 
+// disconnections lists the faults by which tests make machines unreachable.
 var disconnections = []disconnection{
 	{"hung", func(worker *Worker, on bool) { worker.Hung = on }},
 	{"partitioned", func(worker *Worker, on bool) { worker.Partitioned = on }},
@@ -138,8 +139,11 @@
 // command, and in part of the cases resumes before its lease expires. The task must be stopped before the
 // cancellation deadline in every case.
 func TestCancelledCheckpointingTaskOnHungMachineStopsInTime(t *testing.T) {
-	for _, sequence := range []string{"checkpointing, then cancelled, then hung", "cancelled and hung at the same time",
-		"cancelled, stop answered, then hung"} {
+	for _, sequence := range []string{
+		"checkpointing, then cancelled, then hung",
+		"cancelled and hung at the same time",
+		"cancelled, stop answered, then hung",
+	} {
 		for _, hungFor := range []time.Duration{3 * second, 8 * second, 11 * second, 30 * second} {
 			w := newVotingMembers(t, 3, 1)
 			w.Capacity = 1
@@ -182,6 +186,8 @@
 	}
 }
 
+// All machines with running tasks are partitioned and the leader crashes. The next leader must not start tasks beyond
+// the quota while those tasks may still run.
 func TestQuotaHoldsWhileMachinesAreUnreachable(t *testing.T) {
 	w := newDeployment(t, 4)
 	w.RunTime = 200 * second
@@ -190,8 +196,8 @@
 	submitJob(t, w, spec)
 	waitUntil(t, w, 20*second, "the tasks use all of the quota", func() bool { return activeTasks(w, spec) == 4 })
 	for i := range spec.Tasks {
-		for _, n := range w.MachinesOf(model.TaskID{Job: spec.ID, Index: i}) {
-			w.Workers[n].Partitioned = true
+		for _, machine := range w.MachinesOf(model.TaskID{Job: spec.ID, Index: i}) {
+			w.Workers[machine].Partitioned = true
 		}
 	}
 	w.Leader().Crash()
--- a/internal/fake/settings_test.go
+++ b/internal/fake/settings_test.go
@@ -127,8 +127,8 @@
 		g.writeLine("[[deployment.objectives]]\nkind = \"wait\"\nclass = \"work\"\nwithin_s = 5.0\nshare = 0.9")
 	}
 	heartbeat := g.drawNumber("report_s", 0.5, 2.5, 10)
-	lease := heartbeat * g.drawNumber("lease over report", 1.6, 3, 6) // long enough for a heartbeat that is late
-	cancel := lease + g.drawNumber("cancel over lease", 5, 40)
+	lease := heartbeat * g.drawNumber("heartbeat intervals per lease", 1.6, 3, 6) // leaves time for a late heartbeat
+	cancel := lease + g.drawNumber("cancellation time beyond the lease", 5, 40)
 	g.writeLine("[deployment.workers]\nreport_s = %g\nlease_s = %g\ngang_wait_s = 35.0\ngang_peer_s = 5.0\ncancel_s = %g",
 		heartbeat, lease, cancel)
 	g.writeLine("[deployment.state]")
@@ -196,11 +196,11 @@
 		spec.Team = team.Name
 		spec.Demand = model.Resources{
 			CPU:   float64(rapid.SampledFrom([]int{1, 8, 24}).Draw(rt, "cpus")),
-			GPU:   float64(rapid.SampledFrom([]int{0, 0, 1, 4}).Draw(rt, "cards")),
+			GPU:   float64(rapid.SampledFrom([]int{0, 0, 1, 4}).Draw(rt, "gpus")),
 			MemGB: 4,
 		}
 		spec.AllowSpot = rapid.Bool().Draw(rt, "spot")
-		spec.SingleZone = rapid.Bool().Draw(rt, "one zone")
+		spec.SingleZone = rapid.Bool().Draw(rt, "single zone")
 		// Only one zone has GPUs, so half of a GPU job that spreads over zones would never start.
 		maySpread := !spec.SingleZone && spec.Shape == model.Service && len(zones) > 1 &&
 			spec.Demand.GPU == 0 && spec.Demand.CPU <= 8
--- a/internal/fake/zones_test.go
+++ b/internal/fake/zones_test.go
@@ -118,8 +118,12 @@
 // must run in this zone, or in any single zone, must run nowhere else while a task of theirs may still be there, and
 // must run again soon afterwards.
 func TestZoneBoundJobsSurviveZonePartition(t *testing.T) {
-	for _, fault := range []string{"partitioned", "partitioned with the leader inside", "machines lost",
-		"partitioned, and the leader crashes"} {
+	for _, fault := range []string{
+		"partitioned",
+		"partitioned with the leader inside",
+		"machines lost",
+		"partitioned, and the leader crashes",
+	} {
 		t.Run(fault, func(t *testing.T) {
 			w := newVotingMembers(t, 3, 8)
 			w.Capacity = 10
@@ -142,10 +146,10 @@
 				}
 			}
 			machinesLost := fault == "machines lost"
-			for _, n := range w.WorkerNames() {
-				if worker := w.Workers[n]; worker.Zone == "a" {
+			for _, name := range w.WorkerNames() {
+				if worker := w.Workers[name]; worker.Zone == "a" {
 					if worker.Partitioned = true; machinesLost {
-						delete(w.Workers, n)
+						delete(w.Workers, name)
 					}
 				}
 			}
@@ -244,14 +248,14 @@
 	w := newVotingMembers(t, 3, 8)
 	w.RunTime, w.FetchTime = 3*second, 200*time.Millisecond
 	random := rand.New(rand.NewPCG(1, 1))
-	tiny := func(spec *model.Spec) {
+	small := func(spec *model.Spec) {
 		spec.Demand = model.Resources{CPU: 1, MemGB: 1}
 		spec.Team = []string{"red", "blue"}[random.IntN(2)]
 	}
 	var jobs []*model.Spec
 	transactionsBefore := w.State.Transactions
 	for i := range 720 {
-		spec := newJob(model.Array, 1, tiny)
+		spec := newJob(model.Array, 1, small)
 		if err := w.Submit(w.Controllers[random.IntN(3)], spec); err != nil {
 			t.Fatal(err)
 		}
@@ -264,15 +268,16 @@
 	w.MarkFaultsEnded()
 	waitUntil(t, w, 60*second, "all jobs have ended", func() bool {
 		for _, spec := range jobs {
-			v, err := w.Controllers[random.IntN(3)].Jobs.Lookup(context.Background(), spec.ID)
-			if err != nil || !v.State.Ended() {
+			record, err := w.Controllers[random.IntN(3)].Jobs.Lookup(context.Background(), spec.ID)
+			if err != nil || !record.State.Ended() {
 				return false
 			}
 		}
 		return true
 	})
 	w.Advance(30 * second)
-	// A job needs one for its submission and one for its end. The others write machine and completed-task records.
+	// Each job needs a transaction for its submission and one for its end. The others write records of machines and of
+	// completed tasks.
 	if n := w.State.Transactions - transactionsBefore; n > 4*len(jobs) {
 		t.Errorf("transactions for %d jobs: got %d, want at most %d", len(jobs), n, 4*len(jobs))
 	}
