--- a/internal/clustersim/capacity/capacity_test.go
+++ b/internal/clustersim/capacity/capacity_test.go
@@ -11,7 +11,8 @@
 	"github.com/glentiller/glentiller/internal/clustersim/scale"
 )
 
-// linearRuns returns runs that lie on a line: an intercept of 0.5, 0.001 a worker and 0.01 a start.
+// linearRuns returns a quantity and runs that lie exactly on a line: LeaderCores is 0.5 plus 0.001 per worker and
+// 0.01 per task start a second.
 func linearRuns() (Quantity, []scale.Result) {
 	q := Quantity{
 		Name:    "x",
@@ -60,9 +61,9 @@
 	q, runs := linearRuns()
 	runs[2].LeaderCores++
 	line, err := Fit(q, runs)
-	if err != nil || line.Residual < 0.1 || line.MaxResidual < 0.1 {
+	if err != nil || line.ResidualStdDev < 0.1 || line.MaxResidual < 0.1 {
 		t.Errorf("got residuals %v and %v, error %v; want 0.1 or more for a run off the line",
-			line.Residual, line.MaxResidual, err)
+			line.ResidualStdDev, line.MaxResidual, err)
 	}
 }
 
@@ -74,8 +75,8 @@
 	for i := range runs {
 		runs[i].Starts = float64(runs[i].Workers)
 	}
-	if _, err := Fit(q, runs); !errors.Is(err, ErrIndistinctLoads) {
-		t.Errorf("two loads in proportion: got %v, want %v", err, ErrIndistinctLoads)
+	if _, err := Fit(q, runs); !errors.Is(err, ErrCollinearLoads) {
+		t.Errorf("two loads in proportion: got %v, want %v", err, ErrCollinearLoads)
 	}
 }
 
--- a/internal/clustersim/capacity/fit.go
+++ b/internal/clustersim/capacity/fit.go
@@ -12,86 +12,93 @@
 
 // Errors of Fit.
 var (
-	ErrTooFewRuns      = errors.New("fewer runs than the line has numbers")
-	ErrIndistinctLoads = errors.New("the runs do not tell its loads apart")
+	// ErrTooFewRuns means that there are not more runs than coefficients, so that no residual can be computed.
+	ErrTooFewRuns = errors.New("too few runs for the number of coefficients")
+	// ErrCollinearLoads means that the loads of the runs are linearly dependent, or nearly so, and that the coefficients
+	// are therefore not determined.
+	ErrCollinearLoads = errors.New("loads of the runs are collinear")
 )
 
-// Line is a quantity as a linear function of its loads.
+// Line is a quantity as a fitted linear function of its loads.
 type Line struct {
 	Quantity
-	Intercept   float64
-	Slopes      []float64 // in the order of Quantity.Loads
-	Points      int
-	Residual    float64          // standard deviation of the runs about the line
-	MaxResidual float64          // the largest distance of a run from it
-	MaxMeasured map[Load]float64 // the largest load of any run
+	Intercept      float64
+	Slopes         []float64 // in the order of Quantity.Loads
+	RunCount       int
+	ResidualStdDev float64          // residual standard deviation of the runs
+	MaxResidual    float64          // largest absolute residual of a run
+	MaxLoads       map[Load]float64 // largest value of each load in any run; At extrapolates beyond it
 }
 
-// Fit fits a line to what runs have measured. There must be more runs than the line has coefficients.
+// Fit fits a line to the measurements of runs by ordinary least squares. It returns ErrTooFewRuns unless there are
+// more runs than coefficients (the intercept and one slope per load), and ErrCollinearLoads if the runs do not
+// determine the coefficients.
 func Fit(q Quantity, runs []scale.Result) (Line, error) {
-	line := Line{Quantity: q, Points: len(runs), MaxMeasured: map[Load]float64{}}
+	line := Line{Quantity: q, RunCount: len(runs), MaxLoads: map[Load]float64{}}
 	coefficients := len(q.Loads) + 1
 	if len(runs) <= coefficients {
-		return line, fmt.Errorf("%s: %w: %d, %d", q.Name, ErrTooFewRuns, len(runs), coefficients)
+		return line, fmt.Errorf("%s: %w: got %d runs, want more than %d", q.Name, ErrTooFewRuns, len(runs), coefficients)
 	}
-	loads := mat.NewDense(len(runs), coefficients, nil)
+	designMatrix := mat.NewDense(len(runs), coefficients, nil)
 	values := mat.NewVecDense(len(runs), nil)
 	for i := range runs {
-		loads.Set(i, 0, 1)
-		for k, load := range q.Loads {
+		designMatrix.Set(i, 0, 1)
+		for loadIndex, load := range q.Loads {
 			value := load.value(&runs[i])
-			loads.Set(i, k+1, value)
-			line.MaxMeasured[load] = max(line.MaxMeasured[load], value)
+			designMatrix.Set(i, loadIndex+1, value)
+			line.MaxLoads[load] = max(line.MaxLoads[load], value)
 		}
 		values.SetVec(i, q.Measure(&runs[i]))
 	}
 	var solution mat.VecDense
 	var qr mat.QR
-	qr.Factorize(loads)
+	qr.Factorize(designMatrix)
 	if err := qr.SolveVecTo(&solution, false, values); err != nil {
-		return line, fmt.Errorf("%s: %w: %w", q.Name, ErrIndistinctLoads, err)
+		return line, fmt.Errorf("%s: %w: %w", q.Name, ErrCollinearLoads, err)
 	}
 	line.Intercept = solution.AtVec(0)
-	for k := range q.Loads {
-		line.Slopes = append(line.Slopes, solution.AtVec(k+1))
+	for loadIndex := range q.Loads {
+		line.Slopes = append(line.Slopes, solution.AtVec(loadIndex+1))
 	}
 	line.measureResiduals(runs, coefficients)
 	return line, nil
 }
 
-// measureResiduals computes how far the runs lie off the line.
+// measureResiduals sets the residuals of the line. coefficients is the number of its coefficients, by which the
+// degrees of freedom are reduced.
 func (l *Line) measureResiduals(runs []scale.Result, coefficients int) {
-	var squares float64
+	var squaredSum float64
 	for i := range runs {
 		residual := l.Measure(&runs[i]) - l.evaluate(func(load Load) float64 { return load.value(&runs[i]) })
-		squares += residual * residual
+		squaredSum += residual * residual
 		l.MaxResidual = max(l.MaxResidual, math.Abs(residual))
 	}
-	l.Residual = math.Sqrt(squares / float64(len(runs)-coefficients))
+	l.ResidualStdDev = math.Sqrt(squaredSum / float64(len(runs)-coefficients))
 }
 
-// evaluate returns the line's value at given loads.
+// evaluate returns the line's value at the loads that valueOf returns.
 func (l *Line) evaluate(valueOf func(Load) float64) float64 {
 	value := l.Intercept
-	for k, load := range l.Loads {
-		value += l.Slopes[k] * valueOf(load)
+	for loadIndex, load := range l.Loads {
+		value += l.Slopes[loadIndex] * valueOf(load)
 	}
 	return value
 }
 
-// At evaluates the line at a size. extrapolated reports whether a load is larger than that of any run.
+// At returns the line's value at a deployment size, or 0 if that would be negative. extrapolated reports whether one
+// of the loads is larger than in any of the runs.
 func (l *Line) At(size Size) (value float64, extrapolated bool) {
 	for _, load := range l.Loads {
-		extrapolated = extrapolated || size.Loads[load] > l.MaxMeasured[load]
+		extrapolated = extrapolated || size.Loads[load] > l.MaxLoads[load]
 	}
 	return max(l.evaluate(func(load Load) float64 { return size.Loads[load] }), 0), extrapolated
 }
 
-// slope returns the slope of a load, and false if the quantity does not grow with it.
+// slope returns the slope for a load. The second result is false if the quantity does not depend on the load.
 func (l *Line) slope(load Load) (float64, bool) {
-	for k, other := range l.Loads {
+	for loadIndex, other := range l.Loads {
 		if other == load {
-			return l.Slopes[k], true
+			return l.Slopes[loadIndex], true
 		}
 	}
 	return 0, false
--- a/internal/clustersim/capacity/quantities.go
+++ b/internal/clustersim/capacity/quantities.go
@@ -6,24 +6,24 @@
 	"github.com/glentiller/glentiller/internal/clustersim/scale"
 )
 
-// bytesPerKB is of the decimal unit.
+// bytesPerKB defines the decimal kilobyte, which the table uses.
 const bytesPerKB = 1000
 
-// workersAndStarts are the loads of what grows with a region's machines and their work.
+// workersAndStarts are the loads of the quantities that depend on a region's number of machines and its task starts.
 var workersAndStarts = []Load{Workers, Starts}
 
-// Quantities returns the rows of the table, by role.
+// Quantities returns the rows of the table in their order, grouped by role.
 func Quantities() []Quantity {
 	return slices.Concat(leaderQuantities, memberQuantities, stateServiceQuantities, workerQuantities)
 }
 
-// leaderQuantities are what a region's leader needs.
+// leaderQuantities are the resource needs and latencies of a region's leader.
 var leaderQuantities = []Quantity{
 	{
 		Role:      "leader",
 		Name:      "processor, cores",
 		Loads:     workersAndStarts,
-		Digits:    2,
+		Decimals:  2,
 		Measure:   func(r *scale.Result) float64 { return r.LeaderCores },
 		Budget:    "1 core: the program uses one",
 		Mechanism: "stands for a region of the mean size; missing for all in one",
@@ -32,7 +32,7 @@
 		Role:      "leader",
 		Name:      "memory, MB",
 		Loads:     workersAndStarts,
-		Digits:    0,
+		Decimals:  0,
 		Measure:   func(r *scale.Result) float64 { return r.LeaderMB },
 		Budget:    "the control machine's",
 		Mechanism: "stands",
@@ -41,7 +41,7 @@
 		Role:      "leader",
 		Name:      "open files",
 		Loads:     []Load{Workers},
-		Digits:    0,
+		Decimals:  0,
 		Measure:   func(r *scale.Result) float64 { return float64(r.LeaderSockets) },
 		Budget:    "20,000 a process here",
 		Mechanism: "stands for a region; members that answer workers: missing",
@@ -50,7 +50,7 @@
 		Role:      "leader",
 		Name:      "longest hold of the loop, ms",
 		Loads:     workersAndStarts,
-		Digits:    0,
+		Decimals:  0,
 		Measure:   func(r *scale.Result) float64 { return r.LongestHoldMs },
 		Budget:    "250 (urgent work within 1 s)",
 		Mechanism: "passes that look at what they weigh: chosen now; an index over machines: missing",
@@ -59,20 +59,20 @@
 		Role:      "leader",
 		Name:      "urgent work, submission to start, p99 ms",
 		Loads:     workersAndStarts,
-		Digits:    0,
+		Decimals:  0,
 		Measure:   func(r *scale.Result) float64 { return float64(r.UrgentP99) },
 		Budget:    "1,000",
 		Mechanism: "as the row before",
 	},
 }
 
-// memberQuantities are what a member that does not lead needs.
+// memberQuantities are the resource needs of a member that is not the leader.
 var memberQuantities = []Quantity{
 	{
 		Role:      "member",
 		Name:      "processor, cores",
 		Loads:     workersAndStarts,
-		Digits:    3,
+		Decimals:  3,
 		Measure:   func(r *scale.Result) float64 { return r.MemberCores },
 		Budget:    "1 core",
 		Mechanism: "stands idle: members that answer workers: missing",
@@ -81,20 +81,20 @@
 		Role:      "member",
 		Name:      "memory, MB",
 		Loads:     workersAndStarts,
-		Digits:    0,
+		Decimals:  0,
 		Measure:   func(r *scale.Result) float64 { return r.MemberMB },
 		Budget:    "the control machine's",
 		Mechanism: "stands",
 	},
 }
 
-// stateServiceQuantities are what a region asks of its state service.
+// stateServiceQuantities are the request and write rates of a region at its state service.
 var stateServiceQuantities = []Quantity{
 	{
 		Role:      "state service",
 		Name:      "requests/s",
 		Loads:     []Load{Jobs},
-		Digits:    0,
+		Decimals:  0,
 		Measure:   func(r *scale.Result) float64 { return r.StateRPS },
 		Budget:    "1,000 in the runs",
 		Mechanism: "stands",
@@ -103,20 +103,20 @@
 		Role:      "state service",
 		Name:      "changes/s",
 		Loads:     []Load{Jobs},
-		Digits:    0,
+		Decimals:  0,
 		Measure:   func(r *scale.Result) float64 { return r.StateWrites },
 		Budget:    "400 in the runs, of which a leader takes 200",
 		Mechanism: "records of finished tasks wait once each: chosen now",
 	},
 }
 
-// workerQuantities are what a region's workers send.
+// workerQuantities are the message rate and the bandwidth of all workers of a region together.
 var workerQuantities = []Quantity{
 	{
 		Role:      "workers",
 		Name:      "reports/s",
 		Loads:     workersAndStarts,
-		Digits:    0,
+		Decimals:  0,
 		Measure:   func(r *scale.Result) float64 { return r.Heartbeats },
 		Budget:    "",
 		Mechanism: "stands",
@@ -125,7 +125,7 @@
 		Role:      "workers",
 		Name:      "bytes/s of all, KB",
 		Loads:     workersAndStarts,
-		Digits:    0,
+		Decimals:  0,
 		Measure:   func(r *scale.Result) float64 { return r.WorkerBytes * float64(r.Machines) / bytesPerKB },
 		Budget:    "9 KB/s for each worker",
 		Mechanism: "stands",
--- a/internal/clustersim/capacity/runs.go
+++ b/internal/clustersim/capacity/runs.go
@@ -11,19 +11,23 @@
 	"github.com/glentiller/glentiller/internal/clustersim/scale"
 )
 
-// runsPattern matches the files that Read reads.
+// runsPattern is the glob pattern of the names of the files that Read loads.
 const runsPattern = "runs*.jsonl"
 
-// maxLineBytes bounds the size of one run.
+// maxLineBytes bounds a line of a file, which holds one run.
 const maxLineBytes = 1 << 20
 
 // Errors of Read.
 var (
-	ErrNoRuns = errors.New("no " + runsPattern + " with a run in it")
-	ErrNotRun = errors.New("not a run")
+	// ErrNoRuns means that no file matches runs*.jsonl, or that all such files are empty.
+	ErrNoRuns = errors.New("no runs in " + runsPattern + " files")
+	// ErrNotRun means that a line is a JSON object, but lacks the workers, regions or duration of a run.
+	ErrNotRun = errors.New("not a run: want positive workers, regions and seconds")
 )
 
-// Read reads the runs of all files of a folder whose names match runs*.jsonl: one JSON object a line.
+// Read loads the runs from all files of a folder whose names match runs*.jsonl. Each line of a file is one run as a
+// JSON object. Read returns ErrNoRuns if there is none, and an error with the file and line for the first invalid
+// one.
 func Read(folder string) ([]scale.Result, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, runsPattern))
 	if err != nil {
@@ -43,23 +47,23 @@
 	return all, nil
 }
 
-// readFile reads the runs of one file.
+// readFile loads the runs of one file.
 func readFile(path string) ([]scale.Result, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // only read
+	defer func() { _ = f.Close() }() // the file was only read
 	var runs []scale.Result
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, maxLineBytes)
-	for n := 1; lines.Scan(); n++ {
+	for lineNumber := 1; lines.Scan(); lineNumber++ {
 		var run scale.Result
 		if err := json.Unmarshal(lines.Bytes(), &run); err != nil {
-			return nil, fmt.Errorf("%s:%d: %w", path, n, err)
+			return nil, fmt.Errorf("%s:%d: %w", path, lineNumber, err)
 		}
 		if run.Regions < 1 || run.Workers < 1 || run.Seconds <= 0 {
-			return nil, fmt.Errorf("%s:%d: %w", path, n, ErrNotRun)
+			return nil, fmt.Errorf("%s:%d: %w", path, lineNumber, ErrNotRun)
 		}
 		runs = append(runs, run)
 	}
