--- a/internal/clustersim/scale/exchange.go
+++ b/internal/clustersim/scale/exchange.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	heartbeatTimeout    = 4 * time.Second        // that a worker waits for the answer to a heartbeat
-	maxRedirectDelay    = 500 * time.Millisecond // until a worker reports to where it was redirected
-	nextControllerDelay = time.Second            // until it reports to the next controller
-	requestHeaderBytes  = 160                    // of a heartbeat's request, at the most
-	responseBuffer      = 2048                   // bytes
+	heartbeatTimeout    = 4 * time.Second        // from dialing until the response is read; then the heartbeat has failed
+	maxRedirectDelay    = 500 * time.Millisecond // before a redirected worker sends a heartbeat to the named leader
+	nextControllerDelay = time.Second            // before a worker sends a heartbeat to the next controller
+	requestHeaderBytes  = 160                    // upper bound of the request line and headers of a heartbeat
+	responseBufferBytes = 2048
 )
 
-// heartbeatResult is what a heartbeat has led to.
+// heartbeatResult is the outcome of one heartbeat.
 type heartbeatResult struct {
-	status  int // 0: it was not answered
-	body    []byte
-	err     error
-	message wire.CommandMessage // of an answer with 200
-	bytes   int                 // of the answer
-	dialed  bool
+	status        int // HTTP status; 0 if no valid response was received
+	body          []byte
+	err           error
+	message       wire.CommandMessage // decoded body of a 200 response
+	responseBytes int                 // size of the response with its headers
+	dialed        bool                // a connection was opened, or an attempt to open one failed
 }
 
-// readerPool holds the buffers of exchanges.
-var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, responseBuffer) }}
+// readerPool holds the buffered readers with which responses are read.
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, responseBufferBytes) }}
 
-// startHeartbeat has a worker send its heartbeat. The lock is held.
+// startHeartbeat sends a worker's heartbeat in a new goroutine, which also handles the answer. The caller holds w.mu.
 func (w *workers) startHeartbeat(ctx context.Context, h *hollowWorker) {
 	heartbeat := h.worker.NextHeartbeat()
 	h.busy = true
@@ -50,7 +50,9 @@
 	}()
 }
 
-// exchange sends a heartbeat and reads its answer. It owns the worker's connection meanwhile.
+// exchange sends a heartbeat to a controller and reads the response. It opens a connection if the worker has none,
+// and closes the connection after an error. The worker is busy meanwhile, which makes exchange the owner of the
+// connection: the caller doesn't hold w.mu.
 func (w *workers) exchange(ctx context.Context, h *hollowWorker, addr string, body []byte) heartbeatResult {
 	var result heartbeatResult
 	deadline := time.Now().Add(heartbeatTimeout)
@@ -74,7 +76,7 @@
 	if _, result.err = h.conn.Write(request); result.err != nil {
 		return result
 	}
-	counted := &countedReader{source: h.conn}
+	counted := &countingReader{source: h.conn}
 	reader := readerPool.Get().(*bufio.Reader)
 	defer readerPool.Put(reader)
 	reader.Reset(counted)
@@ -83,16 +85,16 @@
 	if result.err = response.Read(reader); result.err != nil {
 		return result
 	}
-	result.status, result.bytes = response.StatusCode(), counted.bytes
+	result.status, result.responseBytes = response.StatusCode(), counted.bytesRead
 	result.body = append(result.body, response.Body()...)
-	w.traffic.count("report", result.bytes, len(request))
+	w.traffic.count("report", result.responseBytes, len(request))
 	if response.ConnectionClose() {
 		h.closeConn()
 	}
 	return result
 }
 
-// appendRequest appends a heartbeat's request.
+// appendRequest appends the HTTP request of a heartbeat to b.
 func appendRequest(b []byte, host string, body []byte) []byte {
 	b = append(b, "POST /v1/report HTTP/1.1\r\nHost: "...)
 	b = append(b, host...)
@@ -101,20 +103,21 @@
 	return append(append(b, "\r\n\r\n"...), body...)
 }
 
-// countedReader counts what is read.
-type countedReader struct {
-	source io.Reader
-	bytes  int
+// countingReader counts the bytes that are read from its source.
+type countingReader struct {
+	source    io.Reader
+	bytesRead int
 }
 
 // Read implements io.Reader.
-func (r *countedReader) Read(b []byte) (int, error) {
+func (r *countingReader) Read(b []byte) (int, error) {
 	n, err := r.source.Read(b)
-	r.bytes += n
+	r.bytesRead += n
 	return n, err
 }
 
-// handleAnswer has a worker take what its heartbeat has led to, as the protocol says.
+// handleAnswer applies the outcome of a heartbeat to its worker as the worker protocol demands. The worker carries
+// out the commands of a 200 response, follows a redirect, and otherwise tries the next controller.
 func (w *workers) handleAnswer(h *hollowWorker, heartbeat *model.Heartbeat, sent time.Time, result heartbeatResult) {
 	roundTrip := time.Since(sent)
 	if result.status == fasthttp.StatusOK {
@@ -134,7 +137,7 @@
 	switch result.status {
 	case fasthttp.StatusOK:
 		message := &result.message
-		h.worker.HandleAnswer(heartbeat.Epoch, sent, message.FencingToken, w.executedCommands(h, message.Commands))
+		h.worker.HandleAnswer(heartbeat.Epoch, sent, message.FencingToken, w.applyMutation(h, message.Commands))
 	case fasthttp.StatusMisdirectedRequest:
 		w.redirect(h, wire.DecodeLeader(result.body))
 	default:
@@ -142,7 +145,7 @@
 	}
 }
 
-// recordOutcome counts what a heartbeat has led to. The lock is held.
+// recordOutcome counts the outcome of a heartbeat. The caller holds w.mu.
 func (w *workers) recordOutcome(result *heartbeatResult, roundTrip time.Duration) {
 	if result.dialed {
 		w.counts.Dials++
@@ -150,7 +153,7 @@
 	switch result.status {
 	case fasthttp.StatusOK:
 		w.counts.Heartbeats++
-		_ = w.roundTrips.RecordValue(min(roundTrip.Microseconds(), maxRoundTrip)) // it is within the bounds
+		_ = w.roundTrips.RecordValue(min(roundTrip.Microseconds(), maxRoundTrip)) // never out of range
 	case fasthttp.StatusMisdirectedRequest:
 		w.counts.Redirects++
 	case 0:
@@ -158,13 +161,14 @@
 	default:
 		w.counts.Refused++
 	}
-	var timeout net.Error
-	if result.err != nil && errors.As(result.err, &timeout) && timeout.Timeout() {
+	var netErr net.Error
+	if result.err != nil && errors.As(result.err, &netErr) && netErr.Timeout() {
 		w.counts.Late++
 	}
 }
 
-// redirect has a worker report to the controller that a 421 names. The lock is held.
+// redirect makes a worker send its next heartbeat to the leader that a 421 response names. If the name is unknown, or
+// names the controller that sent the response, the worker tries the next controller. The caller holds w.mu.
 func (w *workers) redirect(h *hollowWorker, leader string) {
 	for i, c := range h.region.controllers {
 		if c.name == leader && i != h.controllerIndex {
@@ -177,22 +181,24 @@
 	w.tryNextController(h)
 }
 
-// tryNextController has a worker report to the next controller. The lock is held.
+// tryNextController makes a worker send its next heartbeat to the next controller of its region. The caller holds
+// w.mu.
 func (w *workers) tryNextController(h *hollowWorker) {
 	h.closeConn()
 	h.controllerIndex = (h.controllerIndex + 1) % len(h.region.controllers)
 	h.worker.Retry(nextControllerDelay)
 }
 
-// closeConn closes the worker's connection, if it has one.
+// closeConn closes the worker's connection, if one is open. Only the owner of the connection may call it.
 func (h *hollowWorker) closeConn() {
 	if h.conn != nil {
-		_ = h.conn.Close() // nothing is lost that was not before
+		_ = h.conn.Close() // no data is pending that a failure to close could lose
 		h.conn = nil
 	}
 }
 
-// closeIdleConns closes all connections that no exchange owns, once nothing more is sent.
+// closeIdleConns closes the connections of all workers that wait for no answer. It is called when no more heartbeats
+// are started.
 func (w *workers) closeIdleConns() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -203,23 +209,23 @@
 	}
 }
 
-// executedCommands are the commands that a worker carries out. With the mutation LaunchTwice another worker of the
-// region carries out the launches too. The lock is held.
-func (w *workers) executedCommands(h *hollowWorker, commands []model.Command) []model.Command {
+// applyMutation returns the commands that a worker has received and is to carry out. Under the mutation LaunchTwice,
+// another worker of the region carries out the launches among them, too. The caller holds w.mu.
+func (w *workers) applyMutation(h *hollowWorker, commands []model.Command) []model.Command {
 	if w.mutation != LaunchTwice {
 		return commands
 	}
 	for _, other := range w.byRegion[h.region] {
 		if other != h {
-			other.worker.Execute(launchesOf(commands))
+			other.worker.Execute(launchCommands(commands))
 			break
 		}
 	}
 	return commands
 }
 
-// launchesOf are the launches among commands.
-func launchesOf(commands []model.Command) (launches []model.Command) {
+// launchCommands returns the launches among commands.
+func launchCommands(commands []model.Command) (launches []model.Command) {
 	for _, command := range commands {
 		if command.Op == model.OpLaunch {
 			launches = append(launches, command)
@@ -228,7 +234,8 @@
 	return launches
 }
 
-// handle answers a request that comes straight to a worker: direct commands, or a probe.
+// handle serves the requests that controllers send directly to workers: commands, and probes of the worker's status.
+// The address that the controller connected to identifies the worker. A worker that is hung or unknown answers 503.
 func (w *workers) handle(c *fasthttp.RequestCtx) {
 	if !c.RemoteIP().IsLoopback() {
 		c.SetStatusCode(fasthttp.StatusForbidden)
@@ -236,9 +243,9 @@
 	}
 	host, _, _ := net.SplitHostPort(c.LocalAddr().String()) // a listener's address always has a port
 	c.SetContentType("application/msgpack")
-	commands := string(c.Path()) == "/commands"
+	isCommands := string(c.Path()) == "/commands"
 	var message wire.CommandMessage
-	if commands {
+	if isCommands {
 		var err error
 		if message, err = wire.DecodeCommands(c.PostBody()); err != nil || message.Epoch == 0 {
 			c.SetStatusCode(fasthttp.StatusBadRequest)
@@ -254,9 +261,9 @@
 		return
 	}
 	w.fleet.SetNow(time.Now())
-	if commands {
+	if isCommands {
 		w.counts.Commands++
-		executed := w.executedCommands(h, message.Commands)
+		executed := w.applyMutation(h, message.Commands)
 		if !h.worker.HandleCommands(message.FencingToken, message.Epoch, executed) {
 			w.counts.CommandsRefused++
 			c.SetStatusCode(fasthttp.StatusConflict)
--- a/internal/clustersim/scale/faults.go
+++ b/internal/clustersim/scale/faults.go
@@ -11,23 +11,24 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-const terminate = syscall.SIGTERM
+// shutdownSignal makes a controller shut down in an orderly way, as at the end of a run. Crashes use SIGKILL.
+const shutdownSignal = syscall.SIGTERM
 
-// The churn of the target fleet: machines that fail and that are replaced in a day, of targetWorkers.
+// The churn of the target fleet: the machines that fail and those that are replaced per day, out of targetWorkers.
 const (
-	targetWorkers  = 21_000
-	targetFailed   = 420
-	targetReplaced = 2_500
+	targetWorkers           = 21_000
+	targetDailyFailures     = 420
+	targetDailyReplacements = 2_500
 )
 
 const (
-	rackMachines = 40
-	rackHangTime = 20 * time.Second // less than a lease
-	zoneHangTime = 45 * time.Second // longer than a lease
-	restartDelay = 5 * time.Second  // of a replaced machine, and of a controller that crashed
+	machinesPerRack = 40
+	rackHangTime    = 20 * time.Second // shorter than leaseTime: the workers keep their leases
+	zoneHangTime    = 45 * time.Second // longer than leaseTime: the workers' leases expire
+	restartDelay    = 5 * time.Second  // until a replaced machine or a crashed controller is up again
 )
 
-// faultInjector injects failures.
+// faultInjector injects the scheduled faults and the machine churn of a plan.
 type faultInjector struct {
 	plan    *Plan
 	regions []*region
@@ -35,15 +36,16 @@
 	random  *rand.Rand
 }
 
-// run injects the plan's failures until the context ends, on a schedule that begins now.
+// run injects the plan's faults at their scheduled times, counted from the call. It returns after the last fault or
+// when the context is done.
 func (f *faultInjector) run(ctx context.Context) {
-	began := time.Now()
+	startedAt := time.Now()
 	schedule := slices.SortedFunc(
 		slices.Values(f.plan.Faults),
 		func(a, b Fault) int { return int(a.At*1000) - int(b.At*1000) },
 	)
 	for _, fault := range schedule {
-		sleep(ctx, time.Duration(fault.At*float64(time.Second))-time.Since(began))
+		sleep(ctx, time.Duration(fault.At*float64(time.Second))-time.Since(startedAt))
 		if ctx.Err() != nil {
 			return
 		}
@@ -52,19 +54,21 @@
 		case LeaderCrash:
 			f.crashController(ctx, region.leader())
 		case RackHang:
-			f.hang(ctx, f.rack(region), rackHangTime)
+			f.hang(ctx, f.pickRack(region), rackHangTime)
 		case ZoneOutage:
 			f.failZone(ctx, region, region.zones[f.random.IntN(len(region.zones))])
 		}
 	}
 }
 
-// churn ends and replaces machines one by one, as the target's rate and the plan's factor say.
+// churn replaces random machines until the context is done. The times between replacements are exponentially
+// distributed. Their mean rate is the plan's multiple of the target fleet's rate, scaled to the number of workers.
 func (f *faultInjector) churn(ctx context.Context) {
 	if f.plan.Churn == 0 {
 		return
 	}
-	perSecond := f.plan.Churn * (targetFailed + targetReplaced) / (24 * 3600) * float64(f.plan.Workers) / targetWorkers
+	perSecond := f.plan.Churn * (targetDailyFailures + targetDailyReplacements) / (24 * 3600) *
+		float64(f.plan.Workers) / targetWorkers
 	for ctx.Err() == nil {
 		sleep(ctx, time.Duration(f.random.ExpFloat64()/perSecond*float64(time.Second)))
 		if ctx.Err() == nil {
@@ -73,13 +77,14 @@
 	}
 }
 
-// replace ends a machine. It is back after a delay by the same name, without tasks.
+// replace terminates an arbitrary machine of a region together with its tasks. After restartDelay, a machine with the
+// same name comes up without tasks.
 func (f *faultInjector) replace(ctx context.Context, region *region) {
 	w := f.workers
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, h := range w.byRegion[region] {
-		machine := h.listed()
+		machine := h.machineInfo()
 		w.remove(h)
 		go func() {
 			sleep(ctx, restartDelay)
@@ -93,38 +98,39 @@
 	}
 }
 
-// rack chooses the machines of a rack: neighbors by name in one zone.
-func (f *faultInjector) rack(region *region) []*hollowWorker {
+// pickRack returns the machines of a simulated rack: the first machinesPerRack, in the order of their names, of a
+// random zone of the region.
+func (f *faultInjector) pickRack(region *region) []*hollowWorker {
 	w := f.workers
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	zone := region.zones[f.random.IntN(len(region.zones))]
-	var out []*hollowWorker
+	var machines []*hollowWorker
 	for _, name := range slices.Sorted(maps.Keys(w.byRegion[region])) {
-		if h := w.byRegion[region][name]; h.worker.Zone == zone && len(out) < rackMachines {
-			out = append(out, h)
+		if h := w.byRegion[region][name]; h.worker.Zone == zone && len(machines) < machinesPerRack {
+			machines = append(machines, h)
 		}
 	}
-	return out
+	return machines
 }
 
-// hang has machines hang for some time.
+// hang makes machines hang, and lets them continue after the given time. It does not block.
 func (f *faultInjector) hang(ctx context.Context, machines []*hollowWorker, d time.Duration) {
-	set := func(hung bool) {
+	setHung := func(hung bool) {
 		f.workers.mu.Lock()
 		defer f.workers.mu.Unlock()
 		for _, h := range machines {
 			h.worker.Hung = hung
 		}
 	}
-	set(true)
+	setHung(true)
 	go func() {
 		sleep(ctx, d)
-		set(false)
+		setHung(false)
 	}()
 }
 
-// failZone has all machines of a zone hang and crashes its controllers.
+// failZone makes all machines of a zone hang for zoneHangTime and crashes the controllers of the zone.
 func (f *faultInjector) failZone(ctx context.Context, region *region, zone string) {
 	f.workers.mu.Lock()
 	var machines []*hollowWorker
@@ -142,7 +148,8 @@
 	}
 }
 
-// crashController kills a controller and starts it again after a delay.
+// crashController kills a controller and restarts it after restartDelay. A nil controller is ignored, so that a
+// leader crash has no effect while there is no leader.
 func (f *faultInjector) crashController(ctx context.Context, c *controller) {
 	if c == nil {
 		return
@@ -151,21 +158,22 @@
 	go func() {
 		sleep(ctx, restartDelay)
 		if ctx.Err() == nil {
-			_ = c.start() // a controller that does not start counts as crashed
+			_ = c.start() // a process that exits while it starts up counts as crashed
 		}
 	}()
 }
 
-// initialMachines are the machines that a region has at the start.
+// initialMachines returns count machines for the start of a run, with names and addresses of their own. Their types
+// and zones are spread evenly. The caller holds w.mu.
 func initialMachines(region *region, w *workers, count int) []model.MachineInfo {
-	out := make([]model.MachineInfo, count)
-	for i := range out {
-		out[i] = model.MachineInfo{
+	machines := make([]model.MachineInfo, count)
+	for i := range machines {
+		machines[i] = model.MachineInfo{
 			Name: region.cloud.cloud.NextName(),
 			Addr: w.nextAddress(),
 			Type: machineTypeAt(i),
-			Zone: region.zones[(i/gpuShare+i)%len(region.zones)],
+			Zone: region.zones[(i/machinesPerGPUMachine+i)%len(region.zones)],
 		}
 	}
-	return out
+	return machines
 }
--- a/internal/clustersim/scale/measure.go
+++ b/internal/clustersim/scale/measure.go
@@ -8,24 +8,25 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The kinds of traffic with workers, as the result names them.
-var workerTraffic = []string{"report", "commands", "inspect"}
-
-// peaks are the most that processes were seen to use and hold while it was measured.
-type peaks struct {
-	total, leader, member, standIns  float64 // MB
-	leaderSockets, memberSockets     int
-	leaderCPU, memberCPU, standInCPU time.Duration // in all
+// workerTrafficKinds are the keys of Result.Traffic for the messages between controllers and workers.
+var workerTrafficKinds = []string{"report", "commands", "inspect"}
+
+// roleUsage is the resource usage of the processes by role during the measurement. The leader and member peaks are
+// those of the single process with the most; the stand-ins are this process, and the total is over all processes.
+type roleUsage struct {
+	peakTotalMB, peakLeaderMB, peakMemberMB, peakStandInMB float64
+	peakLeaderFiles, peakMemberFiles                       int           // open file descriptors
+	leaderCPU, memberCPU, standInCPU                       time.Duration // summed over the processes in the role
 }
 
-// baseline is what was there at the moment at which measuring began.
+// baseline holds the values, at the beginning of the measurement, of what cannot be reset.
 type baseline struct {
 	takenAt       time.Time
-	logSizes      map[*controller]int64
+	logSizes      map[*controller]int64 // bytes
 	leaseExpiries int
 }
 
-// takeBaseline notes what cannot be reset, and sets all counts and histograms to zero.
+// takeBaseline resets all counters and histograms, and returns the present values of what cannot be reset.
 func (r *run) takeBaseline() *baseline {
 	b := &baseline{takenAt: time.Now(), logSizes: map[*controller]int64{}}
 	for _, t := range r.allTraffic() {
@@ -51,7 +52,7 @@
 	return b
 }
 
-// allTraffic lists the traffic counters of all stand-ins.
+// allTraffic returns the traffic counters of all stand-ins, including the workers and users.
 func (r *run) allTraffic() []*traffic {
 	all := []*traffic{r.workers.traffic, r.users.traffic}
 	for _, region := range r.regions {
@@ -60,85 +61,88 @@
 	return all
 }
 
-// watch lets the load run for some time and samples all processes.
-func (r *run) watch(ctx context.Context, d time.Duration) {
+// monitor samples the resource usage of all processes every sampleInterval and logs the progress. It returns after
+// the given time or when the context is done.
+func (r *run) monitor(ctx context.Context, d time.Duration) {
 	lastCPU := map[int]time.Duration{}
 	r.sample(lastCPU, true)
-	reported := time.Now()
+	lastProgressAt := time.Now()
 	for end := time.Now().Add(d); time.Now().Before(end) && ctx.Err() == nil; {
 		sleep(ctx, min(sampleInterval, time.Until(end)))
 		r.sample(lastCPU, false)
-		if time.Since(reported) > progressInterval {
-			reported = time.Now()
-			r.logf("%.0f s left, %d tasks run, %.0f MB", time.Until(end).Seconds(), r.activeTasks(), r.peak.total)
+		if time.Since(lastProgressAt) > progressInterval {
+			lastProgressAt = time.Now()
+			r.logf("%.0f s left, %d active tasks, peak memory %.0f MB",
+				time.Until(end).Seconds(), r.activeTasks(), r.usage.peakTotalMB)
 		}
 	}
 }
 
-// sample looks at all processes; the first time nothing is counted yet. The processor time of a process since the
-// last sample, by its number in lastCPU, counts for the role that it has now.
+// sample adds the resource usage of all processes to r.usage. lastCPU holds the CPU time of each process at the last
+// sample by its process ID. The CPU time since then is attributed to the role that the process has now. The first
+// sample only fills lastCPU and updates the peak of the total memory.
 func (r *run) sample(lastCPU map[int]time.Duration, first bool) {
-	peak := &r.peak
-	total := 0.0
-	look := func(pid int, cpu *time.Duration, mb *float64, sockets *int) {
-		used, err := usageOf(pid)
+	usage := &r.usage
+	totalMB := 0.0
+	sampleProcess := func(pid int, cpu *time.Duration, peakMB *float64, peakFiles *int) {
+		used, err := readProcessUsage(pid)
 		if err != nil {
-			return // it has just ended
+			return // the process has just ended
 		}
-		total += used.mb
-		if before, known := lastCPU[pid]; known && !first {
-			*cpu += used.cpu - before
-			*mb = max(*mb, used.mb)
-			*sockets = max(*sockets, used.sockets)
+		totalMB += used.residentMB
+		if previous, known := lastCPU[pid]; known && !first {
+			*cpu += used.cpu - previous
+			*peakMB = max(*peakMB, used.residentMB)
+			*peakFiles = max(*peakFiles, used.openFiles)
 		}
 		lastCPU[pid] = used.cpu
 	}
 	for _, region := range r.regions {
 		leader := region.leader()
 		for _, c := range region.controllers {
-			pid, crashed := c.process()
+			pid, crashed := c.processStatus()
 			switch {
 			case crashed:
 				r.countCrash(c)
 			case c == leader:
-				look(pid, &peak.leaderCPU, &peak.leader, &peak.leaderSockets)
+				sampleProcess(pid, &usage.leaderCPU, &usage.peakLeaderMB, &usage.peakLeaderFiles)
 			default:
-				look(pid, &peak.memberCPU, &peak.member, &peak.memberSockets)
+				sampleProcess(pid, &usage.memberCPU, &usage.peakMemberMB, &usage.peakMemberFiles)
 			}
 		}
 	}
-	ownSockets := 0
-	look(os.Getpid(), &peak.standInCPU, &peak.standIns, &ownSockets)
-	peak.total = max(peak.total, total)
+	standInFiles := 0
+	sampleProcess(os.Getpid(), &usage.standInCPU, &usage.peakStandInMB, &standInFiles)
+	usage.peakTotalMB = max(usage.peakTotalMB, totalMB)
 }
 
-// countCrash counts a controller that has ended by itself, once.
+// countCrash counts and logs the crash of a controller. Further calls for the same controller have no effect.
 func (r *run) countCrash(c *controller) {
-	if c.reportCrash() {
+	if c.markCrashReported() {
 		r.result.EndedProcesses++
-		r.logf("controller %s has ended: %s", c.name, lastLine(c.logPath))
+		r.logf("controller %s ended unexpectedly; last log line: %s", c.name, lastLine(c.logPath))
 	}
 }
 
-// measure works out the result.
-func (r *run) measure(b *baseline) {
+// collectResult fills in the result from everything that was measured since the baseline.
+func (r *run) collectResult(b *baseline) {
 	seconds := time.Since(b.takenAt).Seconds()
 	r.result.Seconds = seconds
-	r.measureWorkers(b, seconds)
-	r.measureUsers(seconds)
-	r.measureProcesses(seconds)
-	r.measureTraffic(seconds)
-	r.measureHolds(b)
+	r.collectWorkerResult(b, seconds)
+	r.collectUserResult(seconds)
+	r.collectProcessResult(seconds)
+	r.collectTrafficResult(seconds)
+	r.collectLongestHold(b)
 }
 
-// measureWorkers works out what workers have seen.
-func (r *run) measureWorkers(b *baseline, seconds float64) {
+// collectWorkerResult fills in what the workers observed: heartbeats, lease expiries and violated invariants.
+func (r *run) collectWorkerResult(b *baseline, seconds float64) {
 	w, out := r.workers, r.result
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out.Answers = w.counts
 	out.LeaseExpiries = w.fleet.LeaseExpiries - b.leaseExpiries
-	out.HeartbeatP50, out.HeartbeatP99 = quantile(w.roundTrips, 50, 1000), quantile(w.roundTrips, 99, 1000)
+	out.HeartbeatP50, out.HeartbeatP99 = percentile(w.roundTrips, 50, 1000), percentile(w.roundTrips, 99, 1000)
 	out.Violations = append(out.Violations, w.fleet.Violations...)
 	out.Machines, out.Running = len(w.byName), w.fleet.ActiveTasks()
 	out.Heartbeats = float64(out.Answers.Heartbeats) / seconds
@@ -147,12 +151,12 @@
 	}
 }
 
-// measureUsers works out what users have seen.
-func (r *run) measureUsers(seconds float64) {
+// collectUserResult fills in what the users observed: latencies and the rates of jobs and task starts.
+func (r *run) collectUserResult(seconds float64) {
 	u, out := r.users, r.result
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	milliseconds := func(h *hdrhistogram.Histogram, q float64) int64 { return int64(quantile(h, q, 1)) }
+	milliseconds := func(h *hdrhistogram.Histogram, percent float64) int64 { return int64(percentile(h, percent, 1)) }
 	out.Users = u.counts
 	out.UrgentP50, out.UrgentP99 = milliseconds(u.urgentWaits, 50), milliseconds(u.urgentWaits, 99)
 	out.OthersP50, out.OthersP99 = milliseconds(u.otherWaits, 50), milliseconds(u.otherWaits, 99)
@@ -162,50 +166,53 @@
 	out.JobsPerS = float64(out.Users.Submitted) / seconds
 }
 
-// measureProcesses works out what processes have used and held.
-func (r *run) measureProcesses(seconds float64) {
-	peak, out := &r.peak, r.result
+// collectProcessResult fills in the resource usage of the processes by role.
+func (r *run) collectProcessResult(seconds float64) {
+	usage, out := &r.usage, r.result
 	regions := float64(len(r.regions))
-	out.LeaderCores, out.StandInCores = peak.leaderCPU.Seconds()/seconds/regions, peak.standInCPU.Seconds()/seconds
+	out.LeaderCores, out.StandInCores = usage.leaderCPU.Seconds()/seconds/regions, usage.standInCPU.Seconds()/seconds
 	if members := regions * float64(r.plan.Controllers-1); members > 0 {
-		out.MemberCores = peak.memberCPU.Seconds() / seconds / members
+		out.MemberCores = usage.memberCPU.Seconds() / seconds / members
 	}
-	out.LeaderMB, out.MemberMB, out.StandInMB, out.PeakMB = peak.leader, peak.member, peak.standIns, peak.total
-	out.LeaderSockets, out.MemberSockets = peak.leaderSockets, peak.memberSockets
+	out.LeaderMB, out.MemberMB, out.StandInMB, out.PeakMB =
+		usage.peakLeaderMB, usage.peakMemberMB, usage.peakStandInMB, usage.peakTotalMB
+	out.LeaderSockets, out.MemberSockets = usage.peakLeaderFiles, usage.peakMemberFiles
 }
 
-// measureTraffic works out the messages of workers and of the state service.
-func (r *run) measureTraffic(seconds float64) {
+// collectTrafficResult fills in the traffic by kind of message, the bandwidth of a worker, and the request and write
+// rates of the region with the most at its state service.
+func (r *run) collectTrafficResult(seconds float64) {
 	out := r.result
 	out.Traffic = sumTraffic(r.allTraffic())
-	bytes := 0
-	for _, kind := range workerTraffic {
-		bytes += out.Traffic[kind].BytesIn + out.Traffic[kind].BytesOut
+	totalBytes := 0
+	for _, kind := range workerTrafficKinds {
+		totalBytes += out.Traffic[kind].BytesIn + out.Traffic[kind].BytesOut
 	}
-	out.WorkerBytes = float64(bytes) / seconds / float64(max(out.Machines, 1))
+	out.WorkerBytes = float64(totalBytes) / seconds / float64(max(out.Machines, 1))
 	for _, region := range r.regions {
 		out.StateRPS = max(out.StateRPS, float64(region.state.traffic.messageCount())/seconds)
 		out.StateWrites = max(out.StateWrites, float64(region.state.changeCount())/seconds)
 	}
 }
 
-// measureHolds finds what held a controller's event loop longest.
-func (r *run) measureHolds(b *baseline) {
+// collectLongestHold fills in the longest time for which a controller's event loop was held, from the logs that the
+// controllers have written since the baseline.
+func (r *run) collectLongestHold(b *baseline) {
 	out := r.result
 	for _, region := range r.regions {
 		for _, c := range region.controllers {
 			longest, err := c.longestHold(b.logSizes[c])
-			if ms := longest.took.Seconds() * 1000; err == nil && ms > out.LongestHoldMs {
-				out.LongestHoldMs, out.LongestHoldBy = ms, longest.by
+			if ms := longest.duration.Seconds() * 1000; err == nil && ms > out.LongestHoldMs {
+				out.LongestHoldMs, out.LongestHoldBy = ms, longest.holder
 			}
 		}
 	}
 }
 
-// quantile reads a histogram in a larger unit; 0: it holds nothing.
-func quantile(h *hdrhistogram.Histogram, q, unit float64) float64 {
+// percentile returns a percentile of a histogram, divided by unit. It returns 0 if the histogram is empty.
+func percentile(h *hdrhistogram.Histogram, percent, unit float64) float64 {
 	if h.TotalCount() == 0 {
 		return 0
 	}
-	return float64(h.ValueAtQuantile(q)) / unit
+	return float64(h.ValueAtQuantile(percent)) / unit
 }
--- a/internal/clustersim/scale/needs.go
+++ b/internal/clustersim/scale/needs.go
@@ -9,104 +9,106 @@
 	"syscall"
 )
 
-// Requirements are what a run takes of the machine, estimated before anything is started.
+// Requirements are the estimated resource needs of a run on the machine that it runs on.
 type Requirements struct {
-	MemoryMB  int // of all processes, with the kernel's memory for their sockets
-	Files     int // of this process
-	Processes int
+	MemoryMB  int // of all processes together, including the kernel's memory for their sockets
+	Files     int // open files of this process, which holds the stand-ins and the hollow workers
+	Processes int // this process and the controllers
 }
 
-// What runs were measured to hold, with a reserve.
+// Resource needs of the parts of a run, each with a safety margin.
 const (
-	baseMB         = 400 // this process without workers
-	workerKB       = 70  // a hollow worker with its sockets
-	controllerMB   = 60  // a controller without workers
-	leaderKB       = 110 // a leader's state, sockets and buffers for each worker
-	ownFiles       = 200 // this process without workers
-	filesForEach   = 64  // this process for each controller
-	controllerFree = 64  // a controller's files that are not connections
+	baseMB                  = 400 // memory of this process without workers
+	hollowWorkerKB          = 70  // memory of one hollow worker with its sockets
+	controllerMB            = 60  // memory of one controller without workers
+	leaderKBPerWorker       = 110 // memory of a leader per worker: state, sockets and buffers
+	baseFiles               = 200 // open files of this process without workers
+	filesPerController      = 64  // open files of this process per controller
+	reservedControllerFiles = 64  // open files of one controller besides its connections
 )
 
-// requirements estimates what a plan takes.
+// requirements estimates the resource needs of a run of the plan.
 func (p *Plan) requirements() Requirements {
 	controllers := p.Regions * p.Controllers
-	memory := baseMB + controllers*controllerMB + p.Workers*(workerKB+leaderKB)/1024
-	// A worker has one connection to a controller. Controllers' direct commands come in on others, of which a
-	// leader's budget allows a sixth of its connections.
-	files := ownFiles + p.Workers + p.Regions*p.maxConnections()/6 + filesForEach*controllers
-	return Requirements{MemoryMB: memory, Files: files, Processes: controllers + 1}
+	memoryMB := baseMB + controllers*controllerMB + p.Workers*(hollowWorkerKB+leaderKBPerWorker)/1024
+	// Each worker holds one connection to a controller for its heartbeats. Direct commands arrive on further
+	// connections, for which a leader uses up to a sixth of the connections that it may hold.
+	files := baseFiles + p.Workers + p.Regions*p.maxConnections()/6 + filesPerController*controllers
+	return Requirements{MemoryMB: memoryMB, Files: files, Processes: controllers + 1}
 }
 
-// maxConnections is how many connections a controller may hold by its settings.
+// maxConnections returns the number of connections that a controller may hold, as set in its settings file. It leaves
+// room for reservedControllerFiles below the limit of open files.
 func (p *Plan) maxConnections() int {
-	want := p.Workers/p.Regions*3/2 + 400
+	connections := p.Workers/p.Regions*3/2 + 400
 	if limit, err := fileLimit(); err == nil {
-		want = min(want, limit-controllerFree)
+		connections = min(connections, limit-reservedControllerFiles)
 	}
-	return want
+	return connections
 }
 
-// fileLimit is how many files a process may hold open here. Programs in Go raise their own limit up to this one
-// as they start.
+// fileLimit returns the hard limit of open files per process. The Go runtime raises the soft limit of a program to
+// the hard limit when the program starts.
 func fileLimit() (int, error) {
-	var l syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil {
-		return 0, fmt.Errorf("the limit of open files: %w", err)
+	var rlimit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rlimit); err != nil {
+		return 0, fmt.Errorf("read limit of open files: %w", err)
 	}
-	return int(min(l.Max, 1<<30)), nil
+	return int(min(rlimit.Max, 1<<30)), nil
 }
 
-// maxProcesses is how many processes a run may start.
+// maxProcesses bounds the processes of a run.
 const maxProcesses = 200
 
-// Check returns what the machine does not have.
-func (n Requirements) Check() error {
+// Check returns an error that lists every requirement that the machine does not meet, or nil if it meets them all. A
+// run may use at most half of the machine's memory, and no more than is available.
+func (r Requirements) Check() error {
 	var errs []error
-	total, available, err := memory()
+	total, available, err := machineMemoryMB()
 	if err != nil {
 		return err
 	}
-	if most := min(total/2, available); n.MemoryMB > most {
+	if usableMB := min(total/2, available); r.MemoryMB > usableMB {
 		errs = append(
 			errs,
 			fmt.Errorf(
-				"memory: %d MB are needed, and %d MB may be used (half of %d MB, of which %d MB are free)",
-				n.MemoryMB,
-				most,
+				"memory: run needs %d MB, limit is %d MB (the lesser of half of the total %d MB and the available %d MB)",
+				r.MemoryMB,
+				usableMB,
 				total,
 				available,
 			),
 		)
 	}
-	files, err := fileLimit()
+	maxFiles, err := fileLimit()
 	if err != nil {
 		return err
 	}
-	if n.Files > files {
-		errs = append(errs, fmt.Errorf("open files: %d are needed in this process, and its limit is %d", n.Files, files))
+	if r.Files > maxFiles {
+		errs = append(errs, fmt.Errorf("open files: run needs %d in this process, limit is %d", r.Files, maxFiles))
 	}
-	if n.Processes > maxProcesses {
+	if r.Processes > maxProcesses {
 		errs = append(
 			errs,
-			fmt.Errorf("processes: %d are needed, and %d are the most that a run starts", n.Processes, maxProcesses),
+			fmt.Errorf("processes: run needs %d, limit is %d", r.Processes, maxProcesses),
 		)
 	}
 	return errors.Join(errs...)
 }
 
-// memory tells how many MB the machine has, and how many are available.
-func memory() (total, available int, err error) {
+// machineMemoryMB returns the machine's total and available memory, in MB.
+func machineMemoryMB() (total, available int, err error) {
 	b, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0, 0, err
 	}
 	for line := range strings.Lines(string(b)) {
-		f := strings.Fields(line)
-		if len(f) < 2 {
+		fields := strings.Fields(line)
+		if len(fields) < 2 {
 			continue
 		}
-		kb, _ := strconv.Atoi(f[1])
-		switch f[0] {
+		kb, _ := strconv.Atoi(fields[1])
+		switch fields[0] {
 		case "MemTotal:":
 			total = kb >> 10
 		case "MemAvailable:":
@@ -114,7 +116,7 @@
 		}
 	}
 	if total == 0 || available == 0 {
-		return 0, 0, errors.New("/proc/meminfo does not tell how much memory there is")
+		return 0, 0, errors.New("/proc/meminfo has no valid MemTotal and MemAvailable")
 	}
 	return total, available, nil
 }
--- a/internal/clustersim/scale/plan.go
+++ b/internal/clustersim/scale/plan.go
@@ -1,7 +1,7 @@
-// Package scale load-tests real controllers at a fleet's size: the built program as processes, stand-ins for the state
-// service, the cloud and the users on loopback sockets, and hollow workers, which speak the whole worker protocol and
-// do no work. All machines that it measures are hollow. A Plan says what a run simulates; Run checks what the run
-// requires of the machine, carries it out and returns the measurements.
+// Package scale load-tests real controllers at the size of a whole fleet. It runs the built controller program as
+// processes, and serves them stand-ins for the state service, the cloud and the users over loopback sockets. All
+// workers are hollow: they speak the complete worker protocol but execute no tasks. A Plan describes a simulation;
+// Run verifies that the machine has the resources for it, carries it out and returns the measurements.
 package scale
 
 import (
@@ -17,53 +17,53 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Plan is what a run simulates. Regions are deployments of their own, each with its state service, cloud, users and
-// controllers; zones and controllers are counted in each region, workers over all.
+// Plan describes a simulation. Each region is an independent deployment with its own state service, cloud, users and
+// controllers. Zones and Controllers are counted per region, while Workers and Starts are totals over all regions.
+// All regions have the same teams.
 type Plan struct {
 	Workers     int      `toml:"workers"`
 	Regions     int      `toml:"regions"`
 	Zones       int      `toml:"zones"`
 	Controllers int      `toml:"controllers"`
-	Seconds     int      `toml:"seconds"`           // that are measured, after the fleet has come up
-	Starts      float64  `toml:"starts_per_second"` // requested task starts; 0: a fortieth of the workers
+	Seconds     int      `toml:"seconds"`           // duration of the measurement, which begins after the warm-up
+	Starts      float64  `toml:"starts_per_second"` // requested task starts; 0 means one for every workersPerStart workers
 	Teams       int      `toml:"teams"`
 	Seed        uint64   `toml:"seed"`
-	Churn       float64  `toml:"churn"`    // machines that fail or are replaced, as a multiple of the target's daily rate
-	Faults      []Fault  `toml:"fault"`    // on a schedule
-	Mutation    Mutation `toml:"break"`    // a deliberate fault of the stand-ins, to show that the checks can fail
-	Program     string   `toml:"program"`  // the built controller; "": the run builds it
-	Operator    string   `toml:"operator"` // the operators' settings of all controllers
-	Profile     string   `toml:"profile"`  // a folder for the controllers' processor profiles; "": none
-	Logs        string   `toml:"logs"`     // a folder for the controllers' logs; "": none
+	Churn       float64  `toml:"churn"`    // rate of machine failures and replacements, as a multiple of the target's
+	Faults      []Fault  `toml:"fault"`    // scheduled faults
+	Mutation    Mutation `toml:"break"`    // deliberate fault of the stand-ins that the checks must detect
+	Program     string   `toml:"program"`  // path of the controller program; "" means that Run builds it
+	Operator    string   `toml:"operator"` // path of the operators' settings, which all controllers use
+	Profile     string   `toml:"profile"`  // directory for the controllers' CPU profiles; "" disables profiling
+	Logs        string   `toml:"logs"`     // directory to which the controllers' logs are copied; "" discards them
 }
 
-// Fault is one scheduled failure.
+// Fault is a scheduled fault.
 type Fault struct {
 	Kind FaultKind `toml:"kind"`
-	At   float64   `toml:"at_s"` // seconds from the beginning of the measurement
+	At   float64   `toml:"at_s"` // seconds after the beginning of the measurement
 }
 
-// FaultKind is what fails.
+// FaultKind is the kind of a scheduled fault. The affected region, rack and zone are drawn at random.
 type FaultKind string
 
-// The kinds of failures: the leader crashes, or machines hang: those of a rack, or those of a zone, whose controllers
-// crash too.
+// The kinds of scheduled faults.
 const (
-	LeaderCrash FaultKind = "leader"
-	RackHang    FaultKind = "rack"
-	ZoneOutage  FaultKind = "zone"
+	LeaderCrash FaultKind = "leader" // the leader of a region is killed and restarted
+	RackHang    FaultKind = "rack"   // the machines of a rack hang for less than a lease
+	ZoneOutage  FaultKind = "zone"   // the machines of a zone hang for longer than a lease, and its controllers crash
 )
 
-// Mutation is a deliberate fault of the stand-ins.
+// Mutation is a deliberate fault of the stand-ins, with which a run shows that its checks detect violations.
 type Mutation string
 
-// The deliberate faults.
+// The mutations.
 const (
 	NoMutation  Mutation = ""
-	LaunchTwice Mutation = "twice" // another worker carries launches out too
+	LaunchTwice Mutation = "twice" // a second worker also carries out each launch
 )
 
-// DefaultPlan is the plan of a run without any setting.
+// DefaultPlan returns the plan of a run without settings.
 func DefaultPlan() Plan {
 	return Plan{
 		Workers:     1000,
@@ -77,13 +77,13 @@
 	}
 }
 
-// ReadPlan reads a plan; what it leaves out is as in the plan that is given.
+// ReadPlan reads a plan from a TOML file. Keys that the file omits keep their values of p; unknown keys are an error.
 func ReadPlan(path string, p Plan) (Plan, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return p, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read
 	d := toml.NewDecoder(f)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&p); err != nil {
@@ -92,17 +92,18 @@
 	return p, nil
 }
 
-// ParseFault reads a failure as it is written on the command line, such as leader@20.
+// ParseFault parses a fault of the command line, such as leader@20. It does not check the kind and the time;
+// Plan.Check does.
 func ParseFault(text string) (Fault, error) {
 	kind, at, ok := strings.Cut(text, "@")
 	seconds, err := strconv.ParseFloat(at, 64)
 	if !ok || err != nil {
-		return Fault{}, fmt.Errorf("fault %q: not of the form KIND@SECONDS", text)
+		return Fault{}, fmt.Errorf("fault %q: want the form KIND@SECONDS", text)
 	}
 	return Fault{FaultKind(kind), seconds}, nil
 }
 
-// The bounds of a plan.
+// The upper bounds of the values of a plan.
 const (
 	maxWorkers     = 50_000
 	maxRegions     = 16
@@ -115,39 +116,39 @@
 	maxFaults      = 100
 )
 
-// Check returns what is wrong with a plan.
+// Check returns an error that lists every invalid value of the plan, or nil if the plan is valid.
 func (p *Plan) Check() error {
 	var errs []error
-	within := func(name string, v, low, high float64) {
-		if !(v >= low && v <= high) {
-			errs = append(errs, fmt.Errorf("%s: %v is not between %v and %v", name, v, low, high))
+	checkRange := func(name string, value, low, high float64) {
+		if !(value >= low && value <= high) {
+			errs = append(errs, fmt.Errorf("%s: got %v, want %v to %v", name, value, low, high))
 		}
 	}
-	within("workers", float64(p.Workers), 10, maxWorkers)
-	within("regions", float64(p.Regions), 1, maxRegions)
-	within("zones", float64(p.Zones), 1, maxZones)
-	within("controllers", float64(p.Controllers), 1, maxControllers)
-	within("seconds", float64(p.Seconds), 1, maxSeconds)
-	within("starts-per-second", p.Starts, 0, maxStarts)
-	within("teams", float64(p.Teams), 1, maxTeams)
-	within("churn", p.Churn, 0, maxChurn)
-	within("faults", float64(len(p.Faults)), 0, maxFaults)
+	checkRange("workers", float64(p.Workers), 10, maxWorkers)
+	checkRange("regions", float64(p.Regions), 1, maxRegions)
+	checkRange("zones", float64(p.Zones), 1, maxZones)
+	checkRange("controllers", float64(p.Controllers), 1, maxControllers)
+	checkRange("seconds", float64(p.Seconds), 1, maxSeconds)
+	checkRange("starts-per-second", p.Starts, 0, maxStarts)
+	checkRange("teams", float64(p.Teams), 1, maxTeams)
+	checkRange("churn", p.Churn, 0, maxChurn)
+	checkRange("faults", float64(len(p.Faults)), 0, maxFaults)
 	if p.Workers < 10*p.Regions {
-		errs = append(errs, fmt.Errorf("workers: %d are fewer than ten for each of %d regions", p.Workers, p.Regions))
+		errs = append(errs, fmt.Errorf("workers: got %d, want at least 10 for each of %d regions", p.Workers, p.Regions))
 	}
 	for _, f := range p.Faults {
 		if f.Kind != LeaderCrash && f.Kind != RackHang && f.Kind != ZoneOutage {
-			errs = append(errs, fmt.Errorf("fault: there is no kind %q", f.Kind))
+			errs = append(errs, fmt.Errorf("fault: unknown kind %q", f.Kind))
 		}
-		within("fault", f.At, 0, float64(p.Seconds))
+		checkRange("fault", f.At, 0, float64(p.Seconds))
 	}
 	if p.Mutation != NoMutation && p.Mutation != LaunchTwice {
-		errs = append(errs, fmt.Errorf("break: there is no %q", p.Mutation))
+		errs = append(errs, fmt.Errorf("break: unknown kind %q", p.Mutation))
 	}
 	return errors.Join(errs...)
 }
 
-// startRate is the requested number of task starts a second.
+// startRate returns the requested number of task starts per second over all regions.
 func (p *Plan) startRate() float64 {
 	if p.Starts > 0 {
 		return p.Starts
@@ -155,25 +156,27 @@
 	return float64(p.Workers) / workersPerStart
 }
 
-// workersPerStart is the number of workers for each requested start a second where the plan does not say.
+// workersPerStart is the number of workers per requested start a second if the plan does not set the start rate.
 const workersPerStart = 40
 
-// What the published settings of a run's deployments say.
+// Values of the controllers' settings files. The stand-ins enforce stateValueKB and stateTxnOps, and the hollow
+// workers keep the intervals of the worker protocol.
 const (
 	heartbeatInterval = 6 * time.Second
-	leaseTime         = 30 * time.Second
-	gangWait          = 60 * time.Second
-	gangPeer          = 10 * time.Second
-	cancelDeadline    = 60 * time.Second
-	listLag           = 5 * time.Second
-	stateRPS          = 1000
-	writeRPS          = 400
-	valueKB           = 16
-	txnOps            = 48
-	cloudRPS          = 10
+	leaseTime         = 30 * time.Second // duration of a worker's lease
+	gangWait          = 60 * time.Second // for which a gang's task waits for the others
+	gangPeer          = 10 * time.Second // required, but used by neither controllers nor hollow workers
+	cancelDeadline    = 60 * time.Second // from a cancellation to the end of the job's tasks
+	listLag           = 5 * time.Second  // maximum lag of the cloud's machine list
+	stateRPS          = 1000             // requests per second to the state service
+	stateWriteRPS     = 400              // changes per second in the state service
+	stateValueKB      = 16               // size of a value
+	stateTxnOps       = 48               // changes in a transaction
+	cloudRPS          = 10               // requests per second to the cloud
 )
 
-// The streams of random numbers that a plan's seed gives.
+// Streams of random numbers. Those of workers, users and faults are seeded with the plan's seed, and that of each job
+// with a number that the users' stream draws.
 const (
 	workerStream = 1
 	userStream   = 2
@@ -181,27 +184,27 @@
 	faultStream  = 4
 )
 
-// How long things take on hollow workers.
+// Simulated durations, and the number of service replicas.
 const (
 	fetchTime         = 200 * time.Millisecond
-	meanTaskTime      = 6 * time.Second // mean run time of a task of an array or gang
+	meanTaskTime      = 6 * time.Second // mean run time of the tasks of arrays and gangs
 	bootTime          = 10 * time.Second
-	replicasPerWorker = 0.5 // service replicas for each worker
+	replicasPerWorker = 0.5 // service replicas per worker
 )
 
-// The two types of machines: one in gpuShare has GPUs.
+// The two machine types. One in machinesPerGPUMachine machines is of the type with GPUs.
 const (
-	plainType = "plain-8"
-	gpuType   = "gpu-16"
-	gpuShare  = 6
-	gpuCards  = 8
+	cpuMachineType        = "plain-8"
+	gpuMachineType        = "gpu-16"
+	machinesPerGPUMachine = 6
+	gpusPerMachine        = 8
 )
 
-// machineTypes are the types that the cloud offers.
+// machineTypes returns the machine types of the cloud's catalog, which are all offered in the given zones.
 func machineTypes(zones []string) []model.MachineType {
 	return []model.MachineType{
 		{
-			Name:             plainType,
+			Name:             cpuMachineType,
 			Capacity:         model.Resources{CPU: 8, MemGB: 32},
 			CacheGB:          200,
 			FetchGBPerS:      1,
@@ -211,8 +214,8 @@
 			Zones:            zones,
 		},
 		{
-			Name:             gpuType,
-			Capacity:         model.Resources{CPU: 16, GPU: gpuCards, MemGB: 128},
+			Name:             gpuMachineType,
+			Capacity:         model.Resources{CPU: 16, GPU: gpusPerMachine, MemGB: 128},
 			CacheGB:          200,
 			FetchGBPerS:      1,
 			PricePerHour:     8,
@@ -223,28 +226,29 @@
 	}
 }
 
-// machineTypeAt is the type of the machine with an index.
+// machineTypeAt returns the type of a region's initial machine with the given index.
 func machineTypeAt(i int) string {
-	if i%gpuShare == 0 {
-		return gpuType
+	if i%machinesPerGPUMachine == 0 {
+		return gpuMachineType
 	}
-	return plainType
+	return cpuMachineType
 }
 
-// largestGang bounds the tasks of a gang.
-const largestGang = 256
+// maxGangTasks bounds the number of tasks of a gang.
+const maxGangTasks = 256
 
-// teams are the teams of one region. Each region has its share of every quota, so that all regions together stay within
-// it without knowing of each other.
+// teams returns the teams of one region with their guarantees and quotas. A team's quota is divided evenly among the
+// regions: they do not coordinate, and so stay within the whole quota only if each stays within its share. A share
+// leaves room for two of the largest gangs.
 func (p *Plan) teams() []model.Team {
 	workers := float64(p.Workers) / float64(p.Regions)
-	mean := workers * 9 / float64(p.Teams) // CPUs for each team
+	meanCPUs := workers * 9 / float64(p.Teams) // CPUs per team, at about 9 per machine
 	out := make([]model.Team, p.Teams)
 	for i := range out {
-		limit := max(4*mean, 2*largestGang)
+		limit := max(4*meanCPUs, 2*maxGangTasks)
 		out[i] = model.Team{
 			Name:      fmt.Sprintf("team-%03d", i),
-			Guarantee: model.Resources{CPU: mean / 2},
+			Guarantee: model.Resources{CPU: meanCPUs / 2},
 			Quota:     model.NewQuota(limit, 0),
 		}
 	}
--- a/internal/clustersim/scale/process.go
+++ b/internal/clustersim/scale/process.go
@@ -14,36 +14,37 @@
 	"time"
 )
 
-// controller is one process of the built program.
+// controller is a controller under test, which runs as a process of its own. It may be stopped and started again. Its
+// methods are safe for concurrent use.
 type controller struct {
 	name, zone         string
-	httpAddr, peerAddr string
-	program            string
-	args               []string
-	logPath            string
+	httpAddr, peerAddr string   // host:port for workers and users, and for the other controllers
+	program            string   // path of the executable
+	args               []string // command-line arguments
+	logPath            string   // file that receives the standard error output of all its processes
 
-	mu            sync.Mutex
-	cmd           *exec.Cmd
-	ended         chan struct{}
-	stopRequested bool // this run has asked the process to stop
-	crashReported bool // a crash was counted
+	mu            sync.Mutex    // guards all fields below
+	cmd           *exec.Cmd     // latest process; nil before the first start
+	ended         chan struct{} // closed when the latest process has ended
+	stopRequested bool          // stop was called for the latest process
+	crashReported bool          // a crash of the controller was reported
 }
 
-// start starts the process.
+// start starts the controller's process.
 func (c *controller) start() error {
-	log, err := os.OpenFile(c.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(c.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the process has its own copy
+	defer func() { _ = logFile.Close() }() // the process has its own file descriptor
 	cmd, ended := exec.Command(c.program, c.args...), make(chan struct{})
-	cmd.Stderr = log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it ends with this run
+	cmd.Stderr = logFile
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process must not outlive this one
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("controller %s: %w", c.name, err)
+		return fmt.Errorf("start controller %s: %w", c.name, err)
 	}
 	go func() {
-		_ = cmd.Wait() // how it ended does not matter, but whether it was asked to
+		_ = cmd.Wait() // the exit status is irrelevant: an exit without stop is a crash
 		close(ended)
 	}()
 	c.mu.Lock()
@@ -52,7 +53,8 @@
 	return nil
 }
 
-// stop sends the process a signal, and kills it if it does not end soon.
+// stop sends the process a signal and waits until it has ended. If it is still running after stopTimeout, it is
+// killed. A controller that was never started is ignored.
 func (c *controller) stop(signal syscall.Signal) {
 	c.mu.Lock()
 	cmd, ended := c.cmd, c.ended
@@ -61,19 +63,20 @@
 	if cmd == nil {
 		return
 	}
-	_ = cmd.Process.Signal(signal) // it may have ended by itself
+	_ = cmd.Process.Signal(signal) // fails if the process has already ended
 	select {
 	case <-ended:
 	case <-time.After(stopTimeout):
-		_ = cmd.Process.Kill() // as above
+		_ = cmd.Process.Kill() // fails if the process has just ended
 		<-ended
 	}
 }
 
-const stopTimeout = 5 * time.Second
+const stopTimeout = 5 * time.Second // from the signal until the process is killed
 
-// process is the process's number, and whether it has ended without being asked to.
-func (c *controller) process() (pid int, crashed bool) {
+// processStatus returns the process ID, and whether the process has ended although stop was not called. The
+// controller must have been started.
+func (c *controller) processStatus() (pid int, crashed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
@@ -84,8 +87,8 @@
 	}
 }
 
-// reportCrash is true once.
-func (c *controller) reportCrash() bool {
+// markCrashReported reports whether it is the first call, so that a crash is counted once.
+func (c *controller) markCrashReported() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	first := !c.crashReported
@@ -93,72 +96,76 @@
 	return first
 }
 
-// usage is what a process has used and holds.
-type usage struct {
-	cpu     time.Duration // since its start
-	mb      float64
-	sockets int
+// processUsage is the resource usage of a process.
+type processUsage struct {
+	cpu        time.Duration // user and system time since the process started
+	residentMB float64       // resident memory
+	openFiles  int           // open file descriptors, sockets included
 }
 
-// clockTicks is how many units of processor time Linux counts in a second.
-const clockTicks = 100
+// clockTicksPerSecond is the unit of CPU times in /proc, USER_HZ, which is 100 on all common Linux platforms.
+const clockTicksPerSecond = 100
 
-// usageOf reads what a process has used and holds.
-func usageOf(pid int) (usage, error) {
-	var u usage
+// readProcessUsage reads the resource usage of a process from /proc. It fails if the process has ended.
+func readProcessUsage(pid int) (processUsage, error) {
+	var u processUsage
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
 	if err != nil {
 		return u, err
 	}
-	// The name, which may hold anything, ends with the last bracket; user and system time are fields 14 and 15.
+	// The program's name in field 2 may contain any character, but the last closing parenthesis ends it. The fields
+	// after it begin with field 3: user time is field 14, system time field 15, and the resident set size field 24.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	if len(fields) < 22 {
-		return u, fmt.Errorf("%s/stat is not understood", dir)
+		return u, fmt.Errorf("%s/stat: too few fields after the program's name", dir)
 	}
 	user, _ := strconv.Atoi(fields[11])
 	system, _ := strconv.Atoi(fields[12])
 	pages, _ := strconv.Atoi(fields[21])
-	u.cpu = time.Duration(user+system) * time.Second / clockTicks
-	u.mb = float64(pages) * float64(os.Getpagesize()) / (1 << 20)
+	u.cpu = time.Duration(user+system) * time.Second / clockTicksPerSecond
+	u.residentMB = float64(pages) * float64(os.Getpagesize()) / (1 << 20)
 	files, err := os.ReadDir(filepath.Join(dir, "fd"))
-	u.sockets = len(files)
+	u.openFiles = len(files)
 	return u, err
 }
 
-// hold is what held a controller's event loop longest, by one of its log lines.
-type hold struct {
-	took time.Duration
-	by   string
+// eventLoopHold is the longest time for which one piece of work held a controller's event loop.
+type eventLoopHold struct {
+	duration time.Duration
+	holder   string // the piece of work and, if it handled an event, the type of the event
 }
 
+// holdLine matches the event loop statistics in a controller's log: the duration, the piece of work and the event
+// type.
 var holdLine = regexp.MustCompile(`msg=loop .*longest_hold=(\S+) by=("[^"]*"|\S+)(?: event=("[^"]*"|\S+))?`)
 
-// longestHold reads what held a controller's event loop longest from an offset in its log on.
-func (c *controller) longestHold(from int64) (hold, error) {
-	var longest hold
+// longestHold returns the longest hold of the controller's event loop that its log reports from a byte offset on. It
+// returns the zero value if the log reports none.
+func (c *controller) longestHold(offset int64) (eventLoopHold, error) {
+	var longest eventLoopHold
 	f, err := os.Open(c.logPath)
 	if err != nil {
 		return longest, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
-	if _, err := f.Seek(from, 0); err != nil {
+	defer func() { _ = f.Close() }() // the file was only read
+	if _, err := f.Seek(offset, 0); err != nil {
 		return longest, err
 	}
 	lines := bufio.NewScanner(f)
 	for lines.Scan() {
-		m := holdLine.FindStringSubmatch(lines.Text())
-		if m == nil {
+		match := holdLine.FindStringSubmatch(lines.Text())
+		if match == nil {
 			continue
 		}
-		if took, err := time.ParseDuration(m[1]); err == nil && took > longest.took {
-			longest = hold{took, strings.TrimSpace(strings.Trim(m[2], `"`) + " " + strings.Trim(m[3], `"`))}
+		if duration, err := time.ParseDuration(match[1]); err == nil && duration > longest.duration {
+			longest = eventLoopHold{duration, strings.TrimSpace(strings.Trim(match[2], `"`) + " " + strings.Trim(match[3], `"`))}
 		}
 	}
 	return longest, lines.Err()
 }
 
-// logSize is the size of the controller's log; 0: it has none.
+// logSize returns the size of the controller's log in bytes, or 0 if the log does not exist.
 func (c *controller) logSize() int64 {
 	info, err := os.Stat(c.logPath)
 	if err != nil {
--- a/internal/clustersim/scale/region.go
+++ b/internal/clustersim/scale/region.go
@@ -14,20 +14,21 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// region is one deployment: its state service, cloud and controllers.
+// region is an independent deployment with its own state service, cloud and controllers.
 type region struct {
 	name        string
-	number      int
+	index       int // position in run.regions
 	zones       []string
 	state       *stateServer
 	cloud       *cloudServer
 	controllers []*controller
-	clients     []*userClient
+	clients     []*userClient // one per controller, in the same order
 }
 
-// newRegion starts a region's stand-ins and writes the settings of its controllers.
-func newRegion(p *Plan, number int, dir, program string, workers *workers) (*region, error) {
-	r := &region{name: fmt.Sprintf("region-%d", number), number: number}
+// newRegion starts a region's stand-ins for the state service and the cloud, and writes the settings files of its
+// controllers to dir. It does not start the controllers. program is the path of their executable.
+func newRegion(p *Plan, index int, dir, program string, workers *workers) (*region, error) {
+	r := &region{name: fmt.Sprintf("region-%d", index), index: index}
 	for z := range p.Zones {
 		r.zones = append(r.zones, fmt.Sprintf("%s-%c", r.name, 'a'+z))
 	}
@@ -41,23 +42,26 @@
 	return r, r.writeSettings(p, dir, program)
 }
 
-// address is a loopback address of the region's own with a free port.
-func (r *region) address(host int) string { return fmt.Sprintf("127.1.%d.%d:0", r.number+1, host) }
+// address returns a loopback address of the region with port 0, on which a listener gets a free port. host is the
+// last octet: 1 for the state service, 2 for the cloud, and 10 and above for the controllers.
+func (r *region) address(host int) string { return fmt.Sprintf("127.1.%d.%d:0", r.index+1, host) }
 
-// close ends the region's stand-ins.
+// close stops the region's stand-ins.
 func (r *region) close() { _ = errors.Join(r.state.close(), r.cloud.close()) }
 
-// freePort finds a port that is free on an address. Another process may take it before it is used.
+// freePort returns the address with a port that is free at the moment. Another process may take the port before it is
+// used.
 func freePort(addr string) (string, error) {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = l.Close() }() // it was only to find the port
+	defer func() { _ = l.Close() }() // the listener has served its purpose, which was to find the port
 	return l.Addr().String(), nil
 }
 
-// writeSettings writes the settings of all controllers of the region.
+// writeSettings sets r.controllers and writes the settings file of each controller. The addresses of all controllers
+// have to be known first, since each file lists the other members.
 func (r *region) writeSettings(p *Plan, dir, program string) error {
 	for i := range p.Controllers {
 		c := &controller{name: fmt.Sprintf("%s-%d", r.name, i), zone: r.zones[i%len(r.zones)], program: program}
@@ -85,59 +89,59 @@
 	return nil
 }
 
-// settings are the published settings of a controller.
+// settings returns the content of a controller's settings file, in TOML.
 func (r *region) settings(p *Plan, c *controller) string {
 	var b strings.Builder
-	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	line("member = %q\ndomain = %q\nfront = %q\nback = %q", c.name, c.zone, c.httpAddr, c.peerAddr)
-	for _, o := range r.controllers {
-		if o != c {
-			line("[[members]]\nmember = %q\ndomain = %q\npeer_addr = %q", o.name, o.zone, o.peerAddr)
+	writeLine := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
+	writeLine("member = %q\ndomain = %q\nfront = %q\nback = %q", c.name, c.zone, c.httpAddr, c.peerAddr)
+	for _, other := range r.controllers {
+		if other != c {
+			writeLine("[[members]]\nmember = %q\ndomain = %q\npeer_addr = %q", other.name, other.zone, other.peerAddr)
 		}
 	}
-	line("[outside]\ncloud = %q\nstate = %q", r.cloud.addr, r.state.addr)
-	line("[deployment]\nnodes = %d\nzones = [%s]\nclock_off_ms = 5.0", len(r.controllers), quoted(r.zones))
-	for _, t := range p.teams() {
-		cpus, _ := t.Quota.CPU.Max()
-		line(
+	writeLine("[outside]\ncloud = %q\nstate = %q", r.cloud.addr, r.state.addr)
+	writeLine("[deployment]\nnodes = %d\nzones = [%s]\nclock_off_ms = 5.0", len(r.controllers), quoteList(r.zones))
+	for _, team := range p.teams() {
+		cpus, _ := team.Quota.CPU.Max()
+		writeLine(
 			"[[deployment.teams]]\nname = %q\ncpus = %f\ncpus_max = %f\ngpus = 0.0\ngpus_max = 0.0",
-			t.Name,
-			t.Guarantee.CPU,
+			team.Name,
+			team.Guarantee.CPU,
 			cpus,
 		)
 	}
-	line("[[deployment.objectives]]\nkind = \"wait\"\nclass = \"urgent\"\nwithin_s = 1.0\nshare = 0.99")
-	line("[deployment.workers]\nreport_s = %f\nlease_s = %f\ngang_wait_s = %f\ngang_peer_s = %f\ncancel_s = %f",
+	writeLine("[[deployment.objectives]]\nkind = \"wait\"\nclass = \"urgent\"\nwithin_s = 1.0\nshare = 0.99")
+	writeLine("[deployment.workers]\nreport_s = %f\nlease_s = %f\ngang_wait_s = %f\ngang_peer_s = %f\ncancel_s = %f",
 		heartbeatInterval.Seconds(), leaseTime.Seconds(), gangWait.Seconds(), gangPeer.Seconds(), cancelDeadline.Seconds())
-	line(
+	writeLine(
 		"[deployment.state]\nrps = %d.0\nwrite_rps = %d.0\nvalue_kb = %d.0\ntxn_ops = %d",
 		stateRPS,
-		writeRPS,
-		valueKB,
-		txnOps,
+		stateWriteRPS,
+		stateValueKB,
+		stateTxnOps,
 	)
-	line("[deployment.cloud]\nrps = %d.0\nlist_lag_s = %f", cloudRPS, listLag.Seconds())
-	line(
+	writeLine("[deployment.cloud]\nrps = %d.0\nlist_lag_s = %f", cloudRPS, listLag.Seconds())
+	writeLine(
 		"[deployment.machine_limits]\ncores = 1.0\nmem_mb = %d.0\nmax_connections = %d",
-		p.controllerMemory(),
+		p.controllerMemoryMB(),
 		p.maxConnections(),
 	)
 	return b.String()
 }
 
-// controllerMemory is the memory of a controller's machine by its settings, in MB.
-func (p *Plan) controllerMemory() int { return max(512, p.Workers/p.Regions/8) }
+// controllerMemoryMB returns the memory of a controller's machine, as set in its settings file.
+func (p *Plan) controllerMemoryMB() int { return max(512, p.Workers/p.Regions/8) }
 
-// quoted lists strings in the form of TOML.
-func quoted(list []string) string {
-	out := make([]string, len(list))
-	for i, s := range list {
+// quoteList returns the elements of a TOML array of strings, without the brackets.
+func quoteList(values []string) string {
+	out := make([]string, len(values))
+	for i, s := range values {
 		out[i] = fmt.Sprintf("%q", s)
 	}
 	return strings.Join(out, ", ")
 }
 
-// leader finds the controller that leads by the state service's record; nil: none does.
+// leader returns the controller that holds the leader lease according to the state service, or nil if none does.
 func (r *region) leader() *controller {
 	name := r.state.leader()
 	for _, c := range r.controllers {
@@ -148,7 +152,7 @@
 	return nil
 }
 
-// start starts all controllers.
+// start starts all controllers. It stops at the first one that cannot be started.
 func (r *region) start() error {
 	for _, c := range r.controllers {
 		if err := c.start(); err != nil {
@@ -158,23 +162,25 @@
 	return nil
 }
 
-// stop stops all controllers at the same time.
+// stop stops all controllers concurrently and waits until they have ended.
 func (r *region) stop() {
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for _, c := range r.controllers {
-		all.Go(func() { c.stop(terminate) })
+		group.Go(func() { c.stop(shutdownSignal) })
 	}
-	all.Wait()
+	group.Wait()
 }
 
-// preload puts the region's machines on record with the state service, as an earlier leader would have.
+// preload stores the records of the region's machines in the state service, as if an earlier leader had provisioned
+// them.
 func (r *region) preload(machines []model.MachineInfo) {
 	for _, machine := range machines {
 		r.state.preload(machine)
 	}
 }
 
-// newFleet makes the stand-in workers of all regions: quotas hold over all of them together.
+// newFleet returns a fleet without workers. It checks the invariants for the workers of all regions together, and so
+// a team's quota is the sum of its quotas in the regions.
 func newFleet(p *Plan) *fake.Fleet {
 	teams := p.teams()
 	for i := range teams {
--- a/internal/clustersim/scale/run.go
+++ b/internal/clustersim/scale/run.go
@@ -14,20 +14,22 @@
 	"time"
 )
 
-// run is a simulation under way.
+// run is the state of a simulation.
 type run struct {
 	plan      Plan
 	logf      func(format string, args ...any)
-	dir       string
+	workDir   string // temporary directory for the program, the settings files and the controllers' logs
 	regions   []*region
-	workers   *workers
-	users     *users
+	workers   *workers // of all regions
+	users     *users   // of all regions
 	startedAt time.Time
 	result    *Result
-	peak      peaks
+	usage     roleUsage
 }
 
-// Run simulates a plan and reports its progress to logf. All that it starts ends with it, also where the context ends.
+// Run simulates a plan and returns the measurements. It fails before it starts anything if the plan is invalid or the
+// machine lacks the resources. Progress messages go to logf. All processes and servers are stopped before Run
+// returns, also when the context is cancelled.
 func Run(ctx context.Context, p Plan, logf func(format string, args ...any)) (*Result, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -36,17 +38,17 @@
 	if err := required.Check(); err != nil {
 		return nil, err
 	}
-	logf("%d hollow workers, %d controllers: up to %d MB, %d open files here, %d processes",
+	logf("starting %d hollow workers, %d controllers: needs up to %d MB, %d open files in this process, %d processes",
 		p.Workers, p.Regions*p.Controllers, required.MemoryMB, required.Files, required.Processes)
-	dir, err := os.MkdirTemp("", "clustersim-scale-")
+	workDir, err := os.MkdirTemp("", "clustersim-scale-")
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what is left is in the system's folder for temporary files
+	defer func() { _ = os.RemoveAll(workDir) }() // leftovers are in the system's temporary directory
 	r := &run{
-		plan: p,
-		logf: logf,
-		dir:  dir,
+		plan:    p,
+		logf:    logf,
+		workDir: workDir,
 		result: &Result{
 			Workers:      p.Workers,
 			Hollow:       true,
@@ -71,18 +73,19 @@
 	return r.result, err
 }
 
-// prepare builds the program and makes the stand-ins, the workers and the users.
+// prepare builds the controller program unless the plan names one, starts the servers of the stand-ins and workers,
+// and writes the settings files. No controller runs yet.
 func (r *run) prepare(ctx context.Context) error {
 	program := r.plan.Program
 	if program == "" {
-		program = filepath.Join(r.dir, "glentiller")
+		program = filepath.Join(r.workDir, "glentiller")
 		r.logf("building the controller")
 		build := exec.CommandContext(ctx, "go", "build", "-ldflags=-linkmode=external", "-o", program, "./cmd/glentiller")
 		if out, err := build.CombinedOutput(); err != nil {
-			return fmt.Errorf("building the controller: %w: %s", err, out)
+			return fmt.Errorf("build controller: %w: %s", err, out)
 		}
 	}
-	if err := r.writeOperator(); err != nil {
+	if err := r.writeOperatorSettings(); err != nil {
 		return err
 	}
 	var err error
@@ -90,7 +93,7 @@
 		return err
 	}
 	for i := range r.plan.Regions {
-		region, err := newRegion(&r.plan, i, r.dir, program, r.workers)
+		region, err := newRegion(&r.plan, i, r.workDir, program, r.workers)
 		if err != nil {
 			return errors.Join(err, r.close())
 		}
@@ -100,11 +103,13 @@
 	return nil
 }
 
-// keepIdle has controllers release no idle machine: the fleet keeps its size for as long as it is measured.
-const keepIdle = "<fleet><keep-idle>24h</keep-idle></fleet>"
+// keepIdleSettings prevents controllers from releasing idle machines, so that the fleet keeps its size during the
+// measurement.
+const keepIdleSettings = "<fleet><keep-idle>24h</keep-idle></fleet>"
 
-// writeOperator writes the operators' settings of all controllers.
-func (r *run) writeOperator() error {
+// writeOperatorSettings writes the operators' settings file of all controllers. It is the plan's file, with
+// keepIdleSettings added unless the file has settings of the fleet.
+func (r *run) writeOperatorSettings() error {
 	b, err := os.ReadFile(r.plan.Operator)
 	if err != nil {
 		return err
@@ -112,15 +117,15 @@
 	text := string(b)
 	end := strings.LastIndex(text, "</glentiller>")
 	if end < 0 {
-		return fmt.Errorf("%s: does not end with </glentiller>", r.plan.Operator)
+		return fmt.Errorf("operators' settings %s: no closing tag </glentiller>", r.plan.Operator)
 	}
 	if !strings.Contains(text, "<fleet>") {
-		text = text[:end] + keepIdle + text[end:]
+		text = text[:end] + keepIdleSettings + text[end:]
 	}
-	return os.WriteFile(filepath.Join(r.dir, "operator.xml"), []byte(text), 0o644)
+	return os.WriteFile(filepath.Join(r.workDir, "operator.xml"), []byte(text), 0o644)
 }
 
-// close ends all stand-ins.
+// close stops the servers of all stand-ins and of the workers.
 func (r *run) close() error {
 	for _, region := range r.regions {
 		region.close()
@@ -128,19 +133,20 @@
 	return r.workers.close()
 }
 
-// simulate brings the deployment up, puts it under load, and measures.
+// simulate starts the machines and controllers, waits for the warm-up, applies the load and the faults, and collects
+// the result. It stops everything before it returns.
 func (r *run) simulate(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	defer func() {
-		cancel() // users and workers first: the controllers still answer what is under way as they stop
-		r.users.pending.Wait()
+		cancel() // ends users and workers first, while the controllers still answer their pending requests
+		r.users.activeJobs.Wait()
 		r.workers.closeIdleConns()
 		for _, region := range r.regions {
 			group.Go(region.stop)
 		}
 		group.Wait()
-		_ = r.close() // the result does not depend on how stand-ins close
+		_ = r.close() // a server that fails to close does not affect the result
 	}()
 	r.startedAt = time.Now()
 	r.startMachines()
@@ -153,7 +159,7 @@
 	if err := r.warmUp(ctx); err != nil {
 		return err
 	}
-	failures := &faultInjector{
+	injector := &faultInjector{
 		plan:    &r.plan,
 		regions: r.regions,
 		workers: r.workers,
@@ -162,22 +168,23 @@
 	go r.users.generateLoad(ctx)
 	sleep(ctx, rampUp)
 	before := r.takeBaseline()
-	go failures.run(ctx)
-	go failures.churn(ctx)
-	r.watch(ctx, time.Duration(r.plan.Seconds)*time.Second)
-	r.measure(before)
+	go injector.run(ctx)
+	go injector.churn(ctx)
+	r.monitor(ctx, time.Duration(r.plan.Seconds)*time.Second)
+	r.collectResult(before)
 	return nil
 }
 
 const (
-	rampUp           = 5 * time.Second // of the load, before it is measured
-	maxWarmUp        = 3 * time.Minute
-	warmUpShare      = 0.9 // of the services' replicas that run before the load begins
-	sampleInterval   = time.Second
-	progressInterval = 10 * time.Second
+	rampUp             = 5 * time.Second // under load before the measurement begins
+	maxWarmUp          = 3 * time.Minute // after which the load begins even if the warm-up is incomplete
+	warmUpRunningShare = 0.9             // of the service replicas, which have to be active before the load begins
+	sampleInterval     = time.Second     // between samples of the processes' resource usage
+	progressInterval   = 10 * time.Second
 )
 
-// startMachines brings all machines up, with records as if an earlier leader had provisioned them.
+// startMachines starts the hollow workers of all regions, and stores the records of their machines in the state
+// services as if an earlier leader had provisioned them. The workers are divided evenly among the regions.
 func (r *run) startMachines() {
 	r.workers.mu.Lock()
 	defer r.workers.mu.Unlock()
@@ -186,18 +193,20 @@
 		if i < r.plan.Workers%r.plan.Regions {
 			count++
 		}
-		listed := initialMachines(region, r.workers, count)
-		region.preload(listed)
-		for _, machine := range listed {
+		machines := initialMachines(region, r.workers, count)
+		region.preload(machines)
+		for _, machine := range machines {
 			r.workers.add(region, machine)
 		}
 	}
 }
 
-// warmUp waits until every worker has been answered, and then until the services run.
+// warmUp waits until every worker has accepted a leader's fencing token, then submits the services and waits until
+// enough of their replicas are active. After maxWarmUp it stops waiting and returns nil; the result shows whether the
+// warm-up was completed.
 func (r *run) warmUp(ctx context.Context) error {
-	until := time.Now().Add(maxWarmUp)
-	answered := func() bool {
+	deadline := time.Now().Add(maxWarmUp)
+	allAnswered := func() bool {
 		r.workers.mu.Lock()
 		defer r.workers.mu.Unlock()
 		for _, h := range r.workers.byName {
@@ -207,30 +216,31 @@
 		}
 		return true
 	}
-	if err := r.waitFor(ctx, until, answered); err != nil {
+	if err := r.waitFor(ctx, deadline, allAnswered); err != nil {
 		return err
 	}
 	r.result.SettledS = time.Since(r.startedAt).Seconds()
-	r.logf("every worker was answered after %.1f s", r.result.SettledS)
+	r.logf("waited %.1f s for the leaders to answer every worker", r.result.SettledS)
 	r.users.submitServices(ctx)
-	replicas := int(warmUpShare * replicasPerWorker * float64(r.plan.Workers))
-	runs := func() bool { return r.activeTasks() >= replicas }
-	if err := r.waitFor(ctx, until, runs); err != nil {
+	replicas := int(warmUpRunningShare * replicasPerWorker * float64(r.plan.Workers))
+	servicesRunning := func() bool { return r.activeTasks() >= replicas }
+	if err := r.waitFor(ctx, deadline, servicesRunning); err != nil {
 		return err
 	}
-	r.result.CompletedWarmUp = answered() && runs()
-	r.logf("%d tasks of services run", r.activeTasks())
+	r.result.CompletedWarmUp = allAnswered() && servicesRunning()
+	r.logf("%d service replicas active", r.activeTasks())
 	return nil
 }
 
-// waitFor waits until a condition holds or a deadline has passed. It fails where a controller has ended.
-func (r *run) waitFor(ctx context.Context, until time.Time, holds func() bool) error {
-	for !holds() && time.Now().Before(until) && ctx.Err() == nil {
+// waitFor polls until the condition holds or the deadline has passed, which is not an error. It returns an error if a
+// controller has crashed or the context is done.
+func (r *run) waitFor(ctx context.Context, deadline time.Time, condition func() bool) error {
+	for !condition() && time.Now().Before(deadline) && ctx.Err() == nil {
 		sleep(ctx, 200*time.Millisecond)
 		for _, region := range r.regions {
 			for _, c := range region.controllers {
-				if _, crashed := c.process(); crashed {
-					return fmt.Errorf("controller %s has ended before the load began: %s", c.name, lastLine(c.logPath))
+				if _, crashed := c.processStatus(); crashed {
+					return fmt.Errorf("controller %s ended before the load began; last log line: %s", c.name, lastLine(c.logPath))
 				}
 			}
 		}
@@ -238,7 +248,7 @@
 	return ctx.Err()
 }
 
-// lastLine is the last line of a file, or why it cannot be read.
+// lastLine returns the last line of a file, or the error message if the file cannot be read.
 func lastLine(path string) string {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -248,14 +258,14 @@
 	return lines[len(lines)-1]
 }
 
-// activeTasks counts the tasks that are on machines.
+// activeTasks returns the number of tasks that occupy machines, over all regions.
 func (r *run) activeTasks() int {
 	r.workers.mu.Lock()
 	defer r.workers.mu.Unlock()
 	return r.workers.fleet.ActiveTasks()
 }
 
-// keepLogs copies the controllers' logs to where the plan wants them.
+// keepLogs copies the controllers' logs to the plan's directory for logs, if it names one.
 func (r *run) keepLogs() {
 	if r.plan.Logs == "" {
 		return
@@ -264,7 +274,7 @@
 		for _, c := range region.controllers {
 			if b, err := os.ReadFile(c.logPath); err == nil {
 				if err := os.WriteFile(filepath.Join(r.plan.Logs, c.name+".log"), b, 0o644); err != nil {
-					r.logf("log of %s: %v", c.name, err)
+					r.logf("copy log of controller %s: %v", c.name, err)
 				}
 			}
 		}
--- a/internal/clustersim/scale/standins.go
+++ b/internal/clustersim/scale/standins.go
@@ -19,13 +19,14 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// serveLoopback serves HTTP on a loopback address until it is closed.
+// serveLoopback starts an HTTP server on an address of this machine. The server runs until its Shutdown is called,
+// which also closes the listener.
 func serveLoopback(address string, handler fasthttp.RequestHandler) (*fasthttp.Server, net.Listener, error) {
-	l, err := net.Listen("tcp4", address)
+	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, nil, err
 	}
-	s := &fasthttp.Server{
+	server := &fasthttp.Server{
 		Handler:               handler,
 		MaxRequestBodySize:    1 << 20,
 		ReduceMemoryUsage:     true,
@@ -35,29 +36,31 @@
 		Logger:                discardLogger{},
 		ReadTimeout:           2 * time.Minute,
 	}
-	go func() { _ = s.Serve(l) }() // it ends when the listener is closed
-	return s, l, nil
+	go func() { _ = server.Serve(listener) }() // returns when the listener is closed
+	return server, listener, nil
 }
 
-// discardLogger drops the HTTP library's log: connections break whenever a process is ended.
+// discardLogger discards the log of the HTTP library, which reports every connection that breaks because a controller
+// is killed.
 type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
 func (discardLogger) Printf(string, ...any) {}
 
-// stateServer is the stand-in of the state service behind a socket.
+// stateServer serves the stand-in for a region's state service over HTTP.
 type stateServer struct {
 	addr    string
 	traffic *traffic
 	http    *fasthttp.Server
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards state, changed and changes
 	state   *fake.State
-	changed chan struct{} // closed when keys change
-	changes int           // writes and removals of transactions that were carried out
-	done    chan struct{}
+	changed chan struct{} // closed and replaced when a key changes
+	changes int           // writes and removals in committed transactions since the last reset
+	done    chan struct{} // closed by close
 }
 
+// newStateServer starts a state service without keys on an address.
 func newStateServer(address string) (*stateServer, error) {
 	s := &stateServer{
 		traffic: newTraffic(),
@@ -65,37 +68,39 @@
 		changed: make(chan struct{}),
 		done:    make(chan struct{}),
 	}
-	s.state.MaxOps, s.state.MaxValueBytes = txnOps, valueKB<<10
+	s.state.MaxOps, s.state.MaxValueBytes = stateTxnOps, stateValueKB<<10
 	s.state.OnCommit = func(ops []fake.Operation) { s.changes += len(ops) }
-	var l net.Listener
+	var listener net.Listener
 	var err error
-	if s.http, l, err = serveLoopback(address, s.handle); err != nil {
+	if s.http, listener, err = serveLoopback(address, s.handle); err != nil {
 		return nil, err
 	}
-	s.addr = l.Addr().String()
+	s.addr = listener.Addr().String()
 	go s.expire()
 	return s, nil
 }
 
+// close ends all pending watches and stops the server.
 func (s *stateServer) close() error {
 	close(s.done)
 	return s.http.Shutdown()
 }
 
-// expireInterval is by how much a lease may outlive its time.
+// expireInterval is the time between checks for expired leases, and so the maximum delay of an expiry.
 const expireInterval = 50 * time.Millisecond
 
-// expire ends leases when their time is over, so that watches learn of it.
+// expire removes the keys of expired leases every expireInterval and notifies the watches. The state itself checks
+// its leases only when a request arrives. expire returns when the server is closed.
 func (s *stateServer) expire() {
-	every := time.NewTicker(expireInterval)
-	defer every.Stop()
+	ticker := time.NewTicker(expireInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-every.C:
+		case <-ticker.C:
 			s.mu.Lock()
-			before := s.state.Revision()
+			previousRevision := s.state.Revision()
 			s.state.Expire()
-			s.notify(before)
+			s.notifyWatchers(previousRevision)
 			s.mu.Unlock()
 		case <-s.done:
 			return
@@ -103,55 +108,56 @@
 	}
 }
 
-// notify wakes those that watch if anything has changed since a revision. The lock is held.
-func (s *stateServer) notify(before uint64) {
-	if s.state.Revision() != before {
+// notifyWatchers wakes all pending watches if the state has changed since a revision. The caller holds s.mu.
+func (s *stateServer) notifyWatchers(previousRevision uint64) {
+	if s.state.Revision() != previousRevision {
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
 }
 
-// preload puts a machine on record.
+// preload stores the record of a machine.
 func (s *stateServer) preload(machine model.MachineInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.Preload("machine/"+machine.Name, wire.AppendMachine(nil, machine))
 }
 
-// leader is the name of the controller that leads; "": none does.
+// leader returns the name of the controller that holds the leader lease, or "" if none does.
 func (s *stateServer) leader() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, member, err := wire.DecodeLeaderRecord(s.state.RawValue("leader/holder"))
 	if err != nil {
-		return "" // the key does not exist
+		return "" // the key does not exist: nobody holds the lease
 	}
 	return member
 }
 
-// resetChanges sets the count of changes to zero.
+// resetChanges resets the counter of changes.
 func (s *stateServer) resetChanges() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.changes = 0
 }
 
-// changeCount counts the changes that were carried out since then.
+// changeCount returns the number of changes that were committed since resetChanges.
 func (s *stateServer) changeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changes
 }
 
+// handle serves the requests of the state service's protocol. A request for changes first waits for one.
 func (s *stateServer) handle(c *fasthttp.RequestCtx) {
 	kind := "state " + strings.ToLower(string(c.Method())) + " " + firstPathElement(string(c.Path()))
 	if string(c.Path()) == "/changes" {
 		s.awaitChange(c)
 	}
 	s.mu.Lock()
-	before := s.state.Revision()
+	previousRevision := s.state.Revision()
 	body, err := s.state.Call(string(c.Method()), string(c.RequestURI()), c.PostBody(), 0)
-	s.notify(before)
+	s.notifyWatchers(previousRevision)
 	s.mu.Unlock()
 	var status *rpc.StatusError
 	switch {
@@ -166,18 +172,19 @@
 	s.traffic.count(kind, len(c.PostBody()), len(body))
 }
 
-// awaitChange waits as long as a watch asks for until something has changed.
+// awaitChange blocks a watch request until a key with its prefix has changed after its revision, for at most the time
+// that the request states.
 func (s *stateServer) awaitChange(c *fasthttp.RequestCtx) {
 	args := c.QueryArgs()
 	after, _ := strconv.ParseUint(string(args.Peek("after")), 10, 64)
-	wait, _ := strconv.Atoi(string(args.Peek("waitMs")))
-	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	waitMs, _ := strconv.Atoi(string(args.Peek("waitMs")))
+	timer := time.NewTimer(time.Duration(waitMs) * time.Millisecond)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		has, changed := s.state.Changed(string(args.Peek("prefix")), after), s.changed
+		hasChanged, changed := s.state.Changed(string(args.Peek("prefix")), after), s.changed
 		s.mu.Unlock()
-		if has {
+		if hasChanged {
 			return
 		}
 		select {
@@ -190,7 +197,7 @@
 	}
 }
 
-// firstPathElement is a path up to its second slash.
+// firstPathElement returns the first element of a path with its leading slash, such as "/keys" for "/keys/job".
 func firstPathElement(path string) string {
 	if i := strings.IndexByte(path[1:], '/'); i >= 0 {
 		return path[:i+1]
@@ -198,32 +205,34 @@
 	return path
 }
 
-// cloudServer is the stand-in of the cloud behind a socket.
+// cloudServer serves the stand-in for a region's cloud over HTTP.
 type cloudServer struct {
 	addr    string
 	traffic *traffic
 	http    *fasthttp.Server
 	region  *region
 	workers *workers
-	cloud   *fake.Cloud // under the workers' lock
+	cloud   *fake.Cloud // guarded by workers.mu
 }
 
+// newCloudServer starts a region's cloud on an address. Its machines that are up are the region's workers.
 func newCloudServer(address string, region *region, workers *workers) (*cloudServer, error) {
 	s := &cloudServer{traffic: newTraffic(), region: region, workers: workers}
 	s.cloud = fake.NewCloud(func() int { return workers.count(region) })
 	s.cloud.BootTime = bootTime
-	s.cloud.NamePrefix = fmt.Sprintf("n-%d-", region.number) // names are unique over all regions
-	var l net.Listener
+	s.cloud.NamePrefix = fmt.Sprintf("n-%d-", region.index) // makes the names unique across regions
+	var listener net.Listener
 	var err error
-	if s.http, l, err = serveLoopback(address, s.handle); err != nil {
+	if s.http, listener, err = serveLoopback(address, s.handle); err != nil {
 		return nil, err
 	}
-	s.addr = l.Addr().String()
+	s.addr = listener.Addr().String()
 	return s, nil
 }
 
 func (s *cloudServer) close() error { return s.http.Shutdown() }
 
+// handle serves the requests of the cloud's protocol.
 func (s *cloudServer) handle(c *fasthttp.RequestCtx) {
 	c.SetContentType("application/msgpack")
 	path := string(c.Path())
@@ -242,14 +251,15 @@
 	s.traffic.count("cloud "+strings.ToLower(string(c.Method()))+" "+path, len(c.PostBody()), len(c.Response.Body()))
 }
 
+// provision serves a request to provision machines. It answers 503 if the cloud has no capacity.
 func (s *cloudServer) provision(c *fasthttp.RequestCtx) {
-	r, err := wire.DecodeProvisioning(c.PostBody())
+	request, err := wire.DecodeProvisioning(c.PostBody())
 	if err != nil {
 		c.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
 	s.workers.mu.Lock()
-	names, ok := s.cloud.Provision(time.Now(), r)
+	names, ok := s.cloud.Provision(time.Now(), request)
 	s.workers.mu.Unlock()
 	if !ok {
 		c.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -259,6 +269,7 @@
 	c.SetBody(wire.AppendMachineNames(nil, names))
 }
 
+// release serves a request to release machines.
 func (s *cloudServer) release(c *fasthttp.RequestCtx) {
 	names, err := wire.DecodeMachineNames(c.PostBody())
 	if err != nil {
@@ -266,16 +277,17 @@
 		return
 	}
 	s.workers.release(s.region, s.cloud, names)
-	c.SetBody([]byte{0x80})
+	c.SetBody([]byte{0x80}) // an empty MessagePack map
 }
 
-// maxListPage is how many machines a page of the list has at the most.
-const maxListPage = 500
+// maxListPageSize bounds the number of machines on a page of the machine list.
+const maxListPageSize = 500
 
+// list serves a page of the machine list, which begins after the machine that the request names.
 func (s *cloudServer) list(c *fasthttp.RequestCtx) {
-	page, err := strconv.Atoi(string(c.QueryArgs().Peek("page")))
-	if err != nil || page < 1 || page > maxListPage {
-		page = maxListPage
+	pageSize, err := strconv.Atoi(string(c.QueryArgs().Peek("page")))
+	if err != nil || pageSize < 1 || pageSize > maxListPageSize {
+		pageSize = maxListPageSize
 	}
 	all := s.workers.list(s.region, s.cloud)
 	from, _ := slices.BinarySearchFunc(
@@ -285,17 +297,17 @@
 			return strings.Compare(machine.Name, name)
 		},
 	)
-	rest := all[from:]
-	c.SetBody(wire.AppendMachineList(nil, rest[:min(page, len(rest))], len(rest) > page))
+	remaining := all[from:]
+	c.SetBody(wire.AppendMachineList(nil, remaining[:min(pageSize, len(remaining))], len(remaining) > pageSize))
 }
 
-// list lists a region's machines in the order of their names.
+// list returns a region's machines, including those that are booting, sorted by name.
 func (w *workers) list(region *region, c *fake.Cloud) []model.MachineInfo {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []model.MachineInfo
 	for _, h := range w.byRegion[region] {
-		out = append(out, h.listed())
+		out = append(out, h.machineInfo())
 	}
 	out = append(out, slices.Collect(maps.Values(c.Booting()))...)
 	slices.SortFunc(out, func(a, b model.MachineInfo) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/clustersim/scale/traffic.go
+++ b/internal/clustersim/scale/traffic.go
@@ -2,66 +2,68 @@
 
 import "sync"
 
-// traffic counts messages and their bytes by kind.
+// traffic counts the messages of a stand-in and their bytes, by kind of message. It is safe for concurrent use.
 type traffic struct {
-	mu    sync.Mutex // guards kinds
-	kinds map[string]*Flow
+	mu           sync.Mutex // guards countsByKind
+	countsByKind map[string]*TrafficCounts
 }
 
-// Flow is how many messages of one kind have passed, and their bytes.
-type Flow struct {
+// TrafficCounts are the number and the total size of the messages of one kind. A request and its response count as
+// one message.
+type TrafficCounts struct {
 	Messages int `json:"messages"`
-	BytesIn  int `json:"bytes_in"`  // to the stand-in
-	BytesOut int `json:"bytes_out"` // from it
+	BytesIn  int `json:"bytes_in"`  // received by the stand-in or hollow worker
+	BytesOut int `json:"bytes_out"` // sent by it
 }
 
-func newTraffic() *traffic { return &traffic{kinds: map[string]*Flow{}} }
+// newTraffic returns counters that are zero.
+func newTraffic() *traffic { return &traffic{countsByKind: map[string]*TrafficCounts{}} }
 
-// count counts a message.
+// count adds a message of a kind, with the bytes that were received and sent.
 func (t *traffic) count(kind string, in, out int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	flow := t.kinds[kind]
-	if flow == nil {
-		flow = &Flow{}
-		t.kinds[kind] = flow
+	counts := t.countsByKind[kind]
+	if counts == nil {
+		counts = &TrafficCounts{}
+		t.countsByKind[kind] = counts
 	}
-	flow.Messages++
-	flow.BytesIn += in
-	flow.BytesOut += out
+	counts.Messages++
+	counts.BytesIn += in
+	counts.BytesOut += out
 }
 
-// reset sets all counts to zero. The kinds that were seen stay.
+// reset sets all counts to zero. Kinds that have been counted before remain, with counts of zero.
 func (t *traffic) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, flow := range t.kinds {
-		*flow = Flow{}
+	for _, counts := range t.countsByKind {
+		*counts = TrafficCounts{}
 	}
 }
 
-// messageCount counts the messages of all kinds.
+// messageCount returns the number of messages of all kinds.
 func (t *traffic) messageCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	messages := 0
-	for _, flow := range t.kinds {
-		messages += flow.Messages
+	for _, counts := range t.countsByKind {
+		messages += counts.Messages
 	}
 	return messages
 }
 
-// sumTraffic sums up the traffic of several stand-ins by kind.
-func sumTraffic(all []*traffic) map[string]Flow {
-	sum := map[string]Flow{}
-	for _, t := range all {
+// sumTraffic returns the sums of several traffic counters by kind of message.
+func sumTraffic(counters []*traffic) map[string]TrafficCounts {
+	sum := map[string]TrafficCounts{}
+	for _, t := range counters {
 		t.mu.Lock()
-		for kind, flow := range t.kinds {
+		for kind, counts := range t.countsByKind {
 			total := sum[kind]
-			sum[kind] = Flow{
-				Messages: total.Messages + flow.Messages,
-				BytesIn:  total.BytesIn + flow.BytesIn,
-				BytesOut: total.BytesOut + flow.BytesOut,
+			sum[kind] = TrafficCounts{
+				Messages: total.Messages + counts.Messages,
+				BytesIn:  total.BytesIn + counts.BytesIn,
+				BytesOut: total.BytesOut + counts.BytesOut,
 			}
 		}
 		t.mu.Unlock()
--- a/internal/clustersim/scale/workers.go
+++ b/internal/clustersim/scale/workers.go
@@ -15,8 +15,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// workers are the hollow workers of all regions with their sockets. Package fake simulates what happens on a machine;
-// here its heartbeats leave, and answers and direct commands arrive.
+// workers are the hollow workers of all regions. Package fake simulates the machines and the worker protocol; workers
+// transports their heartbeats, the answers and the direct commands over sockets.
 type workers struct {
 	listener net.Listener
 	http     *fasthttp.Server
@@ -24,42 +24,42 @@
 	mutation Mutation
 	traffic  *traffic
 
-	mu         sync.Mutex // guards all below, and every hollowWorker; it is never held over a socket
-	fleet      *fake.Fleet
-	random     *rand.Rand
-	byName     map[string]*hollowWorker
-	byIP       map[string]*hollowWorker
-	byRegion   map[*region]map[string]*hollowWorker
-	hosts      int // addresses given out
-	counts     workerCounts
-	roundTrips *hdrhistogram.Histogram // of heartbeats, in microseconds
+	mu                sync.Mutex // guards all fields below and every hollowWorker; never held during network I/O
+	fleet             *fake.Fleet
+	random            *rand.Rand
+	byName            map[string]*hollowWorker
+	byIP              map[string]*hollowWorker
+	byRegion          map[*region]map[string]*hollowWorker
+	assignedAddresses int // number of addresses that nextAddress has assigned
+	counts            workerCounts
+	roundTrips        *hdrhistogram.Histogram // of answered heartbeats, in microseconds
 }
 
-// workerCounts are what heartbeats and direct commands have led to.
+// workerCounts counts the outcomes of heartbeats and direct commands.
 type workerCounts struct {
-	Heartbeats      int `json:"reports"`   // answered with 200
-	Redirects       int `json:"redirects"` // answered with 421
-	Refused         int `json:"refused"`   // answered otherwise
-	Failed          int `json:"failed"`    // not answered, or not connected
-	Late            int `json:"late"`      // not answered within heartbeatTimeout
-	Commands        int `json:"commands"`  // direct commands
-	CommandsRefused int `json:"refusals"`  // of these, refused
-	Dials           int `json:"dials"`
+	Heartbeats      int `json:"reports"`   // heartbeats answered with 200
+	Redirects       int `json:"redirects"` // heartbeats answered with 421, which names the leader
+	Refused         int `json:"refused"`   // heartbeats answered with another status
+	Failed          int `json:"failed"`    // heartbeats without a valid answer, failed connections included
+	Late            int `json:"late"`      // failed heartbeats that timed out after heartbeatTimeout
+	Commands        int `json:"commands"`  // requests with direct commands
+	CommandsRefused int `json:"refusals"`  // direct commands refused for their fencing token or epoch
+	Dials           int `json:"dials"`     // attempts to connect to a controller
 }
 
-// hollowWorker is one worker with its socket.
+// hollowWorker is a worker with its connection to a controller.
 type hollowWorker struct {
 	worker          *fake.Worker
 	region          *region
 	ip              string
-	conn            net.Conn // owned by the exchange under way, if there is one
-	busy            bool     // an exchange is under way
-	removed         bool
-	controllerIndex int // the controller of the region that it reports to
+	conn            net.Conn // nil if closed; owned by the exchange while busy is set
+	busy            bool     // a heartbeat is being exchanged
+	removed         bool     // the machine was terminated
+	controllerIndex int      // index, in region.controllers, of the controller that gets its heartbeats
 }
 
-// listed is the machine as the cloud lists it.
-func (h *hollowWorker) listed() model.MachineInfo {
+// machineInfo returns the worker's machine as the cloud lists it. The caller holds workers.mu.
+func (h *hollowWorker) machineInfo() model.MachineInfo {
 	return model.MachineInfo{
 		Name: h.worker.Name,
 		Addr: h.worker.Addr,
@@ -70,13 +70,14 @@
 }
 
 const (
-	pollWorkersInterval = 50 * time.Millisecond // between two looks at what is due on the workers
-	pollBatchSize       = 512                   // workers that are looked at while the lock is held
-	firstHostOctet      = 64                    // workers have the addresses from 127.64.0.1 on
-	maxRoundTrip        = int64(10 * time.Second / time.Microsecond)
+	pollWorkersInterval = 50 * time.Millisecond                      // between two polls of all workers for due heartbeats
+	pollBatchSize       = 512                                        // workers that are polled before the lock is released
+	firstSecondOctet    = 64                                         // the workers' addresses begin with 127.64.0.1
+	maxRoundTrip        = int64(10 * time.Second / time.Microsecond) // longer ones count as this
 )
 
-// newWorkers opens the workers' listener: one for all of them, told apart by the address that is connected to.
+// newWorkers starts the HTTP server of the workers, of which there are none yet. All workers share one listener; the
+// local address of a connection identifies the worker.
 func newWorkers(p *Plan) (*workers, error) {
 	w := &workers{
 		mutation:   p.Mutation,
@@ -104,12 +105,13 @@
 
 func (w *workers) close() error { return w.http.Shutdown() }
 
-// add brings a machine up. The lock is held.
+// add brings up a machine with a new worker, which sends its first heartbeat to a random controller of the region
+// after up to one heartbeat interval. It assigns an address unless the machine has one. The caller holds w.mu.
 func (w *workers) add(region *region, machine model.MachineInfo) *hollowWorker {
 	if machine.Addr == "" {
 		machine.Addr = w.nextAddress()
 	}
-	host, _, _ := net.SplitHostPort(machine.Addr) // it is one of nextAddress
+	host, _, _ := net.SplitHostPort(machine.Addr) // valid, since it comes from nextAddress
 	h := &hollowWorker{
 		worker:          w.fleet.Add(machine),
 		region:          region,
@@ -125,13 +127,20 @@
 	return h
 }
 
-// nextAddress gives the next worker's address.
+// nextAddress assigns the address of a new worker: a loopback address of its own with the port of the listener. The
+// caller holds w.mu.
 func (w *workers) nextAddress() string {
-	w.hosts++
-	return fmt.Sprintf("127.%d.%d.%d:%d", firstHostOctet+w.hosts>>16, w.hosts>>8&255, w.hosts&255, w.port)
+	w.assignedAddresses++
+	return fmt.Sprintf(
+		"127.%d.%d.%d:%d",
+		firstSecondOctet+w.assignedAddresses>>16,
+		w.assignedAddresses>>8&255,
+		w.assignedAddresses&255,
+		w.port,
+	)
 }
 
-// remove ends a machine. The lock is held.
+// remove terminates a machine and its tasks. The caller holds w.mu.
 func (w *workers) remove(h *hollowWorker) {
 	h.removed = true
 	w.fleet.Remove(h.worker.Name)
@@ -143,10 +152,10 @@
 	}
 }
 
-// count counts a region's machines that are up. The lock is held.
+// count returns the number of a region's machines that are up. The caller holds w.mu.
 func (w *workers) count(region *region) int { return len(w.byRegion[region]) }
 
-// release ends machines that their region releases.
+// release terminates machines of a region that its leader has released. It ignores unknown names.
 func (w *workers) release(region *region, c *fake.Cloud, names []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -158,20 +167,22 @@
 	}
 }
 
-// run lets time pass on the workers until the context ends.
+// run polls the workers every pollWorkersInterval until the context is done.
 func (w *workers) run(ctx context.Context, regions []*region) {
-	every := time.NewTicker(pollWorkersInterval)
-	defer every.Stop()
+	ticker := time.NewTicker(pollWorkersInterval)
+	defer ticker.Stop()
 	for ctx.Err() == nil {
 		w.sendDueHeartbeats(ctx, regions)
 		select {
-		case <-every.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// sendDueHeartbeats brings up the machines that have booted, and sends the heartbeats that are due.
+// sendDueHeartbeats brings up the machines that have booted, advances all workers to the present time and starts the
+// heartbeats that are due. It releases w.mu between batches, so that answers and commands are not delayed. At the end
+// it checks that cancelled jobs have left the machines in time.
 func (w *workers) sendDueHeartbeats(ctx context.Context, regions []*region) {
 	w.mu.Lock()
 	all := make([]*hollowWorker, 0, len(w.byName))
@@ -186,16 +197,16 @@
 	}
 	w.mu.Unlock()
 	for len(all) > 0 {
-		batch := min(pollBatchSize, len(all))
+		batchSize := min(pollBatchSize, len(all))
 		w.mu.Lock()
 		w.fleet.SetNow(time.Now())
-		for _, h := range all[:batch] {
+		for _, h := range all[:batchSize] {
 			if !h.removed && h.worker.Advance() && !h.busy {
 				w.startHeartbeat(ctx, h)
 			}
 		}
 		w.mu.Unlock()
-		all = all[batch:]
+		all = all[batchSize:]
 	}
 	w.mu.Lock()
 	w.fleet.CheckCancelled()
