--- a/internal/clustersim/capacity/capacity.go
+++ b/internal/clustersim/capacity/capacity.go
@@ -6,7 +6,7 @@
 
 import "github.com/glentiller/glentiller/internal/clustersim/scale"
 
-// Load is a dimension of the load on a deployment, an independent variable of the fits.
+// Load is one dimension of the load on a deployment. The fits use loads as independent variables.
 type Load uint8
 
 // The dimensions of the load. Workers, Starts and Jobs are counted per region; Teams is the number of teams, which is
@@ -30,7 +30,7 @@
 	case Starts:
 		return r.Starts / regions
 	case Jobs:
-		return r.JobsPerS / regions
+		return r.JobsPerSecond / regions
 	default:
 		return float64(r.Teams)
 	}
--- a/internal/clustersim/capacity/fit.go
+++ b/internal/clustersim/capacity/fit.go
@@ -60,13 +60,13 @@
 	for loadIndex := range q.Loads {
 		line.Slopes = append(line.Slopes, solution.AtVec(loadIndex+1))
 	}
-	line.measureResiduals(runs, coefficients)
+	line.computeResiduals(runs, coefficients)
 	return line, nil
 }
 
-// measureResiduals sets the residuals of the line. coefficients is the number of its coefficients, by which the
-// degrees of freedom are reduced.
-func (l *Line) measureResiduals(runs []scale.Result, coefficients int) {
+// computeResiduals sets ResidualStdDev and MaxResidual. coefficients is the number of fitted coefficients, which
+// reduces the degrees of freedom.
+func (l *Line) computeResiduals(runs []scale.Result, coefficients int) {
 	var squaredSum float64
 	for i := range runs {
 		residual := l.Measure(&runs[i]) - l.evaluate(func(load Load) float64 { return load.value(&runs[i]) })
