--- a/internal/clustersim/scale/exchange.go
+++ b/internal/clustersim/scale/exchange.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	heartbeatTimeout    = 4 * time.Second        // from dialing until the response is read; then the heartbeat has failed
-	maxRedirectDelay    = 500 * time.Millisecond // before a redirected worker sends a heartbeat to the named leader
-	nextControllerDelay = time.Second            // before a worker sends a heartbeat to the next controller
+	heartbeatTimeout    = 4 * time.Second        // time limit of a heartbeat, from dialing until the response is read
+	maxRedirectDelay    = 500 * time.Millisecond // maximum delay until a redirected worker sends its next heartbeat
+	nextControllerDelay = time.Second            // delay until a worker sends a heartbeat to the next controller
 	requestHeaderBytes  = 160                    // upper bound of the request line and headers of a heartbeat
 	responseBufferBytes = 2048
 )
@@ -51,8 +51,8 @@
 }
 
 // exchange sends a heartbeat to a controller and reads the response. It opens a connection if the worker has none,
-// and closes the connection after an error. The worker is busy meanwhile, which makes exchange the owner of the
-// connection: the caller doesn't hold w.mu.
+// and closes the connection after an error. The worker has to be busy, which makes exchange the owner of the
+// connection. The caller must not hold w.mu, since exchange blocks on the network.
 func (w *workers) exchange(ctx context.Context, h *hollowWorker, addr string, body []byte) heartbeatResult {
 	var result heartbeatResult
 	deadline := time.Now().Add(heartbeatTimeout)
@@ -117,7 +117,8 @@
 }
 
 // handleAnswer applies the outcome of a heartbeat to its worker as the worker protocol demands. The worker carries
-// out the commands of a 200 response, follows a redirect, and otherwise tries the next controller.
+// out the commands of a 200 response, follows a redirect, and otherwise tries the next controller. The outcome is
+// dropped if the worker was removed meanwhile.
 func (w *workers) handleAnswer(h *hollowWorker, heartbeat *model.Heartbeat, sent time.Time, result heartbeatResult) {
 	roundTrip := time.Since(sent)
 	if result.status == fasthttp.StatusOK {
@@ -197,8 +198,8 @@
 	}
 }
 
-// closeIdleConns closes the connections of all workers that wait for no answer. It is called when no more heartbeats
-// are started.
+// closeIdleConns closes the connections of all workers without a pending heartbeat. It is called after the last
+// heartbeat was started.
 func (w *workers) closeIdleConns() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -235,7 +236,8 @@
 }
 
 // handle serves the requests that controllers send directly to workers: commands, and probes of the worker's status.
-// The address that the controller connected to identifies the worker. A worker that is hung or unknown answers 503.
+// The address that the controller connected to identifies the worker. The answer is 503 if the worker hangs or if no
+// worker has the address, and 409 if the worker refuses the commands.
 func (w *workers) handle(c *fasthttp.RequestCtx) {
 	if !c.RemoteIP().IsLoopback() {
 		c.SetStatusCode(fasthttp.StatusForbidden)
--- a/internal/clustersim/scale/faults.go
+++ b/internal/clustersim/scale/faults.go
@@ -61,16 +61,17 @@
 	}
 }
 
-// churn replaces random machines until the context is done. The times between replacements are exponentially
-// distributed. Their mean rate is the plan's multiple of the target fleet's rate, scaled to the number of workers.
+// churn replaces machines, each in a random region, until the context is done. The times between replacements are
+// exponentially distributed. Their mean rate is the target fleet's rate, scaled to the plan's number of workers and
+// multiplied by its churn factor.
 func (f *faultInjector) churn(ctx context.Context) {
 	if f.plan.Churn == 0 {
 		return
 	}
-	perSecond := f.plan.Churn * (targetDailyFailures + targetDailyReplacements) / (24 * 3600) *
+	replacementsPerSecond := f.plan.Churn * (targetDailyFailures + targetDailyReplacements) / (24 * 3600) *
 		float64(f.plan.Workers) / targetWorkers
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(f.random.ExpFloat64()/perSecond*float64(time.Second)))
+		sleep(ctx, time.Duration(f.random.ExpFloat64()/replacementsPerSecond*float64(time.Second)))
 		if ctx.Err() == nil {
 			f.replace(ctx, f.regions[f.random.IntN(len(f.regions))])
 		}
@@ -114,8 +115,8 @@
 	return machines
 }
 
-// hang makes machines hang, and lets them continue after the given time. It does not block.
-func (f *faultInjector) hang(ctx context.Context, machines []*hollowWorker, d time.Duration) {
+// hang makes machines hang, and lets them continue after the given duration. It does not block.
+func (f *faultInjector) hang(ctx context.Context, machines []*hollowWorker, duration time.Duration) {
 	setHung := func(hung bool) {
 		f.workers.mu.Lock()
 		defer f.workers.mu.Unlock()
@@ -125,7 +126,7 @@
 	}
 	setHung(true)
 	go func() {
-		sleep(ctx, d)
+		sleep(ctx, duration)
 		setHung(false)
 	}()
 }
--- a/internal/clustersim/scale/measure.go
+++ b/internal/clustersim/scale/measure.go
@@ -52,7 +52,7 @@
 	return b
 }
 
-// allTraffic returns the traffic counters of all stand-ins, including the workers and users.
+// allTraffic returns the traffic counters of the workers, the users, and each region's state service and cloud.
 func (r *run) allTraffic() []*traffic {
 	all := []*traffic{r.workers.traffic, r.users.traffic}
 	for _, region := range r.regions {
@@ -61,13 +61,13 @@
 	return all
 }
 
-// monitor samples the resource usage of all processes every sampleInterval and logs the progress. It returns after
-// the given time or when the context is done.
-func (r *run) monitor(ctx context.Context, d time.Duration) {
+// monitor samples the resource usage of all processes every sampleInterval and logs the progress every
+// progressInterval. It returns after the given duration or when the context is done.
+func (r *run) monitor(ctx context.Context, duration time.Duration) {
 	lastCPU := map[int]time.Duration{}
 	r.sample(lastCPU, true)
 	lastProgressAt := time.Now()
-	for end := time.Now().Add(d); time.Now().Before(end) && ctx.Err() == nil; {
+	for end := time.Now().Add(duration); time.Now().Before(end) && ctx.Err() == nil; {
 		sleep(ctx, min(sampleInterval, time.Until(end)))
 		r.sample(lastCPU, false)
 		if time.Since(lastProgressAt) > progressInterval {
@@ -144,7 +144,7 @@
 	out.LeaseExpiries = w.fleet.LeaseExpiries - b.leaseExpiries
 	out.HeartbeatP50, out.HeartbeatP99 = percentile(w.roundTrips, 50, 1000), percentile(w.roundTrips, 99, 1000)
 	out.Violations = append(out.Violations, w.fleet.Violations...)
-	out.Machines, out.Running = len(w.byName), w.fleet.ActiveTasks()
+	out.Machines, out.RunningTasks = len(w.byName), w.fleet.ActiveTasks()
 	out.Heartbeats = float64(out.Answers.Heartbeats) / seconds
 	if all := out.Answers.Heartbeats + out.Answers.Failed + out.Answers.Refused + out.Answers.Redirects; all > 0 {
 		out.LateHeartbeatShare = float64(out.Answers.Late) / float64(all)
@@ -160,10 +160,10 @@
 	out.Users = u.counts
 	out.UrgentP50, out.UrgentP99 = milliseconds(u.urgentWaits, 50), milliseconds(u.urgentWaits, 99)
 	out.OthersP50, out.OthersP99 = milliseconds(u.otherWaits, 50), milliseconds(u.otherWaits, 99)
-	out.AcceptP99 = milliseconds(u.acceptTimes, 99)
+	out.AcceptP99Ms = milliseconds(u.acceptTimes, 99)
 	out.Starts = float64(out.Users.Starts) / seconds
 	out.RequestedStarts = float64(out.Users.RequestedStarts) / seconds
-	out.JobsPerS = float64(out.Users.Submitted) / seconds
+	out.JobsPerSecond = float64(out.Users.Submitted) / seconds
 }
 
 // collectProcessResult fills in the resource usage of the processes by role.
--- a/internal/clustersim/scale/needs.go
+++ b/internal/clustersim/scale/needs.go
@@ -64,19 +64,19 @@
 // run may use at most half of the machine's memory, and no more than is available.
 func (r Requirements) Check() error {
 	var errs []error
-	total, available, err := machineMemoryMB()
+	totalMB, availableMB, err := machineMemoryMB()
 	if err != nil {
 		return err
 	}
-	if usableMB := min(total/2, available); r.MemoryMB > usableMB {
+	if usableMB := min(totalMB/2, availableMB); r.MemoryMB > usableMB {
 		errs = append(
 			errs,
 			fmt.Errorf(
 				"memory: run needs %d MB, limit is %d MB (the lesser of half of the total %d MB and the available %d MB)",
 				r.MemoryMB,
 				usableMB,
-				total,
-				available,
+				totalMB,
+				availableMB,
 			),
 		)
 	}
@@ -97,7 +97,7 @@
 }
 
 // machineMemoryMB returns the machine's total and available memory, in MB.
-func machineMemoryMB() (total, available int, err error) {
+func machineMemoryMB() (totalMB, availableMB int, err error) {
 	b, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0, 0, err
@@ -110,13 +110,13 @@
 		kb, _ := strconv.Atoi(fields[1])
 		switch fields[0] {
 		case "MemTotal:":
-			total = kb >> 10
+			totalMB = kb >> 10
 		case "MemAvailable:":
-			available = kb >> 10
+			availableMB = kb >> 10
 		}
 	}
-	if total == 0 || available == 0 {
-		return 0, 0, errors.New("/proc/meminfo has no valid MemTotal and MemAvailable")
+	if totalMB == 0 || availableMB == 0 {
+		return 0, 0, errors.New("/proc/meminfo: no valid MemTotal or no valid MemAvailable")
 	}
-	return total, available, nil
+	return totalMB, availableMB, nil
 }
--- a/internal/clustersim/scale/plan.go
+++ b/internal/clustersim/scale/plan.go
@@ -1,7 +1,8 @@
 // Package scale load-tests real controllers at the size of a whole fleet. It runs the built controller program as
 // processes, and serves them stand-ins for the state service, the cloud and the users over loopback sockets. All
-// workers are hollow: they speak the complete worker protocol but execute no tasks. A Plan describes a simulation;
-// Run verifies that the machine has the resources for it, carries it out and returns the measurements.
+// workers are hollow: they speak the complete worker protocol, but only simulate the execution of tasks. A Plan
+// describes a simulation; Run verifies that the machine has the resources for it, carries it out and returns the
+// measurements.
 package scale
 
 import (
@@ -159,14 +160,14 @@
 // workersPerStart is the number of workers per requested start a second if the plan does not set the start rate.
 const workersPerStart = 40
 
-// Values of the controllers' settings files. The stand-ins enforce stateValueKB and stateTxnOps, and the hollow
-// workers keep the intervals of the worker protocol.
+// Values of the controllers' settings files. The hollow workers keep the times of the worker protocol. Of the limits
+// of the state service and the cloud, the stand-ins enforce only stateValueKB and stateTxnOps.
 const (
 	heartbeatInterval = 6 * time.Second
 	leaseTime         = 30 * time.Second // duration of a worker's lease
-	gangWait          = 60 * time.Second // for which a gang's task waits for the others
-	gangPeer          = 10 * time.Second // required, but used by neither controllers nor hollow workers
-	cancelDeadline    = 60 * time.Second // from a cancellation to the end of the job's tasks
+	gangWait          = 60 * time.Second // time for which a gang's task waits for the other tasks
+	gangPeer          = 10 * time.Second // not used by controllers and hollow workers
+	cancelDeadline    = 60 * time.Second // maximum time from a job's cancellation to the end of its tasks
 	listLag           = 5 * time.Second  // maximum lag of the cloud's machine list
 	stateRPS          = 1000             // requests per second to the state service
 	stateWriteRPS     = 400              // changes per second in the state service
@@ -184,12 +185,12 @@
 	faultStream  = 4
 )
 
-// Simulated durations, and the number of service replicas.
+// Durations on the simulated machines, and the number of service replicas.
 const (
-	fetchTime         = 200 * time.Millisecond
-	meanTaskTime      = 6 * time.Second // mean run time of the tasks of arrays and gangs
-	bootTime          = 10 * time.Second
-	replicasPerWorker = 0.5 // service replicas per worker
+	fetchTime         = 200 * time.Millisecond // to fetch an image
+	meanTaskTime      = 6 * time.Second        // mean run time of the tasks of arrays and gangs
+	bootTime          = 10 * time.Second       // from the provisioning of a machine until it is up
+	replicasPerWorker = 0.5                    // service replicas per worker
 )
 
 // The two machine types. One in machinesPerGPUMachine machines is of the type with GPUs.
--- a/internal/clustersim/scale/process.go
+++ b/internal/clustersim/scale/process.go
@@ -14,8 +14,7 @@
 	"time"
 )
 
-// controller is a controller under test, which runs as a process of its own. It may be stopped and started again. Its
-// methods are safe for concurrent use.
+// controller is a controller under test, which runs as a process of its own. It can be stopped and started again.
 type controller struct {
 	name, zone         string
 	httpAddr, peerAddr string   // host:port for workers and users, and for the other controllers
@@ -120,11 +119,11 @@
 	if len(fields) < 22 {
 		return u, fmt.Errorf("%s/stat: too few fields after the program's name", dir)
 	}
-	user, _ := strconv.Atoi(fields[11])
-	system, _ := strconv.Atoi(fields[12])
-	pages, _ := strconv.Atoi(fields[21])
-	u.cpu = time.Duration(user+system) * time.Second / clockTicksPerSecond
-	u.residentMB = float64(pages) * float64(os.Getpagesize()) / (1 << 20)
+	userTicks, _ := strconv.Atoi(fields[11])
+	systemTicks, _ := strconv.Atoi(fields[12])
+	residentPages, _ := strconv.Atoi(fields[21])
+	u.cpu = time.Duration(userTicks+systemTicks) * time.Second / clockTicksPerSecond
+	u.residentMB = float64(residentPages) * float64(os.Getpagesize()) / (1 << 20)
 	files, err := os.ReadDir(filepath.Join(dir, "fd"))
 	u.openFiles = len(files)
 	return u, err
@@ -136,12 +135,11 @@
 	holder   string // the piece of work and, if it handled an event, the type of the event
 }
 
-// holdLine matches the event loop statistics in a controller's log: the duration, the piece of work and the event
-// type.
 var holdLine = regexp.MustCompile(`msg=loop .*longest_hold=(\S+) by=("[^"]*"|\S+)(?: event=("[^"]*"|\S+))?`)
 
-// longestHold returns the longest hold of the controller's event loop that its log reports from a byte offset on. It
-// returns the zero value if the log reports none.
+// longestHold returns the longest hold of the controller's event loop in its log, beginning at a byte offset. The
+// controller logs event loop statistics at intervals, which holdLine matches: the duration of the longest hold, the
+// piece of work and the event type. The result is the zero value if the log has no such records.
 func (c *controller) longestHold(offset int64) (eventLoopHold, error) {
 	var longest eventLoopHold
 	f, err := os.Open(c.logPath)
--- a/internal/clustersim/scale/run.go
+++ b/internal/clustersim/scale/run.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(workDir) }() // leftovers are in the system's temporary directory
+	defer func() { _ = os.RemoveAll(workDir) }() // files that cannot be removed stay in the system's temporary directory
 	r := &run{
 		plan:    p,
 		logf:    logf,
@@ -108,7 +108,7 @@
 const keepIdleSettings = "<fleet><keep-idle>24h</keep-idle></fleet>"
 
 // writeOperatorSettings writes the operators' settings file of all controllers. It is the plan's file, with
-// keepIdleSettings added unless the file has settings of the fleet.
+// keepIdleSettings added unless the file already has a <fleet> element.
 func (r *run) writeOperatorSettings() error {
 	b, err := os.ReadFile(r.plan.Operator)
 	if err != nil {
@@ -219,8 +219,8 @@
 	if err := r.waitFor(ctx, deadline, allAnswered); err != nil {
 		return err
 	}
-	r.result.SettledS = time.Since(r.startedAt).Seconds()
-	r.logf("waited %.1f s for the leaders to answer every worker", r.result.SettledS)
+	r.result.WorkersAnsweredSeconds = time.Since(r.startedAt).Seconds()
+	r.logf("waited %.1f s for the leaders to answer every worker", r.result.WorkersAnsweredSeconds)
 	r.users.submitServices(ctx)
 	replicas := int(warmUpRunningShare * replicasPerWorker * float64(r.plan.Workers))
 	servicesRunning := func() bool { return r.activeTasks() >= replicas }
--- a/internal/clustersim/scale/scale_test.go
+++ b/internal/clustersim/scale/scale_test.go
@@ -28,13 +28,13 @@
 }
 
 func TestRequirementsBeyondMachineAreRejected(t *testing.T) {
-	for want, n := range map[string]Requirements{
+	for want, required := range map[string]Requirements{
 		"memory: run needs 999999999 MB, limit is":         {MemoryMB: 999_999_999},
 		"open files: run needs 1999999999 in this process": {Files: 1_999_999_999},
 		"processes: run needs 5000, limit is":              {Processes: 5000},
 		"":                                                 {MemoryMB: 1, Files: 1, Processes: 1},
 	} {
-		err := n.Check()
+		err := required.Check()
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("want error containing %q (none if empty), got %v", want, err)
 		}
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestMachineNamesAreUniqueAcrossRegions guards against equal machine names in two regions. Workers are kept by name,
-// so that only one of the regions had workers.
+// TestMachineNamesAreUniqueAcrossRegions guards against machines of two regions with the same name. The workers of
+// all regions are stored by name, so that with equal names only one of the regions had workers.
 func TestMachineNamesAreUniqueAcrossRegions(t *testing.T) {
 	p := DefaultPlan()
 	w, err := newWorkers(&p)
@@ -79,28 +79,29 @@
 			t.Fatal(err)
 		}
 		defer r.close()
-		for _, l := range initialMachines(r, w, 20) {
-			if names[l.Name] {
-				t.Errorf("machine name %s is used twice", l.Name)
+		for _, machine := range initialMachines(r, w, 20) {
+			if names[machine.Name] {
+				t.Errorf("machine name %s is used twice", machine.Name)
 			}
-			names[l.Name] = true
+			names[machine.Name] = true
 		}
 	}
 }
 
-// TestRegionsShareQuota checks that each region gets an equal share of every quota. Regions do not coordinate, so
-// that the tasks of a team could otherwise exceed its quota over all regions.
+// TestRegionsShareQuota checks that each region gets an equal share of every quota. Regions do not coordinate, so the
+// tasks of a team could otherwise exceed its quota over all regions.
 func TestRegionsShareQuota(t *testing.T) {
 	p := DefaultPlan()
 	p.Workers, p.Regions = 10_000, 5
-	one, _ := p.teams()[0].Quota.CPU.Max()
-	for _, k := range newFleet(&p).Workers {
-		t.Errorf("new fleet: got worker %s, want none", k.Name)
+	regionQuota, _ := p.teams()[0].Quota.CPU.Max()
+	for _, worker := range newFleet(&p).Workers {
+		t.Errorf("new fleet: got worker %s, want none", worker.Name)
 	}
-	whole := DefaultPlan()
-	whole.Workers = 10_000
-	all, _ := whole.teams()[0].Quota.CPU.Max()
-	if one*5 != all {
-		t.Errorf("got a quota of %v CPUs in each of five regions and %v in a single one, want a fifth", one, all)
+	singleRegion := DefaultPlan()
+	singleRegion.Workers = 10_000
+	totalQuota, _ := singleRegion.teams()[0].Quota.CPU.Max()
+	if regionQuota*5 != totalQuota {
+		t.Errorf("got a quota of %v CPUs in each of five regions, want a fifth of the %v in a single region",
+			regionQuota, totalQuota)
 	}
 }
--- a/internal/clustersim/scale/standins.go
+++ b/internal/clustersim/scale/standins.go
@@ -21,7 +21,7 @@
 
 // serveLoopback starts an HTTP server on an address of this machine. The server runs until its Shutdown is called,
 // which also closes the listener.
-func serveLoopback(address string, handler fasthttp.RequestHandler) (*fasthttp.Server, net.Listener, error) {
+func startHTTPServer(address string, handler fasthttp.RequestHandler) (*fasthttp.Server, net.Listener, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, nil, err
@@ -72,7 +72,7 @@
 	s.state.OnCommit = func(ops []fake.Operation) { s.changes += len(ops) }
 	var listener net.Listener
 	var err error
-	if s.http, listener, err = serveLoopback(address, s.handle); err != nil {
+	if s.http, listener, err = startHTTPServer(address, s.handle); err != nil {
 		return nil, err
 	}
 	s.addr = listener.Addr().String()
@@ -172,8 +172,8 @@
 	s.traffic.count(kind, len(c.PostBody()), len(body))
 }
 
-// awaitChange blocks a watch request until a key with its prefix has changed after its revision, for at most the time
-// that the request states.
+// awaitChange blocks a watch request until a key with the requested prefix has changed after the requested revision,
+// the requested time has passed or the server is closed.
 func (s *stateServer) awaitChange(c *fasthttp.RequestCtx) {
 	args := c.QueryArgs()
 	after, _ := strconv.ParseUint(string(args.Peek("after")), 10, 64)
@@ -215,7 +215,8 @@
 	cloud   *fake.Cloud // guarded by workers.mu
 }
 
-// newCloudServer starts a region's cloud on an address. Its machines that are up are the region's workers.
+// newCloudServer starts a region's cloud on an address. The cloud keeps only the machines that are booting; those
+// that are up are the region's workers.
 func newCloudServer(address string, region *region, workers *workers) (*cloudServer, error) {
 	s := &cloudServer{traffic: newTraffic(), region: region, workers: workers}
 	s.cloud = fake.NewCloud(func() int { return workers.count(region) })
@@ -223,7 +224,7 @@
 	s.cloud.NamePrefix = fmt.Sprintf("n-%d-", region.index) // makes the names unique across regions
 	var listener net.Listener
 	var err error
-	if s.http, listener, err = serveLoopback(address, s.handle); err != nil {
+	if s.http, listener, err = startHTTPServer(address, s.handle); err != nil {
 		return nil, err
 	}
 	s.addr = listener.Addr().String()
@@ -290,6 +291,7 @@
 		pageSize = maxListPageSize
 	}
 	all := s.workers.list(s.region, s.cloud)
+	// The zero byte makes the search skip the machine that the request names: no name sorts between the two.
 	from, _ := slices.BinarySearchFunc(
 		all,
 		string(c.QueryArgs().Peek("after"))+"\x00",
--- a/internal/clustersim/scale/traffic.go
+++ b/internal/clustersim/scale/traffic.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// traffic counts the messages of a stand-in and their bytes, by kind of message. It is safe for concurrent use.
+// traffic counts the messages of one stand-in, or of all workers or users, and their bytes, by kind of message. It is
+// safe for concurrent use.
 type traffic struct {
 	mu           sync.Mutex // guards countsByKind
 	countsByKind map[string]*TrafficCounts
@@ -12,7 +13,7 @@
 // one message.
 type TrafficCounts struct {
 	Messages int `json:"messages"`
-	BytesIn  int `json:"bytes_in"`  // received by the stand-in or hollow worker
+	BytesIn  int `json:"bytes_in"`  // received by the stand-in, worker or user
 	BytesOut int `json:"bytes_out"` // sent by it
 }
 
--- a/internal/clustersim/scale/users.go
+++ b/internal/clustersim/scale/users.go
@@ -66,7 +66,8 @@
 	connWaitTimeout = time.Second     // for a free connection, if all maxConns are in use
 )
 
-// newWaitHistogram returns a histogram of waiting times in milliseconds, with three significant digits.
+// newWaitHistogram returns a histogram of waiting times in milliseconds. Longer waits for a launch than
+// maxRecordedWait are recorded as maxRecordedWait.
 func newWaitHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRecordedWait, 3) }
 
 // newUsers returns the users of the regions, and adds a client for each controller to its region. It makes the users
@@ -105,11 +106,11 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.counts.Starts++
-	at, ok := u.submittedAt[t.ID.Job]
+	submittedAt, ok := u.submittedAt[t.ID.Job]
 	if !ok || t.Spec == nil {
 		return
 	}
-	waited := min(max(time.Since(at).Milliseconds(), 1), maxRecordedWait)
+	waited := min(max(time.Since(submittedAt).Milliseconds(), 1), maxRecordedWait)
 	first := !u.startedJobs[t.ID.Job]
 	u.startedJobs[t.ID.Job] = true
 	switch {
@@ -123,10 +124,10 @@
 // submitServices submits the services, which run for the whole simulation. They have replicasPerWorker replicas per
 // worker over all regions.
 func (u *users) submitServices(ctx context.Context) {
-	const replicas = 20
-	count := int(math.Ceil(replicasPerWorker * float64(u.plan.Workers) / replicas))
+	const replicasPerService = 20
+	count := int(math.Ceil(replicasPerWorker * float64(u.plan.Workers) / replicasPerService))
 	for i := range count {
-		spec := u.newSpec("service", model.Service, model.PriorityNormal, replicas)
+		spec := u.newSpec("service", model.Service, model.PriorityNormal, replicasPerService)
 		u.submit(ctx, u.regions[i%len(u.regions)], spec, false)
 	}
 }
@@ -172,6 +173,7 @@
 	case draw < urgentShare:
 		return u.newSpec("urgent", model.Array, model.PriorityHigh, 1+u.random.IntN(maxUrgentTasks)), false
 	case draw < urgentShare+gangShare:
+		// A power of two, bounded by half of all GPUs and in proportion to the start rate.
 		size := min(
 			1<<(1+u.random.IntN(8)),
 			maxGangTasks,
@@ -183,6 +185,7 @@
 		spec.CheckpointInterval, spec.CheckpointTime = 2*time.Second, time.Second
 		return spec, false
 	}
+	// The number of tasks is log-uniformly distributed between minArrayTasks and arrayLimit.
 	size := minArrayTasks * math.Pow(float64(arrayLimit)/minArrayTasks, u.random.Float64())
 	return u.newSpec("array", model.Array, model.PriorityLow, int(size)), u.random.Float64() < cancelledShare
 }
@@ -237,7 +240,7 @@
 	})
 }
 
-// userJob is a job with its user.
+// userJob is a job and the user who submits and follows it.
 type userJob struct {
 	users  *users
 	region *region
@@ -374,8 +377,8 @@
 }
 
 // sleep pauses for the given time or until the context is done.
-func sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
+func sleep(ctx context.Context, duration time.Duration) {
+	t := time.NewTimer(duration)
 	defer t.Stop()
 	select {
 	case <-t.C:
--- a/internal/clustersim/scale/workers.go
+++ b/internal/clustersim/scale/workers.go
@@ -15,8 +15,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// workers are the hollow workers of all regions. Package fake simulates the machines and the worker protocol; workers
-// transports their heartbeats, the answers and the direct commands over sockets.
+// workers holds the hollow workers of all regions. Package fake simulates the machines and the workers' side of the
+// protocol; this type carries heartbeats, their answers and direct commands over sockets.
 type workers struct {
 	listener net.Listener
 	http     *fasthttp.Server
@@ -29,8 +29,8 @@
 	random            *rand.Rand
 	byName            map[string]*hollowWorker
 	byIP              map[string]*hollowWorker
-	byRegion          map[*region]map[string]*hollowWorker
-	assignedAddresses int // number of addresses that nextAddress has assigned
+	byRegion          map[*region]map[string]*hollowWorker // by region and name
+	assignedAddresses int                                  // number of addresses that nextAddress has assigned
 	counts            workerCounts
 	roundTrips        *hdrhistogram.Histogram // of answered heartbeats, in microseconds
 }
@@ -70,10 +70,10 @@
 }
 
 const (
-	pollWorkersInterval = 50 * time.Millisecond                      // between two polls of all workers for due heartbeats
-	pollBatchSize       = 512                                        // workers that are polled before the lock is released
-	firstSecondOctet    = 64                                         // the workers' addresses begin with 127.64.0.1
-	maxRoundTrip        = int64(10 * time.Second / time.Microsecond) // longer ones count as this
+	pollWorkersInterval = 50 * time.Millisecond // between two polls of all workers for due heartbeats
+	pollBatchSize       = 512                   // workers that are polled before the lock is released
+	baseSecondOctet     = 64                    // second octet of the first address, 127.64.0.1
+	maxRoundTrip        = int64(10 * time.Second / time.Microsecond)
 )
 
 // newWorkers starts the HTTP server of the workers, of which there are none yet. All workers share one listener; the
@@ -94,13 +94,15 @@
 		return time.Duration((0.5 + w.random.Float64()) * float64(meanTaskTime))
 	}
 	var err error
-	if w.http, w.listener, err = serveLoopback("0.0.0.0:0", w.handle); err != nil {
+	if w.http, w.listener, err = startHTTPServer("0.0.0.0:0", w.handle); err != nil {
 		return nil, err
 	}
 	w.port = w.listener.Addr().(*net.TCPAddr).Port
 	return w, nil
 }
 
+// newRoundTripHistogram returns a histogram of round trips in microseconds. Longer ones than maxRoundTrip are
+// recorded as maxRoundTrip.
 func newRoundTripHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRoundTrip, 3) }
 
 func (w *workers) close() error { return w.http.Shutdown() }
@@ -133,7 +135,7 @@
 	w.assignedAddresses++
 	return fmt.Sprintf(
 		"127.%d.%d.%d:%d",
-		firstSecondOctet+w.assignedAddresses>>16,
+		baseSecondOctet+w.assignedAddresses>>16,
 		w.assignedAddresses>>8&255,
 		w.assignedAddresses&255,
 		w.port,
@@ -185,7 +187,7 @@
 // it checks that cancelled jobs have left the machines in time.
 func (w *workers) sendDueHeartbeats(ctx context.Context, regions []*region) {
 	w.mu.Lock()
-	all := make([]*hollowWorker, 0, len(w.byName))
+	polled := make([]*hollowWorker, 0, len(w.byName))
 	for _, region := range regions {
 		for _, machine := range region.cloud.cloud.TakeBooted(time.Now()) {
 			machine.Addr = ""
@@ -193,20 +195,20 @@
 		}
 	}
 	for _, h := range w.byName {
-		all = append(all, h)
+		polled = append(polled, h)
 	}
 	w.mu.Unlock()
-	for len(all) > 0 {
-		batchSize := min(pollBatchSize, len(all))
+	for len(polled) > 0 {
+		batchSize := min(pollBatchSize, len(polled))
 		w.mu.Lock()
 		w.fleet.SetNow(time.Now())
-		for _, h := range all[:batchSize] {
+		for _, h := range polled[:batchSize] {
 			if !h.removed && h.worker.Advance() && !h.busy {
 				w.startHeartbeat(ctx, h)
 			}
 		}
 		w.mu.Unlock()
-		all = all[batchSize:]
+		polled = polled[batchSize:]
 	}
 	w.mu.Lock()
 	w.fleet.CheckCancelled()
