--- a/internal/clustersim/scale/process_test.go
+++ b/internal/clustersim/scale/process_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	got, err := (&controller{logPath: path}).longestHold(int64(len(skipped)))
-	if want := (hold{took: 30 * time.Millisecond, by: "pass Tick"}); err != nil || got != want {
+	if want := (eventLoopHold{duration: 30 * time.Millisecond, holder: "pass Tick"}); err != nil || got != want {
 		t.Errorf("got %v, %v, want %v", got, err, want)
 	}
 }
