--- a/internal/clustersim/electionsim/cluster.go
+++ b/internal/clustersim/electionsim/cluster.go
@@ -15,10 +15,10 @@
 	"github.com/glentiller/glentiller/internal/featuregate"
 )
 
-// memberNames are the members' names; a cluster has the first few.
+// memberNames are the names of the members. A cluster with n members uses the first n.
 var memberNames = [maxMembers]string{"a", "b", "c", "d", "e"}
 
-// The members' settings.
+// The election settings of every member.
 const (
 	leaseDuration      = 4 * time.Second
 	safetyMargin       = 200 * time.Millisecond
@@ -28,35 +28,35 @@
 	outageVoteDuration = 7 * time.Second
 )
 
-// member is a controller with its state machine.
+// member is a simulated controller that takes part in the election.
 type member struct {
-	machine             *election.StateMachine
+	stateMachine        *election.StateMachine
 	up                  bool
-	stateUnreachable    bool // it is partitioned from the state service
-	peersUnreachable    bool // it is partitioned from the other members
-	incarnation         int
-	withoutFeatureGates bool // its program is of a version before feature levels
+	stateUnreachable    bool // partitioned from the state service
+	peersUnreachable    bool // partitioned from all other members
+	incarnation         int  // counts crashes and restarts
+	withoutFeatureGates bool // runs a version that predates feature levels
 }
 
-// cluster is one state of the simulated deployment: its members, the network between them and the state
-// service. The explorer steps a clone, so that a visited state stays as it is.
+// cluster is one state of the simulated deployment: its members, the network between them and the state service. The
+// explorer clones a state before it simulates the next second, so a visited state never changes.
 type cluster struct {
 	now        time.Time
 	members    []member
 	network    network
 	state      stateService
 	faultsLeft int
-	trace      string // the faults so far
+	trace      string // the faults that led to this state, in order
 
-	highestToken uint64 // the highest fencing token with which a member was allowed to act
-	fault        fault  // of the second that is simulated
+	highestToken uint64 // the highest fencing token under which a member was allowed to act
+	currentFault fault  // the fault of the simulated second; zero once a restart has happened
 
 	settings *Settings
-	result   *Result // counts the claims
+	result   *Result // receives the number of claims
 }
 
-// newCluster returns a cluster whose members start now. With feature gates, the last one of three or more
-// starts with a program without them.
+// newCluster returns a cluster whose members have just started. If feature gates are simulated and there are three or
+// more members, the last member starts with a version that has no feature gates.
 func newCluster(settings *Settings, result *Result) *cluster {
 	c := &cluster{
 		now:        startTime,
@@ -66,17 +66,18 @@
 		settings:   settings,
 		result:     result,
 	}
-	last := len(c.members) - 1
+	lastMember := len(c.members) - 1
 	for i := range c.members {
 		c.members[i].up = true
-		c.members[i].withoutFeatureGates = settings.FeatureGates && i == last && settings.Members > 2
-		c.members[i].machine = c.newMachine(i)
+		c.members[i].withoutFeatureGates = settings.FeatureGates && i == lastMember && settings.Members > 2
+		c.members[i].stateMachine = c.newStateMachine(i)
 	}
 	return c
 }
 
-// newMachine returns the state machine of a member that starts now, without memory.
-func (c *cluster) newMachine(i int) *election.StateMachine {
+// newStateMachine returns the state machine of a member that has just started and remembers nothing of its earlier
+// incarnations.
+func (c *cluster) newStateMachine(i int) *election.StateMachine {
 	settings := election.Settings{
 		Member:             memberNames[i],
 		LeaseDuration:      leaseDuration,
@@ -97,58 +98,58 @@
 	return election.New(c.now, settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-// restart gives a member a new state machine and its next incarnation.
+// restart replaces the state machine of a member and begins the member's next incarnation.
 func (c *cluster) restart(i int) {
-	c.members[i].machine = c.newMachine(i)
+	c.members[i].stateMachine = c.newStateMachine(i)
 	c.members[i].incarnation++
 }
 
-// clone returns an independent copy. The queue is empty between steps.
+// clone returns an independent copy of the cluster. It does not copy the message queue, which is empty between steps.
 func (c *cluster) clone() *cluster {
-	out := *c
-	out.members = slices.Clone(c.members)
-	for i := range out.members {
-		if out.members[i].up {
-			out.members[i].machine = out.members[i].machine.Clone()
+	copied := *c
+	copied.members = slices.Clone(c.members)
+	for i := range copied.members {
+		if copied.members[i].up {
+			copied.members[i].stateMachine = copied.members[i].stateMachine.Clone()
 		}
 	}
-	out.network.held = slices.Clone(c.network.held)
-	out.state.leases = maps.Clone(c.state.leases)
-	return &out
+	copied.network.held = slices.Clone(c.network.held)
+	copied.state.leases = maps.Clone(c.state.leases)
+	return &copied
 }
 
-// stateKey is a hash of all that the further course depends on.
+// stateKey is a hash of everything in a cluster that determines its further behavior.
 type stateKey [32]byte
 
-// fingerprint returns the state's key. Times count relative to now, so that states of different seconds can
-// have the same one.
+// fingerprint returns the key of the cluster's state. Times enter the key relative to now, so that equivalent states
+// of different seconds have the same key.
 func (c *cluster) fingerprint() stateKey {
 	b := make([]byte, 0, 512)
 	for i := range c.members {
 		m := &c.members[i]
 		b = appendFlags(b, m.up, m.stateUnreachable, m.peersUnreachable, m.withoutFeatureGates)
 		if m.up {
-			b = m.machine.AppendKey(b, c.now)
+			b = m.stateMachine.AppendKey(b, c.now)
 		}
 	}
 	b = append(b, byte(c.faultsLeft))
 	b = binary.AppendUvarint(b, c.highestToken)
 	b = c.state.appendKey(b)
-	for _, m := range c.network.held {
-		staleReceiver := c.members[m.to].incarnation != m.receiverIncarnation
-		staleSender := c.members[m.from].incarnation != m.senderIncarnation
+	for _, held := range c.network.held {
+		staleReceiver := c.members[held.to].incarnation != held.receiverIncarnation
+		staleSender := c.members[held.from].incarnation != held.senderIncarnation
 		b = appendFlags(b, staleReceiver || staleSender)
-		b = append(b, byte(m.kind), byte(m.from), byte(m.to))
-		b = binary.AppendVarint(b, int64(c.now.Sub(m.sentAt)))
-		b = fmt.Appendf(b, "%v %v %v", m.request, m.duration, m.claim)
+		b = append(b, byte(held.kind), byte(held.from), byte(held.to))
+		b = binary.AppendVarint(b, int64(c.now.Sub(held.sentAt)))
+		b = fmt.Appendf(b, "%v %v %v", held.request, held.duration, held.claim)
 	}
 	return blake3.Sum256(b)
 }
 
-// appendFlags appends a byte for each flag.
+// appendFlags appends each flag to b as one byte, 0 or 1.
 func appendFlags(b []byte, flags ...bool) []byte {
-	for _, f := range flags {
-		if f {
+	for _, flag := range flags {
+		if flag {
 			b = append(b, 1)
 		} else {
 			b = append(b, 0)
@@ -157,13 +158,13 @@
 	return b
 }
 
-// step simulates one second with a fault in it: leases expire, the fault begins, messages arrive, and each member
-// gets a tick.
+// step simulates one second in which a fault happens: leases expire, the fault takes effect, queued messages arrive,
+// and each member receives a tick.
 func (c *cluster) step(f fault) {
 	c.now = c.now.Add(time.Second)
-	c.state.expireLeases()
-	c.fault = f
-	c.apply(f)
+	c.state.advanceLeases()
+	c.currentFault = f
+	c.applyFault(f)
 	c.deliver()
 	for i := range c.members {
 		c.stepMember(i, c.now, election.Tick{})
@@ -174,22 +175,24 @@
 	}
 }
 
-// stepMember passes an event to a member and performs the effects that its state machine asks for.
+// stepMember passes an event to the state machine of a member and performs the resulting effects. It ignores a member
+// that is down.
 func (c *cluster) stepMember(i int, now time.Time, event election.Event) {
 	m := &c.members[i]
 	if !m.up {
 		return
 	}
 	incarnation := m.incarnation
-	for _, effect := range m.machine.Step(now, event) {
+	for _, effect := range m.stateMachine.Step(now, event) {
 		if m.incarnation != incarnation {
-			return // an effect before this one crashed it
+			return // an earlier effect has crashed and restarted the member
 		}
 		c.perform(i, effect)
 	}
 }
 
-// perform performs an effect of a member. Elected and Deposed need nothing here: check asks the members.
+// perform performs an effect of a member. It ignores election.Elected and election.Deposed, because checkInvariants
+// asks each state machine whether it may act.
 func (c *cluster) perform(i int, effect election.Effect) {
 	switch e := effect.(type) {
 	case election.ReadRecord:
@@ -202,7 +205,7 @@
 		c.renewLease(i, e)
 	case election.RevokeLease:
 		if served, _ := c.reachable(i); served {
-			c.state.endLease(e.LeaseID)
+			c.state.deleteLease(e.LeaseID)
 		}
 	case election.RequestVotes:
 		c.broadcast(i, message{kind: voteRequest, request: election.VoteRequest{
@@ -215,10 +218,10 @@
 	case election.QueryLeadership:
 		c.broadcast(i, message{kind: leadershipQuery})
 	case election.ReleaseVotes:
-		if c.restartIf(i, RestartBeforeRelease) {
+		if c.restartIfInjected(i, RestartBeforeRelease) {
 			return
 		}
 		c.broadcast(i, message{kind: voteRelease, request: election.VoteRequest{FencingToken: e.FencingToken}})
-		c.restartIf(i, RestartAfterRelease)
+		c.restartIfInjected(i, RestartAfterRelease)
 	}
 }
--- a/internal/clustersim/electionsim/faults.go
+++ b/internal/clustersim/electionsim/faults.go
@@ -7,42 +7,45 @@
 	"github.com/glentiller/glentiller/internal/featuregate"
 )
 
-// FaultKind is what can happen within a second. Result.Trace names the kinds by their text.
+// FaultKind is a kind of event that can happen within a simulated second. Its text appears in Result.Trace.
 type FaultKind string
 
-// The faults that Settings.MaxFaults limits.
+// The faults that count towards Settings.MaxFaults.
 const (
 	StateServiceDown FaultKind = "down"
-	RaiseLevel       FaultKind = "raise" // operators raise the feature level
+	RaiseLevel       FaultKind = "raise" // an operator raises the feature level
 	Crash            FaultKind = "crash"
-	HoldMessages     FaultKind = "hold" // the network holds what a member sends, its claim too
+	HoldMessages     FaultKind = "hold" // the network holds back all messages of a member, including its claim
 	StateUnreachable FaultKind = "cut"  // a member is partitioned from the state service
-	PeersUnreachable FaultKind = "part" // a member is partitioned from the others
-	AnswersLost      FaultKind = "mute" // a member gets no answers of the state service for this second
+	PeersUnreachable FaultKind = "part" // a member is partitioned from all other members
+	AnswersLost      FaultKind = "mute" // the state service's answers to a member are lost for this second
 )
 
-// The faults of Settings.InstantRestarts: the steps at which a member crashes and restarts at once.
+// The faults that Settings.InstantRestarts adds: a member crashes at a given step of the election and restarts at
+// once. They count towards Settings.MaxFaults too.
 const (
-	RestartAfterGrant    FaultKind = "blink-granted"   // its lease is granted
-	RestartAfterClaim    FaultKind = "blink-claimed"   // its claim is committed
-	RestartClaimInFlight FaultKind = "blink-claiming"  // its claim is sent and held by the network
-	RestartAfterVote     FaultKind = "blink-promised"  // it has voted
-	RestartAfterRelease  FaultKind = "blink-released"  // it has released the others' votes
-	RestartBeforeRelease FaultKind = "blink-releasing" // it was about to release them
+	RestartAfterGrant    FaultKind = "blink-granted"   // after the state service has granted its lease
+	RestartAfterClaim    FaultKind = "blink-claimed"   // after the state service has processed its claim
+	RestartClaimInFlight FaultKind = "blink-claiming"  // while the network holds back its claim
+	RestartAfterVote     FaultKind = "blink-promised"  // after it has voted
+	RestartAfterRelease  FaultKind = "blink-released"  // after it has released the votes of the other members
+	RestartBeforeRelease FaultKind = "blink-releasing" // just before it would release them
 )
 
-// What else happens: the end of faults, at any time and without a limit.
+// Events that are not limited: the absence of a fault, the end of earlier faults, and late claims. They may happen in
+// any second to which they apply.
 const (
-	noFault         FaultKind = ""
-	stateServiceUp  FaultKind = "up"
-	releaseMessages FaultKind = "release" // the network delivers what it holds
-	restart         FaultKind = "restart" // of a member that crashed
-	restartChanged  FaultKind = "change"  // the same with another program
-	stateReachable  FaultKind = "join"
-	peersReachable  FaultKind = "meet"
-	lateClaim       FaultKind = "late" // a held claim is committed right before a member's own
+	noFault             FaultKind = ""
+	stateServiceUp      FaultKind = "up"
+	releaseMessages     FaultKind = "release" // the network delivers the messages that it has held back
+	restart             FaultKind = "restart" // a crashed member restarts
+	restartOtherVersion FaultKind = "change"  // a crashed member restarts with or without feature gates, whichever is new
+	stateReachable      FaultKind = "join"    // the partition of a member from the state service ends
+	peersReachable      FaultKind = "meet"    // the partition of a member from the other members ends
+	lateClaim           FaultKind = "late"    // held claims reach the state service right before the claim of a member
 )
 
+// restartPoints lists the faults that Settings.InstantRestarts adds.
 var restartPoints = []FaultKind{
 	RestartAfterGrant,
 	RestartAfterClaim,
@@ -52,7 +55,7 @@
 	RestartBeforeRelease,
 }
 
-// limitedFaults are those that Settings.MaxFaults limits.
+// limitedFaults lists the faults that count towards Settings.MaxFaults.
 var limitedFaults = append([]FaultKind{
 	StateServiceDown,
 	RaiseLevel,
@@ -63,15 +66,16 @@
 	AnswersLost,
 }, restartPoints...)
 
-// fault is what happens within a second, and to which member. The zero value is nothing.
+// fault is an event within a simulated second and the index of the member that it affects. Events of the state service
+// or the network have member 0. The zero value means that nothing happens.
 type fault struct {
 	kind   FaultKind
 	member int
 }
 
-// possibleFaults lists what may happen in the next second; nothing comes first.
+// possibleFaults lists the events that may happen in the next second, beginning with the zero fault.
 func (c *cluster) possibleFaults() []fault {
-	possible := append([]fault{{}}, c.possibleForAll()...)
+	possible := append([]fault{{}}, c.possibleServiceFaults()...)
 	for i := range c.members {
 		possible = append(possible, c.possibleRecoveries(i)...)
 		if c.faultsLeft > 0 && c.members[i].up {
@@ -86,8 +90,8 @@
 	return possible
 }
 
-// possibleForAll lists what may happen to the state service and the network.
-func (c *cluster) possibleForAll() (possible []fault) {
+// possibleServiceFaults lists the events that may happen to the state service and the network.
+func (c *cluster) possibleServiceFaults() (possible []fault) {
 	if c.state.down {
 		possible = append(possible, fault{stateServiceUp, 0})
 	} else if c.faultsLeft > 0 {
@@ -96,8 +100,8 @@
 	if len(c.network.held) > 0 {
 		possible = append(possible, fault{releaseMessages, 0})
 	}
-	isClaim := func(m message) bool { return m.kind == heldClaim }
-	if c.settings.InstantRestarts && slices.ContainsFunc(c.network.held, isClaim) {
+	isHeldClaim := func(m message) bool { return m.kind == heldClaim }
+	if c.settings.InstantRestarts && slices.ContainsFunc(c.network.held, isHeldClaim) {
 		for i := range c.members {
 			possible = append(possible, fault{lateClaim, i})
 		}
@@ -105,13 +109,13 @@
 	return possible
 }
 
-// possibleRecoveries lists which faults of a member may end.
+// possibleRecoveries lists the events that end a fault of a member.
 func (c *cluster) possibleRecoveries(i int) (possible []fault) {
 	m := &c.members[i]
 	if !m.up {
 		possible = append(possible, fault{restart, i})
 		if c.settings.FeatureGates {
-			possible = append(possible, fault{restartChanged, i})
+			possible = append(possible, fault{restartOtherVersion, i})
 		}
 	}
 	if m.stateUnreachable {
@@ -123,17 +127,17 @@
 	return possible
 }
 
-// possibleMemberFaults lists which faults a member that is up may have.
+// possibleMemberFaults lists the limited faults that may begin at a member that is up.
 func (c *cluster) possibleMemberFaults(i int) (possible []fault) {
 	m := &c.members[i]
-	leads := m.machine.State() == election.Leading
+	leads := m.stateMachine.State() == election.Leading
 	if c.settings.FeatureGates && c.state.level == 0 && leads && !m.withoutFeatureGates {
 		possible = append(possible, fault{RaiseLevel, i})
 	}
 	possible = append(possible, fault{Crash, i}, fault{HoldMessages, i})
 	if c.settings.InstantRestarts {
-		for _, at := range restartPoints {
-			possible = append(possible, fault{at, i})
+		for _, point := range restartPoints {
+			possible = append(possible, fault{point, i})
 		}
 	}
 	if !m.peersUnreachable {
@@ -145,20 +149,21 @@
 	return possible
 }
 
-// apply begins or ends a fault. The kinds without a case take effect where their event happens in this second.
-func (c *cluster) apply(f fault) {
+// applyFault begins or ends a fault. A kind without a case here takes effect later in the same second, when the member
+// reaches the affected step.
+func (c *cluster) applyFault(f fault) {
 	if slices.Contains(limitedFaults, f.kind) {
 		c.faultsLeft--
 	}
 	m := &c.members[f.member]
 	switch f.kind {
 	case stateServiceUp:
-		c.state.recover()
+		c.state.endOutage()
 	case StateServiceDown:
 		c.state.down = true
 	case releaseMessages:
 		c.network.queue, c.network.held = append(c.network.queue, c.network.held...), nil
-	case restart, restartChanged:
+	case restart, restartOtherVersion:
 		c.restartCrashed(f)
 	case Crash:
 		m.up = false
@@ -172,11 +177,11 @@
 	}
 }
 
-// restartCrashed starts a member that crashed. With the mutation ForgottenVotes it takes for granted that none
-// of the others leads.
+// restartCrashed restarts a crashed member. With the mutation ForgottenVotes, the member assumes that none of the
+// other members leads, and so ignores the votes that it may have cast before the crash.
 func (c *cluster) restartCrashed(f fault) {
 	m := &c.members[f.member]
-	if f.kind == restartChanged {
+	if f.kind == restartOtherVersion {
 		m.withoutFeatureGates = !m.withoutFeatureGates
 	}
 	m.up = true
@@ -186,26 +191,28 @@
 	}
 	for peer := range c.members {
 		if peer != f.member {
-			m.machine.Step(c.now, election.NotLeadingReceived{Member: memberNames[peer], Sent: c.now})
+			m.stateMachine.Step(c.now, election.NotLeadingReceived{Member: memberNames[peer], Sent: c.now})
 		}
 	}
 }
 
-// restartIf crashes and restarts a member if that is the fault of this second.
-func (c *cluster) restartIf(i int, at FaultKind) bool {
-	if c.fault != (fault{at, i}) {
+// restartIfInjected crashes and restarts a member if the fault of this second is a restart of that member at the given
+// point. It reports whether it did.
+func (c *cluster) restartIfInjected(i int, point FaultKind) bool {
+	if c.currentFault != (fault{point, i}) {
 		return false
 	}
-	c.fault = fault{} // only once
+	c.currentFault = fault{} // the fault happens only once
 	c.restart(i)
 	return true
 }
 
-// raiseLevel proposes the supported level to all members with feature gates; the leader steps down for it.
+// raiseLevel proposes the highest supported level to all members with feature gates. The leader steps down, so that
+// the next claim records the level. With the mutation SeparateRaise, the state service raises the level on its own.
 func (c *cluster) raiseLevel(leader int) {
 	if c.settings.Mutation == SeparateRaise {
 		if served, _ := c.reachable(leader); served {
-			c.state.raise()
+			c.state.raiseLevel()
 		}
 		return
 	}
--- a/internal/clustersim/electionsim/invariants.go
+++ b/internal/clustersim/electionsim/invariants.go
@@ -5,56 +5,57 @@
 	"time"
 )
 
-// checkTimes are when the invariants are checked after each step: at once, and twice before the next one.
-var checkTimes = []time.Duration{0, 350 * time.Millisecond, 900 * time.Millisecond}
+// checkOffsets are the times after each step at which the invariants are checked: immediately, and twice before the
+// next step.
+var checkOffsets = []time.Duration{0, 350 * time.Millisecond, 900 * time.Millisecond}
 
-// checkOutcome is what check found in one state.
+// checkOutcome is the result of checkInvariants for one state.
 type checkOutcome struct {
-	acting    bool   // a member may act
-	byVotes   bool   // one may although its lease at the state service may have expired
-	violation string // the invariant that does not hold; empty: all hold
+	hasLeader        bool   // at least one member may act
+	hasLeaderByVotes bool   // a member may act on votes alone: its lease may have expired
+	violation        string // describes the violated invariant; empty if all invariants hold
 }
 
-// check checks which members may act, now and until the next step: at most one, with the highest fencing token
-// so far and under the feature level in force.
-func (c *cluster) check() checkOutcome {
+// checkInvariants checks, for the present moment and until the next step, that at most one member may act, that it
+// holds the highest fencing token so far, and that it supports and follows the feature level in force.
+func (c *cluster) checkInvariants() checkOutcome {
 	var outcome checkOutcome
-	for _, after := range checkTimes {
-		now, acting := c.now.Add(after), 0
+	for _, after := range checkOffsets {
+		now, leaders := c.now.Add(after), 0
 		for i := range c.members {
 			m := &c.members[i]
-			if !m.up || !m.machine.LeadershipValid(now) {
+			if !m.up || !m.stateMachine.LeadershipValid(now) {
 				continue
 			}
-			acting++
+			leaders++
 			if violation := c.checkLeader(i); violation != "" {
-				return checkOutcome{acting: true, violation: violation}
+				return checkOutcome{hasLeader: true, violation: violation}
 			}
-			c.highestToken = m.machine.FencingToken()
-			outcome.byVotes = outcome.byVotes || !now.Before(m.machine.LeaseValidUntil())
+			c.highestToken = m.stateMachine.FencingToken()
+			outcome.hasLeaderByVotes = outcome.hasLeaderByVotes || !now.Before(m.stateMachine.LeaseValidUntil())
 		}
-		outcome.acting = outcome.acting || acting > 0
-		if acting > 1 {
-			outcome.violation = fmt.Sprintf("%d members may act", acting)
+		outcome.hasLeader = outcome.hasLeader || leaders > 0
+		if leaders > 1 {
+			outcome.violation = fmt.Sprintf("%d members may act", leaders)
 			return outcome
 		}
 	}
 	return outcome
 }
 
-// checkLeader checks the feature level and the fencing token of a member that may act, and returns what does
-// not hold.
+// checkLeader checks the feature level and the fencing token of a member that may act. It returns a description of the
+// violation, or an empty string if there is none.
 func (c *cluster) checkLeader(i int) string {
 	m, name, level := &c.members[i], memberNames[i], c.state.level
 	switch {
 	case !c.settings.FeatureGates:
 	case m.withoutFeatureGates && level > 0:
-		return fmt.Sprintf("%s may act under level %d with a program from before levels", name, level)
-	case !m.withoutFeatureGates && m.machine.Level() != level:
-		return fmt.Sprintf("%s may act by level %d, in force is %d", name, m.machine.Level(), level)
+		return fmt.Sprintf("%s may act although level %d is in force and its version predates feature levels", name, level)
+	case !m.withoutFeatureGates && m.stateMachine.Level() != level:
+		return fmt.Sprintf("%s may act under level %d although level %d is in force", name, m.stateMachine.Level(), level)
 	}
-	if token := m.machine.FencingToken(); token < c.highestToken {
-		return fmt.Sprintf("%s may act with token %d, after %d", name, token, c.highestToken)
+	if token := m.stateMachine.FencingToken(); token < c.highestToken {
+		return fmt.Sprintf("%s may act with fencing token %d after a member with token %d", name, token, c.highestToken)
 	}
 	return ""
 }
--- a/internal/clustersim/electionsim/network.go
+++ b/internal/clustersim/electionsim/network.go
@@ -6,7 +6,7 @@
 	"github.com/glentiller/glentiller/internal/election"
 )
 
-// messageKind tells what a message asks or says.
+// messageKind is the type of a message. Only the fields of message that belong to its kind are set.
 type messageKind byte
 
 const (
@@ -15,39 +15,40 @@
 	leadershipQuery
 	notLeading
 	voteRelease
-	heldClaim // a claim to the state service that the network has held
+	heldClaim // a claim to the state service that the network has held back
 )
 
 const (
-	// maxHeld is how many messages the network holds; it loses more.
-	maxHeld = 6
+	// maxHeldMessages is the number of messages that the network can hold back. It loses any further ones.
+	maxHeldMessages = 6
 
-	// maxDeliveries bounds the messages that arrive at one moment.
+	// maxDeliveries bounds the number of messages that one call of deliver passes on.
 	maxDeliveries = 1000
 
-	// shortVotesDivisor is the fraction of a vote's duration that a member keeps with the mutation ShortVotes.
+	// shortVotesDivisor is the divisor that the mutation ShortVotes applies to the time for which a member honors its
+	// vote.
 	shortVotesDivisor = 3
 )
 
-// message is one between members, or a claim to the state service that was held.
+// message is a message between two members, or a claim to the state service that the network has held back.
 type message struct {
 	kind                messageKind
-	from, to            int
-	receiverIncarnation int // as it was sent: a later one does not accept the message
-	senderIncarnation   int
-	sentAt              time.Time            // of the request, in answers too
-	request             election.VoteRequest // of voteRequest, vote and voteRelease
-	duration            time.Duration        // of vote
-	claim               election.Claim       // of heldClaim
+	from, to            int                  // indexes of the members; equal for heldClaim
+	receiverIncarnation int                  // when the message was sent; a later incarnation does not accept it
+	senderIncarnation   int                  // when the message was sent; a later incarnation accepts no reply to it
+	sentAt              time.Time            // when the request was sent; a reply carries the time of its request
+	request             election.VoteRequest // set for voteRequest, vote and voteRelease
+	duration            time.Duration        // of the vote; set for vote
+	claim               election.Claim       // set for heldClaim
 }
 
-// network carries messages between members.
+// network holds the messages that are in transit.
 type network struct {
-	queue []message // arrive at once
-	held  []message // arrive when the network releases them
+	queue []message // delivered within the same step
+	held  []message // held back until the event releaseMessages
 }
 
-// broadcast sends a message to all other members.
+// broadcast sends a message from one member to all others.
 func (c *cluster) broadcast(from int, m message) {
 	m.from, m.sentAt = from, c.now
 	for to := range c.members {
@@ -58,7 +59,8 @@
 	}
 }
 
-// send queues a message, or holds or loses it if the fault of this second says so.
+// send queues a message. It drops the message if a partition separates the members, and holds it back if the fault of
+// this second requires it.
 func (c *cluster) send(m message) {
 	m.receiverIncarnation = c.members[m.to].incarnation
 	m.senderIncarnation = c.members[m.from].incarnation
@@ -66,9 +68,9 @@
 	switch {
 	case m.kind != heldClaim && partitioned:
 		return
-	case c.fault == fault{HoldMessages, m.from},
-		c.fault == fault{RestartClaimInFlight, m.from} && m.kind == heldClaim:
-		if len(c.network.held) < maxHeld {
+	case c.currentFault == fault{HoldMessages, m.from},
+		c.currentFault == fault{RestartClaimInFlight, m.from} && m.kind == heldClaim:
+		if len(c.network.held) < maxHeldMessages {
 			c.network.held = append(c.network.held, m)
 		}
 		return
@@ -76,7 +78,7 @@
 	c.network.queue = append(c.network.queue, m)
 }
 
-// deliver passes on the queued messages, and those sent in answer.
+// deliver passes the queued messages to their receivers, including messages that are sent meanwhile.
 func (c *cluster) deliver() {
 	for n := 0; len(c.network.queue) > 0 && n < maxDeliveries; n++ {
 		m := c.network.queue[0]
@@ -86,11 +88,10 @@
 	c.network.queue = nil
 }
 
-// receive passes a message to its receiver. Incarnations other than those it was sent between neither get it
-// nor its answer.
+// receive passes a message to its receiver, unless the receiver is down or has restarted since the message was sent.
 func (c *cluster) receive(m message) {
 	if m.kind == heldClaim {
-		c.commitClaim(m.from, m.claim) // its sender has given up waiting for the answer
+		c.commitClaim(m.from, m.claim) // the sender no longer waits for the answer
 		return
 	}
 	receiver := &c.members[m.to]
@@ -103,40 +104,40 @@
 	case vote:
 		c.receiveVote(m)
 	case leadershipQuery:
-		if state := receiver.machine.State(); state != election.Leading && state != election.Claiming {
+		if state := receiver.stateMachine.State(); state != election.Leading && state != election.Claiming {
 			c.reply(m, message{kind: notLeading})
 		}
 	case notLeading:
 		event := election.NotLeadingReceived{Member: memberNames[m.from], Sent: m.sentAt}
 		c.stepMember(m.to, c.now, event)
 	case voteRelease:
-		receiver.machine.HandleVoteRelease(m.request.FencingToken)
+		receiver.stateMachine.HandleVoteRelease(m.request.FencingToken)
 	}
 }
 
-// sameIncarnation returns whether a member is in an incarnation still. With the mutation MixedIncarnations
-// members do not tell theirs apart.
+// sameIncarnation reports whether a member is still in the given incarnation. With the mutation MixedIncarnations,
+// every incarnation counts as the same.
 func (c *cluster) sameIncarnation(i, incarnation int) bool {
 	return c.settings.Mutation == MixedIncarnations || c.members[i].incarnation == incarnation
 }
 
-// reply sends an answer to the sender of a message.
-func (c *cluster) reply(to, answer message) {
-	if !c.sameIncarnation(to.from, to.senderIncarnation) {
+// reply sends an answer to the sender of a request, unless the sender has restarted since.
+func (c *cluster) reply(request, answer message) {
+	if !c.sameIncarnation(request.from, request.senderIncarnation) {
 		return
 	}
-	answer.from, answer.to = to.to, to.from
-	answer.sentAt, answer.request = to.sentAt, to.request
+	answer.from, answer.to = request.to, request.from
+	answer.sentAt, answer.request = request.sentAt, request.request
 	c.send(answer)
 }
 
-// receiveVoteRequest has a member vote, or not.
+// receiveVoteRequest passes a vote request to its receiver, and sends the vote back if the receiver casts one.
 func (c *cluster) receiveVoteRequest(m message) {
 	request := m.request
 	if c.settings.Mutation == ShortVotes {
 		request.Duration /= shortVotesDivisor
 	}
-	duration := c.members[m.to].machine.HandleVoteRequest(c.now, request)
+	duration := c.members[m.to].stateMachine.HandleVoteRequest(c.now, request)
 	if duration <= 0 {
 		return
 	}
@@ -144,10 +145,11 @@
 		duration *= shortVotesDivisor
 	}
 	c.reply(m, message{kind: vote, duration: duration})
-	c.restartIf(m.to, RestartAfterVote)
+	c.restartIfInjected(m.to, RestartAfterVote)
 }
 
-// receiveVote counts a vote. With the mutation LateVotes it counts as if it had come at the start.
+// receiveVote passes a vote to the leader that requested it. With the mutation LateVotes, the leader counts the vote as
+// if it had arrived at the start of the simulation.
 func (c *cluster) receiveVote(m message) {
 	now := c.now
 	if c.settings.Mutation == LateVotes {
--- a/internal/clustersim/electionsim/simulation.go
+++ b/internal/clustersim/electionsim/simulation.go
@@ -1,10 +1,10 @@
-// Package electionsim is a model checker of the election. It drives the state machines of package election
-// against a simulated network and state service, one second a step, through every course of events that a
-// bounded number of faults allows, and reports the first course on which two members may act at once, or one
-// with an outdated fencing token.
+// Package electionsim is a model checker for the leader election. It drives the state machines of package election
+// against a simulated network and state service in steps of one second. It explores every sequence of events with a
+// bounded number of faults, and reports the first sequence after which two members may act at the same time, or one
+// may act with an outdated fencing token or under a wrong feature level.
 //
-// Run explores breadth first: in each state it simulates every fault that is possible in the next second, checks
-// the invariants, and goes on from the states that it has not seen before. It draws nothing at random.
+// Run searches breadth first: from each state it simulates every event that is possible in the next second, checks the
+// invariants, and continues from the states that it has not visited before. It is deterministic.
 package electionsim
 
 import (
@@ -13,103 +13,105 @@
 	"time"
 )
 
-// Mutation leaves a part of the protocol out, to show that the simulation detects it.
+// Mutation is a deliberate defect in the election protocol. Tests inject mutations to show that the model checker
+// detects them.
 type Mutation string
 
-// The mutations of votes and incarnations.
+// The mutations that concern votes and incarnations.
 const (
 	NoMutation        Mutation = ""
-	ShortVotes        Mutation = "cut-short" // members keep a vote for a third of its duration
-	ForgottenVotes    Mutation = "forgotten" // members that restart without memory claim at once, against votes they cast
-	LateVotes         Mutation = "late"      // votes are counted after the leadership lease has expired
-	MixedIncarnations Mutation = "lives"     // a member accepts messages and the leader's key of its former incarnation
+	ShortVotes        Mutation = "cut-short" // members honor a vote for only a third of its duration
+	ForgottenVotes    Mutation = "forgotten" // restarted members claim at once, ignoring votes that they have cast
+	LateVotes         Mutation = "late"      // leaders count votes that arrive after their leadership has lapsed
+	MixedIncarnations Mutation = "lives"     // members accept messages and the leader's key of an earlier incarnation
 )
 
-// The mutations of feature levels.
+// The mutations that concern feature levels.
 const (
-	ReadableLevel Mutation = "readable" // programs without feature levels can read the record of the level
-	SeparateRaise Mutation = "beside"   // a level is raised by a transaction of its own while a member leads
+	ReadableLevel Mutation = "readable" // versions that predate feature levels can read the record of a level
+	SeparateRaise Mutation = "beside"   // the level is raised in a separate transaction while a member leads
 )
 
-// Settings select what is explored.
+// Settings select the event sequences that Run explores.
 type Settings struct {
-	Members         int
-	Seconds         int // explored, from when a leader holds all votes
-	MaxFaults       int // in one course
-	MaxStates       int // ErrTooManyStates beyond
-	Mutation        Mutation
-	FeatureGates    bool        // members' programs change, and the feature level is raised
+	Members         int         // number of members, from 2 to 5
+	Seconds         int         // length of a sequence; it begins when a leader holds all votes
+	MaxFaults       int         // limit on the faults in one sequence
+	MaxStates       int         // limit on distinct states; Run returns ErrTooManyStates when it is exceeded
+	Mutation        Mutation    // defect to inject
+	FeatureGates    bool        // members restart with other versions, and the feature level is raised
 	InstantRestarts bool        // members crash at any step of an election and restart at once
-	OnlyFaults      []FaultKind // of those that MaxFaults limits; empty: all
+	OnlyFaults      []FaultKind // the faults limited by MaxFaults that may happen; empty means all of them
 }
 
-// Result is what an exploration found.
+// Result is the outcome of an exploration. Its JSON names are published.
 type Result struct {
-	States    int    `json:"states"`           // distinct ones
-	Acting    int    `json:"acting"`           // of these, with a member that may act
-	ByVotes   int    `json:"by_word"`          // of these, with one that may by votes alone
-	Claims    int    `json:"claims"`           // made on the way
-	Raised    int    `json:"raised"`           // states in which the feature level was raised
-	Violation string `json:"broken,omitempty"` // the invariant that does not hold
-	Trace     string `json:"course,omitempty"` // the faults that led there
+	States                  int    `json:"states"`           // distinct states visited
+	StatesWithLeader        int    `json:"acting"`           // of these, states in which a member may act
+	StatesWithLeaderByVotes int    `json:"by_word"`          // of these, states in which a member may act on votes alone
+	Claims                  int    `json:"claims"`           // claims sent in all simulated steps
+	StatesWithRaisedLevel   int    `json:"raised"`           // states in which the feature level has been raised
+	Violation               string `json:"broken,omitempty"` // the violated invariant; empty if all hold
+	Trace                   string `json:"course,omitempty"` // the faults that led to the violation
 }
 
-// Errors of Run.
+// The errors that Run returns.
 var (
-	ErrInvalidSettings = errors.New("two to five members, a second or more")
-	ErrNoLeader        = errors.New("no member leads although there was no fault")
-	ErrTooManyStates   = errors.New("more states than allowed")
+	ErrInvalidSettings = errors.New("invalid settings: want 2 to 5 members, 1 or more seconds, and 0 or more faults")
+	ErrNoLeader        = errors.New("no member was elected although no fault was injected")
+	ErrTooManyStates   = errors.New("number of distinct states exceeds the limit")
 )
 
 const (
 	minMembers = 2
 	maxMembers = 5
 
-	// electionSteps are enough for a member to be elected and to receive all votes when nothing fails.
+	// electionSteps is the number of steps in which a member is elected and receives all votes if nothing fails.
 	electionSteps = 12
 )
 
+// startTime is the simulated time at which the members start.
 var startTime = time.Unix(1000, 0)
 
-// Run explores every course of events, breadth first over distinct states, until one violates an invariant.
-// A violation is no error: Result reports it.
+// Run explores every sequence of events that the settings allow, breadth first over distinct states, and stops at the
+// first violation of an invariant. A violation is reported in the Result and is not an error.
 func Run(settings Settings) (Result, error) {
 	invalidMembers := settings.Members < minMembers || settings.Members > maxMembers
 	if invalidMembers || settings.Seconds < 1 || settings.MaxFaults < 0 {
 		return Result{}, ErrInvalidSettings
 	}
-	e := explorer{settings: settings, seen: map[stateKey]struct{}{}}
+	e := explorer{settings: settings, visited: map[stateKey]struct{}{}}
 	start := newCluster(&e.settings, &e.result)
 	for range electionSteps {
 		start.step(fault{})
 	}
-	if !start.check().acting {
+	if !start.checkInvariants().hasLeader {
 		return e.result, ErrNoLeader
 	}
 	err := e.explore(start)
 	return e.result, err
 }
 
-// explorer visits the states of a cluster.
+// explorer is the state of one breadth-first search.
 type explorer struct {
 	settings Settings
 	result   Result
-	seen     map[stateKey]struct{}
+	visited  map[stateKey]struct{}
 }
 
-// explore visits what can follow a state, second by second.
+// explore visits the states that can follow a given state, second by second.
 func (e *explorer) explore(start *cluster) error {
-	begun := start.now
+	startedAt := start.now
 	frontier := []*cluster{start}
 	for second := 1; second <= e.settings.Seconds; second++ {
 		var next []*cluster
-		for _, from := range frontier {
-			for _, f := range from.possibleFaults() {
-				successor := from.clone()
+		for _, current := range frontier {
+			for _, f := range current.possibleFaults() {
+				successor := current.clone()
 				successor.step(f)
-				outcome := successor.check()
+				outcome := successor.checkInvariants()
 				if outcome.violation != "" {
-					elapsed := successor.now.Sub(begun) / time.Second
+					elapsed := successor.now.Sub(startedAt) / time.Second
 					e.result.Violation = fmt.Sprintf("after %d s: %s", elapsed, outcome.violation)
 					e.result.Trace = successor.trace
 					return nil
@@ -118,7 +120,7 @@
 					continue
 				}
 				if e.result.States > e.settings.MaxStates {
-					return fmt.Errorf("%w: in second %d", ErrTooManyStates, second)
+					return fmt.Errorf("%w at second %d", ErrTooManyStates, second)
 				}
 				next = append(next, successor)
 			}
@@ -128,25 +130,25 @@
 	return nil
 }
 
-// visit counts a state, and returns false if it is known already.
+// visit counts a state. It returns false if the state was visited before.
 func (e *explorer) visit(c *cluster, outcome checkOutcome) bool {
 	key := c.fingerprint()
-	if _, known := e.seen[key]; known {
+	if _, visited := e.visited[key]; visited {
 		return false
 	}
-	e.seen[key] = struct{}{}
+	e.visited[key] = struct{}{}
 	e.result.States++
 	if e.result.States > e.settings.MaxStates {
 		return true
 	}
-	if outcome.acting {
-		e.result.Acting++
+	if outcome.hasLeader {
+		e.result.StatesWithLeader++
 	}
-	if outcome.byVotes {
-		e.result.ByVotes++
+	if outcome.hasLeaderByVotes {
+		e.result.StatesWithLeaderByVotes++
 	}
 	if c.state.level > 0 {
-		e.result.Raised++
+		e.result.StatesWithRaisedLevel++
 	}
 	return true
 }
--- a/internal/clustersim/electionsim/simulation_test.go
+++ b/internal/clustersim/electionsim/simulation_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// requireNoViolation explores with settings that must not violate anything.
+// requireNoViolation runs an exploration and fails the test if it finds a violation.
 func requireNoViolation(t *testing.T, settings Settings) Result {
 	t.Helper()
 	result, err := Run(settings)
@@ -10,21 +10,21 @@
 		t.Errorf("got error %v, want none", err)
 	}
 	if result.Violation != "" {
-		t.Errorf("got violation %q by%s, want none", result.Violation, result.Trace)
+		t.Errorf("got violation %q after faults%s, want none", result.Violation, result.Trace)
 	}
 	t.Logf("%+v: %+v", settings, result)
 	return result
 }
 
-// requireAtLeast guards against an exploration that reaches too little to show anything.
-func requireAtLeast(t *testing.T, what string, got, want int) {
+// requireAtLeast guards against an exploration that covers too few states to be meaningful.
+func requireAtLeast(t *testing.T, quantity string, got, want int) {
 	t.Helper()
 	if got < want {
-		t.Errorf("got %d %s, want %d or more", got, what, want)
+		t.Errorf("got %d %s, want %d or more", got, quantity, want)
 	}
 }
 
-// requireViolation explores with settings whose mutation must be detected.
+// requireViolation runs an exploration with a mutation and fails the test if the mutation is not detected.
 func requireViolation(t *testing.T, settings Settings) {
 	t.Helper()
 	result, err := Run(settings)
@@ -34,7 +34,7 @@
 	if result.Violation == "" {
 		t.Errorf("got %+v, want a violation", result)
 	}
-	t.Logf("%s: %s, by%s", settings.Mutation, result.Violation, result.Trace)
+	t.Logf("%s: %s, after faults%s", settings.Mutation, result.Violation, result.Trace)
 }
 
 func TestEveryFaultSequenceLeavesAtMostOneLeader(t *testing.T) {
@@ -45,7 +45,7 @@
 		t.Run(name, func(t *testing.T) {
 			settings.MaxStates = 3_000_000
 			result := requireNoViolation(t, settings)
-			requireAtLeast(t, "states with a leader by votes", result.ByVotes, 100)
+			requireAtLeast(t, "states with a leader by votes", result.StatesWithLeaderByVotes, 100)
 			requireAtLeast(t, "claims", result.Claims, 100)
 		})
 	}
@@ -65,8 +65,8 @@
 	}
 }
 
-// Members crash at any step of an election and restart at once, while messages of their former incarnations
-// arrive late.
+// Guards against confusing incarnations: members crash at any step of an election and restart at once, while messages
+// of their earlier incarnations still arrive.
 func TestInstantRestartsLeaveAtMostOneLeader(t *testing.T) {
 	for name, settings := range map[string]Settings{
 		"two members":   {Members: 2, Seconds: 10, MaxFaults: 2},
@@ -91,8 +91,8 @@
 	})
 }
 
-// Members' programs change between one with feature gates and one without while a level is raised: whoever may
-// act supports the level in force, and acts by it.
+// Guards against a leader that does not support or does not follow the feature level in force: members restart with and
+// without feature gates while the level is raised.
 func TestLeaderNeverActsUnderUnknownLevel(t *testing.T) {
 	for name, settings := range map[string]Settings{
 		"two members":   {Members: 2, Seconds: 9, MaxFaults: 3},
@@ -101,7 +101,7 @@
 		t.Run(name, func(t *testing.T) {
 			settings.MaxStates, settings.FeatureGates = 3_000_000, true
 			result := requireNoViolation(t, settings)
-			requireAtLeast(t, "states with a raised level", result.Raised, 1000)
+			requireAtLeast(t, "states with a raised level", result.StatesWithRaisedLevel, 1000)
 			requireAtLeast(t, "claims", result.Claims, 100)
 		})
 	}
--- a/internal/clustersim/electionsim/stateservice.go
+++ b/internal/clustersim/electionsim/stateservice.go
@@ -10,97 +10,102 @@
 	"github.com/glentiller/glentiller/internal/featuregate"
 )
 
-// fullLeaseSeconds is to what a renewal, or the end of an outage, extends a lease.
+// fullLeaseSeconds is the remaining time, in seconds, that a lease has after a renewal and after an outage.
 const fullLeaseSeconds = int(leaseDuration / time.Second)
 
 var (
+	// errNoAnswer is what a member sees if its request or the answer is lost.
 	errNoAnswer = io.EOF
 
-	// errUnreadableRecord is what a program without feature gates sees of a record with a level in it.
-	errUnreadableRecord = errors.New("not a token's record")
+	// errUnreadableRecord is what a version without feature gates returns when it reads the record of a feature level.
+	errUnreadableRecord = errors.New("record does not hold a fencing token")
 )
 
-// stateService is the state service with the leader's keys: leases, the key of the leader that hangs on one,
-// the fencing token and the feature level, each record with its version.
+// stateService is a simulated state service. It holds leases and the leader's keys: the key of the leader, which is
+// attached to a lease, and the versioned records of the fencing token and the feature level.
 type stateService struct {
-	down         bool
-	leases       map[uint64]int // the seconds left, by the lease's id
-	lastLease    uint64
-	holder       uint64 // the lease on which the leader's key hangs; 0: there is no leader's key
-	leader       int    // the member that wrote the leader's key last
-	token        uint64
-	tokenVersion uint64
-	level        featuregate.Level // in force; 0: not recorded
-	levelVersion uint64
-}
-
-// appendKey appends all that the further course depends on.
+	down          bool
+	leases        map[uint64]int // remaining seconds by lease id
+	lastLeaseID   uint64
+	leaderLeaseID uint64 // lease to which the leader's key is attached; 0 if the key does not exist
+	lastLeader    int    // index of the member that last wrote the leader's key
+	fencingToken  uint64
+	tokenVersion  uint64
+	level         featuregate.Level // level in force; 0 if none is recorded
+	levelVersion  uint64
+}
+
+// appendKey appends everything that determines the further behavior of the state service.
 func (s *stateService) appendKey(b []byte) []byte {
 	b = appendFlags(b, s.down)
-	b = append(b, byte(s.leader))
-	for _, n := range []uint64{s.holder, s.token, s.tokenVersion, s.lastLease, uint64(s.level), s.levelVersion} {
+	b = append(b, byte(s.lastLeader))
+	for _, n := range []uint64{
+		s.leaderLeaseID, s.fencingToken, s.tokenVersion, s.lastLeaseID, uint64(s.level), s.levelVersion,
+	} {
 		b = binary.AppendUvarint(b, n)
 	}
-	for id := uint64(1); id <= s.lastLease; id++ {
-		if left, ok := s.leases[id]; ok {
-			b = append(b, byte(id), byte(left+100))
+	for id := uint64(1); id <= s.lastLeaseID; id++ {
+		if remaining, exists := s.leases[id]; exists {
+			b = append(b, byte(id), byte(remaining+100))
 		}
 	}
 	return b
 }
 
-// expireLeases lets a second of every lease pass. Leases do not expire while the service is down.
-func (s *stateService) expireLeases() {
+// advanceLeases takes one second off the remaining time of every lease, and deletes the leases that expire. Leases do
+// not expire while the service is down.
+func (s *stateService) advanceLeases() {
 	if s.down {
 		return
 	}
 	for id := range s.leases {
 		s.leases[id]--
 		if s.leases[id] < 0 {
-			s.endLease(id)
+			s.deleteLease(id)
 		}
 	}
 }
 
-// recover ends an outage, after which every lease has its full duration again.
-func (s *stateService) recover() {
+// endOutage ends an outage, after which every lease has its full duration again.
+func (s *stateService) endOutage() {
 	s.down = false
 	for id := range s.leases {
 		s.leases[id] = fullLeaseSeconds
 	}
 }
 
-// grant returns the id of a new lease.
+// grant creates a lease and returns its id.
 func (s *stateService) grant(duration time.Duration) uint64 {
-	s.lastLease++
-	s.leases[s.lastLease] = int(duration / time.Second)
-	return s.lastLease
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = int(duration / time.Second)
+	return s.lastLeaseID
 }
 
-// endLease deletes a lease, and the leader's key if it hangs on it.
-func (s *stateService) endLease(id uint64) {
+// deleteLease deletes a lease, and the leader's key if it is attached to that lease.
+func (s *stateService) deleteLease(id uint64) {
 	delete(s.leases, id)
-	if s.holder == id {
-		s.holder = 0
+	if s.leaderLeaseID == id {
+		s.leaderLeaseID = 0
 	}
 }
 
-// raise raises the feature level by a transaction of its own.
-func (s *stateService) raise() {
+// raiseLevel raises the feature level in a transaction that is not part of a claim.
+func (s *stateService) raiseLevel() {
 	s.level++
 	s.levelVersion++
 }
 
-// commitClaim commits a member's claim if its conditions hold. A program without feature gates sets no condition
-// on the level's record.
+// commitClaim commits the claim of member i if its conditions hold, and reports whether it did. A claim by a version
+// without feature gates has no condition on the record of the feature level.
 func (s *stateService) commitClaim(i int, claim election.Claim, withoutFeatureGates bool) bool {
-	if _, valid := s.leases[claim.LeaseID]; s.down || s.holder != 0 || s.tokenVersion != claim.TokenVersion || !valid {
+	if _, valid := s.leases[claim.LeaseID]; s.down || s.leaderLeaseID != 0 ||
+		s.tokenVersion != claim.TokenVersion || !valid {
 		return false
 	}
 	if !withoutFeatureGates && s.levelVersion != claim.LevelVersion {
 		return false
 	}
-	s.holder, s.leader, s.token = claim.LeaseID, i, claim.FencingToken
+	s.leaderLeaseID, s.lastLeader, s.fencingToken = claim.LeaseID, i, claim.FencingToken
 	if claim.NewLevel > 0 {
 		s.level = claim.NewLevel
 		s.levelVersion++
@@ -109,34 +114,34 @@
 	return true
 }
 
-// commitClaim has the state service commit a member's claim.
+// commitClaim passes a member's claim to the state service and reports whether it was committed.
 func (c *cluster) commitClaim(i int, claim election.Claim) bool {
 	return c.state.commitClaim(i, claim, c.members[i].withoutFeatureGates)
 }
 
-// reachable returns whether the state service serves a member's request, and whether its answer arrives.
+// reachable reports whether the state service serves a request of a member, and whether the answer reaches the member.
 func (c *cluster) reachable(i int) (served, answered bool) {
 	served = !c.state.down && !c.members[i].stateUnreachable
-	return served, served && c.fault != fault{AnswersLost, i}
+	return served, served && c.currentFault != fault{AnswersLost, i}
 }
 
-// errorOf is what a member sees of a request.
-func errorOf(answered bool) error {
+// requestError returns the error of a request, given whether its answer has arrived.
+func requestError(answered bool) error {
 	if answered {
 		return nil
 	}
 	return errNoAnswer
 }
 
-// readRecord performs a member's ReadRecord.
+// readRecord performs an election.ReadRecord of a member.
 func (c *cluster) readRecord(i int) {
 	_, answered := c.reachable(i)
-	err := errorOf(answered)
+	err := requestError(answered)
 	record := election.Record{
-		Held:         c.state.holder != 0,
-		Leader:       memberNames[c.state.leader],
-		LeaseID:      c.state.holder,
-		FencingToken: c.state.token,
+		Held:         c.state.leaderLeaseID != 0,
+		Leader:       memberNames[c.state.lastLeader],
+		LeaseID:      c.state.leaderLeaseID,
+		FencingToken: c.state.fencingToken,
 		TokenVersion: c.state.tokenVersion,
 	}
 	switch withoutGates := c.members[i].withoutFeatureGates; {
@@ -148,47 +153,49 @@
 	c.stepMember(i, c.now, election.RecordRead{Record: record, Err: err})
 }
 
-// grantLease performs a member's GrantLease.
+// grantLease performs an election.GrantLease of a member.
 func (c *cluster) grantLease(i int, request election.GrantLease) {
 	served, answered := c.reachable(i)
 	id := uint64(0)
 	if served {
 		id = c.state.grant(request.Duration)
 	}
-	if c.restartIf(i, RestartAfterGrant) {
+	if c.restartIfInjected(i, RestartAfterGrant) {
 		return
 	}
-	c.stepMember(i, c.now, election.LeaseGranted{LeaseID: id, Sent: c.now, Err: errorOf(answered)})
+	c.stepMember(i, c.now, election.LeaseGranted{LeaseID: id, Sent: c.now, Err: requestError(answered)})
 }
 
-// claimLeadership performs a member's Claim, unless the network holds it.
+// claimLeadership performs an election.Claim of a member, unless the network holds the claim back. With the mutation
+// MixedIncarnations, a rejected claim counts as committed if an earlier incarnation of the member holds the leader's
+// key.
 func (c *cluster) claimLeadership(i int, claim election.Claim) {
 	served, answered := c.reachable(i)
 	c.result.Claims++
 	committed := false
-	if c.fault == (fault{lateClaim, i}) {
+	if c.currentFault == (fault{lateClaim, i}) {
 		c.commitHeldClaims()
 	}
-	if c.fault == (fault{HoldMessages, i}) || c.fault == (fault{RestartClaimInFlight, i}) {
+	if c.currentFault == (fault{HoldMessages, i}) || c.currentFault == (fault{RestartClaimInFlight, i}) {
 		c.send(message{kind: heldClaim, from: i, to: i, claim: claim})
 	} else if served {
 		committed = c.commitClaim(i, claim)
 		if !committed && c.settings.Mutation == MixedIncarnations {
-			committed = c.state.holder != 0 && c.state.leader == i
+			committed = c.state.leaderLeaseID != 0 && c.state.lastLeader == i
 		}
 	}
-	if c.restartIf(i, RestartAfterClaim) || c.restartIf(i, RestartClaimInFlight) {
+	if c.restartIfInjected(i, RestartAfterClaim) || c.restartIfInjected(i, RestartClaimInFlight) {
 		return
 	}
 	c.stepMember(i, c.now, election.ClaimCompleted{
 		OK:           committed && answered,
 		TokenVersion: c.state.tokenVersion,
-		Err:          errorOf(answered),
+		Err:          requestError(answered),
 	})
 }
 
-// commitHeldClaims has the state service process the claims that the network holds. They stay there: a claim
-// may arrive twice.
+// commitHeldClaims passes the claims that the network holds back to the state service. The network keeps them, so a
+// claim may arrive twice.
 func (c *cluster) commitHeldClaims() {
 	for _, m := range c.network.held {
 		if m.kind == heldClaim {
@@ -197,7 +204,7 @@
 	}
 }
 
-// renewLease performs a member's RenewLease.
+// renewLease performs an election.RenewLease of a member.
 func (c *cluster) renewLease(i int, request election.RenewLease) {
 	served, answered := c.reachable(i)
 	_, valid := c.state.leases[request.LeaseID]
@@ -208,6 +215,6 @@
 		LeaseID: request.LeaseID,
 		Sent:    c.now,
 		Expired: answered && !valid,
-		Err:     errorOf(answered),
+		Err:     requestError(answered),
 	})
 }
