--- a/internal/clustersim/faults/overlapping.go
+++ b/internal/clustersim/faults/overlapping.go
@@ -10,37 +10,40 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Mutation is a part of the protocol that a run leaves out on purpose, to show that the checks can fail.
+// Mutation is a deliberate defect in a protocol. Tests inject mutations to show that the invariant checks detect them.
+// The empty mutation is no defect.
 type Mutation string
 
-// What can be left out.
+// The mutations that RunOverlapping can inject.
 const (
-	IgnoreStaleness Mutation = "knows"  // a leader answers workers whatever it knows of cancellations
-	AcceptAnyToken  Mutation = "tokens" // workers accept commands under any fencing token
-	ShortLeases     Mutation = "leases" // leaders take workers' leases for a fifth of what they are
-	StaleReads      Mutation = "synced" // a member answers from what it has read last, and not as of now
+	IgnoreStaleness Mutation = "knows"  // leaders answer workers however outdated their view of cancellations is
+	AcceptAnyToken  Mutation = "tokens" // workers accept commands with any fencing token
+	ShortLeases     Mutation = "leases" // leaders assume that workers' leases last for a fifth of their duration
+	StaleReads      Mutation = "synced" // controllers answer polls from their cached job records
 )
 
 const (
-	overlapPhase       = 220 * second // from the first submissions to the end of all faults of RunOverlapping
-	firstOverlap       = 15 * second
-	lastOverlap        = overlapPhase - 70*second
-	leaseFactor        = 5 // by which workers' leases are longer with the mutation ShortLeases
-	cancellationsFault = "cancellations"
+	overlapPhase           = 220 * second             // from the first submissions to the end of all faults
+	firstOverlapAt         = 15 * second              // when the first group of faults begins
+	lastOverlapAt          = overlapPhase - 70*second // no group of faults begins at or after this time
+	workerLeaseFactor      = 5                        // by which the mutation ShortLeases lengthens the workers' leases
+	cancellationsFaultName = "cancellations"
 )
 
-// RunOverlapping draws runs in which two or three faults begin together, with tasks that outlast them and jobs whose
-// tasks end far apart, while jobs are cancelled and polled. A seed draws the first run; some runs are made in parallel.
+// RunOverlapping simulates deployments in which several faults begin within seconds of each other, while jobs are
+// submitted, cancelled and polled. Some tasks outlast the faults, and the tasks of some jobs end at very different
+// times. It makes the given number of runs, each with the next seed, and simulates up to parallel runs concurrently. It
+// returns their combined result.
 func RunOverlapping(machines, runs int, seed uint64, parallel int, mutation Mutation) *Result {
 	return runAll(runs, seed, parallel, func(seed uint64) *Result { return runOverlapping(machines, seed, mutation) })
 }
 
-// runOverlapping makes one run.
+// runOverlapping simulates one run with overlapping faults.
 func runOverlapping(machines int, seed uint64, mutation Mutation) *Result {
 	s := newSimulation(seed, overlapStream)
 	s.result.Overlaps = Overlaps{}
-	members := []int{2, 3, 3, 5}[s.random.IntN(4)]
-	s.world = newWorld(members, machines)
+	controllers := []int{2, 3, 3, 5}[s.random.IntN(4)]
+	s.world = newWorld(controllers, machines)
 	w := s.world
 	w.PollOnCommit = true
 	w.RunTimeOf = func(id model.TaskID) time.Duration {
@@ -49,39 +52,39 @@
 		}
 		return 30*second + time.Duration(id.Index%9)*20*second
 	}
-	mutate(w, mutation)
+	applyMutation(w, mutation)
 	w.Advance(settleTime)
 	for i := range 2 * machines {
-		s.planSubmission(i, machines)
+		s.scheduleSubmission(i, machines)
 	}
-	for at := firstOverlap; at < lastOverlap; {
-		s.planOverlap(at)
-		at += 30*second + s.randomUpTo(45*second)
+	for at := firstOverlapAt; at < lastOverlapAt; {
+		s.scheduleOverlap(at)
+		at += 30*second + s.randomDuration(45*second)
 	}
-	s.planIn(overlapPhase, s.endFaults)
+	s.scheduleAfter(overlapPhase, s.endFaults)
 	s.advance(overlapPhase+second, recoveryPhase)
 	s.summarize()
 	return s.result
 }
 
-// mutate leaves a part of the protocol out.
-func mutate(w *fake.World, mutation Mutation) {
+// applyMutation injects a mutation into a deployment.
+func applyMutation(w *fake.World, mutation Mutation) {
 	switch mutation {
 	case IgnoreStaleness:
 		w.StalenessBound.KeepLeases, w.StalenessBound.StartTasks = time.Hour, time.Hour
 	case AcceptAnyToken:
 		w.AcceptAnyToken = true
 	case ShortLeases:
-		w.Lease *= leaseFactor
+		w.Lease *= workerLeaseFactor
 	case StaleReads:
 		w.StaleReads = true
 	}
 }
 
-// planSubmission plans the submission of a job. Its user tries again until it is accepted.
-func (s *simulation) planSubmission(number, machines int) {
+// scheduleSubmission draws a job and the time of its submission. Its user retries until a controller accepts the job.
+func (s *simulation) scheduleSubmission(jobNumber, machines int) {
 	spec := &model.Spec{
-		ID:               fmt.Sprintf("wk-%06d", number),
+		ID:               fmt.Sprintf("wk-%06d", jobNumber),
 		Class:            "few",
 		Team:             s.randomTeam(),
 		Shape:            model.Array,
@@ -104,49 +107,51 @@
 	case 2:
 		spec.Class, spec.Shape, spec.Priority, spec.Spread = "services", model.Service, model.PriorityProduction, true
 	}
-	var try func()
-	try = func() {
+	var submit func()
+	submit = func() {
 		if c := s.randomController(); c.Up && !c.Frozen && s.world.Submit(c, spec) == nil {
-			s.submitted(spec)
+			s.recordSubmission(spec)
 			return
 		}
-		s.planIn(retryInterval, try)
+		s.scheduleAfter(retryInterval, submit)
 	}
-	s.planIn(s.randomUpTo(overlapPhase/2), try)
+	s.scheduleAfter(s.randomDuration(overlapPhase/2), submit)
 }
 
-// planOverlap plans two or three faults that begin within seconds, and cancellations among them.
-func (s *simulation) planOverlap(at time.Duration) {
+// scheduleOverlap schedules two or three different faults that begin within five seconds of each other, and
+// cancellations if they are not among them.
+func (s *simulation) scheduleOverlap(at time.Duration) {
 	names := slices.Sorted(maps.Keys(faultStarters))
 	s.random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	names = names[:2+s.random.IntN(2)]
-	if !slices.Contains(names, cancellationsFault) {
-		names = append(names, cancellationsFault)
+	if !slices.Contains(names, cancellationsFaultName) {
+		names = append(names, cancellationsFaultName)
 	}
 	for i, name := range names {
 		for _, other := range names[:i] {
 			s.result.Overlaps[min(name, other)+" + "+max(name, other)]++
 		}
-		duration := second + s.randomUpTo(15*second)
+		duration := second + s.randomDuration(15*second)
 		if s.random.IntN(3) == 0 {
-			duration = s.randomUpTo(60 * second)
+			duration = s.randomDuration(60 * second)
 		}
-		s.planIn(at+s.randomUpTo(5*second), func() {
+		s.scheduleAfter(at+s.randomDuration(5*second), func() {
 			end := faultStarters[name](s)
-			s.planIn(duration, end)
+			s.scheduleAfter(duration, end)
 		})
 	}
 }
 
-// cancelCompleted cancels a share of the jobs whose last task has just ended, before or after the leader knows of it.
-func (s *simulation) cancelCompleted() {
+// cancelSomeCompleted cancels a share of the jobs whose last task has just completed. A cancellation may arrive before
+// or after the leader learns of the completion.
+func (s *simulation) cancelSomeCompleted() {
 	for _, j := range s.jobs {
 		if j.completed || j.cancelled || !s.world.AllCompleted(j.spec.ID) {
 			continue
 		}
 		j.completed = true
-		if s.random.Float64() < s.cancelAtEnd {
-			s.planIn(s.randomUpTo(second), func() {
+		if s.random.Float64() < s.completedCancelShare {
+			s.scheduleAfter(s.randomDuration(second), func() {
 				if c := s.randomController(); c.Up && !c.Frozen {
 					s.cancel(c, j)
 					s.world.PollAll(j.spec.ID)
@@ -156,7 +161,7 @@
 	}
 }
 
-// endFaults ends all faults that have not ended yet.
+// endFaults ends all faults that are still active.
 func (s *simulation) endFaults() {
 	w := s.world
 	w.State.SetDown(false)
--- a/internal/clustersim/faults/result.go
+++ b/internal/clustersim/faults/result.go
@@ -6,68 +6,86 @@
 	"strings"
 )
 
-// maxReported is how many broken invariants a result quotes.
-const maxReported = 5
+// maxReportedViolations bounds the length of Result.FirstViolations in a combined result.
+const maxReportedViolations = 5
 
-// Result sums up runs. Times are in seconds; "after the faults" is after all of them have ended. The names in JSON are
-// published.
+// Result is the combined outcome of one or more runs. Times are in seconds. "After the faults" means after all faults
+// of a run have ended. A blocked worker is a worker whose inbound messages are blocked. The JSON names are published.
 type Result struct {
-	Runs                int      `json:"runs"`
-	Violations          int      `json:"broken_rules"`
-	ForgottenJobs       int      `json:"forgotten_jobs"`       // no poll of them was answered for 75 s after the faults
-	LongestUnanswered   float64  `json:"longest_unanswered_s"` // of a job, after the faults
-	LongestDetection    float64  `json:"deaf_noticed_s"`       // until an inbound-blocked machine gets no more tasks
-	MeanDetection       float64  `json:"deaf_noticed_mean_s"`
-	Detected            int      `json:"deaf_noticed"`                // inbound-blocked machines
-	Undetected          int      `json:"deaf_not_noticed"`            // of those that were blocked for over a lease
-	KilledTasks         int      `json:"killed_tasks"`                // by their workers' leases
-	LeastServed         float64  `json:"least_served"`                // least share that started, of a group of jobs
-	LatestLargeStart    float64  `json:"largest_begin_s"`             // of a job of its class's largest quarter
-	LongestCancellation float64  `json:"cancelled_gone_s"`            // until the last task of a cancelled job ended
-	LongestWaitWithRoom float64  `json:"longest_waiting_with_room_s"` // of a job for which there was room, after the faults
-	StaleAnswers        int      `json:"older_answers"`               // that contradict one before
-	AnsweredPolls       int      `json:"questions_answered"`
-	Overlaps            Overlaps `json:"by_meeting,omitempty"`
-	FirstViolations     []string `json:"what,omitempty"`
+	Runs       int `json:"runs"`
+	Violations int `json:"broken_rules"` // violated invariants
+
+	// ForgottenJobs counts the jobs about which users got no answer for over 75 s, after the faults.
+	ForgottenJobs int `json:"forgotten_jobs"`
+	// LongestUnanswered is the longest time without an answer about a job, after the faults.
+	LongestUnanswered float64 `json:"longest_unanswered_s"`
+
+	// LongestDetection and MeanDetection are times until the leader suspected a blocked worker.
+	LongestDetection float64 `json:"deaf_noticed_s"`
+	MeanDetection    float64 `json:"deaf_noticed_mean_s"`
+	// DetectedWorkers counts the blocked workers that the leader suspected.
+	DetectedWorkers int `json:"deaf_noticed"`
+	// UndetectedWorkers counts the workers that were blocked for longer than a worker lease and never suspected.
+	UndetectedWorkers int `json:"deaf_not_noticed"`
+
+	// KilledTasks counts the tasks that ended because their worker's lease expired.
+	KilledTasks int `json:"killed_tasks"`
+	// MinStartedShare is the smallest fraction of jobs that started, over all teams and job classes and over the
+	// largest quarter of the jobs of each.
+	MinStartedShare float64 `json:"least_served"`
+	// LongestLargeJobWait is the longest time from the submission to the start of a job that is among the largest
+	// quarter of its team or class. A job that never started counts until the end of its run.
+	LongestLargeJobWait float64 `json:"largest_begin_s"`
+	// LongestCancellation is the longest time from a confirmed cancellation to the end of the job's last task.
+	LongestCancellation float64 `json:"cancelled_gone_s"`
+	// LongestWaitWithRoom is the longest wait of a job for which there was room, after the faults.
+	LongestWaitWithRoom float64 `json:"longest_waiting_with_room_s"`
+
+	// StaleAnswers counts the answers to users that contradict an earlier answer.
+	StaleAnswers    int      `json:"older_answers"`
+	AnsweredPolls   int      `json:"questions_answered"`
+	Overlaps        Overlaps `json:"by_meeting,omitempty"` // only set by RunOverlapping
+	FirstViolations []string `json:"what,omitempty"`       // descriptions of the first violated invariants
 }
 
-// Overlaps counts how often two faults began at the same time or within seconds, by their names.
+// Overlaps counts how often two faults began within seconds of each other. A key holds the names of both faults in
+// order, joined by " + ".
 type Overlaps map[string]int
 
-// Good tells whether no invariant was broken and no job forgotten.
+// Good reports whether no invariant was violated and no job was forgotten.
 func (r *Result) Good() bool { return r.Violations == 0 && r.ForgottenJobs == 0 }
 
-// add adds the result of other runs.
+// add merges the result of other runs into r.
 func (r *Result) add(other *Result) {
 	r.Runs += other.Runs
 	r.Violations += other.Violations
 	r.ForgottenJobs += other.ForgottenJobs
-	r.Undetected += other.Undetected
+	r.UndetectedWorkers += other.UndetectedWorkers
 	r.KilledTasks += other.KilledTasks
 	r.StaleAnswers += other.StaleAnswers
 	r.AnsweredPolls += other.AnsweredPolls
 	r.LongestUnanswered = max(r.LongestUnanswered, other.LongestUnanswered)
 	r.LongestDetection = max(r.LongestDetection, other.LongestDetection)
-	r.LatestLargeStart = max(r.LatestLargeStart, other.LatestLargeStart)
+	r.LongestLargeJobWait = max(r.LongestLargeJobWait, other.LongestLargeJobWait)
 	r.LongestCancellation = max(r.LongestCancellation, other.LongestCancellation)
 	r.LongestWaitWithRoom = max(r.LongestWaitWithRoom, other.LongestWaitWithRoom)
-	r.LeastServed = min(r.LeastServed, other.LeastServed)
+	r.MinStartedShare = min(r.MinStartedShare, other.MinStartedShare)
 	for pair, count := range other.Overlaps {
 		if r.Overlaps == nil {
 			r.Overlaps = Overlaps{}
 		}
 		r.Overlaps[pair] += count
 	}
-	if other.Detected > 0 {
-		weight := float64(other.Detected) / float64(r.Detected+other.Detected)
+	if other.DetectedWorkers > 0 {
+		weight := float64(other.DetectedWorkers) / float64(r.DetectedWorkers+other.DetectedWorkers)
 		r.MeanDetection += (other.MeanDetection - r.MeanDetection) * weight
-		r.Detected += other.Detected
+		r.DetectedWorkers += other.DetectedWorkers
 	}
-	room := max(0, maxReported-len(r.FirstViolations))
-	r.FirstViolations = append(r.FirstViolations, other.FirstViolations[:min(len(other.FirstViolations), room)]...)
+	remaining := max(0, maxReportedViolations-len(r.FirstViolations))
+	r.FirstViolations = append(r.FirstViolations, other.FirstViolations[:min(len(other.FirstViolations), remaining)]...)
 }
 
-// summarize works out the result of a run.
+// summarize completes the result at the end of a run.
 func (s *simulation) summarize() {
 	groups := map[string][]*job{}
 	for _, j := range s.jobs {
@@ -92,22 +110,23 @@
 	}
 }
 
-// summarizeGroup works out how many jobs of a class or a team have started, and when the largest of them did.
+// summarizeGroup adds the jobs of a class or a team to the result: the fraction that has started, of all jobs and of
+// the largest quarter, and how long the largest quarter has waited for its start.
 func (s *simulation) summarizeGroup(jobs []*job) {
-	s.result.LeastServed = min(s.result.LeastServed, startedShare(jobs))
+	s.result.MinStartedShare = min(s.result.MinStartedShare, startedShare(jobs))
 	slices.SortFunc(jobs, func(a, b *job) int { return cmp.Compare(b.spec.Tasks, a.spec.Tasks) })
 	largest := jobs[:max(len(jobs)/4, 1)]
-	s.result.LeastServed = min(s.result.LeastServed, startedShare(largest))
+	s.result.MinStartedShare = min(s.result.MinStartedShare, startedShare(largest))
 	for _, j := range largest {
 		startedAt := j.startedAt
 		if startedAt.IsZero() {
 			startedAt = s.world.Now()
 		}
-		s.result.LatestLargeStart = max(s.result.LatestLargeStart, startedAt.Sub(j.submittedAt).Seconds())
+		s.result.LongestLargeJobWait = max(s.result.LongestLargeJobWait, startedAt.Sub(j.submittedAt).Seconds())
 	}
 }
 
-// startedShare is the share of jobs that have started.
+// startedShare returns the fraction of jobs that have started.
 func startedShare(jobs []*job) float64 {
 	started := 0
 	for _, j := range jobs {
--- a/internal/clustersim/faults/simulation.go
+++ b/internal/clustersim/faults/simulation.go
@@ -1,7 +1,9 @@
-// Package faults simulates small deployments on the in-memory stand-ins, in simulated time, while machines and members
-// fail together, and checks the invariants all along. Run draws faults that are spread over a run: machines that
-// receive nothing, duplicates of heartbeats, members that only workers reach, members and machines that restart at
-// once. RunOverlapping draws two or three faults that begin together. One seed draws one run.
+// Package faults simulates small deployments under random faults of controllers, workers and the network, and checks
+// the invariants throughout. It uses the in-memory environment of package fake and simulated time.
+//
+// Run spreads faults over a run: workers whose inbound messages are blocked, duplicate heartbeats, controllers that
+// only workers can reach, and controllers and workers that restart at once. RunOverlapping begins two or three faults
+// within seconds of each other. A seed determines the jobs and faults of a run.
 package faults
 
 import (
@@ -19,50 +21,50 @@
 
 const (
 	second        = time.Second
-	tick          = 100 * time.Millisecond
-	recoveryPhase = 180 * second // after all faults
-	pollInterval  = 5 * second   // between two polls of a job
-	retryInterval = 2 * second   // of a user
-	maxUnanswered = 75 * second  // after the faults; a job that is not answered for longer counts as forgotten
-	settleTime    = 8 * second   // until there is a leader, before the first submission
+	tick          = 100 * time.Millisecond // step of the simulated time
+	recoveryPhase = 180 * second           // simulated time after the end of all faults
+	pollInterval  = 5 * second             // between two polls of a job
+	retryInterval = 2 * second             // between two attempts of a user to submit or cancel a job
+	maxUnanswered = 75 * second            // a job without an answer for longer counts as forgotten
+	settleTime    = 8 * second             // for the election of a leader before the first submission
 )
 
-// The streams of random numbers that a run's seed gives.
+// The streams of random numbers that are derived from the seed of a run.
 const (
 	faultStream   = 1
 	overlapStream = 2
 )
 
-// simulation is one run.
+// simulation is the state of one run.
 type simulation struct {
-	random       *rand.Rand
-	world        *fake.World
-	result       *Result
-	plan         []event
-	jobs         []*job
-	blockedSince map[string]time.Time // by machine: since when it receives nothing
-	detected     map[string]bool      // machines that the leader has found to receive nothing
-	cancelAtEnd  float64              // the share of jobs that are cancelled as their last task ends
+	random               *rand.Rand
+	world                *fake.World
+	result               *Result
+	scheduled            []scheduledAction
+	jobs                 []*job
+	blockedSince         map[string]time.Time // by worker: when its inbound messages were blocked
+	detectedBlocked      map[string]bool      // by worker: the leader has suspected it while it was blocked
+	completedCancelShare float64              // fraction of jobs that are cancelled when their last task completes
 }
 
-// event is something that is planned.
-type event struct {
+// scheduledAction is an action to perform at a simulated time.
+type scheduledAction struct {
 	at     time.Time
 	action func()
 }
 
-// job is a submitted job.
+// job is a job that a controller has accepted.
 type job struct {
-	spec        *model.Spec
-	submittedAt time.Time
-	startedAt   time.Time // zero: not yet
-	answeredAt  time.Time // of the last poll that was answered
-	cancelled   bool
-	forgotten   bool
-	completed   bool // its last task has ended
+	spec           *model.Spec
+	submittedAt    time.Time
+	startedAt      time.Time // zero until a task of the job starts
+	lastAnsweredAt time.Time // time of the last answer about the job
+	cancelled      bool      // a controller has answered that the job is cancelled
+	forgotten      bool      // counted in Result.ForgottenJobs
+	completed      bool      // all of its tasks have completed
 }
 
-// runAll makes a run for each of several seeds, some of them in parallel, and sums up their results.
+// runAll simulates runs with consecutive seeds, up to parallel of them concurrently, and returns their combined result.
 func runAll(runs int, seed uint64, parallel int, runOne func(seed uint64) *Result) *Result {
 	results := make([]*Result, runs)
 	var group errgroup.Group
@@ -74,39 +76,39 @@
 		})
 	}
 	_ = group.Wait() // no run returns an error
-	sum := &Result{LeastServed: 1}
+	sum := &Result{MinStartedShare: 1}
 	for _, result := range results {
 		sum.add(result)
 	}
 	return sum
 }
 
-// newSimulation makes a run without a world.
+// newSimulation returns a run whose world is not set.
 func newSimulation(seed, stream uint64) *simulation {
 	return &simulation{
-		random:       rand.New(rand.NewPCG(seed, stream)),
-		result:       &Result{Runs: 1, LeastServed: 1},
-		blockedSince: map[string]time.Time{},
-		detected:     map[string]bool{},
+		random:          rand.New(rand.NewPCG(seed, stream)),
+		result:          &Result{Runs: 1, MinStartedShare: 1},
+		blockedSince:    map[string]time.Time{},
+		detectedBlocked: map[string]bool{},
 	}
 }
 
-// planIn plans an action after a delay.
-func (s *simulation) planIn(delay time.Duration, action func()) {
-	s.plan = append(s.plan, event{s.world.Now().Add(delay), action})
+// scheduleAfter schedules an action for a delay after the present simulated time.
+func (s *simulation) scheduleAfter(delay time.Duration, action func()) {
+	s.scheduled = append(s.scheduled, scheduledAction{s.world.Now().Add(delay), action})
 }
 
-// randomUpTo draws a duration.
-func (s *simulation) randomUpTo(most time.Duration) time.Duration {
-	return time.Duration(s.random.Int64N(int64(most) + 1))
+// randomDuration draws a duration from 0 to limit, inclusive.
+func (s *simulation) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Int64N(int64(limit) + 1))
 }
 
-// randomController draws a member.
+// randomController draws a controller, which may be down.
 func (s *simulation) randomController() *fake.Controller {
 	return s.world.Controllers[s.random.IntN(len(s.world.Controllers))]
 }
 
-// randomWorker draws a machine; nil: all were released.
+// randomWorker draws a worker. It returns nil if all machines have been released.
 func (s *simulation) randomWorker() *fake.Worker {
 	if names := s.world.WorkerNames(); len(names) > 0 {
 		return s.world.Workers[names[s.random.IntN(len(names))]]
@@ -117,14 +119,15 @@
 // randomTeam draws the name of a team.
 func (s *simulation) randomTeam() string { return [...]string{"red", "blue"}[s.random.IntN(2)] }
 
-// advance carries out what is planned, for the time of the faults and the recovery, and polls every job all along.
+// advance simulates the fault phase and the recovery phase. It performs the scheduled actions, polls all jobs at
+// intervals, and records when jobs start.
 func (s *simulation) advance(faultPhase, recoveryPhase time.Duration) {
 	w, start := s.world, s.world.Now()
 	for now := start; now.Sub(start) < faultPhase+recoveryPhase; now = w.Now() {
-		s.runPlanned(now)
+		s.runDueActions(now)
 		w.Advance(tick)
 		s.recordDetections()
-		s.cancelCompleted()
+		s.cancelSomeCompleted()
 		if now.Sub(start)%pollInterval < tick {
 			s.pollJobs(now.Sub(start) > faultPhase)
 		}
@@ -138,51 +141,51 @@
 	}
 }
 
-// runPlanned carries out what is due.
-func (s *simulation) runPlanned(now time.Time) {
-	for i := 0; i < len(s.plan); i++ {
-		if e := s.plan[i]; !now.Before(e.at) {
-			s.plan = slices.Delete(s.plan, i, i+1)
+// runDueActions performs the scheduled actions that are due, including those that they schedule for now.
+func (s *simulation) runDueActions(now time.Time) {
+	for i := 0; i < len(s.scheduled); i++ {
+		if e := s.scheduled[i]; !now.Before(e.at) {
+			s.scheduled = slices.Delete(s.scheduled, i, i+1)
 			i--
 			e.action()
 		}
 	}
 }
 
-// recordDetections notes when the leader has stopped placing tasks on machines that receive nothing.
+// recordDetections records when the leader first suspects a blocked worker, and so places no more tasks on it.
 func (s *simulation) recordDetections() {
 	leader := s.world.Leader()
 	if leader == nil {
 		return
 	}
 	for name, since := range s.blockedSince {
-		if s.detected[name] {
+		if s.detectedBlocked[name] {
 			continue
 		}
 		if s.world.Workers[name] == nil || leader.Reconciler.Liveness(name) >= liveness.Suspect {
-			s.detected[name] = true
-			took := s.world.Now().Sub(since).Seconds()
-			s.result.LongestDetection = max(s.result.LongestDetection, took)
-			s.result.Detected++
-			s.result.MeanDetection += (took - s.result.MeanDetection) / float64(s.result.Detected)
+			s.detectedBlocked[name] = true
+			delay := s.world.Now().Sub(since).Seconds()
+			s.result.LongestDetection = max(s.result.LongestDetection, delay)
+			s.result.DetectedWorkers++
+			s.result.MeanDetection += (delay - s.result.MeanDetection) / float64(s.result.DetectedWorkers)
 		}
 	}
 }
 
-// pollJobs polls every job at some member that is up. The world checks the answers. Once the faults have ended, a job
-// that is not answered for long counts as forgotten.
+// pollJobs polls each job at a random controller; a controller that is down or frozen does not answer. The world checks
+// the answers. After the faults, a job without an answer for maxUnanswered counts as forgotten.
 func (s *simulation) pollJobs(faultsEnded bool) {
 	for _, j := range s.jobs {
 		c := s.randomController()
 		if c.Up && !c.Frozen {
 			if _, err := s.world.Poll(c, j.spec.ID); err == nil {
-				j.answeredAt = s.world.Now()
+				j.lastAnsweredAt = s.world.Now()
 			}
 		}
 		if !faultsEnded || j.cancelled {
 			continue
 		}
-		unanswered := s.world.Now().Sub(j.answeredAt)
+		unanswered := s.world.Now().Sub(j.lastAnsweredAt)
 		s.result.LongestUnanswered = max(s.result.LongestUnanswered, unanswered.Seconds())
 		if unanswered > maxUnanswered && !j.forgotten {
 			j.forgotten = true
@@ -191,20 +194,20 @@
 	}
 }
 
-// cancel cancels a job through a member. Its user tries again until there is an answer.
+// cancel cancels a job through a controller. Its user retries at random controllers until one answers.
 func (s *simulation) cancel(c *fake.Controller, j *job) {
 	if c.Up && !c.Frozen {
 		if record, err := s.world.Cancel(c, j.spec.ID); err == nil {
-			j.answeredAt = s.world.Now()
+			j.lastAnsweredAt = s.world.Now()
 			j.cancelled = record.State == wire.StateCancelled
 			return
 		}
 	}
-	s.planIn(retryInterval, func() { s.cancel(s.randomController(), j) })
+	s.scheduleAfter(retryInterval, func() { s.cancel(s.randomController(), j) })
 }
 
-// submitted notes that a job was accepted.
-func (s *simulation) submitted(spec *model.Spec) {
+// recordSubmission records that a controller has accepted a job.
+func (s *simulation) recordSubmission(spec *model.Spec) {
 	now := s.world.Now()
-	s.jobs = append(s.jobs, &job{spec: spec, submittedAt: now, answeredAt: now})
+	s.jobs = append(s.jobs, &job{spec: spec, submittedAt: now, lastAnsweredAt: now})
 }
--- a/internal/clustersim/faults/spread.go
+++ b/internal/clustersim/faults/spread.go
@@ -7,16 +7,16 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// spreadPhase is from the first submissions to the end of all faults of Run.
+// spreadPhase is the time from the first submissions to the end of all faults of Run.
 const spreadPhase = 150 * second
 
-// Run draws runs with three members from a seed on, each with faults that are spread over it, and makes some of them in
-// parallel.
+// Run simulates deployments with three controllers and faults that are spread over the run. It makes the given number
+// of runs, each with the next seed, and simulates up to parallel runs concurrently. It returns their combined result.
 func Run(machines, runs int, seed uint64, parallel int) *Result {
 	return runAll(runs, seed, parallel, func(seed uint64) *Result { return runSpread(machines, seed) })
 }
 
-// runSpread makes one run.
+// runSpread simulates one run with faults that are spread over it.
 func runSpread(machines int, seed uint64) *Result {
 	s := newSimulation(seed, faultStream)
 	s.world = newWorld(3, machines)
@@ -24,23 +24,23 @@
 		return 5*second + time.Duration(id.Index%7)*5*second
 	}
 	s.world.Advance(settleTime)
-	s.planJobs(machines)
-	s.planCancellations(machines / 20)
-	s.planBlockedWorkers(machines)
-	s.planDuplicateHeartbeats(2 * machines)
-	s.planWorkerRestarts(machines)
-	s.planControllerRestarts()
-	s.planIsolatedControllers()
-	s.planOutage()
+	s.scheduleSubmissions(machines)
+	s.scheduleCancellations(machines / 20)
+	s.scheduleBlockedWorkers(machines)
+	s.scheduleDuplicateHeartbeats(2 * machines)
+	s.scheduleWorkerRestarts(machines)
+	s.scheduleControllerRestarts()
+	s.scheduleIsolatedControllers()
+	s.scheduleOutage()
 	s.advance(spreadPhase, recoveryPhase)
 	s.summarize()
 	return s.result
 }
 
-// planJobs plans the submissions.
-func (s *simulation) planJobs(machines int) {
+// scheduleSubmissions schedules the submissions of arrays, services and gangs.
+func (s *simulation) scheduleSubmissions(machines int) {
 	id := 0
-	plan := func(shape model.Shape, tasks int, class string) {
+	schedule := func(shape model.Shape, tasks int, class string) {
 		id++
 		spec := &model.Spec{
 			ID:               fmt.Sprintf("wk-%06d", id),
@@ -58,31 +58,31 @@
 		if shape == model.Service {
 			spec.Priority, spec.Spread = model.PriorityProduction, true
 		}
-		s.planIn(s.randomUpTo(spreadPhase), func() { s.submitSomewhere(spec) })
+		s.scheduleAfter(s.randomDuration(spreadPhase), func() { s.submitSomewhere(spec) })
 	}
 	for range machines / 8 {
-		plan(model.Array, 1+s.random.IntN(max(machines/4, 2)), "arrays")
-		plan(model.Service, 2+s.random.IntN(6), "services")
+		schedule(model.Array, 1+s.random.IntN(max(machines/4, 2)), "arrays")
+		schedule(model.Service, 2+s.random.IntN(6), "services")
 	}
 	for range max(machines/40, 1) {
-		plan(model.Gang, 2+s.random.IntN(8), "gangs")
+		schedule(model.Gang, 2+s.random.IntN(8), "gangs")
 	}
 }
 
-// submitSomewhere submits a job through the first member, in a random order, that accepts it.
+// submitSomewhere tries the controllers in random order until one accepts the job. The job is dropped if none does.
 func (s *simulation) submitSomewhere(spec *model.Spec) {
 	for _, i := range s.random.Perm(len(s.world.Controllers)) {
 		if c := s.world.Controllers[i]; c.Up && s.world.Submit(c, spec) == nil {
-			s.submitted(spec)
+			s.recordSubmission(spec)
 			return
 		}
 	}
 }
 
-// planCancellations plans cancellations of random jobs.
-func (s *simulation) planCancellations(count int) {
+// scheduleCancellations schedules cancellations of random jobs.
+func (s *simulation) scheduleCancellations(count int) {
 	for range count {
-		s.planIn(s.randomUpTo(spreadPhase), func() {
+		s.scheduleAfter(s.randomDuration(spreadPhase), func() {
 			if len(s.jobs) > 0 {
 				if j := s.jobs[s.random.IntN(len(s.jobs))]; !j.cancelled {
 					s.cancel(s.randomController(), j)
@@ -92,48 +92,48 @@
 	}
 }
 
-// planBlockedWorkers plans machines that receive nothing for a while, sometimes a good part of a zone.
-func (s *simulation) planBlockedWorkers(machines int) {
+// scheduleBlockedWorkers schedules workers whose inbound messages are blocked for a while, sometimes many at a time.
+func (s *simulation) scheduleBlockedWorkers(machines int) {
 	for range 1 + s.random.IntN(machines/20+1) {
-		at, duration := s.randomUpTo(spreadPhase-30*second), 5*second+s.randomUpTo(40*second)
-		s.planIn(at, func() { s.blockWorker(duration, spreadPhase-at) })
+		at, duration := s.randomDuration(spreadPhase-30*second), 5*second+s.randomDuration(40*second)
+		s.scheduleAfter(at, func() { s.blockWorker(duration, spreadPhase-at) })
 	}
 }
 
-// blockWorker has a random machine receive nothing for some time, or for what is left of the faults.
-func (s *simulation) blockWorker(duration, left time.Duration) {
+// blockWorker blocks the inbound messages of a random worker for a duration, but not beyond the end of the fault phase.
+func (s *simulation) blockWorker(duration, untilPhaseEnd time.Duration) {
 	worker := s.randomWorker()
 	if worker == nil || worker.InboundBlocked {
 		return
 	}
 	worker.InboundBlocked, s.blockedSince[worker.Name] = true, s.world.Now()
-	s.planIn(min(duration, left), func() {
+	s.scheduleAfter(min(duration, untilPhaseEnd), func() {
 		worker.InboundBlocked = false
-		stillUp := s.world.Workers[worker.Name] == worker
-		if !s.detected[worker.Name] && duration > s.world.Lease && stillUp {
-			s.result.Undetected++
+		sameWorker := s.world.Workers[worker.Name] == worker
+		if !s.detectedBlocked[worker.Name] && duration > s.world.Lease && sameWorker {
+			s.result.UndetectedWorkers++
 		}
 		delete(s.blockedSince, worker.Name)
 	})
 }
 
-// planDuplicateHeartbeats plans copies of heartbeats that arrive from seconds to well over a lease late.
-func (s *simulation) planDuplicateHeartbeats(count int) {
+// scheduleDuplicateHeartbeats schedules copies of earlier heartbeats, which arrive up to three worker leases later.
+func (s *simulation) scheduleDuplicateHeartbeats(count int) {
 	w := s.world
 	for range count {
-		s.planIn(s.randomUpTo(spreadPhase), func() {
+		s.scheduleAfter(s.randomDuration(spreadPhase), func() {
 			if len(w.RetainedHeartbeats) > 0 {
 				heartbeat := w.RetainedHeartbeats[s.random.IntN(len(w.RetainedHeartbeats))]
-				s.planIn(s.randomUpTo(3*w.Lease), func() { w.ReplayHeartbeat(s.randomController(), heartbeat) })
+				s.scheduleAfter(s.randomDuration(3*w.Lease), func() { w.ReplayHeartbeat(s.randomController(), heartbeat) })
 			}
 		})
 	}
 }
 
-// planWorkerRestarts plans machines that restart at once.
-func (s *simulation) planWorkerRestarts(machines int) {
+// scheduleWorkerRestarts schedules workers that crash and restart at once.
+func (s *simulation) scheduleWorkerRestarts(machines int) {
 	for range 1 + s.random.IntN(machines/30+1) {
-		s.planIn(s.randomUpTo(spreadPhase), func() {
+		s.scheduleAfter(s.randomDuration(spreadPhase), func() {
 			if worker := s.randomWorker(); worker != nil {
 				s.world.RestartWorker(worker)
 			}
@@ -141,42 +141,42 @@
 	}
 }
 
-// planControllerRestarts plans members that crash and are back at once, or after some seconds.
-func (s *simulation) planControllerRestarts() {
+// scheduleControllerRestarts schedules controllers that crash and restart within half a second, or within 8 seconds.
+func (s *simulation) scheduleControllerRestarts() {
 	for range 1 + s.random.IntN(5) {
-		at, downtime := s.randomUpTo(spreadPhase-10*second), 50*time.Millisecond+s.randomUpTo(450*time.Millisecond)
+		at, downtime := s.randomDuration(spreadPhase-10*second), 50*time.Millisecond+s.randomDuration(450*time.Millisecond)
 		if s.random.IntN(3) == 0 {
-			downtime = s.randomUpTo(8 * second)
+			downtime = s.randomDuration(8 * second)
 		}
-		s.planIn(at, func() {
+		s.scheduleAfter(at, func() {
 			if c := s.randomController(); c.Up {
 				c.Crash()
-				s.planIn(downtime, c.Start)
+				s.scheduleAfter(downtime, c.Start)
 			}
 		})
 	}
 }
 
-// planIsolatedControllers plans members that only the workers reach.
-func (s *simulation) planIsolatedControllers() {
+// scheduleIsolatedControllers schedules controllers that for a while can reach only the workers.
+func (s *simulation) scheduleIsolatedControllers() {
 	for range 1 + s.random.IntN(2) {
-		at, duration := s.randomUpTo(spreadPhase/2), 10*second+s.randomUpTo(40*second)
-		s.planIn(at, func() {
+		at, duration := s.randomDuration(spreadPhase/2), 10*second+s.randomDuration(40*second)
+		s.scheduleAfter(at, func() {
 			c := s.randomController()
 			c.StateUnreachable, c.PeersUnreachable = true, true
-			s.planIn(duration, func() { c.StateUnreachable, c.PeersUnreachable = false, false })
+			s.scheduleAfter(duration, func() { c.StateUnreachable, c.PeersUnreachable = false, false })
 		})
 	}
 }
 
-// planOutage plans an outage of the state service in every second run.
-func (s *simulation) planOutage() {
+// scheduleOutage schedules an outage of the state service in about half of the runs.
+func (s *simulation) scheduleOutage() {
 	if s.random.IntN(2) != 0 {
 		return
 	}
-	duration := 3*second + s.randomUpTo(12*second)
-	s.planIn(s.randomUpTo(spreadPhase-20*second), func() {
+	duration := 3*second + s.randomDuration(12*second)
+	s.scheduleAfter(s.randomDuration(spreadPhase-20*second), func() {
 		s.world.State.SetDown(true)
-		s.planIn(duration, func() { s.world.State.SetDown(false) })
+		s.scheduleAfter(duration, func() { s.world.State.SetDown(false) })
 	})
 }
--- a/internal/clustersim/faults/starters.go
+++ b/internal/clustersim/faults/starters.go
@@ -7,27 +7,27 @@
 	"github.com/glentiller/glentiller/internal/fake"
 )
 
-// A starter begins a fault and returns what ends it.
-type starter func(s *simulation) (end func())
-
-// faultStarters are the faults that overlap. Their names are published in the result, and the order of the names is
-// part of what a seed draws: they do not change.
-var faultStarters = map[string]starter{
-	// Controllers and the state service.
-	"refused":                         (*simulation).blockState,
-	"refused, then an outage for all": (*simulation).blockStateThenOutage,
-	"unread":                          (*simulation).blockReads,
+// faultStarter begins a fault and returns the function that ends it.
+type faultStarter func(s *simulation) (end func())
+
+// faultStarters are the faults that RunOverlapping draws from, by name. The names must not change: they are published
+// in the result, and their order determines which faults a seed draws.
+var faultStarters = map[string]faultStarter{
+	// Faults of controllers and the state service.
+	"refused":                         (*simulation).blockStateService,
+	"refused, then an outage for all": (*simulation).blockStateServiceThenOutage,
+	"unread":                          (*simulation).blockStateServiceReads,
 	"cut off":                         (*simulation).isolateController,
 	"no workers":                      (*simulation).blockWorkersOfController,
 	"frozen":                          (*simulation).freezeController,
 	"apart":                           (*simulation).partitionControllers,
-	"outage":                          (*simulation).outage,
+	"outage":                          (*simulation).startOutage,
 	"crash":                           (*simulation).crashController,
 	"blink":                           (*simulation).restartController,
 	"hand over":                       (*simulation).resignLeadership,
 	"all crash":                       (*simulation).crashAllControllers,
 
-	// Workers.
+	// Faults of workers.
 	"deaf":                       (*simulation).blockInbound,
 	"mute":                       (*simulation).blockOutbound,
 	"half a zone mute or deaf":   (*simulation).blockHalfZone,
@@ -35,48 +35,50 @@
 	"hung":                       (*simulation).hangWorkers,
 	"cancelled and hung at once": (*simulation).cancelAndHang,
 	"machines back at once":      (*simulation).restartWorkers,
-	"machines up at once":        (*simulation).bootFast,
+	"machines up at once":        (*simulation).shortenBootTime,
 
-	// Messages and users.
+	// Disturbed messages, and cancellations by users.
 	"only answers to writes are lost": (*simulation).startLosingCommitAnswers,
 	"late writes":                     (*simulation).startDelayingCommits,
-	"reports for the next leader":     (*simulation).replayToNextLeader,
+	"reports for the next leader":     (*simulation).replayHeartbeatsToNextLeader,
 	"late reports":                    (*simulation).replayHeartbeats,
 	"held commands":                   (*simulation).disturbCommands,
 	"repeated commands":               (*simulation).repeatCommands,
-	cancellationsFault:                (*simulation).cancelJobs,
+	cancellationsFaultName:            (*simulation).cancelJobs,
 	"cancelled at the end":            (*simulation).startCancellingAtEnd,
 }
 
-// noEnd is the end of a fault that ends by itself.
+// noEnd is the end function of a fault that ends by itself.
 func noEnd() {}
 
-// leaderOrRandom is mostly the leader, and else a random member.
-func (s *simulation) leaderOrRandom() *fake.Controller {
+// leaderOrRandomController returns the leader with a probability of at least 3/4, and otherwise a random controller. If
+// there is no leader, it returns a random controller.
+func (s *simulation) leaderOrRandomController() *fake.Controller {
 	if leader := s.world.Leader(); leader != nil && s.random.IntN(4) > 0 {
 		return leader
 	}
 	return s.randomController()
 }
 
-// faultAtLeader gives a member a fault, mostly the leader.
-func (s *simulation) faultAtLeader(set func(faults *fake.ControllerFaults, active bool)) (end func()) {
-	c := s.leaderOrRandom()
+// startControllerFault sets a fault at a controller, mostly the leader, and returns the function that clears it.
+func (s *simulation) startControllerFault(set func(faults *fake.ControllerFaults, active bool)) (end func()) {
+	c := s.leaderOrRandomController()
 	set(&c.ControllerFaults, true)
 	return func() { set(&c.ControllerFaults, false) }
 }
 
-func (s *simulation) blockState() (end func()) {
-	return s.faultAtLeader(func(faults *fake.ControllerFaults, active bool) { faults.StateUnreachable = active })
+func (s *simulation) blockStateService() (end func()) {
+	return s.startControllerFault(func(faults *fake.ControllerFaults, active bool) { faults.StateUnreachable = active })
 }
 
-// blockStateThenOutage cuts the leader off from the state service, has other members confirm cancellations that it does
-// not learn of, and forget that they did, and then begins an outage for all.
-func (s *simulation) blockStateThenOutage() (end func()) {
-	w, leader := s.world, s.leaderOrRandom()
+// blockStateServiceThenOutage first partitions a controller, mostly the leader, from the state service. The other
+// controllers then confirm cancellations that the partitioned one does not learn of, and some of them restart and so
+// forget what they confirmed. Finally, the state service has an outage.
+func (s *simulation) blockStateServiceThenOutage() (end func()) {
+	w, leader := s.world, s.leaderOrRandomController()
 	leader.StateUnreachable = true
-	ahead := s.randomUpTo(4 * second)
-	s.planIn(s.randomUpTo(ahead), func() {
+	outageDelay := s.randomDuration(4 * second)
+	s.scheduleAfter(s.randomDuration(outageDelay), func() {
 		for _, c := range w.Controllers {
 			if c == leader || !c.Up {
 				continue
@@ -90,30 +92,31 @@
 			}
 		}
 	})
-	s.planIn(ahead, func() {
+	s.scheduleAfter(outageDelay, func() {
 		w.State.SetDown(true)
-		s.planIn(w.CancelDeadline+10*second, func() { w.State.SetDown(false) })
+		s.scheduleAfter(w.CancelDeadline+10*second, func() { w.State.SetDown(false) })
 	})
 	return func() { leader.StateUnreachable = false }
 }
 
-func (s *simulation) blockReads() (end func()) {
-	return s.faultAtLeader(func(faults *fake.ControllerFaults, active bool) { faults.ReadsBlocked = active })
+func (s *simulation) blockStateServiceReads() (end func()) {
+	return s.startControllerFault(func(faults *fake.ControllerFaults, active bool) { faults.ReadsBlocked = active })
 }
 
-// isolateController cuts a member off from all but the workers.
+// isolateController partitions a controller from the state service and from the other controllers, but not from the
+// workers.
 func (s *simulation) isolateController() (end func()) {
-	return s.faultAtLeader(func(faults *fake.ControllerFaults, active bool) {
+	return s.startControllerFault(func(faults *fake.ControllerFaults, active bool) {
 		faults.StateUnreachable, faults.PeersUnreachable = active, active
 	})
 }
 
 func (s *simulation) blockWorkersOfController() (end func()) {
-	return s.faultAtLeader(func(faults *fake.ControllerFaults, active bool) { faults.WorkersUnreachable = active })
+	return s.startControllerFault(func(faults *fake.ControllerFaults, active bool) { faults.WorkersUnreachable = active })
 }
 
 func (s *simulation) freezeController() (end func()) {
-	return s.faultAtLeader(func(faults *fake.ControllerFaults, active bool) { faults.Frozen = active })
+	return s.startControllerFault(func(faults *fake.ControllerFaults, active bool) { faults.Frozen = active })
 }
 
 func (s *simulation) partitionControllers() (end func()) {
@@ -121,18 +124,18 @@
 	return func() { s.world.ControllersPartitioned = false }
 }
 
-func (s *simulation) outage() (end func()) {
+func (s *simulation) startOutage() (end func()) {
 	s.world.State.SetDown(true)
 	return func() { s.world.State.SetDown(false) }
 }
 
-// crash ends a member for some time.
-func (s *simulation) crash(c *fake.Controller, downtime time.Duration) {
+// crashFor crashes a controller and restarts it after the downtime.
+func (s *simulation) crashFor(c *fake.Controller, downtime time.Duration) {
 	if !c.Up {
 		return
 	}
 	c.Crash()
-	s.planIn(downtime, func() {
+	s.scheduleAfter(downtime, func() {
 		if !c.Up {
 			c.Start()
 		}
@@ -140,25 +143,25 @@
 }
 
 func (s *simulation) crashController() (end func()) {
-	c := s.leaderOrRandom()
-	s.crash(c, 50*time.Millisecond+s.randomUpTo(5*second))
+	c := s.leaderOrRandomController()
+	s.crashFor(c, 50*time.Millisecond+s.randomDuration(5*second))
 	return noEnd
 }
 
 func (s *simulation) restartController() (end func()) {
-	c := s.leaderOrRandom()
-	s.crash(c, 50*time.Millisecond+s.randomUpTo(300*time.Millisecond))
+	c := s.leaderOrRandomController()
+	s.crashFor(c, 50*time.Millisecond+s.randomDuration(300*time.Millisecond))
 	return noEnd
 }
 
 func (s *simulation) resignLeadership() (end func()) {
-	s.world.StepElection(s.leaderOrRandom(), election.Resign{})
+	s.world.StepElection(s.leaderOrRandomController(), election.Resign{})
 	return noEnd
 }
 
 func (s *simulation) crashAllControllers() (end func()) {
 	for _, c := range s.world.Controllers {
-		s.crash(c, 100*time.Millisecond+s.randomUpTo(6*second))
+		s.crashFor(c, 100*time.Millisecond+s.randomDuration(6*second))
 	}
 	return noEnd
 }
--- a/internal/clustersim/faults/starters_messages.go
+++ b/internal/clustersim/faults/starters_messages.go
@@ -9,73 +9,77 @@
 )
 
 const (
-	replayedAtTakeover  = 200 // heartbeats that replayToNextLeader replays
-	replayedHeartbeats  = 200 // by replayHeartbeats
-	repeatedCommands    = 20  // by repeatCommands
-	shareCancelledAtEnd = 0.5
+	heartbeatReplaysAfterFailover   = 200 // most heartbeats that replayHeartbeatsToNextLeader replays
+	heartbeatReplays                = 200 // heartbeats that replayHeartbeats replays
+	commandRepeats                  = 20  // commands that repeatCommands repeats
+	completedCancelShareDuringFault = 0.5
 )
 
-// startDelayingCommits has the network delay a third of the transactions.
+// startDelayingCommits begins to delay a third of the transactions.
 func (s *simulation) startDelayingCommits() (end func()) {
 	s.world.InterceptCommit = s.delayCommit
 	return func() { s.world.InterceptCommit = nil }
 }
 
-// delayCommit has one in three transactions carried out seconds later.
+// delayCommit intercepts one in three transactions: the controller gets a timeout, and the state service receives the
+// transaction seconds later.
 func (s *simulation) delayCommit(_ *fake.Controller, body []byte) (bool, error) {
 	if s.random.IntN(3) > 0 {
 		return false, nil
 	}
 	body = slices.Clone(body)
-	s.planIn(2*second+s.randomUpTo(10*second), func() { s.commit(body) })
+	s.scheduleAfter(2*second+s.randomDuration(10*second), func() { s.commitUnanswered(body) })
 	return true, context.DeadlineExceeded
 }
 
-// startLosingCommitAnswers has the answers to a third of the transactions lost.
+// startLosingCommitAnswers begins to lose the answers to a third of the transactions.
 func (s *simulation) startLosingCommitAnswers() (end func()) {
 	s.world.InterceptCommit = s.loseCommitAnswer
 	return func() { s.world.InterceptCommit = nil }
 }
 
-// loseCommitAnswer has one in three transactions carried out, and its answer lost.
+// loseCommitAnswer intercepts one in three transactions: the state service receives the transaction at once, but the
+// controller gets a timeout.
 func (s *simulation) loseCommitAnswer(_ *fake.Controller, body []byte) (bool, error) {
 	if s.random.IntN(3) > 0 {
 		return false, nil
 	}
-	s.commit(body)
+	s.commitUnanswered(body)
 	return true, context.DeadlineExceeded
 }
 
-// commit has the state service take a transaction, whose conditions may have failed meanwhile.
-func (s *simulation) commit(body []byte) {
-	_, _ = s.world.State.Call(http.MethodPost, "/commit", body, second) // nobody learns of the answer
+// commitUnanswered passes a transaction to the state service and discards the answer. The state service rejects the
+// transaction if its conditions no longer hold.
+func (s *simulation) commitUnanswered(body []byte) {
+	_, _ = s.world.State.Call(http.MethodPost, "/commit", body, second) // the sender no longer waits for the answer
 }
 
-// replayToNextLeader replays the last heartbeats to all members as soon as another leader acts.
-func (s *simulation) replayToNextLeader() (end func()) {
+// replayHeartbeatsToNextLeader waits until another controller leads, and then replays the most recent heartbeats to all
+// controllers.
+func (s *simulation) replayHeartbeatsToNextLeader() (end func()) {
 	w := s.world
-	former, retained := w.Leader(), slices.Clone(w.RetainedHeartbeats)
-	var wait func()
-	wait = func() {
-		if leader := w.Leader(); leader == nil || leader == former {
-			s.planIn(second/2, wait)
+	formerLeader, retained := w.Leader(), slices.Clone(w.RetainedHeartbeats)
+	var replayWhenElected func()
+	replayWhenElected = func() {
+		if leader := w.Leader(); leader == nil || leader == formerLeader {
+			s.scheduleAfter(second/2, replayWhenElected)
 			return
 		}
 		for _, c := range w.Controllers {
-			for _, heartbeat := range retained[max(0, len(retained)-replayedAtTakeover):] {
+			for _, heartbeat := range retained[max(0, len(retained)-heartbeatReplaysAfterFailover):] {
 				w.ReplayHeartbeat(c, heartbeat)
 			}
 		}
 	}
-	s.planIn(second/2, wait)
+	s.scheduleAfter(second/2, replayWhenElected)
 	return noEnd
 }
 
-// replayHeartbeats replays heartbeats at random times to random members.
+// replayHeartbeats replays retained heartbeats at random times to random controllers.
 func (s *simulation) replayHeartbeats() (end func()) {
 	w, active := s.world, true
-	for range replayedHeartbeats {
-		s.planIn(s.randomUpTo(40*second), func() {
+	for range heartbeatReplays {
+		s.scheduleAfter(s.randomDuration(40*second), func() {
 			if active && len(w.RetainedHeartbeats) > 0 {
 				c := s.randomController()
 				w.ReplayHeartbeat(c, w.RetainedHeartbeats[s.random.IntN(len(w.RetainedHeartbeats))])
@@ -85,7 +89,7 @@
 	return func() { active = false }
 }
 
-// disturbCommands has direct commands or their answers delayed or lost.
+// disturbCommands randomly delays or drops direct commands, or loses the answers to them.
 func (s *simulation) disturbCommands() (end func()) {
 	deliveries := [...]fake.Delivery{fake.Delivered, fake.Delayed, fake.AnswerLost, fake.Dropped}
 	s.world.NextDelivery = func() fake.Delivery { return deliveries[s.random.IntN(len(deliveries))] }
@@ -95,11 +99,11 @@
 	}
 }
 
-// repeatCommands repeats direct commands that were carried out within the last three leases.
+// repeatCommands delivers direct commands again that workers have received within the last three worker leases.
 func (s *simulation) repeatCommands() (end func()) {
 	w := s.world
-	for range repeatedCommands {
-		s.planIn(s.randomUpTo(20*second), func() {
+	for range commandRepeats {
+		s.scheduleAfter(s.randomDuration(20*second), func() {
 			if len(w.RepeatableCommands) == 0 {
 				return
 			}
@@ -112,10 +116,10 @@
 	return noEnd
 }
 
-// cancelJobs cancels random jobs.
+// cancelJobs cancels up to eleven random jobs within twelve seconds.
 func (s *simulation) cancelJobs() (end func()) {
 	for range 4 + s.random.IntN(8) {
-		s.planIn(s.randomUpTo(12*second), func() {
+		s.scheduleAfter(s.randomDuration(12*second), func() {
 			if len(s.jobs) == 0 {
 				return
 			}
@@ -128,8 +132,8 @@
 	return noEnd
 }
 
-// startCancellingAtEnd has half of the jobs cancelled as their last task ends.
+// startCancellingAtEnd begins to cancel half of the jobs whose last task completes.
 func (s *simulation) startCancellingAtEnd() (end func()) {
-	s.cancelAtEnd = shareCancelledAtEnd
-	return func() { s.cancelAtEnd = 0 }
+	s.completedCancelShare = completedCancelShareDuringFault
+	return func() { s.completedCancelShare = 0 }
 }
--- a/internal/clustersim/faults/starters_workers.go
+++ b/internal/clustersim/faults/starters_workers.go
@@ -2,14 +2,15 @@
 
 import "github.com/glentiller/glentiller/internal/fake"
 
-// maxHung is how many machines cancelAndHang has hang.
-const maxHung = 8
+// maxHungWorkers bounds the number of workers that cancelAndHang lets hang.
+const maxHungWorkers = 8
 
-// randomWorkers draws some machines, up to one in a number of them.
+// randomWorkers draws at least one worker and up to about one in oneIn of all workers. A worker may be drawn more than
+// once. It returns nil if there are no workers.
 func (s *simulation) randomWorkers(oneIn int) []*fake.Worker {
 	names := s.world.WorkerNames()
 	if len(names) == 0 {
-		return nil // all were released
+		return nil // all machines have been released
 	}
 	var workers []*fake.Worker
 	for range 1 + s.random.IntN(len(names)/oneIn+1) {
@@ -20,13 +21,13 @@
 	return workers
 }
 
-// faultAtWorkers gives a fault to up to a third of all machines.
-func (s *simulation) faultAtWorkers(set func(worker *fake.Worker, active bool)) (end func()) {
-	return faultAt(s.randomWorkers(3), set)
+// startRandomWorkersFault sets a fault at up to about a third of all workers and returns the function that clears it.
+func (s *simulation) startRandomWorkersFault(set func(worker *fake.Worker, active bool)) (end func()) {
+	return startWorkersFault(s.randomWorkers(3), set)
 }
 
-// faultAt gives a fault to machines.
-func faultAt(workers []*fake.Worker, set func(worker *fake.Worker, active bool)) (end func()) {
+// startWorkersFault sets a fault at the given workers and returns the function that clears it.
+func startWorkersFault(workers []*fake.Worker, set func(worker *fake.Worker, active bool)) (end func()) {
 	for _, worker := range workers {
 		set(worker, true)
 	}
@@ -42,11 +43,15 @@
 func setPartitioned(worker *fake.Worker, active bool)     { worker.Partitioned = active }
 func setHung(worker *fake.Worker, active bool)            { worker.Hung = active }
 
-func (s *simulation) blockInbound() (end func())     { return s.faultAtWorkers(setInboundBlocked) }
-func (s *simulation) blockOutbound() (end func())    { return s.faultAtWorkers(setOutboundBlocked) }
-func (s *simulation) partitionWorkers() (end func()) { return s.faultAtWorkers(setPartitioned) }
+func (s *simulation) blockInbound() (end func()) { return s.startRandomWorkersFault(setInboundBlocked) }
+func (s *simulation) blockOutbound() (end func()) {
+	return s.startRandomWorkersFault(setOutboundBlocked)
+}
+func (s *simulation) partitionWorkers() (end func()) {
+	return s.startRandomWorkersFault(setPartitioned)
+}
 
-// blockHalfZone blocks the inbound or the outbound messages of about half of a zone's machines.
+// blockHalfZone blocks the inbound or the outbound messages of about half of the workers in a random zone.
 func (s *simulation) blockHalfZone() (end func()) {
 	w := s.world
 	set := setInboundBlocked
@@ -60,18 +65,18 @@
 			workers = append(workers, worker)
 		}
 	}
-	return faultAt(workers, set)
+	return startWorkersFault(workers, set)
 }
 
 func (s *simulation) hangWorkers() (end func()) {
-	endHang := s.faultAtWorkers(setHung)
+	endHang := s.startRandomWorkersFault(setHung)
 	return func() {
 		endHang()
 		s.world.DeliverHeldCommands()
 	}
 }
 
-// cancelAndHang cancels jobs at the moment at which the machines with their tasks hang.
+// cancelAndHang cancels random jobs, and lets workers that run their tasks hang at the same moment.
 func (s *simulation) cancelAndHang() (end func()) {
 	w := s.world
 	var hung []*fake.Worker
@@ -85,7 +90,7 @@
 		}
 		s.cancel(c, j)
 		for _, name := range w.WorkerNames() {
-			if worker := w.Workers[name]; worker.CountTasks(j.spec.ID) > 0 && len(hung) < maxHung {
+			if worker := w.Workers[name]; worker.CountTasks(j.spec.ID) > 0 && len(hung) < maxHungWorkers {
 				worker.Hung = true
 				hung = append(hung, worker)
 			}
@@ -106,9 +111,9 @@
 	return noEnd
 }
 
-// bootFast has machines boot within two seconds.
-func (s *simulation) bootFast() (end func()) {
-	former := s.world.BootTime
-	s.world.BootTime = s.randomUpTo(2 * second)
-	return func() { s.world.BootTime = former }
+// shortenBootTime lets new machines boot within two seconds.
+func (s *simulation) shortenBootTime() (end func()) {
+	originalBootTime := s.world.BootTime
+	s.world.BootTime = s.randomDuration(2 * second)
+	return func() { s.world.BootTime = originalBootTime }
 }
--- a/internal/clustersim/faults/world.go
+++ b/internal/clustersim/faults/world.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	machineType    = "eight"
-	machineCPUs    = 8
-	machineMemory  = 64 // GB
-	bootTime       = 20 * second
-	outageVotes    = 10 * second
-	starvation     = 240 * second
-	retainedCopies = 40 // heartbeats that the network keeps, for each machine
+	machineType                  = "eight"
+	machineCPUs                  = 8
+	machineMemoryGB              = 64
+	bootTime                     = 20 * second
+	outageVoteDuration           = 10 * second
+	starvationBound              = 240 * second
+	retainedHeartbeatsPerMachine = 40 // heartbeats that the network keeps for replays
 )
 
-// newWorld is a deployment of some members with two zones and two teams. The team red may use three quarters of the
-// machines, the team blue has no quota; each is guaranteed a quarter.
-func newWorld(members, machines int) *fake.World {
+// newWorld starts a deployment with the given numbers of controllers and machines, two zones and two teams. Each team
+// is guaranteed a quarter of the initial CPUs. Team red has a quota of three quarters of them; team blue has no quota.
+// The cloud can provide a quarter more machines than there are at the start.
+func newWorld(controllers, machines int) *fake.World {
 	platform := &config.Platform{Member: "tiller-0"}
 	deployment := &platform.Deployment
 	deployment.Zones = []string{"a", "b"}
@@ -30,8 +31,8 @@
 	workers.Heartbeat, workers.Lease, workers.GangWait, workers.GangPeer, workers.Cancel = 2.5, 14, 35, 5, 34
 	deployment.State.ValueKB, deployment.State.TxnOps, deployment.Cloud.ListLag = 8, 12, 6
 	operator := config.Defaults()
-	operator.Scheduler.StarvationBound = config.Duration(starvation)
-	operator.Votes = &config.Votes{Outage: config.Duration(outageVotes)}
+	operator.Scheduler.StarvationBound = config.Duration(starvationBound)
+	operator.Votes = &config.Votes{Outage: config.Duration(outageVoteDuration)}
 	settings := config.ReconcilerSettings(platform, operator)
 	cpus := machineCPUs * float64(machines)
 	guarantee := model.Resources{CPU: cpus / 4}
@@ -41,12 +42,12 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	electionSettings := config.ElectionSettings(platform, operator)
-	w := fake.NewWorld(members, settings, electionSettings, config.StoreLimits(platform), log)
+	w := fake.NewWorld(controllers, settings, electionSettings, config.StoreLimits(platform), log)
 	w.Tick, w.FetchTime, w.BootTime = tick, second, bootTime
-	w.Capacity, w.MaxRetainedHeartbeats = machines*5/4, retainedCopies*machines
+	w.Capacity, w.MaxRetainedHeartbeats = machines*5/4, retainedHeartbeatsPerMachine*machines
 	w.Types = []model.MachineType{{
 		Name:             machineType,
-		Capacity:         model.Resources{CPU: machineCPUs, MemGB: machineMemory},
+		Capacity:         model.Resources{CPU: machineCPUs, MemGB: machineMemoryGB},
 		PricePerHour:     1,
 		SpotPricePerHour: 0.3,
 		BootTime:         bootTime,
