--- a/internal/clustersim/ledgersim/audit.go
+++ b/internal/clustersim/ledgersim/audit.go
@@ -9,102 +9,103 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Keys of the state service that the audit looks at.
+// Prefixes of the state service keys that the audit observes.
 const (
 	ledgerPrefix  = "use/"
 	accountPrefix = "use/o/"
 	jobEndPrefix  = "job/e/"
 )
 
-// millisPerUnit converts a demand into thousandths.
-const millisPerUnit = 1000
+// milliUnitsPerUnit converts a demand into thousandths of a CPU, a GPU or a GB.
+const milliUnitsPerUnit = 1000
 
-// attemptTokenShift is where the fencing token of its launch begins in an attempt's number.
+// attemptTokenShift is the position of the lowest bit of the fencing token in an attempt's number.
 const attemptTokenShift = 24
 
-// Amount is a usage: CPU-, GPU- and GB-microseconds.
-type Amount struct{ CPU, GPU, Mem uint64 }
+// ResourceTime is an amount of usage in CPU-, GPU- and GB-microseconds.
+type ResourceTime struct{ CPU, GPU, Mem uint64 }
 
-// add adds another usage.
-func (a *Amount) add(other Amount) {
-	a.CPU += other.CPU
-	a.GPU += other.GPU
-	a.Mem += other.Mem
+// add adds another amount to r.
+func (r *ResourceTime) add(other ResourceTime) {
+	r.CPU += other.CPU
+	r.GPU += other.GPU
+	r.Mem += other.Mem
 }
 
-// audit computes independently what must be in the ledger. It follows the definition of run time in docs/ledger.md
-// and shares no code with package ledger: it observes which heartbeats a leader accepts and what they show, when a
-// leader's settlement leaves for the state service, and when that commits it. It never reads an amount in one.
+// audit independently computes the usage that the ledger must contain. It follows the definition of run time in
+// docs/ledger.md and shares no code with package ledger. It observes the heartbeats that leaders accept, when a leader
+// sends a settlement, and when the state service commits the settlement. It never reads the amounts in a settlement.
 type audit struct {
 	world           *fake.World
-	leaders         map[uint64]*leaderView // by fencing token
-	inFlight        map[settlement]Amount  // sent, not committed yet
+	leaders         map[uint64]*leaderView      // by fencing token
+	inFlight        map[settlement]ResourceTime // usage covered by settlements that were sent but not committed
 	sent            map[settlement]bool
-	settledByTeam   map[string]Amount // what must be in the ledger
-	endRevisions    map[string]uint64 // of the state service, when a job's end was committed
-	settlementCount int               // committed ones
-	ledgerWrites    int               // operations on the ledger's records
+	committedByTeam map[string]ResourceTime // usage that the ledger must contain
+	endRevisions    map[string]uint64       // by job: the revision of the state service at which its end was committed
+	settlementCount int                     // committed settlements
+	ledgerWrites    int                     // committed operations on the records of the ledger
 }
 
-// leaderView is what one leader has learned from workers.
+// leaderView is the information that one leader has received from workers.
 type leaderView struct {
-	machines map[string]*observation // the latest of each machine
-	pending  map[string]Amount       // by team, since its last settlement
+	machines map[string]*observation // the latest observation of each machine
+	pending  map[string]ResourceTime // by team: usage since the last settlement that the leader has sent
 }
 
-// observation is a heartbeat that a leader has accepted.
+// observation is the content of a heartbeat that a leader has accepted.
 type observation struct {
 	epoch, seq uint64
 	receivedAt time.Time
-	running    map[model.AttemptKey]bool
+	running    map[model.AttemptKey]bool // attempts that run and whose run time counts
 }
 
-// precedes reports whether a heartbeat was sent before the observed one, or is a duplicate of it.
-func (o *observation) precedes(heartbeat *model.Heartbeat) bool {
+// supersedes reports whether a heartbeat was sent before the observed one or is a duplicate of it.
+func (o *observation) supersedes(heartbeat *model.Heartbeat) bool {
 	return heartbeat.Epoch < o.epoch || heartbeat.Epoch == o.epoch && heartbeat.Seq <= o.seq
 }
 
-// shows reports whether the observation shows an attempt running in an epoch.
+// shows reports whether the observation shows an attempt as running in an epoch of the worker. A nil observation shows
+// no attempt.
 func (o *observation) shows(epoch uint64, attempt model.AttemptKey) bool {
 	return o != nil && o.epoch == epoch && o.running[attempt]
 }
 
-// settlement identifies a settlement of a team.
+// settlement identifies a settlement: the count-th one of the team's account, made by the leader with the token.
 type settlement struct {
 	team         string
 	token, count uint64
 }
 
-// newAudit returns the audit of a deployment, which it observes from now on.
+// newAudit returns an audit that observes a deployment from now on.
 func newAudit(w *fake.World) *audit {
 	a := &audit{
-		world:         w,
-		leaders:       map[uint64]*leaderView{},
-		inFlight:      map[settlement]Amount{},
-		sent:          map[settlement]bool{},
-		settledByTeam: map[string]Amount{},
-		endRevisions:  map[string]uint64{},
+		world:           w,
+		leaders:         map[uint64]*leaderView{},
+		inFlight:        map[settlement]ResourceTime{},
+		sent:            map[settlement]bool{},
+		committedByTeam: map[string]ResourceTime{},
+		endRevisions:    map[string]uint64{},
 	}
-	w.Observer, w.State.OnCommit = a, a.committed
+	w.Observer, w.State.OnCommit = a, a.transactionCommitted
 	return a
 }
 
-// leader returns the view of the leader with a fencing token.
-func (a *audit) leader(token uint64) *leaderView {
-	l := a.leaders[token]
-	if l == nil {
-		l = &leaderView{machines: map[string]*observation{}, pending: map[string]Amount{}}
-		a.leaders[token] = l
+// leaderView returns the view of the leader with a fencing token. It creates the view if there is none.
+func (a *audit) leaderView(token uint64) *leaderView {
+	view := a.leaders[token]
+	if view == nil {
+		view = &leaderView{machines: map[string]*observation{}, pending: map[string]ResourceTime{}}
+		a.leaders[token] = view
 	}
-	return l
+	return view
 }
 
-// HeartbeatAccepted records that a leader accepts a heartbeat. An attempt that the one before showed running, and
-// this one still shows, has run in between.
+// HeartbeatAccepted records a heartbeat that a leader has accepted. An attempt that ran in the previous heartbeat and
+// is still listed in this one is charged for the time between the two.
 func (a *audit) HeartbeatAccepted(c *fake.Controller, token uint64, heartbeat *model.Heartbeat) {
-	l := a.leader(token)
-	last := l.machines[heartbeat.Machine]
-	if last != nil && last.precedes(heartbeat) {
+	view := a.leaderView(token)
+	last := view.machines[heartbeat.Machine]
+	if last != nil && last.supersedes(heartbeat) {
 		return
 	}
 	next := &observation{
@@ -119,20 +120,21 @@
 		ranBefore := last.shows(heartbeat.Epoch, attempt)
 		if ranBefore {
 			spec := a.world.Specs[t.Task.Job]
-			usage := l.pending[spec.Team]
+			usage := view.pending[spec.Team]
 			usage.add(usageOver(spec.Demand, next.receivedAt.Sub(last.receivedAt)))
-			l.pending[spec.Team] = usage
+			view.pending[spec.Team] = usage
 		}
 		running := t.Phase == model.PhaseRunning || t.Phase == model.PhaseCheckpointing
 		if running && (ranBefore || a.countsFrom(c, token, attempt)) {
 			next.running[attempt] = true
 		}
 	}
-	l.machines[heartbeat.Machine] = next
+	view.machines[heartbeat.Machine] = next
 }
 
-// countsFrom reports whether the run time of an attempt that a leader sees for the first time counts from now on.
-// Of a job whose end a leader has read before, it knows neither team nor demand, unless it launched the attempt.
+// countsFrom reports whether the run time of an attempt counts from the first heartbeat in which a leader sees the
+// attempt running. It does not count if the leader had already read the end of the job, because the leader then knows
+// neither the team nor the demand of the job. It always counts for attempts that the leader itself launched.
 func (a *audit) countsFrom(c *fake.Controller, token uint64, attempt model.AttemptKey) bool {
 	end, ended := a.endRevisions[attempt.Task.Job]
 	return launchToken(attempt.Number) == token || !ended || end > c.ReadRevision
@@ -141,17 +143,17 @@
 // launchToken returns the fencing token under which an attempt was launched.
 func launchToken(attempt uint64) uint64 { return attempt >> attemptTokenShift }
 
-// usageOver returns the usage of a demand over a duration.
-func usageOver(demand model.Resources, d time.Duration) Amount {
-	of := func(v float64) uint64 { return uint64(math.Round(v*millisPerUnit)) * uint64(d.Milliseconds()) }
-	return Amount{CPU: of(demand.CPU), GPU: of(demand.GPU), Mem: of(demand.MemGB)}
+// usageOver returns the usage that results from a demand over a duration.
+func usageOver(demand model.Resources, d time.Duration) ResourceTime {
+	microseconds := func(v float64) uint64 { return uint64(math.Round(v*milliUnitsPerUnit)) * uint64(d.Milliseconds()) }
+	return ResourceTime{CPU: microseconds(demand.CPU), GPU: microseconds(demand.GPU), Mem: microseconds(demand.MemGB)}
 }
 
-// settlements returns the settlements among the operations of a transaction.
-func settlements(ops []fake.Operation) (found []settlement) {
-	for _, op := range ops {
-		record, ok := op.Value.(map[string]any)
-		if !ok || !strings.HasPrefix(op.Write, accountPrefix) {
+// settlements returns the settlements that a transaction contains.
+func settlements(operations []fake.Operation) (found []settlement) {
+	for _, operation := range operations {
+		record, ok := operation.Value.(map[string]any)
+		if !ok || !strings.HasPrefix(operation.Write, accountPrefix) {
 			continue
 		}
 		team, _ := record["team"].(string)
@@ -164,36 +166,36 @@
 	return found
 }
 
-// TransactionSent records that a transaction leaves a controller. A settlement that is sent for the first time
-// covers all that its leader has learned by now.
-func (a *audit) TransactionSent(ops []fake.Operation) {
-	for _, s := range settlements(ops) {
+// TransactionSent records that a controller has sent a transaction. A settlement that is sent for the first time covers
+// all usage that its leader has observed and not settled before.
+func (a *audit) TransactionSent(operations []fake.Operation) {
+	for _, s := range settlements(operations) {
 		if a.sent[s] {
 			continue
 		}
 		a.sent[s] = true
-		if l := a.leaders[s.token]; l != nil {
-			a.inFlight[s] = l.pending[s.team]
-			delete(l.pending, s.team)
+		if view := a.leaders[s.token]; view != nil {
+			a.inFlight[s] = view.pending[s.team]
+			delete(view.pending, s.team)
 		}
 	}
 }
 
-// committed records that the state service commits a transaction: what its settlements cover must be in the ledger
-// from now on.
-func (a *audit) committed(ops []fake.Operation) {
-	for _, s := range settlements(ops) {
-		total := a.settledByTeam[s.team]
+// transactionCommitted records that the state service has committed a transaction. From then on, the ledger must
+// contain the usage that the settlements in it cover.
+func (a *audit) transactionCommitted(operations []fake.Operation) {
+	for _, s := range settlements(operations) {
+		total := a.committedByTeam[s.team]
 		total.add(a.inFlight[s])
-		a.settledByTeam[s.team] = total
+		a.committedByTeam[s.team] = total
 		delete(a.inFlight, s)
 		a.settlementCount++
 	}
-	for _, op := range ops {
-		if strings.HasPrefix(op.Write, ledgerPrefix) || strings.HasPrefix(op.Remove, ledgerPrefix) {
+	for _, operation := range operations {
+		if strings.HasPrefix(operation.Write, ledgerPrefix) || strings.HasPrefix(operation.Remove, ledgerPrefix) {
 			a.ledgerWrites++
 		}
-		if id, ok := strings.CutPrefix(op.Write, jobEndPrefix); ok {
+		if id, ok := strings.CutPrefix(operation.Write, jobEndPrefix); ok {
 			a.endRevisions[id] = a.world.State.Revision()
 		}
 	}
--- a/internal/clustersim/ledgersim/compare.go
+++ b/internal/clustersim/ledgersim/compare.go
@@ -10,43 +10,45 @@
 )
 
 const (
-	unlimited        = 1e9 // requests a second
+	unlimitedRate    = 1e9 // requests per second, so that the rate limits of the client never apply
 	storeTimeout     = time.Second
 	segmentsPerRead  = 50
 	intervalsPerRead = 1000
 )
 
-// compare reads the ledger as any controller does, and compares it with the audit.
+// compare reads the ledger through the same client as a controller, compares it with the audit, and completes the
+// result.
 func (s *simulation) compare() {
-	r, ctx := s.result, context.Background()
+	result, ctx := s.result, context.Background()
 	client := store.NewOver(s.world.State, s.world.State, storeTimeout)
-	client.SetRateLimits(unlimited, unlimited)
-	r.Failovers, r.Settlements = len(s.audit.leaders)-1, s.audit.settlementCount
+	client.SetRateLimits(unlimitedRate, unlimitedRate)
+	result.Failovers, result.Settlements = len(s.audit.leaders)-1, s.audit.settlementCount
 	elapsed := s.world.Now().Sub(s.start)
-	r.WriteShare = float64(s.audit.ledgerWrites) / (s.platform.Deployment.State.WriteRPS * elapsed.Seconds())
+	result.WriteShare = float64(s.audit.ledgerWrites) / (s.platform.Deployment.State.WriteRPS * elapsed.Seconds())
 	if err := s.compareAccounts(ctx, client); err != nil {
-		s.violateRead(err)
+		s.recordReadError(err)
 		return
 	}
 	intervals, _, err := client.Intervals(ctx, 0, intervalsPerRead)
 	if err != nil {
-		s.violateRead(err)
+		s.recordReadError(err)
 	}
-	r.UnaccountedIntervals = len(intervals)
+	result.UnaccountedIntervals = len(intervals)
 	if len(s.world.Violations) > 0 {
-		r.Violation = s.world.Violations[0]
+		result.Violation = s.world.Violations[0]
 	}
 	if len(s.world.RejectedKeys) > 0 {
-		r.Violation = "the state service rejected " + s.world.RejectedKeys[0]
+		result.Violation = "the state service rejected the record " + s.world.RejectedKeys[0]
 	}
 }
 
-// violateRead records that the ledger cannot be read.
-func (s *simulation) violateRead(err error) {
-	s.result.Violation = "the ledger cannot be read: " + err.Error()
+// recordReadError records a failed read of the ledger as a violation.
+func (s *simulation) recordReadError(err error) {
+	s.result.Violation = "failed to read the ledger: " + err.Error()
 }
 
-// compareAccounts compares the teams' accounts, and the teams that have none.
+// compareAccounts compares the account of each team with the audit. A team without an account has no usage in the
+// ledger.
 func (s *simulation) compareAccounts(ctx context.Context, client *store.Client) error {
 	accounts, err := client.Accounts(ctx)
 	if err != nil {
@@ -56,7 +58,7 @@
 	for _, account := range accounts {
 		open := &account.Open
 		recorded[open.Team] = true
-		closed, err := s.readClosed(ctx, client, open)
+		closed, err := s.readClosedSegments(ctx, client, open)
 		if err != nil {
 			return err
 		}
@@ -65,15 +67,16 @@
 		s.compareTeam(open.Team, usage)
 	}
 	for _, team := range teams {
-		if !recorded[team.Name] && s.audit.settledByTeam[team.Name] != (Amount{}) {
+		if !recorded[team.Name] && s.audit.committedByTeam[team.Name] != (ResourceTime{}) {
 			s.compareTeam(team.Name, ledger.Usage{})
 		}
 	}
 	return nil
 }
 
-// readClosed returns the usage in a team's closed segments, and verifies the hash chain up to the open one.
-func (s *simulation) readClosed(
+// readClosedSegments returns the usage in a team's closed segments. It also verifies the hash chain of the segments,
+// including the open one.
+func (s *simulation) readClosedSegments(
 	ctx context.Context, client *store.Client, open *ledger.OpenSegment,
 ) (usage ledger.Usage, err error) {
 	seal := ledger.NewSeal(nil)
@@ -91,26 +94,26 @@
 			s.result.Segments++
 			s.result.SegmentsFolded += int(segment.Last - segment.First)
 			last, link, err = seal.Verify([]ledger.Segment{segment.Segment}, last, link)
-			s.verified(open.Team, err)
+			s.recordVerification(open.Team, err)
 		}
 	}
-	s.verified(open.Team, open.VerifyOpen(last, link))
+	s.recordVerification(open.Team, open.VerifyOpen(last, link))
 	return usage, nil
 }
 
-// verified records the violation if a team's hash chain does not hold.
-func (s *simulation) verified(team string, err error) {
+// recordVerification records a violation if err, the result of verifying a team's hash chain, is not nil.
+func (s *simulation) recordVerification(team string, err error) {
 	if err != nil {
-		s.result.Violation = fmt.Sprintf("%s: %v", team, err)
+		s.result.Violation = fmt.Sprintf("hash chain of team %s: %v", team, err)
 	}
 }
 
-// compareTeam compares one team's usage in the ledger with the audit's.
+// compareTeam adds a team's usage in the ledger and in the audit to the result.
 func (s *simulation) compareTeam(name string, recorded ledger.Usage) {
-	audited := s.audit.settledByTeam[name]
+	audited := s.audit.committedByTeam[name]
 	s.result.addTeam(Team{
 		Team: name,
-		Amounts: Amounts{
+		Comparison: Comparison{
 			LedgerCPU:  recorded.CPU,
 			RuntimeCPU: audited.CPU,
 			LedgerGPU:  recorded.GPU,
--- a/internal/clustersim/ledgersim/deployment.go
+++ b/internal/clustersim/ledgersim/deployment.go
@@ -10,8 +10,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// The pace of the stand-ins. Heartbeats are rarer and leases longer than in the deployments, so that a week
-// takes less than a minute.
+// The timing of the simulated deployment. Heartbeats are less frequent and leases longer than in real deployments, so
+// that simulating a week takes less than a minute.
 const (
 	tick             = time.Second
 	heartbeatSeconds = 15.0
@@ -25,27 +25,28 @@
 	bootTime     = 30 * time.Second
 	fetchTime    = 5 * time.Second
 
-	controllers = 3
+	controllerCount = 3
 )
 
-// The ledger's settings: segments fold while the simulation runs.
+// The ledger settings. The retention is short, so that segments are folded during a simulation of several days.
 const (
 	settleInterval = 30 * time.Second
 	hourRetention  = 30 * time.Hour
 	dayRetention   = 80 * time.Hour
 )
 
-// The smallest limits of the state service and the cloud that any deployment has.
+// The limits of the state service and the cloud. They are the strictest ones of all supported deployments.
 const (
-	stateRequestsPerSecond = 150
-	stateWritesPerSecond   = 42
-	stateValueKB           = 2
-	stateOperations        = 4 // in one transaction
-	cloudListLagSeconds    = 5
-	bytesPerKB             = 1024
+	stateRequestsPerSecond        = 150
+	stateWritesPerSecond          = 42
+	stateValueKB                  = 2
+	stateOperationsPerTransaction = 4
+	cloudListLagSeconds           = 5
+	bytesPerKB                    = 1024
 )
 
-// teams of the deployment: three with a guarantee, one without, and one with GPUs.
+// teams are the teams of the deployment: three with guaranteed CPUs, one without a guarantee, and one with guaranteed
+// CPUs and GPUs.
 var teams = []model.Team{
 	{Name: "grading", Guarantee: model.Resources{CPU: 64}, Quota: model.NewQuota(160, 0)},
 	{Name: "content", Guarantee: model.Resources{CPU: 48}, Quota: model.NewQuota(128, 0)},
@@ -54,7 +55,7 @@
 	{Name: "vision", Guarantee: model.Resources{CPU: 32, GPU: 8}, Quota: model.NewQuota(128, 16)},
 }
 
-// newPlatform returns the platform's settings.
+// newPlatform returns the platform settings of the deployment.
 func newPlatform() *config.Platform {
 	p := &config.Platform{Member: "tiller-0"}
 	d := &p.Deployment
@@ -67,12 +68,12 @@
 	d.State.RPS = stateRequestsPerSecond
 	d.State.WriteRPS = stateWritesPerSecond
 	d.State.ValueKB = stateValueKB
-	d.State.TxnOps = stateOperations
+	d.State.TxnOps = stateOperationsPerTransaction
 	d.Cloud.ListLag = cloudListLagSeconds
 	return p
 }
 
-// newOperator returns the operators' settings.
+// newOperator returns the operator settings of the deployment.
 func newOperator() *config.Operator {
 	o := config.Defaults()
 	o.Leadership.Lease = config.Duration(leaderLease)
@@ -85,15 +86,15 @@
 	return o
 }
 
-// newWorld starts the deployment on stand-ins.
+// newWorld starts the deployment in the in-memory environment.
 func newWorld(p *config.Platform) *fake.World {
 	o := newOperator()
 	settings := config.ReconcilerSettings(p, o)
 	settings.Teams = teams
-	silent := slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError + 1}))
-	w := fake.NewWorld(controllers, settings, config.ElectionSettings(p, o), config.StoreLimits(p), silent)
+	discardLog := slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError + 1}))
+	w := fake.NewWorld(controllerCount, settings, config.ElectionSettings(p, o), config.StoreLimits(p), discardLog)
 	w.Tick, w.BootTime, w.FetchTime = tick, bootTime, fetchTime
-	w.State.MaxValueBytes, w.State.MaxOps = stateValueKB*bytesPerKB, stateOperations
+	w.State.MaxValueBytes, w.State.MaxOps = stateValueKB*bytesPerKB, stateOperationsPerTransaction
 	w.Types = []model.MachineType{
 		{
 			Name:             "eight",
--- a/internal/clustersim/ledgersim/faults.go
+++ b/internal/clustersim/ledgersim/faults.go
@@ -9,46 +9,49 @@
 	"github.com/glentiller/glentiller/internal/rpc"
 )
 
-// What goes wrong on a day.
+// The frequency of faults.
 const (
 	crashesPerDay    = 3
 	outagesPerDay    = 2
 	clockJumpsPerDay = 3
 
-	withoutLedgerEvery = 3 // days
-	withoutLedgerDay   = 2 // the first of them
+	// A controller without a ledger leads once in withoutLedgerPeriodDays, beginning on day withoutLedgerFirstDay. Days
+	// count from 0.
+	withoutLedgerPeriodDays = 3
+	withoutLedgerFirstDay   = 2
 
-	transactionFaultOneIn = 120 // transactions is late, and as many lose their answer
+	// One in transactionFaultOdds transactions is delayed, and one in as many loses its answer.
+	transactionFaultOdds = 120
 )
 
-// planFaults plans the faults of the day with a number.
-func (s *simulation) planFaults(date time.Time, number int) {
+// scheduleFaults schedules the faults of a day. dayIndex counts the days from 0.
+func (s *simulation) scheduleFaults(date time.Time, dayIndex int) {
 	for range crashesPerDay {
-		s.planOn(date, func() { s.crash(s.world.Leader()) })
+		s.scheduleOnDay(date, func() { s.crash(s.world.Leader()) })
 	}
-	s.planOn(date, s.crashAll)
+	s.scheduleOnDay(date, s.crashAll)
 	for range outagesPerDay {
-		s.planOn(date, s.outage)
+		s.scheduleOnDay(date, s.outage)
 	}
-	s.planOn(date, s.partitionWorker)
+	s.scheduleOnDay(date, s.partitionWorker)
 	for range clockJumpsPerDay {
-		s.planOn(date, s.skewClocks)
+		s.scheduleOnDay(date, s.skewClocks)
 	}
-	if number%withoutLedgerEvery == withoutLedgerDay {
-		s.planOn(date, s.leadWithoutLedger)
+	if dayIndex%withoutLedgerPeriodDays == withoutLedgerFirstDay {
+		s.scheduleOnDay(date, s.leadWithoutLedger)
 	}
 }
 
-// crash crashes a controller, which restarts later.
+// crash crashes a controller and schedules its restart. It ignores nil and a controller that is down.
 func (s *simulation) crash(c *fake.Controller) {
 	if c == nil || !c.Up {
 		return
 	}
 	c.Crash()
-	s.planIn(s.randomDuration(5*time.Second, 3*time.Minute), c.Start)
+	s.scheduleAfter(s.randomDuration(5*time.Second, 3*time.Minute), c.Start)
 }
 
-// crashAll crashes all controllers at once, some of them while a transaction is on its way.
+// crashAll crashes all controllers at once, possibly while some of their transactions are in transit.
 func (s *simulation) crashAll() {
 	s.result.FullRestarts++
 	for _, c := range s.world.Controllers {
@@ -56,14 +59,15 @@
 	}
 }
 
-// outage takes the state service down for a while.
+// outage takes the state service down for 5 seconds to 4 minutes.
 func (s *simulation) outage() {
 	s.result.Outages++
 	s.world.State.SetDown(true)
-	s.planIn(s.randomDuration(5*time.Second, 4*time.Minute), func() { s.world.State.SetDown(false) })
+	s.scheduleAfter(s.randomDuration(5*time.Second, 4*time.Minute), func() { s.world.State.SetDown(false) })
 }
 
-// partitionWorker partitions a worker for long enough to lose its lease, or for less.
+// partitionWorker partitions a worker from all controllers. The partition may or may not last until the worker's lease
+// expires.
 func (s *simulation) partitionWorker() {
 	names := s.world.WorkerNames()
 	if len(names) == 0 {
@@ -71,72 +75,73 @@
 	}
 	worker := s.world.Workers[names[0]]
 	worker.Partitioned = true
-	s.planIn(s.randomDuration(20*time.Second, 5*time.Minute), func() { worker.Partitioned = false })
+	s.scheduleAfter(s.randomDuration(20*time.Second, 5*time.Minute), func() { worker.Partitioned = false })
 }
 
-// skewClocks sets the time of day of one controller, or of all, wrong by hours.
+// skewClocks sets the wall clock of one controller, or of all controllers, wrong by up to 9 hours.
 func (s *simulation) skewClocks() {
 	s.result.ClockJumps++
 	offset := s.randomDuration(-9*time.Hour, 9*time.Hour)
-	only := s.rand.IntN(2 * len(s.world.Controllers)) // all if there is no controller of this number
+	skewedIndex := s.eventRand.IntN(2 * len(s.world.Controllers)) // beyond the last controller: skew all clocks
 	for i, c := range s.world.Controllers {
-		if i == only || only >= len(s.world.Controllers) {
+		if i == skewedIndex || skewedIndex >= len(s.world.Controllers) {
 			c.ClockOffset = offset
 		}
 	}
-	s.planIn(s.randomDuration(10*time.Minute, 10*time.Hour), func() {
+	s.scheduleAfter(s.randomDuration(10*time.Minute, 10*time.Hour), func() {
 		for _, c := range s.world.Controllers {
 			c.ClockOffset = 0
 		}
 	})
 }
 
-// leadWithoutLedger has a controller of a version without a ledger lead for a while.
+// leadWithoutLedger lets a controller lead for a while that runs a version without a ledger. The other controllers are
+// down meanwhile.
 func (s *simulation) leadWithoutLedger() {
 	for _, c := range s.world.Controllers {
 		c.Crash()
 	}
 	s.result.LeadersWithoutLedger++
-	old := s.world.Controllers[0]
-	old.WithoutLedger = true
-	old.Start()
-	s.planIn(s.randomDuration(10*time.Minute, 2*time.Hour), func() {
-		old.Crash()
-		old.WithoutLedger = false
+	controller := s.world.Controllers[0]
+	controller.WithoutLedger = true
+	controller.Start()
+	s.scheduleAfter(s.randomDuration(10*time.Minute, 2*time.Hour), func() {
+		controller.Crash()
+		controller.WithoutLedger = false
 		for _, c := range s.world.Controllers {
 			c.Start()
 		}
 	})
 }
 
-// errAnswerLost is what a controller sees of a transaction whose answer does not arrive.
-var errAnswerLost = errors.New("no answer")
+// errAnswerLost is the error that a controller gets for a transaction whose answer does not arrive.
+var errAnswerLost = errors.New("no answer from the state service")
 
-// interceptCommit delays some transactions by minutes, and loses the answers to others.
+// interceptCommit delays some transactions by up to 5 minutes, and loses the answers to others.
 func (s *simulation) interceptCommit(_ *fake.Controller, body []byte) (bool, error) {
 	if s.faultsEnded || s.world.State.Down {
 		return false, nil
 	}
-	switch s.commitRand.IntN(transactionFaultOneIn) {
+	switch s.commitRand.IntN(transactionFaultOdds) {
 	case 0:
 		s.result.LateTransactions++
 		body = slices.Clone(body)
 		delay := s.randomDuration(time.Second, 5*time.Minute)
-		s.delayed.insert(s.world.Now().Add(delay), func() { s.commit(body) })
+		s.delayedCommits.insert(s.world.Now().Add(delay), func() { s.commitUnanswered(body) })
 		return true, errAnswerLost
 	case 1:
 		s.result.UnansweredTransactions++
-		s.commit(body)
+		s.commitUnanswered(body)
 		return true, errAnswerLost
 	}
 	return false, nil
 }
 
-// commit passes a transaction to the state service without an answer to its sender. The state service may refuse
-// it.
-func (s *simulation) commit(body []byte) {
+// commitUnanswered passes a transaction to the state service. The sender gets no answer, and the state service may
+// reject the transaction. Any other failure is a violation.
+func (s *simulation) commitUnanswered(body []byte) {
 	_, err := s.world.State.Call("POST", "/commit", body, time.Second)
 	if err != nil && rpc.StatusCode(err) == 0 {
-		s.result.Violation = "the state service stand-in: " + err.Error()
+		s.result.Violation = "simulated state service failed to process a transaction: " + err.Error()
 	}
 }
--- a/internal/clustersim/ledgersim/result.go
+++ b/internal/clustersim/ledgersim/result.go
@@ -1,7 +1,8 @@
 package ledgersim
 
-// Amounts are the usage in the ledger and in the audit, in CPU-, GPU- and GB-microseconds.
-type Amounts struct {
+// Comparison holds the usage in the ledger (the fields Ledger...) and the usage that the audit computed (the fields
+// Runtime...), in CPU-, GPU- and GB-microseconds. The JSON names are published.
+type Comparison struct {
 	LedgerCPU  uint64 `json:"ledger_cpu_us"`
 	RuntimeCPU uint64 `json:"runtime_cpu_us"`
 	LedgerGPU  uint64 `json:"ledger_gpu_us"`
@@ -10,22 +11,23 @@
 	RuntimeMem uint64 `json:"runtime_gb_us"`
 }
 
-// add adds another team's amounts.
-func (a *Amounts) add(other Amounts) {
-	a.LedgerCPU += other.LedgerCPU
-	a.RuntimeCPU += other.RuntimeCPU
-	a.LedgerGPU += other.LedgerGPU
-	a.RuntimeGPU += other.RuntimeGPU
-	a.LedgerMem += other.LedgerMem
-	a.RuntimeMem += other.RuntimeMem
+// add adds the amounts of another comparison to c.
+func (c *Comparison) add(other Comparison) {
+	c.LedgerCPU += other.LedgerCPU
+	c.RuntimeCPU += other.RuntimeCPU
+	c.LedgerGPU += other.LedgerGPU
+	c.RuntimeGPU += other.RuntimeGPU
+	c.LedgerMem += other.LedgerMem
+	c.RuntimeMem += other.RuntimeMem
 }
 
-// difference returns by how much the ledger is above and below the audit.
-func (a *Amounts) difference() (above, below uint64) {
+// difference returns the sum of the amounts by which the ledger exceeds the audit, and the sum of those by which it
+// falls short of the audit, in microseconds.
+func (c *Comparison) difference() (above, below uint64) {
 	for _, pair := range [][2]uint64{
-		{a.LedgerCPU, a.RuntimeCPU},
-		{a.LedgerGPU, a.RuntimeGPU},
-		{a.LedgerMem, a.RuntimeMem},
+		{c.LedgerCPU, c.RuntimeCPU},
+		{c.LedgerGPU, c.RuntimeGPU},
+		{c.LedgerMem, c.RuntimeMem},
 	} {
 		recorded, audited := pair[0], pair[1]
 		above += max(recorded, audited) - audited
@@ -34,24 +36,25 @@
 	return above, below
 }
 
-// Team compares one team's ledger with the audit.
+// Team compares the usage of one team in the ledger with the audit.
 type Team struct {
 	Team string `json:"team"`
-	Amounts
-	Starts uint64 `json:"starts"`
+	Comparison
+	Starts uint64 `json:"starts"` // task starts in the ledger
 }
 
-// Result is what a simulation found.
+// Result is the outcome of a simulation.
 type Result struct {
 	Days int    `json:"days"`
 	Seed uint64 `json:"seed"`
-	Amounts
+	Comparison
 	Teams []Team `json:"teams"`
 
-	Overcharged  uint64 `json:"charged_twice"` // microseconds by which any amount in the ledger is too large
-	Undercharged uint64 `json:"lost"`          // and too small
+	Overcharged  uint64 `json:"charged_twice"` // sum of all excess amounts in the ledger, in microseconds
+	Undercharged uint64 `json:"lost"`          // sum of all missing amounts in the ledger, in microseconds
 
-	// PhysicalCPU is the CPU time that tasks ran on the stand-in workers, reported or not, settled or not.
+	// PhysicalCPU is the CPU time of all tasks on the simulated workers in CPU-microseconds. It includes run time that
+	// no leader accepted a heartbeat for, or that was never settled.
 	PhysicalCPU uint64 `json:"physical_cpu_us"`
 
 	Jobs                   int     `json:"jobs"`
@@ -63,12 +66,12 @@
 	UnansweredTransactions int     `json:"unanswered_transactions"`
 	ClockJumps             int     `json:"clock_jumps"`
 	LeadersWithoutLedger   int     `json:"takeovers_without_ledger"`
-	UnaccountedIntervals   int     `json:"stretches_not_accounted"`
+	UnaccountedIntervals   int     `json:"stretches_not_accounted"` // times that no leader accounted for
 	Settlements            int     `json:"settlements"`
-	Segments               int     `json:"pages"`
-	SegmentsFolded         int     `json:"pages_folded"`
-	WriteShare             float64 `json:"share_of_changes_possible"` // of the state service's write rate, by the ledger
-	Violation              string  `json:"broken,omitempty"`          // any other invariant that does not hold
+	Segments               int     `json:"pages"`                     // closed segments in the ledger at the end
+	SegmentsFolded         int     `json:"pages_folded"`              // segments that were merged into another one
+	WriteShare             float64 `json:"share_of_changes_possible"` // used by the ledger, of the write rate limit
+	Violation              string  `json:"broken,omitempty"`          // violation of another invariant; empty if none
 }
 
 // Good reports whether the ledger agrees with the audit and no other invariant is violated.
@@ -77,7 +80,7 @@
 // addTeam adds a team's comparison.
 func (r *Result) addTeam(team Team) {
 	r.Teams = append(r.Teams, team)
-	r.Amounts.add(team.Amounts)
+	r.Comparison.add(team.Comparison)
 	above, below := team.difference()
 	r.Overcharged += above
 	r.Undercharged += below
--- a/internal/clustersim/ledgersim/simulation.go
+++ b/internal/clustersim/ledgersim/simulation.go
@@ -1,11 +1,11 @@
-// Package ledgersim tests the ledger against an independent audit. It simulates days of submissions in simulated
-// time on the in-memory stand-ins of package fake, while controllers crash, the state service has outages,
-// transactions are late or lose their answers, a controller without a ledger leads for a while and clocks jump.
-// Then it compares the ledger with the usage that the audit has recorded from the messages between workers and
+// Package ledgersim tests the ledger against an independent audit. It simulates days of job submissions in the
+// in-memory environment of package fake and in simulated time. Meanwhile controllers crash, the state service has
+// outages, transactions are delayed or lose their answers, a controller without a ledger leads for a while, and clocks
+// jump. At the end it compares the ledger with the usage that the audit computed from the messages between workers and
 // controllers.
 //
-// Run draws submissions and faults from a seed. The order of the controllers' effects within a moment is not
-// seeded, so that two simulations of one seed differ a little.
+// Run draws submissions and faults from a seed. The seed does not determine the order of the controllers' effects
+// within one tick, so two simulations with the same seed differ slightly.
 package ledgersim
 
 import (
@@ -19,44 +19,45 @@
 
 const day = 24 * time.Hour
 
-// Streams of the seed.
+// The streams of random numbers that are derived from the seed.
 const (
-	planStream   = 7
+	eventStream  = 7
 	commitStream = 8
 )
 
-// How long the simulation goes on without faults: first with the planned submissions, then with all jobs cancelled.
+// The simulated times after the faults, which let the controllers settle all usage.
 const (
-	recoveryTime     = 90 * time.Minute
-	planAfterFaults  = time.Hour
-	cancellationTime = 20 * time.Minute
+	recoveryTime             = 90 * time.Minute // from the end of the faults to the cancellation of all jobs
+	scheduledTimeAfterFaults = time.Hour        // for which scheduled actions are still performed
+	cancellationTime         = 20 * time.Minute // from the cancellation of all jobs to the comparison
 )
 
-// simulation is a deployment with submissions and faults.
+// simulation is the state of one simulation.
 type simulation struct {
-	world       *fake.World
-	platform    *config.Platform
-	start       time.Time
-	seed        uint64
-	rand        *rand.Rand // draws submissions and faults
-	commitRand  *rand.Rand // draws faults of transactions, whose number differs between simulations of one seed
-	audit       *audit
-	result      *Result
-	plan        schedule // submissions, cancellations, faults and their ends
-	delayed     schedule // transactions on their way
-	faultsEnded bool     // transactions are neither delayed nor lost any more
-	runTimes    map[string]time.Duration
-	jobCount    int
+	world             *fake.World
+	platform          *config.Platform
+	start             time.Time
+	seed              uint64
+	eventRand         *rand.Rand // draws submissions and all faults but those of transactions
+	commitRand        *rand.Rand // draws faults of transactions; their number differs between simulations with one seed
+	audit             *audit
+	result            *Result
+	scheduled         schedule                 // submissions, cancellations, and the beginnings and ends of faults
+	delayedCommits    schedule                 // transactions in transit to the state service
+	faultsEnded       bool                     // transactions are no longer delayed, and answers no longer lost
+	estimatedRunTimes map[string]time.Duration // by job
+	jobCount          int
 }
 
-// Run simulates some days with a seed. progress, if not nil, is called after each day.
+// Run simulates a number of days with a seed and compares the ledger with the audit. It calls progress after each day
+// with the number of simulated days, unless progress is nil.
 func Run(days int, seed uint64, progress func(day int)) *Result {
 	s := newSimulation(days, seed)
 	for n := range days {
-		s.planSubmissions(s.start.Add(time.Duration(n) * day))
-		s.planFaults(s.start.Add(time.Duration(n)*day), n)
+		s.scheduleSubmissions(s.start.Add(time.Duration(n) * day))
+		s.scheduleFaults(s.start.Add(time.Duration(n)*day), n)
 	}
-	s.plan.sort()
+	s.scheduled.sort()
 	for n := range days {
 		s.advanceTo(s.start.Add(time.Duration(n+1) * day))
 		if progress != nil {
@@ -68,43 +69,44 @@
 	return s.result
 }
 
-// newSimulation starts the deployment and its audit.
+// newSimulation starts a deployment and its audit.
 func newSimulation(days int, seed uint64) *simulation {
 	platform := newPlatform()
 	w := newWorld(platform)
 	s := &simulation{
-		world:      w,
-		platform:   platform,
-		start:      w.Now(),
-		seed:       seed,
-		rand:       rand.New(rand.NewPCG(seed, planStream)),
-		commitRand: rand.New(rand.NewPCG(seed, commitStream)),
-		audit:      newAudit(w),
-		result:     &Result{Days: days, Seed: seed},
-		runTimes:   map[string]time.Duration{},
+		world:             w,
+		platform:          platform,
+		start:             w.Now(),
+		seed:              seed,
+		eventRand:         rand.New(rand.NewPCG(seed, eventStream)),
+		commitRand:        rand.New(rand.NewPCG(seed, commitStream)),
+		audit:             newAudit(w),
+		result:            &Result{Days: days, Seed: seed},
+		estimatedRunTimes: map[string]time.Duration{},
 	}
 	w.RunTimeOf = s.runTime
 	w.InterceptCommit = s.interceptCommit
 	return s
 }
 
-// advanceTo lets time pass and performs what is planned.
+// advanceTo advances the simulated time to end. It performs the scheduled actions and delivers delayed transactions as
+// they become due.
 func (s *simulation) advanceTo(end time.Time) {
 	for s.world.Now().Before(end) {
-		s.plan.runDue(s.world.Now())
-		s.delayed.runDue(s.world.Now())
+		s.scheduled.runDue(s.world.Now())
+		s.delayedCommits.runDue(s.world.Now())
 		running := s.runningCPU()
 		s.world.Advance(tick)
 		s.result.PhysicalCPU += running
 	}
 }
 
-// advance lets a duration pass.
+// advance advances the simulated time by a duration.
 func (s *simulation) advance(d time.Duration) { s.advanceTo(s.world.Now().Add(d)) }
 
-// runningCPU returns the CPU time that tasks on the workers use in one tick.
+// runningCPU returns the CPU time that the tasks on all workers use in one tick, in CPU-microseconds.
 func (s *simulation) runningCPU() uint64 {
-	var sum Amount
+	var sum ResourceTime
 	for _, worker := range s.world.Workers {
 		for _, t := range worker.Tasks {
 			if t.Phase == model.PhaseRunning || t.Phase == model.PhaseCheckpointing {
@@ -115,25 +117,26 @@
 	return sum.CPU
 }
 
-// randomDuration draws a duration from least up to, but not including, limit.
-func (s *simulation) randomDuration(least, limit time.Duration) time.Duration {
-	return least + time.Duration(s.rand.Int64N(int64(limit-least)))
+// randomDuration draws a duration that is at least minimum and less than limit.
+func (s *simulation) randomDuration(minimum, limit time.Duration) time.Duration {
+	return minimum + time.Duration(s.eventRand.Int64N(int64(limit-minimum)))
 }
 
-// planOn plans an action for a random time of a day.
-func (s *simulation) planOn(date time.Time, do func()) {
-	s.plan.append(date.Add(s.randomDuration(0, day).Truncate(tick)), do)
+// scheduleOnDay schedules an action for a random time on a day. The caller must sort the schedule afterwards.
+func (s *simulation) scheduleOnDay(date time.Time, run func()) {
+	s.scheduled.append(date.Add(s.randomDuration(0, day).Truncate(tick)), run)
 }
 
-// planIn plans an action for after a duration.
-func (s *simulation) planIn(in time.Duration, do func()) {
-	s.plan.insert(s.world.Now().Add(in), do)
+// scheduleAfter schedules an action for a delay after the present simulated time.
+func (s *simulation) scheduleAfter(delay time.Duration, run func()) {
+	s.scheduled.insert(s.world.Now().Add(delay), run)
 }
 
-// endFaults ends the faults and goes on until all usage is settled.
+// endFaults stops the injection of faults, lets the deployment recover, and cancels all jobs. It then advances the time
+// so that all usage is settled.
 func (s *simulation) endFaults() {
 	s.faultsEnded = true
-	s.plan.dropAfter(s.world.Now().Add(planAfterFaults))
+	s.scheduled.dropAfter(s.world.Now().Add(scheduledTimeAfterFaults))
 	s.advance(recoveryTime)
 	for id := range s.world.Specs {
 		s.cancel(id)
--- a/internal/clustersim/ledgersim/simulation_test.go
+++ b/internal/clustersim/ledgersim/simulation_test.go
@@ -9,7 +9,7 @@
 func TestLedgerMatchesStandInsAfterFaultyDay(t *testing.T) {
 	r := Run(1, 3, nil)
 	if !r.Good() || r.LedgerCPU == 0 || r.LedgerGPU == 0 {
-		t.Fatalf("got %+v, want usage of CPUs and GPUs and a ledger that agrees with the audit", r)
+		t.Fatalf("got %+v, want usage of CPUs and GPUs and a ledger that matches the audit", r)
 	}
 	if len(r.Teams) != len(teams) {
 		t.Fatalf("got %d teams, want %d: %+v", len(r.Teams), len(teams), r)
@@ -24,20 +24,21 @@
 		"unaccounted intervals":   {r.UnaccountedIntervals, 1},
 	} {
 		if fault.got < fault.want {
-			t.Errorf("got %d %s, want %d or more: a day without faults shows nothing", fault.got, name, fault.want)
+			t.Errorf("got %d %s, want at least %d, because a day without faults tests nothing", fault.got, name, fault.want)
 		}
 	}
-	// What runs unreported, or is not settled when its leader crashes, is little but not nothing.
+	// The audit misses a small part of the physical run time: tasks that ran unreported, and usage that was not settled
+	// when its leader crashed.
 	if r.RuntimeCPU >= r.PhysicalCPU || float64(r.RuntimeCPU) < 0.97*float64(r.PhysicalCPU) {
-		t.Errorf("got %d CPU-us in the audit, want 97%% or more of %d that ran, and less than all",
+		t.Errorf("got %d CPU-us in the audit, want at least 97%% of the %d CPU-us that ran, but less than all",
 			r.RuntimeCPU, r.PhysicalCPU)
 	}
 }
 
-// A comparison that cannot fail would show nothing.
+// Guards against a comparison that detects no difference: the ledger is above the audit for CPUs and below it for GPUs.
 func TestComparisonDetectsDifferences(t *testing.T) {
-	s := &simulation{result: &Result{}, audit: &audit{settledByTeam: map[string]Amount{}}}
-	s.audit.settledByTeam["red"] = Amount{CPU: 10, GPU: 5}
+	s := &simulation{result: &Result{}, audit: &audit{committedByTeam: map[string]ResourceTime{}}}
+	s.audit.committedByTeam["red"] = ResourceTime{CPU: 10, GPU: 5}
 	s.compareTeam("red", ledger.Usage{CPU: 12, GPU: 1})
 	if got := s.result.Overcharged; got != 2 {
 		t.Errorf("got %d us overcharged, want 2", got)
@@ -46,6 +47,6 @@
 		t.Errorf("got %d us undercharged, want 4", got)
 	}
 	if s.result.Good() {
-		t.Errorf("got %+v, want a result that is not good", s.result)
+		t.Errorf("got %+v, want a result for which Good returns false", s.result)
 	}
 }
