--- a/internal/clustersim/electionsim/cluster.go
+++ b/internal/clustersim/electionsim/cluster.go
@@ -41,12 +41,12 @@
 // cluster is one state of the simulated deployment: its members, the network between them and the state service. The
 // explorer clones a state before it simulates the next second, so a visited state never changes.
 type cluster struct {
-	now        time.Time
-	members    []member
-	network    network
-	state      stateService
-	faultsLeft int
-	trace      string // the faults that led to this state, in order
+	now          time.Time
+	members      []member
+	network      network
+	stateService stateService
+	faultsLeft   int    // how many more faults Settings.MaxFaults allows
+	trace        string // the faults that led to this state, each preceded by a space
 
 	highestToken uint64 // the highest fencing token under which a member was allowed to act
 	currentFault fault  // the fault of the simulated second; zero once a restart has happened
@@ -55,16 +55,16 @@
 	result   *Result // receives the number of claims
 }
 
-// newCluster returns a cluster whose members have just started. If feature gates are simulated and there are three or
-// more members, the last member starts with a version that has no feature gates.
+// newCluster returns a cluster whose members have just started. With Settings.FeatureGates and three or more members,
+// the last member runs a version without feature gates.
 func newCluster(settings *Settings, result *Result) *cluster {
 	c := &cluster{
-		now:        startTime,
-		members:    make([]member, settings.Members),
-		state:      stateService{leases: map[uint64]int{}},
-		faultsLeft: settings.MaxFaults,
-		settings:   settings,
-		result:     result,
+		now:          startTime,
+		members:      make([]member, settings.Members),
+		stateService: stateService{leases: map[uint64]int{}},
+		faultsLeft:   settings.MaxFaults,
+		settings:     settings,
+		result:       result,
 	}
 	lastMember := len(c.members) - 1
 	for i := range c.members {
@@ -114,7 +114,7 @@
 		}
 	}
 	copied.network.held = slices.Clone(c.network.held)
-	copied.state.leases = maps.Clone(c.state.leases)
+	copied.stateService.leases = maps.Clone(c.stateService.leases)
 	return &copied
 }
 
@@ -134,7 +134,7 @@
 	}
 	b = append(b, byte(c.faultsLeft))
 	b = binary.AppendUvarint(b, c.highestToken)
-	b = c.state.appendKey(b)
+	b = c.stateService.appendKey(b)
 	for _, held := range c.network.held {
 		staleReceiver := c.members[held.to].incarnation != held.receiverIncarnation
 		staleSender := c.members[held.from].incarnation != held.senderIncarnation
@@ -158,11 +158,11 @@
 	return b
 }
 
-// step simulates one second in which a fault happens: leases expire, the fault takes effect, queued messages arrive,
-// and each member receives a tick.
+// step simulates one second and the fault that happens in it: leases expire, the fault takes effect, queued messages
+// arrive, and each member receives a tick.
 func (c *cluster) step(f fault) {
 	c.now = c.now.Add(time.Second)
-	c.state.advanceLeases()
+	c.stateService.advanceLeases()
 	c.currentFault = f
 	c.applyFault(f)
 	c.deliver()
@@ -175,8 +175,8 @@
 	}
 }
 
-// stepMember passes an event to the state machine of a member and performs the resulting effects. It ignores a member
-// that is down.
+// stepMember passes an event, received at now, to the state machine of a member and performs the resulting effects. It
+// does nothing if the member is down.
 func (c *cluster) stepMember(i int, now time.Time, event election.Event) {
 	m := &c.members[i]
 	if !m.up {
@@ -205,7 +205,7 @@
 		c.renewLease(i, e)
 	case election.RevokeLease:
 		if served, _ := c.reachable(i); served {
-			c.state.deleteLease(e.LeaseID)
+			c.stateService.deleteLease(e.LeaseID)
 		}
 	case election.RequestVotes:
 		c.broadcast(i, message{kind: voteRequest, request: election.VoteRequest{
--- a/internal/clustersim/electionsim/faults.go
+++ b/internal/clustersim/electionsim/faults.go
@@ -12,13 +12,13 @@
 
 // The faults that count towards Settings.MaxFaults.
 const (
-	StateServiceDown FaultKind = "down"
+	StateServiceDown FaultKind = "down"  // an outage of the state service begins
 	RaiseLevel       FaultKind = "raise" // an operator raises the feature level
-	Crash            FaultKind = "crash"
-	HoldMessages     FaultKind = "hold" // the network holds back all messages of a member, including its claim
-	StateUnreachable FaultKind = "cut"  // a member is partitioned from the state service
-	PeersUnreachable FaultKind = "part" // a member is partitioned from all other members
-	AnswersLost      FaultKind = "mute" // the state service's answers to a member are lost for this second
+	Crash            FaultKind = "crash" // a member crashes
+	HoldMessages     FaultKind = "hold"  // the network holds back all messages of a member, including its claim
+	StateUnreachable FaultKind = "cut"   // a member is partitioned from the state service
+	PeersUnreachable FaultKind = "part"  // a member is partitioned from all other members
+	AnswersLost      FaultKind = "mute"  // the state service's answers to a member are lost for this second
 )
 
 // The faults that Settings.InstantRestarts adds: a member crashes at a given step of the election and restarts at
@@ -32,14 +32,14 @@
 	RestartBeforeRelease FaultKind = "blink-releasing" // just before it would release them
 )
 
-// Events that are not limited: the absence of a fault, the end of earlier faults, and late claims. They may happen in
-// any second to which they apply.
+// The events that do not count towards Settings.MaxFaults: the absence of a fault, the end of an earlier fault, and a
+// late claim.
 const (
-	noFault             FaultKind = ""
-	stateServiceUp      FaultKind = "up"
+	noFault             FaultKind = ""        // nothing happens
+	stateServiceUp      FaultKind = "up"      // the outage of the state service ends
 	releaseMessages     FaultKind = "release" // the network delivers the messages that it has held back
 	restart             FaultKind = "restart" // a crashed member restarts
-	restartOtherVersion FaultKind = "change"  // a crashed member restarts with or without feature gates, whichever is new
+	restartOtherVersion FaultKind = "change"  // a crashed member restarts and gains or loses feature gates
 	stateReachable      FaultKind = "join"    // the partition of a member from the state service ends
 	peersReachable      FaultKind = "meet"    // the partition of a member from the other members ends
 	lateClaim           FaultKind = "late"    // held claims reach the state service right before the claim of a member
@@ -66,8 +66,8 @@
 	AnswersLost,
 }, restartPoints...)
 
-// fault is an event within a simulated second and the index of the member that it affects. Events of the state service
-// or the network have member 0. The zero value means that nothing happens.
+// fault is an event within a simulated second and the index of the member that it affects. Events that affect no single
+// member have index 0. The zero value means that nothing happens.
 type fault struct {
 	kind   FaultKind
 	member int
@@ -92,7 +92,7 @@
 
 // possibleServiceFaults lists the events that may happen to the state service and the network.
 func (c *cluster) possibleServiceFaults() (possible []fault) {
-	if c.state.down {
+	if c.stateService.down {
 		possible = append(possible, fault{stateServiceUp, 0})
 	} else if c.faultsLeft > 0 {
 		possible = append(possible, fault{StateServiceDown, 0})
@@ -131,7 +131,7 @@
 func (c *cluster) possibleMemberFaults(i int) (possible []fault) {
 	m := &c.members[i]
 	leads := m.stateMachine.State() == election.Leading
-	if c.settings.FeatureGates && c.state.level == 0 && leads && !m.withoutFeatureGates {
+	if c.settings.FeatureGates && c.stateService.level == 0 && leads && !m.withoutFeatureGates {
 		possible = append(possible, fault{RaiseLevel, i})
 	}
 	possible = append(possible, fault{Crash, i}, fault{HoldMessages, i})
@@ -143,7 +143,7 @@
 	if !m.peersUnreachable {
 		possible = append(possible, fault{PeersUnreachable, i})
 	}
-	if !c.state.down && !m.stateUnreachable {
+	if !c.stateService.down && !m.stateUnreachable {
 		possible = append(possible, fault{StateUnreachable, i}, fault{AnswersLost, i})
 	}
 	return possible
@@ -158,9 +158,9 @@
 	m := &c.members[f.member]
 	switch f.kind {
 	case stateServiceUp:
-		c.state.endOutage()
+		c.stateService.endOutage()
 	case StateServiceDown:
-		c.state.down = true
+		c.stateService.down = true
 	case releaseMessages:
 		c.network.queue, c.network.held = append(c.network.queue, c.network.held...), nil
 	case restart, restartOtherVersion:
@@ -177,8 +177,8 @@
 	}
 }
 
-// restartCrashed restarts a crashed member. With the mutation ForgottenVotes, the member assumes that none of the
-// other members leads, and so ignores the votes that it may have cast before the crash.
+// restartCrashed restarts a crashed member. With the mutation ForgottenVotes, the member behaves as if all others had
+// replied that they do not lead, and so ignores the votes that it may have cast before the crash.
 func (c *cluster) restartCrashed(f fault) {
 	m := &c.members[f.member]
 	if f.kind == restartOtherVersion {
@@ -212,7 +212,7 @@
 func (c *cluster) raiseLevel(leader int) {
 	if c.settings.Mutation == SeparateRaise {
 		if served, _ := c.reachable(leader); served {
-			c.state.raiseLevel()
+			c.stateService.raiseLevel()
 		}
 		return
 	}
--- a/internal/clustersim/electionsim/invariants.go
+++ b/internal/clustersim/electionsim/invariants.go
@@ -20,8 +20,8 @@
 // holds the highest fencing token so far, and that it supports and follows the feature level in force.
 func (c *cluster) checkInvariants() checkOutcome {
 	var outcome checkOutcome
-	for _, after := range checkOffsets {
-		now, leaders := c.now.Add(after), 0
+	for _, offset := range checkOffsets {
+		now, leaders := c.now.Add(offset), 0
 		for i := range c.members {
 			m := &c.members[i]
 			if !m.up || !m.stateMachine.LeadershipValid(now) {
@@ -46,7 +46,7 @@
 // checkLeader checks the feature level and the fencing token of a member that may act. It returns a description of the
 // violation, or an empty string if there is none.
 func (c *cluster) checkLeader(i int) string {
-	m, name, level := &c.members[i], memberNames[i], c.state.level
+	m, name, level := &c.members[i], memberNames[i], c.stateService.level
 	switch {
 	case !c.settings.FeatureGates:
 	case m.withoutFeatureGates && level > 0:
--- a/internal/clustersim/electionsim/network.go
+++ b/internal/clustersim/electionsim/network.go
@@ -6,14 +6,14 @@
 	"github.com/glentiller/glentiller/internal/election"
 )
 
-// messageKind is the type of a message. Only the fields of message that belong to its kind are set.
+// messageKind is the type of a message.
 type messageKind byte
 
 const (
 	voteRequest messageKind = iota
-	vote
+	vote                    // answers voteRequest
 	leadershipQuery
-	notLeading
+	notLeading // answers leadershipQuery; a member that leads or claims does not answer
 	voteRelease
 	heldClaim // a claim to the state service that the network has held back
 )
@@ -22,7 +22,7 @@
 	// maxHeldMessages is the number of messages that the network can hold back. It loses any further ones.
 	maxHeldMessages = 6
 
-	// maxDeliveries bounds the number of messages that one call of deliver passes on.
+	// maxDeliveries bounds the number of messages that one call of deliver passes on. It drops any further ones.
 	maxDeliveries = 1000
 
 	// shortVotesDivisor is the divisor that the mutation ShortVotes applies to the time for which a member honors its
@@ -34,9 +34,9 @@
 type message struct {
 	kind                messageKind
 	from, to            int                  // indexes of the members; equal for heldClaim
-	receiverIncarnation int                  // when the message was sent; a later incarnation does not accept it
-	senderIncarnation   int                  // when the message was sent; a later incarnation accepts no reply to it
-	sentAt              time.Time            // when the request was sent; a reply carries the time of its request
+	receiverIncarnation int                  // of the receiver at the time of sending
+	senderIncarnation   int                  // of the sender at the time of sending
+	sentAt              time.Time            // when the message was sent; for a reply, when its request was sent
 	request             election.VoteRequest // set for voteRequest, vote and voteRelease
 	duration            time.Duration        // of the vote; set for vote
 	claim               election.Claim       // set for heldClaim
@@ -131,7 +131,8 @@
 	c.send(answer)
 }
 
-// receiveVoteRequest passes a vote request to its receiver, and sends the vote back if the receiver casts one.
+// receiveVoteRequest passes a vote request to its receiver, and sends the vote back if the receiver casts one. With the
+// mutation ShortVotes, the receiver honors the vote for only a third of the duration that it reports.
 func (c *cluster) receiveVoteRequest(m message) {
 	request := m.request
 	if c.settings.Mutation == ShortVotes {
--- a/internal/clustersim/electionsim/simulation.go
+++ b/internal/clustersim/electionsim/simulation.go
@@ -147,7 +147,7 @@
 	if outcome.hasLeaderByVotes {
 		e.result.StatesWithLeaderByVotes++
 	}
-	if c.state.level > 0 {
+	if c.stateService.level > 0 {
 		e.result.StatesWithRaisedLevel++
 	}
 	return true
--- a/internal/clustersim/electionsim/simulation_test.go
+++ b/internal/clustersim/electionsim/simulation_test.go
@@ -16,7 +16,7 @@
 	return result
 }
 
-// requireAtLeast guards against an exploration that covers too few states to be meaningful.
+// requireAtLeast fails the test if an exploration has covered too little to be meaningful.
 func requireAtLeast(t *testing.T, quantity string, got, want int) {
 	t.Helper()
 	if got < want {
--- a/internal/clustersim/electionsim/stateservice.go
+++ b/internal/clustersim/electionsim/stateservice.go
@@ -10,14 +10,15 @@
 	"github.com/glentiller/glentiller/internal/featuregate"
 )
 
-// fullLeaseSeconds is the remaining time, in seconds, that a lease has after a renewal and after an outage.
+// fullLeaseSeconds is the remaining time of a lease, in seconds, right after a renewal or the end of an outage.
 const fullLeaseSeconds = int(leaseDuration / time.Second)
 
 var (
-	// errNoAnswer is what a member sees if its request or the answer is lost.
+	// errNoAnswer is the error that a member gets if its request or the answer to it is lost.
 	errNoAnswer = io.EOF
 
-	// errUnreadableRecord is what a version without feature gates returns when it reads the record of a feature level.
+	// errUnreadableRecord is the error that a version without feature gates gets when it reads the leader's keys while
+	// a feature level is recorded.
 	errUnreadableRecord = errors.New("record does not hold a fencing token")
 )
 
@@ -116,16 +117,16 @@
 
 // commitClaim passes a member's claim to the state service and reports whether it was committed.
 func (c *cluster) commitClaim(i int, claim election.Claim) bool {
-	return c.state.commitClaim(i, claim, c.members[i].withoutFeatureGates)
+	return c.stateService.commitClaim(i, claim, c.members[i].withoutFeatureGates)
 }
 
 // reachable reports whether the state service serves a request of a member, and whether the answer reaches the member.
 func (c *cluster) reachable(i int) (served, answered bool) {
-	served = !c.state.down && !c.members[i].stateUnreachable
+	served = !c.stateService.down && !c.members[i].stateUnreachable
 	return served, served && c.currentFault != fault{AnswersLost, i}
 }
 
-// requestError returns the error of a request, given whether its answer has arrived.
+// requestError returns nil if the answer to a request has arrived, and errNoAnswer otherwise.
 func requestError(answered bool) error {
 	if answered {
 		return nil
@@ -138,16 +139,16 @@
 	_, answered := c.reachable(i)
 	err := requestError(answered)
 	record := election.Record{
-		Held:         c.state.leaderLeaseID != 0,
-		Leader:       memberNames[c.state.lastLeader],
-		LeaseID:      c.state.leaderLeaseID,
-		FencingToken: c.state.fencingToken,
-		TokenVersion: c.state.tokenVersion,
-	}
-	switch withoutGates := c.members[i].withoutFeatureGates; {
-	case !withoutGates:
-		record.Level, record.LevelVersion = c.state.level, c.state.levelVersion
-	case c.state.level > 0 && c.settings.Mutation != ReadableLevel:
+		Held:         c.stateService.leaderLeaseID != 0,
+		Leader:       memberNames[c.stateService.lastLeader],
+		LeaseID:      c.stateService.leaderLeaseID,
+		FencingToken: c.stateService.fencingToken,
+		TokenVersion: c.stateService.tokenVersion,
+	}
+	switch withoutFeatureGates := c.members[i].withoutFeatureGates; {
+	case !withoutFeatureGates:
+		record.Level, record.LevelVersion = c.stateService.level, c.stateService.levelVersion
+	case c.stateService.level > 0 && c.settings.Mutation != ReadableLevel:
 		err = errUnreadableRecord
 	}
 	c.stepMember(i, c.now, election.RecordRead{Record: record, Err: err})
@@ -158,7 +159,7 @@
 	served, answered := c.reachable(i)
 	id := uint64(0)
 	if served {
-		id = c.state.grant(request.Duration)
+		id = c.stateService.grant(request.Duration)
 	}
 	if c.restartIfInjected(i, RestartAfterGrant) {
 		return
@@ -181,7 +182,7 @@
 	} else if served {
 		committed = c.commitClaim(i, claim)
 		if !committed && c.settings.Mutation == MixedIncarnations {
-			committed = c.state.leaderLeaseID != 0 && c.state.lastLeader == i
+			committed = c.stateService.leaderLeaseID != 0 && c.stateService.lastLeader == i
 		}
 	}
 	if c.restartIfInjected(i, RestartAfterClaim) || c.restartIfInjected(i, RestartClaimInFlight) {
@@ -189,13 +190,12 @@
 	}
 	c.stepMember(i, c.now, election.ClaimCompleted{
 		OK:           committed && answered,
-		TokenVersion: c.state.tokenVersion,
+		TokenVersion: c.stateService.tokenVersion,
 		Err:          requestError(answered),
 	})
 }
 
-// commitHeldClaims passes the claims that the network holds back to the state service. The network keeps them, so a
-// claim may arrive twice.
+// commitHeldClaims passes all held claims to the state service. The network keeps them, so a claim may arrive twice.
 func (c *cluster) commitHeldClaims() {
 	for _, m := range c.network.held {
 		if m.kind == heldClaim {
@@ -207,9 +207,9 @@
 // renewLease performs an election.RenewLease of a member.
 func (c *cluster) renewLease(i int, request election.RenewLease) {
 	served, answered := c.reachable(i)
-	_, valid := c.state.leases[request.LeaseID]
+	_, valid := c.stateService.leases[request.LeaseID]
 	if served && valid {
-		c.state.leases[request.LeaseID] = fullLeaseSeconds
+		c.stateService.leases[request.LeaseID] = fullLeaseSeconds
 	}
 	c.stepMember(i, c.now, election.LeaseRenewed{
 		LeaseID: request.LeaseID,
--- a/internal/clustersim/faults/overlapping.go
+++ b/internal/clustersim/faults/overlapping.go
@@ -16,7 +16,7 @@
 
 // The mutations that RunOverlapping can inject.
 const (
-	IgnoreStaleness Mutation = "knows"  // leaders answer workers however outdated their view of cancellations is
+	IgnoreStaleness Mutation = "knows"  // leaders answer workers and start tasks with an outdated view of cancellations
 	AcceptAnyToken  Mutation = "tokens" // workers accept commands with any fencing token
 	ShortLeases     Mutation = "leases" // leaders assume that workers' leases last for a fifth of their duration
 	StaleReads      Mutation = "synced" // controllers answer polls from their cached job records
@@ -32,8 +32,8 @@
 
 // RunOverlapping simulates deployments in which several faults begin within seconds of each other, while jobs are
 // submitted, cancelled and polled. Some tasks outlast the faults, and the tasks of some jobs end at very different
-// times. It makes the given number of runs, each with the next seed, and simulates up to parallel runs concurrently. It
-// returns their combined result.
+// times. Each run begins with the given number of machines. The first run uses seed, and each further run the next seed
+// up; at most parallel runs are simulated concurrently. RunOverlapping returns the combined result of all runs.
 func RunOverlapping(machines, runs int, seed uint64, parallel int, mutation Mutation) *Result {
 	return runAll(runs, seed, parallel, func(seed uint64) *Result { return runOverlapping(machines, seed, mutation) })
 }
@@ -47,7 +47,7 @@
 	w := s.world
 	w.PollOnCommit = true
 	w.RunTimeOf = func(id model.TaskID) time.Duration {
-		if w.Specs[id.Job].Class == "few" {
+		if w.Specs[id.Job].Class == "few" { // a job with few tasks, which end 40 s apart
 			return second + time.Duration(id.Index)*40*second
 		}
 		return 30*second + time.Duration(id.Index%9)*20*second
@@ -81,7 +81,7 @@
 	}
 }
 
-// scheduleSubmission draws a job and the time of its submission. Its user retries until a controller accepts the job.
+// scheduleSubmission draws a job and the time of its submission. The user retries until a controller accepts the job.
 func (s *simulation) scheduleSubmission(jobNumber, machines int) {
 	spec := &model.Spec{
 		ID:               fmt.Sprintf("wk-%06d", jobNumber),
@@ -142,8 +142,8 @@
 	}
 }
 
-// cancelSomeCompleted cancels a share of the jobs whose last task has just completed. A cancellation may arrive before
-// or after the leader learns of the completion.
+// cancelSomeCompleted cancels a random part of the jobs whose last task has just completed. A cancellation may arrive
+// before or after the leader learns of the completion.
 func (s *simulation) cancelSomeCompleted() {
 	for _, j := range s.jobs {
 		if j.completed || j.cancelled || !s.world.AllCompleted(j.spec.ID) {
--- a/internal/clustersim/faults/result.go
+++ b/internal/clustersim/faults/result.go
@@ -20,7 +20,8 @@
 	// LongestUnanswered is the longest time without an answer about a job, after the faults.
 	LongestUnanswered float64 `json:"longest_unanswered_s"`
 
-	// LongestDetection and MeanDetection are times until the leader suspected a blocked worker.
+	// LongestDetection and MeanDetection are times from the moment at which a worker is blocked until the leader
+	// suspects it.
 	LongestDetection float64 `json:"deaf_noticed_s"`
 	MeanDetection    float64 `json:"deaf_noticed_mean_s"`
 	// DetectedWorkers counts the blocked workers that the leader suspected.
@@ -30,11 +31,11 @@
 
 	// KilledTasks counts the tasks that ended because their worker's lease expired.
 	KilledTasks int `json:"killed_tasks"`
-	// MinStartedShare is the smallest fraction of jobs that started, over all teams and job classes and over the
-	// largest quarter of the jobs of each.
+	// MinStartedShare is the smallest fraction of jobs that started in any group of jobs. The groups are the jobs of
+	// each team, the jobs of each class, and the largest quarter of each of these, without cancelled jobs.
 	MinStartedShare float64 `json:"least_served"`
 	// LongestLargeJobWait is the longest time from the submission to the start of a job that is among the largest
-	// quarter of its team or class. A job that never started counts until the end of its run.
+	// quarter of its team or class. For a job that never started, the time until the end of the run counts.
 	LongestLargeJobWait float64 `json:"largest_begin_s"`
 	// LongestCancellation is the longest time from a confirmed cancellation to the end of the job's last task.
 	LongestCancellation float64 `json:"cancelled_gone_s"`
@@ -55,7 +56,7 @@
 // Good reports whether no invariant was violated and no job was forgotten.
 func (r *Result) Good() bool { return r.Violations == 0 && r.ForgottenJobs == 0 }
 
-// add merges the result of other runs into r.
+// add merges the result of other runs into r. FirstViolations keeps at most maxReportedViolations entries.
 func (r *Result) add(other *Result) {
 	r.Runs += other.Runs
 	r.Violations += other.Violations
--- a/internal/clustersim/faults/simulation.go
+++ b/internal/clustersim/faults/simulation.go
@@ -64,7 +64,8 @@
 	completed      bool      // all of its tasks have completed
 }
 
-// runAll simulates runs with consecutive seeds, up to parallel of them concurrently, and returns their combined result.
+// runAll simulates runs with consecutive seeds, at most parallel of them concurrently, and returns their combined
+// result.
 func runAll(runs int, seed uint64, parallel int, runOne func(seed uint64) *Result) *Result {
 	results := make([]*Result, runs)
 	var group errgroup.Group
@@ -83,7 +84,7 @@
 	return sum
 }
 
-// newSimulation returns a run whose world is not set.
+// newSimulation returns a simulation without a world, which the caller has to set.
 func newSimulation(seed, stream uint64) *simulation {
 	return &simulation{
 		random:          rand.New(rand.NewPCG(seed, stream)),
@@ -141,18 +142,19 @@
 	}
 }
 
-// runDueActions performs the scheduled actions that are due, including those that they schedule for now.
+// runDueActions performs all scheduled actions that are due, including any that these schedule without a delay.
 func (s *simulation) runDueActions(now time.Time) {
 	for i := 0; i < len(s.scheduled); i++ {
-		if e := s.scheduled[i]; !now.Before(e.at) {
+		if due := s.scheduled[i]; !now.Before(due.at) {
 			s.scheduled = slices.Delete(s.scheduled, i, i+1)
 			i--
-			e.action()
+			due.action()
 		}
 	}
 }
 
-// recordDetections records when the leader first suspects a blocked worker, and so places no more tasks on it.
+// recordDetections records when the leader first suspects a blocked worker, and so places no more tasks on it. A worker
+// whose machine is gone counts as detected.
 func (s *simulation) recordDetections() {
 	leader := s.world.Leader()
 	if leader == nil {
@@ -194,7 +196,7 @@
 	}
 }
 
-// cancel cancels a job through a controller. Its user retries at random controllers until one answers.
+// cancel cancels a job through a controller. The user retries at random controllers until one answers.
 func (s *simulation) cancel(c *fake.Controller, j *job) {
 	if c.Up && !c.Frozen {
 		if record, err := s.world.Cancel(c, j.spec.ID); err == nil {
--- a/internal/clustersim/faults/spread.go
+++ b/internal/clustersim/faults/spread.go
@@ -10,8 +10,9 @@
 // spreadPhase is the time from the first submissions to the end of all faults of Run.
 const spreadPhase = 150 * second
 
-// Run simulates deployments with three controllers and faults that are spread over the run. It makes the given number
-// of runs, each with the next seed, and simulates up to parallel runs concurrently. It returns their combined result.
+// Run simulates deployments with three controllers and faults that are spread over the run. Each run begins with the
+// given number of machines. The first run uses seed, and each further run the next seed up; at most parallel runs are
+// simulated concurrently. Run returns the combined result of all runs.
 func Run(machines, runs int, seed uint64, parallel int) *Result {
 	return runAll(runs, seed, parallel, func(seed uint64) *Result { return runSpread(machines, seed) })
 }
@@ -117,7 +118,8 @@
 	})
 }
 
-// scheduleDuplicateHeartbeats schedules copies of earlier heartbeats, which arrive up to three worker leases later.
+// scheduleDuplicateHeartbeats schedules copies of heartbeats, which arrive up to three worker leases after their
+// originals or later.
 func (s *simulation) scheduleDuplicateHeartbeats(count int) {
 	w := s.world
 	for range count {
@@ -141,7 +143,8 @@
 	}
 }
 
-// scheduleControllerRestarts schedules controllers that crash and restart within half a second, or within 8 seconds.
+// scheduleControllerRestarts schedules controllers that crash and restart, mostly within half a second and otherwise
+// within 8 seconds.
 func (s *simulation) scheduleControllerRestarts() {
 	for range 1 + s.random.IntN(5) {
 		at, downtime := s.randomDuration(spreadPhase-10*second), 50*time.Millisecond+s.randomDuration(450*time.Millisecond)
@@ -157,7 +160,8 @@
 	}
 }
 
-// scheduleIsolatedControllers schedules controllers that for a while can reach only the workers.
+// scheduleIsolatedControllers schedules controllers that are partitioned for a while from the state service and from
+// the other controllers, but not from the workers.
 func (s *simulation) scheduleIsolatedControllers() {
 	for range 1 + s.random.IntN(2) {
 		at, duration := s.randomDuration(spreadPhase/2), 10*second+s.randomDuration(40*second)
--- a/internal/clustersim/faults/spread_test.go
+++ b/internal/clustersim/faults/spread_test.go
@@ -7,6 +7,6 @@
 func TestFaultsKeepInvariants(t *testing.T) {
 	r := Run(40, 3, 7, 2)
 	if !r.Good() || r.MinStartedShare < 1 || r.LongestLargeJobWait > 240 || r.DetectedWorkers == 0 {
-		t.Errorf("got %+v, want no violation, all jobs started within 240 s, and detections", r)
+		t.Errorf("got %+v, want no violation, all jobs started within 240 s, and at least one blocked worker detected", r)
 	}
 }
--- a/internal/clustersim/faults/starters.go
+++ b/internal/clustersim/faults/starters.go
@@ -51,8 +51,8 @@
 // noEnd is the end function of a fault that ends by itself.
 func noEnd() {}
 
-// leaderOrRandomController returns the leader with a probability of at least 3/4, and otherwise a random controller. If
-// there is no leader, it returns a random controller.
+// leaderOrRandomController returns the leader with a probability of at least 3/4, and otherwise a random controller. It
+// always returns a random controller if there is no leader.
 func (s *simulation) leaderOrRandomController() *fake.Controller {
 	if leader := s.world.Leader(); leader != nil && s.random.IntN(4) > 0 {
 		return leader
@@ -60,7 +60,8 @@
 	return s.randomController()
 }
 
-// startControllerFault sets a fault at a controller, mostly the leader, and returns the function that clears it.
+// startControllerFault sets a fault at a controller, mostly the leader, and returns the function that clears it. The
+// function set sets or clears the fault.
 func (s *simulation) startControllerFault(set func(faults *fake.ControllerFaults, active bool)) (end func()) {
 	c := s.leaderOrRandomController()
 	set(&c.ControllerFaults, true)
@@ -75,12 +76,12 @@
 // controllers then confirm cancellations that the partitioned one does not learn of, and some of them restart and so
 // forget what they confirmed. Finally, the state service has an outage.
 func (s *simulation) blockStateServiceThenOutage() (end func()) {
-	w, leader := s.world, s.leaderOrRandomController()
-	leader.StateUnreachable = true
+	w, partitioned := s.world, s.leaderOrRandomController()
+	partitioned.StateUnreachable = true
 	outageDelay := s.randomDuration(4 * second)
 	s.scheduleAfter(s.randomDuration(outageDelay), func() {
 		for _, c := range w.Controllers {
-			if c == leader || !c.Up {
+			if c == partitioned || !c.Up {
 				continue
 			}
 			if len(s.jobs) > 0 && !c.Frozen {
@@ -96,7 +97,7 @@
 		w.State.SetDown(true)
 		s.scheduleAfter(w.CancelDeadline+10*second, func() { w.State.SetDown(false) })
 	})
-	return func() { leader.StateUnreachable = false }
+	return func() { partitioned.StateUnreachable = false }
 }
 
 func (s *simulation) blockStateServiceReads() (end func()) {
@@ -154,6 +155,8 @@
 	return noEnd
 }
 
+// resignLeadership makes a controller, mostly the leader, release its lease and step down. It has no effect on a
+// controller that does not lead.
 func (s *simulation) resignLeadership() (end func()) {
 	s.world.StepElection(s.leaderOrRandomController(), election.Resign{})
 	return noEnd
--- a/internal/clustersim/faults/world.go
+++ b/internal/clustersim/faults/world.go
@@ -17,7 +17,7 @@
 	bootTime                     = 20 * second
 	outageVoteDuration           = 10 * second
 	starvationBound              = 240 * second
-	retainedHeartbeatsPerMachine = 40 // heartbeats that the network keeps for replays
+	retainedHeartbeatsPerMachine = 40 // for replays
 )
 
 // newWorld starts a deployment with the given numbers of controllers and machines, two zones and two teams. Each team
@@ -28,6 +28,7 @@
 	deployment := &platform.Deployment
 	deployment.Zones = []string{"a", "b"}
 	workers := &deployment.Workers
+	// The times of the workers and the list lag of the cloud are in seconds.
 	workers.Heartbeat, workers.Lease, workers.GangWait, workers.GangPeer, workers.Cancel = 2.5, 14, 35, 5, 34
 	deployment.State.ValueKB, deployment.State.TxnOps, deployment.Cloud.ListLag = 8, 12, 6
 	operator := config.Defaults()
--- a/internal/clustersim/ledgersim/audit.go
+++ b/internal/clustersim/ledgersim/audit.go
@@ -35,15 +35,16 @@
 // audit independently computes the usage that the ledger must contain. It follows the definition of run time in
 // docs/ledger.md and shares no code with package ledger. It observes the heartbeats that leaders accept, when a leader
 // sends a settlement, and when the state service commits the settlement. It never reads the amounts in a settlement.
+// It implements fake.Observer.
 type audit struct {
 	world           *fake.World
 	leaders         map[uint64]*leaderView      // by fencing token
 	inFlight        map[settlement]ResourceTime // usage covered by settlements that were sent but not committed
-	sent            map[settlement]bool
-	committedByTeam map[string]ResourceTime // usage that the ledger must contain
-	endRevisions    map[string]uint64       // by job: the revision of the state service at which its end was committed
-	settlementCount int                     // committed settlements
-	ledgerWrites    int                     // committed operations on the records of the ledger
+	sent            map[settlement]bool         // settlements that were sent at least once
+	committedByTeam map[string]ResourceTime     // usage that the ledger must contain
+	endRevisions    map[string]uint64           // by job: the revision of the state service at which its end was committed
+	settlementCount int                         // committed settlements
+	ledgerWrites    int                         // committed operations on the records of the ledger
 }
 
 // leaderView is the information that one leader has received from workers.
@@ -100,8 +101,8 @@
 	return view
 }
 
-// HeartbeatAccepted records a heartbeat that a leader has accepted. An attempt that ran in the previous heartbeat and
-// is still listed in this one is charged for the time between the two.
+// HeartbeatAccepted records a heartbeat that a leader has accepted. If an attempt was running in the previous heartbeat
+// of the machine and is still listed in this one, it is charged for the time between the two.
 func (a *audit) HeartbeatAccepted(c *fake.Controller, token uint64, heartbeat *model.Heartbeat) {
 	view := a.leaderView(token)
 	last := view.machines[heartbeat.Machine]
@@ -125,17 +126,17 @@
 			view.pending[spec.Team] = usage
 		}
 		running := t.Phase == model.PhaseRunning || t.Phase == model.PhaseCheckpointing
-		if running && (ranBefore || a.countsFrom(c, token, attempt)) {
+		if running && (ranBefore || a.countsRunTime(c, token, attempt)) {
 			next.running[attempt] = true
 		}
 	}
 	view.machines[heartbeat.Machine] = next
 }
 
-// countsFrom reports whether the run time of an attempt counts from the first heartbeat in which a leader sees the
+// countsRunTime reports whether the run time of an attempt counts from the first heartbeat in which a leader sees the
 // attempt running. It does not count if the leader had already read the end of the job, because the leader then knows
 // neither the team nor the demand of the job. It always counts for attempts that the leader itself launched.
-func (a *audit) countsFrom(c *fake.Controller, token uint64, attempt model.AttemptKey) bool {
+func (a *audit) countsRunTime(c *fake.Controller, token uint64, attempt model.AttemptKey) bool {
 	end, ended := a.endRevisions[attempt.Task.Job]
 	return launchToken(attempt.Number) == token || !ended || end > c.ReadRevision
 }
--- a/internal/clustersim/ledgersim/deployment.go
+++ b/internal/clustersim/ledgersim/deployment.go
@@ -10,8 +10,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// The timing of the simulated deployment. Heartbeats are less frequent and leases longer than in real deployments, so
-// that simulating a week takes less than a minute.
+// The timing and the size of the simulated deployment. Heartbeats are less frequent and leases longer than in real
+// deployments, so that simulating a week takes less than a minute.
 const (
 	tick             = time.Second
 	heartbeatSeconds = 15.0
--- a/internal/clustersim/ledgersim/faults.go
+++ b/internal/clustersim/ledgersim/faults.go
@@ -66,8 +66,7 @@
 	s.scheduleAfter(s.randomDuration(5*time.Second, 4*time.Minute), func() { s.world.State.SetDown(false) })
 }
 
-// partitionWorker partitions a worker from all controllers. The partition may or may not last until the worker's lease
-// expires.
+// partitionWorker partitions a worker from all controllers, in some cases for long enough that its lease expires.
 func (s *simulation) partitionWorker() {
 	names := s.world.WorkerNames()
 	if len(names) == 0 {
@@ -82,7 +81,7 @@
 func (s *simulation) skewClocks() {
 	s.result.ClockJumps++
 	offset := s.randomDuration(-9*time.Hour, 9*time.Hour)
-	skewedIndex := s.eventRand.IntN(2 * len(s.world.Controllers)) // beyond the last controller: skew all clocks
+	skewedIndex := s.eventRand.IntN(2 * len(s.world.Controllers)) // an index beyond the last one selects all
 	for i, c := range s.world.Controllers {
 		if i == skewedIndex || skewedIndex >= len(s.world.Controllers) {
 			c.ClockOffset = offset
@@ -95,8 +94,8 @@
 	})
 }
 
-// leadWithoutLedger lets a controller lead for a while that runs a version without a ledger. The other controllers are
-// down meanwhile.
+// leadWithoutLedger takes all controllers down and restarts one of them with a version without a ledger, which then
+// leads for a while. Afterwards, all controllers restart with the present version.
 func (s *simulation) leadWithoutLedger() {
 	for _, c := range s.world.Controllers {
 		c.Crash()
--- a/internal/clustersim/ledgersim/result.go
+++ b/internal/clustersim/ledgersim/result.go
@@ -57,17 +57,17 @@
 	// no leader accepted a heartbeat for, or that was never settled.
 	PhysicalCPU uint64 `json:"physical_cpu_us"`
 
-	Jobs                   int     `json:"jobs"`
-	Tasks                  int     `json:"tasks"`
-	Failovers              int     `json:"takeovers"`
-	FullRestarts           int     `json:"all_killed"`
-	Outages                int     `json:"outages"`
-	LateTransactions       int     `json:"late_transactions"`
-	UnansweredTransactions int     `json:"unanswered_transactions"`
-	ClockJumps             int     `json:"clock_jumps"`
-	LeadersWithoutLedger   int     `json:"takeovers_without_ledger"`
-	UnaccountedIntervals   int     `json:"stretches_not_accounted"` // times that no leader accounted for
-	Settlements            int     `json:"settlements"`
+	Jobs                   int     `json:"jobs"`                      // accepted jobs
+	Tasks                  int     `json:"tasks"`                     // tasks of accepted jobs
+	Failovers              int     `json:"takeovers"`                 // leaders after the first one
+	FullRestarts           int     `json:"all_killed"`                // simultaneous crashes of all controllers
+	Outages                int     `json:"outages"`                   // outages of the state service
+	LateTransactions       int     `json:"late_transactions"`         // transactions that were delayed
+	UnansweredTransactions int     `json:"unanswered_transactions"`   // transactions whose answer was lost
+	ClockJumps             int     `json:"clock_jumps"`               // changes of wall clocks by up to hours
+	LeadersWithoutLedger   int     `json:"takeovers_without_ledger"`  // leaders of a version without a ledger
+	UnaccountedIntervals   int     `json:"stretches_not_accounted"`   // intervals that no leader accounted for
+	Settlements            int     `json:"settlements"`               // committed settlements
 	Segments               int     `json:"pages"`                     // closed segments in the ledger at the end
 	SegmentsFolded         int     `json:"pages_folded"`              // segments that were merged into another one
 	WriteShare             float64 `json:"share_of_changes_possible"` // used by the ledger, of the write rate limit
--- a/internal/clustersim/ledgersim/schedule.go
+++ b/internal/clustersim/ledgersim/schedule.go
@@ -15,7 +15,7 @@
 // schedule is a list of future actions, ordered by time.
 type schedule []action
 
-// append adds an action at the end, regardless of its time. The caller must call sort before it calls another method.
+// append adds an action at the end, regardless of its time. The caller must call sort before insert or runDue.
 func (s *schedule) append(at time.Time, run func()) { *s = append(*s, action{at, run}) }
 
 // sort orders the actions by time. Actions for the same time keep their order.
--- a/internal/clustersim/ledgersim/simulation.go
+++ b/internal/clustersim/ledgersim/simulation.go
@@ -25,10 +25,10 @@
 	commitStream = 8
 )
 
-// The simulated times after the faults, which let the controllers settle all usage.
+// The phases after the faults, in which the controllers settle all usage.
 const (
 	recoveryTime             = 90 * time.Minute // from the end of the faults to the cancellation of all jobs
-	scheduledTimeAfterFaults = time.Hour        // for which scheduled actions are still performed
+	scheduledTimeAfterFaults = time.Hour        // scheduled actions that are due later are dropped
 	cancellationTime         = 20 * time.Minute // from the cancellation of all jobs to the comparison
 )
 
