--- a/internal/clustersim/faults/overlapping.go
+++ b/internal/clustersim/faults/overlapping.go
@@ -11,7 +11,7 @@
 )
 
 // Mutation is a deliberate defect in a protocol. Tests inject mutations to show that the invariant checks detect them.
-// The empty mutation is no defect.
+// The empty mutation injects no defect.
 type Mutation string
 
 // The mutations that RunOverlapping can inject.
--- a/internal/clustersim/faults/world.go
+++ b/internal/clustersim/faults/world.go
@@ -17,7 +17,7 @@
 	bootTime                     = 20 * second
 	outageVoteDuration           = 10 * second
 	starvationBound              = 240 * second
-	retainedHeartbeatsPerMachine = 40 // for replays
+	retainedHeartbeatsPerMachine = 40 // heartbeats that the network keeps for replays
 )
 
 // newWorld starts a deployment with the given numbers of controllers and machines, two zones and two teams. Each team
--- a/internal/clustersim/ledgersim/result.go
+++ b/internal/clustersim/ledgersim/result.go
@@ -59,12 +59,12 @@
 
 	Jobs                   int     `json:"jobs"`                      // accepted jobs
 	Tasks                  int     `json:"tasks"`                     // tasks of accepted jobs
-	Failovers              int     `json:"takeovers"`                 // leaders after the first one
+	Failovers              int     `json:"takeovers"`                 // leaders after the first that accepted heartbeats
 	FullRestarts           int     `json:"all_killed"`                // simultaneous crashes of all controllers
 	Outages                int     `json:"outages"`                   // outages of the state service
 	LateTransactions       int     `json:"late_transactions"`         // transactions that were delayed
 	UnansweredTransactions int     `json:"unanswered_transactions"`   // transactions whose answer was lost
-	ClockJumps             int     `json:"clock_jumps"`               // changes of wall clocks by up to hours
+	ClockJumps             int     `json:"clock_jumps"`               // changes of wall clocks by up to 9 hours
 	LeadersWithoutLedger   int     `json:"takeovers_without_ledger"`  // leaders of a version without a ledger
 	UnaccountedIntervals   int     `json:"stretches_not_accounted"`   // intervals that no leader accounted for
 	Settlements            int     `json:"settlements"`               // committed settlements
