--- a/internal/clustersim/electionsim/cluster.go
+++ b/internal/clustersim/electionsim/cluster.go
@@ -48,11 +48,11 @@
 	faultsLeft   int    // how many more faults Settings.MaxFaults allows
 	trace        string // the faults that led to this state, each preceded by a space
 
-	highestToken uint64 // the highest fencing token under which a member was allowed to act
+	highestToken uint64 // the highest fencing token with which a member was allowed to act as leader
 	currentFault fault  // the fault of the simulated second; zero once a restart has happened
 
 	settings *Settings
-	result   *Result // receives the number of claims
+	result   *Result // counts the claims; shared by all states of an exploration
 }
 
 // newCluster returns a cluster whose members have just started. With Settings.FeatureGates and three or more members,
@@ -192,7 +192,7 @@
 }
 
 // perform performs an effect of a member. It ignores election.Elected and election.Deposed, because checkInvariants
-// asks each state machine whether it may act.
+// asks each state machine whether its member may act as leader.
 func (c *cluster) perform(i int, effect election.Effect) {
 	switch e := effect.(type) {
 	case election.ReadRecord:
--- a/internal/clustersim/electionsim/invariants.go
+++ b/internal/clustersim/electionsim/invariants.go
@@ -11,13 +11,13 @@
 
 // checkOutcome is the result of checkInvariants for one state.
 type checkOutcome struct {
-	hasLeader        bool   // at least one member may act
-	hasLeaderByVotes bool   // a member may act on votes alone: its lease may have expired
+	hasLeader        bool   // at least one member may act as leader
+	hasLeaderByVotes bool   // a member may act by votes alone, after its lease may have expired
 	violation        string // describes the violated invariant; empty if all invariants hold
 }
 
-// checkInvariants checks, for the present moment and until the next step, that at most one member may act, that it
-// holds the highest fencing token so far, and that it supports and follows the feature level in force.
+// checkInvariants checks, for the present moment and until the next step, that at most one member may act as leader,
+// that it holds the highest fencing token so far, and that it supports and follows the feature level in force.
 func (c *cluster) checkInvariants() checkOutcome {
 	var outcome checkOutcome
 	for _, offset := range checkOffsets {
@@ -36,26 +36,28 @@
 		}
 		outcome.hasLeader = outcome.hasLeader || leaders > 0
 		if leaders > 1 {
-			outcome.violation = fmt.Sprintf("%d members may act", leaders)
+			outcome.violation = fmt.Sprintf("%d members may act as leader", leaders)
 			return outcome
 		}
 	}
 	return outcome
 }
 
-// checkLeader checks the feature level and the fencing token of a member that may act. It returns a description of the
-// violation, or an empty string if there is none.
+// checkLeader checks the feature level and the fencing token of a member that may act as leader. It returns a
+// description of the violation, or an empty string if there is none.
 func (c *cluster) checkLeader(i int) string {
 	m, name, level := &c.members[i], memberNames[i], c.stateService.level
 	switch {
 	case !c.settings.FeatureGates:
 	case m.withoutFeatureGates && level > 0:
-		return fmt.Sprintf("%s may act although level %d is in force and its version predates feature levels", name, level)
+		return fmt.Sprintf("%s may act as leader under level %d although its version predates feature levels", name, level)
 	case !m.withoutFeatureGates && m.stateMachine.Level() != level:
-		return fmt.Sprintf("%s may act under level %d although level %d is in force", name, m.stateMachine.Level(), level)
+		return fmt.Sprintf("%s may act as leader by level %d although level %d is in force",
+			name, m.stateMachine.Level(), level)
 	}
 	if token := m.stateMachine.FencingToken(); token < c.highestToken {
-		return fmt.Sprintf("%s may act with fencing token %d after a member with token %d", name, token, c.highestToken)
+		return fmt.Sprintf("%s may act as leader with fencing token %d although token %d has been in use",
+			name, token, c.highestToken)
 	}
 	return ""
 }
--- a/internal/clustersim/electionsim/simulation.go
+++ b/internal/clustersim/electionsim/simulation.go
@@ -1,7 +1,7 @@
 // Package electionsim is a model checker for the leader election. It drives the state machines of package election
 // against a simulated network and state service in steps of one second. It explores every sequence of events with a
-// bounded number of faults, and reports the first sequence after which two members may act at the same time, or one
-// may act with an outdated fencing token or under a wrong feature level.
+// bounded number of faults, and reports the first sequence after which two members may act as leader at the same time,
+// or one may do so with an outdated fencing token or under a wrong feature level.
 //
 // Run searches breadth first: from each state it simulates every event that is possible in the next second, checks the
 // invariants, and continues from the states that it has not visited before. It is deterministic.
@@ -35,7 +35,7 @@
 // Settings select the event sequences that Run explores.
 type Settings struct {
 	Members         int         // number of members, from 2 to 5
-	Seconds         int         // length of a sequence; it begins when a leader holds all votes
+	Seconds         int         // length of each sequence, from the moment when a leader holds all votes
 	MaxFaults       int         // limit on the faults in one sequence
 	MaxStates       int         // limit on distinct states; Run returns ErrTooManyStates when it is exceeded
 	Mutation        Mutation    // defect to inject
@@ -47,8 +47,8 @@
 // Result is the outcome of an exploration. Its JSON names are published.
 type Result struct {
 	States                  int    `json:"states"`           // distinct states visited
-	StatesWithLeader        int    `json:"acting"`           // of these, states in which a member may act
-	StatesWithLeaderByVotes int    `json:"by_word"`          // of these, states in which a member may act on votes alone
+	StatesWithLeader        int    `json:"acting"`           // of these, states in which a member may act as leader
+	StatesWithLeaderByVotes int    `json:"by_word"`          // of these, states in which a member may do so by votes alone
 	Claims                  int    `json:"claims"`           // claims sent in all simulated steps
 	StatesWithRaisedLevel   int    `json:"raised"`           // states in which the feature level has been raised
 	Violation               string `json:"broken,omitempty"` // the violated invariant; empty if all hold
--- a/internal/clustersim/faults/starters_messages.go
+++ b/internal/clustersim/faults/starters_messages.go
@@ -21,8 +21,8 @@
 	return func() { s.world.InterceptCommit = nil }
 }
 
-// delayCommit intercepts one in three transactions: the controller gets a timeout, and the state service receives the
-// transaction seconds later.
+// delayCommit is a fake.CommitInterceptor that intercepts one in three transactions: the controller gets a timeout, and
+// the state service receives the transaction seconds later.
 func (s *simulation) delayCommit(_ *fake.Controller, body []byte) (bool, error) {
 	if s.random.IntN(3) > 0 {
 		return false, nil
@@ -38,8 +38,8 @@
 	return func() { s.world.InterceptCommit = nil }
 }
 
-// loseCommitAnswer intercepts one in three transactions: the state service receives the transaction at once, but the
-// controller gets a timeout.
+// loseCommitAnswer is a fake.CommitInterceptor that intercepts one in three transactions: the state service receives
+// the transaction at once, but the controller gets a timeout.
 func (s *simulation) loseCommitAnswer(_ *fake.Controller, body []byte) (bool, error) {
 	if s.random.IntN(3) > 0 {
 		return false, nil
--- a/internal/clustersim/faults/starters_workers.go
+++ b/internal/clustersim/faults/starters_workers.go
@@ -2,7 +2,7 @@
 
 import "github.com/glentiller/glentiller/internal/fake"
 
-// maxHungWorkers bounds the number of workers that cancelAndHang lets hang.
+// maxHungWorkers bounds the number of workers that cancelAndHang makes hang.
 const maxHungWorkers = 8
 
 // randomWorkers draws at least one worker and up to about one in oneIn of all workers. A worker may be drawn more than
@@ -77,7 +77,7 @@
 	}
 }
 
-// cancelAndHang cancels random jobs, and lets workers that run their tasks hang at the same moment.
+// cancelAndHang cancels random jobs and, at the same moment, makes workers that run their tasks hang.
 func (s *simulation) cancelAndHang() (end func()) {
 	w := s.world
 	var hung []*fake.Worker
@@ -112,7 +112,7 @@
 	return noEnd
 }
 
-// shortenBootTime lets new machines boot within two seconds.
+// shortenBootTime makes new machines boot within two seconds.
 func (s *simulation) shortenBootTime() (end func()) {
 	originalBootTime := s.world.BootTime
 	s.world.BootTime = s.randomDuration(2 * second)
--- a/internal/clustersim/ledgersim/faults.go
+++ b/internal/clustersim/ledgersim/faults.go
@@ -116,7 +116,8 @@
 // errAnswerLost is the error that a controller gets for a transaction whose answer does not arrive.
 var errAnswerLost = errors.New("no answer from the state service")
 
-// interceptCommit delays some transactions by up to 5 minutes, and loses the answers to others.
+// interceptCommit is a fake.CommitInterceptor that delays some transactions by up to 5 minutes and loses the answers to
+// others.
 func (s *simulation) interceptCommit(_ *fake.Controller, body []byte) (bool, error) {
 	if s.faultsEnded || s.world.State.Down {
 		return false, nil
