--- a/cmd/clustersim/ledger.go
+++ b/cmd/clustersim/ledger.go
@@ -43,5 +43,5 @@
 // printTeam prints a team's usage according to the ledger and according to the audit of the stand-in workers.
 func printTeam(t *ledgersim.Team) {
 	fmt.Printf("%-14s ledger %15d CPU-us %14d GPU-us; ", t.Team, t.LedgerCPU, t.LedgerGPU)
-	fmt.Printf("audit %15d CPU-us %14d GPU-us\n", t.RuntimeCPU, t.RuntimeGPU)
+	fmt.Printf("audit %15d CPU-us %14d GPU-us\n", t.AuditedCPU, t.AuditedGPU)
 }
--- a/cmd/clustersim/scale.go
+++ b/cmd/clustersim/scale.go
@@ -102,7 +102,7 @@
 	if !c.JSON {
 		printScale(r)
 	}
-	return printResult(r, r.Good(), errScaleFailed)
+	return printResult(r, r.Passed(), errScaleFailed)
 }
 
 // progress returns the function that prints the progress of a run to standard error. With --json it prints only if
@@ -133,28 +133,29 @@
 
 // printLatencies prints the start latency of tasks and the latency of heartbeats.
 func printLatencies(r *scale.Result) {
-	fmt.Printf("  starts       %.1f/s of %.1f/s requested; ", r.Starts, r.RequestedStarts)
-	fmt.Printf("start latency of urgent tasks %d ms (p50), %d ms (p99); ", r.UrgentP50, r.UrgentP99)
-	fmt.Printf("of other tasks %d ms, %d ms\n", r.OthersP50, r.OthersP99)
-	fmt.Printf("  heartbeats   %.1f/s; ", r.Heartbeats)
-	fmt.Printf("round trip %.1f ms (p50), %.1f ms (p99); ", r.HeartbeatP50, r.HeartbeatP99)
+	fmt.Printf("  starts       %.1f/s of %.1f/s requested; ", r.StartsPerSecond, r.RequestedStartsPerSecond)
+	fmt.Printf("start latency of urgent tasks %d ms (p50), %d ms (p99); ", r.UrgentP50Ms, r.UrgentP99Ms)
+	fmt.Printf("of other tasks %d ms, %d ms\n", r.OthersP50Ms, r.OthersP99Ms)
+	fmt.Printf("  heartbeats   %.1f/s; ", r.HeartbeatsPerSecond)
+	fmt.Printf("round trip %.1f ms (p50), %.1f ms (p99); ", r.HeartbeatP50Ms, r.HeartbeatP99Ms)
 	fmt.Printf("%.3f%% not answered within 4 s; %d leases expired\n", 100*r.LateHeartbeatShare, r.LeaseExpiries)
 }
 
 // printLoad prints the load of each role: leader, other members, state service, worker and stand-ins.
 func printLoad(r *scale.Result) {
-	fmt.Printf("  leader       %.2f of a core, %.0f MB, %d open files; ", r.LeaderCores, r.LeaderMB, r.LeaderSockets)
+	fmt.Printf("  leader       %.2f of a core, %.0f MB, %d open files; ", r.LeaderCores, r.LeaderMB, r.LeaderOpenFiles)
 	fmt.Printf("its event loop was blocked for up to %.0f ms (%s)\n", r.LongestHoldMs, r.LongestHoldBy)
-	fmt.Printf("  members      %.3f of a core, %.0f MB, %d open files\n", r.MemberCores, r.MemberMB, r.MemberSockets)
-	fmt.Printf("  state        %.1f requests/s, %.1f writes/s\n", r.StateRPS, r.StateWrites)
-	fmt.Printf("  worker       %.0f bytes/s each\n", r.WorkerBytes)
+	fmt.Printf("  members      %.3f of a core, %.0f MB, %d open files\n", r.MemberCores, r.MemberMB, r.MemberOpenFiles)
+	fmt.Printf("  state        %.1f requests/s, %.1f writes/s\n", r.StateRPS, r.StateWritesPerSecond)
+	fmt.Printf("  worker       %.0f bytes/s each\n", r.WorkerBytesPerSecond)
 	fmt.Printf("  stand-ins    %.2f cores, %.0f MB ", r.StandInCores, r.StandInMB)
 	fmt.Print("(hollow workers, state service, cloud and users in one process)\n")
 }
 
 // printViolations prints the number of violations and the first of them.
 func printViolations(r *scale.Result) {
-	fmt.Printf("  invariants   %d violations; %d controllers exited unexpectedly\n", len(r.Violations), r.EndedProcesses)
+	fmt.Printf("  invariants   %d violations; %d controllers exited unexpectedly\n",
+		len(r.Violations), r.CrashedControllers)
 	for i, violation := range r.Violations {
 		if i == maxPrintedViolations {
 			fmt.Printf("               and %d more\n", len(r.Violations)-i)
--- a/cmd/glentiller/constraints.go
+++ b/cmd/glentiller/constraints.go
@@ -35,7 +35,7 @@
 // shapes maps the names of job shapes on the wire to the shapes.
 var shapes = map[string]model.Shape{"array": model.Array, "ensemble": model.Gang, "daemon": model.Service}
 
-// Run checks the rules in the same way as those of a submission, and prints which machine classes they allow. It
+// Run checks the constraints in the same way as those of a submission, and prints which machine classes they allow. It
 // returns an error if no machine class can run the job.
 func (c *constraintsCheckCmd) Run() error {
 	catalog, err := os.ReadFile(c.Catalog)
@@ -58,7 +58,7 @@
 		return err
 	}
 	var allowed, excluded []string
-	for _, class := range constraint.Classes(types) {
+	for _, class := range constraint.MachineClasses(types) {
 		violated, ok := set.Allows(class)
 		switch {
 		case !ok:
--- a/cmd/glentiller/explain.go
+++ b/cmd/glentiller/explain.go
@@ -44,7 +44,7 @@
 	printList("Rules:", e.Constraints)
 	printList("Reasons for waiting:", e.Reasons)
 	printList("Machines:", machines)
-	printList("Incoming machines:", e.Coming)
+	printList("Incoming machines:", e.Incoming)
 	printList("Changes that would let tasks start:", e.Remedies)
 	printList("Placed tasks:", placed)
 	if more := e.OnMachines - len(e.Placements); more > 0 {
--- a/cmd/glentiller/ledger.go
+++ b/cmd/glentiller/ledger.go
@@ -78,9 +78,9 @@
 			formatHours(usage.CPU),
 			formatHours(usage.GPU),
 			formatHours(usage.Mem),
-			formatHours(usage.Lost),
+			formatHours(usage.WastedCPU),
 			fmt.Sprint(usage.Starts),
-			fmt.Sprint(usage.TakenOver),
+			fmt.Sprint(usage.Adopted),
 		}
 		for _, milliseconds := range usage.Wait {
 			row = append(row, formatHours(milliseconds*1000))
@@ -96,7 +96,7 @@
 
 // printUnaccounted prints the intervals between --from and --to that no leader accounted for.
 func (c *ledgerShowCmd) printUnaccounted(client *admin.Client) error {
-	intervals, err := client.Intervals()
+	intervals, err := client.UnaccountedIntervals()
 	if err != nil {
 		return err
 	}
--- a/cmd/glentiller/member.go
+++ b/cmd/glentiller/member.go
@@ -36,24 +36,24 @@
 // printElection prints the member's state in the election, and the lease and votes that support its leadership.
 func printElection(s *admin.MemberStatus) {
 	fmt.Printf("%s: %s, leader %q, fencing token %d\n", s.Member, s.State, s.Leader, s.FencingToken)
-	if s.LeadershipSeconds > 0 {
+	if s.LeadershipRemainingSeconds > 0 {
 		basis := "the lease at the state service"
-		if s.StateLeaseSeconds <= 0 {
+		if s.LeaseRemainingSeconds <= 0 {
 			basis = "the votes of all other members"
 		}
-		fmt.Printf("leadership valid for %.1f s, based on %s\n", s.LeadershipSeconds, basis)
+		fmt.Printf("leadership valid for %.1f s, based on %s\n", s.LeadershipRemainingSeconds, basis)
 	}
-	if s.VoteSeconds == 0 {
+	if s.VoteDurationSeconds == 0 {
 		fmt.Println("votes are disabled")
 	}
-	for _, voter := range slices.Sorted(maps.Keys(s.VotesSeconds)) {
-		fmt.Printf("vote of %s valid for %.1f s\n", voter, s.VotesSeconds[voter])
+	for _, voter := range slices.Sorted(maps.Keys(s.VoteRemainingSeconds)) {
+		fmt.Printf("vote of %s valid for %.1f s\n", voter, s.VoteRemainingSeconds[voter])
 	}
 	if s.ClaimBlockedSeconds > 0 {
 		fmt.Printf("must not claim the leadership for %.1f s because of a vote that it has cast\n", s.ClaimBlockedSeconds)
 	}
-	if s.StateUnansweredSeconds > 0 {
-		fmt.Printf("no answer from the state service for %.1f s\n", s.StateUnansweredSeconds)
+	if s.StateServiceUnreachableSeconds > 0 {
+		fmt.Printf("no answer from the state service for %.1f s\n", s.StateServiceUnreachableSeconds)
 	}
 }
 
@@ -67,9 +67,9 @@
 			fmt.Printf("  %-10s %d of %d, %d rejected\n", name, class.Used, class.Quota, class.Rejected)
 		}
 	}
-	if s.Load.LongestHoldEvent != "" {
+	if s.Load.LongestHoldWork != "" {
 		fmt.Printf("event loop: recently blocked for up to %.3f s by %s; %d events queued\n",
-			s.Load.LongestHoldSeconds, s.Load.LongestHoldEvent, s.Load.Inbox)
+			s.Load.LongestHoldSeconds, s.Load.LongestHoldWork, s.Load.QueuedEvents)
 	}
 }
 
@@ -88,7 +88,7 @@
 	}
 	counts := r.Counts
 	fmt.Printf("  %d attempts here, %d forwarded (%d hedged, %d retried), %d served for other members; ",
-		counts.Local, counts.Forwarded, counts.Hedged, counts.Retried, counts.ServedForOthers)
+		counts.Local, counts.Forwarded, counts.Hedged, counts.AttemptsExhausted, counts.ServedForOthers)
 	fmt.Printf("%d requests rejected, %d shed at the concurrency limit, %d retries denied\n",
 		counts.Rejected, counts.Shed, counts.RetriesDenied)
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -24,7 +24,7 @@
 	compactions := 0
 	records.beforeRead = func() {
 		for team, segments := range records.segments {
-			compacted, first, count := ledger.Fold(&settings, segments, now, 12)
+			compacted, first, count := ledger.Compact(&settings, segments, now, 12)
 			if count == 0 || compactions >= 3 {
 				continue
 			}
@@ -91,7 +91,7 @@
 		t.Errorf("explanation: got %+v, %v, want one reason", explanation, err)
 	}
 	status, err := client.MemberStatus()
-	if err != nil || status.State != "leading" || status.VotesSeconds["tiller-1"] != 2.5 {
+	if err != nil || status.State != "leading" || status.VoteRemainingSeconds["tiller-1"] != 2.5 {
 		t.Errorf("status: got %+v, %v, want state leading and a vote of tiller-1 that is valid for 2.5 s", status, err)
 	}
 	for id, want := range map[string]string{
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -138,9 +138,9 @@
 	}
 }
 
-// Intervals returns all intervals for which no leader recorded usage. After an error it also returns the intervals
-// that it has received so far.
-func (c *Client) Intervals() ([]UnaccountedInterval, error) {
+// UnaccountedIntervals returns all intervals for which no leader recorded usage. After an error it also returns the
+// intervals that it has received so far.
+func (c *Client) UnaccountedIntervals() ([]UnaccountedInterval, error) {
 	var intervals []UnaccountedInterval
 	query := url.Values{}
 	for {
--- a/internal/admin/fakes_test.go
+++ b/internal/admin/fakes_test.go
@@ -64,9 +64,9 @@
 	return slices.Clone(segments[:min(limit, len(segments))]), len(segments) > limit, nil
 }
 
-func (r *fakeRecords) Intervals(context.Context, uint64, int) ([]ledger.Interval, bool, error) {
-	interval := ledger.Interval{Start: noon, End: noon.Add(time.Minute), FencingToken: 4, UnsettledLeaders: 1}
-	return []ledger.Interval{interval}, false, r.read()
+func (r *fakeRecords) Intervals(context.Context, uint64, int) ([]ledger.UnaccountedInterval, bool, error) {
+	interval := ledger.UnaccountedInterval{Start: noon, End: noon.Add(time.Minute), FencingToken: 4, UnsettledLeaders: 1}
+	return []ledger.UnaccountedInterval{interval}, false, r.read()
 }
 
 // fakeController implements Controller. Job wk-000001 is unfinished, wk-000002 is done, and no other job exists.
@@ -81,9 +81,9 @@
 
 func (fakeController) MemberStatus(context.Context) (*MemberStatus, error) {
 	return &MemberStatus{
-		Member:       "tiller-0",
-		State:        "leading",
-		VotesSeconds: map[string]float64{"tiller-1": 2.5},
+		Member:               "tiller-0",
+		State:                "leading",
+		VoteRemainingSeconds: map[string]float64{"tiller-1": 2.5},
 	}, nil
 }
 
@@ -102,7 +102,7 @@
 		HalfLife:       time.Hour,
 		MaxRecordBytes: 4096,
 		Retention:      ledger.Retention{Hours: 48 * time.Hour, Days: 240 * time.Hour},
-		Seal:           ledger.NewSeal(nil),
+		Hasher:         ledger.NewSegmentHasher(nil),
 	}
 	records := &fakeRecords{segments: map[string][]ledger.StoredSegment{}}
 	accounts := ledger.NewAccounts(noon, settings, 1, nil)
@@ -135,7 +135,7 @@
 		LedgerEnabled:  true,
 		HalfLife:       settings.HalfLife,
 		Weights:        map[string]float64{"red": 1, "blue": 1},
-		Seal:           settings.Seal,
+		Hasher:         settings.Hasher,
 		ReadsPerSecond: 1e6,
 	}, records, fakeController{}, discardLog)
 	listener := fasthttputil.NewInmemoryListener()
--- a/internal/admin/ledger.go
+++ b/internal/admin/ledger.go
@@ -88,7 +88,7 @@
 			return "", err
 		}
 		for _, segment := range segments {
-			verification.VerifiedThrough, link, err = s.settings.Seal.Verify(
+			verification.VerifiedThrough, link, err = s.settings.Hasher.Verify(
 				[]ledger.Segment{segment.Segment}, verification.VerifiedThrough, link)
 			if err != nil {
 				return err.Error(), nil
--- a/internal/admin/ledger_api.go
+++ b/internal/admin/ledger_api.go
@@ -11,9 +11,9 @@
 	CPU       uint64            `json:"cpu_us"`      // CPU-microseconds
 	GPU       uint64            `json:"gpu_us"`      // GPU-microseconds
 	Mem       uint64            `json:"gb_us"`       // GB-microseconds
-	Lost      uint64            `json:"lost_cpu_us"` // part of CPU: attempts that neither completed nor saved a checkpoint
+	WastedCPU uint64            `json:"lost_cpu_us"` // part of CPU: attempts that neither completed nor saved a checkpoint
 	Starts    uint64            `json:"starts"`      // attempts that began to run
-	TakenOver uint64            `json:"taken_over"`  // attempts that a new leader found running after a failover
+	Adopted   uint64            `json:"taken_over"`  // attempts that a new leader found running after a failover
 	Wait      map[string]uint64 `json:"wait_ms"`     // task-milliseconds of waiting by cause; zeros are omitted
 }
 
@@ -23,9 +23,9 @@
 		CPU:       usage.CPU,
 		GPU:       usage.GPU,
 		Mem:       usage.Mem,
-		Lost:      usage.Lost,
+		WastedCPU: usage.WastedCPU,
 		Starts:    usage.Starts,
-		TakenOver: usage.TakenOver,
+		Adopted:   usage.Adopted,
 		Wait:      map[string]uint64{},
 	}
 	for cause, milliseconds := range usage.Wait {
@@ -42,9 +42,9 @@
 		CPU:       a.CPU,
 		GPU:       a.GPU,
 		Mem:       a.Mem,
-		Lost:      a.Lost,
+		WastedCPU: a.WastedCPU,
 		Starts:    a.Starts,
-		TakenOver: a.TakenOver,
+		Adopted:   a.Adopted,
 	}
 	for cause := range usage.Wait {
 		usage.Wait[cause] = a.Wait[ledger.WaitCause(cause).String()]
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -64,7 +64,7 @@
 		segments []ledger.StoredSegment, more bool, err error)
 	// Intervals returns up to limit unaccounted intervals whose FencingToken is greater than after, in ascending order.
 	// more reports whether further intervals follow.
-	Intervals(ctx context.Context, after uint64, limit int) (intervals []ledger.Interval, more bool, err error)
+	Intervals(ctx context.Context, after uint64, limit int) (intervals []ledger.UnaccountedInterval, more bool, err error)
 }
 
 // Controller answers the requests that do not concern the ledger.
@@ -80,13 +80,13 @@
 
 // Settings configures a Server.
 type Settings struct {
-	BearerToken      []byte             // token that requests must carry; if it is empty, all requests are rejected
-	LedgerEnabled    bool               // if it is false, requests for the ledger are answered with 404 Not Found
-	FairShareEnabled bool               // fair share orders the work beyond guarantees
-	HalfLife         time.Duration      // half-life of usage in fair share
-	Weights          map[string]float64 // fair-share weights by team
-	Seal             *ledger.Seal       // verifies the hashes of segments
-	ReadsPerSecond   float64            // rate limit for reads from the state service
+	BearerToken      []byte                // token that requests must carry; if it is empty, all requests are rejected
+	LedgerEnabled    bool                  // if it is false, requests for the ledger are answered with 404 Not Found
+	FairShareEnabled bool                  // fair share orders the work beyond guarantees
+	HalfLife         time.Duration         // half-life of usage in fair share
+	Weights          map[string]float64    // fair-share weights by team
+	Hasher           *ledger.SegmentHasher // verifies the hashes of segments
+	ReadsPerSecond   float64               // rate limit for reads from the state service
 }
 
 // Server handles the requests of operators. It is safe for concurrent use.
--- a/internal/admin/status_api.go
+++ b/internal/admin/status_api.go
@@ -12,22 +12,23 @@
 	Leader       string `json:"leader,omitempty"` // name of the last known leader; "" if none is known
 	FencingToken uint64 `json:"token"`            // of this controller's leadership; may be outdated if it does not lead
 
-	// StateLeaseSeconds is the remaining time of this controller's leadership as proved by its lease at the state
+	// LeaseRemainingSeconds is the remaining time of this controller's leadership as proved by its lease at the state
 	// service. It is zero if the controller does not lead, and negative if the lease has expired.
-	StateLeaseSeconds float64 `json:"lease_s"`
-	// LeadershipSeconds is the remaining time of this controller's leadership as proved by its lease or by votes. It is
-	// zero if the controller does not lead, and negative if the leadership has expired.
-	LeadershipSeconds float64 `json:"right_s"`
-	// VoteSeconds is for how long a vote is valid. It is zero if votes are turned off.
-	VoteSeconds float64 `json:"promise_s"`
-	// VotesSeconds is the remaining validity of each vote for this controller as leader, by the member that cast it.
-	VotesSeconds map[string]float64 `json:"promises_s"`
+	LeaseRemainingSeconds float64 `json:"lease_s"`
+	// LeadershipRemainingSeconds is the remaining time of this controller's leadership as proved by its lease or by votes.
+	// It is zero if the controller does not lead, and negative if the leadership has expired.
+	LeadershipRemainingSeconds float64 `json:"right_s"`
+	// VoteDurationSeconds is for how long a vote is valid. It is zero if votes are turned off.
+	VoteDurationSeconds float64 `json:"promise_s"`
+	// VoteRemainingSeconds is the remaining validity of each vote for this controller as leader, by the member that cast
+	// it.
+	VoteRemainingSeconds map[string]float64 `json:"promises_s"`
 	// ClaimBlockedSeconds is for how long this controller must not claim the leadership, because it has voted for
 	// another one or may have done so before its restart.
 	ClaimBlockedSeconds float64 `json:"bound_s"`
-	// StateUnansweredSeconds is for how long requests to the state service have failed. It is zero if the last
+	// StateServiceUnreachableSeconds is for how long requests to the state service have failed. It is zero if the last
 	// request succeeded.
-	StateUnansweredSeconds float64 `json:"state_unanswered_s"`
+	StateServiceUnreachableSeconds float64 `json:"state_unanswered_s"`
 
 	Connections Connections   `json:"sockets"`
 	Load        Load          `json:"load"`
@@ -72,8 +73,8 @@
 // Load describes the load of a controller's event loop.
 type Load struct {
 	// LongestHoldSeconds is the longest time that one event has taken since the statistics were last logged.
-	// LongestHoldEvent is the kind of that event, for example "election" or "pass".
+	// LongestHoldWork is the kind of work that took it, for example "election" or "pass".
 	LongestHoldSeconds float64 `json:"longest_hold_s"`
-	LongestHoldEvent   string  `json:"longest_hold_by"`
-	Inbox              int     `json:"inbox"` // number of events in the queue
+	LongestHoldWork    string  `json:"longest_hold_by"`
+	QueuedEvents       int     `json:"inbox"` // number of events in the queue
 }
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -38,9 +38,9 @@
 	// RefusalBackoff is how long an offer is not requested again after the cloud has refused it.
 	RefusalBackoff time.Duration
 
-	// LookaheadBoots is measured in boot times of the machine's type. Capacity on a running machine counts as incoming
+	// LookaheadBootTimes is measured in boot times of the machine's type. Capacity on a running machine counts as incoming
 	// if it is likely to become free within this time.
-	LookaheadBoots float64
+	LookaheadBootTimes float64
 
 	// MaxPerRequest is the maximum number of machines in one request.
 	MaxPerRequest int
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -94,7 +94,7 @@
 	requestedZones := func(snapshot *Snapshot, tasksByZone map[string]int) string {
 		t.Helper()
 		shortages := newShortage(8, func(s *model.Spec) { s.Shape, s.SingleZone = model.Gang, true })
-		shortages[0].Request.Count, shortages[0].Request.TasksByZone = 8, tasksByZone
+		shortages[0].Request.PendingTasks, shortages[0].Request.TasksByZone = 8, tasksByZone
 		zones := ""
 		for _, r := range ScaleOut(testSettings, time.Unix(100, 0), snapshot, shortages) {
 			zones += r.Zone
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -149,7 +149,7 @@
 // prefix stays exhausted because ScaleOut only ever reduces the capacity of a machine.
 type exhaustedPrefixes map[requestKind][]exhaustedPrefix
 
-// requestKind holds everything that, besides its demand, determines which machines a task without rules may use.
+// requestKind holds everything that, besides its demand, determines which machines a task without constraints may use.
 // Requests of the same kind can share exhausted prefixes.
 type requestKind struct {
 	urgent, spot, gpu, gpuMachinesAllowed bool
@@ -187,8 +187,8 @@
 }
 
 // add records that no incoming machine before endIndex has capacity for a task of the pending request. It records
-// nothing if the request is also restricted by rules, spreading or a pinned zone, since machines that it cannot use
-// may still have capacity for other requests of its kind.
+// nothing if the request is also restricted by constraints, spreading or a pinned zone, since machines that it cannot
+// use may still have capacity for other requests of its kind.
 func (e exhaustedPrefixes) add(pending *scheduler.Request, pinnedZone string, endIndex int) {
 	if pending.Rules != nil || pending.Job.Spec.Spread || pinnedZone != "" {
 		return
--- a/internal/autoscaler/snapshot.go
+++ b/internal/autoscaler/snapshot.go
@@ -30,7 +30,7 @@
 }
 
 // Incoming is capacity that is expected to become available without a new request: a machine that is booting or was
-// already requested, or the part of a running machine that is likely to become free soon (Settings.LookaheadBoots).
+// already requested, or the part of a running machine that is likely to become free soon (Settings.LookaheadBootTimes).
 type Incoming struct {
 	Type *model.MachineType
 	Zone string
--- a/internal/autoscaler/zone.go
+++ b/internal/autoscaler/zone.go
@@ -23,7 +23,7 @@
 		}
 	}
 	zones := s.offeredZones()
-	if pending.Count == 1 || len(zones) < 2 {
+	if pending.PendingTasks == 1 || len(zones) < 2 {
 		return ""
 	}
 	var options []zoneOption
@@ -66,7 +66,7 @@
 	option = zoneOption{
 		zone:     zone,
 		suspect:  s.SuspectZones[zone],
-		missing:  max(pending.Count-s.incomingCapacity(pending, zone), 0),
+		missing:  max(pending.PendingTasks-s.incomingCapacity(pending, zone), 0),
 		machines: s.MachinesByZone[zone],
 	}
 	if option.missing > 0 && s.CapacityInZone != nil {
--- a/internal/clustersim/capacity/capacity.go
+++ b/internal/clustersim/capacity/capacity.go
@@ -28,7 +28,7 @@
 	case Workers:
 		return float64(r.Workers) / regions
 	case Starts:
-		return r.Starts / regions
+		return r.StartsPerSecond / regions
 	case Jobs:
 		return r.JobsPerSecond / regions
 	default:
--- a/internal/clustersim/capacity/capacity_test.go
+++ b/internal/clustersim/capacity/capacity_test.go
@@ -23,10 +23,10 @@
 	for i, workers := range []int{1000, 2000, 4000, 8000, 8000} {
 		starts := float64(100 * (i*i + 1))
 		runs = append(runs, scale.Result{
-			Workers:     2 * workers,
-			Regions:     2,
-			Starts:      2 * starts,
-			LeaderCores: 0.5 + 0.001*float64(workers) + 0.01*starts,
+			Workers:         2 * workers,
+			Regions:         2,
+			StartsPerSecond: 2 * starts,
+			LeaderCores:     0.5 + 0.001*float64(workers) + 0.01*starts,
 		})
 	}
 	return q, runs
@@ -73,7 +73,7 @@
 		t.Errorf("three runs for three coefficients: got %v, want %v", err, ErrTooFewRuns)
 	}
 	for i := range runs {
-		runs[i].Starts = float64(runs[i].Workers)
+		runs[i].StartsPerSecond = float64(runs[i].Workers)
 	}
 	if _, err := Fit(q, runs); !errors.Is(err, ErrCollinearLoads) {
 		t.Errorf("two loads in proportion: got %v, want %v", err, ErrCollinearLoads)
--- a/internal/clustersim/electionsim/invariants.go
+++ b/internal/clustersim/electionsim/invariants.go
@@ -36,7 +36,7 @@
 		}
 		outcome.hasLeader = outcome.hasLeader || leaders > 0
 		if leaders > 1 {
-			outcome.violation = fmt.Sprintf("%d members may act as leader", leaders)
+			outcome.violation = fmt.Sprintf("%d members may act", leaders)
 			return outcome
 		}
 	}
@@ -50,14 +50,12 @@
 	switch {
 	case !c.settings.FeatureGates:
 	case m.withoutFeatureGates && level > 0:
-		return fmt.Sprintf("%s may act as leader under level %d although its version predates feature levels", name, level)
+		return fmt.Sprintf("%s may act under level %d with a program from before levels", name, level)
 	case !m.withoutFeatureGates && m.stateMachine.Level() != level:
-		return fmt.Sprintf("%s may act as leader by level %d although level %d is in force",
-			name, m.stateMachine.Level(), level)
+		return fmt.Sprintf("%s may act by level %d, in force is %d", name, m.stateMachine.Level(), level)
 	}
 	if token := m.stateMachine.FencingToken(); token < c.highestToken {
-		return fmt.Sprintf("%s may act as leader with fencing token %d although token %d has been in use",
-			name, token, c.highestToken)
+		return fmt.Sprintf("%s may act with token %d, after %d", name, token, c.highestToken)
 	}
 	return ""
 }
--- a/internal/clustersim/faults/overlapping.go
+++ b/internal/clustersim/faults/overlapping.go
@@ -71,7 +71,7 @@
 func applyMutation(w *fake.World, mutation Mutation) {
 	switch mutation {
 	case IgnoreStaleness:
-		w.StalenessBound.KeepLeases, w.StalenessBound.StartTasks = time.Hour, time.Hour
+		w.StalenessBound.RenewLeases, w.StalenessBound.StartTasks = time.Hour, time.Hour
 	case AcceptAnyToken:
 		w.AcceptAnyToken = true
 	case ShortLeases:
--- a/internal/clustersim/faults/result.go
+++ b/internal/clustersim/faults/result.go
@@ -103,7 +103,7 @@
 	result.Violations += len(w.Violations)
 	result.FirstViolations = append(result.FirstViolations, w.Violations...)
 	result.KilledTasks, result.LongestCancellation = w.KilledTasks, w.LongestCancellation.Seconds()
-	result.LongestWaitWithRoom, result.AnsweredPolls = w.LongestWait.Seconds(), w.AnsweredPolls
+	result.LongestWaitWithRoom, result.AnsweredPolls = w.LongestWaitWithRoom.Seconds(), w.AnsweredPolls
 	for _, violation := range w.Violations {
 		if strings.HasPrefix(violation, "went_back") || strings.HasPrefix(violation, "forgotten") {
 			result.StaleAnswers++
--- a/internal/clustersim/faults/simulation.go
+++ b/internal/clustersim/faults/simulation.go
@@ -135,7 +135,7 @@
 		for _, j := range s.jobs {
 			first := model.TaskID{Job: j.spec.ID}
 			last := model.TaskID{Job: j.spec.ID, Index: j.spec.Tasks - 1}
-			if j.startedAt.IsZero() && w.Starts[first]+w.Starts[last] > 0 {
+			if j.startedAt.IsZero() && w.Launches[first]+w.Launches[last] > 0 {
 				j.startedAt = now
 			}
 		}
--- a/internal/clustersim/faults/starters_messages.go
+++ b/internal/clustersim/faults/starters_messages.go
@@ -91,7 +91,9 @@
 
 // disturbCommands randomly delays or drops direct commands, or loses the answers to them.
 func (s *simulation) disturbCommands() (end func()) {
-	deliveries := [...]fake.Delivery{fake.Delivered, fake.Delayed, fake.AnswerLost, fake.Dropped}
+	deliveries := [...]fake.Delivery{
+		fake.CommandDelivered, fake.CommandDelayed, fake.CommandAnswerLost, fake.CommandDropped,
+	}
 	s.world.NextDelivery = func() fake.Delivery { return deliveries[s.random.IntN(len(deliveries))] }
 	return func() {
 		s.world.NextDelivery = nil
--- a/internal/clustersim/faults/world.go
+++ b/internal/clustersim/faults/world.go
@@ -28,12 +28,12 @@
 	deployment := &platform.Deployment
 	deployment.Zones = []string{"a", "b"}
 	workers := &deployment.Workers
-	// The times of the workers and the list lag of the cloud are in seconds.
-	workers.Heartbeat, workers.Lease, workers.GangWait, workers.GangPeer, workers.Cancel = 2.5, 14, 35, 5, 34
-	deployment.State.ValueKB, deployment.State.TxnOps, deployment.Cloud.ListLag = 8, 12, 6
+	workers.HeartbeatSeconds, workers.LeaseSeconds, workers.GangWaitSeconds, workers.GangPeerSeconds,
+		workers.CancelSeconds = 2.5, 14, 35, 5, 34
+	deployment.State.ValueKB, deployment.State.TxnOps, deployment.Cloud.ListLagSeconds = 8, 12, 6
 	operator := config.Defaults()
 	operator.Scheduler.StarvationBound = config.Duration(starvationBound)
-	operator.Votes = &config.Votes{Outage: config.Duration(outageVoteDuration)}
+	operator.Votes = &config.Votes{OutageVoteDuration: config.Duration(outageVoteDuration)}
 	settings := config.ReconcilerSettings(platform, operator)
 	cpus := machineCPUs * float64(machines)
 	guarantee := model.Resources{CPU: cpus / 4}
@@ -45,7 +45,7 @@
 	electionSettings := config.ElectionSettings(platform, operator)
 	w := fake.NewWorld(controllers, settings, electionSettings, config.StoreLimits(platform), log)
 	w.Tick, w.FetchTime, w.BootTime = tick, second, bootTime
-	w.Capacity, w.MaxRetainedHeartbeats = machines*5/4, retainedHeartbeatsPerMachine*machines
+	w.Capacity, w.MaxRetainedMessages = machines*5/4, retainedHeartbeatsPerMachine*machines
 	w.Types = []model.MachineType{{
 		Name:             machineType,
 		Capacity:         model.Resources{CPU: machineCPUs, MemGB: machineMemoryGB},
--- a/internal/clustersim/ledgersim/compare.go
+++ b/internal/clustersim/ledgersim/compare.go
@@ -20,7 +20,7 @@
 // result.
 func (s *simulation) compare() {
 	result, ctx := s.result, context.Background()
-	client := store.NewOver(s.world.State, s.world.State, storeTimeout)
+	client := store.NewWithTransports(s.world.State, s.world.State, storeTimeout)
 	client.SetRateLimits(unlimitedRate, unlimitedRate)
 	result.Failovers, result.Settlements = len(s.audit.leaders)-1, s.audit.settlementCount
 	elapsed := s.world.Now().Sub(s.start)
@@ -62,7 +62,7 @@
 		if err != nil {
 			return err
 		}
-		usage := ledger.Total(open.Usage)
+		usage := ledger.TotalUsage(open.Usage)
 		usage.Add(closed)
 		s.compareTeam(open.Team, usage)
 	}
@@ -79,7 +79,7 @@
 func (s *simulation) readClosedSegments(
 	ctx context.Context, client *store.Client, open *ledger.OpenSegment,
 ) (usage ledger.Usage, err error) {
-	seal := ledger.NewSeal(nil)
+	hasher := ledger.NewSegmentHasher(nil)
 	var last, after uint64
 	var link string
 	for more := true; more; {
@@ -89,11 +89,11 @@
 			return usage, err
 		}
 		for _, segment := range segments {
-			usage.Add(ledger.Total(segment.Usage))
+			usage.Add(ledger.TotalUsage(segment.Usage))
 			after = segment.First
 			s.result.Segments++
-			s.result.SegmentsFolded += int(segment.Last - segment.First)
-			last, link, err = seal.Verify([]ledger.Segment{segment.Segment}, last, link)
+			s.result.SegmentsCompacted += int(segment.Last - segment.First)
+			last, link, err = hasher.Verify([]ledger.Segment{segment.Segment}, last, link)
 			s.recordVerification(open.Team, err)
 		}
 	}
@@ -115,11 +115,11 @@
 		Team: name,
 		Comparison: Comparison{
 			LedgerCPU:  recorded.CPU,
-			RuntimeCPU: audited.CPU,
+			AuditedCPU: audited.CPU,
 			LedgerGPU:  recorded.GPU,
-			RuntimeGPU: audited.GPU,
+			AuditedGPU: audited.GPU,
 			LedgerMem:  recorded.Mem,
-			RuntimeMem: audited.Mem,
+			AuditedMem: audited.Mem,
 		},
 		Starts: recorded.Starts,
 	})
--- a/internal/clustersim/ledgersim/deployment.go
+++ b/internal/clustersim/ledgersim/deployment.go
@@ -28,7 +28,7 @@
 	controllerCount = 3
 )
 
-// The ledger settings. The retention is short, so that segments are folded during a simulation of several days.
+// The ledger settings. The retention is short, so that segments are compacted during a simulation of several days.
 const (
 	settleInterval = 30 * time.Second
 	hourRetention  = 30 * time.Hour
@@ -60,16 +60,16 @@
 	p := &config.Platform{Member: "tiller-0"}
 	d := &p.Deployment
 	d.Zones = []string{"a", "b"}
-	d.Workers.Heartbeat = heartbeatSeconds
-	d.Workers.Lease = leaseSeconds
-	d.Workers.GangWait = gangWaitSeconds
-	d.Workers.GangPeer = gangPeerSeconds
-	d.Workers.Cancel = cancelSeconds
+	d.Workers.HeartbeatSeconds = heartbeatSeconds
+	d.Workers.LeaseSeconds = leaseSeconds
+	d.Workers.GangWaitSeconds = gangWaitSeconds
+	d.Workers.GangPeerSeconds = gangPeerSeconds
+	d.Workers.CancelSeconds = cancelSeconds
 	d.State.RPS = stateRequestsPerSecond
 	d.State.WriteRPS = stateWritesPerSecond
 	d.State.ValueKB = stateValueKB
 	d.State.TxnOps = stateOperationsPerTransaction
-	d.Cloud.ListLag = cloudListLagSeconds
+	d.Cloud.ListLagSeconds = cloudListLagSeconds
 	return p
 }
 
--- a/internal/clustersim/ledgersim/faults.go
+++ b/internal/clustersim/ledgersim/faults.go
@@ -15,10 +15,10 @@
 	outagesPerDay    = 2
 	clockJumpsPerDay = 3
 
-	// A controller without a ledger leads once in withoutLedgerPeriodDays, beginning on day withoutLedgerFirstDay. Days
+	// A controller without a ledger leads once in noLedgerPeriodDays, beginning on day noLedgerFirstDay. Days
 	// count from 0.
-	withoutLedgerPeriodDays = 3
-	withoutLedgerFirstDay   = 2
+	noLedgerPeriodDays = 3
+	noLedgerFirstDay   = 2
 
 	// One in transactionFaultOdds transactions is delayed, and one in as many loses its answer.
 	transactionFaultOdds = 120
@@ -37,7 +37,7 @@
 	for range clockJumpsPerDay {
 		s.scheduleOnDay(date, s.skewClocks)
 	}
-	if dayIndex%withoutLedgerPeriodDays == withoutLedgerFirstDay {
+	if dayIndex%noLedgerPeriodDays == noLedgerFirstDay {
 		s.scheduleOnDay(date, s.leadWithoutLedger)
 	}
 }
--- a/internal/clustersim/ledgersim/result.go
+++ b/internal/clustersim/ledgersim/result.go
@@ -1,33 +1,33 @@
 package ledgersim
 
 // Comparison holds the usage in the ledger (the fields Ledger...) and the usage that the audit computed (the fields
-// Runtime...), in CPU-, GPU- and GB-microseconds. The JSON names are published.
+// Audited...), in CPU-, GPU- and GB-microseconds. The JSON names are published.
 type Comparison struct {
 	LedgerCPU  uint64 `json:"ledger_cpu_us"`
-	RuntimeCPU uint64 `json:"runtime_cpu_us"`
+	AuditedCPU uint64 `json:"runtime_cpu_us"`
 	LedgerGPU  uint64 `json:"ledger_gpu_us"`
-	RuntimeGPU uint64 `json:"runtime_gpu_us"`
+	AuditedGPU uint64 `json:"runtime_gpu_us"`
 	LedgerMem  uint64 `json:"ledger_gb_us"`
-	RuntimeMem uint64 `json:"runtime_gb_us"`
+	AuditedMem uint64 `json:"runtime_gb_us"`
 }
 
 // add adds the amounts of another comparison to c.
 func (c *Comparison) add(other Comparison) {
 	c.LedgerCPU += other.LedgerCPU
-	c.RuntimeCPU += other.RuntimeCPU
+	c.AuditedCPU += other.AuditedCPU
 	c.LedgerGPU += other.LedgerGPU
-	c.RuntimeGPU += other.RuntimeGPU
+	c.AuditedGPU += other.AuditedGPU
 	c.LedgerMem += other.LedgerMem
-	c.RuntimeMem += other.RuntimeMem
+	c.AuditedMem += other.AuditedMem
 }
 
 // difference returns the sum of the amounts by which the ledger exceeds the audit, and the sum of those by which it
 // falls short of the audit, in microseconds.
 func (c *Comparison) difference() (above, below uint64) {
 	for _, pair := range [][2]uint64{
-		{c.LedgerCPU, c.RuntimeCPU},
-		{c.LedgerGPU, c.RuntimeGPU},
-		{c.LedgerMem, c.RuntimeMem},
+		{c.LedgerCPU, c.AuditedCPU},
+		{c.LedgerGPU, c.AuditedGPU},
+		{c.LedgerMem, c.AuditedMem},
 	} {
 		recorded, audited := pair[0], pair[1]
 		above += max(recorded, audited) - audited
@@ -69,7 +69,7 @@
 	UnaccountedIntervals   int     `json:"stretches_not_accounted"`   // intervals that no leader accounted for
 	Settlements            int     `json:"settlements"`               // committed settlements
 	Segments               int     `json:"pages"`                     // closed segments in the ledger at the end
-	SegmentsFolded         int     `json:"pages_folded"`              // segments that were merged into another one
+	SegmentsCompacted      int     `json:"pages_folded"`              // segments that were merged into another one
 	WriteShare             float64 `json:"share_of_changes_possible"` // used by the ledger, of the write rate limit
 	Violation              string  `json:"broken,omitempty"`          // violation of another invariant; empty if none
 }
--- a/internal/clustersim/ledgersim/simulation_test.go
+++ b/internal/clustersim/ledgersim/simulation_test.go
@@ -29,9 +29,9 @@
 	}
 	// The audit misses a small part of the physical run time: tasks that ran unreported, and usage that was not settled
 	// when its leader crashed.
-	if r.RuntimeCPU >= r.PhysicalCPU || float64(r.RuntimeCPU) < 0.97*float64(r.PhysicalCPU) {
+	if r.AuditedCPU >= r.PhysicalCPU || float64(r.AuditedCPU) < 0.97*float64(r.PhysicalCPU) {
 		t.Errorf("got %d CPU-us in the audit, want at least 97%% of the %d CPU-us that ran, but less than all",
-			r.RuntimeCPU, r.PhysicalCPU)
+			r.AuditedCPU, r.PhysicalCPU)
 	}
 }
 
--- a/internal/clustersim/scale/exchange.go
+++ b/internal/clustersim/scale/exchange.go
@@ -138,7 +138,7 @@
 	switch result.status {
 	case fasthttp.StatusOK:
 		message := &result.message
-		h.worker.HandleAnswer(heartbeat.Epoch, sent, message.FencingToken, w.applyMutation(h, message.Commands))
+		h.worker.HandleHeartbeatResponse(heartbeat.Epoch, sent, message.FencingToken, w.applyMutation(h, message.Commands))
 	case fasthttp.StatusMisdirectedRequest:
 		w.redirect(h, wire.DecodeLeader(result.body))
 	default:
--- a/internal/clustersim/scale/measure.go
+++ b/internal/clustersim/scale/measure.go
@@ -119,7 +119,7 @@
 // countCrash counts and logs the crash of a controller. Further calls for the same controller have no effect.
 func (r *run) countCrash(c *controller) {
 	if c.markCrashReported() {
-		r.result.EndedProcesses++
+		r.result.CrashedControllers++
 		r.logf("controller %s ended unexpectedly; last log line: %s", c.name, lastLine(c.logPath))
 	}
 }
@@ -142,10 +142,10 @@
 	defer w.mu.Unlock()
 	out.Answers = w.counts
 	out.LeaseExpiries = w.fleet.LeaseExpiries - b.leaseExpiries
-	out.HeartbeatP50, out.HeartbeatP99 = percentile(w.roundTrips, 50, 1000), percentile(w.roundTrips, 99, 1000)
+	out.HeartbeatP50Ms, out.HeartbeatP99Ms = percentile(w.roundTrips, 50, 1000), percentile(w.roundTrips, 99, 1000)
 	out.Violations = append(out.Violations, w.fleet.Violations...)
 	out.Machines, out.RunningTasks = len(w.byName), w.fleet.ActiveTasks()
-	out.Heartbeats = float64(out.Answers.Heartbeats) / seconds
+	out.HeartbeatsPerSecond = float64(out.Answers.Heartbeats) / seconds
 	if all := out.Answers.Heartbeats + out.Answers.Failed + out.Answers.Refused + out.Answers.Redirects; all > 0 {
 		out.LateHeartbeatShare = float64(out.Answers.Late) / float64(all)
 	}
@@ -158,11 +158,11 @@
 	defer u.mu.Unlock()
 	milliseconds := func(h *hdrhistogram.Histogram, percent float64) int64 { return int64(percentile(h, percent, 1)) }
 	out.Users = u.counts
-	out.UrgentP50, out.UrgentP99 = milliseconds(u.urgentWaits, 50), milliseconds(u.urgentWaits, 99)
-	out.OthersP50, out.OthersP99 = milliseconds(u.otherWaits, 50), milliseconds(u.otherWaits, 99)
+	out.UrgentP50Ms, out.UrgentP99Ms = milliseconds(u.urgentWaits, 50), milliseconds(u.urgentWaits, 99)
+	out.OthersP50Ms, out.OthersP99Ms = milliseconds(u.otherWaits, 50), milliseconds(u.otherWaits, 99)
 	out.AcceptP99Ms = milliseconds(u.acceptTimes, 99)
-	out.Starts = float64(out.Users.Starts) / seconds
-	out.RequestedStarts = float64(out.Users.RequestedStarts) / seconds
+	out.StartsPerSecond = float64(out.Users.Starts) / seconds
+	out.RequestedStartsPerSecond = float64(out.Users.RequestedStarts) / seconds
 	out.JobsPerSecond = float64(out.Users.Submitted) / seconds
 }
 
@@ -176,7 +176,7 @@
 	}
 	out.LeaderMB, out.MemberMB, out.StandInMB, out.PeakMB =
 		usage.peakLeaderMB, usage.peakMemberMB, usage.peakStandInMB, usage.peakTotalMB
-	out.LeaderSockets, out.MemberSockets = usage.peakLeaderFiles, usage.peakMemberFiles
+	out.LeaderOpenFiles, out.MemberOpenFiles = usage.peakLeaderFiles, usage.peakMemberFiles
 }
 
 // collectTrafficResult fills in the traffic by kind of message, the bandwidth of a worker, and the request and write
@@ -188,10 +188,10 @@
 	for _, kind := range workerTrafficKinds {
 		totalBytes += out.Traffic[kind].BytesIn + out.Traffic[kind].BytesOut
 	}
-	out.WorkerBytes = float64(totalBytes) / seconds / float64(max(out.Machines, 1))
+	out.WorkerBytesPerSecond = float64(totalBytes) / seconds / float64(max(out.Machines, 1))
 	for _, region := range r.regions {
 		out.StateRPS = max(out.StateRPS, float64(region.state.traffic.messageCount())/seconds)
-		out.StateWrites = max(out.StateWrites, float64(region.state.changeCount())/seconds)
+		out.StateWritesPerSecond = max(out.StateWritesPerSecond, float64(region.state.changeCount())/seconds)
 	}
 }
 
--- a/internal/clustersim/scale/plan.go
+++ b/internal/clustersim/scale/plan.go
@@ -246,11 +246,11 @@
 	meanCPUs := workers * 9 / float64(p.Teams) // CPUs per team, at about 9 per machine
 	out := make([]model.Team, p.Teams)
 	for i := range out {
-		limit := max(4*meanCPUs, 2*maxGangTasks)
+		quota := max(4*meanCPUs, 2*maxGangTasks)
 		out[i] = model.Team{
 			Name:      fmt.Sprintf("team-%03d", i),
 			Guarantee: model.Resources{CPU: meanCPUs / 2},
-			Quota:     model.NewQuota(limit, 0),
+			Quota:     model.NewQuota(quota, 0),
 		}
 	}
 	return out
--- a/internal/clustersim/scale/workers.go
+++ b/internal/clustersim/scale/workers.go
@@ -16,7 +16,7 @@
 )
 
 // workers holds the hollow workers of all regions. Package fake simulates the machines and the workers' side of the
-// protocol; this type carries heartbeats, their answers and direct commands over sockets.
+// protocol; this type carries heartbeats, their responses and direct commands over sockets.
 type workers struct {
 	listener net.Listener
 	http     *fasthttp.Server
@@ -162,7 +162,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, name := range names {
-		c.Forget(name)
+		c.RemoveBooting(name)
 		if h := w.byRegion[region][name]; h != nil {
 			w.remove(h)
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,7 +37,7 @@
 	}
 	for change, want := range map[string]string{
 		"lease_s = 12.0 -> lease_s = 1.0":               "lease_s must be longer than report_s",
-		"cpus_max = 256.0 -> cpus_max = 1.0":            "the guarantee exceeds the limit",
+		"cpus_max = 256.0 -> cpus_max = 1.0":            "the guarantee exceeds the quota",
 		`member = "tiller-1" -> member = "tiller-0"`:    "missing or already used",
 		`front = "127.0.0.1:18080" -> front = "host:1"`: "front: ",
 		"nodes = 2 -> nodes = 5":                        "deployment.nodes",
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -101,7 +101,8 @@
 func TestSettingsReachTheirParts(t *testing.T) {
 	p := &Platform{}
 	golden.Fill(p)
-	p.Deployment.Workers.Heartbeat, p.Deployment.Workers.Lease, p.Deployment.Workers.Cancel = 2, 12, 32
+	p.Deployment.Workers.HeartbeatSeconds, p.Deployment.Workers.LeaseSeconds,
+		p.Deployment.Workers.CancelSeconds = 2, 12, 32
 	p.Deployment.State.StateLimits = StateLimits{RPS: 201, WriteRPS: 81, ValueKB: 9, TxnOps: 13}
 	p.Deployment.State.Next = StateLimits{RPS: 101, WriteRPS: 41, ValueKB: 7, TxnOps: 11}
 	p.Deployment.Teams = append(
@@ -117,7 +118,7 @@
 	}
 	filled := &Operator{}
 	golden.Fill(filled)
-	filled.Votes.Outage = filled.Leadership.Lease * 3
+	filled.Votes.OutageVoteDuration = filled.Leadership.Lease * 3
 	example, err := ReadPlatform(filepath.Join("..", "..", "deploy", "example.toml"))
 	if err != nil {
 		t.Fatal(err)
@@ -185,7 +186,7 @@
 		{"leader: deployment.cloud.list_lag_s", reconciler.MachineListLag},
 		{"scheduler: scheduler/idle-power", reconciler.Scheduler.IdlePowerFraction},
 		{"scheduler: scheduler/overtake", reconciler.Scheduler.PromoteAfter},
-		{"scheduler: scheduler/overtake-late", reconciler.Scheduler.PromoteLateAfter},
+		{"scheduler: scheduler/overtake-late", reconciler.Scheduler.PromoteDeadlineAfter},
 		{"scheduler: scheduler/preempt-most", reconciler.Scheduler.MaxPreemptions},
 		{"scheduler: scheduler/start-most", reconciler.Scheduler.MaxStarts},
 		{"scheduler: scheduler/min-run", reconciler.Scheduler.MinRuntime},
@@ -203,7 +204,7 @@
 		{"fleet: fleet/boot-factor", reconciler.Autoscaler.BootTimeoutFactor},
 		{"fleet: fleet/boot-extra", reconciler.Autoscaler.BootTimeoutExtra},
 		{"fleet: fleet/refused", reconciler.Autoscaler.RefusalBackoff},
-		{"fleet: fleet/soon-boots", reconciler.Autoscaler.LookaheadBoots},
+		{"fleet: fleet/soon-boots", reconciler.Autoscaler.LookaheadBootTimes},
 		{"fleet: machines of one request", reconciler.Autoscaler.MaxPerRequest},
 		{"leader: workers/lease-margin", reconciler.LeaseMargin},
 		{"leader: scheduler/pass", reconciler.PassInterval},
@@ -256,7 +257,7 @@
 		{"relay: wait for an answer", relay.HeartbeatTimeout},
 		{"relay: pause after no answer", relay.RetryAfter},
 		{"cancellations: bounded", bounded},
-		{"cancellations: bound for leases", staleness.KeepLeases},
+		{"cancellations: bound for leases", staleness.RenewLeases},
 		{"cancellations: bound for starts", staleness.StartTasks},
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -48,7 +48,7 @@
 type Scheduler struct {
 	IdlePowerFraction    float64  `xml:"idle-power"`
 	PromoteAfter         Duration `xml:"overtake"`
-	PromoteLateAfter     Duration `xml:"overtake-late"`
+	PromoteDeadlineAfter Duration `xml:"overtake-late"`
 	PassInterval         Duration `xml:"pass"`  // minimum time between passes
 	FlushInterval        Duration `xml:"flush"` // between writes of finished-task records
 	PreemptForGuarantees bool     `xml:"preempt-for-guarantees"`
@@ -70,16 +70,16 @@
 // Autoscaler holds the settings for provisioning and releasing machines. autoscaler.Settings describes those
 // without a comment here.
 type Autoscaler struct {
-	IdleTimeout       Duration `xml:"keep-idle"`
-	IdleBootFactor    float64  `xml:"keep-boots"`
-	MinBilledTime     Duration `xml:"least-paid"`
-	SpotIdleFactor    float64  `xml:"keep-spot"`
-	BootTimeoutFactor float64  `xml:"boot-factor"`
-	BootTimeoutExtra  Duration `xml:"boot-extra"`
-	RefusalBackoff    Duration `xml:"refused"`
-	LookaheadBoots    float64  `xml:"soon-boots"`
-	ListInterval      Duration `xml:"list"`    // between reads of the cloud's machine list
-	CatalogInterval   Duration `xml:"catalog"` // between reads of the cloud's catalog
+	IdleTimeout        Duration `xml:"keep-idle"`
+	IdleBootFactor     float64  `xml:"keep-boots"`
+	MinBilledTime      Duration `xml:"least-paid"`
+	SpotIdleFactor     float64  `xml:"keep-spot"`
+	BootTimeoutFactor  float64  `xml:"boot-factor"`
+	BootTimeoutExtra   Duration `xml:"boot-extra"`
+	RefusalBackoff     Duration `xml:"refused"`
+	LookaheadBootTimes float64  `xml:"soon-boots"`
+	ListInterval       Duration `xml:"list"`    // between reads of the cloud's machine list
+	CatalogInterval    Duration `xml:"catalog"` // between reads of the cloud's catalog
 	unknownSettings
 }
 
@@ -87,7 +87,7 @@
 type Workers struct {
 	LeaseMargin          Duration `xml:"lease-margin"` // added to a worker's lease before it counts as expired
 	UnresponsiveAfter    Duration `xml:"silent-after"` // 0 means that it is derived from the heartbeat interval
-	MaxUnresponsiveShare float64  `xml:"silent-share"` // fraction of machines; if more are silent, a partition is assumed
+	MaxUnresponsiveShare float64  `xml:"silent-share"` // fraction of machines; if more are unresponsive, a partition is assumed
 	MachineFaultErrors   int      `xml:"sick-errors"`  // number of failing jobs that make a machine count as faulty
 	CommandTimeout       Duration `xml:"direct-wait"`  // of a command that is sent directly to a worker
 	CommandHoldOff       Duration `xml:"direct-hold"`  // without direct commands after one was not answered
@@ -96,9 +96,9 @@
 
 // HTTPAPI holds the settings of the users' interface.
 type HTTPAPI struct {
-	StateTimeout    Duration `xml:"state-timeout"` // of one request to the state service
-	RetryAfter      Duration `xml:"retry-after"`   // lower bound of the Retry-After header
-	EndedJobsCached int      `xml:"keep-ended"`    // maximum number of ended jobs in the cache
+	StateTimeout       Duration `xml:"state-timeout"` // of one request to the state service
+	RetryAfter         Duration `xml:"retry-after"`   // lower bound of the Retry-After header
+	MaxCachedEndedJobs int      `xml:"keep-ended"`    // maximum number of ended jobs in the cache
 	unknownSettings
 }
 
@@ -113,16 +113,16 @@
 		},
 		Scheduler: defaultScheduler(),
 		Autoscaler: Autoscaler{
-			IdleTimeout:       Duration(20 * time.Second),
-			IdleBootFactor:    1,
-			MinBilledTime:     Duration(time.Minute),
-			SpotIdleFactor:    4,
-			BootTimeoutFactor: 2.5,
-			BootTimeoutExtra:  Duration(5 * time.Second),
-			RefusalBackoff:    Duration(15 * time.Second),
-			LookaheadBoots:    1,
-			ListInterval:      Duration(5 * time.Second),
-			CatalogInterval:   Duration(time.Minute),
+			IdleTimeout:        Duration(20 * time.Second),
+			IdleBootFactor:     1,
+			MinBilledTime:      Duration(time.Minute),
+			SpotIdleFactor:     4,
+			BootTimeoutFactor:  2.5,
+			BootTimeoutExtra:   Duration(5 * time.Second),
+			RefusalBackoff:     Duration(15 * time.Second),
+			LookaheadBootTimes: 1,
+			ListInterval:       Duration(5 * time.Second),
+			CatalogInterval:    Duration(time.Minute),
 		},
 		Workers: Workers{
 			LeaseMargin:          Duration(500 * time.Millisecond),
@@ -132,9 +132,9 @@
 			CommandHoldOff:       Duration(3 * time.Second),
 		},
 		HTTPAPI: HTTPAPI{
-			StateTimeout:    Duration(1200 * time.Millisecond),
-			RetryAfter:      Duration(time.Second),
-			EndedJobsCached: 50_000,
+			StateTimeout:       Duration(1200 * time.Millisecond),
+			RetryAfter:         Duration(time.Second),
+			MaxCachedEndedJobs: 50_000,
 		},
 	}
 }
@@ -143,7 +143,7 @@
 	return Scheduler{
 		IdlePowerFraction:    0.7,
 		PromoteAfter:         Duration(time.Minute),
-		PromoteLateAfter:     Duration(15 * time.Minute),
+		PromoteDeadlineAfter: Duration(15 * time.Minute),
 		PassInterval:         Duration(50 * time.Millisecond),
 		FlushInterval:        Duration(500 * time.Millisecond),
 		PreemptForGuarantees: true,
--- a/internal/config/operator_optional.go
+++ b/internal/config/operator_optional.go
@@ -38,13 +38,13 @@
 	Value float64 `xml:",chardata"`
 }
 
-// Constraints enables rules in submissions. It has no settings.
+// Constraints enables placement constraints in submissions. It has no settings.
 type Constraints struct{ unknownSettings }
 
 // Votes enables votes of the other members for the leader. With them, the leader keeps its leadership during
 // outages of the state service.
 type Votes struct {
-	Outage Duration `xml:"outage"` // duration of a vote during an outage; 0 means no longer than at other times
+	OutageVoteDuration Duration `xml:"outage"` // duration of a vote during an outage; 0 means no longer than at other times
 	unknownSettings
 }
 
--- a/internal/config/operator_validate.go
+++ b/internal/config/operator_validate.go
@@ -89,7 +89,7 @@
 	return errors.Join(
 		checkNumber("scheduler/idle-power", s.IdlePowerFraction, 0, 1),
 		checkDuration("scheduler/overtake", s.PromoteAfter, 0, day),
-		checkDuration("scheduler/overtake-late", s.PromoteLateAfter, s.PromoteAfter.Std(), 7*day),
+		checkDuration("scheduler/overtake-late", s.PromoteDeadlineAfter, s.PromoteAfter.Std(), 7*day),
 		checkDuration("scheduler/consolidate", s.ConsolidateInterval, 0, day),
 		checkNumber("scheduler/dear", s.ExpensiveFactor, 1, 1e6),
 		checkDuration("scheduler/tight", s.TightSlack, 0, day),
@@ -112,7 +112,7 @@
 		checkNumber("fleet/keep-spot", a.SpotIdleFactor, 0, 1000),
 		checkNumber("fleet/boot-factor", a.BootTimeoutFactor, 1, 100),
 		checkDuration("fleet/boot-extra", a.BootTimeoutExtra, 0, time.Hour),
-		checkNumber("fleet/soon-boots", a.LookaheadBoots, 0, 100),
+		checkNumber("fleet/soon-boots", a.LookaheadBootTimes, 0, 100),
 		checkDuration("fleet/refused", a.RefusalBackoff, time.Second, time.Hour),
 		checkDuration("fleet/list", a.ListInterval, time.Second, time.Hour),
 		checkDuration("fleet/catalog", a.CatalogInterval, time.Second, day),
@@ -134,7 +134,7 @@
 	return errors.Join(
 		checkDuration("front/state-timeout", h.StateTimeout, 100*time.Millisecond, 4*time.Second),
 		checkDuration("front/retry-after", h.RetryAfter, time.Second, 30*time.Second),
-		checkNumber("front/keep-ended", float64(h.EndedJobsCached), 0, 10_000_000),
+		checkNumber("front/keep-ended", float64(h.MaxCachedEndedJobs), 0, 10_000_000),
 	)
 }
 
@@ -151,7 +151,7 @@
 		errs = append(errs, c.check("constraints"))
 	}
 	if v := o.Votes; v != nil {
-		errs = append(errs, v.check("promises"), checkDuration("promises/outage", v.Outage, 0, time.Minute))
+		errs = append(errs, v.check("promises"), checkDuration("promises/outage", v.OutageVoteDuration, 0, time.Minute))
 	}
 	if r := o.Routing; r != nil {
 		errs = append(errs, r.check("requests"), r.validate())
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -79,11 +79,11 @@
 
 // WorkerTimes holds the timings of the workers, in seconds.
 type WorkerTimes struct {
-	Heartbeat float64 `toml:"report_s"`    // between heartbeats
-	Lease     float64 `toml:"lease_s"`     // validity of a lease after the response to a heartbeat
-	GangWait  float64 `toml:"gang_wait_s"` // for which a gang's task waits for the other tasks to be ready
-	GangPeer  float64 `toml:"gang_peer_s"` // timeout between the workers of a gang; not used by controllers
-	Cancel    float64 `toml:"cancel_s"`    // maximum time from a cancellation to the end of the job's tasks
+	HeartbeatSeconds float64 `toml:"report_s"`    // between heartbeats
+	LeaseSeconds     float64 `toml:"lease_s"`     // validity of a lease after the response to a heartbeat
+	GangWaitSeconds  float64 `toml:"gang_wait_s"` // for which a gang's task waits for the other tasks to be ready
+	GangPeerSeconds  float64 `toml:"gang_peer_s"` // timeout between the workers of a gang; not used by controllers
+	CancelSeconds    float64 `toml:"cancel_s"`    // maximum time from a cancellation to the end of the job's tasks
 }
 
 // StateService holds the present and the upcoming limits of the state service.
@@ -94,8 +94,8 @@
 
 // CloudService holds the limits of the cloud.
 type CloudService struct {
-	RPS     float64 `toml:"rps"`        // requests per second of all controllers together; 0 if not stated
-	ListLag float64 `toml:"list_lag_s"` // maximum age of the cloud's machine list, in seconds
+	RPS            float64 `toml:"rps"`        // requests per second of all controllers together; 0 if not stated
+	ListLagSeconds float64 `toml:"list_lag_s"` // maximum age of the cloud's machine list, in seconds
 }
 
 // MachineLimits holds the limits of the machine that this controller runs on. 0 means that a limit is not stated.
--- a/internal/config/platform_validate.go
+++ b/internal/config/platform_validate.go
@@ -56,7 +56,7 @@
 	d.checkTeams(e)
 	d.Workers.check(e)
 	p.checkLimits(e)
-	if d.Cloud.ListLag < 0 {
+	if d.Cloud.ListLagSeconds < 0 {
 		e.addf("deployment.cloud.list_lag_s: must not be negative")
 	}
 	if d.Limits.MemMB < 0 || d.Limits.MaxConnections < 0 {
@@ -116,15 +116,15 @@
 	}
 	guarantee := model.Resources{CPU: t.CPUs, GPU: t.GPUs}
 	if quota := model.NewQuota(t.CPUsMax, t.GPUsMax); !quota.Allows(guarantee) {
-		e.addf("%s: the guarantee exceeds the limit", path)
+		e.addf("%s: the guarantee exceeds the quota", path)
 	}
 }
 
 func (w *WorkerTimes) check(e *platformErrors) {
-	e.checkPositive("deployment.workers.report_s", w.Heartbeat)
-	e.checkPositive("deployment.workers.lease_s", w.Lease)
-	e.checkPositive("deployment.workers.cancel_s", w.Cancel)
-	if w.Lease <= w.Heartbeat {
+	e.checkPositive("deployment.workers.report_s", w.HeartbeatSeconds)
+	e.checkPositive("deployment.workers.lease_s", w.LeaseSeconds)
+	e.checkPositive("deployment.workers.cancel_s", w.CancelSeconds)
+	if w.LeaseSeconds <= w.HeartbeatSeconds {
 		e.addf("deployment.workers: lease_s must be longer than report_s")
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -26,12 +26,12 @@
 		Teams:      p.Teams(),
 		Objectives: classObjectives(d.Objectives),
 
-		HeartbeatInterval: seconds(d.Workers.Heartbeat),
-		WorkerLease:       seconds(d.Workers.Lease),
-		GangWait:          seconds(d.Workers.GangWait),
-		GangPeer:          seconds(d.Workers.GangPeer),
-		CancelWithin:      seconds(d.Workers.Cancel),
-		MachineListLag:    seconds(d.Cloud.ListLag),
+		HeartbeatInterval: seconds(d.Workers.HeartbeatSeconds),
+		WorkerLease:       seconds(d.Workers.LeaseSeconds),
+		GangWait:          seconds(d.Workers.GangWaitSeconds),
+		GangPeer:          seconds(d.Workers.GangPeerSeconds),
+		CancelWithin:      seconds(d.Workers.CancelSeconds),
+		MachineListLag:    seconds(d.Cloud.ListLagSeconds),
 
 		Scheduler:  schedulerSettings(&o.Scheduler),
 		Autoscaler: autoscalerSettings(&o.Autoscaler),
@@ -59,7 +59,7 @@
 	return scheduler.Settings{
 		IdlePowerFraction:    s.IdlePowerFraction,
 		PromoteAfter:         s.PromoteAfter.Std(),
-		PromoteLateAfter:     s.PromoteLateAfter.Std(),
+		PromoteDeadlineAfter: s.PromoteDeadlineAfter.Std(),
 		MaxPreemptions:       s.MaxPreemptions,
 		MaxStarts:            s.MaxStarts,
 		MinRuntime:           s.MinRuntime.Std(),
@@ -75,15 +75,15 @@
 
 func autoscalerSettings(a *Autoscaler) autoscaler.Settings {
 	return autoscaler.Settings{
-		IdleTimeout:       a.IdleTimeout.Std(),
-		IdleBootFactor:    a.IdleBootFactor,
-		MinBilledTime:     a.MinBilledTime.Std(),
-		SpotIdleFactor:    a.SpotIdleFactor,
-		BootTimeoutFactor: a.BootTimeoutFactor,
-		BootTimeoutExtra:  a.BootTimeoutExtra.Std(),
-		RefusalBackoff:    a.RefusalBackoff.Std(),
-		LookaheadBoots:    a.LookaheadBoots,
-		MaxPerRequest:     maxMachinesPerRequest,
+		IdleTimeout:        a.IdleTimeout.Std(),
+		IdleBootFactor:     a.IdleBootFactor,
+		MinBilledTime:      a.MinBilledTime.Std(),
+		SpotIdleFactor:     a.SpotIdleFactor,
+		BootTimeoutFactor:  a.BootTimeoutFactor,
+		BootTimeoutExtra:   a.BootTimeoutExtra.Std(),
+		RefusalBackoff:     a.RefusalBackoff.Std(),
+		LookaheadBootTimes: a.LookaheadBootTimes,
+		MaxPerRequest:      maxMachinesPerRequest,
 	}
 }
 
@@ -92,7 +92,7 @@
 	if after := o.Workers.UnresponsiveAfter.Std(); after != 0 {
 		return after
 	}
-	return seconds(missedHeartbeats*p.Deployment.Workers.Heartbeat) + heartbeatRetryTime
+	return seconds(missedHeartbeats*p.Deployment.Workers.HeartbeatSeconds) + heartbeatRetryTime
 }
 
 // numberedChunkTasks returns the number of tasks in a numbered chunk of the finished-task record, the layout of the
--- a/internal/config/settings_ledger.go
+++ b/internal/config/settings_ledger.go
@@ -40,7 +40,7 @@
 			Weights:        ledger.Weights{GPU: fairShare.GPUWeight, Mem: fairShare.MemoryWeight},
 			MaxRecordBytes: min(int(p.StateLimits().ValueKB*bytesPerKB), maxLedgerRecordBytes),
 			Retention:      ledger.Retention{Hours: o.Ledger.KeepHours.Std(), Days: o.Ledger.KeepDays.Std()},
-			Seal:           ledger.NewSeal(o.Ledger.Key),
+			Hasher:         ledger.NewSegmentHasher(o.Ledger.Key),
 		},
 		FairShare: o.FairShare != nil,
 		Weights:   teamWeights(teams, &fairShare),
@@ -102,7 +102,7 @@
 		ReadsPerSecond:   max(adminRequestShare*p.StateLimits().RPS, 1),
 	}
 	if l := LedgerSettings(p, o); l != nil {
-		s.LedgerEnabled, s.HalfLife, s.Weights, s.Seal = true, l.HalfLife, l.Weights, l.Seal
+		s.LedgerEnabled, s.HalfLife, s.Weights, s.Hasher = true, l.HalfLife, l.Weights, l.Hasher
 	}
 	return s
 }
--- a/internal/config/settings_members.go
+++ b/internal/config/settings_members.go
@@ -40,7 +40,7 @@
 		MaxLevel:      featuregate.Supported,
 	}
 	if o.Votes != nil {
-		s.VoteDuration, s.OutageVoteDuration = voteDurations(p, s.LeaseDuration, o.Votes.Outage.Std())
+		s.VoteDuration, s.OutageVoteDuration = voteDurations(p, s.LeaseDuration, o.Votes.OutageVoteDuration.Std())
 	}
 	return s
 }
@@ -52,7 +52,7 @@
 // In the worst case, a leader learns of a cancellation only at the end of its leadership. The workers' leases,
 // which it has renewed until then, must expire before the cancelled job's tasks must have ended.
 func voteDurations(p *Platform, lease, outage time.Duration) (vote, outageVote time.Duration) {
-	workerLease, cancelWithin := seconds(p.Deployment.Workers.Lease), seconds(p.Deployment.Workers.Cancel)
+	workerLease, cancelWithin := seconds(p.Deployment.Workers.LeaseSeconds), seconds(p.Deployment.Workers.CancelSeconds)
 	if workerLease+lease+voteSlack >= cancelWithin {
 		return 0, 0
 	}
@@ -69,7 +69,7 @@
 // are too long for any bound to ensure that the tasks of a cancelled job end in time.
 func StalenessBound(p *Platform) (b staleness.Bound, ok bool) {
 	w := &p.Deployment.Workers
-	return staleness.BoundFor(seconds(w.Cancel), seconds(w.Lease))
+	return staleness.BoundFor(seconds(w.CancelSeconds), seconds(w.LeaseSeconds))
 }
 
 // RoutingSettings returns the settings for routing users' requests. It returns nil if routing is disabled, so that
--- a/internal/connquota/conn.go
+++ b/internal/connquota/conn.go
@@ -48,8 +48,8 @@
 }
 
 // Dialer returns a wrapper for dial functions. A wrapped function acquires a slot of the class before it makes a
-// connection, and returns ErrFull if there is none. Dialer may be called on nil quotas; it then returns nil, which
-// stands for no limit.
+// connection, and returns ErrQuotaExhausted if there is none. Dialer may be called on nil quotas; it then returns nil,
+// which stands for no limit.
 func (q *Quotas) Dialer(class Class) func(rpc.DialFunc) rpc.DialFunc {
 	if q == nil {
 		return nil
--- a/internal/connquota/occupancy.go
+++ b/internal/connquota/occupancy.go
@@ -6,17 +6,17 @@
 
 // The levels of occupancy.
 const (
-	Low  Occupancy = iota
-	High           // users' connections are not kept alive between requests
-	Full           // workers' connections are not kept alive either, and new users are rejected
+	OccupancyLow  Occupancy = iota
+	OccupancyHigh           // users' connections are not kept alive between requests
+	OccupancyFull           // workers' connections are not kept alive either, and new users are rejected
 )
 
 // String returns the name of the level in the status of the controller and in its log.
 func (o Occupancy) String() string { return [...]string{"roomy", "tight", "full"}[o] }
 
 const (
-	highThreshold = 0.80 // fraction of the shared sockets at which High begins
-	fullThreshold = 0.93 // fraction of the shared sockets at which Full begins
+	highThreshold = 0.80 // fraction of the shared sockets at which OccupancyHigh begins
+	fullThreshold = 0.93 // fraction of the shared sockets at which OccupancyFull begins
 	hysteresis    = 0.05 // a level ends only this far below its threshold
 )
 
@@ -24,11 +24,11 @@
 func (o Occupancy) next(fraction float64) Occupancy {
 	switch {
 	case fraction >= fullThreshold:
-		return Full
-	case fraction >= highThreshold && (o != Full || fraction < fullThreshold-hysteresis):
-		return High
-	case fraction < highThreshold-hysteresis, o == Full && fraction < highThreshold:
-		return Low
+		return OccupancyFull
+	case fraction >= highThreshold && (o != OccupancyFull || fraction < fullThreshold-hysteresis):
+		return OccupancyHigh
+	case fraction < highThreshold-hysteresis, o == OccupancyFull && fraction < highThreshold:
+		return OccupancyLow
 	}
 	return o
 }
--- a/internal/connquota/quotas.go
+++ b/internal/connquota/quotas.go
@@ -44,8 +44,9 @@
 	retrySpreadSteps = 3
 )
 
-// ErrFull is returned if no socket is free: the class has used up its quota, or all shared sockets are in use.
-var ErrFull = errors.New("connection quota exhausted")
+// ErrQuotaExhausted is returned if no socket is free: the class has used up its quota, or all shared sockets are in
+// use.
+var ErrQuotaExhausted = errors.New("connection quota exhausted")
 
 // Quotas limits and counts the open sockets of a process by class. It is safe for concurrent use.
 type Quotas struct {
@@ -95,9 +96,9 @@
 }
 
 // Acquire counts a socket for a class and returns its slot. If no socket is free, it closes an idle connection to
-// free one. If there is no connection that may be closed, it returns ErrFull. closeConn closes the connection that is
-// to use the slot; it may be called by any goroutine. If closeConn is nil, the connection is never closed to free
-// its socket.
+// free one. If there is no connection that may be closed, it returns ErrQuotaExhausted. closeConn closes the connection
+// that is to use the slot; it may be called by any goroutine. If closeConn is nil, the connection is never closed to
+// free its socket.
 func (q *Quotas) Acquire(now time.Time, class Class, closeConn func()) (*Slot, error) {
 	slot, closeEvicted, err := q.acquire(now, class, closeConn)
 	if closeEvicted != nil {
@@ -112,7 +113,7 @@
 	if !class.reserved() && q.sharedUsed >= q.sharedCapacity || q.used[class] >= q.quotas[class] {
 		if closeEvicted = q.evictIdle(now, class); closeEvicted == nil {
 			q.rejected[class]++
-			return nil, nil, ErrFull
+			return nil, nil, ErrQuotaExhausted
 		}
 	}
 	slot = &Slot{quotas: q, class: class, closeConn: closeConn, idleSince: now}
--- a/internal/connquota/quotas_test.go
+++ b/internal/connquota/quotas_test.go
@@ -111,19 +111,19 @@
 	q, closed := New(1000, 2, onChange), 0
 	user := acquireSlots(q, startTime, Users, 1, &closed)[0]
 	workers := acquireSlots(q, startTime, Heartbeats, 700, &closed)
-	if !user.KeepAlive() || !workers[0].KeepAlive() || q.Occupancy() != Low {
+	if !user.KeepAlive() || !workers[0].KeepAlive() || q.Occupancy() != OccupancyLow {
 		t.Fatalf("at 700 of 1000: got %v, keep-alive of users %v, of workers %v, want %v, true, true",
-			q.Occupancy(), user.KeepAlive(), workers[0].KeepAlive(), Low)
+			q.Occupancy(), user.KeepAlive(), workers[0].KeepAlive(), OccupancyLow)
 	}
 	workers = append(workers, acquireSlots(q, startTime, Heartbeats, 120, &closed)...)
-	if user.KeepAlive() || !workers[0].KeepAlive() || q.Occupancy() != High {
+	if user.KeepAlive() || !workers[0].KeepAlive() || q.Occupancy() != OccupancyHigh {
 		t.Fatalf("at 820 of 1000: got %v, keep-alive of users %v, of workers %v, want %v, false, true",
-			q.Occupancy(), user.KeepAlive(), workers[0].KeepAlive(), High)
+			q.Occupancy(), user.KeepAlive(), workers[0].KeepAlive(), OccupancyHigh)
 	}
 	workers = append(workers, acquireSlots(q, startTime, Heartbeats, 30, &closed)...)
-	if user.KeepAlive() || workers[0].KeepAlive() || q.Occupancy() != Full {
+	if user.KeepAlive() || workers[0].KeepAlive() || q.Occupancy() != OccupancyFull {
 		t.Fatalf("at 850 of 1000: got %v, keep-alive of users %v, of workers %v, want %v, false, false",
-			q.Occupancy(), user.KeepAlive(), workers[0].KeepAlive(), Full)
+			q.Occupancy(), user.KeepAlive(), workers[0].KeepAlive(), OccupancyFull)
 	}
 	if slot, err := q.Acquire(startTime, Unclassified, nil); err != nil || slot.Classify(Users) {
 		t.Errorf("new user at full occupancy: got %v, or a slot, want Classify to reject it", err)
@@ -132,10 +132,10 @@
 		slot.Release()
 		slot.Release() // the second call has no effect
 	}
-	if status := q.Status(); status.Occupancy != Low || status.Used != 2 {
-		t.Errorf("after the release: got %+v, want %v with 2 slots in use", status, Low)
+	if status := q.Status(); status.Occupancy != OccupancyLow || status.Used != 2 {
+		t.Errorf("after the release: got %+v, want %v with 2 slots in use", status, OccupancyLow)
 	}
-	if want := []Occupancy{High, Full, High, Low}; !slices.Equal(levels, want) {
+	if want := []Occupancy{OccupancyHigh, OccupancyFull, OccupancyHigh, OccupancyLow}; !slices.Equal(levels, want) {
 		t.Errorf("levels of occupancy: got %v, want %v", levels, want)
 	}
 }
--- a/internal/connquota/slot.go
+++ b/internal/connquota/slot.go
@@ -18,8 +18,8 @@
 }
 
 // Classify moves the slot to a class, which is known when the first request arrives on the connection. It returns
-// false if the class is Users and its quota is used up or the occupancy is Full. The slot then keeps its class, and
-// the connection should be closed after the response.
+// false if the class is Users and its quota is used up or the occupancy is OccupancyFull. The slot then keeps its
+// class, and the connection should be closed after the response.
 func (s *Slot) Classify(class Class) bool {
 	q := s.quotas
 	q.mu.Lock()
@@ -27,7 +27,7 @@
 	if s.released || s.class == class {
 		return true
 	}
-	if class == Users && (q.used[class] >= q.quotas[class] || q.occupancy == Full) {
+	if class == Users && (q.used[class] >= q.quotas[class] || q.occupancy == OccupancyFull) {
 		q.rejected[class]++
 		return false
 	}
@@ -67,9 +67,9 @@
 	defer q.mu.Unlock()
 	switch s.class {
 	case Users, Unclassified:
-		return q.occupancy == Low
+		return q.occupancy == OccupancyLow
 	case Heartbeats:
-		return q.occupancy != Full
+		return q.occupancy != OccupancyFull
 	}
 	return true
 }
--- a/internal/constraint/catalog.go
+++ b/internal/constraint/catalog.go
@@ -47,7 +47,7 @@
 			Zones:            restrictZones(entry.Zones, zones),
 		})
 	}
-	if len(Classes(types)) == 0 {
+	if len(MachineClasses(types)) == 0 {
 		return nil, ErrNoMachineType
 	}
 	return types, nil
--- a/internal/constraint/check.go
+++ b/internal/constraint/check.go
@@ -8,8 +8,8 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// ContradictionError reports that the rules of a job contradict each other or other fields of the job, so that the
-// job could never run.
+// ContradictionError reports that the constraints of a job contradict each other or other fields of the job, so that
+// the job could never run.
 type ContradictionError struct {
 	// Clauses describes a set of conditions that cannot hold together. Without any one of them the others can. It is
 	// empty if the catalog offers no machines.
@@ -35,7 +35,7 @@
 	return "rules: these exclude each other: " + clauses
 }
 
-// Environment holds the facts about the cluster that rules are checked against.
+// Environment holds the facts about the cluster that constraints are checked against.
 type Environment struct {
 	Types []model.MachineType // the cloud's catalog
 
@@ -52,21 +52,22 @@
 	return e.JobZones(job)
 }
 
-// SpecAllows reports whether the fields of a job other than its rules allow its tasks to run on machines of a class.
-func SpecAllows(spec *model.Spec, class Class) bool {
+// SpecAllows reports whether the fields of a job other than its constraints allow its tasks to run on machines of a
+// class.
+func SpecAllows(spec *model.Spec, class MachineClass) bool {
 	return (spec.Zone == "" || spec.Zone == class.Zone) && (spec.AllowSpot || !class.Spot) &&
 		spec.AllowsType(class.Type.Name) && spec.Demand.Fits(class.Type.Capacity)
 }
 
-// FeasibleZones returns the zones that the tasks of an unfinished job may run in, sorted by name. Rules that this
+// FeasibleZones returns the zones that the tasks of an unfinished job may run in, sorted by name. Constraints that this
 // version cannot parse do not restrict them.
 func FeasibleZones(spec *model.Spec, types []model.MachineType) []string {
 	set, err := Parse(spec.Rules)
 	if err != nil {
-		set = &Set{} // a controller of a later version has accepted rules that this version cannot parse
+		set = &Set{} // a controller of a later version has accepted constraints that this version cannot parse
 	}
 	zones := []string{}
-	for _, class := range Classes(types) {
+	for _, class := range MachineClasses(types) {
 		_, allowed := set.Allows(class)
 		if allowed && SpecAllows(spec, class) && !slices.Contains(zones, class.Zone) {
 			zones = append(zones, class.Zone)
@@ -76,9 +77,9 @@
 	return zones
 }
 
-// Check reports whether a job with these rules could run at all on the machines that can be provisioned. It returns
-// nil if it could, and a *ContradictionError otherwise. The decision is exact, and the limits on a rule text (see
-// MaxTextBytes) bound its running time.
+// Check reports whether a job with these constraints could run at all on the machines that can be provisioned. It
+// returns nil if it could, and a *ContradictionError otherwise. The decision is exact, and the limits on a constraint
+// text (see MaxTextBytes) bound its running time.
 func Check(set *Set, spec *model.Spec, env Environment) error {
 	p := newProblem(set, spec, env)
 	all := p.allConditions()
@@ -97,8 +98,8 @@
 	return contradiction
 }
 
-// condition is a requirement that a clause of the rules or another field of a job places on where its tasks run. A
-// field with the zero value, other than description, restricts nothing.
+// condition is a requirement that a clause of the constraints or another field of a job places on where its tasks run.
+// A field with the zero value, other than description, restricts nothing.
 type condition struct {
 	description     string // as shown to users
 	allowedByClass  []bool // whether tasks may run on a class, indexed like problem.classes
@@ -111,20 +112,20 @@
 // problem is the decision problem of whether all conditions of a job can hold together on the classes of machines
 // that can be provisioned.
 type problem struct {
-	classes         []Class
+	classes         []MachineClass
 	conditions      []condition
 	concurrentTasks int // tasks that have to run at the same time: one for a job array, otherwise all tasks of the job
 }
 
 // newProblem collects the conditions of a job. It omits conditions that exclude nothing.
 func newProblem(set *Set, spec *model.Spec, env Environment) *problem {
-	p := &problem{classes: Classes(env.Types), concurrentTasks: 1}
+	p := &problem{classes: MachineClasses(env.Types), concurrentTasks: 1}
 	if spec.Shape != model.Array {
 		p.concurrentTasks = spec.Tasks
 	}
 	for i := range set.Required {
 		clause := &set.Required[i]
-		p.addByClass(clause.String(), func(class Class) bool { return clause.expr.holds(class, false) })
+		p.addByClass(clause.String(), func(class MachineClass) bool { return clause.expr.holds(class, false) })
 	}
 	p.addFields(spec)
 	for i := range set.Affinities {
@@ -148,7 +149,7 @@
 
 // addByClass adds a condition that allows the classes for which holds returns true. It adds nothing if the condition
 // allows all classes.
-func (p *problem) addByClass(description string, holds func(class Class) bool) {
+func (p *problem) addByClass(description string, holds func(class MachineClass) bool) {
 	allowed := make([]bool, len(p.classes))
 	for i, class := range p.classes {
 		allowed[i] = holds(class)
@@ -170,16 +171,16 @@
 func (p *problem) addFields(spec *model.Spec) {
 	demand := spec.Demand
 	size := fmt.Sprintf("a task's %g CPUs, %g GPUs and %g GB", demand.CPU, demand.GPU, demand.MemGB)
-	p.addByClass(size, func(class Class) bool { return demand.Fits(class.Type.Capacity) })
+	p.addByClass(size, func(class MachineClass) bool { return demand.Fits(class.Type.Capacity) })
 	if len(spec.MachineTypes) > 0 {
 		types := "the job's breeds " + strings.Join(spec.MachineTypes, ", ")
-		p.addByClass(types, func(class Class) bool { return spec.AllowsType(class.Type.Name) })
+		p.addByClass(types, func(class MachineClass) bool { return spec.AllowsType(class.Type.Name) })
 	}
 	if spec.Zone != "" {
-		p.addByClass("the job's field "+spec.Zone, func(class Class) bool { return class.Zone == spec.Zone })
+		p.addByClass("the job's field "+spec.Zone, func(class MachineClass) bool { return class.Zone == spec.Zone })
 	}
 	if !spec.AllowSpot {
-		p.addByClass("the job's loaners: false", func(class Class) bool { return !class.Spot })
+		p.addByClass("the job's loaners: false", func(class MachineClass) bool { return !class.Spot })
 	}
 }
 
@@ -191,12 +192,12 @@
 	}
 	c := condition{description: affinity.Clause.String()}
 	if !affinity.SameZone {
-		c.antiAffinityJob = affinity.Job
+		c.antiAffinityJob = affinity.JobID
 		p.addCondition(c)
 		return
 	}
-	c.affinityJob = affinity.Job
-	if zones, ok := env.jobZones(affinity.Job); ok {
+	c.affinityJob = affinity.JobID
+	if zones, ok := env.jobZones(affinity.JobID); ok {
 		c.allowedByClass = make([]bool, len(p.classes))
 		for i, class := range p.classes {
 			c.allowedByClass[i] = slices.Contains(zones, class.Zone)
--- a/internal/constraint/constraint_test.go
+++ b/internal/constraint/constraint_test.go
@@ -31,27 +31,27 @@
 type randomJob struct {
 	types         []model.MachineType
 	spec          *model.Spec
-	text          string               // the rule text
-	holds         []func(c Class) bool // one function per required expression
-	maxPerZone    int                  // limit on the tasks in one zone, or 0 for no limit
-	affinityZones []string             // zones that a required affinity allows, or nil if there is no affinity
+	text          string                      // the rule text
+	holds         []func(c MachineClass) bool // one function per required expression
+	maxPerZone    int                         // limit on the tasks in one zone, or 0 for no limit
+	affinityZones []string                    // zones that a required affinity allows, or nil if there is no affinity
 }
 
 // expressions pairs the texts of expressions with functions that evaluate them independently of the parser.
 var expressions = []struct {
 	text  string
-	holds func(c Class) bool
+	holds func(c MachineClass) bool
 }{
-	{`spot`, func(c Class) bool { return c.Spot }},
-	{`not spot`, func(c Class) bool { return !c.Spot }},
-	{`type = "t1"`, func(c Class) bool { return c.Type.Name == "t1" }},
-	{`type not in ("t0", "t2")`, func(c Class) bool { return c.Type.Name != "t0" && c.Type.Name != "t2" }},
-	{`zone != "a"`, func(c Class) bool { return c.Zone != "a" }},
-	{`zone in ("a", "c")`, func(c Class) bool { return c.Zone == "a" || c.Zone == "c" }},
-	{`cpus >= 8`, func(c Class) bool { return c.Type.Capacity.CPU >= 8 }},
-	{`cpus < 16 or gpus > 0`, func(c Class) bool { return c.Type.Capacity.CPU < 16 || c.Type.Capacity.GPU > 0 }},
-	{`gpus = 0 and price <= 0.3`, func(c Class) bool { return c.Type.Capacity.GPU == 0 && c.Price() <= 0.3 }},
-	{`not (cpus = 4 and zone = "b")`, func(c Class) bool { return c.Type.Capacity.CPU != 4 || c.Zone != "b" }},
+	{`spot`, func(c MachineClass) bool { return c.Spot }},
+	{`not spot`, func(c MachineClass) bool { return !c.Spot }},
+	{`type = "t1"`, func(c MachineClass) bool { return c.Type.Name == "t1" }},
+	{`type not in ("t0", "t2")`, func(c MachineClass) bool { return c.Type.Name != "t0" && c.Type.Name != "t2" }},
+	{`zone != "a"`, func(c MachineClass) bool { return c.Zone != "a" }},
+	{`zone in ("a", "c")`, func(c MachineClass) bool { return c.Zone == "a" || c.Zone == "c" }},
+	{`cpus >= 8`, func(c MachineClass) bool { return c.Type.Capacity.CPU >= 8 }},
+	{`cpus < 16 or gpus > 0`, func(c MachineClass) bool { return c.Type.Capacity.CPU < 16 || c.Type.Capacity.GPU > 0 }},
+	{`gpus = 0 and price <= 0.3`, func(c MachineClass) bool { return c.Type.Capacity.GPU == 0 && c.Price() <= 0.3 }},
+	{`not (cpus = 4 and zone = "b")`, func(c MachineClass) bool { return c.Type.Capacity.CPU != 4 || c.Zone != "b" }},
 }
 
 // drawFrom draws one of the given values.
@@ -118,7 +118,7 @@
 }
 
 // allows reports whether tasks of the job may run on a class of machines.
-func (j *randomJob) allows(class Class) bool {
+func (j *randomJob) allows(class MachineClass) bool {
 	for _, holds := range j.holds {
 		if !holds(class) {
 			return false
@@ -137,8 +137,8 @@
 	if j.spec.Shape == model.Array {
 		tasks = 1
 	}
-	var classes []Class
-	for _, class := range Classes(j.types) {
+	var classes []MachineClass
+	for _, class := range MachineClasses(j.types) {
 		if j.allows(class) {
 			classes = append(classes, class)
 		}
@@ -281,7 +281,7 @@
 			t.Fatalf("%q: got %d clauses and %d clause texts, want equal numbers and at most %d",
 				text, clauseCount, len(set.ClauseTexts()), maxClauses)
 		}
-		for _, class := range Classes(types) {
+		for _, class := range MachineClasses(types) {
 			_, _ = set.Allows(class)
 			set.PreferenceWeight(class, true)
 		}
--- a/internal/constraint/eval.go
+++ b/internal/constraint/eval.go
@@ -5,7 +5,7 @@
 
 // holds reports whether the expression holds for a machine of the class. hasImage is whether the machine holds the
 // job's image.
-func (e *either) holds(class Class, hasImage bool) bool {
+func (e *either) holds(class MachineClass, hasImage bool) bool {
 	for _, conjunction := range e.Any {
 		if conjunction.holds(class, hasImage) {
 			return true
@@ -14,7 +14,7 @@
 	return false
 }
 
-func (b *both) holds(class Class, hasImage bool) bool {
+func (b *both) holds(class MachineClass, hasImage bool) bool {
 	for _, t := range b.All {
 		if !t.holds(class, hasImage) {
 			return false
@@ -23,7 +23,7 @@
 	return true
 }
 
-func (t *term) holds(class Class, hasImage bool) bool {
+func (t *term) holds(class MachineClass, hasImage bool) bool {
 	switch {
 	case t.Not != nil:
 		return !t.Not.holds(class, hasImage)
@@ -37,7 +37,7 @@
 	return t.Compare.holds(class)
 }
 
-func (c *compare) holds(class Class) bool {
+func (c *compare) holds(class MachineClass) bool {
 	if c.Value == nil {
 		return c.inList(class) != c.NotIn
 	}
@@ -60,7 +60,7 @@
 }
 
 // inList reports whether the class's value of the attribute equals any value in the list.
-func (c *compare) inList(class Class) bool {
+func (c *compare) inList(class MachineClass) bool {
 	for _, v := range c.In {
 		if c.equal(class, v) {
 			return true
@@ -70,7 +70,7 @@
 }
 
 // equal reports whether the class's value of the attribute equals v.
-func (c *compare) equal(class Class, v *value) bool {
+func (c *compare) equal(class MachineClass, v *value) bool {
 	switch c.Attr {
 	case "type":
 		return class.Type.Name == *v.Text
@@ -83,7 +83,7 @@
 
 // number returns the class's value of a numeric attribute: the number of CPUs or GPUs, the memory or disk in GB, the
 // fetch rate in GB per second, or the price per hour.
-func (c *compare) number(class Class) float64 {
+func (c *compare) number(class MachineClass) float64 {
 	switch c.Attr {
 	case "cpus":
 		return class.Type.Capacity.CPU
--- a/internal/constraint/grammar.go
+++ b/internal/constraint/grammar.go
@@ -7,10 +7,10 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The types below are the syntax tree of a rule text, and their tags its grammar. The parser uses the names of these
-// types in its error messages (see readableTerms), so renaming a type changes what users read.
+// The types below are the syntax tree of a constraint text, and their tags its grammar. The parser uses the names of
+// these types in its error messages (see readableTerms), so renaming a type changes what users read.
 
-// ruleText is a whole rule text: clauses separated by semicolons or line breaks.
+// ruleText is a whole constraint text: clauses separated by semicolons or line breaks.
 type ruleText struct {
 	Clauses []*clause `parser:"Sep* ( @@ ( Sep+ @@ )* Sep* )?"`
 }
@@ -69,8 +69,8 @@
 	Number *float64 `parser:"| @Number"`
 }
 
-// parser returns the parser of rule texts. It is built on first use, so that it costs nothing in a controller whose
-// jobs have no rules.
+// parser returns the parser of constraint texts. It is built on first use, so that it costs nothing in a controller
+// whose jobs have no constraints.
 var parser = sync.OnceValue(buildParser)
 
 func buildParser() *participle.Parser[ruleText] {
--- a/internal/constraint/parse.go
+++ b/internal/constraint/parse.go
@@ -1,8 +1,8 @@
-// Package constraint implements the language of placement constraints, which users know as the rules of a job. A rule
-// text consists of required clauses and weighted preferences on kinds of machines, on zones and on the placement of
-// other jobs. The package performs no input or output and reads no clock.
+// Package constraint implements the language of placement constraints, which users know as the rules of a job. A
+// constraint text consists of required clauses and weighted preferences on kinds of machines, on zones and on the
+// placement of other jobs. The package performs no input or output and reads no clock.
 //
-// Parse parses a rule text into a Set. Check decides whether a job with that set could run at all on the machines
+// Parse parses a constraint text into a Set. Check decides whether a job with that set could run at all on the machines
 // that can be provisioned, and otherwise returns the smallest set of conditions that contradict each other. For the
 // scheduler, Set.Allows and Set.PreferenceWeight are evaluated once for each class of machines. docs/constraints.md
 // describes the grammar on one page.
@@ -21,11 +21,11 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// MaxTextBytes is the maximum length of a rule text. Together with the limits below it bounds the time and memory
-// that parsing, checking and evaluating rules may take.
+// MaxTextBytes is the maximum length of a constraint text. Together with the limits below it bounds the time and memory
+// that parsing, checking and evaluating constraints may take.
 const MaxTextBytes = 1536
 
-// Limits on the contents of a rule text.
+// Limits on the contents of a constraint text.
 const (
 	maxClauses    = 32
 	maxDepth      = 16  // nested parentheses
@@ -34,7 +34,7 @@
 	maxTaskLimit  = 1e6 // tasks in an "at most" clause
 )
 
-// SyntaxError reports a malformed rule text.
+// SyntaxError reports a malformed constraint text.
 type SyntaxError struct {
 	Line, Column int    // position of the error, counted from 1
 	Message      string // what is wrong and, if known, what was expected
@@ -48,7 +48,7 @@
 	return &SyntaxError{Line: pos.Line, Column: pos.Column, Message: fmt.Sprintf(format, args...)}
 }
 
-// Parse parses a rule text. It returns a *SyntaxError if the text is malformed or exceeds a limit.
+// Parse parses a constraint text. It returns a *SyntaxError if the text is malformed or exceeds a limit.
 func Parse(text string) (*Set, error) {
 	if err := checkBounds(text); err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 	return set, nil
 }
 
-// checkBounds checks the length and the nesting depth of a rule text before it is parsed, so that a hostile text
+// checkBounds checks the length and the nesting depth of a constraint text before it is parsed, so that a hostile text
 // cannot keep a controller busy. Parentheses in strings and comments do not count.
 func checkBounds(text string) error {
 	if len(text) > MaxTextBytes {
@@ -133,7 +133,7 @@
 	return syntaxErrorAt(parseError.Position(), "%s", message)
 }
 
-// addClause validates a parsed clause and adds it to the set. text is the whole rule text.
+// addClause validates a parsed clause and adds it to the set. text is the whole constraint text.
 func (s *Set) addClause(c *clause, text string) error {
 	source := text[c.Pos.Offset:min(c.EndPos.Offset, len(text))]
 	base := Clause{Text: strings.Join(strings.Fields(source), " "), Line: c.Pos.Line, Column: c.Pos.Column}
@@ -163,7 +163,7 @@
 	}
 	s.Affinities = append(s.Affinities, Affinity{
 		Clause:   base,
-		Job:      job,
+		JobID:    job,
 		SameZone: c.SameZoneAs != "",
 		ByZone:   c.SameZoneAs != "" || c.By == "zone",
 		Weight:   weight,
--- a/internal/constraint/set.go
+++ b/internal/constraint/set.go
@@ -8,19 +8,19 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Set holds the parsed clauses of a rule text. The zero value is a set without clauses.
+// Set holds the parsed clauses of a constraint text. The zero value is a set without clauses.
 type Set struct {
-	Text        string       // the rule text
+	Text        string       // the constraint text
 	Required    []Clause     // expressions that have to hold
 	Preferences []Preference // expressions that are preferred to hold
 	Affinities  []Affinity   // affinities and anti-affinities to other jobs, required or preferred
 	TaskLimits  []TaskLimit  // limits on the job's own tasks
 }
 
-// Clause is one clause of a rule text.
+// Clause is one clause of a constraint text.
 type Clause struct {
 	Text         string  // source text, with each run of white space replaced by one space
-	Line, Column int     // position in the rule text, counted from 1
+	Line, Column int     // position in the constraint text, counted from 1
 	expr         *either // nil if the clause is an affinity or a task limit
 }
 
@@ -36,7 +36,7 @@
 // zones or its machines (anti-affinity).
 type Affinity struct {
 	Clause
-	Job      string // ID of the other job
+	JobID    string // ID of the other job
 	SameZone bool   // true for an affinity, false for an anti-affinity
 	ByZone   bool   // true if the zones of the other job count, false if its machines do; always true for an affinity
 
@@ -53,14 +53,14 @@
 	PerZone bool // true for a limit per zone, false for a limit per machine
 }
 
-// Class is a kind of machine in a zone. Expressions are evaluated once per class rather than per machine.
-type Class struct {
+// MachineClass is a kind of machine in a zone. Expressions are evaluated once per class rather than per machine.
+type MachineClass struct {
 	Type *model.MachineType
 	Zone string
 	Spot bool
 }
 
-func (c Class) String() string {
+func (c MachineClass) String() string {
 	kind := "ordinary"
 	if c.Spot {
 		kind = "spot"
@@ -69,23 +69,23 @@
 }
 
 // Price returns the price per hour of a machine of the class.
-func (c Class) Price() float64 {
+func (c MachineClass) Price() float64 {
 	if c.Spot {
 		return c.Type.SpotPricePerHour
 	}
 	return c.Type.PricePerHour
 }
 
-// Classes returns the classes of machines that can be provisioned: for each type and each of its zones an on-demand
-// and a spot class. The classes point into types.
-func Classes(types []model.MachineType) []Class {
-	var classes []Class
+// MachineClasses returns the classes of machines that can be provisioned: for each type and each of its zones an
+// on-demand and a spot class. The classes point into types.
+func MachineClasses(types []model.MachineType) []MachineClass {
+	var classes []MachineClass
 	for i := range types {
 		for _, zone := range types[i].Zones {
 			classes = append(
 				classes,
-				Class{Type: &types[i], Zone: zone, Spot: false},
-				Class{Type: &types[i], Zone: zone, Spot: true},
+				MachineClass{Type: &types[i], Zone: zone, Spot: false},
+				MachineClass{Type: &types[i], Zone: zone, Spot: true},
 			)
 		}
 	}
@@ -95,7 +95,7 @@
 // Allows reports whether all required expressions hold for a class of machines. If not, violated is the first one
 // that does not hold, and otherwise it is nil. Whether a machine holds the job's image does not matter, since
 // required expressions cannot test for it.
-func (s *Set) Allows(class Class) (violated *Clause, ok bool) {
+func (s *Set) Allows(class MachineClass) (violated *Clause, ok bool) {
 	for i := range s.Required {
 		if !s.Required[i].expr.holds(class, false) {
 			return &s.Required[i], false
@@ -107,7 +107,7 @@
 // PreferenceWeight returns the sum of the weights of all preferences that hold for a machine of a class, in
 // hundredths of efficiency. hasImage is whether the machine holds the job's image. Preferred affinities are not
 // included.
-func (s *Set) PreferenceWeight(class Class, hasImage bool) (sum float64) {
+func (s *Set) PreferenceWeight(class MachineClass, hasImage bool) (sum float64) {
 	for i := range s.Preferences {
 		if s.Preferences[i].expr.holds(class, hasImage) {
 			sum += s.Preferences[i].Weight
@@ -131,7 +131,7 @@
 	return smallest
 }
 
-// ClauseTexts returns the texts of all clauses in the order of the rule text.
+// ClauseTexts returns the texts of all clauses in the order of the constraint text.
 func (s *Set) ClauseTexts() []string {
 	var clauses []*Clause
 	for i := range s.Required {
--- a/internal/controller/backend.go
+++ b/internal/controller/backend.go
@@ -87,8 +87,8 @@
 // UnderMemoryPressure reports whether the process is too short of memory to accept more jobs.
 func (c *Controller) UnderMemoryPressure() bool { return c.memory.UnderPressure() }
 
-// LastStateResponse returns when the state service last answered a request. The zero time means never.
-func (c *Controller) LastStateResponse() time.Time { return c.store.LastContact() }
+// LastStateServiceResponse returns when the state service last answered a request. The zero time means never.
+func (c *Controller) LastStateServiceResponse() time.Time { return c.store.LastContact() }
 
 // Healthy reports whether a load balancer should send requests to this controller.
 //
--- a/internal/controller/clients.go
+++ b/internal/controller/clients.go
@@ -42,7 +42,7 @@
 	limits := config.StoreLimits(p)
 	c := clients{
 		store:          state,
-		jobs:           store.NewJobCache(state, incarnation, o.HTTPAPI.EndedJobsCached, limits, onJobChanges, log),
+		jobs:           store.NewJobCache(state, incarnation, o.HTTPAPI.MaxCachedEndedJobs, limits, onJobChanges, log),
 		cloud:          cloud.New(p.Services.Cloud, 1, cloudTimeout, quotas.Dialer(connquota.Cloud)),
 		workers:        worker.New(o.Workers.CommandTimeout.Std(), quotas.Dialer(connquota.DirectCommands)),
 		peers:          map[string]*peer.Client{},
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -141,9 +141,9 @@
 	machine := election.New(time.Now(), settings, log)
 	if o.Votes != nil && settings.VoteDuration == 0 {
 		log.Warn("votes disabled: the sum of worker lease, leader lease and 3 s must be less than cancel_s",
-			"lease_s", p.Deployment.Workers.Lease,
+			"lease_s", p.Deployment.Workers.LeaseSeconds,
 			"leader_lease", settings.LeaseDuration,
-			"cancel_s", p.Deployment.Workers.Cancel)
+			"cancel_s", p.Deployment.Workers.CancelSeconds)
 	}
 	return machine
 }
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -106,7 +106,7 @@
 // mayAct reports whether the lease of this term is valid now.
 func (t *leaderTerm) mayAct() bool { return t.lease.holds(t.fencingToken) }
 
-// mayProvision reports whether machines may be rented or released now. They may not while the leadership is
+// mayProvision reports whether machines may be provisioned or released now. They may not while the leadership is
 // held by votes only, because the state service could not record the change.
 func (t *leaderTerm) mayProvision() bool {
 	if !t.mayAct() {
@@ -130,13 +130,13 @@
 func (t *leaderTerm) fence() {
 	result := t.executor().Fence(t.tasks.ctx)
 	switch result.Outcome {
-	case reconciler.Refused: // another leader has taken over, and the executor has reported it to the election
-	case reconciler.OK:
+	case reconciler.OutcomeRefused: // another leader has taken over, and the executor has reported it to the election
+	case reconciler.OutcomeOK:
 		t.log.Info("unanswered transactions invalidated", "fencing_token", t.fencingToken, "version", result.TokenVersion)
 		t.loop.post(func(now time.Time) {
 			if t.term == t.termNumber {
 				t.stepElection(now, election.TokenRewritten{FencingToken: t.fencingToken, TokenVersion: result.TokenVersion})
-				t.stepReconciler(now, reconciler.FenceCompleted{Outcome: reconciler.OK})
+				t.stepReconciler(now, reconciler.FenceCompleted{Outcome: reconciler.OutcomeOK})
 			}
 		})
 	default:
--- a/internal/controller/effects_test.go
+++ b/internal/controller/effects_test.go
@@ -24,7 +24,7 @@
 func newTestTerm(t *testing.T) (*leaderTerm, *fake.State) {
 	t.Helper()
 	state := fake.NewState(time.Now)
-	client := store.NewOver(state, state, time.Second)
+	client := store.NewWithTransports(state, state, time.Second)
 	client.SetRateLimits(1e9, 1e9)
 	state.Preload("leader/token", wire.AppendLeaderRecord(nil, testToken, "a"))
 	entry, ok, err := client.Get(context.Background(), "leader/token")
@@ -63,25 +63,25 @@
 		{
 			name:   "committed",
 			change: record.Change{Kind: record.PutTasks, Job: "j"},
-			want:   reconciler.OK,
+			want:   reconciler.OutcomeOK,
 		},
 		{
 			name:   "a precondition of the change fails",
 			change: record.Change{Kind: record.CompleteJob, Job: "j", Version: 99},
-			want:   reconciler.Refused,
+			want:   reconciler.OutcomeRefused,
 		},
 		{
 			name:       "another leader has taken over",
 			before:     overwriteToken,
 			change:     record.Change{Kind: record.PutTasks, Job: "j"},
-			want:       reconciler.Refused,
+			want:       reconciler.OutcomeRefused,
 			wantFenced: true,
 		},
 		{
 			name:   "the request rate limit is exhausted",
 			before: exhaustRateLimit,
 			change: record.Change{Kind: record.PutTasks, Job: "j"},
-			want:   reconciler.NotSent,
+			want:   reconciler.OutcomeNotSent,
 		},
 	}
 	for _, test := range tests {
@@ -105,7 +105,7 @@
 // burst.
 func exhaustRateLimit(term *leaderTerm, _ *fake.State) {
 	term.store.SetRateLimits(0, 0)
-	for term.execute(reconciler.Commit{}).(reconciler.CommitCompleted).Outcome != reconciler.NotSent {
+	for term.execute(reconciler.Commit{}).(reconciler.CommitCompleted).Outcome != reconciler.OutcomeNotSent {
 	}
 }
 
@@ -129,16 +129,16 @@
 	term.cloud.SetRate(1e9)
 	term.lease.clear()
 	commands, ok := term.execute(reconciler.SendCommands{Machine: "m"}).(reconciler.CommandCompleted)
-	if !ok || commands.Outcome != reconciler.NotSent {
-		t.Errorf("commands: got %v, want NotSent", commands.Outcome)
+	if !ok || commands.Outcome != reconciler.OutcomeNotSent {
+		t.Errorf("commands: got %v, want OutcomeNotSent", commands.Outcome)
 	}
 	provision, ok := term.execute(reconciler.Provision{}).(reconciler.ProvisionCompleted)
-	if !ok || provision.Outcome != reconciler.Unknown || provision.Machines != nil {
-		t.Errorf("provisioning: got %v, want Unknown", provision.Outcome)
+	if !ok || provision.Outcome != reconciler.OutcomeUnknown || provision.Machines != nil {
+		t.Errorf("provisioning: got %v, want OutcomeUnknown", provision.Outcome)
 	}
 	release, ok := term.execute(reconciler.Release{Machines: []string{"m"}}).(reconciler.ReleaseCompleted)
-	if !ok || release.Outcome != reconciler.Unknown {
-		t.Errorf("release: got %v, want Unknown", release.Outcome)
+	if !ok || release.Outcome != reconciler.OutcomeUnknown {
+		t.Errorf("release: got %v, want OutcomeUnknown", release.Outcome)
 	}
 }
 
--- a/internal/controller/job_changes.go
+++ b/internal/controller/job_changes.go
@@ -43,6 +43,6 @@
 // applyJobChanges passes the queued job record changes to the reconciler.
 func (c *Controller) applyJobChanges(now time.Time) {
 	for _, change := range c.jobChanges.take() {
-		c.stepReconciler(now, reconciler.JobUpdated(c.jobs.UpdateFor(change)))
+		c.stepReconciler(now, reconciler.JobUpdateEvent(c.jobs.UpdateFor(change)))
 	}
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -155,7 +155,7 @@
 }
 
 func (c *Controller) readSnapshot() (*record.Snapshot, error) {
-	if err := c.jobs.Refresh(c.tasks.ctx); err != nil {
+	if err := c.jobs.LoadAndApplyChanges(c.tasks.ctx); err != nil {
 		return nil, err
 	}
 	return c.store.ReadSnapshot(c.tasks.ctx, c.settings.Ledger != nil)
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -153,7 +153,7 @@
 	}
 	if l.fencingToken == lease.fencingToken && core != nil {
 		log.Info("leadership lease valid again", "fencing_token", lease.fencingToken, "lapsed", now.Sub(l.expiredAt))
-		core.Resume(now)
+		core.OnLeaseRestored(now)
 	}
 	l.fencingToken = 0
 }
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -136,7 +136,7 @@
 	if c.reconciler == nil || !c.lease.valid() {
 		return wake, true
 	}
-	c.reconciler.PauseStarts(!c.lease.load().mayStartTasks(now))
+	c.reconciler.SetStartsPaused(!c.lease.load().mayStartTasks(now))
 	c.loop.hold.measure("pass", c.runSchedulingPass)
 	if c.reconciler != nil && c.reconciler.Isolated(now) && len(c.peers) > 0 {
 		c.log.Warn("stepping down: no worker is reachable")
--- a/internal/controller/member_status.go
+++ b/internal/controller/member_status.go
@@ -20,20 +20,20 @@
 		return nil, err
 	}
 	status := &admin.MemberStatus{
-		Member:                 c.platform.Member,
-		State:                  electionStatus.State,
-		Leader:                 electionStatus.Leader,
-		FencingToken:           electionStatus.FencingToken,
-		StateLeaseSeconds:      electionStatus.LeaseRemaining.Seconds(),
-		LeadershipSeconds:      electionStatus.ValidRemaining.Seconds(),
-		VoteSeconds:            electionStatus.VoteDuration.Seconds(),
-		VotesSeconds:           map[string]float64{},
-		ClaimBlockedSeconds:    electionStatus.ClaimBlockedFor.Seconds(),
-		StateUnansweredSeconds: c.store.UnreachableFor(time.Now()).Seconds(),
+		Member:                         c.platform.Member,
+		State:                          electionStatus.State,
+		Leader:                         electionStatus.Leader,
+		FencingToken:                   electionStatus.FencingToken,
+		LeaseRemainingSeconds:          electionStatus.LeaseRemaining.Seconds(),
+		LeadershipRemainingSeconds:     electionStatus.ValidRemaining.Seconds(),
+		VoteDurationSeconds:            electionStatus.VoteDuration.Seconds(),
+		VoteRemainingSeconds:           map[string]float64{},
+		ClaimBlockedSeconds:            electionStatus.ClaimBlockedFor.Seconds(),
+		StateServiceUnreachableSeconds: c.store.UnreachableFor(time.Now()).Seconds(),
 		Load: admin.Load{
 			LongestHoldSeconds: hold.duration.Seconds(),
-			LongestHoldEvent:   hold.workName,
-			Inbox:              len(c.loop.inbox),
+			LongestHoldWork:    hold.workName,
+			QueuedEvents:       len(c.loop.inbox),
 		},
 		Connections: c.connectionStatus(),
 		Rollout:     c.rolloutStatus(),
@@ -42,7 +42,7 @@
 		status.Requests = c.router.Status(time.Now())
 	}
 	for voter, remaining := range electionStatus.Votes {
-		status.VotesSeconds[voter] = remaining.Seconds()
+		status.VoteRemainingSeconds[voter] = remaining.Seconds()
 	}
 	return status, nil
 }
--- a/internal/controller/parts_test.go
+++ b/internal/controller/parts_test.go
@@ -68,7 +68,7 @@
 func TestLeaseIsLimitedByCancellationKnowledge(t *testing.T) {
 	now := time.Now()
 	freshness := cancellationFreshness{acknowledgedCursors: map[string]store.CancellationCursor{}, log: discardLogger()}
-	freshness.bound.KeepLeases, freshness.bound.StartTasks = 10*time.Second, 4*time.Second
+	freshness.bound.RenewLeases, freshness.bound.StartTasks = 10*time.Second, 4*time.Second
 	lease := &leadershipLease{leaseUntil: now.Add(time.Minute)}
 	freshness.limitLease(now, lease)
 	if got := lease.validUntil(); !got.Equal(lease.leaseUntil) {
--- a/internal/controller/relay_direct.go
+++ b/internal/controller/relay_direct.go
@@ -15,9 +15,9 @@
 	extendedRelayPeriod = 45 * time.Second
 	// relayTimeout bounds the relaying of a heartbeat to the leader.
 	relayTimeout = 1500 * time.Millisecond
-	// maxStoreSilence is how long the state service may be unreachable before heartbeats are no longer relayed
+	// maxStateServiceOutage is how long the state service may be unreachable before heartbeats are no longer relayed
 	// through it.
-	maxStoreSilence = time.Second
+	maxStateServiceOutage = time.Second
 )
 
 // relayTracker tracks the workers that send their heartbeats to this member instead of to the leader. Their
@@ -101,7 +101,7 @@
 func (c *Controller) RelayHeartbeat(ctx context.Context, machine string, heartbeat []byte) (response []byte, ok bool) {
 	leader := c.leader.current()
 	viaStore := c.storeRelay
-	if c.store.UnreachableFor(time.Now()) > maxStoreSilence {
+	if c.store.UnreachableFor(time.Now()) > maxStateServiceOutage {
 		// Heartbeats that this member cannot write are never answered. Workers should try another member
 		// immediately instead of using up their leases here.
 		viaStore = nil
--- a/internal/controller/relay_store.go
+++ b/internal/controller/relay_store.go
@@ -126,7 +126,7 @@
 func (r *storeRelay) active() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.outbox.Path() == relay.ViaStore
+	return r.outbox.Path() == relay.PathViaStateService
 }
 
 func (r *storeRelay) idle() bool {
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -33,7 +33,7 @@
 	members map[string]featuregate.Member
 }
 
-// constraintsInForce returns a function that reports whether all members support the rules of jobs. It returns
+// constraintsInForce returns a function that reports whether all members support the constraints of jobs. It returns
 // nil if the settings enable no rollout; the operators are then responsible for this.
 func (c *Controller) constraintsInForce() func() bool {
 	if c.operator.Rollout == nil {
--- a/internal/controller/staleness.go
+++ b/internal/controller/staleness.go
@@ -30,9 +30,9 @@
 	if !ok {
 		log.Warn("worker leases are too long for cancel_s: "+
 			"tasks of cancelled jobs may run for longer than that on unreachable machines",
-			"lease_s", p.Deployment.Workers.Lease,
-			"cancel_s", p.Deployment.Workers.Cancel,
-			"knows_of_cancellations_within", bound.KeepLeases)
+			"lease_s", p.Deployment.Workers.LeaseSeconds,
+			"cancel_s", p.Deployment.Workers.CancelSeconds,
+			"knows_of_cancellations_within", bound.RenewLeases)
 	}
 	return cancellationFreshness{bound: bound, acknowledgedCursors: map[string]store.CancellationCursor{}, log: log}
 }
@@ -52,7 +52,7 @@
 ) {
 	f.acknowledgedCursors[member] = cursor
 	if f.tracker != nil && complete {
-		f.tracker.Acknowledged(member, requested)
+		f.tracker.ReportReceived(member, requested)
 	}
 }
 
@@ -64,7 +64,7 @@
 		return
 	}
 	knownAsOf := f.tracker.KnownAsOf()
-	lease.freshUntil = knownAsOf.Add(f.bound.KeepLeases)
+	lease.freshUntil = knownAsOf.Add(f.bound.RenewLeases)
 	lease.freshStartsUntil = knownAsOf.Add(f.bound.StartTasks)
 	tooStale := !now.Before(lease.freshUntil) && now.Before(lease.grantedUntil())
 	if tooStale == f.tooStale {
@@ -72,7 +72,7 @@
 	}
 	f.tooStale = tooStale
 	f.log.Warn("staleness limit of known cancellations crossed",
-		"too_stale", tooStale, "age", now.Sub(knownAsOf), "limit", f.bound.KeepLeases,
+		"too_stale", tooStale, "age", now.Sub(knownAsOf), "limit", f.bound.RenewLeases,
 		"fencing_token", lease.fencingToken)
 }
 
@@ -132,7 +132,7 @@
 		if c.lease.load() == nil || time.Since(c.jobs.AsOf()) < interval || !c.jobs.Loaded() {
 			continue
 		}
-		if err := c.jobs.CatchUp(c.tasks.ctx); err != nil {
+		if err := c.jobs.ApplyNewChanges(c.tasks.ctx); err != nil {
 			c.log.Debug("reading job record changes failed", "err", err)
 		}
 	}
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -28,9 +28,9 @@
 // cancellations that these members know.
 func (c *Controller) requestVotes(term uint64, e election.RequestVotes) {
 	now := time.Now()
-	var storeSilence time.Duration // how long ago the state service last answered
+	var sinceStateService time.Duration // how long ago the state service last answered
 	if last := c.store.LastContact(); !last.IsZero() {
-		storeSilence = now.Sub(last)
+		sinceStateService = now.Sub(last)
 	}
 	for name, client := range c.peers {
 		cursor := c.cancellations.acknowledgedCursors[name]
@@ -38,7 +38,7 @@
 			Member:   c.platform.Member,
 			Token:    e.FencingToken,
 			Revision: c.jobs.Revision(),
-			SilentMs: uint64(storeSilence.Milliseconds()),
+			SilentMs: uint64(sinceStateService.Milliseconds()),
 			Seq:      e.Seq,
 			ForMs:    uint64(e.Duration.Milliseconds()),
 			Instead:  e.Supersedes,
--- a/internal/effects/effects_test.go
+++ b/internal/effects/effects_test.go
@@ -26,18 +26,18 @@
 		want       reconciler.Outcome
 		wantFenced bool
 	}{
-		{"committed", services{ok: true, version: 5}, reconciler.OK, false},
-		{"rejected permanently", services{err: rejected}, reconciler.Rejected, false},
+		{"committed", services{ok: true, version: 5}, reconciler.OutcomeOK, false},
+		{"rejected permanently", services{err: rejected}, reconciler.OutcomeRejected, false},
 		{
 			"not executed",
 			services{err: &store.CommitError{NeverExecuted: true, Err: errConnectionLost}},
-			reconciler.NotSent,
+			reconciler.OutcomeNotSent,
 			false,
 		},
-		{"outcome unknown", services{err: &store.CommitError{Err: errConnectionLost}}, reconciler.Unknown, false},
-		{"one of its own conditions fails", services{}, reconciler.Refused, false},
-		{"another leader has taken over", services{tokenChanged: true}, reconciler.Refused, true},
-		{"refused, and the token cannot be read", services{tokenErr: errConnectionLost}, reconciler.Unknown, false},
+		{"outcome unknown", services{err: &store.CommitError{Err: errConnectionLost}}, reconciler.OutcomeUnknown, false},
+		{"one of its own conditions fails", services{}, reconciler.OutcomeRefused, false},
+		{"another leader has taken over", services{tokenChanged: true}, reconciler.OutcomeRefused, true},
+		{"refused, and the token cannot be read", services{tokenErr: errConnectionLost}, reconciler.OutcomeUnknown, false},
 	}
 	changes := []record.Change{{Kind: record.PutTasks, Job: "j"}}
 	for _, test := range tests {
@@ -63,18 +63,18 @@
 		{
 			name:     "token rewritten",
 			services: services{ok: true, version: 12},
-			want:     effects.FenceResult{Outcome: reconciler.OK, TokenVersion: 12},
+			want:     effects.FenceResult{Outcome: reconciler.OutcomeOK, TokenVersion: 12},
 		},
 		{
 			name:       "another leader has taken over",
 			services:   services{},
-			want:       effects.FenceResult{Outcome: reconciler.Refused},
+			want:       effects.FenceResult{Outcome: reconciler.OutcomeRefused},
 			wantFenced: true,
 		},
 		{
 			name:     "no answer",
 			services: services{err: errConnectionLost},
-			want:     effects.FenceResult{Outcome: reconciler.Unknown},
+			want:     effects.FenceResult{Outcome: reconciler.OutcomeUnknown},
 		},
 	}
 	for _, test := range tests {
@@ -95,11 +95,13 @@
 		reply worker.Reply
 		want  reconciler.Outcome
 	}{
-		{"executed", worker.Reply{Executed: true, Heartbeat: heartbeat}, reconciler.OK},
-		{"executed, unreadable heartbeat", worker.Reply{Executed: true, Err: errConnectionLost}, reconciler.OK},
-		{"connection quota exhausted", worker.Reply{NotSent: true, Err: connquota.ErrFull}, reconciler.NotSent},
-		{"refused", worker.Reply{NotSent: true, Heartbeat: heartbeat, Err: errConnectionLost}, reconciler.Refused},
-		{"no answer", worker.Reply{Err: errConnectionLost}, reconciler.Unknown},
+		{"executed", worker.Reply{Executed: true, Heartbeat: heartbeat}, reconciler.OutcomeOK},
+		{"executed, unreadable heartbeat", worker.Reply{Executed: true, Err: errConnectionLost}, reconciler.OutcomeOK},
+		{"connection quota exhausted", worker.Reply{NeverExecuted: true, Err: connquota.ErrQuotaExhausted},
+			reconciler.OutcomeNotSent},
+		{"refused", worker.Reply{NeverExecuted: true, Heartbeat: heartbeat, Err: errConnectionLost},
+			reconciler.OutcomeRefused},
+		{"no answer", worker.Reply{Err: errConnectionLost}, reconciler.OutcomeUnknown},
 	}
 	effect := reconciler.SendCommands{
 		Machine:  "m",
@@ -132,9 +134,9 @@
 		want         reconciler.Outcome
 		wantMachines []string
 	}{
-		{"provisioned", services{provisionedMachines: []string{"m"}}, reconciler.OK, []string{"m"}},
-		{"refused", services{cloudRefused: true, err: errConnectionLost}, reconciler.Refused, nil},
-		{"no answer", services{err: errConnectionLost}, reconciler.Unknown, nil},
+		{"provisioned", services{provisionedMachines: []string{"m"}}, reconciler.OutcomeOK, []string{"m"}},
+		{"refused", services{cloudRefused: true, err: errConnectionLost}, reconciler.OutcomeRefused, nil},
+		{"no answer", services{err: errConnectionLost}, reconciler.OutcomeUnknown, nil},
 	}
 	request := model.Provisioning{Name: "p"}
 	for _, test := range tests {
@@ -160,8 +162,8 @@
 		err  error
 		want reconciler.Outcome
 	}{
-		"released":  {nil, reconciler.OK},
-		"no answer": {errConnectionLost, reconciler.Unknown},
+		"released":  {nil, reconciler.OutcomeOK},
+		"no answer": {errConnectionLost, reconciler.OutcomeUnknown},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -187,33 +189,33 @@
 		{
 			name:      "commands",
 			effect:    reconciler.SendCommands{Machine: "m"},
-			want:      reconciler.CommandCompleted{Machine: "m", Outcome: reconciler.NotSent},
+			want:      reconciler.CommandCompleted{Machine: "m", Outcome: reconciler.OutcomeNotSent},
 			wantCalls: []string{"may act"},
 		},
 		{
 			name:      "provisioning",
 			effect:    reconciler.Provision{},
-			want:      reconciler.ProvisionCompleted{Outcome: reconciler.Unknown},
+			want:      reconciler.ProvisionCompleted{Outcome: reconciler.OutcomeUnknown},
 			wantCalls: []string{"wait", "may provision"},
 		},
 		{
 			name:      "provisioning, rate limiter returns an error",
 			services:  services{mayProvision: true, waitErr: errConnectionLost},
 			effect:    reconciler.Provision{},
-			want:      reconciler.ProvisionCompleted{Outcome: reconciler.Unknown},
+			want:      reconciler.ProvisionCompleted{Outcome: reconciler.OutcomeUnknown},
 			wantCalls: []string{"wait"},
 		},
 		{
 			name:      "release",
 			effect:    reconciler.Release{Machines: []string{"m"}},
-			want:      reconciler.ReleaseCompleted{Machines: []string{"m"}, Outcome: reconciler.Unknown},
+			want:      reconciler.ReleaseCompleted{Machines: []string{"m"}, Outcome: reconciler.OutcomeUnknown},
 			wantCalls: []string{"wait", "may provision"},
 		},
 		{
 			name:      "release, rate limiter returns an error",
 			services:  services{mayProvision: true, waitErr: errConnectionLost},
 			effect:    reconciler.Release{Machines: []string{"m"}},
-			want:      reconciler.ReleaseCompleted{Machines: []string{"m"}, Outcome: reconciler.Unknown},
+			want:      reconciler.ReleaseCompleted{Machines: []string{"m"}, Outcome: reconciler.OutcomeUnknown},
 			wantCalls: []string{"wait"},
 		},
 	}
--- a/internal/effects/executor.go
+++ b/internal/effects/executor.go
@@ -113,7 +113,7 @@
 		Machine:  e.Machine,
 		Epoch:    e.Epoch,
 		Commands: e.Commands,
-		Outcome:  reconciler.NotSent,
+		Outcome:  reconciler.OutcomeNotSent,
 	}
 	if x.MayAct() {
 		reply := x.Workers.Send(e.Addr, x.FencingToken, e.Epoch, e.Commands, e.Urgent)
@@ -126,26 +126,26 @@
 func commandOutcome(reply worker.Reply) reconciler.Outcome {
 	switch {
 	case reply.Executed:
-		return reconciler.OK
-	case errors.Is(reply.Err, connquota.ErrFull):
-		return reconciler.NotSent // the request never left this process, so it says nothing about the machine
-	case reply.NotSent:
-		return reconciler.Refused
+		return reconciler.OutcomeOK
+	case errors.Is(reply.Err, connquota.ErrQuotaExhausted):
+		return reconciler.OutcomeNotSent // the request never left this process, so it says nothing about the machine
+	case reply.NeverExecuted:
+		return reconciler.OutcomeRefused
 	}
-	return reconciler.Unknown
+	return reconciler.OutcomeUnknown
 }
 
 func (x *Executor) provision(ctx context.Context, e reconciler.Provision) reconciler.ProvisionCompleted {
-	ev := reconciler.ProvisionCompleted{Provisioning: e.Provisioning, Outcome: reconciler.Unknown}
+	ev := reconciler.ProvisionCompleted{Provisioning: e.Provisioning, Outcome: reconciler.OutcomeUnknown}
 	if x.Cloud.Wait(ctx) != nil || !x.MayProvision() {
 		return ev
 	}
 	machines, refused, err := x.Cloud.Provision(e.Provisioning)
 	switch {
 	case refused:
-		ev.Outcome = reconciler.Refused
+		ev.Outcome = reconciler.OutcomeRefused
 	case err == nil:
-		ev.Outcome, ev.Machines = reconciler.OK, machines
+		ev.Outcome, ev.Machines = reconciler.OutcomeOK, machines
 	default:
 		x.Log.Debug("provisioning request failed with unknown outcome", "request", e.Provisioning.Name, "err", err)
 	}
@@ -153,10 +153,10 @@
 }
 
 func (x *Executor) release(ctx context.Context, e reconciler.Release) reconciler.ReleaseCompleted {
-	ev := reconciler.ReleaseCompleted{Machines: e.Machines, Outcome: reconciler.Unknown}
+	ev := reconciler.ReleaseCompleted{Machines: e.Machines, Outcome: reconciler.OutcomeUnknown}
 	if x.Cloud.Wait(ctx) == nil && x.MayProvision() {
 		if err := x.Cloud.Release(e.Machines); err == nil {
-			ev.Outcome = reconciler.OK
+			ev.Outcome = reconciler.OutcomeOK
 		}
 	}
 	return ev
--- a/internal/effects/helpers_test.go
+++ b/internal/effects/helpers_test.go
@@ -122,7 +122,7 @@
 func (s *services) executor(t *testing.T) *effects.Executor {
 	t.Helper()
 	state := fake.NewState(time.Now)
-	client := store.NewOver(state, state, time.Second)
+	client := store.NewWithTransports(state, state, time.Second)
 	return &effects.Executor{
 		Leadership: effects.Leadership{
 			Member:       "a",
--- a/internal/effects/transactions.go
+++ b/internal/effects/transactions.go
@@ -12,15 +12,15 @@
 // commit executes a transaction on the condition that the record of the fencing token is unchanged.
 func (x *Executor) commit(ctx context.Context, e reconciler.Commit) reconciler.CommitCompleted {
 	revision, ok, err := x.State.CommitFenced(ctx, x.TokenVersion, e.Changes)
-	ev := reconciler.CommitCompleted{Changes: e.Changes, Version: revision, Outcome: reconciler.OK}
+	ev := reconciler.CommitCompleted{Changes: e.Changes, Version: revision, Outcome: reconciler.OutcomeOK}
 	switch {
 	case errors.Is(err, store.ErrRejected):
-		ev.Outcome = reconciler.Rejected
+		ev.Outcome = reconciler.OutcomeRejected
 		x.Log.Error("state service rejected records", "keys", store.ChangeKeys(e.Changes), "err", err)
 	case errors.Is(err, store.ErrNotExecuted):
-		ev.Outcome = reconciler.NotSent
+		ev.Outcome = reconciler.OutcomeNotSent
 	case err != nil:
-		ev.Outcome = reconciler.Unknown
+		ev.Outcome = reconciler.OutcomeUnknown
 	case !ok:
 		ev.Outcome = x.refusedCommit(ctx)
 	}
@@ -32,22 +32,23 @@
 func (x *Executor) refusedCommit(ctx context.Context) reconciler.Outcome {
 	unchanged, err := x.State.TokenUnchanged(ctx, x.TokenVersion)
 	if err != nil {
-		return reconciler.Unknown
+		return reconciler.OutcomeUnknown
 	}
 	if !unchanged {
 		x.reportFenced()
 	}
-	return reconciler.Refused
+	return reconciler.OutcomeRefused
 }
 
 func (x *Executor) reportFenced() { x.ReportFenced(election.Fenced{FencingToken: x.FencingToken}) }
 
 // FenceResult is the result of Executor.Fence.
 type FenceResult struct {
-	// Outcome is OK if no transaction that was sent earlier and not answered can still be executed. It is Refused if
-	// another leader has taken over; the caller then passes no event to the reconciler. Otherwise it is Unknown.
+	// Outcome is OutcomeOK if no transaction that was sent earlier and not answered can still be executed. It is
+	// OutcomeRefused if another leader has taken over; the caller then passes no event to the reconciler. Otherwise it is
+	// OutcomeUnknown.
 	Outcome reconciler.Outcome
-	// TokenVersion is the new version of the token's record if Outcome is OK. The caller passes it to the election
+	// TokenVersion is the new version of the token's record if Outcome is OutcomeOK. The caller passes it to the election
 	// before it lets the reconciler continue.
 	TokenVersion uint64
 }
@@ -59,10 +60,10 @@
 	switch {
 	case err != nil:
 		x.Log.Debug("rewriting the fencing token record failed", "err", err)
-		return FenceResult{Outcome: reconciler.Unknown}
+		return FenceResult{Outcome: reconciler.OutcomeUnknown}
 	case !ok:
 		x.reportFenced()
-		return FenceResult{Outcome: reconciler.Refused}
+		return FenceResult{Outcome: reconciler.OutcomeRefused}
 	}
-	return FenceResult{Outcome: reconciler.OK, TokenVersion: version}
+	return FenceResult{Outcome: reconciler.OutcomeOK, TokenVersion: version}
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -51,13 +51,13 @@
 // duration differ by at most the duration divided by this number.
 const clockDriftDivisor = 1000
 
-// withoutDrift returns a shorter duration that, measured on one machine, ends no later than d does when measured on
+// shortenForDrift returns a shorter duration that, measured on one machine, ends no later than d does when measured on
 // another machine.
-func withoutDrift(d time.Duration) time.Duration { return d - d/clockDriftDivisor }
+func shortenForDrift(d time.Duration) time.Duration { return d - d/clockDriftDivisor }
 
-// withDrift returns a longer duration that, measured on one machine, ends no earlier than d does when measured on
+// extendForDrift returns a longer duration that, measured on one machine, ends no earlier than d does when measured on
 // another machine.
-func withDrift(d time.Duration) time.Duration { return d + d/clockDriftDivisor }
+func extendForDrift(d time.Duration) time.Duration { return d + d/clockDriftDivisor }
 
 // Record is the content of the leader's keys.
 type Record struct {
--- a/internal/election/simulation_test.go
+++ b/internal/election/simulation_test.go
@@ -115,7 +115,7 @@
 		v.recoveryUntil = time.Time{}
 		v.transition(voteNone, time.Time{})
 	case shortRecovery:
-		v.recoveryUntil = c.clock(m).Add(withDrift(voteDuration) + settings.SafetyMargin)
+		v.recoveryUntil = c.clock(m).Add(extendForDrift(voteDuration) + settings.SafetyMargin)
 		v.transition(voteRecovering, v.recoveryUntil)
 	}
 }
--- a/internal/election/validity.go
+++ b/internal/election/validity.go
@@ -46,5 +46,5 @@
 // is the lease duration after sent, less the maximum clock drift and the safety margin. The method reads only the
 // settings, so it is safe for concurrent use.
 func (m *StateMachine) RenewalValidUntil(sent time.Time) time.Time {
-	return sent.Add(withoutDrift(m.settings.LeaseDuration) - m.settings.SafetyMargin)
+	return sent.Add(shortenForDrift(m.settings.LeaseDuration) - m.settings.SafetyMargin)
 }
--- a/internal/election/votes.go
+++ b/internal/election/votes.go
@@ -54,7 +54,7 @@
 	v.received, v.notLeading = map[string]receivedVote{}, map[string]bool{}
 	if s.VoteDuration > 0 && len(s.Peers) > 0 {
 		longest := max(s.VoteDuration, s.OutageVoteDuration)
-		v.recoveryUntil = now.Add(withDrift(longest) + s.SafetyMargin)
+		v.recoveryUntil = now.Add(extendForDrift(longest) + s.SafetyMargin)
 		v.transition(voteRecovering, v.recoveryUntil)
 	}
 }
@@ -157,7 +157,7 @@
 	if duration == 0 {
 		duration = s.VoteDuration
 	}
-	countsUntil := func(d time.Duration) time.Time { return ev.Sent.Add(withoutDrift(d) - s.SafetyMargin) }
+	countsUntil := func(d time.Duration) time.Time { return ev.Sent.Add(shortenForDrift(d) - s.SafetyMargin) }
 	vote := v.received[ev.Member]
 	if until := countsUntil(duration); until.After(vote.validUntil) {
 		vote.validUntil = until
--- a/internal/fake/answers_test.go
+++ b/internal/fake/answers_test.go
@@ -63,7 +63,7 @@
 	for _, name := range slices.Sorted(maps.Keys(answerFaults)) {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(7, 7))
-			w := newVotingMembers(t, 3, 4)
+			w := newVotingTestWorld(t, 3, 4)
 			w.RunTime = 1500 * time.Millisecond
 			w.PollOnCommit = true
 			outcomes := runUserWorkload(t, w, random, answerFaults[name](w, random))
@@ -207,7 +207,7 @@
 			w.recordAnswer(c.Member, id, wire.StateQueued)
 		},
 	} {
-		w := newTestWorldOf(3, 1, 1)
+		w := newTestWorldWithMembers(3, 1, 1)
 		waitForLeader(t, w, 20*second)
 		spec := newJob(model.Array, 1, func(spec *model.Spec) { spec.Demand.CPU = 100 }) // fits no machine
 		submitJob(t, w, spec)
@@ -225,7 +225,7 @@
 // its quota.
 func TestStarvationCheckerDetectsWaitWithRoom(t *testing.T) {
 	for _, team := range []string{"red", "blue"} {
-		w := newTestWorldOf(3, 3, 1)
+		w := newTestWorldWithMembers(3, 3, 1)
 		w.RunTime = time.Hour
 		waitForLeader(t, w, 20*second)
 		quotaFiller := newJob(model.Array, 4, func(spec *model.Spec) { spec.Team = "blue" }) // all 16 CPUs of its quota
@@ -245,7 +245,7 @@
 		}
 		if violated := len(w.Violations) > 0; violated != (team == "red") {
 			t.Errorf("waiting job of team %s: got violations %v, longest wait %v, want a violation for team red only",
-				team, w.Violations, w.LongestWait)
+				team, w.Violations, w.LongestWaitWithRoom)
 		}
 	}
 }
@@ -279,7 +279,7 @@
 	submitJob(t, w, spec)
 	w.Advance(3 * second)
 	other := w.Controllers[2]
-	if err := other.Jobs.Refresh(context.Background()); err != nil {
+	if err := other.Jobs.LoadAndApplyChanges(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if got := polledState(t, other, spec.ID); got != wire.StateQueued {
--- a/internal/fake/cancellation_test.go
+++ b/internal/fake/cancellation_test.go
@@ -21,7 +21,7 @@
 	for _, members := range []int{2, 3, 5} {
 		for _, isolatedFor := range []time.Duration{second / 2, second, 2 * second, 3 * second, 5 * second, 10 * second} {
 			t.Run(fmt.Sprint(members, " members, leader isolated ", isolatedFor, " before the outage"), func(t *testing.T) {
-				w := newVotingMembers(t, members, 4)
+				w := newVotingTestWorld(t, members, 4)
 				checkpointing := newJob(model.Array, 1, func(spec *model.Spec) {
 					spec.CheckpointInterval, spec.CheckpointTime = second, 8*second
 				})
@@ -64,7 +64,7 @@
 		for _, fault := range []string{"no other fault", "outage for the leader, then for all", "leader restart", "outage"} {
 			t.Run(fmt.Sprint(maxLatency, ", ", fault), func(t *testing.T) {
 				random := rand.New(rand.NewPCG(4, 4))
-				w := newVotingMembers(t, 3, 4)
+				w := newVotingTestWorld(t, 3, 4)
 				w.PollOnCommit = true
 				cancelled, remaining :=
 					[]*model.Spec{newJob(model.Array, 2, nil), newJob(model.Gang, 2, nil)}, newJob(model.Service, 2, nil)
@@ -110,7 +110,7 @@
 // The leader confirms a cancellation itself, and an outage of the state service begins before it has read the change.
 // The leader still has to stop the tasks within the deadline.
 func TestLeaderAppliesItsOwnCancellationInOutage(t *testing.T) {
-	w := newVotingMembers(t, 3, 4)
+	w := newVotingTestWorld(t, 3, 4)
 	spec := newJob(model.Array, 2, nil)
 	startJobs(t, w, spec)
 	leader := w.Leader()
@@ -127,7 +127,7 @@
 // cancellation.
 func TestCancellationSurvivesRestartOfConfirmingMember(t *testing.T) {
 	for _, members := range []int{2, 3} {
-		w := newVotingMembers(t, members, 4)
+		w := newVotingTestWorld(t, members, 4)
 		cancelled, remaining := newJob(model.Array, 2, nil), newJob(model.Service, 2, nil)
 		startJobs(t, w, cancelled, remaining)
 		leader := w.Leader()
@@ -152,7 +152,7 @@
 // More cancellations are confirmed than one answer to a vote request carries, so the leader needs several answers to
 // learn of all of them. Meanwhile no worker's lease may expire, since that would kill the tasks of other jobs.
 func TestManyCancellationsReachLeaderWithoutKillingTasks(t *testing.T) {
-	w := newVotingMembers(t, 3, 4)
+	w := newVotingTestWorld(t, 3, 4)
 	remaining := newJob(model.Service, 2, nil)
 	runningJob := newJob(model.Array, 2, func(spec *model.Spec) { spec.Team = "blue" })
 	startJobs(t, w, remaining, runningJob)
@@ -179,7 +179,7 @@
 // The leader can renew its lease but cannot read the job records, and the controller that confirmed a cancellation is
 // down. Since the leader cannot learn of the cancellation, another controller has to take over.
 func TestLeaderThatCannotReadChangesIsReplaced(t *testing.T) {
-	w := newVotingMembers(t, 3, 4)
+	w := newVotingTestWorld(t, 3, 4)
 	spec := newJob(model.Array, 2, nil)
 	startJobs(t, w, spec)
 	leader := w.Leader()
@@ -198,7 +198,7 @@
 // After an outage the leader can renew its lease, but its reads are not answered, and the controller that confirmed a
 // cancellation is down. World checks that the cancelled tasks end within the deadline.
 func TestRenewedLeaderWithBlockedReadsStopsCancelledTasks(t *testing.T) {
-	w := newVotingMembers(t, 2, 4)
+	w := newVotingTestWorld(t, 2, 4)
 	spec := newJob(model.Array, 2, nil)
 	startJobs(t, w, spec)
 	leader, confirmer := w.Leader(), nonLeader(w, w.Leader())
@@ -213,10 +213,10 @@
 	w.Advance(2 * w.CancelDeadline)
 }
 
-// Heartbeats of the workers reach the leader, but its answers do not reach the workers. The cancelled tasks end when
+// Heartbeats of the workers reach the leader, but its responses do not reach the workers. The cancelled tasks end when
 // the workers' leases expire.
 func TestCancelledTaskOnInboundBlockedWorkerStopsByLease(t *testing.T) {
-	w := newVotingMembers(t, 3, 1)
+	w := newVotingTestWorld(t, 3, 1)
 	spec := newJob(model.Array, 2, nil)
 	startJobs(t, w, spec)
 	leader := w.Leader()
@@ -236,7 +236,7 @@
 // The leader learns of a cancellation from another controller and reads the older change that created the job only
 // afterwards. The older change must not make the job active again.
 func TestStaleChangePageDoesNotReviveCancelledJob(t *testing.T) {
-	w := newVotingMembers(t, 2, 4)
+	w := newVotingTestWorld(t, 2, 4)
 	leader, confirmer := w.Leader(), nonLeader(w, w.Leader())
 	leader.StateUnreachable = true
 	spec := newJob(model.Array, 2, nil)
@@ -244,10 +244,10 @@
 		t.Fatal(err)
 	}
 	cancelJobs(t, w, confirmer, spec)
-	known := leader.acknowledgedBy[confirmer.Member]
+	known := leader.cancellationCursors[confirmer.Member]
 	leader.Jobs.ApplyCancellations(confirmer.Jobs.CancellationsAfter(leader.Jobs.Revision(), known).Cancelled)
 	leader.StateUnreachable = false
-	if err := leader.Jobs.CatchUp(context.Background()); err != nil {
+	if err := leader.Jobs.ApplyNewChanges(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	w.Advance(10 * second)
@@ -260,7 +260,7 @@
 // state service, and in an outage. Each answer has to follow the protocol. A controller that cannot reach the state
 // service may answer from its cache, and otherwise returns an error.
 func TestCancelAnswersFollowProtocolInEveryPhase(t *testing.T) {
-	w := newVotingMembers(t, 3, 4)
+	w := newVotingTestWorld(t, 3, 4)
 	w.RunTime = 3 * second
 	doneJob, openJob := newJob(model.Array, 1, nil), newJob(model.Service, 1, nil)
 	startJobs(t, w, openJob)
@@ -316,7 +316,7 @@
 func runRandomCancellations(t *testing.T, seed uint64) (confirmed int) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
-	w := newVotingMembers(t, []int{2, 3, 3, 5}[random.IntN(4)], 4)
+	w := newVotingTestWorld(t, []int{2, 3, 3, 5}[random.IntN(4)], 4)
 	var openJobs []*model.Spec
 	for range 5 {
 		shape := []model.Shape{model.Array, model.Gang}[random.IntN(2)]
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -94,12 +94,12 @@
 	return booted
 }
 
-// Forget removes a released machine from those that are booting. It ignores a machine that is not booting.
-func (c *Cloud) Forget(name string) { delete(c.booting, name) }
+// RemoveBooting removes a released machine from those that are booting. It ignores a machine that is not booting.
+func (c *Cloud) RemoveBooting(name string) { delete(c.booting, name) }
 
-// ProvisionedTotal returns the number of machines that were ever provisioned, including those that a caller has created
+// NamesAssigned returns the number of machines that were ever provisioned, including those that a caller has created
 // itself under a name from NextName.
-func (c *Cloud) ProvisionedTotal() int { return c.namesAssigned }
+func (c *Cloud) NamesAssigned() int { return c.namesAssigned }
 
 // Booting returns the machines that are booting, by name.
 func (c *Cloud) Booting() map[string]model.MachineInfo {
--- a/internal/fake/controller.go
+++ b/internal/fake/controller.go
@@ -54,12 +54,12 @@
 
 // leadership is the state that a controller has only while it leads.
 type leadership struct {
-	Reconciler     *reconciler.Core                    // nil unless the controller leads
-	staleness      *staleness.Tracker                  // nil unless the controller leads
-	acknowledgedBy map[string]store.CancellationCursor // by member: cursor into the cancellations it has reported
-	fencingToken   uint64
-	tokenVersion   uint64 // version of the record that holds the fencing token
-	suspended      bool   // whether the controller has a reconciler but may not act now
+	Reconciler          *reconciler.Core                    // nil unless the controller leads
+	staleness           *staleness.Tracker                  // nil unless the controller leads
+	cancellationCursors map[string]store.CancellationCursor // by member: cursor into the cancellations it has reported
+	fencingToken        uint64
+	tokenVersion        uint64 // version of the record that holds the fencing token
+	suspended           bool   // whether the controller has a reconciler but may not act now
 }
 
 // depose ends the leadership.
@@ -106,14 +106,14 @@
 	w := c.world
 	c.Up, c.Frozen, c.suspended = true, false, false
 	c.depose()
-	c.acknowledgedBy = map[string]store.CancellationCursor{}
+	c.cancellationCursors = map[string]store.CancellationCursor{}
 	c.inbox = inbox{}
 	w.controllerStarts++
-	c.State = store.NewOver(c, c, time.Second)
+	c.State = store.NewWithTransports(c, c, time.Second)
 	c.State.SetRateLimits(unlimitedRate, unlimitedRate)
 	c.settings.Ledger = c.ledgerSettings()
 	onChanges := func(changes []store.JobChange) { c.jobChanges = append(c.jobChanges, changes...) }
-	c.Jobs = store.NewJobCache(c.State, w.controllerStarts, w.EndedJobsKept, w.Limits, onChanges, c.log)
+	c.Jobs = store.NewJobCache(c.State, w.controllerStarts, w.EndedJobsKept, w.StoreLimits, onChanges, c.log)
 	c.State.SetClock(func() time.Time { return w.now }, func(time.Duration) {})
 	c.electionSettings.Peers = nil
 	for _, peer := range w.Controllers {
@@ -144,7 +144,7 @@
 // Leads reports whether the controller may act as the leader: its leadership is valid, and its knowledge of
 // cancellations is recent enough.
 func (c *Controller) Leads() bool {
-	return c.leadershipValid() && c.world.now.Before(c.staleness.KnownAsOf().Add(c.world.StalenessBound.KeepLeases))
+	return c.leadershipValid() && c.world.now.Before(c.staleness.KnownAsOf().Add(c.world.StalenessBound.RenewLeases))
 }
 
 // leadershipValid reports whether the controller leads by a valid lease or valid votes. Unlike Leads, it ignores how
@@ -217,7 +217,7 @@
 	}
 	if c.Reconciler == nil {
 		if !c.Jobs.Loaded() {
-			_ = c.Jobs.Refresh(context.Background()) // retried in the next step
+			_ = c.Jobs.LoadAndApplyChanges(context.Background()) // retried in the next step
 		}
 		return
 	}
@@ -244,7 +244,7 @@
 	if !c.Jobs.Loaded() || c.world.now.Before(c.nextReadAt) {
 		return
 	}
-	_ = c.Jobs.CatchUp(context.Background()) // retried in a later step
+	_ = c.Jobs.ApplyNewChanges(context.Background()) // retried in a later step
 	if c.world.StateLatency != nil {
 		c.nextReadAt = c.world.now.Add(c.world.StateLatency())
 	}
@@ -255,7 +255,7 @@
 	changes := c.jobChanges
 	c.jobChanges = nil
 	for _, change := range changes {
-		c.stepReconciler(reconciler.JobUpdated(c.Jobs.UpdateFor(change)))
+		c.stepReconciler(reconciler.JobUpdateEvent(c.Jobs.UpdateFor(change)))
 	}
 }
 
@@ -263,10 +263,10 @@
 func (c *Controller) actAsLeader() {
 	now := c.world.now
 	if c.suspended {
-		c.Reconciler.Resume(now)
+		c.Reconciler.OnLeaseRestored(now)
 	}
 	startsUntil := c.staleness.KnownAsOf().Add(c.world.StalenessBound.StartTasks)
-	c.Reconciler.PauseStarts(!now.Before(c.Election.StartsValidUntil()) || !now.Before(startsUntil))
+	c.Reconciler.SetStartsPaused(!now.Before(c.Election.StartsValidUntil()) || !now.Before(startsUntil))
 	c.stepReconciler(reconciler.Tick{})
 	if c.Reconciler.Isolated(now) {
 		c.stepElection(election.Resign{})
--- a/internal/fake/controller_clients.go
+++ b/internal/fake/controller_clients.go
@@ -89,7 +89,7 @@
 func (r cloudClient) Release(names []string) error {
 	for _, name := range names {
 		delete(r.world.Workers, name)
-		r.world.Forget(name)
+		r.world.RemoveBooting(name)
 	}
 	return nil
 }
@@ -131,21 +131,21 @@
 			return worker.Reply{Err: errNoAnswer} // the connection was lost when the machine restarted or was released
 		}
 		executed := target.HandleCommands(fencingToken, epoch, commands)
-		return worker.Reply{Executed: executed, NotSent: !executed, Heartbeat: target.heartbeat()}
+		return worker.Reply{Executed: executed, NeverExecuted: !executed, Heartbeat: target.heartbeat()}
 	}
 	deliverLater := func() { deliver() }
 	delivery := w.nextDelivery()
 	switch {
-	case w.HoldCommands, delivery == Delayed:
+	case w.HoldCommands, delivery == CommandDelayed:
 		w.holdCommand(deliverLater)
-	case delivery == Dropped:
+	case delivery == CommandDropped:
 	case target != nil && target.Hung:
 		w.holdCommand(deliverLater) // a hung worker executes commands only when it resumes
 	case r.controller.canReach(target):
 		if len(commands) > 0 {
 			w.retainCommand(w.now, deliverLater)
 		}
-		if reply := deliver(); delivery != AnswerLost {
+		if reply := deliver(); delivery != CommandAnswerLost {
 			return reply
 		}
 	}
--- a/internal/fake/controller_clients_test.go
+++ b/internal/fake/controller_clients_test.go
@@ -20,9 +20,9 @@
 	}{
 		{name: "delivered", wantExecuted: true, wantHeartbeat: true},
 		{name: "another epoch", epochOffset: 1, wantNotSent: true, wantHeartbeat: true},
-		{name: "answer lost", prepare: setDelivery(AnswerLost)},
-		{name: "dropped", prepare: setDelivery(Dropped)},
-		{name: "delayed", prepare: setDelivery(Delayed), wantHeld: 1},
+		{name: "answer lost", prepare: setDelivery(CommandAnswerLost)},
+		{name: "dropped", prepare: setDelivery(CommandDropped)},
+		{name: "delayed", prepare: setDelivery(CommandDelayed), wantHeld: 1},
 		{name: "held", prepare: func(w *World, _ *Worker) { w.HoldCommands = true }, wantHeld: 1},
 		{name: "hung", prepare: func(_ *World, target *Worker) { target.Hung = true }, wantHeld: 1},
 		{name: "partitioned", prepare: func(_ *World, target *Worker) { target.Partitioned = true }},
@@ -54,7 +54,7 @@
 
 func checkReply(t *testing.T, reply worker.Reply, executed, notSent, heartbeat bool) {
 	t.Helper()
-	if reply.Executed != executed || reply.NotSent != notSent || (reply.Heartbeat != nil) != heartbeat {
+	if reply.Executed != executed || reply.NeverExecuted != notSent || (reply.Heartbeat != nil) != heartbeat {
 		t.Errorf("reply: got %+v, want executed=%v, not sent=%v, with a heartbeat=%v", reply, executed, notSent, heartbeat)
 	}
 }
--- a/internal/fake/controller_effects.go
+++ b/internal/fake/controller_effects.go
@@ -11,8 +11,8 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// heartbeatAnswer is a controller's answer to a worker's heartbeat.
-type heartbeatAnswer struct {
+// heartbeatResponse is a controller's response to a worker's heartbeat.
+type heartbeatResponse struct {
 	fencingToken uint64
 	commands     []model.Command
 }
@@ -22,17 +22,17 @@
 
 // handleHeartbeat processes a heartbeat that a worker has sent or another controller has relayed. The second result is
 // false if the controller does not answer it.
-func (c *Controller) handleHeartbeat(heartbeat *model.Heartbeat, relayed bool) (heartbeatAnswer, bool) {
+func (c *Controller) handleHeartbeat(heartbeat *model.Heartbeat, relayed bool) (heartbeatResponse, bool) {
 	if !c.Leads() || c.WorkersUnreachable || c.Frozen {
-		return heartbeatAnswer{}, false
+		return heartbeatResponse{}, false
 	}
-	answer, ok := heartbeatAnswer{fencingToken: c.fencingToken}, true
+	result, ok := heartbeatResponse{fencingToken: c.fencingToken}, true
 	for _, effect := range c.stepReconciler(reconciler.HeartbeatReceived{Heartbeat: heartbeat, Relayed: relayed}) {
 		if response, isResponse := effect.(reconciler.HeartbeatResponse); isResponse {
-			answer.commands, ok = response.Commands, !response.Refused
+			result.commands, ok = response.Commands, !response.Refused
 		}
 	}
-	return answer, ok
+	return result, ok
 }
 
 // stepReconciler passes an event to the reconciler, executes the effects and returns them. It does nothing if the
@@ -119,7 +119,7 @@
 		c.world.requestRelease(func() { complete(executor.Execute(ctx, effect)) })
 	case reconciler.Commit:
 		event := executor.Execute(ctx, effect)
-		if event.(reconciler.CommitCompleted).Outcome == reconciler.Rejected {
+		if event.(reconciler.CommitCompleted).Outcome == reconciler.OutcomeRejected {
 			c.world.RejectedKeys = append(c.world.RejectedKeys, store.ChangeKeys(effect.Changes)...)
 		}
 		complete(event)
@@ -134,9 +134,9 @@
 func (c *Controller) fence(executor *effects.Executor, complete completion) {
 	result := executor.Fence(context.Background())
 	switch result.Outcome {
-	case reconciler.Refused:
+	case reconciler.OutcomeRefused:
 		return // another leader has taken over
-	case reconciler.OK:
+	case reconciler.OutcomeOK:
 		c.tokenVersion = result.TokenVersion
 		c.stepElection(election.TokenRewritten{
 			FencingToken: executor.FencingToken,
--- a/internal/fake/controller_election.go
+++ b/internal/fake/controller_election.go
@@ -76,7 +76,7 @@
 // the peer does not vote for this controller.
 func (c *Controller) requestVote(peer *Controller, effect election.RequestVotes) {
 	sent := c.world.now
-	revision, cursor := c.Jobs.Revision(), c.acknowledgedBy[peer.Member]
+	revision, cursor := c.Jobs.Revision(), c.cancellationCursors[peer.Member]
 	sinceContact := sent.Sub(c.State.LastContact())
 	request := election.VoteRequest{
 		Leader:       c.Member,
@@ -94,9 +94,9 @@
 			}
 			c.Jobs.ApplyCancellations(cancellations.Cancelled)
 			c.applyJobChanges()
-			c.acknowledgedBy[peer.Member] = cancellations.Cursor
+			c.cancellationCursors[peer.Member] = cancellations.Cursor
 			if cancellations.Complete && c.staleness != nil {
-				c.staleness.Acknowledged(peer.Member, sent)
+				c.staleness.ReportReceived(peer.Member, sent)
 			}
 			if duration > 0 {
 				c.stepElection(election.VoteReceived{
@@ -162,7 +162,7 @@
 // in the next step.
 func (c *Controller) takeOver() {
 	ctx := context.Background()
-	if err := c.Jobs.Refresh(ctx); err != nil {
+	if err := c.Jobs.LoadAndApplyChanges(ctx); err != nil {
 		c.deferred = append(c.deferred, c.takeOver)
 		return
 	}
--- a/internal/fake/delayed_writes_test.go
+++ b/internal/fake/delayed_writes_test.go
@@ -39,7 +39,7 @@
 // leader crashes. The late transaction must not overwrite the newer record, or the next leader would start a
 // completed task again.
 func TestDelayedTaskRecordDoesNotOverwriteNewerOne(t *testing.T) {
-	w := newVotingMembers(t, 3, 4)
+	w := newVotingTestWorld(t, 3, 4)
 	w.RunTimeOf = func(id model.TaskID) time.Duration { return [...]time.Duration{4, 24, 200}[id.Index] * second }
 	spec := newJob(model.Array, 3, nil)
 	var held heldTransactions
@@ -74,7 +74,7 @@
 // The transaction that writes a machine's record arrives after the machine was released. It must not create the
 // record again.
 func TestDelayedMachineRecordDoesNotReviveReleasedMachine(t *testing.T) {
-	w := newVotingMembers(t, 3, 2)
+	w := newVotingTestWorld(t, 3, 2)
 	w.RunTime = 5 * second
 	var held heldTransactions
 	held.hold(w, "machine/", 1)
@@ -99,7 +99,7 @@
 func TestUnansweredFenceKeepsLeaderAndStartsTasksOnce(t *testing.T) {
 	for _, fenceOutcome := range []string{"committed", "delayed", "lost"} {
 		t.Run(fenceOutcome, func(t *testing.T) {
-			w := newVotingMembers(t, 3, 4)
+			w := newVotingTestWorld(t, 3, 4)
 			w.RunTimeOf = func(id model.TaskID) time.Duration { return time.Duration(4+20*id.Index) * second }
 			leader := w.Leader()
 			var heldTaskRecords, heldFences heldTransactions
--- a/internal/fake/dependencies_test.go
+++ b/internal/fake/dependencies_test.go
@@ -23,15 +23,15 @@
 		spec.Dependencies = []string{gang.ID}
 	})
 	submitJobs(t, w, root, left, right, gang, lastStage)
-	provisioned := w.ProvisionedTotal()
+	provisioned := w.NamesAssigned()
 	waitUntil(t, w, 60*second, "the gang runs", func() bool { return activeTasks(w, gang) == 2 })
-	if n := w.ProvisionedTotal(); n != provisioned {
+	if n := w.NamesAssigned(); n != provisioned {
 		t.Errorf("machines provisioned for tasks with unfinished dependencies: got %d, want 0", n-provisioned)
 	}
 	expectState(t, w, lastStage, wire.StateQueued)
 	waitUntil(t, w, 60*second, "the gang is done", jobDone(t, w, gang))
 	waitUntil(t, w, 2*second, "the last stage starts without delay", func() bool {
-		return w.Starts[model.TaskID{Job: lastStage.ID}] == 1
+		return w.Launches[model.TaskID{Job: lastStage.ID}] == 1
 	})
 }
 
@@ -39,9 +39,9 @@
 // and the next leader records their ends in transactions of at most four operations.
 func TestCancellationCascadesAcrossFailover(t *testing.T) {
 	w := newDeployment(t, 2)
-	w.State.MaxOps, w.Limits.MaxChanges = 4, 4
+	w.State.MaxOps, w.StoreLimits.MaxChanges = 4, 4
 	w.RunTime = 300 * second
-	restartAll(t, w, 0)
+	restartAllControllers(t, w, 0)
 	root := newJob(model.Array, 2, nil)
 	jobs := []*model.Spec{root}
 	for range 30 { // a chain of jobs, and as many jobs that depend on the first one only
@@ -69,7 +69,7 @@
 	waitUntil(t, w, 30*second, "a new leader has recorded the end of every job", func() bool {
 		return len(w.State.Keys("job/a/")) == 0
 	})
-	restartAll(t, w, 0)
+	restartAllControllers(t, w, 0)
 	for _, spec := range append(jobs, lateDependent) {
 		expectState(t, w, spec, wire.StateCancelled)
 	}
@@ -139,7 +139,7 @@
 	waitUntil(t, w, 60*second, "the jobs that do not depend on the cancelled job are done", func() bool {
 		return jobDone(t, w, root)() && jobDone(t, w, sibling)()
 	})
-	if n := w.Starts[model.TaskID{Job: cancelled.ID}] + w.Starts[model.TaskID{Job: downstream.ID}]; n != 0 {
+	if n := w.Launches[model.TaskID{Job: cancelled.ID}] + w.Launches[model.TaskID{Job: downstream.ID}]; n != 0 {
 		t.Errorf("task starts of jobs that were cancelled while pending: got %d, want 0", n)
 	}
 }
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	waitUntil(t, w, 60*second, "the job is done", jobDone(t, w, done))
-	restartAll(t, w, 0) // clears the memory of all controllers
+	restartAllControllers(t, w, 0) // clears the memory of all controllers
 	self := newDependentJob()
 	self.Dependencies = []string{self.ID}
 	unknown := newDependentJob(&model.Spec{ID: "wk-999999"})
@@ -188,7 +188,7 @@
 func TestFailoverResolvesDependenciesEndedLongAgo(t *testing.T) {
 	w := newDeployment(t, 2)
 	w.EndedJobsKept = 1
-	restartAll(t, w, 0)
+	restartAllControllers(t, w, 0)
 	w.RunTime = 2 * second
 	done1, done2 := newJob(model.Array, 1, nil), newJob(model.Array, 1, nil)
 	unplaceable := newJob(model.Array, 1, func(spec *model.Spec) {
@@ -208,7 +208,7 @@
 	lateDependent := newDependentJob(done1)
 	lateDependent.Dependencies = append(lateDependent.Dependencies, unplaceable.ID)
 	submitJobs(t, w, lateDependent)
-	restartAll(t, w, 0)
+	restartAllControllers(t, w, 0)
 	w.Advance(5 * second)
 	expectState(t, w, earlyDependent, wire.StateQueued)
 	if _, err := w.Cancel(w.Controllers[1], unplaceable.ID); err != nil {
@@ -259,7 +259,7 @@
 	waitUntil(t, w, 60*second, "the dependency is done", jobDone(t, w, dependency))
 	completedAt := w.Now()
 	w.Advance(30 * second)
-	restartAll(t, w, 0)
+	restartAllControllers(t, w, 0)
 	w.Advance(5 * second)
 	for _, end := range w.Leader().Jobs.ReadEnds(context.Background(), []string{dependency.ID}) {
 		if earlier := completedAt.Sub(end.EndedAt); end.Outcome != model.OutcomeDone || earlier < 0 || earlier > second {
@@ -270,9 +270,9 @@
 
 func TestManyDependenciesAreSplitUnderSmallValueLimit(t *testing.T) {
 	w := newScaledDeployment(t, 30, 80)
-	w.State.MaxValueBytes, w.Limits.MaxValueBytes = 2048, 2048
-	w.State.MaxOps, w.Limits.MaxChanges = 4, 4
-	restartAll(t, w, 0)
+	w.State.MaxValueBytes, w.StoreLimits.MaxValueBytes = 2048, 2048
+	w.State.MaxOps, w.StoreLimits.MaxChanges = 4, 4
+	restartAllControllers(t, w, 0)
 	w.RunTime = second
 	last := newDependentJob()
 	last.ID = "wk-8" + strings.Repeat("0", 30)
@@ -286,7 +286,7 @@
 	if n := len(w.State.Keys("job/w/")); n < 5 {
 		t.Fatalf("parts of a list of 400 long dependency ids: got %d, want at least 5", n)
 	}
-	restartAll(t, w, 0)
+	restartAllControllers(t, w, 0)
 	waitUntil(t, w, 120*second, "the last job is done", jobDone(t, w, last))
 	waitUntil(t, w, 10*second, "the parts of its dependency list are deleted", func() bool {
 		return len(w.State.Keys("job/w/")) == 0
@@ -308,8 +308,8 @@
 	w := newDeployment(t, 1)
 	spec := newDependentJob()
 	key := "job/w/" + spec.ID + "/cbf29ce484222325/0"
-	w.State.Preload(key, wire.AppendDependencies(nil, []string{"wk-000001"}))
-	restartAll(t, w, 0)
+	w.State.Preload(key, wire.AppendDependencyPart(nil, []string{"wk-000001"}))
+	restartAllControllers(t, w, 0)
 	waitUntil(t, w, 10*second, "the orphaned part is deleted", func() bool { return w.State.Value(key) == nil })
 	if record, err := w.Controllers[0].Jobs.Lookup(context.Background(), spec.ID); err != nil ||
 		record.State != wire.StateUnknown {
@@ -334,8 +334,8 @@
 	for i := range 1895 {
 		bits[i/8] |= 1 << (i % 8)
 	}
-	w.State.Preload("tasks/"+spec.ID+"/0", wire.AppendTasksDone(nil, bits))
-	restartAll(t, w, 0)
+	w.State.Preload("tasks/"+spec.ID+"/0", wire.AppendFinishedTasks(nil, bits))
+	restartAllControllers(t, w, 0)
 	w.RunTime = 20 * second
 	w.State.MaxValueBytes = 300 // far below the published limit
 	submitJobs(t, w, other)
--- a/internal/fake/duplicates_test.go
+++ b/internal/fake/duplicates_test.go
@@ -54,10 +54,10 @@
 }
 
 func newFaultInjectionWorld() *faultInjectionWorld {
-	f := &faultInjectionWorld{World: newTestWorld(2, 1), drawDelivery: func() Delivery { return Delivered }}
+	f := &faultInjectionWorld{World: newTestWorld(2, 1), drawDelivery: func() Delivery { return CommandDelivered }}
 	f.RunTime, f.FetchTime, f.Tick = 6*second, 100*time.Millisecond, 100*time.Millisecond
 	f.cloudExhausted = true // so that preempted tasks have to start again on the other machine
-	f.MaxRetainedHeartbeats = 200
+	f.MaxRetainedMessages = 200
 	for _, c := range f.Controllers {
 		c.settings.CommandHoldOff = 300 * time.Millisecond // short, so that retries follow soon
 	}
@@ -78,7 +78,7 @@
 }
 
 func (f *faultInjectionWorld) advance(rt *rapid.T) {
-	deliveries := []Delivery{Delivered, Delivered, AnswerLost, Delayed, Dropped}
+	deliveries := []Delivery{CommandDelivered, CommandDelivered, CommandAnswerLost, CommandDelayed, CommandDropped}
 	f.drawDelivery = func() Delivery { return rapid.SampledFrom(deliveries).Draw(rt, "delivery") }
 	f.Advance(time.Duration(rapid.IntRange(1, 40).Draw(rt, "tenths of a second")) * 100 * time.Millisecond)
 	for len(f.Workers) < 2 {
@@ -225,7 +225,7 @@
 // endFaults ends all faults and lets the deployment recover. Then it delivers the commands that are still held and
 // waits until a job that starves would have been reported.
 func (f *faultInjectionWorld) endFaults() {
-	f.drawDelivery = func() Delivery { return Delivered }
+	f.drawDelivery = func() Delivery { return CommandDelivered }
 	restoreControllers(f.World)
 	for _, worker := range f.Workers {
 		worker.InboundBlocked, worker.Partitioned, worker.OutboundBlocked = false, false, false
--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -52,7 +52,7 @@
 type TaskCounts struct {
 	KilledTasks   int                  // number of tasks that were killed when their worker's lease expired
 	LeaseExpiries int                  // number of worker leases that have expired; each expiry ends an epoch
-	Starts        map[model.TaskID]int // number of launches that workers have executed, by task
+	Launches      map[model.TaskID]int // number of launches that workers have executed, by task
 	Checkpoints   map[model.TaskID]int // number of graceful stops that have saved a checkpoint, by task
 }
 
@@ -76,7 +76,7 @@
 	return Environment{
 		now:              now,
 		Timing:           Timing{Tick: 50 * time.Millisecond, FetchTime: time.Second, RunTime: 10 * time.Second},
-		TaskCounts:       TaskCounts{Starts: map[model.TaskID]int{}, Checkpoints: map[model.TaskID]int{}},
+		TaskCounts:       TaskCounts{Launches: map[model.TaskID]int{}, Checkpoints: map[model.TaskID]int{}},
 		violationLog:     violationLog{seenViolations: map[string]bool{}},
 		Specs:            map[string]*model.Spec{},
 		Dependencies:     map[string][]string{},
--- a/internal/fake/failover_test.go
+++ b/internal/fake/failover_test.go
@@ -54,7 +54,7 @@
 func runTenFailovers(t *testing.T, loseLeadership func(w *World, leader *Controller), outage bool) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(3, 3))
-	w := newVotingMembers(t, 3, 12)
+	w := newVotingTestWorld(t, 3, 12)
 	w.PollOnCommit = true
 	w.Capacity = 20
 	inBlueTeam := func(spec *model.Spec) { spec.Team = "blue" }
@@ -63,7 +63,7 @@
 	for _, name := range w.WorkerNames()[:2] {
 		w.Workers[name].Partitioned = true // a new leader holds back tasks that may still run there
 	}
-	provisionedBefore, startedAt := w.ProvisionedTotal(), w.Now()
+	provisionedBefore, startedAt := w.NamesAssigned(), w.Now()
 	var submitted []*model.Spec
 	for i := range 10 {
 		inOutage := outage && i == 4
@@ -102,7 +102,7 @@
 		return activeTasks(w, array) == 8 && activeTasks(w, service) == 4 && activeTasks(w, gang) == 4
 	})
 	w.Advance(w.CancelDeadline)
-	if n := w.ProvisionedTotal() - provisionedBefore; n > 12 {
+	if n := w.NamesAssigned() - provisionedBefore; n > 12 {
 		t.Errorf("machines provisioned during the failovers: got %d, want at most 12", n)
 	}
 }
@@ -112,7 +112,7 @@
 // started, and the other running job starts again.
 func TestJobsResumeAfterAllControllersAwayBeyondLease(t *testing.T) {
 	for _, frozen := range []bool{false, true} {
-		w := newVotingMembers(t, 3, 6)
+		w := newVotingTestWorld(t, 3, 6)
 		w.PollOnCommit = true
 		running, cancelled := newJob(model.Array, 6, nil), newJob(model.Array, 2, nil)
 		startJobs(t, w, running, cancelled)
@@ -196,7 +196,7 @@
 	}
 	waitUntil(t, w, 20*second, "the task is active", func() bool { return activeTasks(w, spec) == 1 })
 	deposed.StateUnreachable = false
-	if err := deposed.Jobs.Refresh(context.Background()); err != nil {
+	if err := deposed.Jobs.LoadAndApplyChanges(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	jobRecord := deposed.Jobs.Peek(spec.ID)
@@ -320,8 +320,8 @@
 	}
 }
 
-// Regression test: after a failover one dead machine held up all jobs that had been accepted before. The new leader
-// has to probe the machine and release it when it does not answer.
+// Regression test: after a failover one unresponsive machine held up all jobs that had been accepted before. The new
+// leader has to probe the machine and release it when it does not answer.
 func TestDeadMachineDoesNotDelayFailover(t *testing.T) {
 	w := newDeployment(t, 20)
 	w.RunTime = 2 * second
@@ -336,7 +336,7 @@
 	}
 	w.Leader().Crash()
 	waitForLeader(t, w, 10*second)
-	waitUntil(t, w, 4500*time.Millisecond, "a ninth task is started", func() bool { return len(w.Starts) > 8 })
+	waitUntil(t, w, 4500*time.Millisecond, "a ninth task is started", func() bool { return len(w.Launches) > 8 })
 	waitUntil(t, w, 20*second, "the job is done", func() bool {
 		return refreshedState(t, w.Leader(), spec.ID) == wire.StateDone
 	})
--- a/internal/fake/featuregate_test.go
+++ b/internal/fake/featuregate_test.go
@@ -69,7 +69,7 @@
 	submitJob(t, w, spec)
 	waitUntil(t, w, 20*second, "all tasks run", func() bool { return activeTasks(w, spec) == 4 })
 	staleRecord := electionRecord(t, w) // the old controller based an earlier claim on it
-	startedTasks := len(w.Starts)
+	startedTasks := len(w.Launches)
 	oldController.Crash()
 	raiseLevel(t, w, leader)
 	if record := electionRecord(t, w); record.Level != featuregate.Supported ||
@@ -77,7 +77,7 @@
 		t.Errorf("leader record after the level was raised: got %+v, want the next claim after %+v", record, staleRecord)
 	}
 	w.Advance(5 * second)
-	if activeTasks(w, spec) != 4 || len(w.Starts) != startedTasks {
+	if activeTasks(w, spec) != 4 || len(w.Launches) != startedTasks {
 		t.Error("raising the feature level stopped or started tasks")
 	}
 	for _, c := range others {
--- a/internal/fake/fleet_test.go
+++ b/internal/fake/fleet_test.go
@@ -199,13 +199,13 @@
 	for _, spec := range specs {
 		waitUntil(t, w, 90*second, "the job is done", jobDone(t, w, spec))
 	}
-	for id, starts := range w.Starts {
+	for id, starts := range w.Launches {
 		if starts != 1 {
 			t.Errorf("task %v was started %d times, want once", id, starts)
 		}
 	}
-	if len(w.Starts) != 1200 {
-		t.Errorf("started tasks: got %d, want 1200", len(w.Starts))
+	if len(w.Launches) != 1200 {
+		t.Errorf("started tasks: got %d, want 1200", len(w.Launches))
 	}
 	if txns := w.State.Transactions - transactionsBefore; txns > 150 {
 		t.Errorf("transactions for 1200 tasks of 4 jobs on 400 machines: got %d, want at most 150", txns)
--- a/internal/fake/gang_test.go
+++ b/internal/fake/gang_test.go
@@ -51,7 +51,7 @@
 	spec := newJob(model.Gang, 2, func(spec *model.Spec) { spec.Demand.CPU = 6 })
 	submitJob(t, w, spec)
 	waitUntil(t, w, 60*second, "the waiting task has been started again after a timeout", func() bool {
-		return w.Starts[model.TaskID{Job: spec.ID, Index: 0}] > 1
+		return w.Launches[model.TaskID{Job: spec.ID, Index: 0}] > 1
 	})
 	w.Workers["n-000002"].FetchDelay = 0
 	waitUntil(t, w, 150*second, "the job is done", jobDone(t, w, spec))
--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -13,7 +13,7 @@
 // CheckInvariants checks the tasks that are on machines now, and records each broken invariant as a violation:
 // a task is on two machines, is on a machine before the dependencies of its job are done, is on a machine on which its
 // job may not run, or is on a machine after the deadline of its job's cancellation; a team exceeds its quota; or the
-// tasks of a job break the job's zone rules.
+// tasks of a job break the job's zone constraints.
 func (w *World) CheckInvariants() {
 	check := &invariantCheck{
 		World:      w,
--- a/internal/fake/launch_test.go
+++ b/internal/fake/launch_test.go
@@ -31,7 +31,7 @@
 	spec := newJob(model.Array, 1, nil)
 	w.HoldCommands = true
 	submitJob(t, w, spec)
-	waitUntil(t, w, 30*second, "the job is done by the launch in the answer to a heartbeat", jobDone(t, w, spec))
+	waitUntil(t, w, 30*second, "the job is done by the launch in a heartbeat response", jobDone(t, w, spec))
 	w.Advance(10 * second)
 	delete(w.Completed, model.TaskID{Job: spec.ID}) // otherwise a second start would exit at once and go unnoticed
 	for _, deliver := range w.HeldCommands {
@@ -52,7 +52,7 @@
 			worker.InboundBlocked = blocked
 		}
 	}
-	setInboundBlocked(true) // answers to heartbeats would deliver the launch before the second copy
+	setInboundBlocked(true) // heartbeat responses would deliver the launch before the second copy
 	spec := newJob(model.Array, 1, nil)
 	w.HoldCommands = true
 	submitJob(t, w, spec)
@@ -67,11 +67,11 @@
 	waitUntil(t, w, 3*second, "the second copy is answered", func() bool { return w.DirectCommands > sentBefore })
 	setInboundBlocked(false)
 	w.Advance(20 * second) // enough for the worker to be told to forget all tasks that may be forgotten
-	startsBefore := w.Starts[model.TaskID{Job: spec.ID}]
+	startsBefore := w.Launches[model.TaskID{Job: spec.ID}]
 	for _, deliver := range w.HeldCommands {
 		deliver()
 	}
-	if got := w.Starts[model.TaskID{Job: spec.ID}]; got != startsBefore {
+	if got := w.Launches[model.TaskID{Job: spec.ID}]; got != startsBefore {
 		t.Errorf("the first copy started the task again: got %d starts before it and %d after", startsBefore, got)
 	}
 }
--- a/internal/fake/ledger_test.go
+++ b/internal/fake/ledger_test.go
@@ -18,7 +18,7 @@
 // readOpenSegment reads a team's open ledger segment from the state service.
 func readOpenSegment(t *testing.T, w *World, team string) ledger.OpenSegment {
 	t.Helper()
-	client := store.NewOver(w.State, w.State, second)
+	client := store.NewWithTransports(w.State, w.State, second)
 	client.SetRateLimits(1e9, 1e9)
 	account, err := client.Account(context.Background(), team)
 	if err != nil {
@@ -28,7 +28,7 @@
 }
 
 func TestJobEndIsCommittedWithItsSettlement(t *testing.T) {
-	w := newAccountedDeployment(t, 2, func(l *reconciler.LedgerSettings) { l.SettleInterval = time.Hour })
+	w := newDeploymentWithLedger(t, 2, func(l *reconciler.LedgerSettings) { l.SettleInterval = time.Hour })
 	var withJobEnd, withoutJobEnd int
 	w.State.OnCommit = func(ops []Operation) {
 		text := fmt.Sprint(ops)
@@ -41,7 +41,7 @@
 	spec := newJob(model.Array, 2, nil)
 	submitJob(t, w, spec)
 	waitUntil(t, w, 60*second, "the job is done", jobDone(t, w, spec))
-	usage := ledger.Total(readOpenSegment(t, w, "red").Usage)
+	usage := ledger.TotalUsage(readOpenSegment(t, w, "red").Usage)
 	// Both tasks used 4 CPUs for 10 s. The run time of each is known from heartbeats to within half a second.
 	if usage.Starts != 2 || math.Abs(float64(usage.CPU)-80e6) > 8e6 || usage.Mem != 2*usage.CPU {
 		t.Errorf("usage of team red: got %+v, want 2 starts, about 80 CPU seconds and twice as much memory", usage)
@@ -52,7 +52,7 @@
 }
 
 func TestWaitTimeIsChargedToItsCause(t *testing.T) {
-	w := newAccountedDeployment(t, 8, nil)
+	w := newDeploymentWithLedger(t, 8, nil)
 	w.RunTime = 20 * second
 	overQuota := newJob(model.Array, 12, nil) // 8 of its tasks use all 32 CPUs of the team's quota
 	dependent := newJob(model.Array, 1, func(spec *model.Spec) {
@@ -92,17 +92,17 @@
 // For 60 s, all controllers run a version without a ledger. Usage in that time is not charged to the team but listed
 // as an unaccounted interval.
 func TestLeaderWithoutLedgerLeavesUnaccountedInterval(t *testing.T) {
-	w := newAccountedDeployment(t, 2, nil)
+	w := newDeploymentWithLedger(t, 2, nil)
 	spec := newJob(model.Service, 1, nil)
 	submitJob(t, w, spec)
 	w.Advance(20 * second)
-	cpuBefore := ledger.Total(readOpenSegment(t, w, "red").Usage).CPU
+	cpuBefore := ledger.TotalUsage(readOpenSegment(t, w, "red").Usage).CPU
 	for _, c := range w.Controllers {
 		c.WithoutLedger = true
 		restartController(c)
 	}
 	w.Advance(60 * second)
-	if cpuNow := ledger.Total(readOpenSegment(t, w, "red").Usage).CPU; cpuNow != cpuBefore {
+	if cpuNow := ledger.TotalUsage(readOpenSegment(t, w, "red").Usage).CPU; cpuNow != cpuBefore {
 		t.Errorf("usage charged by leaders without a ledger: got %d CPU µs, want 0", cpuNow-cpuBefore)
 	}
 	for _, c := range w.Controllers {
@@ -110,17 +110,17 @@
 		restartController(c)
 	}
 	w.Advance(30 * second)
-	client := store.NewOver(w.State, w.State, second)
+	client := store.NewWithTransports(w.State, w.State, second)
 	client.SetRateLimits(1e9, 1e9)
 	intervals, _, err := client.Intervals(context.Background(), 0, 100)
 	if err != nil || len(intervals) != 1 || intervals[0].UnsettledLeaders != 1 ||
 		intervals[0].End.Sub(intervals[0].Start) < 60*second {
 		t.Errorf("unaccounted intervals: got %+v, error %v, want one of at least 60 s", intervals, err)
 	}
-	usage := ledger.Total(readOpenSegment(t, w, "red").Usage)
-	if charged := usage.CPU - cpuBefore; usage.TakenOver != 1 || charged < 4*15e6 || charged > 4*30e6 {
-		t.Errorf("usage since the takeover: got %d CPU µs and %d attempts taken over, want 60e6 to 120e6 and 1",
-			charged, usage.TakenOver)
+	usage := ledger.TotalUsage(readOpenSegment(t, w, "red").Usage)
+	if charged := usage.CPU - cpuBefore; usage.Adopted != 1 || charged < 4*15e6 || charged > 4*30e6 {
+		t.Errorf("usage since the takeover: got %d CPU µs and %d adopted attempts, want 60e6 to 120e6 and 1",
+			charged, usage.Adopted)
 	}
 }
 
@@ -138,7 +138,7 @@
 		}),
 		"corrupted by a write": []byte("\x81\xa1n\xa1x"),
 	} {
-		w := newAccountedDeployment(t, 2, nil)
+		w := newDeploymentWithLedger(t, 2, nil)
 		first := newJob(model.Array, 2, nil)
 		submitJob(t, w, first)
 		waitUntil(t, w, 60*second, "the first job is done", jobDone(t, w, first))
@@ -163,7 +163,7 @@
 // guarantees are met, so the other team's wait is bounded.
 func TestFairShareBoundsWaitBehindUrgentJobSwarm(t *testing.T) {
 	measureWaits := func(fairShare bool) (steadyWait, guestWait time.Duration) {
-		w := newAccountedDeployment(t, 4, func(l *reconciler.LedgerSettings) { l.FairShare = fairShare })
+		w := newDeploymentWithLedger(t, 4, func(l *reconciler.LedgerSettings) { l.FairShare = fairShare })
 		w.ReleasesBlocked = true
 		w.cloudExhausted = true // no more machines can be provisioned: all teams share 32 CPUs
 		addTeam := func(name string, cpus float64) {
--- a/internal/fake/legacy_records_test.go
+++ b/internal/fake/legacy_records_test.go
@@ -60,11 +60,11 @@
 	w.Specs[spec.ID] = spec
 	preloadHex(t, w, "job/a/wk-700001", legacyActive12)
 	preloadHex(t, w, "tasks/wk-700001/0", legacyTasks12)
-	restartAll(t, w, 16384)
+	restartAllControllers(t, w, 16384)
 	waitUntil(t, w, 30*second, "the two unfinished tasks run", func() bool { return activeTasks(w, spec) == 2 })
 	task10, task11 := model.TaskID{Job: spec.ID, Index: 10}, model.TaskID{Job: spec.ID, Index: 11}
-	if len(w.Starts) != 2 || w.Starts[task10] != 1 || w.Starts[task11] != 1 {
-		t.Errorf("starts: got %v, want one each of tasks 10 and 11", w.Starts)
+	if len(w.Launches) != 2 || w.Launches[task10] != 1 || w.Launches[task11] != 1 {
+		t.Errorf("starts: got %v, want one each of tasks 10 and 11", w.Launches)
 	}
 	// When one more task is done, the record is the one that the old version would write.
 	completeTask(w, spec, 11)
@@ -88,7 +88,7 @@
 // runs.
 func TestLargeLegacyArraySurvivesLowerLimits(t *testing.T) {
 	w := newDeployment(t, 4)
-	w.Limits = store.Limits{MaxValueBytes: 2048, MaxChanges: 4}
+	w.StoreLimits = store.Limits{MaxValueBytes: 2048, MaxChanges: 4}
 	spec := legacySpec("wk-700002", 100_000)
 	w.Specs[spec.ID] = spec
 	preloadHex(t, w, "job/a/wk-700002", legacyActive100k)
@@ -110,7 +110,7 @@
 		}
 	}
 	w.RunTime = 300 * second
-	restartAll(t, w, 16384)
+	restartAllControllers(t, w, 16384)
 	waitUntil(t, w, 30*second, "all unfinished tasks run", func() bool {
 		active := 0
 		for i := range unfinished {
@@ -118,8 +118,8 @@
 		}
 		return active == len(unfinished)
 	})
-	if len(w.Starts) != len(unfinished) {
-		t.Fatalf("started tasks: got %d, want the %d unfinished ones", len(w.Starts), len(unfinished))
+	if len(w.Launches) != len(unfinished) {
+		t.Fatalf("started tasks: got %d, want the %d unfinished ones", len(w.Launches), len(unfinished))
 	}
 	// The limits are lowered while the job runs.
 	w.State.MaxValueBytes, w.State.MaxOps, w.State.LargestValue = 2048, 4, 0
@@ -129,13 +129,13 @@
 		return len(w.State.Keys("part/")) == 2
 	})
 	// The operators adapt the settings to the new limit and restart all controllers.
-	restartAll(t, w, 4096)
+	restartAllControllers(t, w, 4096)
 	waitUntil(t, w, 30*second, "a controller leads and four tasks run", func() bool {
 		return w.Leader() != nil && activeTasksAmong(w, spec, unfinished) == 4
 	})
 	w.Advance(5 * second)
-	if len(w.Starts) != len(unfinished) {
-		t.Errorf("started tasks after the restart: got %d, want still %d", len(w.Starts), len(unfinished))
+	if len(w.Launches) != len(unfinished) {
+		t.Errorf("started tasks after the restart: got %d, want still %d", len(w.Launches), len(unfinished))
 	}
 	if fmt.Sprint(w.State.Value("tasks/wk-700002/1")) != fmt.Sprint(secondChunk) {
 		t.Error("a chunk in the legacy layout was rewritten")
@@ -171,7 +171,7 @@
 	for i := range 12 {
 		w.Completed[model.TaskID{Job: done.ID, Index: i}] = true
 	}
-	restartAll(t, w, 0)
+	restartAllControllers(t, w, 0)
 	dependsOnDone, dependsOnBoth := newDependentJob(done), newDependentJob(done, cancelled)
 	submitJobs(t, w, dependsOnDone, dependsOnBoth)
 	expectState(t, w, dependsOnBoth, wire.StateCancelled)
--- a/internal/fake/machines_test.go
+++ b/internal/fake/machines_test.go
@@ -12,7 +12,7 @@
 	spec := newJob(model.Array, 9, nil)
 	submitJob(t, w, spec)
 	waitUntil(t, w, 90*second, "the job is done", jobDone(t, w, spec))
-	if w.ProvisionedTotal() < 2 {
+	if w.NamesAssigned() < 2 {
 		t.Error("no machine was provisioned although nine tasks need more than one")
 	}
 	waitUntil(t, w, 300*second, "all idle machines are released", func() bool { return len(w.Workers) == 0 })
@@ -24,15 +24,15 @@
 	spec := newJob(model.Array, 4, nil) // needs two machines
 	submitJob(t, w, spec)
 	w.Advance(4 * second)
-	provisioned := w.ProvisionedTotal()
+	provisioned := w.NamesAssigned()
 	if provisioned == 0 {
 		t.Fatal("no machine was provisioned")
 	}
 	w.Advance(10 * second)
 	w.CloudAnswersLost = false
 	waitUntil(t, w, 60*second, "the job is done", jobDone(t, w, spec))
-	if w.ProvisionedTotal() != provisioned {
-		t.Errorf("provisioned machines: got %d, want %d", w.ProvisionedTotal(), provisioned)
+	if w.NamesAssigned() != provisioned {
+		t.Errorf("provisioned machines: got %d, want %d", w.NamesAssigned(), provisioned)
 	}
 }
 
@@ -124,15 +124,15 @@
 	for _, worker := range zoneWorkers[1:] {
 		worker.Partitioned = false
 	}
-	w.Advance(5 * second) // the last worker is silent for longer than it takes to probe and release a machine
+	w.Advance(5 * second) // the last worker is unresponsive for longer than it takes to probe and release a machine
 	if w.Workers[zoneWorkers[0].Name] == nil {
 		t.Fatal("the last worker to reconnect was released")
 	}
 	zoneWorkers[0].Partitioned = false
 	w.Advance(5 * second)
-	if activeTasks(w, spec) != 8 || len(w.Starts) != 8 {
+	if activeTasks(w, spec) != 8 || len(w.Launches) != 8 {
 		t.Errorf("after the partition: got %d active tasks and %d started tasks, want 8 and 8",
-			activeTasks(w, spec), len(w.Starts))
+			activeTasks(w, spec), len(w.Launches))
 	}
 }
 
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -11,13 +11,13 @@
 type network struct {
 	ControllersPartitioned bool // no messages pass between controllers
 
-	RetainedHeartbeats    []*model.Heartbeat  // copies of the latest heartbeats, oldest first
-	MaxRetainedHeartbeats int                 // limit on retained heartbeats and on repeatable commands; 0 retains none
-	HeldCommands          []func()            // undelivered direct commands; calling one delivers it
-	HoldCommands          bool                // hold all direct commands; their senders receive no answer
-	NextDelivery          func() Delivery     // returns how the next direct command is delivered; nil means Delivered
-	RepeatableCommands    []RepeatableCommand // the latest direct commands that were executed, oldest first
-	DirectCommands        int                 // number of direct commands that controllers have sent
+	RetainedHeartbeats  []*model.Heartbeat  // copies of the latest heartbeats, oldest first
+	MaxRetainedMessages int                 // limit on retained heartbeats and on repeatable commands; 0 retains none
+	HeldCommands        []func()            // undelivered direct commands; calling one delivers it
+	HoldCommands        bool                // hold all direct commands; their senders receive no answer
+	NextDelivery        func() Delivery     // returns how the next direct command is delivered; nil means CommandDelivered
+	RepeatableCommands  []RepeatableCommand // the latest direct commands that were executed, oldest first
+	DirectCommands      int                 // number of direct commands that controllers have sent
 }
 
 // RepeatableCommand is a direct command that was delivered and that the network may deliver again.
@@ -31,18 +31,18 @@
 
 // The ways in which the network treats a direct command.
 const (
-	Delivered  Delivery = iota // the command and its answer are delivered
-	AnswerLost                 // the command is delivered, but its answer is lost
-	Delayed                    // the sender receives no answer, and the command may be delivered later
-	Dropped                    // the sender receives no answer, and the command is never delivered
+	CommandDelivered  Delivery = iota // the command and its answer are delivered
+	CommandAnswerLost                 // the command is delivered, but its answer is lost
+	CommandDelayed                    // the sender receives no answer, and the command may be delivered later
+	CommandDropped                    // the sender receives no answer, and the command is never delivered
 )
 
 // retainHeartbeat retains a heartbeat for replay and drops the oldest one if there are too many.
 func (n *network) retainHeartbeat(h *model.Heartbeat) {
-	if n.MaxRetainedHeartbeats == 0 {
+	if n.MaxRetainedMessages == 0 {
 		return
 	}
-	if len(n.RetainedHeartbeats) >= n.MaxRetainedHeartbeats {
+	if len(n.RetainedHeartbeats) >= n.MaxRetainedMessages {
 		n.RetainedHeartbeats = n.RetainedHeartbeats[1:]
 	}
 	n.RetainedHeartbeats = append(n.RetainedHeartbeats, h)
@@ -50,10 +50,10 @@
 
 // retainCommand retains a direct command that is delivered now, and drops the oldest ones if there are too many.
 func (n *network) retainCommand(now time.Time, repeat func()) {
-	if n.MaxRetainedHeartbeats == 0 {
+	if n.MaxRetainedMessages == 0 {
 		return
 	}
-	surplus := max(0, len(n.RepeatableCommands)-n.MaxRetainedHeartbeats)
+	surplus := max(0, len(n.RepeatableCommands)-n.MaxRetainedMessages)
 	n.RepeatableCommands = append(n.RepeatableCommands[surplus:], RepeatableCommand{now, repeat})
 }
 
@@ -63,7 +63,7 @@
 // nextDelivery returns how to treat the next direct command.
 func (n *network) nextDelivery() Delivery {
 	if n.NextDelivery == nil {
-		return Delivered
+		return CommandDelivered
 	}
 	return n.NextDelivery()
 }
@@ -93,23 +93,24 @@
 	})
 }
 
-// sendHeartbeat sends a heartbeat of a worker to the controller that it reports to, and passes the answer back. If the
-// worker receives no answers, a controller that does not answer heartbeats itself relays the heartbeat to the leader.
+// sendHeartbeat sends a heartbeat of a worker to the controller that it reports to, and passes the response back. If
+// the worker receives no responses, a controller that does not answer heartbeats itself relays the heartbeat to the
+// leader.
 func (w *World) sendHeartbeat(worker *Worker) {
 	sent := w.now
 	c := w.Controllers[worker.controllerIndex]
 	heartbeat := worker.NextHeartbeat()
 	w.retainHeartbeat(heartbeat)
-	answer, ok := c.handleHeartbeat(heartbeat, false)
+	response, ok := c.handleHeartbeat(heartbeat, false)
 	if leader := w.Leader(); worker.InboundBlocked && !ok && w.canRelay(c, leader) {
 		leader.handleHeartbeat(heartbeat, true)
 	}
 	switch {
-	case worker.InboundBlocked: // the worker waits for the answer, which is lost, and then tries the next controller
+	case worker.InboundBlocked: // the worker waits for the response, which is lost, and then tries the next controller
 		w.tryNextController(worker, 5*time.Second)
-		worker.awaitingAnswer = true
+		worker.awaitingResponse = true
 	case ok:
-		worker.HandleAnswer(heartbeat.Epoch, sent, answer.fencingToken, answer.commands)
+		worker.HandleHeartbeatResponse(heartbeat.Epoch, sent, response.fencingToken, response.commands)
 	default:
 		w.tryNextController(worker, time.Second)
 	}
@@ -126,7 +127,7 @@
 	worker.Retry(after)
 }
 
-// ReplayHeartbeat delivers a copy of an earlier heartbeat to a controller. The answer is lost.
+// ReplayHeartbeat delivers a copy of an earlier heartbeat to a controller. The response is lost.
 func (w *World) ReplayHeartbeat(c *Controller, heartbeat *model.Heartbeat) {
 	c.handleHeartbeat(heartbeat, false)
 	w.CheckInvariants()
--- a/internal/fake/operations_test.go
+++ b/internal/fake/operations_test.go
@@ -23,7 +23,7 @@
 	for _, freezeAll := range []bool{false, true} {
 		for _, frozenFor := range []time.Duration{second, 3 * second, 8 * second, 20 * second, 70 * second} {
 			t.Run(fmt.Sprint(frozenFor, ", all ", freezeAll), func(t *testing.T) {
-				w := newVotingMembers(t, 3, 6)
+				w := newVotingTestWorld(t, 3, 6)
 				w.PollOnCommit = true
 				kept, cancelled := newJob(model.Array, 6, nil), newJob(model.Array, 2, nil)
 				startJobs(t, w, kept, cancelled)
@@ -65,7 +65,7 @@
 // quota.
 func newGuestDeployment(t *testing.T) *World {
 	t.Helper()
-	w := newTestWorldOf(3, 12, 4)
+	w := newTestWorldWithMembers(3, 12, 4)
 	expectNoViolations(t, w)
 	for _, c := range w.Controllers {
 		c.Crash()
@@ -208,7 +208,7 @@
 // its failures can be attributed to it, or else as idle.
 func TestFailingJobsDoNotHideFaultyMachine(t *testing.T) {
 	expectDrainRecorded(t)
-	w := newVotingMembers(t, 3, 8)
+	w := newVotingTestWorld(t, 3, 8)
 	w.RunTime, w.Capacity = 20*second, 12
 	drained := recordDrains(t, w)
 	var failingJobs, healthyJobs []*model.Spec
@@ -259,7 +259,7 @@
 func TestGangStartsWhenMachinesBootLateOrNever(t *testing.T) {
 	for seed := range 4 {
 		random := rand.New(rand.NewPCG(uint64(seed), 1))
-		w := newVotingMembers(t, 3, 0)
+		w := newVotingTestWorld(t, 3, 0)
 		neverBooting := 0
 		w.DrawBootTime = func() time.Duration {
 			switch random.IntN(4) {
@@ -280,7 +280,7 @@
 			t.Errorf("booting machines after the gang runs: got %d, want none; machines that never boot: got %d, want some",
 				n, neverBooting)
 		}
-		if n := w.ProvisionedTotal(); n > 40 {
+		if n := w.NamesAssigned(); n > 40 {
 			t.Errorf("provisioned machines for a gang of six: got %d, want at most 40", n)
 		}
 	}
@@ -303,7 +303,7 @@
 	}
 	starts := 0
 	for i := range failing.Tasks {
-		starts += w.Starts[model.TaskID{Job: failing.ID, Index: i}]
+		starts += w.Launches[model.TaskID{Job: failing.ID, Index: i}]
 	}
 	if starts < 4 || starts > 40 {
 		t.Errorf("starts of a job that always fails, in two minutes: got %d, want 4 to 40", starts)
--- a/internal/fake/overlapping_faults_test.go
+++ b/internal/fake/overlapping_faults_test.go
@@ -17,7 +17,7 @@
 // after it has accepted the next leader's fencing token. No task may run twice, and all tasks have to run again once
 // both machines are reachable.
 func TestLeaderCrashWithUnreachableWorkersRunsEachTaskOnce(t *testing.T) {
-	w := newVotingMembers(t, 3, 4)
+	w := newVotingTestWorld(t, 3, 4)
 	spec := newJob(model.Array, 8, nil)
 	startJobs(t, w, spec)
 	var partitioned, blocked *Worker
@@ -47,7 +47,7 @@
 // within a second. Commands that it sent in its first term are delayed until it leads again. They must not violate an
 // invariant.
 func TestDelayedCommandsOfFirstTermAreHarmlessAfterReelection(t *testing.T) {
-	w := newVotingMembers(t, 3, 4)
+	w := newVotingTestWorld(t, 3, 4)
 	first := w.Leader()
 	w.HoldCommands = true
 	spec := newJob(model.Array, 6, nil)
@@ -80,7 +80,7 @@
 // job is cancelled through the next leader. The isolated leader must not give users a stale answer, and the tasks of
 // the cancelled job on its workers have to end within the deadline.
 func TestLeaderCutFromStateAndPeersAnswersNothingStale(t *testing.T) {
-	w := newVotingMembers(t, 3, 4)
+	w := newVotingTestWorld(t, 3, 4)
 	cancelled, remaining := newJob(model.Array, 4, nil), newJob(model.Service, 2, nil)
 	startJobs(t, w, cancelled, remaining)
 	isolated := w.Leader()
@@ -102,7 +102,7 @@
 // tasks were cancelled, or with expired leases, after new tasks may have been started on other machines.
 func TestHungMachineResumingWithPendingCommandsKeepsInvariants(t *testing.T) {
 	for _, hangTime := range []time.Duration{4 * second, 25 * second} {
-		w := newVotingMembers(t, 3, 4)
+		w := newVotingTestWorld(t, 3, 4)
 		cancelled, later := newJob(model.Array, 2, nil), newJob(model.Array, 6, nil)
 		startJobs(t, w, cancelled)
 		for _, worker := range w.Workers {
@@ -124,8 +124,8 @@
 // Many tasks end on one machine. Then the network repeats their launch commands, all of which had been answered. No
 // task may start again.
 func TestRepeatedLaunchesOfManyTasksStartNothing(t *testing.T) {
-	w := newVotingMembers(t, 3, 1)
-	w.RunTime, w.MaxRetainedHeartbeats = second, 10_000
+	w := newVotingTestWorld(t, 3, 1)
+	w.RunTime, w.MaxRetainedMessages = second, 10_000
 	spec := newJob(model.Array, 150, func(spec *model.Spec) { spec.Demand = model.Resources{CPU: 0.05, MemGB: 0.1} })
 	submitJob(t, w, spec)
 	waitUntil(t, w, 60*second, "the job is done", jobDone(t, w, spec))
--- a/internal/fake/quota_test.go
+++ b/internal/fake/quota_test.go
@@ -11,15 +11,15 @@
 // In these tests teams are at their quotas, and jobs are cancelled on machines that are hung or unreachable. Tasks
 // that may still run there count against the quota. Tasks that have ended must soon stop counting.
 
-// disconnection is a fault by which a machine becomes unreachable. The function set begins the fault on a worker if
+// machineFault is a fault by which a machine becomes unreachable. The function set begins the fault on a worker if
 // on is true, and ends it otherwise.
-type disconnection struct {
+type machineFault struct {
 	name string
 	set  func(worker *Worker, on bool)
 }
 
-// disconnections lists the faults by which tests make machines unreachable.
-var disconnections = []disconnection{
+// machineFaults lists the faults by which tests make machines unreachable.
+var machineFaults = []machineFault{
 	{"hung", func(worker *Worker, on bool) { worker.Hung = on }},
 	{"partitioned", func(worker *Worker, on bool) { worker.Partitioned = on }},
 	{"inbound blocked", func(worker *Worker, on bool) { worker.InboundBlocked = on }},
@@ -30,7 +30,7 @@
 // half of which save a checkpoint when they are stopped. Further jobs of each team are waiting for quota.
 func newDeploymentAtLimits(t *testing.T) (w *World, running, waiting []*model.Spec) {
 	t.Helper()
-	w = newVotingMembers(t, 3, 26) // the quotas are 128 CPUs for team red and 64 for team blue
+	w = newVotingTestWorld(t, 3, 26) // the quotas are 128 CPUs for team red and 64 for team blue
 	w.Capacity = 40
 	submit := func(n int, team string) (specs []*model.Spec) {
 		for i := range n {
@@ -65,7 +65,7 @@
 }
 
 func TestCancelledJobsOnUnreachableMachinesFreeTheirQuota(t *testing.T) {
-	for _, fault := range disconnections {
+	for _, fault := range machineFaults {
 		for _, leaderFault := range []string{
 			"keeps running",
 			"crashes after the cancellation",
@@ -83,7 +83,7 @@
 
 // testCancellationAtQuota cancels jobs while the fault keeps their machines unreachable for the given duration, and
 // checks that waiting jobs then use the freed quota.
-func testCancellationAtQuota(t *testing.T, fault disconnection, leaderFault string, duration time.Duration) {
+func testCancellationAtQuota(t *testing.T, fault machineFault, leaderFault string, duration time.Duration) {
 	t.Helper()
 	w, running, waiting := newDeploymentAtLimits(t)
 	cancelled := []*model.Spec{running[0], running[1], running[16], running[17]}
@@ -145,7 +145,7 @@
 		"cancelled, stop answered, then hung",
 	} {
 		for _, hungFor := range []time.Duration{3 * second, 8 * second, 11 * second, 30 * second} {
-			w := newVotingMembers(t, 3, 1)
+			w := newVotingTestWorld(t, 3, 1)
 			w.Capacity = 1
 			spec := newJob(model.Array, 2, func(spec *model.Spec) {
 				spec.CheckpointInterval, spec.CheckpointTime = second, 10*second
--- a/internal/fake/scenario_helpers_test.go
+++ b/internal/fake/scenario_helpers_test.go
@@ -67,18 +67,19 @@
 // newTestWorld creates a deployment with three controllers. Its simulated time has not advanced yet, so there is no
 // leader.
 func newTestWorld(machines int, quotaFactor float64) *World {
-	return newTestWorldOf(3, machines, quotaFactor)
+	return newTestWorldWithMembers(3, machines, quotaFactor)
 }
 
-// newTestWorldOf is like newTestWorld, but takes the number of controllers.
-func newTestWorldOf(members, machines int, quotaFactor float64) *World {
+// newTestWorldWithMembers is like newTestWorld, but takes the number of controllers.
+func newTestWorldWithMembers(members, machines int, quotaFactor float64) *World {
 	platform := &config.Platform{Member: "tiller-0"}
 	deployment := &platform.Deployment
 	deployment.Zones = []string{"a", "b"}
 	workers := &deployment.Workers
-	workers.Heartbeat, workers.Lease, workers.GangWait, workers.GangPeer, workers.Cancel = 2, 12, 20, 5, 30
+	workers.HeartbeatSeconds, workers.LeaseSeconds, workers.GangWaitSeconds, workers.GangPeerSeconds,
+		workers.CancelSeconds = 2, 12, 20, 5, 30
 	deployment.State.ValueKB, deployment.State.TxnOps = 8, 12
-	deployment.Cloud.ListLag = 5
+	deployment.Cloud.ListLagSeconds = 5
 	operator := config.Defaults()
 	settings := config.ReconcilerSettings(platform, operator)
 	settings.Teams = []model.Team{
@@ -131,11 +132,11 @@
 	return w
 }
 
-// newVotingMembers creates a deployment whose controllers vote for the leader, with tasks that run for an hour and
+// newVotingTestWorld creates a deployment whose controllers vote for the leader, with tasks that run for an hour and
 // four times the usual quotas. Votes last for 10 s while the state service is unreachable.
-func newVotingMembers(t *testing.T, members, machines int) *World {
+func newVotingTestWorld(t *testing.T, members, machines int) *World {
 	t.Helper()
-	w := newTestWorldOf(members, machines, 4)
+	w := newTestWorldWithMembers(members, machines, 4)
 	w.RunTime = time.Hour
 	enableVoting(w, 10*second)
 	expectNoViolations(t, w)
@@ -258,7 +259,7 @@
 // job that the cache does not hold is looked up at the state service.
 func refreshedState(t *testing.T, c *Controller, id string) wire.JobState {
 	t.Helper()
-	if err := c.Jobs.Refresh(context.Background()); err != nil {
+	if err := c.Jobs.LoadAndApplyChanges(context.Background()); err != nil {
 		t.Fatalf("refresh of the job records at %s: %v", c.Member, err)
 	}
 	if record := c.Jobs.Peek(id); record.State != wire.StateUnknown {
@@ -309,7 +310,7 @@
 func startCount(w *World, spec *model.Spec) int {
 	starts := 0
 	for i := range spec.Tasks {
-		starts += w.Starts[model.TaskID{Job: spec.ID, Index: i}]
+		starts += w.Launches[model.TaskID{Job: spec.ID, Index: i}]
 	}
 	return starts
 }
@@ -372,16 +373,16 @@
 	}
 }
 
-// restartAll crashes all controllers, starts them again with the present transaction limit of the World, and waits
-// for a leader. chunkTasks is the number of tasks in a chunk of the legacy record layout; zero selects the current
-// layout.
-func restartAll(t *testing.T, w *World, chunkTasks int) {
+// restartAllControllers crashes all controllers, starts them again with the present transaction limit of the World, and
+// waits for a leader. chunkTasks is the number of tasks in a chunk of the legacy record layout; zero selects the
+// current layout.
+func restartAllControllers(t *testing.T, w *World, chunkTasks int) {
 	t.Helper()
 	for _, c := range w.Controllers {
 		c.Crash()
 	}
 	for _, c := range w.Controllers {
-		c.settings.NumberedChunkTasks, c.settings.MaxTxnOps = chunkTasks, w.Limits.MaxChanges
+		c.settings.NumberedChunkTasks, c.settings.MaxTxnOps = chunkTasks, w.StoreLimits.MaxChanges
 		c.Start()
 	}
 	waitForLeader(t, w, 20*second)
@@ -429,9 +430,9 @@
 	return delayedCommits
 }
 
-// newAccountedDeployment is like newDeployment, but with a ledger. customize may change the ledger's settings; a nil
+// newDeploymentWithLedger is like newDeployment, but with a ledger. customize may change the ledger's settings; a nil
 // customize is ignored.
-func newAccountedDeployment(t *testing.T, machines int, customize func(*reconciler.LedgerSettings)) *World {
+func newDeploymentWithLedger(t *testing.T, machines int, customize func(*reconciler.LedgerSettings)) *World {
 	t.Helper()
 	w := newDeployment(t, machines)
 	platform := &config.Platform{Member: "tiller-0"}
--- a/internal/fake/settings_test.go
+++ b/internal/fake/settings_test.go
@@ -32,7 +32,7 @@
 // A team without a quota and a guarantee runs as many tasks as fit beside those of a team that has both. Explanations
 // must never say that the team is at its quota, and its wait time must not be charged to a quota.
 func TestTeamWithoutQuotaIsNeverAtLimit(t *testing.T) {
-	w := newAccountedDeployment(t, 8, nil)
+	w := newDeploymentWithLedger(t, 8, nil)
 	w.RunTime, w.cloudExhausted = 20*second, true
 	for _, c := range w.Controllers {
 		if c.Reconciler != nil {
@@ -173,7 +173,7 @@
 	platform := readPlatform(rt, dir, generator.text.String())
 	operator := config.Defaults()
 	if rapid.Bool().Draw(rt, "votes") {
-		operator.Votes = &config.Votes{Outage: config.Duration(10 * time.Second)}
+		operator.Votes = &config.Votes{OutageVoteDuration: config.Duration(10 * time.Second)}
 	}
 	settings := config.ReconcilerSettings(platform, operator)
 	electionSettings := config.ElectionSettings(platform, operator)
--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -16,7 +16,7 @@
 
 // starvationState keeps track of the jobs that wait although there is room for them.
 type starvationState struct {
-	LongestWait         time.Duration        // longest wait of a job that had room, after all faults had ended
+	LongestWaitWithRoom time.Duration        // longest wait of a job that had room, after all faults had ended
 	faultsEndedAt       time.Time            // the zero time means that faults may continue: no waits are checked
 	waitingSince        map[string]time.Time // start of the current wait with room, by job ID
 	starvationCheckedAt time.Time            // time of the latest check
@@ -54,8 +54,8 @@
 			w.waitingSince[id] = w.now
 			continue
 		}
-		if wait := w.now.Sub(since); wait > w.LongestWait {
-			if w.LongestWait = wait; wait > maxWaitWithRoom {
+		if wait := w.now.Sub(since); wait > w.LongestWaitWithRoom {
+			if w.LongestWaitWithRoom = wait; wait > maxWaitWithRoom {
 				w.recordViolation("waits: %s has waited for more than %v although there is room for it", id, maxWaitWithRoom)
 			}
 		}
--- a/internal/fake/task.go
+++ b/internal/fake/task.go
@@ -27,7 +27,7 @@
 // unknown or the worker has another attempt at the task that has not exited.
 func (w *Worker) launch(key model.AttemptKey) *Task {
 	now := w.env.now
-	w.env.Starts[key.Task]++
+	w.env.Launches[key.Task]++
 	if at, ok := w.env.CancelledAt[key.Task.Job]; ok && now.Sub(at) > w.env.CancelDeadline {
 		w.env.recordViolation("ran_cancelled: %v was launched on %s after the deadline of its job's cancellation",
 			key.Task, w.Name)
--- a/internal/fake/unresponsive_test.go
+++ b/internal/fake/unresponsive_test.go
@@ -17,7 +17,7 @@
 func TestUnresponsiveWorkerReceivesNoTasks(t *testing.T) {
 	withSmallDemand := func(spec *model.Spec) { spec.Demand = model.Resources{CPU: 0.5, MemGB: 1} }
 	for _, newLeader := range []bool{false, true} {
-		w := newVotingMembers(t, 3, 4)
+		w := newVotingTestWorld(t, 3, 4)
 		var cancelled []*model.Spec
 		for range 10 {
 			cancelled = append(cancelled, newJob(model.Array, 1, withSmallDemand))
@@ -63,11 +63,11 @@
 // Half of a zone, or all of it, is unreachable for longer than a lease, while other machines have room. The tasks from
 // there must run again before the fault ends, and soon after the fault all remaining machines must be in use.
 func TestTasksMoveWhenPartOfZoneIsUnreachable(t *testing.T) {
-	for _, fault := range disconnections {
+	for _, fault := range machineFaults {
 		for _, half := range []bool{true, false} {
 			for _, newLeader := range []bool{false, true} {
 				t.Run(fmt.Sprint(fault.name, ", half ", half, ", new leader ", newLeader), func(t *testing.T) {
-					w := newVotingMembers(t, 3, 16)
+					w := newVotingTestWorld(t, 3, 16)
 					w.Capacity = 16
 					array, gang := newJob(model.Array, 8, nil), newJob(model.Gang, 3, nil)
 					service := newJob(model.Service, 4, func(spec *model.Spec) {
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -33,7 +33,7 @@
 // WorkerFaults are the faults that can be injected into a worker.
 type WorkerFaults struct {
 	Partitioned     bool          // neither heartbeats nor commands arrive
-	InboundBlocked  bool          // heartbeats arrive, but neither answers nor commands reach the worker
+	InboundBlocked  bool          // heartbeats arrive, but neither responses nor commands reach the worker
 	OutboundBlocked bool          // heartbeats reach no controller, but commands reach the worker
 	Hung            bool          // the worker does nothing, while its lease may expire
 	Faulty          bool          // every task fails
@@ -47,11 +47,11 @@
 
 // heartbeatState determines when a worker sends its next heartbeat and to which controller.
 type heartbeatState struct {
-	nextHeartbeatAt time.Time // when a heartbeat is due even if the status does not change
-	lastHeartbeatAt time.Time
-	statusChanged   bool // the status has changed since the last heartbeat, so the next one is due early
-	awaitingAnswer  bool // the worker waits for an answer that was lost, and sends no early heartbeat meanwhile
-	controllerIndex int  // index in World.Controllers of the controller that heartbeats are sent to
+	nextHeartbeatAt  time.Time // when a heartbeat is due even if the status does not change
+	lastHeartbeatAt  time.Time
+	statusChanged    bool // the status has changed since the last heartbeat, so the next one is due early
+	awaitingResponse bool // the worker waits for a lost heartbeat response, and sends no early heartbeat meanwhile
+	controllerIndex  int  // index in World.Controllers of the controller that heartbeats are sent to
 }
 
 // newWorker returns the worker of a machine that has just booted.
@@ -101,16 +101,16 @@
 func (w *Worker) NextHeartbeat() *model.Heartbeat {
 	now := w.env.now
 	w.lastHeartbeatAt, w.nextHeartbeatAt = now, now.Add(w.env.nextHeartbeatInterval())
-	w.statusChanged, w.awaitingAnswer = false, false
+	w.statusChanged, w.awaitingResponse = false, false
 	return w.heartbeat()
 }
 
-// HandleAnswer processes the answer to a heartbeat. epoch is the epoch of the heartbeat, and sent is when it was sent,
-// from which an accepted answer renews the lease. An answer is ignored if the worker's epoch has changed or the fencing
-// token is too low.
-func (w *Worker) HandleAnswer(epoch uint64, sent time.Time, token uint64, commands []model.Command) {
+// HandleHeartbeatResponse processes the response to a heartbeat. epoch is the epoch of the heartbeat, and sent is when
+// it was sent, from which an accepted response renews the lease. A response is ignored if the worker's epoch has
+// changed or the fencing token is too low.
+func (w *Worker) HandleHeartbeatResponse(epoch uint64, sent time.Time, token uint64, commands []model.Command) {
 	if epoch != w.Epoch || !w.acceptToken(token) {
-		return // an ignored answer does not renew the lease
+		return // an ignored response does not renew the lease
 	}
 	w.leaseRenewedAt = sent
 	w.Execute(commands)
@@ -220,6 +220,6 @@
 			w.finishPhase(t)
 		}
 	}
-	statusDue := w.statusChanged && !w.awaitingAnswer && now.Sub(w.lastHeartbeatAt) >= minHeartbeatInterval
+	statusDue := w.statusChanged && !w.awaitingResponse && now.Sub(w.lastHeartbeatAt) >= minHeartbeatInterval
 	return !now.Before(w.nextHeartbeatAt) || statusDue
 }
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -31,7 +31,7 @@
 	Types       []model.MachineType   // the cloud's catalog
 	Teams       map[string]model.Team // by name
 
-	Limits           store.Limits               // limits on records and transactions that the controllers comply with
+	StoreLimits      store.Limits               // limits on records and transactions that the controllers comply with
 	StalenessBound   staleness.Bound            // bound on the age of a leader's knowledge of cancellations
 	EndedJobsKept    int                        // number of ended jobs that a controller remembers
 	ledger           *reconciler.LedgerSettings // nil if no ledger is kept
@@ -96,7 +96,7 @@
 		Workers:           map[string]*Worker{},
 		CancelConfirmedBy: map[string]string{},
 		Teams:             map[string]model.Team{},
-		Limits:            limits,
+		StoreLimits:       limits,
 		EndedJobsKept:     1000,
 		ledger:            settings.Ledger,
 	}
--- a/internal/fake/zones_test.go
+++ b/internal/fake/zones_test.go
@@ -16,8 +16,8 @@
 // task must start only once.
 func TestReplayedHeartbeatsAtFailoverStartTasksOnce(t *testing.T) {
 	for _, expireLeases := range []bool{false, true} {
-		w := newVotingMembers(t, 3, 4)
-		w.PollOnCommit, w.MaxRetainedHeartbeats = true, 1000
+		w := newVotingTestWorld(t, 3, 4)
+		w.PollOnCommit, w.MaxRetainedMessages = true, 1000
 		w.RunTimeOf = func(id model.TaskID) time.Duration { return time.Duration(3+18*id.Index) * second }
 		var jobs []*model.Spec
 		for i := range 6 {
@@ -77,7 +77,7 @@
 	for seed := range 6 {
 		for _, atOnce := range []bool{false, true} {
 			random := rand.New(rand.NewPCG(uint64(seed), 2))
-			w := newVotingMembers(t, 3, 1)
+			w := newVotingTestWorld(t, 3, 1)
 			w.BootTime = time.Duration(random.IntN(2000)) * time.Millisecond
 			w.PollOnCommit = true
 			delayedCommits := loseCommitAnswers(w, random, 0.5, atOnce)
@@ -107,7 +107,7 @@
 			w.MarkFaultsEnded()
 			// The team's quota is four times 32 CPUs, so all tasks can run at the same time.
 			waitUntil(t, w, 90*second, "all tasks run", func() bool { return activeTasks(w, spec) == 12 })
-			if n := len(w.Workers); n > 24 || w.ProvisionedTotal() < 6 {
+			if n := len(w.Workers); n > 24 || w.NamesAssigned() < 6 {
 				t.Errorf("machines for 12 tasks of half a machine each: got %d, want at most 24, and at least 6 provisioned", n)
 			}
 		}
@@ -125,7 +125,7 @@
 		"partitioned, and the leader crashes",
 	} {
 		t.Run(fault, func(t *testing.T) {
-			w := newVotingMembers(t, 3, 8)
+			w := newVotingTestWorld(t, 3, 8)
 			w.Capacity = 10
 			boundToZone := func(spec *model.Spec) { spec.Zone = "a" }
 			singleZone := func(spec *model.Spec) { spec.SingleZone = true }
@@ -193,12 +193,14 @@
 	delayedCommands, checkpoints := 0, 0
 	for seed := range 6 {
 		random := rand.New(rand.NewPCG(uint64(seed), 5))
-		w := newVotingMembers(t, 3, 6)
+		w := newVotingTestWorld(t, 3, 6)
 		w.Capacity = 6
 		w.RunTime = 20 * second
 		w.NextDelivery = func() Delivery {
-			delivery := []Delivery{Delivered, Delivered, AnswerLost, Delayed, Dropped}[random.IntN(5)]
-			if delivery == Delayed {
+			delivery := []Delivery{
+				CommandDelivered, CommandDelivered, CommandAnswerLost, CommandDelayed, CommandDropped,
+			}[random.IntN(5)]
+			if delivery == CommandDelayed {
 				delayedCommands++
 			}
 			return delivery
@@ -245,7 +247,7 @@
 // Four jobs of one task each are submitted per second for three minutes, and a quarter of them are cancelled. The
 // number of transactions must be bounded, and all jobs must end soon afterwards.
 func TestManySmallJobsKeepWritesBounded(t *testing.T) {
-	w := newVotingMembers(t, 3, 8)
+	w := newVotingTestWorld(t, 3, 8)
 	w.RunTime, w.FetchTime = 3*second, 200*time.Millisecond
 	random := rand.New(rand.NewPCG(1, 1))
 	small := func(spec *model.Spec) {
--- a/internal/httpapi/connections.go
+++ b/internal/httpapi/connections.go
@@ -64,10 +64,10 @@
 }
 
 // setRetryAfter sets the Retry-After header to retryAfter, rounded to whole seconds and at least 1 s. While the
-// occupancy of the connection quotas is Full, the header varies from response to response, so that clients do
-// not all return at the same time.
+// occupancy of the connection quotas is connquota.OccupancyFull, the header varies from response to response, so that
+// clients do not all return at the same time.
 func (s *Server) setRetryAfter(ctx *fasthttp.RequestCtx, retryAfter time.Duration) {
-	if s.settings.ConnQuotas != nil && s.settings.ConnQuotas.Occupancy() == connquota.Full {
+	if s.settings.ConnQuotas != nil && s.settings.ConnQuotas.Occupancy() == connquota.OccupancyFull {
 		retryAfter = s.settings.ConnQuotas.RetryAfter(retryAfter)
 	}
 	ctx.Response.Header.Set("Retry-After", strconv.Itoa(max(1, roundToSeconds(retryAfter))))
--- a/internal/httpapi/constraints.go
+++ b/internal/httpapi/constraints.go
@@ -54,13 +54,13 @@
 ) (map[string][]string, *route.Response) {
 	zones := map[string][]string{}
 	for _, affinity := range affinities {
-		if affinity.Job == spec.ID {
+		if affinity.JobID == spec.ID {
 			return nil, infeasibleResponse("rules: " + affinity.Clause.String() + " names the job itself")
 		}
-		record := s.jobs.Peek(affinity.Job)
+		record := s.jobs.Peek(affinity.JobID)
 		if record.State == wire.StateUnknown {
 			var err error
-			if record, err = s.jobs.Lookup(ctx, affinity.Job); err != nil {
+			if record, err = s.jobs.Lookup(ctx, affinity.JobID); err != nil {
 				return nil, new(stateServiceErrorResponse(err))
 			}
 		}
@@ -68,7 +68,7 @@
 			return nil, infeasibleResponse("rules: " + affinity.Clause.String() + " names a job that was never accepted")
 		}
 		if record.Spec != nil {
-			zones[affinity.Job] = constraint.FeasibleZones(record.Spec, types)
+			zones[affinity.JobID] = constraint.FeasibleZones(record.Spec, types)
 		}
 	}
 	return zones, nil
