--- a/internal/httpapi/fakes_test.go
+++ b/internal/httpapi/fakes_test.go
@@ -105,8 +105,8 @@
 	return &model.Team{Name: name, Quota: model.NewQuota(64, 0)}
 }
 
-func (b *fakeBackend) Healthy() bool                { return true }
-func (b *fakeBackend) LastStateResponse() time.Time { return time.Time{} }
+func (b *fakeBackend) Healthy() bool                       { return true }
+func (b *fakeBackend) LastStateServiceResponse() time.Time { return time.Time{} }
 
 func (b *fakeBackend) Forward(ctx context.Context, member string, request route.Request) route.Response {
 	return b.forward(ctx, member, request)
--- a/internal/httpapi/forwarding.go
+++ b/internal/httpapi/forwarding.go
@@ -42,7 +42,7 @@
 
 	now := s.now()
 	requestAttempts, action := s.settings.Router.Begin(
-		now, now.Add(timeout), s.backend.LastStateResponse(), request, forwardOnly)
+		now, now.Add(timeout), s.backend.LastStateServiceResponse(), request, forwardOnly)
 	runner := attemptRunner{
 		server:   s,
 		attempts: requestAttempts,
@@ -165,7 +165,7 @@
 	if s.settings.Router == nil || s.jobs.Peek(request.ID).State.Ended() {
 		return s.runAndRecover(answer)
 	}
-	completed, outcome := s.settings.Router.AdmitForwarded(s.now(), s.backend.LastStateResponse(), request.Kind)
+	completed, outcome := s.settings.Router.AdmitForwarded(s.now(), s.backend.LastStateServiceResponse(), request.Kind)
 	if completed == nil {
 		return route.Response{Outcome: outcome}
 	}
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -63,8 +63,8 @@
 	// Forward sends a user's request to another member and returns its response. If the member does not answer, the
 	// outcome of the response says why.
 	Forward(ctx context.Context, member string, request route.Request) route.Response
-	// LastStateResponse returns the time at which the state service last answered any request of this member.
-	LastStateResponse() time.Time
+	// LastStateServiceResponse returns the time at which the state service last answered any request of this member.
+	LastStateServiceResponse() time.Time
 	// Healthy reports whether the load balancer should send requests to this controller.
 	Healthy() bool
 }
--- a/internal/ledger/fold.go
+++ b/internal/ledger/fold.go
@@ -24,17 +24,17 @@
 	return segment.Unit
 }
 
-// Fold compacts the first run of at least two segments that are old enough to be merged into one daily or monthly
+// Compact compacts the first run of at least two segments that are old enough to be merged into one daily or monthly
 // segment. segments are the closed segments of one team in the order of their numbers. At most maxCount segments are
 // merged, and the size of the result is at most settings.MaxRecordBytes. The result replaces count segments, starting
 // with the one at index first. If there is no such run, compacted is nil and count is 0.
-func Fold(
+func Compact(
 	settings *Settings, segments []StoredSegment, timeOfDay time.Time, maxCount int,
 ) (compacted *Segment, first, count int) {
 	for first := range segments {
 		run := segments[first:min(len(segments), first+max(maxCount, 1))]
 		if compacted, count := compactRun(settings, run, timeOfDay); count > 1 {
-			compacted.Sum = settings.Seal.Sum(compacted)
+			compacted.Hash = settings.Hasher.Hash(compacted)
 			return compacted, first, count
 		}
 	}
@@ -42,7 +42,7 @@
 }
 
 // compactRun merges the first segment with as many of the following ones as possible. count is the number of merged
-// segments, including the first. compacted.Sum is not up to date.
+// segments, including the first. compacted.Hash is not up to date.
 func compactRun(settings *Settings, segments []StoredSegment, timeOfDay time.Time) (compacted *Segment, count int) {
 	result := segments[0].Segment
 	result.Unit = settings.Retention.targetUnit(timeOfDay, &result)
@@ -73,13 +73,13 @@
 	return s.Unit.Start(next.Start).Equal(s.Start)
 }
 
-// mergedWith returns a copy of s with next merged into it. Its Sum is not up to date.
+// mergedWith returns a copy of s with next merged into it. Its Hash is not up to date.
 func (s *Segment) mergedWith(next *Segment) Segment {
 	merged := *s
 	merged.Usage = slices.Clone(s.Usage)
 	for _, class := range next.Usage {
 		merged.Usage = AddUsage(merged.Usage, class.Class, class.Usage)
 	}
-	merged.Last, merged.Head = next.Last, next.Link()
+	merged.Last, merged.LastMergedLink = next.Last, next.Link()
 	return merged
 }
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -8,22 +8,22 @@
 // Stored segments contain their hashes, so a change of the hash function or of the hashed content would make every
 // older segment fail verification.
 func TestSegmentHashesStay(t *testing.T) {
-	train := FromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})
+	train := UsageFromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})
 	segment := Segment{
-		Team:  "vision \"a\"",
-		First: 3,
-		Last:  6,
-		Unit:  Day,
-		Start: time.Unix(1_789_948_800, 0),
-		Usage: []ClassUsage{{Class: "train", Usage: train}, {Class: "serve"}},
-		Prev:  "00ff",
-		Head:  "11ee",
+		Team:           "vision \"a\"",
+		First:          3,
+		Last:           6,
+		Unit:           Day,
+		Start:          time.Unix(1_789_948_800, 0),
+		Usage:          []ClassUsage{{Class: "train", Usage: train}, {Class: "serve"}},
+		PrevLink:       "00ff",
+		LastMergedLink: "11ee",
 	}
 	for _, c := range []struct{ name, secret, want string }{
 		{"plain", "", "89f046485ce6e0acbb0328f2f9db589e"},
 		{"keyed", "a secret of operators", "751cc92d568d56d3dd2cc2be0271ded9"},
 	} {
-		if got := NewSeal([]byte(c.secret)).Sum(&segment); got != c.want {
+		if got := NewSegmentHasher([]byte(c.secret)).Hash(&segment); got != c.want {
 			t.Errorf("%s hash: got %s, want %s", c.name, got, c.want)
 		}
 	}
@@ -42,9 +42,9 @@
 	for i := range uint64(13) {
 		numbers = append(numbers, i+1)
 	}
-	usage := FromNumbers(numbers)
+	usage := UsageFromNumbers(numbers)
 	if usage.CPU != 1 || usage.GPU != 2 || usage.Mem != 3 ||
-		usage.Lost != 4 || usage.Starts != 5 || usage.TakenOver != 6 {
+		usage.WastedCPU != 4 || usage.Starts != 5 || usage.Adopted != 6 {
 		t.Errorf("first six amounts: got %+v, want 1 to 6", usage)
 	}
 	for i, want := range []string{"limit", "guarantee", "room", "share", "awaits", "backoff", "takeover"} {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -8,8 +8,8 @@
 //
 // A leader creates Accounts from the stored records and adds usage with Charge. Charges are stored by settlements:
 // the leader sends the Settlement that Settle returns for each of the DueTeams to the state service, and reports the
-// outcome with SettlementCompleted or SettlementRefused. It reads the records of the teams that Unreconciled returns
-// and passes them to Reconcile. Fold merges old segments.
+// outcome with SettlementCompleted or SettlementRefused. It reads the records of the teams that UnreconciledTeams
+// returns and passes them to Reconcile. Compact merges old segments.
 //
 // docs/ledger.md defines what is charged and why; docs/safety.md, "Ledger", argues why nothing is charged twice.
 package ledger
@@ -38,7 +38,7 @@
 	Weights        Weights
 	MaxRecordBytes int // maximum size of one stored segment
 	Retention      Retention
-	Seal           *Seal
+	Hasher         *SegmentHasher
 }
 
 // Accounts holds the accounts of all teams for one leader with one fencing token. Parameters named now are times of
@@ -87,10 +87,10 @@
 	return account
 }
 
-// Instant converts a time of the monotonic clock to whole milliseconds since the takeover. Times before the takeover
-// yield 0. Charges are computed from the difference of two instants, so that rounding does not accumulate: a period
-// that is charged in several parts costs the same as one that is charged at once.
-func (a *Accounts) Instant(t time.Time) uint64 {
+// MillisSinceTakeover converts a time of the monotonic clock to whole milliseconds since the takeover. Times before the
+// takeover yield 0. Charges are computed from the difference of two instants, so that rounding does not accumulate: a
+// period that is charged in several parts costs the same as one that is charged at once.
+func (a *Accounts) MillisSinceTakeover(t time.Time) uint64 {
 	return uint64(max(t.Sub(a.takeoverAt)/time.Millisecond, 0))
 }
 
@@ -168,9 +168,9 @@
 	if account == nil {
 		return Usage{}
 	}
-	usage := Total(account.unsettled)
+	usage := TotalUsage(account.unsettled)
 	if account.pending != nil {
-		usage.Add(Total(account.pending.charges))
+		usage.Add(TotalUsage(account.pending.charges))
 	}
 	return usage
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -32,7 +32,7 @@
 		Weights:        Weights{GPU: 8},
 		MaxRecordBytes: maxRecordBytes,
 		Retention:      Retention{Hours: 24 * time.Hour, Days: 72 * time.Hour},
-		Seal:           NewSeal([]byte("a secret of the operators")),
+		Hasher:         NewSegmentHasher([]byte("a secret of the operators")),
 	}
 }
 
@@ -60,20 +60,20 @@
 
 // recordedUsage returns the sum of all usage in the store.
 func (f *fakeStore) recordedUsage() Usage {
-	usage := Total(f.account.Open.Usage)
+	usage := TotalUsage(f.account.Open.Usage)
 	for _, segment := range f.segments {
-		usage.Add(Total(segment.Usage))
+		usage.Add(TotalUsage(segment.Usage))
 	}
 	return usage
 }
 
 // verify checks the hash chain of the closed segments and the open one.
-func (f *fakeStore) verify(seal *Seal) error {
+func (f *fakeStore) verify(hasher *SegmentHasher) error {
 	var segments []Segment
 	for _, stored := range f.segments {
 		segments = append(segments, stored.Segment)
 	}
-	last, link, err := seal.Verify(segments, 0, "")
+	last, link, err := hasher.Verify(segments, 0, "")
 	if err == nil && f.account.Version > 0 {
 		err = f.account.Open.VerifyOpen(last, link)
 	}
@@ -156,7 +156,7 @@
 		return
 	}
 	// Charges of job classes for which the segment has no room are left for the next settlement.
-	settled, left := Total(settlement.charges), Total(m.accounts.byTeam["red"].unsettled)
+	settled, left := TotalUsage(settlement.charges), TotalUsage(m.accounts.byTeam["red"].unsettled)
 	all := settled
 	if all.Add(left); all != m.unsettled {
 		t.Fatalf("settled %+v and left %+v, want %+v together", settled, left, m.unsettled)
@@ -178,7 +178,7 @@
 		return
 	}
 	m.accounts.SettlementRefused(m.now, "red")
-	for range m.accounts.Unreconciled() {
+	for range m.accounts.UnreconciledTeams() {
 		if resend, _ := m.accounts.Reconcile("red", m.store.account); resend != nil {
 			m.send(resend)
 		}
@@ -192,8 +192,8 @@
 	m.timeOfDay = m.timeOfDay.Add(time.Duration(rapid.IntRange(-40, 60).Draw(t, "hours")) * time.Hour)
 }
 
-func (m *ledgerStateMachine) fold(t *rapid.T) {
-	compacted, first, count := Fold(
+func (m *ledgerStateMachine) compact(t *rapid.T) {
+	compacted, first, count := Compact(
 		&m.settings, m.store.segments, m.timeOfDay, rapid.IntRange(2, 12).Draw(t, "max count"))
 	if count > 0 {
 		replacement := StoredSegment{Segment: *compacted, Version: m.store.revision}
@@ -205,7 +205,7 @@
 	if got := m.store.recordedUsage(); got != m.wantRecorded {
 		t.Fatalf("recorded usage: got %+v, want %+v", got, m.wantRecorded)
 	}
-	if err := m.store.verify(m.settings.Seal); err != nil {
+	if err := m.store.verify(m.settings.Hasher); err != nil {
 		t.Fatalf("verification of the hash chain: got %v, want no error", err)
 	}
 	usage := m.store.account.Open.Usage
@@ -234,7 +234,7 @@
 			"unanswered, or late": m.deliverWithoutAnswer,
 			"takeover":            m.takeOver,
 			"clock jumps":         m.jumpTimeOfDay,
-			"fold":                m.fold,
+			"compact":             m.compact,
 			"":                    m.check,
 		})
 	})
@@ -254,35 +254,35 @@
 		accounts.SettlementCompleted("red", store.account.Version)
 		now = now.Add(time.Hour)
 	}
-	if err := store.verify(settings.Seal); err != nil || len(store.segments) != 5 {
+	if err := store.verify(settings.Hasher); err != nil || len(store.segments) != 5 {
 		t.Fatalf("verification: got %d segments and error %v, want 5 and none", len(store.segments), err)
 	}
 	for _, c := range []struct {
 		name   string
 		want   error
-		change func(f *fakeStore, seal **Seal)
+		change func(f *fakeStore, hasher **SegmentHasher)
 	}{
-		{"the usage of a segment is changed", ErrChanged, func(f *fakeStore, _ **Seal) {
+		{"the usage of a segment is changed", ErrChanged, func(f *fakeStore, _ **SegmentHasher) {
 			f.segments[2].Usage = []ClassUsage{{Class: "work", Usage: Usage{CPU: 99}}}
 		}},
-		{"a segment is missing", ErrGap, func(f *fakeStore, _ **Seal) {
+		{"a segment is missing", ErrGap, func(f *fakeStore, _ **SegmentHasher) {
 			f.segments = slices.Delete(f.segments, 2, 3)
 		}},
-		{"the last segment is missing", ErrGap, func(f *fakeStore, _ **Seal) {
+		{"the last segment is missing", ErrGap, func(f *fakeStore, _ **SegmentHasher) {
 			f.segments = f.segments[:4]
 		}},
-		{"a segment is replaced without the key", ErrChanged, func(f *fakeStore, _ **Seal) {
+		{"a segment is replaced without the key", ErrChanged, func(f *fakeStore, _ **SegmentHasher) {
 			f.segments[4].Usage = nil
-			f.segments[4].Sum = NewSeal(nil).Sum(&f.segments[4].Segment)
+			f.segments[4].Hash = NewSegmentHasher(nil).Hash(&f.segments[4].Segment)
 		}},
-		{"verification with another key", ErrChanged, func(_ *fakeStore, seal **Seal) {
-			*seal = NewSeal([]byte("some other secret"))
+		{"verification with another key", ErrChanged, func(_ *fakeStore, hasher **SegmentHasher) {
+			*hasher = NewSegmentHasher([]byte("some other secret"))
 		}},
 	} {
-		changed, seal := *store, settings.Seal
+		changed, hasher := *store, settings.Hasher
 		changed.segments = slices.Clone(store.segments)
-		c.change(&changed, &seal)
-		if err := changed.verify(seal); !errors.Is(err, c.want) {
+		c.change(&changed, &hasher)
+		if err := changed.verify(hasher); !errors.Is(err, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, err, c.want)
 		}
 	}
--- a/internal/ledger/seal.go
+++ b/internal/ledger/seal.go
@@ -22,7 +22,7 @@
 	minHashedAmounts = 13
 )
 
-// The errors of Seal.Verify and OpenSegment.VerifyOpen.
+// The errors of SegmentHasher.Verify and OpenSegment.VerifyOpen.
 var (
 	// ErrGap means that at least one segment of the chain is missing.
 	ErrGap = errors.New("segments are missing")
@@ -30,32 +30,33 @@
 	ErrChanged = errors.New("content was changed")
 )
 
-// Seal computes the hashes of segments. If it has a key, a segment can be changed undetected only by someone who
-// knows the key. Without a key, hashes reveal only accidental changes.
-type Seal struct{ key []byte }
+// SegmentHasher computes the hashes of segments. If it has a key, a segment can be changed undetected only by someone
+// who knows the key. Without a key, hashes reveal only accidental changes.
+type SegmentHasher struct{ key []byte }
 
-// NewSeal returns a seal whose key is derived from the secret. If the secret is empty, the seal has no key.
-func NewSeal(secret []byte) *Seal {
-	seal := &Seal{}
+// NewSegmentHasher returns a SegmentHasher whose key is derived from the secret. If the secret is empty, the hasher has
+// no key.
+func NewSegmentHasher(secret []byte) *SegmentHasher {
+	hasher := &SegmentHasher{}
 	if len(secret) > 0 {
-		seal.key = make([]byte, keyBytes)
-		blake3.DeriveKey(seal.key, keyContext, secret)
+		hasher.key = make([]byte, keyBytes)
+		blake3.DeriveKey(hasher.key, keyContext, secret)
 	}
-	return seal
+	return hasher
 }
 
-// Sum returns the hexadecimal hash of a segment's content, which excludes Segment.Sum.
-func (s *Seal) Sum(segment *Segment) string {
+// Hash returns the hexadecimal hash of a segment's content, which excludes Segment.Hash.
+func (s *SegmentHasher) Hash(segment *Segment) string {
 	hash := blake3.New(hashBytes, s.key)
 	_, _ = hash.Write(segment.canonical()) // never returns an error
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// canonical returns the hashed encoding of a segment: all fields except Sum. It is independent of the encoding of
+// canonical returns the hashed encoding of a segment: all fields except Hash. It is independent of the encoding of
 // stored records and must never change, because stored hashes would become invalid.
 func (s *Segment) canonical() []byte {
 	encoded := fmt.Appendf(nil, "1 %q %d %d %d %d %q %q\n",
-		s.Team, s.First, s.Last, s.Unit, s.Start.Unix(), s.Prev, s.Head)
+		s.Team, s.First, s.Last, s.Unit, s.Start.Unix(), s.PrevLink, s.LastMergedLink)
 	for _, class := range s.Usage {
 		encoded = strconv.AppendQuote(encoded, class.Class)
 		numbers := class.Numbers()
@@ -74,16 +75,16 @@
 // before them; they are 0 and "" if segments starts with the team's first one. Verify returns the number and the link
 // of the last valid segment, from which a later call can continue. If a segment is not valid, the error wraps ErrGap
 // or ErrChanged.
-func (s *Seal) Verify(segments []Segment, last uint64, link string) (uint64, string, error) {
+func (s *SegmentHasher) Verify(segments []Segment, last uint64, link string) (uint64, string, error) {
 	for i := range segments {
 		segment := &segments[i]
 		switch {
 		case segment.First != last+1 || segment.Last < segment.First:
 			return last, link, fmt.Errorf("%w: segment %d follows segment %d", ErrGap, segment.First, last)
-		case segment.Prev != link:
+		case segment.PrevLink != link:
 			return last, link, fmt.Errorf("segment %d: %w, or that of the segment before it: their link does not match",
 				segment.First, ErrChanged)
-		case s.Sum(segment) != segment.Sum:
+		case s.Hash(segment) != segment.Hash:
 			return last, link, fmt.Errorf("segment %d: %w", segment.First, ErrChanged)
 		}
 		last, link = segment.Last, segment.Link()
@@ -97,7 +98,7 @@
 	if o.Number != last+1 {
 		return fmt.Errorf("%w: open segment %d follows segment %d", ErrGap, o.Number, last)
 	}
-	if o.Prev != link {
+	if o.PrevLink != link {
 		return fmt.Errorf("segment %d: %w: the link of the open segment does not match", last, ErrChanged)
 	}
 	return nil
--- a/internal/ledger/segment.go
+++ b/internal/ledger/segment.go
@@ -31,27 +31,27 @@
 	return time.Date(year, month, day, t.Hour(), 0, 0, 0, time.UTC)
 }
 
-// Segment is a closed segment of a team's account. It is immutable, except that Fold replaces the segments of one day
-// or month by a single one. Segments are ordered by their numbers and not by their start times: after the time of day
-// has jumped back, the next segment only has an earlier start than the previous one.
+// Segment is a closed segment of a team's account. It is immutable, except that Compact replaces the segments of one
+// day or month by a single one. Segments are ordered by their numbers and not by their start times: after the time of
+// day has jumped back, the next segment only has an earlier start than the previous one.
 type Segment struct {
-	Team        string
-	First, Last uint64 // range of numbers of the hourly segments that were merged into it; equal if none were
-	Unit        Unit
-	Start       time.Time    // beginning of the hour, day or month that it covers, in UTC
-	Usage       []ClassUsage // sorted by class
-	Prev        string       // link of the previous segment; "" for the first one
-	Head        string       // link of the last segment that was merged into it; "" if none was
-	Sum         string       // hash of all fields above
+	Team           string
+	First, Last    uint64 // range of numbers of the hourly segments that were merged into it; equal if none were
+	Unit           Unit
+	Start          time.Time    // beginning of the hour, day or month that it covers, in UTC
+	Usage          []ClassUsage // sorted by class
+	PrevLink       string       // link of the previous segment; "" for the first one
+	LastMergedLink string       // link of the last segment that was merged into it; "" if none was
+	Hash           string       // hash of all fields above
 }
 
 // Link returns the value by which the next segment refers to this one. It does not change when this segment is merged
 // with earlier ones, so the chain stays intact.
 func (s *Segment) Link() string {
-	if s.Head != "" {
-		return s.Head
+	if s.LastMergedLink != "" {
+		return s.LastMergedLink
 	}
-	return s.Sum
+	return s.Hash
 }
 
 // OpenSegment is the stored record of a team's account: the segment to which charges are added, and the state of the
@@ -62,27 +62,27 @@
 	Settlements  uint64       // number of settlements of the account since it was created
 	FencingToken uint64       // fencing token of the leader that settled the account last
 	Start        time.Time    // beginning of the hour that the segment covers, in UTC
-	SettledAt    time.Time    // time of day of the last settlement, at which an unaccounted Interval may begin
+	SettledAt    time.Time    // time of day of the last settlement, at which an UnaccountedInterval may begin
 	Usage        []ClassUsage // sorted by class
-	Prev         string       // link of the previous segment; "" for the first one
+	PrevLink     string       // link of the previous segment; "" for the first one
 	DecayedUsage uint64       // decayed usage at SettledAt, in weighted CPU-microseconds
 }
 
 // newOpenSegment returns the record of an account that was never settled.
 func newOpenSegment(team string) OpenSegment { return OpenSegment{Team: team, Number: 1} }
 
-// close returns the closed form of the segment, which is hashed with the seal.
-func (o *OpenSegment) close(team string, seal *Seal) *Segment {
+// close returns the closed form of the segment, with its hash.
+func (o *OpenSegment) close(team string, hasher *SegmentHasher) *Segment {
 	closed := &Segment{
-		Team:  team,
-		First: o.Number,
-		Last:  o.Number,
-		Unit:  Hour,
-		Start: o.Start,
-		Usage: o.Usage,
-		Prev:  o.Prev,
+		Team:     team,
+		First:    o.Number,
+		Last:     o.Number,
+		Unit:     Hour,
+		Start:    o.Start,
+		Usage:    o.Usage,
+		PrevLink: o.PrevLink,
 	}
-	closed.Sum = seal.Sum(closed)
+	closed.Hash = hasher.Hash(closed)
 	return closed
 }
 
--- a/internal/ledger/settlement.go
+++ b/internal/ledger/settlement.go
@@ -16,8 +16,8 @@
 	charges   []ClassUsage // charges that Open contains and the former record does not
 }
 
-// Empty reports whether the settlement neither adds charges nor closes a segment.
-func (s *Settlement) Empty() bool { return s.Closed == nil && len(s.charges) == 0 }
+// IsEmpty reports whether the settlement neither adds charges nor closes a segment.
+func (s *Settlement) IsEmpty() bool { return s.Closed == nil && len(s.charges) == 0 }
 
 // Settle creates a settlement of a team's account, which is then pending until its outcome is reported. now is a time
 // of the monotonic clock. Settle returns nil if a settlement is pending already or the record cannot be read.
@@ -50,9 +50,9 @@
 	if hour.Equal(open.Start) && a.hasRoom(open, charges) {
 		return
 	}
-	settlement.Closed = open.close(team, a.settings.Seal)
+	settlement.Closed = open.close(team, a.settings.Hasher)
 	open.Number++
-	open.Prev, open.Usage, open.Start = settlement.Closed.Link(), nil, hour
+	open.PrevLink, open.Usage, open.Start = settlement.Closed.Link(), nil, hour
 }
 
 // hasRoom reports whether an open segment can take all charges without exceeding the maximum record size.
@@ -89,9 +89,9 @@
 	return sum
 }
 
-// Discard removes the pending settlement of a team if it is empty. The caller must not have sent it.
-func (a *Accounts) Discard(team string) {
-	if account := a.byTeam[team]; account != nil && account.pending != nil && account.pending.Empty() {
+// DiscardEmptySettlement removes the pending settlement of a team if it is empty. The caller must not have sent it.
+func (a *Accounts) DiscardEmptySettlement(team string) {
+	if account := a.byTeam[team]; account != nil && account.pending != nil && account.pending.IsEmpty() {
 		account.clearPending()
 	}
 }
@@ -121,8 +121,8 @@
 	}
 }
 
-// Unreconciled returns the sorted names of the teams whose records have to be read and passed to Reconcile.
-func (a *Accounts) Unreconciled() []string {
+// UnreconciledTeams returns the sorted names of the teams whose records have to be read and passed to Reconcile.
+func (a *Accounts) UnreconciledTeams() []string {
 	if a.unreconciledCount == 0 {
 		return nil // the common case
 	}
--- a/internal/ledger/usage.go
+++ b/internal/ledger/usage.go
@@ -41,15 +41,15 @@
 
 // Usage holds amounts of used resources and of waiting time. The amounts are integers, so that their sums are exact.
 type Usage struct {
-	CPU    uint64 // CPU-microseconds
-	GPU    uint64 // GPU-microseconds
-	Mem    uint64 // GB-microseconds
-	Lost   uint64 // CPU-microseconds, contained in CPU, of attempts that neither completed nor saved a checkpoint
-	Starts uint64 // number of attempts that began to run
-	// TakenOver is the number of attempts that a new leader found running, or that ran on after the leader had
+	CPU       uint64 // CPU-microseconds
+	GPU       uint64 // GPU-microseconds
+	Mem       uint64 // GB-microseconds
+	WastedCPU uint64 // CPU-microseconds, contained in CPU, of attempts that neither completed nor saved a checkpoint
+	Starts    uint64 // number of attempts that began to run
+	// Adopted is the number of attempts that a new leader found running, or that ran on after the leader had
 	// dropped them. Their beginning or end was not observed, so they are not counted in Starts.
-	TakenOver uint64
-	Wait      [NumWaitCauses]uint64 // waiting time by cause, in task-milliseconds
+	Adopted uint64
+	Wait    [NumWaitCauses]uint64 // waiting time by cause, in task-milliseconds
 }
 
 // Add adds the amounts of other to u.
@@ -57,9 +57,9 @@
 	u.CPU += other.CPU
 	u.GPU += other.GPU
 	u.Mem += other.Mem
-	u.Lost += other.Lost
+	u.WastedCPU += other.WastedCPU
 	u.Starts += other.Starts
-	u.TakenOver += other.TakenOver
+	u.Adopted += other.Adopted
 	for i := range u.Wait {
 		u.Wait[i] += other.Wait[i]
 	}
@@ -67,7 +67,7 @@
 
 // fields returns pointers to the amounts in the order in which records store them.
 func (u *Usage) fields() []*uint64 {
-	fields := []*uint64{&u.CPU, &u.GPU, &u.Mem, &u.Lost, &u.Starts, &u.TakenOver}
+	fields := []*uint64{&u.CPU, &u.GPU, &u.Mem, &u.WastedCPU, &u.Starts, &u.Adopted}
 	for i := range u.Wait {
 		fields = append(fields, &u.Wait[i])
 	}
@@ -83,9 +83,9 @@
 	return numbers
 }
 
-// FromNumbers is the inverse of Numbers. Missing amounts are zero, and amounts that a later program version has
+// UsageFromNumbers is the inverse of Numbers. Missing amounts are zero, and amounts that a later program version has
 // appended are ignored.
-func FromNumbers(numbers []uint64) (u Usage) {
+func UsageFromNumbers(numbers []uint64) (u Usage) {
 	for i, field := range u.fields() {
 		if i < len(numbers) {
 			*field = numbers[i]
@@ -132,17 +132,17 @@
 	return usages
 }
 
-// Total returns the sum of the usage of all job classes.
-func Total(usages []ClassUsage) (total Usage) {
+// TotalUsage returns the sum of the usage of all job classes.
+func TotalUsage(usages []ClassUsage) (total Usage) {
 	for _, class := range usages {
 		total.Add(class.Usage)
 	}
 	return total
 }
 
-// Interval is a period for which no usage is accounted: from the last settlement of one leader to the takeover of the
-// next leader that keeps a ledger.
-type Interval struct {
+// UnaccountedInterval is a period for which no usage is accounted: from the last settlement of one leader to the
+// takeover of the next leader that keeps a ledger.
+type UnaccountedInterval struct {
 	Start, End       time.Time // times of day
 	FencingToken     uint64    // fencing token of the leader that took over at End
 	UnsettledLeaders uint64    // number of leaders in between that settled nothing, for lack of a ledger or of time
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -61,9 +61,9 @@
 	return d.transition(now, Alive, reason)
 }
 
-// TokenNotTaken records that a machine sends heartbeats but has not adopted the leader's fencing token for longer than
-// a lease duration.
-func (d *Detector) TokenNotTaken(now time.Time) bool {
+// FencingTokenNotAccepted records that a machine sends heartbeats but has not adopted the leader's fencing token for
+// longer than a lease duration.
+func (d *Detector) FencingTokenNotAccepted(now time.Time) bool {
 	d.provenByHeartbeats = true
 	return d.State < Suspect && d.transition(now, Suspect, "it has not taken this leader's token")
 }
@@ -91,7 +91,7 @@
 	Acknowledges    bool // it shows for the first time that the machine has received a certain message
 	MissesCommands  bool // it does not show the commands in the response to an earlier direct heartbeat of the epoch
 	NewEpoch        bool // the worker has begun a new epoch, so its previous lease has expired
-	ZonePartitioned bool // many machines of the zone are silent, so a network partition may explain gaps
+	ZonePartitioned bool // many machines of the zone are unresponsive, so a network partition may explain gaps
 }
 
 // ObserveHeartbeat applies the evidence of a fresh heartbeat that is answered, and reports whether the state has
--- a/internal/liveness/incarnation.go
+++ b/internal/liveness/incarnation.go
@@ -11,10 +11,10 @@
 // Numbering determines how a leader interprets the message numbers of a machine.
 type Numbering uint8
 
-// The numberings. Restarted holds until the leader changes.
+// The numberings. NumbersRestarted holds until the leader changes.
 const (
-	Increasing Numbering = iota // the numbers have never decreased
-	Restarted                   // they have decreased, so only responses to commands and probes are trusted
+	NumbersIncreasing Numbering = iota // the numbers have never decreased
+	NumbersRestarted                   // they have decreased, so only responses to commands and probes are trusted
 )
 
 // String implements fmt.Stringer.
@@ -59,14 +59,14 @@
 func (i *Incarnation) ClassifyHeartbeat(epoch, seq, token uint64) HeartbeatKind {
 	number := MessageNumber{epoch, seq}
 	switch {
-	case i.Numbering == Restarted:
+	case i.Numbering == NumbersRestarted:
 		return Unordered
 	case epoch <= i.ExpiredEpoch, epoch < i.Epoch, number.Before(i.lastHeartbeat):
 		return Stale
 	case number == i.lastHeartbeat:
 		return Duplicate
 	case token < i.FencingToken && i.LatestMessage().Before(number):
-		i.Numbering, i.lastHeartbeat = Restarted, MessageNumber{}
+		i.Numbering, i.lastHeartbeat = NumbersRestarted, MessageNumber{}
 		return Stale
 	}
 	i.lastHeartbeat = number
@@ -83,7 +83,7 @@
 	if i.latestWhenCommandSent.Before(MessageNumber{epoch, seq}) {
 		return false
 	}
-	i.Numbering, i.lastHeartbeat = Restarted, MessageNumber{}
+	i.Numbering, i.lastHeartbeat = NumbersRestarted, MessageNumber{}
 	i.Epoch, i.Seq, i.FencingToken, i.ExpiredEpoch = epoch, 0, 0, epoch-1
 	return true
 }
--- a/internal/model/completion.go
+++ b/internal/model/completion.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// LoadDone marks as done the tasks whose bits are set in the record of a chunk. The record's first bit is that of the
+// MarkDone marks as done the tasks whose bits are set in the record of a chunk. The record's first bit is that of the
 // task firstTask. Bits beyond the last task are ignored.
-func (j *Job) LoadDone(firstTask int, bits []byte) {
+func (j *Job) MarkDone(firstTask int, bits []byte) {
 	for byteIndex, b := range bits {
 		for bitIndex := 0; b != 0; bitIndex++ {
 			if task := firstTask + byteIndex*8 + bitIndex; b&1 != 0 && task < len(j.states) {
--- a/internal/model/dependency_graph.go
+++ b/internal/model/dependency_graph.go
@@ -216,8 +216,8 @@
 	}
 }
 
-// Referenced returns the IDs of the jobs in the state DependencyReferenced, in no particular order.
-func (g *DependencyGraph) Referenced() []string {
+// ReferencedJobs returns the IDs of the jobs in the state DependencyReferenced, in no particular order.
+func (g *DependencyGraph) ReferencedJobs() []string {
 	if g.referencedCount == 0 {
 		return nil
 	}
--- a/internal/model/heartbeat.go
+++ b/internal/model/heartbeat.go
@@ -67,19 +67,19 @@
 	Tasks                    []TaskStatus
 }
 
-// Op is the operation of a command.
-type Op uint8
+// CommandOp is the operation of a command.
+type CommandOp uint8
 
 // The operations of commands to workers.
 const (
-	OpLaunch Op = iota + 1 // start an attempt
-	OpStop                 // stop an attempt, after a checkpoint if the grace period is long enough
-	OpForget               // stop listing an attempt that has exited
+	OpLaunch CommandOp = iota + 1 // start an attempt
+	OpStop                        // stop an attempt, after a checkpoint if the grace period is long enough
+	OpForget                      // stop listing an attempt that has exited
 )
 
 // Command is one command to a worker.
 type Command struct {
-	Op          Op
+	Op          CommandOp
 	Task        TaskID
 	Attempt     uint64        // attempt number
 	GracePeriod time.Duration // for OpStop: time to save a checkpoint; 0 means to stop immediately
--- a/internal/model/job.go
+++ b/internal/model/job.go
@@ -134,8 +134,8 @@
 	return true
 }
 
-// Running returns the number of active attempts that were last reported as running or saving a checkpoint.
-func (j *Job) Running() int {
+// RunningTasks returns the number of active attempts that were last reported as running or saving a checkpoint.
+func (j *Job) RunningTasks() int {
 	running := 0
 	for _, attempt := range j.ActiveAttempts {
 		if attempt.Phase == PhaseRunning || attempt.Phase == PhaseCheckpointing {
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -42,13 +42,13 @@
 	State            MachineState
 	StateSince       time.Time
 	StateReason      string // why it entered the state; "" if no reason was given
-	Registered       bool   // whether its record is durable
+	RecordDurable    bool   // whether its record is durable
 
 	// Unreconciled is true if earlier leaders may have started tasks on the machine that this leader does not know.
 	// It is reset once that is excluded: when the machine sends a heartbeat with this leader's fencing token, or when
 	// any lease from an earlier leader has certainly expired.
 	Unreconciled bool
-	Record       MachineInfo // the machine's record at the takeover; valid if Unreconciled is set
+	RecordedInfo MachineInfo // the machine's record at the takeover; valid if Unreconciled is set
 
 	liveness.Incarnation                   // numbers of the machine's messages
 	Detector             liveness.Detector // failure detector: whether the machine receives this leader's messages
--- a/internal/model/quota.go
+++ b/internal/model/quota.go
@@ -13,8 +13,8 @@
 	limited bool
 }
 
-// AtMost returns a bound for an amount from the settings. An amount of 0 or less means that there is no bound.
-func AtMost(amount float64) Bound { return Bound{max: amount, limited: amount > 0} }
+// NewBound returns a bound for an amount from the settings. An amount of 0 or less means that there is no bound.
+func NewBound(amount float64) Bound { return Bound{max: amount, limited: amount > 0} }
 
 // Max returns the bound. ok is false if there is none.
 func (b Bound) Max() (amount float64, ok bool) { return b.max, b.limited }
@@ -50,7 +50,7 @@
 type Quota struct{ CPU, GPU Bound }
 
 // NewQuota returns a quota for amounts from the settings. An amount of 0 or less means that there is no bound.
-func NewQuota(cpus, gpus float64) Quota { return Quota{AtMost(cpus), AtMost(gpus)} }
+func NewQuota(cpus, gpus float64) Quota { return Quota{NewBound(cpus), NewBound(gpus)} }
 
 // Allows reports whether the amount of each resource is within its bound.
 func (q Quota) Allows(amount Resources) bool {
--- a/internal/model/tasks.go
+++ b/internal/model/tasks.go
@@ -33,22 +33,22 @@
 	return tasks
 }
 
-// Task returns the state of the task with index i.
-func (t *JobTasks) Task(i int) TaskState { return t.states[i] }
+// StateOf returns the state of the task with index i.
+func (t *JobTasks) StateOf(i int) TaskState { return t.states[i] }
 
 // Count returns the number of tasks in a state.
 func (t *JobTasks) Count(s TaskState) int { return t.counts[s] }
 
-// Waiting returns the number of tasks that wait to be started.
-func (t *JobTasks) Waiting() int {
+// WaitingTasks returns the number of tasks that wait to be started.
+func (t *JobTasks) WaitingTasks() int {
 	return t.counts[TaskNew] + t.counts[TaskRetry] + t.counts[TaskPreempted]
 }
 
 // Started reports whether any task is known to have been started.
 func (t *JobTasks) Started() bool { return t.counts[TaskNew] < len(t.states) }
 
-// Unfinished returns the number of tasks that are not done.
-func (t *JobTasks) Unfinished() int { return len(t.states) - t.counts[TaskDone] }
+// UnfinishedTasks returns the number of tasks that are not done.
+func (t *JobTasks) UnfinishedTasks() int { return len(t.states) - t.counts[TaskDone] }
 
 // Restarted reports whether the unfinished task with index i is known to have been started more than once, or waits
 // to be started again.
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -14,7 +14,7 @@
 	"github.com/glentiller/glentiller/internal/peer/peerpb"
 )
 
-func filled[M any](m *M) *M {
+func fillMessage[M any](m *M) *M {
 	golden.Fill(m)
 	return m
 }
@@ -24,16 +24,17 @@
 // misread each other.
 func TestMessagesBetweenControllersKeepTheirBytes(t *testing.T) {
 	for name, e := range map[string]*peerpb.Envelope{
-		"relay":          {Id: 300, Body: &peerpb.Envelope_Relay{Relay: filled(&peerpb.Relay{})}},
-		"relay-answer":   {Id: 300, Body: &peerpb.Envelope_RelayAnswer{RelayAnswer: filled(&peerpb.RelayAnswer{})}},
-		"progress":       {Id: 300, Body: &peerpb.Envelope_Progress{Progress: filled(&peerpb.Progress{})}},
-		"ask":            {Id: 300, Body: &peerpb.Envelope_Ask{Ask: filled(&peerpb.Ask{})}},
-		"ask-answer":     {Id: 300, Body: &peerpb.Envelope_AskAnswer{AskAnswer: filled(&peerpb.AskAnswer{})}},
-		"promise-ask":    {Id: 300, Body: &peerpb.Envelope_PromiseAsk{PromiseAsk: filled(&peerpb.PromiseAsk{})}},
-		"promise-answer": {Id: 300, Body: &peerpb.Envelope_PromiseAnswer{PromiseAnswer: filled(&peerpb.PromiseAnswer{})}},
-		"hand":           {Id: 300, Body: &peerpb.Envelope_Hand{Hand: filled(&peerpb.Hand{})}},
-		"hand-answer":    {Id: 300, Body: &peerpb.Envelope_HandAnswer{HandAnswer: filled(&peerpb.HandAnswer{})}},
-		"empty":          {},
+		"relay":        {Id: 300, Body: &peerpb.Envelope_Relay{Relay: fillMessage(&peerpb.Relay{})}},
+		"relay-answer": {Id: 300, Body: &peerpb.Envelope_RelayAnswer{RelayAnswer: fillMessage(&peerpb.RelayAnswer{})}},
+		"progress":     {Id: 300, Body: &peerpb.Envelope_Progress{Progress: fillMessage(&peerpb.Progress{})}},
+		"ask":          {Id: 300, Body: &peerpb.Envelope_Ask{Ask: fillMessage(&peerpb.Ask{})}},
+		"ask-answer":   {Id: 300, Body: &peerpb.Envelope_AskAnswer{AskAnswer: fillMessage(&peerpb.AskAnswer{})}},
+		"promise-ask":  {Id: 300, Body: &peerpb.Envelope_PromiseAsk{PromiseAsk: fillMessage(&peerpb.PromiseAsk{})}},
+		"promise-answer": {Id: 300,
+			Body: &peerpb.Envelope_PromiseAnswer{PromiseAnswer: fillMessage(&peerpb.PromiseAnswer{})}},
+		"hand":        {Id: 300, Body: &peerpb.Envelope_Hand{Hand: fillMessage(&peerpb.Hand{})}},
+		"hand-answer": {Id: 300, Body: &peerpb.Envelope_HandAnswer{HandAnswer: fillMessage(&peerpb.HandAnswer{})}},
+		"empty":       {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sent bytes.Buffer
--- a/internal/reconciler/accounting.go
+++ b/internal/reconciler/accounting.go
@@ -76,7 +76,7 @@
 	if last.FencingToken == 0 || last.FencingToken >= c.fencingToken {
 		return // the ledger starts with this leader, or its records were replaced
 	}
-	interval := &ledger.Interval{
+	interval := &ledger.UnaccountedInterval{
 		Start: last.SettledAt, End: settings.TimeOfDay(now),
 		FencingToken: c.fencingToken, UnsettledLeaders: c.fencingToken - last.FencingToken - 1,
 	}
@@ -105,10 +105,10 @@
 	return last
 }
 
-// beginCharging starts to charge an attempt for run time at the first message that shows it running. takenOver states
+// beginCharging starts to charge an attempt for run time at the first message that shows it running. adopted states
 // that the attempt was adopted from a worker's report, because another leader launched it or this leader had dropped
-// it; it is then counted as taken over instead of started. Later calls for the same attempt have no effect.
-func (a *accounting) beginCharging(now time.Time, attempt *model.Attempt, phase model.Phase, takenOver bool) {
+// it; it is then counted as adopted instead of started. Later calls for the same attempt have no effect.
+func (a *accounting) beginCharging(now time.Time, attempt *model.Attempt, phase model.Phase, adopted bool) {
 	if a == nil || !attempt.ChargedUntil.IsZero() || attempt.Job == nil {
 		return
 	}
@@ -117,8 +117,8 @@
 	}
 	attempt.ChargedFrom, attempt.ChargedUntil = now, now
 	usage := ledger.Usage{Starts: 1}
-	if takenOver {
-		usage = ledger.Usage{TakenOver: 1}
+	if adopted {
+		usage = ledger.Usage{Adopted: 1}
 	}
 	a.ledger.Charge(now, attempt.Team, attempt.Job.Spec.Class, usage)
 }
@@ -129,7 +129,7 @@
 	if a == nil || attempt.ChargedUntil.IsZero() || !until.After(attempt.ChargedUntil) {
 		return
 	}
-	milliseconds := a.ledger.Instant(until) - a.ledger.Instant(attempt.ChargedUntil)
+	milliseconds := a.ledger.MillisSinceTakeover(until) - a.ledger.MillisSinceTakeover(attempt.ChargedUntil)
 	attempt.ChargedUntil = until
 	a.ledger.Charge(now, attempt.Team, attempt.Job.Spec.Class, ledger.RateOf(attempt.Demand).Usage(milliseconds))
 }
@@ -150,7 +150,7 @@
 		ran %= interval
 	}
 	wasted := ledger.RateOf(attempt.Demand).Usage(uint64(ran / time.Millisecond)).CPU
-	a.ledger.Charge(now, attempt.Team, job.Spec.Class, ledger.Usage{Lost: wasted})
+	a.ledger.Charge(now, attempt.Team, job.Spec.Class, ledger.Usage{WastedCPU: wasted})
 	attempt.ChargedFrom = attempt.ChargedUntil
 }
 
@@ -181,7 +181,7 @@
 	}
 	c.queueDeferredJobEnds(now)
 	if !accounting.accountReadPending && !now.Before(accounting.nextAccountReadAt) {
-		if teams := accounting.ledger.Unreconciled(); len(teams) > 0 {
+		if teams := accounting.ledger.UnreconciledTeams(); len(teams) > 0 {
 			accounting.accountReadPending = true
 			c.emit(ReadAccounts{teams})
 		}
@@ -219,7 +219,7 @@
 func (c *Core) segmentsReceived(now time.Time, event SegmentsReceived) {
 	accounting := c.accounting
 	settings := accounting.settings
-	compacted, first, count := ledger.Fold(
+	compacted, first, count := ledger.Compact(
 		&settings.Settings, event.Segments, settings.TimeOfDay(now), c.settings.MaxTxnOps)
 	if count == 0 {
 		delete(accounting.teamsToCompact, event.Team)
--- a/internal/reconciler/accounting_test.go
+++ b/internal/reconciler/accounting_test.go
@@ -76,7 +76,7 @@
 		NumberedChunkTasks:  16384,
 		Autoscaler:          autoscaler.Settings{IdleTimeout: time.Hour, BootTimeoutFactor: 3, MaxPerRequest: 50},
 		Scheduler: scheduler.Settings{
-			IdlePowerFraction: 0.7, PromoteAfter: time.Minute, PromoteLateAfter: 15 * time.Minute,
+			IdlePowerFraction: 0.7, PromoteAfter: time.Minute, PromoteDeadlineAfter: 15 * time.Minute,
 		},
 	}
 	for i := range busyTeamCount {
@@ -120,7 +120,7 @@
 		switch effect := effect.(type) {
 		case Commit:
 			l.core.Step(l.now, CommitCompleted{
-				Changes: slices.Clone(effect.Changes), Outcome: OK, Version: uint64(l.now.Unix()),
+				Changes: slices.Clone(effect.Changes), Outcome: OutcomeOK, Version: uint64(l.now.Unix()),
 			})
 		case SendCommands:
 			for _, command := range effect.Commands {
@@ -128,7 +128,7 @@
 				l.tasks[effect.Machine][key] = model.PhaseRunning
 			}
 			l.core.Step(l.now, CommandCompleted{
-				Machine: effect.Machine, Epoch: effect.Epoch, Commands: slices.Clone(effect.Commands), Outcome: OK,
+				Machine: effect.Machine, Epoch: effect.Epoch, Commands: slices.Clone(effect.Commands), Outcome: OutcomeOK,
 			})
 		}
 	}
@@ -137,7 +137,7 @@
 func testLedgerSettings() *LedgerSettings {
 	settings := &LedgerSettings{
 		Settings: ledger.Settings{
-			SettleInterval: 13 * time.Second, HalfLife: time.Hour, MaxRecordBytes: 2048, Seal: ledger.NewSeal(nil),
+			SettleInterval: 13 * time.Second, HalfLife: time.Hour, MaxRecordBytes: 2048, Hasher: ledger.NewSegmentHasher(nil),
 		},
 		FairShare: true,
 		Weights:   map[string]float64{},
--- a/internal/reconciler/attempts.go
+++ b/internal/reconciler/attempts.go
@@ -56,7 +56,7 @@
 		c.stopAttempt(now, previous, 0)
 		delete(job.ActiveAttempts, index)
 	}
-	if job.ActiveAttempts[index] != nil || job.Task(index) == model.TaskDone {
+	if job.ActiveAttempts[index] != nil || job.StateOf(index) == model.TaskDone {
 		c.log.Warn("stopping unwanted attempt",
 			"task", status.Task, "attempt", status.Attempt, "machine", machine.Name)
 		c.stopAttempt(now, attempt, 0)
@@ -165,8 +165,8 @@
 	if job.State == model.JobEnded {
 		return
 	}
-	if job.Task(index) != model.TaskDone {
-		if job.Waiting() == 0 {
+	if job.StateOf(index) != model.TaskDone {
+		if job.WaitingTasks() == 0 {
 			job.WaitingSince = now
 		}
 		if attempt.Preempted && job.Spec.Shape != model.Gang {
@@ -178,7 +178,7 @@
 	if job.Spec.Shape == model.Gang {
 		if len(job.ActiveAttempts) == 0 {
 			job.Gang = model.GangIdle
-		} else if job.Unfinished() > 0 {
+		} else if job.UnfinishedTasks() > 0 {
 			c.breakGang(now, job)
 		}
 	}
@@ -263,5 +263,5 @@
 		}
 		number = attempt.Number
 	}
-	return len(job.ActiveAttempts) == job.Unfinished()
+	return len(job.ActiveAttempts) == job.UnfinishedTasks()
 }
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -189,13 +189,13 @@
 		return
 	}
 	machine.CommandInFlight = false
-	if isProbe && event.Heartbeat == nil && (event.Outcome == Unknown || event.Outcome == Refused) {
+	if isProbe && event.Heartbeat == nil && (event.Outcome == OutcomeUnknown || event.Outcome == OutcomeRefused) {
 		machine.ProbeUnanswered = true
 		if machine.Detector.ProbeTimedOut(now) {
 			c.livenessChanged(machine)
 		}
 	}
-	if event.Outcome == Unknown {
+	if event.Outcome == OutcomeUnknown {
 		machine.NoDirectCommandBefore = now.Add(c.settings.CommandHoldOff)
 	} else if event.Epoch == machine.Epoch {
 		for _, command := range event.Commands {
--- a/internal/reconciler/commits.go
+++ b/internal/reconciler/commits.go
@@ -24,9 +24,9 @@
 	chunk model.Chunk
 }
 
-// needsOwnCommit reports whether a change is written in its own transaction, either because it has its own condition
-// or because it was part of a rejected transaction. A failure then does not hold up other changes.
-func needsOwnCommit(change *record.Change) bool {
+// needsOwnTransaction reports whether a change is written in its own transaction, either because it has its own
+// condition or because it was part of a rejected transaction. A failure then does not hold up other changes.
+func needsOwnTransaction(change *record.Change) bool {
 	switch change.Kind {
 	case record.CompleteJob, record.CancelDependent, record.DeleteDependencies, record.SettleAccount,
 		record.CompactAccount:
@@ -101,7 +101,7 @@
 			}
 			return i
 		}
-		if candidate < 0 || p.lastWasOwnCommit && needsOwnCommit(&p.changes[candidate]) && !needsOwnCommit(change) {
+		if candidate < 0 || p.lastWasOwnCommit && needsOwnTransaction(&p.changes[candidate]) && !needsOwnTransaction(change) {
 			candidate = i
 		}
 	}
@@ -115,7 +115,7 @@
 	var batch []record.Change
 	take := func(machines bool) {
 		p.changes = slices.DeleteFunc(p.changes, func(change record.Change) bool {
-			if needsOwnCommit(&change) || (change.Kind == record.PutMachine) != machines || len(batch) >= limit {
+			if needsOwnTransaction(&change) || (change.Kind == record.PutMachine) != machines || len(batch) >= limit {
 				return false
 			}
 			if fill(&change) {
@@ -144,9 +144,9 @@
 		return
 	}
 	var batch []record.Change
-	c.commits.lastWasOwnCommit = needsOwnCommit(&c.commits.changes[next])
+	c.commits.lastWasOwnCommit = needsOwnTransaction(&c.commits.changes[next])
 	if c.commits.lastWasOwnCommit {
-		batch, c.commits.changes = c.takeOwnCommit(now, next)
+		batch, c.commits.changes = c.takeOwnTransaction(now, next)
 	} else {
 		batch = c.commits.takeBatch(c.settings.MaxTxnOps, c.fillChunk)
 	}
@@ -179,37 +179,37 @@
 	c.commits.inFlight = false
 	changes := event.Changes
 	switch event.Outcome {
-	case Unknown, NotSent:
+	case OutcomeUnknown, OutcomeNotSent:
 		// Each change can be repeated: it writes whole values, on the condition that no later fencing token has been
 		// assigned.
 		c.commits.requeue(changes)
 		c.commits.retryLater(now)
-		c.commits.fenceNeeded = c.commits.fenceNeeded || event.Outcome == Unknown
+		c.commits.fenceNeeded = c.commits.fenceNeeded || event.Outcome == OutcomeUnknown
 		return
-	case Rejected:
+	case OutcomeRejected:
 		c.commitRejected(now, changes)
 		return
-	case Refused:
-		changes = c.accounting.deferRefusedEnds(changes)
+	case OutcomeRefused:
+		changes = c.accounting.deferRefusedJobEnds(changes)
 	}
 	for _, change := range changes {
 		c.changeCompleted(now, change, event)
 	}
 }
 
-// changeCompleted handles one change of a transaction whose outcome is OK or Refused.
+// changeCompleted handles one change of a transaction whose outcome is OutcomeOK or OutcomeRefused.
 func (c *Core) changeCompleted(now time.Time, change record.Change, event CommitCompleted) {
 	if change.Kind == record.SettleAccount || change.Kind == record.CompactAccount {
 		c.accounting.changeCompleted(now, change, event)
 		return
 	}
-	if event.Outcome != OK {
+	if event.Outcome != OutcomeOK {
 		return // the end of a job was already recorded by another leader or the user, and the watch will report it
 	}
 	switch change.Kind {
 	case record.PutMachine:
 		if machine := c.machines[change.Machine.Name]; machine != nil {
-			machine.Registered = true
+			machine.RecordDurable = true
 			c.passes.request()
 		}
 	case record.PutTasks:
@@ -217,9 +217,9 @@
 			job.MarkDurable(change.Chunk.Number, change.FinishedBits)
 		}
 	case record.CompleteJob:
-		c.endJob(now, JobEnded{ID: change.Job, Outcome: model.OutcomeDone, EndedAt: change.At})
+		c.endJob(now, JobEnded{ID: change.Job, Outcome: model.OutcomeDone, EndedAt: change.EndedAt})
 	case record.CancelDependent:
-		c.endJob(now, JobEnded{ID: change.Job, Outcome: model.OutcomeCancelled, EndedAt: change.At})
+		c.endJob(now, JobEnded{ID: change.Job, Outcome: model.OutcomeCancelled, EndedAt: change.EndedAt})
 	}
 }
 
@@ -239,7 +239,7 @@
 	case record.SettleAccount:
 		c.accounting.retrySettlementLater(change, now.Add(c.settings.MaxBackoff))
 	case record.CompactAccount:
-		c.accounting.changeCompleted(now, change, CommitCompleted{Outcome: Rejected})
+		c.accounting.changeCompleted(now, change, CommitCompleted{Outcome: OutcomeRejected})
 	}
 	if job := c.jobs[change.Job]; job != nil && endsJob(&change) {
 		job.Transition(model.JobActive)
@@ -253,7 +253,7 @@
 // former version of that record then fails (docs/safety.md, "Delayed transactions").
 func (c *Core) fenceCompleted(now time.Time, event FenceCompleted) {
 	c.commits.inFlight = false
-	if event.Outcome == OK {
+	if event.Outcome == OutcomeOK {
 		c.commits.fenceNeeded = false
 		return
 	}
--- a/internal/reconciler/commits_test.go
+++ b/internal/reconciler/commits_test.go
@@ -26,7 +26,7 @@
 		NumberedChunkTasks: 64, Jobs: []record.Job{{Version: 1, SubmittedAt: s.now, Spec: spec}},
 	})
 	s.step(HeartbeatReceived{Heartbeat: heartbeatOf("n-1", 1, 1, 1)})
-	s.complete(OK) // the machine's record
+	s.complete(OutcomeOK) // the machine's record
 	return s
 }
 
@@ -79,7 +79,7 @@
 	if got := len(s.core.commits.changes); got != 2 {
 		t.Fatalf("got %d queued changes for two chunks, want 2", got)
 	}
-	s.complete(OK)
+	s.complete(OutcomeOK)
 	if got, want := s.finishedCounts(), []int{300, 1}; !slices.Equal(got, want) {
 		t.Errorf("next transaction: got chunks with %v finished tasks, want %v", got, want)
 	}
@@ -89,15 +89,15 @@
 	for _, test := range []struct {
 		name    string
 		outcome Outcome
-	}{{"unknown", Unknown}, {"not sent", NotSent}} {
+	}{{"unknown", OutcomeUnknown}, {"not sent", OutcomeNotSent}} {
 		t.Run(test.name, func(t *testing.T) {
 			s := newSlowStoreScenario()
 			s.finishTask(0)
 			s.finishTask(1)
 			s.complete(test.outcome)
-			if test.outcome == Unknown {
+			if test.outcome == OutcomeUnknown {
 				s.now = s.now.Add(time.Second)
-				s.step(FenceCompleted{Outcome: OK})
+				s.step(FenceCompleted{Outcome: OutcomeOK})
 			}
 			s.finishTask(2)
 			s.finishTask(3)
@@ -106,9 +106,9 @@
 				t.Fatalf("got chunks with %v finished tasks, %d queued changes; want 1 chunk with at least 2, at most 1 change",
 					counts, waiting)
 			}
-			s.complete(OK)
+			s.complete(OutcomeOK)
 			s.finishTask(4)
-			s.complete(OK)
+			s.complete(OutcomeOK)
 			if job := s.core.jobs["wk-000001"]; !job.IsDurable(0) || !job.IsDurable(3) {
 				t.Errorf("got tasks 0 and 3 durable: %v, %v; want both", job.IsDurable(0), job.IsDurable(3))
 			}
@@ -121,7 +121,7 @@
 	s.finishTask(0)
 	s.finishTask(1) // queued behind the transaction of the first
 	s.step(JobEnded{ID: "wk-000001", Outcome: model.OutcomeCancelled, EndedAt: s.now})
-	s.complete(OK)
+	s.complete(OutcomeOK)
 	for _, change := range s.inFlight {
 		if change.Kind == record.PutTasks {
 			t.Errorf("got %+v in a transaction, want no chunk of the ended job", change)
--- a/internal/reconciler/constraints.go
+++ b/internal/reconciler/constraints.go
@@ -26,8 +26,8 @@
 // machineClasses assigns consecutive numbers, starting at 0, to the machine classes of one catalog.
 type machineClasses struct {
 	catalogVersion int // incremented by every new catalog
-	numbers        map[constraint.Class]int
-	byNumber       []constraint.Class
+	numbers        map[constraint.MachineClass]int
+	byNumber       []constraint.MachineClass
 }
 
 func newConstraintRegistry() constraintRegistry {
@@ -43,11 +43,11 @@
 func (r *constraintRegistry) remove(job *model.Job) { delete(r.byJob, job) }
 
 // numberOf returns the number of a class, and assigns one to a new class.
-func (m *machineClasses) numberOf(class constraint.Class) int {
+func (m *machineClasses) numberOf(class constraint.MachineClass) int {
 	number, ok := m.numbers[class]
 	if !ok {
 		if m.numbers == nil {
-			m.numbers = map[constraint.Class]int{}
+			m.numbers = map[constraint.MachineClass]int{}
 		}
 		number = len(m.byNumber)
 		m.numbers[class] = number
@@ -75,8 +75,8 @@
 	}
 }
 
-func classOf(machine *model.Machine) constraint.Class {
-	return constraint.Class{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
+func classOf(machine *model.Machine) constraint.MachineClass {
+	return constraint.MachineClass{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
 }
 
 // addConstraints parses the constraints of an accepted job, if it has any. A later program version may have accepted
@@ -145,7 +145,7 @@
 		MaxPerMachine:     set.MaxPerMachine(),
 		MaxPerZone:        set.MaxPerZone(),
 		OfferFeasible: func(offer scheduler.MachineOffer) bool {
-			_, ok := set.Allows(constraint.Class{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot})
+			_, ok := set.Allows(constraint.MachineClass{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot})
 			return ok
 		},
 	}
@@ -161,11 +161,11 @@
 	return rules
 }
 
-// addAffinity adds the current location of the job that an affinity names to the rules. While that job is on no
-// machine, an affinity for its zone uses the zones in which it may run, so that this job does not start in another
-// zone while the other one is being moved. An affinity has no effect once the named job has ended.
+// addAffinity adds the current location of the job that an affinity names to the evaluated constraints. While that job
+// is on no machine, an affinity for its zone uses the zones in which it may run, so that this job does not start in
+// another zone while the other one is being moved. An affinity has no effect once the named job has ended.
 func (c *Core) addAffinity(rules *scheduler.Rules, affinity *constraint.Affinity) {
-	other := c.jobs[affinity.Job]
+	other := c.jobs[affinity.JobID]
 	if other == nil {
 		return
 	}
@@ -223,10 +223,10 @@
 	}
 	rules := c.constraintsOf(job)
 	if job.Spec.Shape != model.Gang {
-		return rules.StillMet(placement.Node.Machine)
+		return rules.MeetsJobClauses(placement.Node.Machine)
 	}
 	for _, other := range all {
-		if other.Request == placement.Request && !rules.StillMet(other.Node.Machine) {
+		if other.Request == placement.Request && !rules.MeetsJobClauses(other.Node.Machine) {
 			return false
 		}
 	}
--- a/internal/reconciler/constraints_test.go
+++ b/internal/reconciler/constraints_test.go
@@ -163,7 +163,8 @@
 	}
 }
 
-// newIdleLeader returns a leader with one empty machine of each machine class, in the order of constraint.Classes.
+// newIdleLeader returns a leader with one empty machine of each machine class, in the order of
+// constraint.MachineClasses.
 func newIdleLeader(types []model.MachineType) (*Core, time.Time) {
 	now := time.Unix(1e9, 0)
 	settings := Settings{
@@ -175,24 +176,24 @@
 		MaxTxnOps:          12,
 		NumberedChunkTasks: 64,
 		Scheduler: scheduler.Settings{
-			IdlePowerFraction: 0.7, PromoteAfter: time.Hour, PromoteLateAfter: time.Hour, ExpensiveFactor: 1e6,
+			IdlePowerFraction: 0.7, PromoteAfter: time.Hour, PromoteDeadlineAfter: time.Hour, ExpensiveFactor: 1e6,
 		},
 		Autoscaler: autoscaler.Settings{IdleTimeout: time.Hour, BootTimeoutFactor: 3, MaxPerRequest: 50},
 	}
 	c := New(now, settings, 3, &record.Snapshot{NumberedChunkTasks: 64}, types, discardLog())
-	for i, class := range constraint.Classes(types) {
+	for i, class := range constraint.MachineClasses(types) {
 		addReadyMachine(c, now, fmt.Sprintf("n-%06d", i), class)
 	}
 	return c, now
 }
 
 // addReadyMachine adds an empty, registered machine in the ready state.
-func addReadyMachine(c *Core, now time.Time, name string, class constraint.Class) *model.Machine {
+func addReadyMachine(c *Core, now time.Time, name string, class constraint.MachineClass) *model.Machine {
 	machine := c.addMachine(now, model.MachineInfo{
 		Name: name, Type: class.Type.Name, Zone: class.Zone, Spot: class.Spot,
 	}, model.MachineBooting)
 	machine.Transition(now, model.MachineReady, "")
-	machine.Registered, machine.Epoch = true, 1
+	machine.RecordDurable, machine.Epoch = true, 1
 	return machine
 }
 
@@ -214,7 +215,7 @@
 	} {
 		b.Run(test.name, func(b *testing.B) {
 			c, now := newIdleLeader(types)
-			classes := constraint.Classes(types)
+			classes := constraint.MachineClasses(types)
 			for i := range 500 {
 				machine := addReadyMachine(c, now, fmt.Sprintf("m-%06d", i), classes[i%len(classes)])
 				machine.Used = model.Resources{CPU: machine.Type.Capacity.CPU - float64(i%3)}
--- a/internal/reconciler/core.go
+++ b/internal/reconciler/core.go
@@ -178,16 +178,18 @@
 // ran a scheduling pass. The longer a pass took, the longer the next one is delayed.
 func (c *Core) ObserveStepDuration(d time.Duration) (passed bool) { return c.passes.observe(d) }
 
-// PauseStarts pauses or resumes the starting of tasks (docs/safety.md, "Extended votes"). Running tasks continue.
-func (c *Core) PauseStarts(paused bool) {
+// SetStartsPaused pauses or resumes the starting of tasks (docs/safety.md, "Extended votes"). Running tasks continue.
+func (c *Core) SetStartsPaused(paused bool) {
 	if c.passes.pauseStarts(paused) {
 		c.log.Info("task start pause changed", "paused", paused, "fencing_token", c.fencingToken)
 	}
 }
 
-// Resume must be called when the leadership lease is valid again after it had expired. Heartbeats could not be
+// OnLeaseRestored must be called when the leadership lease is valid again after it had expired. Heartbeats could not be
 // answered in the meantime, so missing ones do not count against their workers.
-func (c *Core) Resume(now time.Time) { c.partitions.resetSilence(now, c.settings.UnresponsiveAfter) }
+func (c *Core) OnLeaseRestored(now time.Time) {
+	c.partitions.resetHeartbeatTimeouts(now, c.settings.UnresponsiveAfter)
+}
 
 // Progress returns the number of done and running tasks of an active job, for display. ok is false if there is no
 // such job.
@@ -196,13 +198,13 @@
 	if job == nil {
 		return 0, 0, false
 	}
-	return job.Count(model.TaskDone), job.Running(), true
+	return job.Count(model.TaskDone), job.RunningTasks(), true
 }
 
 // EachProgress calls f for each active job, in no particular order.
 func (c *Core) EachProgress(f func(id string, done, running int)) {
 	for id, job := range c.jobs {
-		f(id, job.Count(model.TaskDone), job.Running())
+		f(id, job.Count(model.TaskDone), job.RunningTasks())
 	}
 }
 
--- a/internal/reconciler/dependencies.go
+++ b/internal/reconciler/dependencies.go
@@ -38,7 +38,7 @@
 	if c.dependencies.lookupPending || now.Before(c.dependencies.nextLookupAt) {
 		return
 	}
-	ids := c.dependencies.graph.Referenced()
+	ids := c.dependencies.graph.ReferencedJobs()
 	if len(ids) == 0 {
 		return
 	}
--- a/internal/reconciler/epoch_test.go
+++ b/internal/reconciler/epoch_test.go
@@ -23,7 +23,7 @@
 	}
 	for _, effect := range step(0, HeartbeatReceived{Heartbeat: heartbeatOf("n-1", 1, 1, 1)}) {
 		if commit, ok := effect.(Commit); ok {
-			step(0, CommitCompleted{Changes: commit.Changes, Outcome: OK})
+			step(0, CommitCompleted{Changes: commit.Changes, Outcome: OutcomeOK})
 		}
 	}
 	step(time.Second, HeartbeatReceived{Heartbeat: heartbeatOf("n-1", 1, 2, 1)}) // the last one to be answered
@@ -39,7 +39,7 @@
 	}
 	// The launch is delayed. Its answer shows that the worker has begun a new epoch.
 	first := step(500*time.Millisecond, CommandCompleted{
-		Machine: "n-1", Epoch: 1, Outcome: Refused, Heartbeat: heartbeatOf("n-1", 2, 1, 1),
+		Machine: "n-1", Epoch: 1, Outcome: OutcomeRefused, Heartbeat: heartbeatOf("n-1", 2, 1, 1),
 	})
 	if got := launches(first) + launches(step(100*time.Millisecond, Tick{})); got != 1 {
 		t.Fatalf("got %d launches in the new epoch, want 1", got)
--- a/internal/reconciler/events.go
+++ b/internal/reconciler/events.go
@@ -14,13 +14,13 @@
 // Outcome is the result of a request to a worker, the cloud or the state service.
 type Outcome uint8
 
-// The outcomes. Only after Unknown may the request still be executed.
+// The outcomes. Only after OutcomeUnknown may the request still be executed.
 const (
-	OK       Outcome = iota + 1
-	Refused          // answered with a refusal
-	NotSent          // not executed, and never will be
-	Unknown          // may have been executed, or may be executed later
-	Rejected         // can never be executed as it stands: too large, or malformed
+	OutcomeOK       Outcome = iota + 1
+	OutcomeRefused          // answered with a refusal
+	OutcomeNotSent          // not executed, and never will be
+	OutcomeUnknown          // may have been executed, or may be executed later
+	OutcomeRejected         // can never be executed as it stands: too large, or malformed
 )
 
 // The events.
@@ -60,7 +60,7 @@
 		Outcome      Outcome
 		Machines     []string
 	}
-	// ReleaseCompleted answers Release. The machines are gone if Outcome is OK.
+	// ReleaseCompleted answers Release. The machines are gone if Outcome is OutcomeOK.
 	ReleaseCompleted struct {
 		Machines []string
 		Outcome  Outcome
@@ -69,9 +69,10 @@
 	CommitCompleted struct {
 		Changes []record.Change
 		Outcome Outcome
-		Version uint64 // of the written records, if Outcome is OK
+		Version uint64 // of the written records, if Outcome is OutcomeOK
 	}
-	// FenceCompleted answers Fence. If Outcome is OK, no transaction that was sent before the fence will be executed.
+	// FenceCompleted answers Fence. If Outcome is OutcomeOK, no transaction that was sent before the fence will be
+	// executed.
 	FenceCompleted struct{ Outcome Outcome }
 	// AccountsReceived answers ReadAccounts with the accounts that could be read.
 	AccountsReceived struct {
@@ -85,8 +86,8 @@
 	}
 )
 
-// JobUpdated returns the event that reports an update of a job's records: JobAdded or JobEnded.
-func JobUpdated(update record.JobUpdate) Event {
+// JobUpdateEvent returns the event that reports an update of a job's records: JobAdded or JobEnded.
+func JobUpdateEvent(update record.JobUpdate) Event {
 	if update.Added != nil {
 		return JobAdded(*update.Added)
 	}
--- a/internal/reconciler/explain.go
+++ b/internal/reconciler/explain.go
@@ -25,7 +25,7 @@
 	Waiting     int               `json:"waiting"`
 	Reasons     []string          `json:"why,omitempty"`      // human-readable reasons why tasks are waiting
 	Machines    []MachineCount    `json:"machines,omitempty"` // whether machines can run one more task, and why not
-	Coming      []string          `json:"coming,omitempty"`   // booting or requested machines that could run a task
+	Incoming    []string          `json:"coming,omitempty"`   // booting or requested machines that could run a task
 	Remedies    []string          `json:"change,omitempty"`   // human-readable changes that would let tasks start
 	Placements  []PlacementReason `json:"placed,omitempty"`   // the first maxPlacements tasks that are on machines
 }
@@ -67,7 +67,7 @@
 	spec := job.Spec
 	explanation := &Explanation{
 		Job: id, Class: spec.Class, Team: spec.Team, Priority: job.EffectivePriority.String(), Tasks: spec.Tasks,
-		Done: job.Count(model.TaskDone), OnMachines: len(job.ActiveAttempts), Waiting: job.Waiting(),
+		Done: job.Count(model.TaskDone), OnMachines: len(job.ActiveAttempts), Waiting: job.WaitingTasks(),
 	}
 	if constraints := c.constraints.byJob[job]; constraints != nil && constraints.set != nil {
 		explanation.Constraints = constraints.set.ClauseTexts()
@@ -219,7 +219,7 @@
 // that could but that the cloud has recently refused to provision.
 func (c *Core) explainIncoming(now time.Time, request *scheduler.Request, explanation *Explanation) {
 	job := request.Job
-	canHostTask := func(class constraint.Class) bool {
+	canHostTask := func(class constraint.MachineClass) bool {
 		return constraint.SpecAllows(job.Spec, class) &&
 			request.Rules.AcceptsOffer(class.Type, class.Zone, class.Spot) &&
 			(job.Spec.Demand.GPU > 0 || job.MayUseGPUMachines || !c.gpus.reserves(class.Type, class.Spot))
@@ -236,9 +236,9 @@
 		}
 	}
 	for description, count := range incoming {
-		explanation.Coming = append(explanation.Coming, fmt.Sprintf("%d %s", count, description))
+		explanation.Incoming = append(explanation.Incoming, fmt.Sprintf("%d %s", count, description))
 	}
-	slices.Sort(explanation.Coming)
+	slices.Sort(explanation.Incoming)
 	var refusedClasses []string
 	for offer, until := range c.provisioning.refusedUntil {
 		if class := c.offerClass(offer.Type, offer.Zone, offer.Spot); now.Before(until) && canHostTask(class) {
@@ -251,8 +251,8 @@
 	}
 }
 
-func (c *Core) offerClass(machineType, zone string, spot bool) constraint.Class {
-	return constraint.Class{Type: c.machineType(machineType), Zone: zone, Spot: spot}
+func (c *Core) offerClass(machineType, zone string, spot bool) constraint.MachineClass {
+	return constraint.MachineClass{Type: c.machineType(machineType), Zone: zone, Spot: spot}
 }
 
 // explainPlacement describes why the scheduler chose the machine of an attempt.
--- a/internal/reconciler/faults.go
+++ b/internal/reconciler/faults.go
@@ -78,8 +78,9 @@
 	}
 }
 
-// exonerate removes the errors of a cancelled job from its machines, since they are no longer evidence against them.
-func (c *Core) exonerate(job *model.Job) {
+// clearJobErrors removes the errors of a cancelled job from its machines, since they are no longer evidence against
+// them.
+func (c *Core) clearJobErrors(job *model.Job) {
 	for name := range job.MachinesWithErrors {
 		if machine := c.machines[name]; machine != nil {
 			delete(machine.ErrorsByJob, job.Spec.ID)
--- a/internal/reconciler/finished.go
+++ b/internal/reconciler/finished.go
@@ -6,7 +6,7 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// finishedTasks tracks the jobs that have finished tasks not yet written to the state store. These tasks are written
+// finishedTasks tracks the jobs that have finished tasks not yet written to the state service. These tasks are written
 // in batches.
 type finishedTasks struct {
 	dirtyJobs map[string]bool // by job ID
--- a/internal/reconciler/gpu.go
+++ b/internal/reconciler/gpu.go
@@ -3,7 +3,7 @@
 import "github.com/glentiller/glentiller/internal/model"
 
 // gpuReservations determines the machine types that are reserved for GPU tasks. The GPU demands that were seen are
-// kept in the state store. Otherwise a new leader without a current GPU job would use, or provision, the most
+// kept in the state service. Otherwise a new leader without a current GPU job would use, or provision, the most
 // expensive machines for tasks that need no GPU.
 type gpuReservations struct {
 	demands        map[model.Resources]bool    // distinct resource demands that include GPUs
@@ -27,7 +27,7 @@
 	return true
 }
 
-// restore adds a demand that was read from the state store.
+// restore adds a demand that was read from the state service.
 func (g *gpuReservations) restore(demand model.Resources) { g.demands[demand] = true }
 
 // beginPass clears the cached results, because the catalog and the demands may have changed.
--- a/internal/reconciler/heartbeat_property_test.go
+++ b/internal/reconciler/heartbeat_property_test.go
@@ -75,9 +75,9 @@
 	s.unanswered = s.unanswered[1:]
 	completed := CommandCompleted{
 		Machine: sent.Machine, Epoch: sent.Epoch, Commands: sent.Commands,
-		Outcome: rapid.SampledFrom([]Outcome{OK, Refused, Unknown}).Draw(r, "outcome"),
+		Outcome: rapid.SampledFrom([]Outcome{OutcomeOK, OutcomeRefused, OutcomeUnknown}).Draw(r, "outcome"),
 	}
-	if completed.Outcome == OK {
+	if completed.Outcome == OutcomeOK {
 		completed.Heartbeat = s.drawHeartbeat(r)
 	}
 	s.step(0, completed)
--- a/internal/reconciler/heartbeats.go
+++ b/internal/reconciler/heartbeats.go
@@ -72,7 +72,7 @@
 
 // mayBeFromReleasedMachine reports whether a heartbeat may be a delayed copy from a machine that an earlier leader
 // has released. Such a machine has to answer a probe first. Otherwise tasks would be placed on it until it had been
-// silent for long enough to be released.
+// unresponsive for long enough to be released.
 func (c *Core) mayBeFromReleasedMachine(machine *model.Machine, heartbeat *model.Heartbeat) bool {
 	return machine.State == model.MachineBooting && machine.Detector.State >= liveness.Suspect &&
 		heartbeat.FencingToken < c.fencingToken
@@ -160,7 +160,7 @@
 	lastSeen := machine.LastSeen
 	machine.Epoch, machine.Seq, machine.FencingToken = heartbeat.Epoch, heartbeat.Seq, heartbeat.FencingToken
 	machine.LastSeen, machine.Addr = now, heartbeat.Addr
-	if heartbeat.Type != machine.Type.Name || !inCatalog(machine.Type) {
+	if heartbeat.Type != machine.Type.Name || !isListedInCatalog(machine.Type) {
 		machine.Type = c.machineType(heartbeat.Type)
 	}
 	machine.Zone, machine.Spot = heartbeat.Zone, heartbeat.Spot
--- a/internal/reconciler/jobs.go
+++ b/internal/reconciler/jobs.go
@@ -71,10 +71,10 @@
 		c.commits.add(record.Change{Kind: record.DeleteTasks, Job: id, Chunk: chunk})
 	}
 	for _, key := range job.DependencyKeys {
-		c.commits.add(record.Change{Kind: record.DeleteDependencies, Job: id, Key: key})
+		c.commits.add(record.Change{Kind: record.DeleteDependencies, Job: id, DependencyKey: key})
 	}
 	if outcome != model.OutcomeDone {
-		c.exonerate(job)
+		c.clearJobErrors(job)
 	}
 	c.accounting.stopWaiting(now, job)
 	c.dequeue(job)
@@ -87,7 +87,7 @@
 // completeTask marks a task as done, schedules its record to be written, and ends the job if it was the last task.
 // Tasks of services never complete.
 func (c *Core) completeTask(now time.Time, job *model.Job, index int) {
-	if job.Task(index) == model.TaskDone || job.Spec.Shape == model.Service {
+	if job.StateOf(index) == model.TaskDone || job.Spec.Shape == model.Service {
 		return
 	}
 	job.SetTask(index, model.TaskDone)
@@ -108,12 +108,12 @@
 		kind = record.CancelDependent
 		c.log.Info("cancelling job because its dependency was cancelled", "id", job.Spec.ID,
 			"dependency", job.Dependency.DecidedBy)
-	case job.Unfinished() > 0:
+	case job.UnfinishedTasks() > 0:
 		return
 	}
 	if job.Transition(model.JobCompleting) {
 		c.commits.add(record.Change{
-			Kind: kind, Job: job.Spec.ID, Version: job.RecordVersion, Tasks: job.Spec.Tasks, At: now,
+			Kind: kind, Job: job.Spec.ID, Version: job.RecordVersion, Tasks: job.Spec.Tasks, EndedAt: now,
 		})
 		c.finished.remove(job.Spec.ID)
 	}
--- a/internal/reconciler/liveness.go
+++ b/internal/reconciler/liveness.go
@@ -162,9 +162,10 @@
 	return true
 }
 
-// trustedAlive reports whether a machine's liveness allows tasks to be placed on it. If many machines are suspects at
-// once, unanswered probes alone do not count against them, since the fault is then likely this controller's.
-func (c *Core) trustedAlive(machine *model.Machine) bool {
+// livenessAllowsPlacement reports whether a machine's liveness allows tasks to be placed on it. If many machines are
+// suspects at once, unanswered probes alone do not count against them, since the fault is then likely this
+// controller's.
+func (c *Core) livenessAllowsPlacement(machine *model.Machine) bool {
 	limit := max(1, c.settings.MaxUnresponsiveShare*float64(len(c.machines)))
 	many := float64(len(c.liveness.suspects)) > limit
 	return machine.Detector.State < liveness.Suspect || !machine.Detector.Conclusive() && many
--- a/internal/reconciler/liveness_test.go
+++ b/internal/reconciler/liveness_test.go
@@ -31,7 +31,7 @@
 	s := newWorkerScenario(t, &record.Snapshot{})
 	s.register("n-1", "n-2")
 	name, task := s.addJob("wk-1")
-	s.completeLaunch(name, task, OK, heartbeatOf(name, 1, 30, 1, task))
+	s.completeLaunch(name, task, OutcomeOK, heartbeatOf(name, 1, 30, 1, task))
 	s.heartbeat(time.Second, heartbeatOf(name, 1, 50, 1, task))
 	s.heartbeat(time.Second, heartbeatOf(name, 1, 1, 0)) // sent after a restart
 	if m := s.core.machines[name]; !s.responseRefused() || m.ActiveCount != 1 {
@@ -39,10 +39,10 @@
 			s.responseRefused(), m.ActiveCount)
 	}
 	s.answerProbe(heartbeatOf(name, 1, 2, 1))
-	m, waiting := s.core.machines[name], s.core.jobs["wk-1"].Waiting()
-	if m.Numbering != liveness.Restarted || m.ActiveCount != 0 || waiting != 1 {
+	m, waiting := s.core.machines[name], s.core.jobs["wk-1"].WaitingTasks()
+	if m.Numbering != liveness.NumbersRestarted || m.ActiveCount != 0 || waiting != 1 {
 		t.Fatalf("after the probe's answer: got %v, %d attempts, %d waiting; want %v, 0, 1",
-			m.Numbering, m.ActiveCount, waiting, liveness.Restarted)
+			m.Numbering, m.ActiveCount, waiting, liveness.NumbersRestarted)
 	}
 	s.step(time.Second, Tick{})
 	if _, again := s.placementOf("wk-1"); again.Number == task.Number || again.Number == 0 {
@@ -59,7 +59,7 @@
 	s := newWorkerScenario(t, &record.Snapshot{})
 	s.register("n-1")
 	name, task := s.addJob("wk-1")
-	s.completeLaunch(name, task, Unknown, nil)
+	s.completeLaunch(name, task, OutcomeUnknown, nil)
 	s.heartbeat(time.Second, heartbeatOf(name, 1, 50, 1, task))
 	s.heartbeat(time.Second, heartbeatOf(name, 1, 1, 0))
 	s.answerProbe(heartbeatOf(name, 1, 2, 1))
@@ -81,9 +81,9 @@
 		t.Fatalf("after a heartbeat of the former incarnation: got %d attempts, want 1", got)
 	}
 	s.answerProbe(heartbeatOf("n-1", 1, 6, 1, task))
-	if m := s.core.machines["n-1"]; m.ActiveCount != 1 || m.Numbering != liveness.Restarted || m.Unreconciled {
+	if m := s.core.machines["n-1"]; m.ActiveCount != 1 || m.Numbering != liveness.NumbersRestarted || m.Unreconciled {
 		t.Errorf("after the probe's answer: got %d attempts, %v, unreconciled %v; want 1, %v, false",
-			m.ActiveCount, m.Numbering, m.Unreconciled, liveness.Restarted)
+			m.ActiveCount, m.Numbering, m.Unreconciled, liveness.NumbersRestarted)
 	}
 	// An attempt that is really gone is dropped when the next probe is answered.
 	s.heartbeat(time.Second, heartbeatOf("n-1", 1, 7, 1))
@@ -108,8 +108,8 @@
 	}
 	checkLease("new incarnation")
 	s.answerProbe(heartbeatOf("n-1", 1, 4, 1))
-	if m := s.core.machines["n-1"]; m.Numbering != liveness.Restarted || m.Seq != 4 {
-		t.Errorf("got %v, sequence number %d; want %v, 4", m.Numbering, m.Seq, liveness.Restarted)
+	if m := s.core.machines["n-1"]; m.Numbering != liveness.NumbersRestarted || m.Seq != 4 {
+		t.Errorf("got %v, sequence number %d; want %v, 4", m.Numbering, m.Seq, liveness.NumbersRestarted)
 	}
 	checkLease("answer that may be of a new incarnation")
 }
@@ -154,7 +154,7 @@
 	name, _ := s.addJob("wk-1")
 	s.loseCommands()
 	other := map[string]string{"n-1": "n-2", "n-2": "n-1"}[name]
-	s.unresponsive(6*time.Second, name, 10)
+	s.simulateUnresponsive(6*time.Second, name, 10)
 	if got := s.core.machines[name].Detector.State; got != liveness.Suspect {
 		t.Fatalf("after three heartbeats without the launch: got %v, want %v", got, liveness.Suspect)
 	}
@@ -162,7 +162,7 @@
 	if on, _ := s.addJob("wk-2"); on != other {
 		t.Errorf("second job placed on %q, want %q", on, other)
 	}
-	s.unresponsive(8*time.Second, name, 20)
+	s.simulateUnresponsive(8*time.Second, name, 20)
 	m := s.core.machines[name]
 	if m.State != model.MachineReleasing || m.StateReason != "deaf" || m.ActiveCount != 1 {
 		t.Errorf("got %v (%s), %d attempts; want %v (%s), 1",
@@ -170,7 +170,7 @@
 	}
 }
 
-// A worker that receives no answers switches from member to member. Its failure therefore shows in relayed
+// A worker that receives no responses switches from member to member. Its failure therefore shows in relayed
 // heartbeats, and the leader receives direct ones less often than once per lease.
 func TestUnresponsiveMachineIsDetectedThroughRelayedHeartbeats(t *testing.T) {
 	s := newWorkerScenario(t, &record.Snapshot{})
@@ -187,7 +187,7 @@
 	if s.core.placeable(s.now, s.core.machines["n-1"]) {
 		t.Error("tasks may be placed on a suspect")
 	}
-	// A worker that receives its answers through another member keeps its epoch, and is trusted again.
+	// A worker that receives its responses through another member keeps its epoch, and is trusted again.
 	for seq := uint64(4); seq < 12; seq++ {
 		s.step(2*time.Second, HeartbeatReceived{Heartbeat: heartbeatOf("n-1", 1, seq, 1), Relayed: true})
 		s.loseCommands()
@@ -208,7 +208,7 @@
 	s.register("n-1", "n-2", "n-3")
 	name, task := s.addJob("wk-1")
 	s.loseCommands()
-	s.unresponsive(5*time.Second, name, 10)
+	s.simulateUnresponsive(5*time.Second, name, 10)
 	s.heartbeat(2*time.Second, heartbeatOf(name, 1, 30, 1, task)) // shows that the launch has arrived after all
 	if m := s.core.machines[name]; m.Detector.State != liveness.Alive || !s.core.placeable(s.now, m) {
 		t.Errorf("got %v (%s), want %v and placeable",
@@ -244,15 +244,15 @@
 	s := newWorkerScenario(t, &record.Snapshot{})
 	s.register("n-1")
 	_, task := s.addJob("wk-1")
-	s.completeLaunch("n-1", task, OK, heartbeatOf("n-1", 1, 30, 1, task))
+	s.completeLaunch("n-1", task, OutcomeOK, heartbeatOf("n-1", 1, 30, 1, task))
 	exited := func(seq uint64) *model.Heartbeat { return exitOf("n-1", 1, seq, task, model.CauseError) }
 	seq := uint64(40)
 	for end := s.now.Add(34 * time.Second); s.now.Before(end); seq++ {
-		if s.heartbeat(2*time.Second, exited(seq)); s.forgets(task) {
+		if s.heartbeat(2*time.Second, exited(seq)); s.toldToForget(task) {
 			t.Fatal("attempt forgotten while its launch may still be repeated")
 		}
 	}
-	if s.heartbeat(4*time.Second, exited(seq)); !s.forgets(task) {
+	if s.heartbeat(4*time.Second, exited(seq)); !s.toldToForget(task) {
 		t.Error("attempt not forgotten after three leases")
 	}
 }
--- a/internal/reconciler/machines.go
+++ b/internal/reconciler/machines.go
@@ -11,15 +11,15 @@
 const maxClockDrift = 0.001
 
 const (
-	unknownCPUs    = 1e-9 // capacity of a machine type that the catalog does not list, so that no task fits
-	minCatalogCPUs = 1e-6 // every type in the catalog has more CPUs than this
+	unlistedTypeCPUs = 1e-9 // capacity of a machine type that the catalog does not list, so that no task fits
+	minCatalogCPUs   = 1e-6 // every type in the catalog has more CPUs than this
 )
 
 // The reasons for draining or releasing a machine. Logs and explanations show these values, and docs/operators.md
 // lists them.
 const (
 	reasonBootTimeout  = "boot"
-	reasonSilent       = "silent"
+	reasonNoHeartbeat  = "silent"
 	reasonUnresponsive = "deaf"
 	reasonFaulty       = "sick"
 	reasonIdle         = "idle"
@@ -57,11 +57,13 @@
 			return &c.machineTypes[i]
 		}
 	}
-	return &model.MachineType{Name: name, Capacity: model.Resources{CPU: unknownCPUs}}
+	return &model.MachineType{Name: name, Capacity: model.Resources{CPU: unlistedTypeCPUs}}
 }
 
-// inCatalog reports whether the catalog lists a type that machineType returned.
-func inCatalog(machineType *model.MachineType) bool { return machineType.Capacity.CPU > minCatalogCPUs }
+// isListedInCatalog reports whether the catalog lists a type that machineType returned.
+func isListedInCatalog(machineType *model.MachineType) bool {
+	return machineType.Capacity.CPU > minCatalogCPUs
+}
 
 // leaseExpiry returns the time at which a worker's lease has certainly expired if its last answered heartbeat was
 // received at the given time. The worker counts its lease from when it sent the heartbeat, which was earlier.
--- a/internal/reconciler/partitions.go
+++ b/internal/reconciler/partitions.go
@@ -5,34 +5,34 @@
 // allZones is the key under which all zones together are counted.
 const allZones = ""
 
-// isolationMargin is the time by which the silence of all machines has to exceed the limit for a single machine
-// before the leader considers itself isolated.
+// isolationMargin is the time beyond UnresponsiveAfter that has to pass without a heartbeat of any machine before the
+// leader considers itself isolated.
 const isolationMargin = 2 * time.Second
 
-// partitionDetector detects zones in which so many machines are silent that a network partition is more likely than
-// their failure.
+// partitionDetector detects zones in which so many machines are unresponsive that a network partition is more likely
+// than their failure.
 type partitionDetector struct {
-	detectedAt          map[string]time.Time // by zone: the last time at which most of its machines were silent
-	silenceIgnoredUntil time.Time            // silence is not counted against machines until this time
+	detectedAt           map[string]time.Time // by zone: the last time at which too many machines were unresponsive
+	timeoutsIgnoredUntil time.Time            // missing heartbeats are disregarded until this time
 }
 
-// zoneSilence counts the machines of a zone that are up, and how many of them have not sent a heartbeat recently.
-type zoneSilence struct{ up, silent int }
+// zoneHeartbeats counts the machines of a zone that are up, and how many of them have not sent a heartbeat recently.
+type zoneHeartbeats struct{ up, overdue int }
 
 func newPartitionDetector(now time.Time, settings *Settings) partitionDetector {
 	detector := partitionDetector{detectedAt: map[string]time.Time{}}
-	detector.resetSilence(now, settings.UnresponsiveAfter)
+	detector.resetHeartbeatTimeouts(now, settings.UnresponsiveAfter)
 	return detector
 }
 
-// resetSilence disregards all silence until now, since workers could not send heartbeats.
-func (d *partitionDetector) resetSilence(now time.Time, unresponsiveAfter time.Duration) {
-	d.silenceIgnoredUntil = now.Add(unresponsiveAfter)
+// resetHeartbeatTimeouts disregards all missing heartbeats until now, since workers could not send any.
+func (d *partitionDetector) resetHeartbeatTimeouts(now time.Time, unresponsiveAfter time.Duration) {
+	d.timeoutsIgnoredUntil = now.Add(unresponsiveAfter)
 }
 
-// silenceIsEvidence reports whether the silence of a machine counts as evidence of its failure at present.
-func (d *partitionDetector) silenceIsEvidence(now time.Time) bool {
-	return now.After(d.silenceIgnoredUntil)
+// heartbeatTimeoutsValid reports whether missing heartbeats of a machine count as evidence of its failure at present.
+func (d *partitionDetector) heartbeatTimeoutsValid(now time.Time) bool {
+	return now.After(d.timeoutsIgnoredUntil)
 }
 
 // recentlyPartitioned reports whether a zone, or all zones together, showed a partition less than the given time ago.
@@ -41,14 +41,14 @@
 }
 
 // update evaluates the current counts and returns the partitioned zones. maxShare is the share of a zone's machines
-// above which their silence indicates a partition. A zone counts as partitioned until retention has passed since the
-// last indication, because most of its workers may have found another path while the last ones are still looking for
-// one.
+// above which their missing heartbeats indicate a partition. A zone counts as partitioned until retention has passed
+// since the last indication, because most of its workers may have found another path while the last ones are still
+// looking for one.
 func (d *partitionDetector) update(
-	now time.Time, zones map[string]*zoneSilence, maxShare float64, retention time.Duration,
+	now time.Time, zones map[string]*zoneHeartbeats, maxShare float64, retention time.Duration,
 ) map[string]bool {
 	for zone, count := range zones {
-		if count.silent > 1 && float64(count.silent) > maxShare*float64(count.up) {
+		if count.overdue > 1 && float64(count.overdue) > maxShare*float64(count.up) {
 			d.detectedAt[zone] = now
 		}
 	}
@@ -61,17 +61,17 @@
 	return partitioned
 }
 
-func (count *zoneSilence) add(silent bool) {
+func (count *zoneHeartbeats) add(overdue bool) {
 	count.up++
-	if silent {
-		count.silent++
+	if overdue {
+		count.overdue++
 	}
 }
 
-// partitionedZones returns the zones that are probably cut off. Their machines are not released for being silent,
+// partitionedZones returns the zones that are probably partitioned. Their machines are not released as unresponsive,
 // since their workers are probably healthy and about to find another path to a controller.
 func (c *Core) partitionedZones(now time.Time) map[string]bool {
-	zones := map[string]*zoneSilence{allZones: {}}
+	zones := map[string]*zoneHeartbeats{allZones: {}}
 	all := zones[allZones]
 	for _, machine := range c.machines {
 		if !isUp(machine) {
@@ -79,25 +79,25 @@
 		}
 		zone := zones[machine.Zone]
 		if zone == nil {
-			zone = &zoneSilence{}
+			zone = &zoneHeartbeats{}
 			zones[machine.Zone] = zone
 		}
-		silent := now.Sub(machine.LastHeartbeat) > c.settings.UnresponsiveAfter/2
-		zone.add(silent)
+		overdue := now.Sub(machine.LastHeartbeat) > c.settings.UnresponsiveAfter/2
+		zone.add(overdue)
 		if zone != all {
-			all.add(silent)
+			all.add(overdue)
 		}
 	}
 	return c.partitions.update(now, zones, c.settings.MaxUnresponsiveShare, c.settings.WorkerLease)
 }
 
-// Isolated reports whether this controller is probably cut off, so that another one should lead: there are several
+// Isolated reports whether this controller is probably partitioned, so that another one should lead: there are several
 // machines, and either none has sent a heartbeat for a long time, or none appears to receive this leader's messages.
 func (c *Core) Isolated(now time.Time) bool {
 	if c.outboundIsolated(now) {
 		return true
 	}
-	if now.Before(c.partitions.silenceIgnoredUntil.Add(isolationMargin)) {
+	if now.Before(c.partitions.timeoutsIgnoredUntil.Add(isolationMargin)) {
 		return false
 	}
 	up := 0
--- a/internal/reconciler/pass.go
+++ b/internal/reconciler/pass.go
@@ -11,7 +11,7 @@
 // leave most of the time for heartbeats and for the renewal of the leadership lease.
 type passTimer struct {
 	needed              bool          // the view has changed since the last pass
-	lastAt              time.Time     // start of the last pass
+	lastStartedAt       time.Time     // start of the last pass
 	minPause            time.Duration // minimum time between the starts of two passes, derived from the last duration
 	ranPass             bool          // the last step ran a pass
 	startsPaused        bool          // no task may be started
@@ -25,7 +25,7 @@
 
 // earliestStart returns the earliest start of the next pass. interval is the configured minimum time between passes.
 func (p *passTimer) earliestStart(interval time.Duration) time.Time {
-	return p.lastAt.Add(max(interval, p.minPause))
+	return p.lastStartedAt.Add(max(interval, p.minPause))
 }
 
 // next returns the time at which the next pass is due. ok is false if no pass is needed or starts are paused.
@@ -45,7 +45,7 @@
 func (p *passTimer) request() { p.needed = true }
 
 // begin records the start of a pass.
-func (p *passTimer) begin(now time.Time) { p.needed, p.lastAt, p.ranPass = false, now, true }
+func (p *passTimer) begin(now time.Time) { p.needed, p.lastStartedAt, p.ranPass = false, now, true }
 
 // pauseStarts pauses or resumes the starting of tasks, and reports whether that is a change.
 func (p *passTimer) pauseStarts(paused bool) (changed bool) {
@@ -71,7 +71,7 @@
 		return
 	}
 	input := c.schedulerInput(now)
-	c.logServicesRestored(now, input.Requests)
+	c.logUrgentTasksRestored(now, input.Requests)
 	if len(input.Requests) == 0 {
 		c.chargeWaiting(now, nil)
 		c.consolidate(now, input)
--- a/internal/reconciler/provisioning.go
+++ b/internal/reconciler/provisioning.go
@@ -147,7 +147,7 @@
 	} else if left < 0 {
 		left = estimate / 2 // the task has exceeded its estimate, so its remaining time is a guess
 	}
-	return left < time.Duration(c.settings.Autoscaler.LookaheadBoots*float64(machineType.BootTime))
+	return left < time.Duration(c.settings.Autoscaler.LookaheadBootTimes*float64(machineType.BootTime))
 }
 
 // retryProvisioning repeats requests whose outcome is unknown, under their original names.
@@ -164,7 +164,7 @@
 // the cloud provides fewer machines than requested, the offer is not requested again during the back-off period.
 func (c *Core) provisionCompleted(now time.Time, event ProvisionCompleted) {
 	request := event.Provisioning
-	if event.Outcome == Unknown || event.Outcome == NotSent {
+	if event.Outcome == OutcomeUnknown || event.Outcome == OutcomeNotSent {
 		c.provisioning.retryAt[request.Name] = now.Add(provisionRetryDelay)
 		return
 	}
--- a/internal/reconciler/releases.go
+++ b/internal/reconciler/releases.go
@@ -53,11 +53,11 @@
 	}
 }
 
-// releaseCompleted removes the machines that the cloud has released. After any outcome other than OK, the release is
-// requested again by a later sweep.
+// releaseCompleted removes the machines that the cloud has released. After any outcome other than OutcomeOK, the
+// release is requested again by a later sweep.
 func (c *Core) releaseCompleted(now time.Time, event ReleaseCompleted) {
 	c.releases.completed(now)
-	if event.Outcome != OK {
+	if event.Outcome != OutcomeOK {
 		return
 	}
 	for _, name := range event.Machines {
--- a/internal/reconciler/scenario_test.go
+++ b/internal/reconciler/scenario_test.go
@@ -75,7 +75,7 @@
 	s.effects = slices.Clone(s.core.Step(s.now, event))
 	for _, effect := range s.effects {
 		if commit, ok := effect.(Commit); ok {
-			s.core.Step(s.now, CommitCompleted{Changes: commit.Changes, Outcome: OK})
+			s.core.Step(s.now, CommitCompleted{Changes: commit.Changes, Outcome: OutcomeOK})
 		}
 	}
 }
@@ -119,7 +119,7 @@
 	for _, effect := range s.effects {
 		if probe, ok := effect.(SendCommands); ok && probe.Machine == heartbeat.Machine && len(probe.Commands) == 0 {
 			s.step(10*time.Millisecond, CommandCompleted{
-				Machine: probe.Machine, Epoch: probe.Epoch, Outcome: OK, Heartbeat: heartbeat,
+				Machine: probe.Machine, Epoch: probe.Epoch, Outcome: OutcomeOK, Heartbeat: heartbeat,
 			})
 			return
 		}
@@ -142,15 +142,17 @@
 	for _, effect := range s.effects {
 		if sent, ok := effect.(SendCommands); ok {
 			s.step(0, CommandCompleted{
-				Machine: sent.Machine, Epoch: sent.Epoch, Commands: sent.Commands, Outcome: Unknown,
+				Machine: sent.Machine, Epoch: sent.Epoch, Commands: sent.Commands, Outcome: OutcomeUnknown,
 			})
 		}
 	}
 }
 
-// unresponsive simulates a machine that sends heartbeats for a duration but carries out no commands and answers no
-// probes. seq is the sequence number of the first heartbeat.
-func (s *workerScenario) unresponsive(d time.Duration, machine string, seq uint64, running ...model.AttemptKey) {
+// simulateUnresponsive simulates a machine that sends heartbeats for a duration but carries out no commands and answers
+// no probes. seq is the sequence number of the first heartbeat.
+func (s *workerScenario) simulateUnresponsive(
+	d time.Duration, machine string, seq uint64, running ...model.AttemptKey,
+) {
 	for end := s.now.Add(d); s.now.Before(end); seq++ {
 		s.heartbeat(2*time.Second, heartbeatOf(machine, 1, seq, 1, running...))
 		s.loseCommands()
@@ -169,8 +171,8 @@
 	return false
 }
 
-// forgets reports whether the response to the heartbeat of the last step tells the worker to forget an attempt.
-func (s *workerScenario) forgets(key model.AttemptKey) bool {
+// toldToForget reports whether the response to the heartbeat of the last step tells the worker to forget an attempt.
+func (s *workerScenario) toldToForget(key model.AttemptKey) bool {
 	for _, effect := range s.effects {
 		if response, ok := effect.(HeartbeatResponse); ok {
 			for _, command := range response.Commands {
--- a/internal/reconciler/schedulerinput.go
+++ b/internal/reconciler/schedulerinput.go
@@ -67,7 +67,7 @@
 		if team == nil || !startable(job) {
 			continue
 		}
-		demand[spec.Team] = demand[spec.Team].Add(spec.Demand.Times(job.Unfinished()))
+		demand[spec.Team] = demand[spec.Team].Add(spec.Demand.Times(job.UnfinishedTasks()))
 		guaranteed[job] = team.WithinGuarantee(demand[spec.Team])
 	}
 	return guaranteed
@@ -76,7 +76,7 @@
 // addRequests adds requests for the waiting tasks of a job that may be started now. Each task state gets a request of
 // its own; a gang is a single request.
 func (c *Core) addRequests(now time.Time, input *scheduler.Snapshot, job *model.Job, guaranteed bool) {
-	if !startable(job) || job.Waiting() == 0 || !c.constraints.readable(job) {
+	if !startable(job) || job.WaitingTasks() == 0 || !c.constraints.readable(job) {
 		return
 	}
 	if c.mayAlreadyRun(job) || now.Before(job.RetryNotBefore) {
@@ -95,14 +95,14 @@
 	}
 	add := func(state model.TaskState, restart, started bool, count int) {
 		request := template
-		request.TaskState, request.Restart, request.Count, request.MaxTasks = state, restart, count, count
+		request.TaskState, request.Restart, request.PendingTasks, request.MaxStarts = state, restart, count, count
 		request.Slack, request.HasDeadline = c.slack(now, job, started, 0)
 		input.Requests = append(input.Requests, &request)
 	}
 	if isGang {
 		state := waitingGangState(job)
 		restart := state == model.TaskRetry
-		add(state, restart, restart, job.Unfinished())
+		add(state, restart, restart, job.UnfinishedTasks())
 		return
 	}
 	for _, state := range []model.TaskState{model.TaskRetry, model.TaskNew, model.TaskPreempted} {
@@ -141,7 +141,7 @@
 		return "given back"
 	case machine.Unreconciled || machine.State != model.MachineReady:
 		return "not known yet what runs on it since the takeover"
-	case !machine.Registered:
+	case !machine.RecordDurable:
 		return "its record is not written yet"
 	case machine.Epoch <= machine.ExpiredEpoch:
 		return "its worker's lease has run out"
@@ -149,7 +149,7 @@
 		return "its worker is silent"
 	case !machine.QuarantinedSince.IsZero():
 		return "several jobs have failed on it, and it is not known yet which of them is at fault"
-	case !c.trustedAlive(machine):
+	case !c.livenessAllowsPlacement(machine):
 		return "it seems not to hear this controller: " + machine.Detector.Reason
 	}
 	return ""
--- a/internal/reconciler/settings.go
+++ b/internal/reconciler/settings.go
@@ -33,7 +33,7 @@
 	MachineListInterval  time.Duration // time between requests for the cloud's machine list
 	CatalogInterval      time.Duration // time between requests for the catalog of machine types
 	UnresponsiveAfter    time.Duration // a machine that sends no heartbeat for this long is released,
-	MaxUnresponsiveShare float64       // unless more than this share of its zone or of all machines is silent
+	MaxUnresponsiveShare float64       // unless more than this share of its zone or of all machines is unresponsive
 	Backoff              time.Duration // delay of a job after failed tasks, which doubles with further failures
 	MaxBackoff           time.Duration
 	MachineFaultErrors   int           // number of failing jobs that show that a machine is faulty
--- a/internal/reconciler/settlements.go
+++ b/internal/reconciler/settlements.go
@@ -45,12 +45,12 @@
 	}), true
 }
 
-// takeOwnCommit takes the queued change at index first, which needs its own transaction, and returns the changes of
-// that transaction and the remaining ones. Settlements share a transaction. Each of them has its own condition; if
+// takeOwnTransaction takes the queued change at index first, which needs its own transaction, and returns the changes
+// of that transaction and the remaining ones. Settlements share a transaction. Each of them has its own condition; if
 // one condition fails, all their accounts are read and the settlements are sent again. A settlement is created here,
 // when its transaction is about to be sent, from everything charged so far. A settlement that was sent before is not
 // changed.
-func (c *Core) takeOwnCommit(now time.Time, first int) (batch, rest []record.Change) {
+func (c *Core) takeOwnTransaction(now time.Time, first int) (batch, rest []record.Change) {
 	firstChange := c.commits.changes[first]
 	if firstChange.Kind == record.SettleAccount {
 		c.chargeAll(now)
@@ -99,18 +99,18 @@
 	switch {
 	case settlement == nil:
 		return nil
-	case settlement.Empty():
-		c.accounting.ledger.Discard(team)
+	case settlement.IsEmpty():
+		c.accounting.ledger.DiscardEmptySettlement(team)
 		return nil
 	}
 	return []record.Change{{Kind: record.SettleAccount, Team: team, Settlement: settlement}}
 }
 
-// deferRefusedEnds handles a refused transaction that contained the end of a job and a settlement of its team's
+// deferRefusedJobEnds handles a refused transaction that contained the end of a job and a settlement of its team's
 // account. Either may have caused the refusal. The end of the job is deferred until the account is reconciled and
-// then committed in its own transaction; the usage of the job is part of the settlement before it. deferRefusedEnds
+// then committed in its own transaction; the usage of the job is part of the settlement before it. deferRefusedJobEnds
 // returns the remaining changes.
-func (a *accounting) deferRefusedEnds(changes []record.Change) []record.Change {
+func (a *accounting) deferRefusedJobEnds(changes []record.Change) []record.Change {
 	if a == nil || len(changes) < 2 {
 		return changes
 	}
@@ -144,13 +144,13 @@
 func (a *accounting) changeCompleted(now time.Time, change record.Change, event CommitCompleted) {
 	if change.Kind == record.CompactAccount {
 		a.compactionPending = false
-		if event.Outcome != OK {
+		if event.Outcome != OutcomeOK {
 			delete(a.teamsToCompact, change.Compaction.Result.Team) // reconsidered when the next segment is closed
 		}
 		return
 	}
 	open, closed := &change.Settlement.Open, change.Settlement.Closed
-	if event.Outcome != OK {
+	if event.Outcome != OutcomeOK {
 		a.ledger.SettlementRefused(now, open.Team)
 		return
 	}
@@ -159,7 +159,7 @@
 		"with_job_end", len(event.Changes) > 1, "closed", closed != nil)
 	if closed != nil {
 		a.log.Info("ledger segment closed", "team", open.Team, "segment", closed.First, "hour", closed.Start,
-			"sum", closed.Sum)
+			"sum", closed.Hash)
 		a.teamsToCompact[open.Team] = true
 	}
 }
--- a/internal/reconciler/status.go
+++ b/internal/reconciler/status.go
@@ -42,7 +42,7 @@
 	}
 	for _, job := range c.jobs {
 		class := job.Spec.Class
-		if waiting := job.Waiting(); waiting > 0 && job.Dependency.State == model.DependencySatisfied {
+		if waiting := job.WaitingTasks(); waiting > 0 && job.Dependency.State == model.DependencySatisfied {
 			summary.waitingTasks[class] += waiting
 		} else if waiting > 0 {
 			summary.blockedJobs[class]++
@@ -92,7 +92,7 @@
 	}
 	summaryTexts := make(map[string]string, len(summaries))
 	for name, summary := range summaries {
-		used := 100 * summary.used / max(summary.cpus, unknownCPUs)
+		used := 100 * summary.used / max(summary.cpus, unlistedTypeCPUs)
 		summaryTexts[name] = fmt.Sprintf("%d(%.0f%%)", summary.count, used)
 	}
 	return summaryTexts
--- a/internal/reconciler/sweep.go
+++ b/internal/reconciler/sweep.go
@@ -24,7 +24,7 @@
 			c.endIfFinished(now, job)
 		}
 	}
-	if now.Sub(c.passes.lastAt) > maxPassAge {
+	if now.Sub(c.passes.lastStartedAt) > maxPassAge {
 		c.passes.request()
 	}
 }
@@ -87,28 +87,28 @@
 	}
 	switch {
 	case machine.Unreconciled && machine.ProbeUnanswered && c.fewUnreconciled():
-		return reasonSilent, true
-	case now.Sub(machine.LastHeartbeat) > c.settings.UnresponsiveAfter && c.partitions.silenceIsEvidence(now) &&
+		return reasonNoHeartbeat, true
+	case now.Sub(machine.LastHeartbeat) > c.settings.UnresponsiveAfter && c.partitions.heartbeatTimeoutsValid(now) &&
 		!partitioned[machine.Zone] && !partitioned[allZones]:
-		return reasonSilent, true
-	case machine.Detector.State == liveness.Failed && isMinority(len(c.liveness.suspects), len(c.machines)):
+		return reasonNoHeartbeat, true
+	case machine.Detector.State == liveness.Failed && likelyMachineFault(len(c.liveness.suspects), len(c.machines)):
 		return reasonUnresponsive, true
 	case machine.Unreconciled || machine.ActiveCount > 0:
 		return "", false
 	case machine.State == model.MachineDraining:
 		return machine.StateReason, true
-	case c.mayReconnect(now, machine):
+	case c.isRecentlyUnreachable(now, machine):
 		return "", false
 	}
 	empty, age := now.Sub(machine.EmptySince), now.Sub(machine.RequestedAt)
 	return reasonIdle, c.settings.Autoscaler.ShouldRelease(machine.Type, machine.Spot, empty, age)
 }
 
-// mayReconnect reports whether an empty machine is unreachable at present and may come back. Such a machine is not
-// idle for lack of tasks. It is kept for as long as a replacement would be billed at least. Otherwise a whole zone
-// would be released during a network partition and then provisioned again.
-func (c *Core) mayReconnect(now time.Time, machine *model.Machine) bool {
-	silent := now.Sub(machine.LastHeartbeat)
-	maxSilence := c.settings.UnresponsiveAfter + c.settings.Autoscaler.MinBilledTime
-	return silent > c.settings.UnresponsiveAfter && silent < maxSilence
+// isRecentlyUnreachable reports whether an empty machine sends no heartbeats at present but may come back. Such a
+// machine is not idle for lack of tasks. It is kept for as long as a replacement would be billed at least. Otherwise a
+// whole zone would be released during a network partition and then provisioned again.
+func (c *Core) isRecentlyUnreachable(now time.Time, machine *model.Machine) bool {
+	sinceHeartbeat := now.Sub(machine.LastHeartbeat)
+	maxUnreachable := c.settings.UnresponsiveAfter + c.settings.Autoscaler.MinBilledTime
+	return sinceHeartbeat > c.settings.UnresponsiveAfter && sinceHeartbeat < maxUnreachable
 }
--- a/internal/reconciler/takeover.go
+++ b/internal/reconciler/takeover.go
@@ -25,12 +25,12 @@
 	spot              bool
 }
 
-// minorityDivisor defines a minority: at most one machine in this many.
-const minorityDivisor = 10
+// machineFaultDivisor sets the share of machines that is attributed to faults of their own: at most one in this many.
+const machineFaultDivisor = 10
 
-// isMinority reports whether count machines are so few of all that the fault is probably theirs and not this
-// leader's. A single machine always is a minority.
-func isMinority(count, all int) bool { return count <= max(1, all/minorityDivisor) }
+// likelyMachineFault reports whether so few of all machines are affected that the fault is probably theirs and not this
+// leader's. That always holds for a single machine.
+func likelyMachineFault(affected, all int) bool { return affected <= max(1, all/machineFaultDivisor) }
 
 func newTakeover(now time.Time, revision uint64) takeover {
 	return takeover{startedAt: now, revision: revision, unreconciledKinds: map[machineKind]int{}}
@@ -38,12 +38,12 @@
 
 // recordedKind returns the kind that is stated in a machine's record, which earlier leaders used for placement.
 func recordedKind(machine *model.Machine) machineKind {
-	return machineKind{machine.Record.Type, machine.Record.Zone, machine.Record.Spot}
+	return machineKind{machine.RecordedInfo.Type, machine.RecordedInfo.Zone, machine.RecordedInfo.Spot}
 }
 
 // inherit marks a machine as inherited. It may hold tasks of earlier leaders.
 func (t *takeover) inherit(machine *model.Machine, info model.MachineInfo) {
-	machine.Registered, machine.Unreconciled, machine.Record = true, true, info
+	machine.RecordDurable, machine.Unreconciled, machine.RecordedInfo = true, true, info
 	t.unreconciled++
 	t.unreconciledKinds[recordedKind(machine)]++
 }
@@ -103,7 +103,7 @@
 		}
 		for chunk, bits := range chunks {
 			first := chunk.First(chunkTasks)
-			job.LoadDone(first, bits)
+			job.MarkDone(first, bits)
 			job.MarkDurable(first, bits)
 			job.RecordedChunks[chunk] = true
 		}
@@ -141,14 +141,16 @@
 // failover"). Without this rule, tasks from before the takeover would wait for as long as the machine receives
 // nothing, because each of its heartbeats postpones the expiry of its lease.
 func (c *Core) reconcileUnrenewed(now time.Time, machine *model.Machine) {
-	if machine.Detector.TokenNotTaken(now) {
+	if machine.Detector.FencingTokenNotAccepted(now) {
 		c.livenessChanged(machine)
 	}
 	c.markReconciled(now, machine, "lease not renewed since the takeover")
 }
 
 // fewUnreconciled reports whether nearly all machines are reconciled. The remaining ones have probably failed.
-func (c *Core) fewUnreconciled() bool { return isMinority(c.takeover.unreconciled, len(c.machines)) }
+func (c *Core) fewUnreconciled() bool {
+	return likelyMachineFault(c.takeover.unreconciled, len(c.machines))
+}
 
 // Limits on the probing of inherited machines.
 const (
@@ -157,7 +159,7 @@
 )
 
 // probeUnreconciled probes the machines that have not reported to a new leader, once most others have. A few failed
-// machines therefore do not hold up all tasks from before the takeover until their silence is long enough.
+// machines therefore do not hold up all tasks from before the takeover until they count as unresponsive.
 func (c *Core) probeUnreconciled(now time.Time) {
 	earliest := c.settings.HeartbeatInterval * reconcileProbeDelayHeartbeats
 	if c.takeover.complete() || now.Sub(c.takeover.startedAt) < earliest || !c.fewUnreconciled() {
@@ -199,11 +201,11 @@
 	return spec.AllowsType(kind.machineType) &&
 		(spec.Zone == "" || spec.Zone == kind.zone) &&
 		(spec.AllowSpot || !kind.spot) &&
-		(!inCatalog(machineType) || spec.Demand.Fits(machineType.Capacity))
+		(!isListedInCatalog(machineType) || spec.Demand.Fits(machineType.Capacity))
 }
 
-// logServicesRestored logs, once after a takeover, that no urgent task from before it is waiting any more.
-func (c *Core) logServicesRestored(now time.Time, requests []*scheduler.Request) {
+// logUrgentTasksRestored logs, once after a takeover, that no urgent task from before it is waiting any more.
+func (c *Core) logUrgentTasksRestored(now time.Time, requests []*scheduler.Request) {
 	if c.takeover.urgentTasksRestored || !c.takeover.complete() {
 		return
 	}
--- a/internal/reconciler/waiting.go
+++ b/internal/reconciler/waiting.go
@@ -35,7 +35,7 @@
 		}
 	}
 	for _, job := range c.jobsByAge {
-		tasks := job.Waiting()
+		tasks := job.WaitingTasks()
 		if tasks == 0 || job.State != model.JobActive {
 			c.accounting.stopWaiting(now, job)
 			continue
@@ -96,7 +96,7 @@
 	if !ok {
 		return
 	}
-	if milliseconds := a.ledger.Instant(now) - a.ledger.Instant(period.since); milliseconds > 0 {
+	if milliseconds := a.ledger.MillisSinceTakeover(now) - a.ledger.MillisSinceTakeover(period.since); milliseconds > 0 {
 		var usage ledger.Usage
 		usage.Wait[period.cause] = milliseconds * period.tasks
 		a.ledger.Charge(now, job.Spec.Team, job.Spec.Class, usage)
--- a/internal/record/change.go
+++ b/internal/record/change.go
@@ -29,22 +29,22 @@
 // Change is a change of one of the leader's records. The comment of each field says which kinds use it; Kind and
 // CommitAlone are used by all.
 type Change struct {
-	Kind         ChangeKind
-	Machine      model.MachineInfo // machine to add or delete, for PutMachine and DeleteMachine, which uses only the name
-	Job          string            // job ID for PutTasks, DeleteTasks, CompleteJob, CancelDependent, DeleteDependencies
-	Version      uint64            // version of the job's record, for CompleteJob and CancelDependent
-	Tasks        int               // number of tasks of the job (CompleteJob, CancelDependent) or chunk (PutChunkLayout)
-	At           time.Time         // time at which the job ended, for CompleteJob and CancelDependent
-	Chunk        model.Chunk       // chunk of the finished-task bitmap, for PutTasks and DeleteTasks
-	FinishedBits []byte            // one bit for each task of the chunk, for PutTasks
-	GPUDemand    model.Resources   // resources per task, for PutGPUDemand
-	Key          string            // key of the dependency list part, for DeleteDependencies
-	CommitAlone  bool              // the change failed together with others, and needs a transaction of its own
+	Kind          ChangeKind
+	Machine       model.MachineInfo // machine to add or delete, for PutMachine and DeleteMachine, which uses only the name
+	Job           string            // job ID for PutTasks, DeleteTasks, CompleteJob, CancelDependent, DeleteDependencies
+	Version       uint64            // version of the job's record, for CompleteJob and CancelDependent
+	Tasks         int               // number of tasks of the job (CompleteJob, CancelDependent) or chunk (PutChunkLayout)
+	EndedAt       time.Time         // time at which the job ended, for CompleteJob and CancelDependent
+	Chunk         model.Chunk       // chunk of the finished-task bitmap, for PutTasks and DeleteTasks
+	FinishedBits  []byte            // one bit for each task of the chunk, for PutTasks
+	GPUDemand     model.Resources   // resources per task, for PutGPUDemand
+	DependencyKey string            // key of the dependency list part, for DeleteDependencies
+	CommitAlone   bool              // the change failed together with others, and needs a transaction of its own
 
-	Team        string             // team whose account is settled, for SettleAccount
-	Settlement  *ledger.Settlement // for SettleAccount; nil until the change is put into a transaction
-	Unaccounted *ledger.Interval   // for PutUnaccounted
-	Compaction  *Compaction        // for CompactAccount
+	Team        string                      // team whose account is settled, for SettleAccount
+	Settlement  *ledger.Settlement          // for SettleAccount; nil until the change is put into a transaction
+	Unaccounted *ledger.UnaccountedInterval // for PutUnaccounted
+	Compaction  *Compaction                 // for CompactAccount
 }
 
 // Compaction replaces consecutive closed segments of a team's account by a single segment.
--- a/internal/relay/outbox.go
+++ b/internal/relay/outbox.go
@@ -32,7 +32,7 @@
 	envelopes []Envelope
 }
 
-// New returns an empty Outbox on the path Direct. If pathChanged is not nil, it is called before each change of the
+// New returns an empty Outbox on the path PathDirect. If pathChanged is not nil, it is called before each change of the
 // path with the reason for it.
 func New(settings Settings, pathChanged func(from, to Path, reason string)) *Outbox {
 	return &Outbox{
@@ -62,11 +62,11 @@
 func (o *Outbox) ObserveContact(now time.Time, reached bool) Path {
 	switch {
 	case reached:
-		o.transition(now, Direct, "leader is reachable")
-	case o.path == Direct:
-		o.transition(now, ViaStore, "leader is unreachable or does not accept forwarded heartbeats")
-	case o.path == Unreachable && now.Sub(o.pathSince) >= o.settings.RetryAfter:
-		o.transition(now, ViaStore, "retry interval has passed")
+		o.transition(now, PathDirect, "leader is reachable")
+	case o.path == PathDirect:
+		o.transition(now, PathViaStateService, "leader is unreachable or does not accept forwarded heartbeats")
+	case o.path == PathNone && now.Sub(o.pathSince) >= o.settings.RetryAfter:
+		o.transition(now, PathViaStateService, "retry interval has passed")
 	}
 	return o.path
 }
@@ -74,12 +74,12 @@
 // LeaderChanged must be called when another member becomes the leader, or with noLeader when the leadership is
 // vacant. The path is kept: a partition between this member and the last leader is likely to separate it from the
 // new one too, and workers that were redirected to an unreachable leader would lose seconds that their leases do
-// not have. Only Unreachable changes to ViaStore, since the new leader may respond. The heartbeats of batches in
-// flight are queued again, because a new leader only reads batches that are written after its takeover.
+// not have. Only PathNone changes to PathViaStateService, since the new leader may respond. The heartbeats of batches
+// in flight are queued again, because a new leader only reads batches that are written after its takeover.
 func (o *Outbox) LeaderChanged(now time.Time, noLeader bool) {
 	o.noLeader, o.unansweredBatches = noLeader, 0
-	if o.path == Unreachable {
-		o.transition(now, ViaStore, "leader has changed")
+	if o.path == PathNone {
+		o.transition(now, PathViaStateService, "leader has changed")
 	}
 	var unanswered []Envelope
 	for seq := range o.inFlight {
@@ -101,10 +101,10 @@
 	return waiting
 }
 
-// Add queues a heartbeat and returns its ID. ok is false if the path is not ViaStore or the queue is full; the
-// worker should then turn to another member at once.
+// Add queues a heartbeat and returns its ID. ok is false if the path is not PathViaStateService or the queue is full;
+// the worker should then turn to another member at once.
 func (o *Outbox) Add(now time.Time, heartbeat []byte) (id uint64, ok bool) {
-	if o.path != ViaStore || !o.queue.hasRoom(&o.settings, heartbeat) {
+	if o.path != PathViaStateService || !o.queue.hasRoom(&o.settings, heartbeat) {
 		return 0, false
 	}
 	o.lastID++
@@ -177,8 +177,8 @@
 			continue
 		}
 		delete(o.inFlight, seq)
-		if o.unansweredBatches++; o.unansweredBatches >= maxUnansweredBatches && o.path == ViaStore {
-			o.transition(now, Unreachable, "leader does not respond through the state service")
+		if o.unansweredBatches++; o.unansweredBatches >= maxUnansweredBatches && o.path == PathViaStateService {
+			o.transition(now, PathNone, "leader does not respond through the state service")
 		}
 	}
 	for id, at := range o.awaitedSince {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -12,9 +12,9 @@
 
 // The paths to the leader.
 const (
-	Direct      Path = iota // over the network; the leader is reachable, or nothing shows that it is not
-	ViaStore                // through the state service, because the leader is unreachable
-	Unreachable             // none, because the leader does not respond through the state service either
+	PathDirect          Path = iota // over the network; the leader is reachable, or nothing shows that it is not
+	PathViaStateService             // through the state service, because the leader is unreachable
+	PathNone                        // none, because the leader does not respond through the state service either
 )
 
 // String returns the path's name for logs.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,7 +23,7 @@
 
 var startTime = time.Unix(1e9, 0)
 
-func afterStart(d time.Duration) time.Time { return startTime.Add(d) }
+func timeAfterStart(d time.Duration) time.Time { return startTime.Add(d) }
 
 var random = rand.New(rand.NewPCG(1, 2))
 
@@ -144,14 +144,14 @@
 		s.t.Fatalf("Unpack: got %v, error %v; want r4 as the last body and no error", envelopes, err)
 	}
 	o.Cancel(envelopes[0].ID)
-	got := o.AcceptResponses(afterStart(time.Second), seq, envelopes[:3])
+	got := o.AcceptResponses(timeAfterStart(time.Second), seq, envelopes[:3])
 	if len(got) != 2 || got[0].ID != envelopes[1].ID {
 		s.t.Errorf("responses, the first one cancelled: got %v, want 2 from ID %d on", got, envelopes[1].ID)
 	}
-	if got := o.AcceptResponses(afterStart(time.Second), seq, envelopes[:3]); len(got) != 0 {
+	if got := o.AcceptResponses(timeAfterStart(time.Second), seq, envelopes[:3]); len(got) != 0 {
 		s.t.Errorf("the same responses again: got %v, want none", got)
 	}
-	if got := o.AcceptResponses(afterStart(2*time.Second), seq, envelopes[3:]); len(got) != 0 {
+	if got := o.AcceptResponses(timeAfterStart(2*time.Second), seq, envelopes[3:]); len(got) != 0 {
 		s.t.Errorf("late responses: got %v, want none", got)
 	}
 }
@@ -159,18 +159,18 @@
 // checkUnansweredBatchesClosePath checks that unanswered batches close the path until another member leads.
 func (s *outboxScenario) checkUnansweredBatchesClosePath() {
 	s.t.Helper()
-	s.now = afterStart(3 * time.Second)
+	s.now = timeAfterStart(3 * time.Second)
 	for range maxUnansweredBatches {
 		s.add("r")
 		s.takeOne()
 		s.now = s.now.Add(testSettings.HeartbeatTimeout)
 		s.outbox.Tick(s.now)
 	}
-	if _, ok := s.outbox.Add(s.now, []byte("r")); ok || s.outbox.Path() != Unreachable {
-		s.t.Errorf("after unanswered batches: got Add %v on path %v, want false on %v", ok, s.outbox.Path(), Unreachable)
+	if _, ok := s.outbox.Add(s.now, []byte("r")); ok || s.outbox.Path() != PathNone {
+		s.t.Errorf("after unanswered batches: got Add %v on path %v, want false on %v", ok, s.outbox.Path(), PathNone)
 	}
-	if s.outbox.LeaderChanged(s.now, false); s.outbox.Path() != ViaStore {
-		s.t.Errorf("after a change of leader: got path %v, want %v", s.outbox.Path(), ViaStore)
+	if s.outbox.LeaderChanged(s.now, false); s.outbox.Path() != PathViaStateService {
+		s.t.Errorf("after a change of leader: got path %v, want %v", s.outbox.Path(), PathViaStateService)
 	}
 }
 
@@ -182,8 +182,8 @@
 	inFlight := s.add("last")
 	s.takeOne()
 	o.LeaderChanged(s.now, true)
-	if next := o.NextBatchAt(); !next.IsZero() || o.Path() != ViaStore {
-		s.t.Errorf("without a leader: got a batch at %v on path %v, want none on %v", next, o.Path(), ViaStore)
+	if next := o.NextBatchAt(); !next.IsZero() || o.Path() != PathViaStateService {
+		s.t.Errorf("without a leader: got a batch at %v on path %v, want none on %v", next, o.Path(), PathViaStateService)
 	}
 	for range testSettings.MaxQueued - 1 {
 		o.Cancel(s.add("given up"))
@@ -215,11 +215,11 @@
 func (s *outboxScenario) checkPathRetried() {
 	s.t.Helper()
 	later := s.now.Add(testSettings.RetryAfter)
-	if got := s.outbox.ObserveContact(later, false); got != ViaStore {
-		s.t.Errorf("while the leader is unreachable: got path %v, want %v", got, ViaStore)
+	if got := s.outbox.ObserveContact(later, false); got != PathViaStateService {
+		s.t.Errorf("while the leader is unreachable: got path %v, want %v", got, PathViaStateService)
 	}
-	if got := s.outbox.ObserveContact(later, true); got != Direct {
-		s.t.Errorf("when the leader is reachable: got path %v, want %v", got, Direct)
+	if got := s.outbox.ObserveContact(later, true); got != PathDirect {
+		s.t.Errorf("when the leader is reachable: got path %v, want %v", got, PathDirect)
 	}
 }
 
--- a/internal/route/attempts.go
+++ b/internal/route/attempts.go
@@ -43,10 +43,11 @@
 }
 
 // Begin starts a request and returns the first action. At deadline the request is rejected if no member has
-// answered it. lastStateResponse is the time at which the state service last answered any request of this member.
-// If forwardOnly is set, no local attempt is made, since this member has no connection to spare for the request.
+// answered it. lastStateServiceResponse is the time at which the state service last answered any request of this
+// member. If forwardOnly is set, no local attempt is made, since this member has no connection to spare for the
+// request.
 func (r *Router) Begin(
-	now, deadline, lastStateResponse time.Time, request Request, forwardOnly bool,
+	now, deadline, lastStateServiceResponse time.Time, request Request, forwardOnly bool,
 ) (*RequestAttempts, Action) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,7 +62,7 @@
 		a.lastRefusal = Response{Outcome: Overloaded}
 		return a, a.forward(now, false)
 	}
-	outcome := r.admitLocal(now, lastStateResponse, request.Kind)
+	outcome := r.admitLocal(now, lastStateServiceResponse, request.Kind)
 	if outcome != Answered {
 		a.lastRefusal = Response{Outcome: outcome}
 		// No attempt has been made, so forwarding does not count as a retry. Under overload it does, since the
@@ -176,7 +177,7 @@
 		a.transition(RequestForwarded)
 		return Action{}
 	}
-	a.router.counts.Retried++
+	a.router.counts.AttemptsExhausted++
 	return a.forward(now, true)
 }
 
--- a/internal/route/breaker.go
+++ b/internal/route/breaker.go
@@ -7,9 +7,9 @@
 
 // The states of a breaker.
 const (
-	Closed   BreakerState = iota // requests are allowed
-	Open                         // no request is allowed until the open duration has passed
-	HalfOpen                     // one request is under way as a probe; no other request is allowed
+	BreakerClosed   BreakerState = iota // requests are allowed
+	BreakerOpen                         // no request is allowed until the open duration has passed
+	BreakerHalfOpen                     // one request is under way as a probe; no other request is allowed
 )
 
 // String returns the name of the state.
@@ -34,10 +34,10 @@
 	onChange     func(name string, from, to BreakerState) // called when the breaker opens or closes; may be nil
 }
 
-// transition is the only function that changes the state. It does not report changes between Open and
-// HalfOpen to onChange.
+// transition is the only function that changes the state. It does not report changes between BreakerOpen
+// and BreakerHalfOpen to onChange.
 func (b *breaker) transition(to BreakerState, now time.Time) {
-	if b.onChange != nil && b.state != to && (b.state == Closed || to == Closed) {
+	if b.onChange != nil && b.state != to && (b.state == BreakerClosed || to == BreakerClosed) {
 		b.onChange(b.name, b.state, to)
 	}
 	b.state, b.since = to, now
@@ -45,7 +45,7 @@
 
 // probeDue reports whether the breaker is open and its open duration has passed.
 func (b *breaker) probeDue(now time.Time) bool {
-	return b.state == Open && now.Sub(b.since) >= b.openDuration
+	return b.state == BreakerOpen && now.Sub(b.since) >= b.openDuration
 }
 
 // allow reports whether a request may be sent now. If the request is a probe, the breaker becomes half-open.
@@ -53,11 +53,11 @@
 // response after the breaker has opened permits a probe before the open duration has passed.
 func (b *breaker) allow(now, lastResponse time.Time) bool {
 	switch b.state {
-	case Closed:
+	case BreakerClosed:
 		return true
-	case Open:
+	case BreakerOpen:
 		if b.probeDue(now) || lastResponse.After(b.since) {
-			b.transition(HalfOpen, now)
+			b.transition(BreakerHalfOpen, now)
 			return true
 		}
 	}
@@ -69,23 +69,23 @@
 	switch {
 	case ok:
 		b.failures, b.openDuration = 0, 0
-		if b.state != Closed {
-			b.transition(Closed, now)
+		if b.state != BreakerClosed {
+			b.transition(BreakerClosed, now)
 		}
 		return
-	case b.state == Open:
+	case b.state == BreakerOpen:
 		return // the request was sent before the breaker opened
 	}
-	if b.failures++; b.failures >= failureThreshold || b.state == HalfOpen {
+	if b.failures++; b.failures >= failureThreshold || b.state == BreakerHalfOpen {
 		b.openDuration = min(max(2*b.openDuration, minOpenDuration), maxOpenDuration)
-		b.transition(Open, now)
+		b.transition(BreakerOpen, now)
 	}
 }
 
 // discard is called instead of record for a request whose result does not show whether the destination works. If
 // the breaker is half-open, another probe may be sent at once.
 func (b *breaker) discard() {
-	if b.state == HalfOpen {
-		b.transition(Open, b.since.Add(-b.openDuration))
+	if b.state == BreakerHalfOpen {
+		b.transition(BreakerOpen, b.since.Add(-b.openDuration))
 	}
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -97,14 +97,14 @@
 }
 
 // admitLocal returns Answered if a request may be attempted on this member, and otherwise the outcome that says why
-// not. An admitted request counts as in flight until recordLocalOutcome is called. lastStateResponse is the time at
-// which the state service last answered any request of this member. r.mu must be held.
-func (r *Router) admitLocal(now, lastStateResponse time.Time, kind Kind) Outcome {
+// not. An admitted request counts as in flight until recordLocalOutcome is called. lastStateServiceResponse is the time
+// at which the state service last answered any request of this member. r.mu must be held.
+func (r *Router) admitLocal(now, lastStateServiceResponse time.Time, kind Kind) Outcome {
 	if !r.limits[kind].acquire() {
 		r.counts.Shed++
 		return Overloaded
 	}
-	if !r.localBreaker.allow(now, lastStateResponse) {
+	if !r.localBreaker.allow(now, lastStateServiceResponse) {
 		r.limits[kind].release()
 		return StateServiceUnavailable
 	}
@@ -140,7 +140,7 @@
 		m := r.members[name]
 		switch {
 		case slices.Contains(tried, name) || m.outstanding >= maxOutstanding:
-		case m.breaker.state == Closed:
+		case m.breaker.state == BreakerClosed:
 			closed = append(closed, m)
 		case m.breaker.probeDue(now):
 			due = append(due, m)
@@ -187,14 +187,14 @@
 
 // AdmitForwarded decides whether a request that another member has forwarded may be attempted on this member. If
 // so, it returns a function that must be called exactly once, with the outcome of the attempt and the time at which
-// it ended. Otherwise the function is nil and outcome says why. lastStateResponse is the time at which the state
+// it ended. Otherwise the function is nil and outcome says why. lastStateServiceResponse is the time at which the state
 // service last answered any request of this member.
 func (r *Router) AdmitForwarded(
-	now, lastStateResponse time.Time, kind Kind,
+	now, lastStateServiceResponse time.Time, kind Kind,
 ) (completed func(now time.Time, outcome Outcome), outcome Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if outcome := r.admitLocal(now, lastStateResponse, kind); outcome != Answered {
+	if outcome := r.admitLocal(now, lastStateServiceResponse, kind); outcome != Answered {
 		return nil, outcome
 	}
 	r.counts.ServedForOthers++
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -9,7 +9,7 @@
 
 var startTime = time.Unix(1e9, 0)
 
-func afterStart(d time.Duration) time.Time { return startTime.Add(d) }
+func timeAfterStart(d time.Duration) time.Time { return startTime.Add(d) }
 
 func newRouter(otherMembers ...string) *Router {
 	settings := Settings{
@@ -30,7 +30,7 @@
 func TestMemberWithoutStateServiceForwardsRequests(t *testing.T) {
 	r := newRouter("b", "c")
 	for i := range failureThreshold {
-		now := afterStart(time.Duration(i) * 10 * time.Millisecond)
+		now := timeAfterStart(time.Duration(i) * 10 * time.Millisecond)
 		attempts, action := r.begin(now, Submit)
 		if !action.Local {
 			t.Fatalf("request %d: got %+v, want a local attempt", i, action)
@@ -44,21 +44,21 @@
 			t.Fatalf("request %d, forwarded: got %+v, want response 201", i, action)
 		}
 	}
-	attempts, action := r.begin(afterStart(100*time.Millisecond), Submit)
+	attempts, action := r.begin(timeAfterStart(100*time.Millisecond), Submit)
 	if action.Local || action.ForwardTo == "" {
 		t.Fatalf("with the local breaker open: got %+v, want the request forwarded", action)
 	}
-	attempts.HandleResponse(afterStart(110*time.Millisecond), action.ForwardTo, Response{Status: 201})
+	attempts.HandleResponse(timeAfterStart(110*time.Millisecond), action.ForwardTo, Response{Status: 201})
 
-	retriesBefore := r.Status(afterStart(110 * time.Millisecond)).RetriesLeft
+	retriesBefore := r.Status(timeAfterStart(110 * time.Millisecond)).RetriesLeft
 	for range 100 {
-		attempts, action = r.begin(afterStart(120*time.Millisecond), Submit)
+		attempts, action = r.begin(timeAfterStart(120*time.Millisecond), Submit)
 		if action.ForwardTo == "" {
 			t.Fatalf("without a local attempt before: got %+v, want the request forwarded", action)
 		}
-		attempts.HandleResponse(afterStart(120*time.Millisecond), action.ForwardTo, Response{Status: 201})
+		attempts.HandleResponse(timeAfterStart(120*time.Millisecond), action.ForwardTo, Response{Status: 201})
 	}
-	if got := r.Status(afterStart(120 * time.Millisecond)).RetriesLeft; got < retriesBefore {
+	if got := r.Status(timeAfterStart(120 * time.Millisecond)).RetriesLeft; got < retriesBefore {
 		t.Errorf("retries left: got %v, want at least %v: nothing was retried", got, retriesBefore)
 	}
 }
@@ -66,33 +66,33 @@
 func TestLocalBreakerSendsOneProbe(t *testing.T) {
 	r := newRouter("b", "c")
 	for i := range failureThreshold {
-		now := afterStart(time.Duration(i) * 10 * time.Millisecond)
+		now := timeAfterStart(time.Duration(i) * 10 * time.Millisecond)
 		attempts, _ := r.begin(now, Submit)
 		action := attempts.HandleResponse(now, "", Response{Outcome: StateServiceUnavailable})
 		attempts.HandleResponse(now, action.ForwardTo, Response{Status: 201})
 	}
-	if status := r.Status(afterStart(100 * time.Millisecond)); status.Local != "open" {
+	if status := r.Status(timeAfterStart(100 * time.Millisecond)); status.Local != "open" {
 		t.Fatalf("after %d failures: got the local breaker %s, want open", failureThreshold, status.Local)
 	}
 	// The state service has answered another request since the breaker opened, which permits a probe.
-	now := afterStart(130 * time.Millisecond)
-	lastStateResponse := afterStart(125 * time.Millisecond)
-	attempts, action := r.Begin(now, afterStart(3*time.Second), lastStateResponse, Request{}, false)
+	now := timeAfterStart(130 * time.Millisecond)
+	lastStateServiceResponse := timeAfterStart(125 * time.Millisecond)
+	attempts, action := r.Begin(now, timeAfterStart(3*time.Second), lastStateServiceResponse, Request{}, false)
 	if !action.Local {
 		t.Fatalf("after a response of the state service: got %+v, want a local attempt", action)
 	}
-	if _, other := r.begin(afterStart(131*time.Millisecond), Submit); other.Local {
+	if _, other := r.begin(timeAfterStart(131*time.Millisecond), Submit); other.Local {
 		t.Errorf("during the probe: got %+v, want no local attempt", other)
 	}
-	attempts.HandleResponse(afterStart(140*time.Millisecond), "", Response{Status: 201})
-	if _, action = r.begin(afterStart(141*time.Millisecond), Submit); !action.Local {
+	attempts.HandleResponse(timeAfterStart(140*time.Millisecond), "", Response{Status: 201})
+	if _, action = r.begin(timeAfterStart(141*time.Millisecond), Submit); !action.Local {
 		t.Errorf("after the probe: got %+v, want a local attempt", action)
 	}
 }
 
 func TestDiscardedProbeCostsNoFurtherPause(t *testing.T) {
-	b := breaker{state: Open, since: startTime, openDuration: time.Second}
-	now := afterStart(time.Second)
+	b := breaker{state: BreakerOpen, since: startTime, openDuration: time.Second}
+	now := timeAfterStart(time.Second)
 	if first, second := b.allow(now, time.Time{}), b.allow(now, time.Time{}); !first || second {
 		t.Errorf("after the open duration: got %v, %v, want true, false", first, second)
 	}
@@ -118,7 +118,7 @@
 	}
 	stateRequests, forwarded, users := 0, 0, 0
 	for ms := 0; ms < 40_000; ms += 20 {
-		now := afterStart(time.Duration(ms) * time.Millisecond)
+		now := timeAfterStart(time.Duration(ms) * time.Millisecond)
 		name := names[users%len(names)]
 		users++
 		attempts, action := routers[name].begin(now, Submit)
@@ -155,14 +155,14 @@
 func TestLateResponseIsHedged(t *testing.T) {
 	r := newRouter("b", "c")
 	for i := range 30 {
-		now := afterStart(time.Duration(i) * 100 * time.Millisecond)
+		now := timeAfterStart(time.Duration(i) * 100 * time.Millisecond)
 		attempts, _ := r.begin(now, Poll)
 		action := attempts.HandleResponse(now.Add(10*time.Millisecond), "", Response{Status: 200})
 		if action.Response == nil {
 			t.Fatalf("poll %d: got %+v, want a response", i, action)
 		}
 	}
-	now := afterStart(4 * time.Second)
+	now := timeAfterStart(4 * time.Second)
 	attempts, _ := r.begin(now, Poll)
 	if action := attempts.Tick(now.Add(100 * time.Millisecond)); action.ForwardTo != "" {
 		t.Errorf("after 100 ms: got %+v, want no hedge yet", action)
--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -151,8 +151,8 @@
 		Spread:     oneIn(t, 6, "spread"),
 	}
 	request := Request{
-		Count:         spec.Tasks,
-		MaxTasks:      spec.Tasks,
+		PendingTasks:  spec.Tasks,
+		MaxStarts:     spec.Tasks,
 		HasDeadline:   oneIn(t, 2, "own deadline"),
 		Slack:         drawSeconds(t, -20, 200, "own slack"),
 		Waited:        drawSeconds(t, 0, 100, "waited"),
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -84,7 +84,7 @@
 	return c
 }
 
-// rulesOf returns the evaluated rules of a running job, or nil if it has none.
+// rulesOf returns the evaluated constraints of a running job, or nil if it has none.
 func (s *Snapshot) rulesOf(job *model.Job) *Rules {
 	if s.RulesOf == nil {
 		return nil
--- a/internal/scheduler/equivalence_test.go
+++ b/internal/scheduler/equivalence_test.go
@@ -29,7 +29,7 @@
 		FetchByDeadline:      true,
 		StarvationBound:      time.Minute,
 		PromoteAfter:         time.Minute,
-		PromoteLateAfter:     15 * time.Minute,
+		PromoteDeadlineAfter: 15 * time.Minute,
 	}
 	preempted := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -134,8 +134,8 @@
 	}
 }
 
-// consolidateByFullScan is the reference implementation of Consolidate. It supports only jobs without rules and scans
-// all nodes for each replica.
+// consolidateByFullScan is the reference implementation of Consolidate. It supports only jobs without constraints and
+// scans all nodes for each replica.
 func consolidateByFullScan(settings *Settings, now time.Time, snapshot *Snapshot, job *model.Job) *model.Attempt {
 	spec := job.Spec
 	if spec.Shape != model.Service || len(job.ActiveAttempts) < spec.Tasks || spec.SingleZone && spec.Tasks > 1 {
--- a/internal/scheduler/feasible.go
+++ b/internal/scheduler/feasible.go
@@ -14,7 +14,7 @@
 	SpotNotAllowed                      // a spot instance, which the job does not allow
 	TypeNotAllowed                      // not one of the machine types that the job allows
 	TooSmall                            // the capacity of the empty machine is too small for a task
-	RulesNotMet                         // a required clause of the job's rules does not hold on its machine class
+	RulesNotMet                         // a required clause of the job's constraints does not hold on its machine class
 	AffinityNotMet                      // not in a zone of a job that this job must be near
 	AntiAffinityViolated                // in a zone or on a machine of a job that this job must be apart from
 	ReservedForGPU                      // reserved for tasks that need GPUs
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -10,7 +10,7 @@
 var testSettings = &Settings{
 	IdlePowerFraction:    0.7,
 	PromoteAfter:         time.Minute,
-	PromoteLateAfter:     15 * time.Minute,
+	PromoteDeadlineAfter: 15 * time.Minute,
 	MaxPreemptions:       8,
 	MinRuntime:           30 * time.Second,
 	ExpensiveFactor:      2,
@@ -68,7 +68,7 @@
 		change(spec)
 	}
 	job := model.NewJob(spec, time.Unix(0, 0), 1)
-	return &Request{Job: job, Count: tasks, MaxTasks: tasks, TasksByZone: map[string]int{}}
+	return &Request{Job: job, PendingTasks: tasks, MaxStarts: tasks, TasksByZone: map[string]int{}}
 }
 
 // newDeadlineRequest returns a request for one task that has a deadline and the given slack.
--- a/internal/scheduler/index.go
+++ b/internal/scheduler/index.go
@@ -4,8 +4,8 @@
 
 // The indexes in this file are built once for a pass, when they are first needed.
 
-// machineKind holds the properties of a machine that decide its price and whether a job without rules may use it at
-// all.
+// machineKind holds the properties of a machine that decide its price and whether a job without constraints may use it
+// at all.
 type machineKind struct {
 	machineType          *model.MachineType
 	zone                 string
@@ -38,7 +38,7 @@
 func (s *Snapshot) expensivePrice(spec *model.Spec, rules *Rules, factor float64) float64 {
 	nodes := s.Nodes
 	if rules == nil {
-		nodes = s.machineKinds() // without rules all machines of one kind are equal
+		nodes = s.machineKinds() // without constraints all machines of one kind are equal
 	}
 	lowest := 0.0
 	for _, node := range nodes {
@@ -51,8 +51,8 @@
 }
 
 // feasibilityFilter returns a function that runs all checks of a node whose result does not change while a request is
-// served. A zone other than "" restricts the request to that zone. For a job without rules the function decides by
-// machine kind, which excludes most of several thousand nodes with one look-up each.
+// served. A zone other than "" restricts the request to that zone. For a job without constraints the function decides
+// by machine kind, which excludes most of several thousand nodes with one look-up each.
 func (s *Snapshot) feasibilityFilter(request *Request, zone string, filter nodeFilter) func(node *Node) bool {
 	spec := request.Job.Spec
 	if request.Rules != nil {
--- a/internal/scheduler/nofit.go
+++ b/internal/scheduler/nofit.go
@@ -16,7 +16,7 @@
 
 // noFitKey holds everything except the demand that decides which nodes tasks may use.
 type noFitKey struct {
-	zone, lockedZone, types string
+	zone, pinnedZone, types string
 	spot, gpu, requireImage bool
 	gpuNodesAllowed         bool
 	image                   string // set only if requireImage is true
@@ -40,13 +40,13 @@
 	maxTasks int
 }
 
-// newNoFitKey returns the key of tasks of a request on the nodes that a filter accepts. A lockedZone other than ""
+// newNoFitKey returns the key of tasks of a request on the nodes that a filter accepts. A pinnedZone other than ""
 // restricts them to that zone.
-func newNoFitKey(request *Request, lockedZone string, filter nodeFilter) noFitKey {
+func newNoFitKey(request *Request, pinnedZone string, filter nodeFilter) noFitKey {
 	spec := request.Job.Spec
 	key := noFitKey{
 		zone:            spec.Zone,
-		lockedZone:      lockedZone,
+		pinnedZone:      pinnedZone,
 		types:           strings.Join(spec.MachineTypes, " "),
 		spot:            spec.AllowSpot,
 		gpu:             spec.Demand.GPU > 0,
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -43,7 +43,7 @@
 		return queueStarving
 	case !r.HasDeadline && r.Waited >= settings.PromoteAfter:
 		return queuePromoted
-	case r.HasDeadline && r.Waited >= settings.PromoteLateAfter:
+	case r.HasDeadline && r.Waited >= settings.PromoteDeadlineAfter:
 		return queuePromoted
 	case !r.HasDeadline:
 		return queueAge
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -122,7 +122,7 @@
 		return 0
 	}
 	search := newPreemptionSearch(p, request)
-	key := newNoFitKey(request, search.lockedZone, filter)
+	key := newNoFitKey(request, search.pinnedZone, filter)
 	key.preemption = newPreemptionKey(request, len(p.plan.Preemptions))
 	if p.snapshot.noFit.maxFitting(key, spec.Demand) == 0 {
 		return 0
@@ -132,7 +132,7 @@
 	for found := range missing {
 		best := search.cheapestOption()
 		if best == nil {
-			if found == 0 && search.lockedZone == "" && !request.needsFullScan() {
+			if found == 0 && search.pinnedZone == "" && !request.needsFullScan() {
 				p.snapshot.noFit.add(key, spec.Demand, 0)
 			}
 			return found
@@ -174,7 +174,7 @@
 type preemptionSearch struct {
 	pass         *pass
 	request      *Request
-	lockedZone   string         // the only zone in which tasks may be placed; "" means any
+	pinnedZone   string         // the only zone in which tasks may be placed; "" means any
 	tasksByZone  map[string]int // including the tasks that capacity was found for
 	options      []nodeOption
 	claimedNodes []*Node // nodes on which capacity was found, once for each task
@@ -185,7 +185,7 @@
 	maps.Copy(search.tasksByZone, request.TasksByZone)
 	if request.Job.Spec.SingleZone {
 		if zones := occupiedZones(search.tasksByZone); len(zones) > 0 {
-			search.lockedZone = zones[0]
+			search.pinnedZone = zones[0]
 		}
 	}
 	return search
@@ -194,7 +194,7 @@
 // collectOptions collects the nodes that pass the static checks and the filter.
 func (s *preemptionSearch) collectOptions(filter nodeFilter) {
 	s.options = s.pass.nodeOptions[:0]
-	feasible := s.pass.snapshot.feasibilityFilter(s.request, s.lockedZone, filter)
+	feasible := s.pass.snapshot.feasibilityFilter(s.request, s.pinnedZone, filter)
 	for _, node := range s.pass.snapshot.Nodes {
 		if feasible(node) {
 			s.options = append(s.options, nodeOption{node: node})
@@ -206,7 +206,7 @@
 // admits reports whether one more of the job's tasks may be placed on a machine, given the locked zone and the number
 // of its tasks in the zone and on the machine.
 func (s *preemptionSearch) admits(machine *model.Machine) bool {
-	if s.lockedZone != "" && machine.Zone != s.lockedZone {
+	if s.pinnedZone != "" && machine.Zone != s.pinnedZone {
 		return false
 	}
 	return !s.request.ZoneFull(s.tasksByZone, machine.Zone) && !s.request.Rules.machineFull(machine)
@@ -250,7 +250,7 @@
 	s.request.Rules.addTasks(node.Machine, 1)
 	s.claimedNodes = append(s.claimedNodes, node)
 	if s.request.Job.Spec.SingleZone {
-		s.lockedZone = node.Machine.Zone
+		s.pinnedZone = node.Machine.Zone
 	}
 	option.evaluated = false
 }
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -99,7 +99,7 @@
 			requests = append(requests, request)
 		}
 		snapshot := newSnapshot(nodes, requests...)
-		snapshot.Teams["red"].Quota.CPU = model.AtMost(1e6)
+		snapshot.Teams["red"].Quota.CPU = model.NewBound(1e6)
 		loaded := map[*Node]bool{}
 		snapshot.LoadCandidates = func(node *Node) {
 			if loads++; loaded[node] || node.Machine.Zone != "a" {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -11,7 +11,7 @@
 // the shortage and returns 0. Gangs and services of which all tasks are pending start whole or not at all.
 func (p *pass) admit(request *Request) int {
 	spec := request.Job.Spec
-	tasks := min(request.Count, request.MaxTasks)
+	tasks := min(request.PendingTasks, request.MaxStarts)
 	quota := p.snapshot.Teams[spec.Team].Quota
 	allowed := spec.Demand.FitCount(quota.Remaining(p.snapshot.Used[spec.Team]))
 	overQuota := allowed < tasks
@@ -19,7 +19,7 @@
 	if preemptsWithinTeam {
 		p.preemptWithinTeam(request, tasks, allowed)
 	}
-	if spec.Shape != model.Array && overQuota && request.Count == spec.Tasks {
+	if spec.Shape != model.Array && overQuota && request.PendingTasks == spec.Tasks {
 		if preemptsWithinTeam || request.Starving {
 			// It waits to start whole, so the remaining quota is reserved for it.
 			p.snapshot.addUsage(spec.Team, spec.Demand.Times(allowed))
@@ -35,7 +35,7 @@
 		// Reserve quota for one task, so that smaller tasks of the team do not use it up bit by bit.
 		p.snapshot.addUsage(spec.Team, spec.Demand)
 	}
-	p.addShortage(Shortage{Request: request, Count: request.Count, OverQuota: overQuota, Reason: WaitQuota})
+	p.addShortage(Shortage{Request: request, Count: request.PendingTasks, OverQuota: overQuota, Reason: WaitQuota})
 	return 0
 }
 
--- a/internal/scheduler/rules.go
+++ b/internal/scheduler/rules.go
@@ -6,7 +6,7 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// Rules are the result of evaluating a job's rules for the machines of a pass. They are evaluated once for each
+// Rules are the result of evaluating a job's constraints for the machines of a pass. They are evaluated once for each
 // machine class, and slices by class are indexed by Node.MachineClass. A nil *Rules restricts nothing.
 type Rules struct {
 	FeasibleByClass   []bool
@@ -14,7 +14,7 @@
 	MaxPerMachine     int          // maximum number of tasks of the job on one machine; 0 means no limit
 	MaxPerZone        int          // maximum number of tasks of the job in one zone; 0 means no limit
 
-	TasksByMachine       map[*model.Machine]int  // number of tasks of the job; nil if no rule depends on it
+	TasksByMachine       map[*model.Machine]int  // number of tasks of the job; nil if no constraint depends on it
 	AffinityZones        []map[string]bool       // for each job that this job must be near, the zones of that job
 	AntiAffinityZones    map[string]bool         // zones of jobs that this job must be apart from
 	AntiAffinityMachines map[*model.Machine]bool // machines of jobs that this job must be apart from
@@ -39,7 +39,7 @@
 	Weight   float64 // added to the efficiency of machines in Zones or Machines
 }
 
-// AcceptsOffer reports whether the rules allow the job's tasks on a machine that could be provisioned. Nil rules
+// AcceptsOffer reports whether the constraints allow the job's tasks on a machine that could be provisioned. Nil rules
 // allow all machines.
 func (r *Rules) AcceptsOffer(machineType *model.MachineType, zone string, spot bool) bool {
 	if r == nil {
@@ -48,9 +48,9 @@
 	return r.OfferFeasible(MachineOffer{Type: machineType, Zone: zone, Spot: spot}) && r.checkZone(zone) == Feasible
 }
 
-// StillMet reports whether a machine still meets the clauses about other jobs, given where those jobs run now. r must
-// not be nil.
-func (r *Rules) StillMet(machine *model.Machine) bool {
+// MeetsJobClauses reports whether a machine still meets the clauses about other jobs, given where those jobs run now. r
+// must not be nil.
+func (r *Rules) MeetsJobClauses(machine *model.Machine) bool {
 	return !r.AntiAffinityMachines[machine] && r.checkZone(machine.Zone) == Feasible
 }
 
@@ -72,7 +72,8 @@
 	return r != nil && r.MaxPerMachine > 0 && r.TasksByMachine[machine] >= r.MaxPerMachine
 }
 
-// addTasks adds n to the number of tasks of the job on a machine. It does nothing if no rule depends on that number.
+// addTasks adds n to the number of tasks of the job on a machine. It does nothing if no constraint depends on that
+// number.
 func (r *Rules) addTasks(machine *model.Machine, n int) {
 	if r != nil && r.TasksByMachine != nil {
 		r.TasksByMachine[machine] += n
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -25,10 +25,10 @@
 	// IdlePowerFraction is the power draw of an idle machine as a fraction of the power draw of a fully used one.
 	IdlePowerFraction float64
 
-	// PromoteAfter is how long a request without a deadline waits before it is promoted. PromoteLateAfter is the same
+	// PromoteAfter is how long a request without a deadline waits before it is promoted. PromoteDeadlineAfter is the same
 	// for a request with a deadline, which usually can no longer be met by then.
-	PromoteAfter     time.Duration
-	PromoteLateAfter time.Duration
+	PromoteAfter         time.Duration
+	PromoteDeadlineAfter time.Duration
 
 	// StarvationBound is the time within which every job should start, if quotas and machines allow it. Zero disables
 	// the bound.
@@ -72,7 +72,7 @@
 	Free           model.Resources
 	Releasing      model.Resources // resources held by attempts that are being stopped
 	ReservedForGPU bool            // tasks that need no GPU are not placed on it
-	MachineClass   int             // index of its machine class; used only for requests with rules
+	MachineClass   int             // index of its machine class; used only for requests with constraints
 	Candidates     []PreemptionCandidate
 
 	claimed     model.Resources    // part of Releasing that is claimed by requests served earlier in the pass
@@ -102,15 +102,15 @@
 	Job           *model.Job
 	TaskState     model.TaskState // state of the pending tasks
 	Restart       bool            // the tasks are started again after a failure
-	Count         int             // number of pending tasks
-	MaxTasks      int             // maximum number of them that may start in this pass
+	PendingTasks  int             // number of pending tasks
+	MaxStarts     int             // maximum number of them that may start in this pass
 	HasDeadline   bool
 	Slack         time.Duration  // time to the deadline minus the estimated run time; negative if it cannot be met
 	Waited        time.Duration  // time for which the request has waited
 	Guaranteed    bool           // the job is within its team's guarantee
 	FairShareBand int            // fair-share band of the team; lower bands are served first; ignored within guarantees
 	TasksByZone   map[string]int // number of tasks of the job that may be running in each zone
-	Rules         *Rules         // nil if the job has no rules
+	Rules         *Rules         // nil if the job has no constraints
 	Starving      bool           // the job has waited for long without starting, and the request is for its first tasks
 
 	position position
@@ -129,7 +129,7 @@
 	Releasing map[string]model.Resources // by team, the part of Used held by attempts that are being stopped
 	Teams     map[string]*model.Team
 	Zones     []string                  // names of the zones of Nodes, sorted; if nil, collected when first needed
-	RulesOf   func(j *model.Job) *Rules // returns the rules of a running job; nil if no job has rules
+	RulesOf   func(j *model.Job) *Rules // returns the constraints of a running job; nil if no job has any
 
 	// LoadCandidates sets Node.Candidates and Node.Releasing. It is called at most once for each node, and only for
 	// nodes on which a preemption is considered. If it is nil, there are no candidates.
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -37,10 +37,10 @@
 			continue
 		}
 		r.Starving = true
-		if r.Job.Spec.Shape == model.Array && r.Count > 1 && r.MaxTasks > 0 {
+		if r.Job.Spec.Shape == model.Array && r.PendingTasks > 1 && r.MaxStarts > 0 {
 			rest := *r
-			rest.Starving, rest.Count, rest.MaxTasks = false, r.Count-1, r.MaxTasks-1
-			r.Count, r.MaxTasks = 1, 1
+			rest.Starving, rest.PendingTasks, rest.MaxStarts = false, r.PendingTasks-1, r.MaxStarts-1
+			r.PendingTasks, r.MaxStarts = 1, 1
 			split = append(split, &rest)
 		}
 	}
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -11,8 +11,8 @@
 
 // Bound is the maximum age of a leader's knowledge of cancellations.
 type Bound struct {
-	KeepLeases time.Duration // the maximum age at which the leader answers heartbeats, which renews workers' leases
-	StartTasks time.Duration // the maximum age at which the leader starts tasks
+	RenewLeases time.Duration // the maximum age at which the leader answers heartbeats, which renews workers' leases
+	StartTasks  time.Duration // the maximum age at which the leader starts tasks
 }
 
 const (
@@ -29,7 +29,7 @@
 	keep := time.Duration(float64(cancelWithin)/(1+maxClockDrift)) - lease - lateStopAllowance
 	ok = keep >= minBound
 	keep = max(keep, minBound)
-	return Bound{KeepLeases: keep, StartTasks: min(keep, maxStartBound)}, ok
+	return Bound{RenewLeases: keep, StartTasks: min(keep, maxStartBound)}, ok
 }
 
 // Tracker tracks the time up to which a leader knows all cancellations that were acknowledged to users. It is not safe
@@ -52,9 +52,9 @@
 // RecordsRead records that the leader has read the records. requestedAt is the time at which it requested the read.
 func (t *Tracker) RecordsRead(requestedAt time.Time) { t.readAt = laterOf(t.readAt, requestedAt) }
 
-// Acknowledged records that a member has reported all cancellations that it has acknowledged to users. requestedAt is
+// ReportReceived records that a member has reported all cancellations that it has acknowledged to users. requestedAt is
 // the time at which the leader requested the report. A report of an unknown member is ignored.
-func (t *Tracker) Acknowledged(member string, requestedAt time.Time) {
+func (t *Tracker) ReportReceived(member string, requestedAt time.Time) {
 	if at, ok := t.reportedAt[member]; ok {
 		t.reportedAt[member] = laterOf(at, requestedAt)
 	}
--- a/internal/store/changes.go
+++ b/internal/store/changes.go
@@ -29,7 +29,7 @@
 	case record.PutMachine:
 		addPut(txn, key, wire.AppendMachine(nil, ch.Machine))
 	case record.PutTasks:
-		addPut(txn, key, wire.AppendTasksDone(nil, ch.FinishedBits))
+		addPut(txn, key, wire.AppendFinishedTasks(nil, ch.FinishedBits))
 	case record.PutChunkLayout:
 		addPut(txn, key, wire.AppendChunkLayout(nil, ch.Tasks))
 	case record.PutGPUDemand:
@@ -54,7 +54,7 @@
 	requireVersion(txn, activePrefix+ch.Job, ch.Version)
 	requireVersion(txn, endedKey, 0)
 	addDelete(txn, activePrefix+ch.Job)
-	addPut(txn, endedKey, wire.AppendEndedJob(nil, state, ch.Tasks, ch.At))
+	addPut(txn, endedKey, wire.AppendEndedJob(nil, state, ch.Tasks, ch.EndedAt))
 }
 
 // requireVersion adds the condition that a key has a version, or that it does not exist if the version is 0.
@@ -89,7 +89,7 @@
 	case record.CompleteJob, record.CancelDependent:
 		return endedPrefix + ch.Job
 	case record.DeleteDependencies:
-		return ch.Key
+		return ch.DependencyKey
 	case record.SettleAccount:
 		return accountPrefix + teamKeyPart(ch.Settlement.Open.Team)
 	case record.PutUnaccounted:
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -41,7 +41,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			transport := failingTransport{c.err}
-			client := store.NewOver(transport, transport, time.Second)
+			client := store.NewWithTransports(transport, transport, time.Second)
 			ctx := c.ctx
 			if ctx == nil {
 				ctx = context.Background()
@@ -71,7 +71,7 @@
 func TestReadErrorIsNotErrNotExecuted(t *testing.T) {
 	for _, cause := range []error{rpc.ErrNotSent, &rpc.StatusError{Status: 503}, io.EOF} {
 		transport := failingTransport{cause}
-		client := store.NewOver(transport, transport, time.Second)
+		client := store.NewWithTransports(transport, transport, time.Second)
 		_, found, err := client.Get(context.Background(), "leader/token")
 		if found || !errors.Is(err, cause) || errors.Is(err, store.ErrNotExecuted) {
 			t.Errorf("got found=%v, error %v; want false, and %v but not ErrNotExecuted", found, err, cause)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -55,7 +55,7 @@
 		"GET /keys?":     numberAnswer("epoch"),
 		"GET /changes":   numberAnswer("epoch"),
 	}}
-	c := store.NewOver(r, r, time.Second)
+	c := store.NewWithTransports(r, r, time.Second)
 	c.SetRateLimits(1e9, 1e9)
 	return r, c
 }
@@ -64,17 +64,17 @@
 // of each request, the keys and conditions of its transaction, and the encoding of its records.
 func TestStateServiceRequestsKeepTheirBytes(t *testing.T) {
 	at := time.UnixMilli(1_790_000_000_123)
-	usage := ledger.FromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})
+	usage := ledger.UsageFromNumbers([]uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})
 	classUsage := []ledger.ClassUsage{{Class: "train", Usage: usage}}
 	openSegment := ledger.OpenSegment{Team: "vision/a b", Number: 4, Settlements: 9, FencingToken: 41,
-		Start: at, SettledAt: at, Usage: classUsage, Prev: "00ff", DecayedUsage: 5}
+		Start: at, SettledAt: at, Usage: classUsage, PrevLink: "00ff", DecayedUsage: 5}
 	segment := ledger.Segment{Team: "vision/a b", First: 3, Last: 3, Unit: ledger.Hour,
-		Start: at, Usage: classUsage, Prev: "00ff", Sum: "22dd"}
+		Start: at, Usage: classUsage, PrevLink: "00ff", Hash: "22dd"}
 	nextSegment := segment
 	nextSegment.First, nextSegment.Last = 4, 4
 	compacted := segment
-	compacted.Last, compacted.Unit, compacted.Head = 4, ledger.Day, "11ee"
-	interval := ledger.Interval{Start: at, End: at.Add(time.Minute), FencingToken: 41, UnsettledLeaders: 2}
+	compacted.Last, compacted.Unit, compacted.LastMergedLink = 4, ledger.Day, "11ee"
+	interval := ledger.UnaccountedInterval{Start: at, End: at.Add(time.Minute), FencingToken: 41, UnsettledLeaders: 2}
 	const id = "wk-000412"
 	bits := []byte{0xff, 0x5a}
 	numbered, taskRange := model.Chunk{Number: 6}, model.Chunk{StartsAtTask: true, Number: 2048}
@@ -117,11 +117,11 @@
 		{"gpu-request", commit(record.Change{
 			Kind: record.PutGPUDemand, GPUDemand: model.Resources{CPU: 8, GPU: 0.5, MemGB: 1e8}})},
 		{"job-done", commit(record.Change{
-			Kind: record.CompleteJob, Job: id, Version: 3, Tasks: 16, At: at})},
+			Kind: record.CompleteJob, Job: id, Version: 3, Tasks: 16, EndedAt: at})},
 		{"job-doomed", commit(record.Change{
-			Kind: record.CancelDependent, Job: id, Version: 3, Tasks: 16, At: at})},
+			Kind: record.CancelDependent, Job: id, Version: 3, Tasks: 16, EndedAt: at})},
 		{"awaits-dropped", commit(record.Change{
-			Kind: record.DeleteDependencies, Job: id, Key: "job/w/wk-000412/ff/0"})},
+			Kind: record.DeleteDependencies, Job: id, DependencyKey: "job/w/wk-000412/ff/0"})},
 		{"ledger-settled", commit(record.Change{Kind: record.SettleAccount,
 			Settlement: &ledger.Settlement{Version: 5, Open: openSegment, Closed: &segment}})},
 		{"ledger-unaccounted", commit(record.Change{Kind: record.PutUnaccounted, Unaccounted: &interval})},
--- a/internal/store/helpers_test.go
+++ b/internal/store/helpers_test.go
@@ -24,7 +24,7 @@
 	now := time.Unix(1000, 0)
 	state := fake.NewState(func() time.Time { return now })
 	state.MaxValueBytes, state.MaxOps = lowestLimits.MaxValueBytes, lowestLimits.MaxChanges
-	client := store.NewOver(state, state, time.Second)
+	client := store.NewWithTransports(state, state, time.Second)
 	client.SetRateLimits(1e9, 1e9)
 	return state, client
 }
@@ -39,8 +39,8 @@
 func newTestCache(t *testing.T, c *store.Client, incarnation uint64, maxEnded int) *store.JobCache {
 	t.Helper()
 	j := newEmptyCache(c, incarnation, maxEnded, ordinaryLimits)
-	if err := j.Refresh(context.Background()); err != nil {
-		t.Fatalf("Refresh: got error %v, want none", err)
+	if err := j.LoadAndApplyChanges(context.Background()); err != nil {
+		t.Fatalf("LoadAndApplyChanges: got error %v, want none", err)
 	}
 	return j
 }
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -85,18 +85,18 @@
 	return j.readChanges(ctx, watchTimeout)
 }
 
-// Refresh loads the cache unless it is loaded, and then applies all changes up to now.
-func (j *JobCache) Refresh(ctx context.Context) error {
+// LoadAndApplyChanges loads the cache unless it is loaded, and then applies all changes up to now.
+func (j *JobCache) LoadAndApplyChanges(ctx context.Context) error {
 	if !j.Loaded() {
 		if err := j.load(ctx); err != nil {
 			return err
 		}
 	}
-	return j.CatchUp(ctx)
+	return j.ApplyNewChanges(ctx)
 }
 
-// CatchUp reads and applies the changes since the cache's revision, without waiting for new ones.
-func (j *JobCache) CatchUp(ctx context.Context) error { return j.readChanges(ctx, 0) }
+// ApplyNewChanges reads and applies the changes since the cache's revision, without waiting for new ones.
+func (j *JobCache) ApplyNewChanges(ctx context.Context) error { return j.readChanges(ctx, 0) }
 
 // readChanges reads and applies the changes since the cache's revision. If there are none, it waits up to the given
 // time for one.
--- a/internal/store/job_changes.go
+++ b/internal/store/job_changes.go
@@ -100,7 +100,7 @@
 		delete(j.dependencyParts, e.Key)
 		return
 	}
-	ids, err := wire.DecodeDependencies(e.Value)
+	ids, err := wire.DecodeDependencyPart(e.Value)
 	if err != nil {
 		j.logDecodeError(e.Key, err)
 		return
--- a/internal/store/job_load.go
+++ b/internal/store/job_load.go
@@ -139,7 +139,7 @@
 	for key := range j.dependencyParts {
 		id, _, _ := strings.Cut(key[len(dependencyPartPrefix):], "/")
 		if _, ok := j.active[id]; !ok {
-			orphan := record.Change{Kind: record.DeleteDependencies, Job: id, Key: key}
+			orphan := record.Change{Kind: record.DeleteDependencies, Job: id, DependencyKey: key}
 			snap.OrphanedDependencies = append(snap.OrphanedDependencies, orphan)
 		}
 	}
--- a/internal/store/job_records.go
+++ b/internal/store/job_records.go
@@ -81,7 +81,7 @@
 	}
 	record := JobRecord{State: wire.StateQueued, Spec: spec, Timestamp: submittedAt, Version: e.Version}
 	for n := range list.Count {
-		key := dependencyPartKey(spec.ID, list.Sum, n)
+		key := dependencyPartKey(spec.ID, list.Hash, n)
 		ids, ok := parts[key]
 		if !ok {
 			return JobRecord{}, fmt.Errorf("missing dependency list part %s", key)
@@ -93,9 +93,9 @@
 	return record, nil
 }
 
-// dependencyPartKey returns the key of part n of a job's dependency list; sum is the hash of the list.
-func dependencyPartKey(id, sum string, n int) string {
-	return dependencyPartPrefix + id + "/" + sum + "/" + strconv.Itoa(n)
+// dependencyPartKey returns the key of part n of a job's dependency list; hash is that of the list.
+func dependencyPartKey(id, hash string, n int) string {
+	return dependencyPartPrefix + id + "/" + hash + "/" + strconv.Itoa(n)
 }
 
 // encodeNewJob returns the records of a new job: the active record, with which the job is accepted, and the parts
@@ -111,15 +111,15 @@
 	if wire.StoredSize(record.Value) <= limits.MaxValueBytes {
 		return nil, record, nil
 	}
-	list := wire.DependencyParts{Sum: dependencySum(spec.Dependencies)}
+	list := wire.DependencyParts{Hash: dependencyHash(spec.Dependencies)}
 	for rest := spec.Dependencies; len(rest) > 0; {
 		n := countFittingIDs(rest, limits.MaxValueBytes)
 		if n == 0 {
 			return nil, record, ErrTooLarge
 		}
 		parts = append(parts, wire.Change{
-			Key:   dependencyPartKey(spec.ID, list.Sum, list.Count),
-			Value: wire.AppendDependencies(nil, rest[:n]),
+			Key:   dependencyPartKey(spec.ID, list.Hash, list.Count),
+			Value: wire.AppendDependencyPart(nil, rest[:n]),
 		})
 		list.Count++
 		rest = rest[n:]
@@ -132,9 +132,9 @@
 	return parts, record, nil
 }
 
-// dependencySum returns a hash of a dependency list. It is in the keys of the list's parts, so that two submissions
+// dependencyHash returns the hash of a dependency list. It is in the keys of the list's parts, so that two submissions
 // of a job with different lists do not overwrite each other's parts.
-func dependencySum(ids []string) string {
+func dependencyHash(ids []string) string {
 	hash := fnv.New64a()
 	for _, id := range ids {
 		_, _ = hash.Write([]byte(id)) // never fails
--- a/internal/store/job_sync.go
+++ b/internal/store/job_sync.go
@@ -60,7 +60,7 @@
 		if batch == nil {
 			return
 		}
-		batch.err = j.CatchUp(context.Background())
+		batch.err = j.ApplyNewChanges(context.Background())
 		close(batch.done)
 		// Users' polls must not use up the rate limits. Otherwise submissions, and the watch that reports the jobs on
 		// which they depend, would have to wait.
--- a/internal/store/ledger.go
+++ b/internal/store/ledger.go
@@ -134,7 +134,7 @@
 // token is greater than after. more reports whether there are further intervals.
 func (c *Client) Intervals(
 	ctx context.Context, after uint64, limit int,
-) (intervals []ledger.Interval, more bool, err error) {
+) (intervals []ledger.UnaccountedInterval, more bool, err error) {
 	page, err := c.readPage(ctx, intervalPrefix, intervalPrefix+sortableNumber(after), limit)
 	if err != nil {
 		return nil, false, err
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -48,10 +48,10 @@
 			{Kind: record.PutGPUDemand, GPUDemand: demand},
 		},
 		"a part of a dependency list": {
-			{Kind: record.DeleteDependencies, Job: "wk-000001", Key: "job/w/wk-000001/ffffffffffffffff/13"},
+			{Kind: record.DeleteDependencies, Job: "wk-000001", DependencyKey: "job/w/wk-000001/ffffffffffffffff/13"},
 		},
 		"the end of a job": {
-			{Kind: record.CompleteJob, Job: id, Version: 3, Tasks: 100_000, At: time.Unix(4e9, 0)},
+			{Kind: record.CompleteJob, Job: id, Version: 3, Tasks: 100_000, EndedAt: time.Unix(4e9, 0)},
 		},
 	} {
 		if _, ok, err := c.CommitFenced(context.Background(), token, changes); err != nil || !ok {
@@ -130,8 +130,8 @@
 	t.Helper()
 	s, c := newTestStore()
 	jobs := newEmptyCache(c, 1, 10, lowestLimits)
-	if err := jobs.Refresh(context.Background()); err != nil {
-		t.Fatalf("%s: Refresh: got error %v, want none", name, err)
+	if err := jobs.LoadAndApplyChanges(context.Background()); err != nil {
+		t.Fatalf("%s: LoadAndApplyChanges: got error %v, want none", name, err)
 	}
 	spec := largeSpec(text, types, dependencies)
 	sizeErr := jobs.CheckSize(spec)
@@ -141,8 +141,8 @@
 		if err != nil || !created {
 			t.Errorf("%s: fits, but got created=%v, error %v; want true and none", name, created, err)
 		}
-		if err := jobs.Refresh(context.Background()); err != nil {
-			t.Fatalf("%s: Refresh: got error %v, want none", name, err)
+		if err := jobs.LoadAndApplyChanges(context.Background()); err != nil {
+			t.Fatalf("%s: LoadAndApplyChanges: got error %v, want none", name, err)
 		}
 		if record := jobs.Peek(spec.ID); record.Spec == nil || len(record.Spec.Dependencies) != dependencies {
 			t.Errorf("%s: read back as %+v, want a spec with %d dependencies", name, record, dependencies)
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -60,7 +60,7 @@
 			if err != nil || n < 0 || n > maxChunkNumber {
 				return &RecordError{Key: e.Key, Err: err}
 			}
-			bits, err := wire.DecodeTasksDone(e.Value)
+			bits, err := wire.DecodeFinishedTasks(e.Value)
 			if err != nil {
 				return &RecordError{Key: e.Key, Err: err}
 			}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -63,12 +63,12 @@
 // connections, for example to enforce a quota: see rpc.New. timeout bounds each request, and also the wait for the
 // rate limits before it.
 func New(addr string, timeout time.Duration, wrapDial func(rpc.DialFunc) rpc.DialFunc) *Client {
-	return NewOver(rpc.New(addr, requestConns, wrapDial), rpc.New(addr, watchConns, wrapDial), timeout)
+	return NewWithTransports(rpc.New(addr, requestConns, wrapDial), rpc.New(addr, watchConns, wrapDial), timeout)
 }
 
-// NewOver returns a client that sends watches over a transport of their own, and all other requests over the first
-// one.
-func NewOver(requests, watches Transport, timeout time.Duration) *Client {
+// NewWithTransports returns a client that sends watches over a transport of their own, and all other requests over the
+// first one.
+func NewWithTransports(requests, watches Transport, timeout time.Duration) *Client {
 	return &Client{
 		requestTransport: requests,
 		watchTransport:   watches,
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func withDependencies(s *model.Spec, ids ...string) *model.Spec {
+func specWithDependencies(s *model.Spec, ids ...string) *model.Spec {
 	s.Dependencies = ids
 	return s
 }
@@ -61,7 +61,7 @@
 	for i := range uint64(13) {
 		list = append(list, first+i)
 	}
-	return ledger.FromNumbers(list)
+	return ledger.UsageFromNumbers(list)
 }
 
 func goldenUsage() []ledger.ClassUsage {
@@ -147,7 +147,7 @@
 		s, tasks, at, err := DecodeEndedJob(b)
 		return ended{s, tasks, at}, err
 	}
-	none, parts := DependencyParts{}, DependencyParts{Count: 3, Sum: "0123456789abcdef"}
+	none, parts := DependencyParts{}, DependencyParts{Count: 3, Hash: "0123456789abcdef"}
 	ids := []string{"wk-000007", "wk-000008"}
 	minimal := minimalSpec(model.Array, model.PriorityLow)
 	bits := []byte{0xff, 0x00, 0x5a}
@@ -155,18 +155,18 @@
 		{"record-active", AppendActiveJob(nil, fullSpec(), goldenTime, nil, none), readActive,
 			active{fullSpec(), goldenTime, none}},
 		{"record-active-awaits", AppendActiveJob(nil, fullSpec(), goldenTime, ids, none), readActive,
-			active{withDependencies(fullSpec(), ids...), goldenTime, none}},
+			active{specWithDependencies(fullSpec(), ids...), goldenTime, none}},
 		{"record-active-parts", AppendActiveJob(nil, fullSpec(), goldenTime, nil, parts), readActive,
 			active{fullSpec(), goldenTime, parts}},
 		{"record-active-least", AppendActiveJob(nil, minimal, goldenTime, nil, none), readActive,
 			active{minimal, goldenTime, none}},
-		{"record-awaits", AppendDependencies(nil, ids), decoder(DecodeDependencies), ids},
+		{"record-awaits", AppendDependencyPart(nil, ids), decoder(DecodeDependencyPart), ids},
 		{"record-ended-done", AppendEndedJob(nil, StateDone, 16, goldenTime), readEnded,
 			ended{StateDone, 16, goldenTime}},
 		{"record-ended-cancelled", AppendEndedJob(nil, StateCancelled, 16, goldenTime), readEnded,
 			ended{StateCancelled, 16, goldenTime}},
 		{"record-layout", AppendChunkLayout(nil, 16384), decoder(DecodeChunkLayout), 16384},
-		{"record-finished-tasks", AppendTasksDone(nil, bits), decoder(DecodeTasksDone), bits},
+		{"record-finished-tasks", AppendFinishedTasks(nil, bits), decoder(DecodeFinishedTasks), bits},
 	}
 }
 
@@ -204,21 +204,21 @@
 		Start:        time.Unix(1_790_000_000, 0).UTC(),
 		SettledAt:    goldenTime.UTC(),
 		Usage:        goldenUsage(),
-		Prev:         "00ff",
+		PrevLink:     "00ff",
 		DecayedUsage: 1 << 50,
 	}
 	closed := ledger.Segment{
-		Team:  "vision",
-		First: 3,
-		Last:  6,
-		Unit:  ledger.Day,
-		Start: time.Unix(1_789_948_800, 0).UTC(),
-		Usage: goldenUsage(),
-		Prev:  "00ff",
-		Head:  "11ee",
-		Sum:   "22dd",
-	}
-	interval := ledger.Interval{
+		Team:           "vision",
+		First:          3,
+		Last:           6,
+		Unit:           ledger.Day,
+		Start:          time.Unix(1_789_948_800, 0).UTC(),
+		Usage:          goldenUsage(),
+		PrevLink:       "00ff",
+		LastMergedLink: "11ee",
+		Hash:           "22dd",
+	}
+	interval := ledger.UnaccountedInterval{
 		Start:            goldenTime.UTC(),
 		End:              goldenTime.Add(time.Minute).UTC(),
 		FencingToken:     41,
@@ -304,7 +304,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := withDependencies(minimalSpec(model.Array, model.PriorityLow), "wk-000007", "wk-000008")
+	want := specWithDependencies(minimalSpec(model.Array, model.PriorityLow), "wk-000007", "wk-000008")
 	golden.Equal(t, "submission-awaits", got, want)
 	if id, err := DecodeJobID(b); err != nil || id != "wk-000001" {
 		t.Errorf("DecodeJobID: got %q, error %v; want wk-000001 and none", id, err)
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -22,7 +22,7 @@
 	maxMachineTypes = 64
 )
 
-// MalformedRules stands for constraint rules that are not a string. It is not a valid rule, so a job with it is
+// MalformedRules stands for constraints that are not a string. It is not a valid constraint text, so a job with it is
 // rejected, but only if the constraints feature is in force.
 const MalformedRules = "\x00"
 
@@ -238,8 +238,8 @@
 	return rest, true, nil
 }
 
-// readRules reads the job's constraint rules. It stores MalformedRules if they are not a string. That is not an error
-// here, because the rules matter only if the constraints feature is in force.
+// readRules reads the job's constraints. It stores MalformedRules if they are not a string. That is not an error
+// here, because the constraints matter only if the constraints feature is in force.
 func readRules(b []byte, dst *string) ([]byte, bool, error) {
 	if msgp.NextType(b) != msgp.StrType {
 		*dst = MalformedRules
--- a/internal/wire/job_records.go
+++ b/internal/wire/job_records.go
@@ -19,7 +19,7 @@
 // separate record. The zero value means that there are no parts.
 type DependencyParts struct {
 	Count int    // number of parts
-	Sum   string // hash of the list, which is contained in the keys of the parts
+	Hash  string // hash of the list, which is contained in the keys of the parts
 }
 
 // AppendActiveJob appends the record of an accepted, unfinished job. The record holds the given dependencies instead of
@@ -42,7 +42,7 @@
 	}
 	if parts.Count > 0 {
 		b = appendUint(b, recordDependencyParts, uint64(parts.Count))
-		b = appendString(b, recordDependencyPartsSum, parts.Sum)
+		b = appendString(b, recordDependencyPartsHash, parts.Hash)
 	}
 	return b
 }
@@ -65,8 +65,8 @@
 			return readStrings(b, &dependencies)
 		case recordDependencyParts:
 			return readUint(b, &count)
-		case recordDependencyPartsSum:
-			return readString(b, &parts.Sum)
+		case recordDependencyPartsHash:
+			return readString(b, &parts.Hash)
 		}
 		return b, false, nil
 	})
@@ -84,13 +84,13 @@
 	return spec, time.UnixMilli(int64(submittedMilliseconds)), parts, err
 }
 
-// AppendDependencies appends the record of one part of a dependency list.
-func AppendDependencies(b []byte, ids []string) []byte {
+// AppendDependencyPart appends the record of one part of a dependency list.
+func AppendDependencyPart(b []byte, ids []string) []byte {
 	return appendStrings(msgp.AppendMapHeader(b, 1), recordDependencies, ids)
 }
 
-// DecodeDependencies decodes the record of one part of a dependency list.
-func DecodeDependencies(b []byte) ([]string, error) {
+// DecodeDependencyPart decodes the record of one part of a dependency list.
+func DecodeDependencyPart(b []byte) ([]string, error) {
 	return decodeSingleField(b, recordDependencies, readStrings)
 }
 
@@ -144,13 +144,13 @@
 	return int(n), err
 }
 
-// AppendTasksDone appends one chunk of the finished-task records. bits is a bitmap with one bit per task.
-func AppendTasksDone(b []byte, bits []byte) []byte {
+// AppendFinishedTasks appends one chunk of the finished-task records. bits is a bitmap with one bit per task.
+func AppendFinishedTasks(b []byte, bits []byte) []byte {
 	return appendString(msgp.AppendMapHeader(b, 1), recordDoneBits, hex.EncodeToString(bits))
 }
 
-// DecodeTasksDone decodes one chunk of the finished-task records into its bitmap.
-func DecodeTasksDone(b []byte) ([]byte, error) {
+// DecodeFinishedTasks decodes one chunk of the finished-task records into its bitmap.
+func DecodeFinishedTasks(b []byte) ([]byte, error) {
 	digits, err := decodeSingleField(b, recordDoneBits, readString)
 	if err != nil {
 		return nil, err
--- a/internal/wire/ledger.go
+++ b/internal/wire/ledger.go
@@ -33,7 +33,7 @@
 			amounts = append(amounts, amount)
 			return rest, err
 		})
-		*dst = ledger.AddUsage(*dst, class, ledger.FromNumbers(amounts))
+		*dst = ledger.AddUsage(*dst, class, ledger.UsageFromNumbers(amounts))
 		return rest, true, err
 	})
 	return rest, true, err
@@ -49,7 +49,7 @@
 	b = appendUint(b, ledgerStart, uint64(s.Start.Unix()))
 	b = appendUint(b, ledgerSettledAt, uint64(s.SettledAt.UnixMilli()))
 	b = appendUsage(b, s.Usage)
-	b = appendString(b, ledgerPrev, s.Prev)
+	b = appendString(b, ledgerPrev, s.PrevLink)
 	return appendUint(b, ledgerDecayedUsage, s.DecayedUsage)
 }
 
@@ -74,7 +74,7 @@
 		case ledgerUsage:
 			return readUsage(b, &s.Usage)
 		case ledgerPrev:
-			return readString(b, &s.Prev)
+			return readString(b, &s.PrevLink)
 		case ledgerDecayedUsage:
 			return readUint(b, &s.DecayedUsage)
 		}
@@ -97,9 +97,9 @@
 	b = appendUint(b, ledgerUnit, uint64(s.Unit))
 	b = appendUint(b, ledgerStart, uint64(s.Start.Unix()))
 	b = appendUsage(b, s.Usage)
-	b = appendString(b, ledgerPrev, s.Prev)
-	b = appendString(b, ledgerHead, s.Head)
-	return appendString(b, ledgerSum, s.Sum)
+	b = appendString(b, ledgerPrev, s.PrevLink)
+	b = appendString(b, ledgerHead, s.LastMergedLink)
+	return appendString(b, ledgerHash, s.Hash)
 }
 
 // DecodeSegment decodes the record of a closed segment. The start time is in UTC.
@@ -121,24 +121,24 @@
 		case ledgerUsage:
 			return readUsage(b, &s.Usage)
 		case ledgerPrev:
-			return readString(b, &s.Prev)
+			return readString(b, &s.PrevLink)
 		case ledgerHead:
-			return readString(b, &s.Head)
-		case ledgerSum:
-			return readString(b, &s.Sum)
+			return readString(b, &s.LastMergedLink)
+		case ledgerHash:
+			return readString(b, &s.Hash)
 		}
 		return b, false, nil
 	})
 	s.Unit = ledger.Unit(unit)
 	s.Start = time.Unix(int64(start), 0).UTC()
-	if err == nil && (s.First == 0 || s.Unit < ledger.Hour || s.Unit > ledger.Month || s.Sum == "") {
+	if err == nil && (s.First == 0 || s.Unit < ledger.Hour || s.Unit > ledger.Month || s.Hash == "") {
 		err = errors.New("ledger segment has no number, no hash or an unknown time unit")
 	}
 	return s, err
 }
 
 // AppendUnaccountedInterval appends the record of an interval whose usage no leader accounted for.
-func AppendUnaccountedInterval(b []byte, interval ledger.Interval) []byte {
+func AppendUnaccountedInterval(b []byte, interval ledger.UnaccountedInterval) []byte {
 	b = msgp.AppendMapHeader(b, 4)
 	b = appendUint(b, ledgerStart, uint64(interval.Start.UnixMilli()))
 	b = appendUint(b, ledgerEnd, uint64(interval.End.UnixMilli()))
@@ -148,7 +148,7 @@
 
 // DecodeUnaccountedInterval decodes the record of an interval whose usage no leader accounted for. The times are in
 // UTC.
-func DecodeUnaccountedInterval(b []byte) (interval ledger.Interval, err error) {
+func DecodeUnaccountedInterval(b []byte) (interval ledger.UnaccountedInterval, err error) {
 	var start, end uint64
 	err = decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
 		switch name {
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -122,16 +122,16 @@
 
 // Fields of the records of jobs. This group and the following ones are the fields of stored records.
 const (
-	recordSubmittedAt        = "at"
-	recordSpec               = "job"
-	recordDependencies       = "awaits"
-	recordDependencyParts    = "parts"
-	recordDependencyPartsSum = "sum"
-	recordOutcome            = "end"
-	recordTaskCount          = "n"
-	recordEndedAt            = "at"
-	recordChunkTasks         = "tasks"
-	recordDoneBits           = "bits"
+	recordSubmittedAt         = "at"
+	recordSpec                = "job"
+	recordDependencies        = "awaits"
+	recordDependencyParts     = "parts"
+	recordDependencyPartsHash = "sum"
+	recordOutcome             = "end"
+	recordTaskCount           = "n"
+	recordEndedAt             = "at"
+	recordChunkTasks          = "tasks"
+	recordDoneBits            = "bits"
 )
 
 // Fields of the records of machines and of resource requests that include GPUs.
@@ -175,6 +175,6 @@
 	ledgerLast             = "last"
 	ledgerUnit             = "unit"
 	ledgerHead             = "head"
-	ledgerSum              = "sum"
+	ledgerHash             = "sum"
 	ledgerUnsettledLeaders = "without"
 )
--- a/internal/wire/standin.go
+++ b/internal/wire/standin.go
@@ -15,7 +15,7 @@
 const maxMachinesPerRequest = 50
 
 // commandOps maps the published names of command operations to their values.
-var commandOps = map[string]model.Op{
+var commandOps = map[string]model.CommandOp{
 	commandLaunch: model.OpLaunch,
 	commandStop:   model.OpStop,
 	commandForget: model.OpForget,
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -74,7 +74,7 @@
 		}
 		return func(addr string) (net.Conn, error) {
 			conn, err := dial(addr)
-			if errors.Is(err, connquota.ErrFull) && c.evictIdle(worker) {
+			if errors.Is(err, connquota.ErrQuotaExhausted) && c.evictIdle(worker) {
 				conn, err = dial(addr)
 			}
 			return conn, err
@@ -152,12 +152,13 @@
 	w.callsInFlight--
 }
 
-// Reply is the outcome of a request with commands. If neither Executed nor NotSent is true, the outcome is unknown.
+// Reply is the outcome of a request with commands. If neither Executed nor NeverExecuted is true, the outcome is
+// unknown.
 type Reply struct {
-	Executed  bool             // the commands were executed
-	Heartbeat *model.Heartbeat // status of the worker after the request; nil if the response contains none
-	NotSent   bool             // the commands were not executed and never will be: not sent, or refused by the worker
-	Err       error            // why the request failed, or why the heartbeat in the response cannot be decoded
+	Executed      bool             // the commands were executed
+	Heartbeat     *model.Heartbeat // status of the worker after the request; nil if the response contains none
+	NeverExecuted bool             // the commands were not executed and never will be: not sent, or refused by the worker
+	Err           error            // why the request failed, or why the heartbeat in the response cannot be decoded
 }
 
 // Send sends commands to the worker at addr (host:port) and waits for its reply. Without commands the request is a
@@ -176,9 +177,9 @@
 	case errors.As(err, &statusErr):
 		// A worker may refuse commands without sending a heartbeat, so a missing one is not an error.
 		heartbeat, _ := decodeHeartbeat(statusErr.Body)
-		return Reply{Heartbeat: heartbeat, NotSent: true, Err: err}
+		return Reply{Heartbeat: heartbeat, NeverExecuted: true, Err: err}
 	}
-	return Reply{NotSent: errors.Is(err, rpc.ErrNotSent), Err: err}
+	return Reply{NeverExecuted: errors.Is(err, rpc.ErrNotSent), Err: err}
 }
 
 // decodeHeartbeat decodes the heartbeat in the body of a response. It returns nil with an error.
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -41,8 +41,8 @@
 			t.Fatalf("urgent command to worker %d: got %+v, want it executed", i, reply)
 		}
 	}
-	if reply := c.Send(startWorker(t, unblock), 1, 1, nil, false); !errors.Is(reply.Err, connquota.ErrFull) {
-		t.Errorf("non-urgent command: got %+v, want %v", reply, connquota.ErrFull)
+	if reply := c.Send(startWorker(t, unblock), 1, 1, nil, false); !errors.Is(reply.Err, connquota.ErrQuotaExhausted) {
+		t.Errorf("non-urgent command: got %+v, want %v", reply, connquota.ErrQuotaExhausted)
 	}
 }
 
@@ -70,8 +70,8 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	time.Sleep(50 * time.Millisecond) // long enough for all calls to have connected
-	if reply := c.Send(startWorker(t, unblock), 1, 1, nil, true); !errors.Is(reply.Err, connquota.ErrFull) {
-		t.Errorf("one more command: got %+v, want %v", reply, connquota.ErrFull)
+	if reply := c.Send(startWorker(t, unblock), 1, 1, nil, true); !errors.Is(reply.Err, connquota.ErrQuotaExhausted) {
+		t.Errorf("one more command: got %+v, want %v", reply, connquota.ErrQuotaExhausted)
 	}
 	close(unblock)
 	calls.Wait()
