--- a/cmd/clustersim/election.go
+++ b/cmd/clustersim/election.go
@@ -7,7 +7,7 @@
 )
 
 var errSplitBrain = errors.New(
-	"the election lets several members act at once, or one under an outdated fencing token or feature level")
+	"the election lets several members lead at once, or one with an outdated fencing token or feature level")
 
 type electionCmd struct {
 	Members int    `default:"3" help:"Number of members, from 2 to 5."`
--- a/cmd/clustersim/main.go
+++ b/cmd/clustersim/main.go
@@ -10,7 +10,7 @@
 )
 
 // commands holds the subcommands. Kong derives the names of subcommands and flags from the names of the fields. The
-// aliases are names of earlier versions.
+// aliases are the names that the subcommands had in earlier versions.
 type commands struct {
 	Capacity capacityCmd `cmd:"" help:"Fit lines to results of the scale subcommand and print the table of docs/CAPACITY.md."`
 	Scale    scaleCmd    `cmd:"" help:"Run real controllers with thousands of hollow workers and measure the controllers' load."`
--- a/cmd/glentiller/ledger.go
+++ b/cmd/glentiller/ledger.go
@@ -35,8 +35,8 @@
 	admin.Amounts
 }
 
-// Run reads the ledger entries that match the flags, sums them by group and prints the sums. The table for people
-// is followed by the intervals without accounting.
+// Run reads the ledger entries that match the flags, sums them by group and prints the sums. If it prints them as a
+// table for people, it also prints the unaccounted intervals.
 func (c *ledgerShowCmd) Run() error {
 	client, err := c.connect()
 	if err != nil {
@@ -94,7 +94,8 @@
 	return t
 }
 
-// printUnaccounted prints the intervals between --from and --to that no leader accounted for.
+// printUnaccounted prints the intervals for which no leader recorded usage, as far as they overlap the time between
+// --from and --to.
 func (c *ledgerShowCmd) printUnaccounted(client *admin.Client) error {
 	intervals, err := client.UnaccountedIntervals()
 	if err != nil {
--- a/cmd/glentiller/serve.go
+++ b/cmd/glentiller/serve.go
@@ -103,8 +103,8 @@
 	return level, nil
 }
 
-// limitResources adapts the Go runtime to the machine of a controller, which has a fraction of one core, so that
-// more threads would only wait for each other, and memMB megabytes of memory. If memMB is 0, memory is not limited.
+// limitResources adapts the Go runtime to the machine of a controller. The machine has a fraction of one core, so
+// more threads would only wait for each other. It has memMB megabytes of memory; 0 means that no limit is known.
 func limitResources(memMB float64) {
 	runtime.GOMAXPROCS(1)
 	if memMB > 0 {
@@ -113,8 +113,9 @@
 	}
 }
 
-// startProfile starts a CPU profile, which is written to the file when ctx ends. After that a controller only
-// closes its connections. The returned wait function blocks until the file is complete.
+// startProfile starts a CPU profile, which is written to the file when ctx ends. The profile does not cover what a
+// controller does after that, which is to close its connections. The returned wait function blocks until ctx has
+// ended and the file is complete.
 func startProfile(ctx context.Context, path string) (wait func(), err error) {
 	f, err := os.Create(path)
 	if err != nil {
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -13,10 +13,10 @@
 	"github.com/glentiller/glentiller/internal/reconciler"
 )
 
-// Client sends requests to the admin API of one controller. Its methods return a *ResponseError if the controller
-// rejects a request. It is not safe for concurrent use.
+// Client sends requests to the operators' interface of one controller. Its methods return a *ResponseError if the
+// controller rejects a request. It is not safe for concurrent use.
 type Client struct {
-	Addr  string // address of the API (host:port)
+	Addr  string // address of the interface (host:port)
 	Token []byte // bearer token
 
 	// Dial connects to Addr. If it is nil, the client connects over TCP.
--- a/internal/admin/ledger_entries.go
+++ b/internal/admin/ledger_entries.go
@@ -167,8 +167,8 @@
 	return ParseTime(name, text)
 }
 
-// ParseTime parses a time in RFC 3339 format, or a date, which stands for its beginning in UTC. name is the name of
-// the parameter, for the error message.
+// ParseTime parses a time in RFC 3339 format, or a date, which means the start of that day in UTC. name is the name
+// of the parameter, for the error message.
 func ParseTime(name, text string) (time.Time, error) {
 	for _, layout := range []string{time.RFC3339, time.DateOnly} {
 		if t, err := time.Parse(layout, text); err == nil {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,5 +1,5 @@
-// Package admin implements the admin API of a controller and its client. The API serves JSON over HTTP on a listener
-// of its own and requires a bearer token. It is off by default. docs/operators.md lists the paths.
+// Package admin implements the operators' interface of a controller and its client. The interface serves JSON over
+// HTTP on a listener of its own and requires a bearer token. It is off by default. docs/operators.md lists the paths.
 //
 // New creates a Server, which reads from the state service (Records) and from its own controller (Controller). Serve
 // answers requests until its listener is closed. Any controller can answer, leader or not. The command line
@@ -25,7 +25,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// The paths of the API.
+// The paths of the operators' interface.
 const (
 	LedgerPath     = "/v1/ledger"
 	VerifyPath     = "/v1/ledger/verify"
@@ -214,7 +214,7 @@
 	case errors.Is(err, errSegmentsCompacted):
 		s.reply(reqCtx, fasthttp.StatusConflict, ErrorResponse{err.Error()})
 	default:
-		s.log.Info("admin API request failed", "path", path, "err", err)
+		s.log.Info("request to the operators' interface failed", "path", path, "err", err)
 		reqCtx.Response.Header.Set("Retry-After", "1")
 		message := "the records cannot be read now: " + err.Error()
 		s.reply(reqCtx, fasthttp.StatusServiceUnavailable, ErrorResponse{message})
--- a/internal/admin/status_api.go
+++ b/internal/admin/status_api.go
@@ -23,7 +23,7 @@
 	// VoteRemainingSeconds is the remaining validity of each vote for this controller as leader, by the member that cast
 	// it.
 	VoteRemainingSeconds map[string]float64 `json:"promises_s"`
-	// ClaimBlockedSeconds is for how long this controller must not claim the leadership, because it has voted for
+	// ClaimBlockedSeconds is how long this controller must not claim the leadership, because it has voted for
 	// another one or may have done so before its restart.
 	ClaimBlockedSeconds float64 `json:"bound_s"`
 	// StateServiceUnreachableSeconds is for how long requests to the state service have failed. It is zero if the last
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -156,7 +156,7 @@
 	zone, types                           string
 }
 
-// exhaustedPrefix records that no incoming machine before endIndex has room for a task of the given demand.
+// exhaustedPrefix records that no incoming machine before endIndex has capacity for a task of the given demand.
 type exhaustedPrefix struct {
 	demand   model.Resources
 	endIndex int
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -62,7 +62,7 @@
 	c.limiter.SetBurst(max(1, int(perSecond)))
 }
 
-// Wait waits until the rate limit allows another request. It returns an error if ctx ends before.
+// Wait waits until the rate limit allows another request. It returns an error if ctx ends first.
 func (c *Client) Wait(ctx context.Context) error { return c.limiter.Wait(ctx) }
 
 func (c *Client) get(ctx context.Context, uri string) ([]byte, error) {
@@ -82,8 +82,8 @@
 }
 
 // Provision requests machines and returns their names. refused reports that the cloud does not provide this kind of
-// machine: temporarily, for lack of capacity, or never, because it rejects the request as invalid. If refused is
-// false and err is not nil, the outcome is unknown. The request is idempotent: a retry with the same
+// machine: temporarily, for lack of capacity, with an error, or never, because the request is invalid, without one. If
+// refused is false and err is not nil, the outcome is unknown. The request is idempotent: a retry with the same
 // Provisioning.Name does not provision machines a second time.
 func (c *Client) Provision(provisioning model.Provisioning) (names []string, refused bool, err error) {
 	body, err := c.rpc.Call(fasthttp.MethodPost, provisionPath, wire.AppendProvisioning(nil, provisioning), c.timeout)
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -35,10 +35,10 @@
 			client := New(s.Listener.Addr().String(), 1e6, 5*time.Second, nil)
 			names, refused, err := client.Provision(model.Provisioning{Name: "h-1", Type: "g8", Count: 1})
 			if refused != c.refused || (err != nil) != c.errored {
-				t.Errorf("got refused %v, error %v, want refused %v, any error %v", refused, err, c.refused, c.errored)
+				t.Errorf("got refused %v, error %v, want refused %v, an error: %v", refused, err, c.refused, c.errored)
 			}
 			if provisioned := c.status == http.StatusOK && !c.errored; (len(names) > 0) != provisioned {
-				t.Errorf("got machines %q, want any machines %v", names, provisioned)
+				t.Errorf("got machines %q, want at least one: %v", names, provisioned)
 			}
 			if want := c.status; want != http.StatusOK && c.errored && rpc.StatusCode(err) != want {
 				t.Errorf("got status %d, want %d", rpc.StatusCode(err), want)
--- a/internal/clustersim/faults/simulation.go
+++ b/internal/clustersim/faults/simulation.go
@@ -84,7 +84,7 @@
 	return sum
 }
 
-// newSimulation returns a simulation without a world, which the caller has to set.
+// newSimulation returns a simulation whose world the caller has to set.
 func newSimulation(seed, stream uint64) *simulation {
 	return &simulation{
 		random:          rand.New(rand.NewPCG(seed, stream)),
@@ -174,7 +174,7 @@
 	}
 }
 
-// pollJobs polls each job at a random controller; a controller that is down or frozen does not answer. The world checks
+// pollJobs polls each job at a random controller; a controller that is down or frozen does not answer. The World checks
 // the answers. After the faults, a job without an answer for maxUnanswered counts as forgotten.
 func (s *simulation) pollJobs(faultsEnded bool) {
 	for _, j := range s.jobs {
--- a/internal/clustersim/faults/spread.go
+++ b/internal/clustersim/faults/spread.go
@@ -118,8 +118,8 @@
 	})
 }
 
-// scheduleDuplicateHeartbeats schedules copies of heartbeats, which arrive up to three worker leases after their
-// originals or later.
+// scheduleDuplicateHeartbeats schedules copies of heartbeats. Each is drawn from the retained heartbeats at a random
+// time, and its copy arrives up to three worker leases after that.
 func (s *simulation) scheduleDuplicateHeartbeats(count int) {
 	w := s.world
 	for range count {
--- a/internal/clustersim/faults/starters.go
+++ b/internal/clustersim/faults/starters.go
@@ -61,7 +61,7 @@
 }
 
 // startControllerFault sets a fault at a controller, mostly the leader, and returns the function that clears it. The
-// function set sets or clears the fault.
+// callback set sets the fault if active is true, and clears it otherwise.
 func (s *simulation) startControllerFault(set func(faults *fake.ControllerFaults, active bool)) (end func()) {
 	c := s.leaderOrRandomController()
 	set(&c.ControllerFaults, true)
--- a/internal/clustersim/faults/starters_messages.go
+++ b/internal/clustersim/faults/starters_messages.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	heartbeatReplaysAfterFailover   = 200 // most heartbeats that replayHeartbeatsToNextLeader replays
+	heartbeatReplaysAfterFailover   = 200 // upper bound of the heartbeats that replayHeartbeatsToNextLeader replays
 	heartbeatReplays                = 200 // heartbeats that replayHeartbeats replays
 	commandRepeats                  = 20  // commands that repeatCommands repeats
 	completedCancelShareDuringFault = 0.5
--- a/internal/clustersim/faults/starters_workers.go
+++ b/internal/clustersim/faults/starters_workers.go
@@ -26,8 +26,8 @@
 	return startWorkersFault(s.randomWorkers(3), set)
 }
 
-// startWorkersFault sets a fault at the given workers and returns the function that clears it. The function set sets or
-// clears the fault of one worker.
+// startWorkersFault sets a fault at the given workers and returns the function that clears it. The callback set sets
+// the fault of one worker if active is true, and clears it otherwise.
 func startWorkersFault(workers []*fake.Worker, set func(worker *fake.Worker, active bool)) (end func()) {
 	for _, worker := range workers {
 		set(worker, true)
--- a/internal/clustersim/scale/measure.go
+++ b/internal/clustersim/scale/measure.go
@@ -19,14 +19,14 @@
 	leaderCPU, memberCPU, standInCPU                       time.Duration // summed over the processes in the role
 }
 
-// baseline holds the values, at the beginning of the measurement, of what cannot be reset.
+// baseline holds the time at which the measurement began, and the values at that time of what cannot be reset.
 type baseline struct {
 	takenAt       time.Time
 	logSizes      map[*controller]int64 // bytes
 	leaseExpiries int
 }
 
-// takeBaseline resets all counters and histograms, and returns the present values of what cannot be reset.
+// takeBaseline resets all counters and histograms that can be reset, and returns the present values of the others.
 func (r *run) takeBaseline() *baseline {
 	b := &baseline{takenAt: time.Now(), logSizes: map[*controller]int64{}}
 	for _, t := range r.allTraffic() {
--- a/internal/clustersim/scale/plan.go
+++ b/internal/clustersim/scale/plan.go
@@ -27,7 +27,7 @@
 	Zones       int      `toml:"zones"`
 	Controllers int      `toml:"controllers"`
 	Seconds     int      `toml:"seconds"`           // duration of the measurement, which begins after the warm-up
-	Starts      float64  `toml:"starts_per_second"` // requested task starts; 0 means one for every workersPerStart workers
+	Starts      float64  `toml:"starts_per_second"` // task starts per second; 0 means one for every workersPerStart workers
 	Teams       int      `toml:"teams"`
 	Seed        uint64   `toml:"seed"`
 	Churn       float64  `toml:"churn"`    // rate of machine failures and replacements, as a multiple of the target's
@@ -64,7 +64,7 @@
 	LaunchTwice Mutation = "twice" // a second worker also carries out each launch
 )
 
-// DefaultPlan returns the plan of a run without settings.
+// DefaultPlan returns the plan that applies without a plan file and flags.
 func DefaultPlan() Plan {
 	return Plan{
 		Workers:     1000,
@@ -78,7 +78,8 @@
 	}
 }
 
-// ReadPlan reads a plan from a TOML file. Keys that the file omits keep their values of p; unknown keys are an error.
+// ReadPlan reads a plan from a TOML file. Keys that the file omits keep their values from p. An unknown key is an
+// error.
 func ReadPlan(path string, p Plan) (Plan, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -160,8 +161,8 @@
 // workersPerStart is the number of workers per requested start a second if the plan does not set the start rate.
 const workersPerStart = 40
 
-// Values of the controllers' settings files. The hollow workers keep the times of the worker protocol. Of the limits
-// of the state service and the cloud, the stand-ins enforce only stateValueKB and stateTxnOps.
+// Values in the controllers' settings files. The hollow workers use the same durations of the worker protocol. Of the
+// limits of the state service and the cloud, the stand-ins enforce only stateValueKB and stateTxnOps.
 const (
 	heartbeatInterval = 6 * time.Second
 	leaseTime         = 30 * time.Second // duration of a worker's lease
--- a/internal/clustersim/scale/scale_test.go
+++ b/internal/clustersim/scale/scale_test.go
@@ -56,10 +56,10 @@
 		t.Fatal(err)
 	}
 	if _, err := ReadPlan(path, DefaultPlan()); err == nil {
-		t.Error("unknown key: got no error")
+		t.Error("plan file with an unknown key: got no error, want one")
 	}
 	if _, err := ParseFault("leader"); err == nil {
-		t.Error("fault without a time: got no error")
+		t.Error("fault without a time: got no error, want one")
 	}
 }
 
@@ -81,7 +81,7 @@
 		defer r.close()
 		for _, machine := range initialMachines(r, w, 20) {
 			if names[machine.Name] {
-				t.Errorf("machine name %s is used twice", machine.Name)
+				t.Errorf("machine name %s is used twice, want it once", machine.Name)
 			}
 			names[machine.Name] = true
 		}
--- a/internal/clustersim/scale/standins.go
+++ b/internal/clustersim/scale/standins.go
@@ -19,7 +19,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// serveLoopback starts an HTTP server on an address of this machine. The server runs until its Shutdown is called,
+// startHTTPServer starts an HTTP server on an address of this machine. The server runs until its Shutdown is called,
 // which also closes the listener.
 func startHTTPServer(address string, handler fasthttp.RequestHandler) (*fasthttp.Server, net.Listener, error) {
 	listener, err := net.Listen("tcp4", address)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -68,7 +68,7 @@
 		text := strings.Replace(readSample(t, "example.toml"), teamAmounts, amounts, 1)
 		p, err := ReadPlatform(writeFile(t, "team.toml", text))
 		if err != nil {
-			t.Fatalf("%s: %v", amounts, err)
+			t.Fatalf("team settings %q: got error %v, want none", amounts, err)
 		}
 		return p.Teams()[0]
 	}
@@ -100,7 +100,8 @@
 	}
 }
 
-// Limits that the platform does not state get modest defaults. They must not prevent a controller from starting.
+// Limits that the platform does not state get modest defaults. A missing limit must not prevent a controller from
+// starting.
 func TestMissingStateLimitsUseDefaults(t *testing.T) {
 	text := readSample(t, "example.toml")
 	for _, line := range []string{
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -8,7 +8,7 @@
 // Duration is a duration in the operators' file. Its text form is that of time.ParseDuration, such as 1.5s or 2m.
 type Duration time.Duration
 
-// UnmarshalText parses a duration. It returns an error if the unit is missing.
+// UnmarshalText parses a duration. A number without a unit is an error, except 0.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	*d = Duration(v)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -13,8 +13,8 @@
 	"github.com/glentiller/glentiller/internal/golden"
 )
 
-// derivedSetting is a setting that a part of the program receives. Its name is that of the part and of the setting
-// in the files that the value comes from. The golden files contain the names.
+// derivedSetting is a setting that a part of the program receives. Its name consists of the name of the part and, if
+// the value comes from a settings file, the setting's name there. The golden files contain these names.
 type derivedSetting struct {
 	name  string
 	value any
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -37,10 +37,10 @@
 
 // Leadership holds the settings of the leader election.
 type Leadership struct {
-	Lease         Duration `xml:"lease"`  // of the leader, at the state service
-	SafetyMargin  Duration `xml:"margin"` // by which the leadership ends before the lease can expire
-	PollInterval  Duration `xml:"look"`   // between reads of the leader's keys
-	RetryInterval Duration `xml:"retry"`  // after a failed renewal or read
+	Lease         Duration `xml:"lease"`  // duration of the leader's lease at the state service
+	SafetyMargin  Duration `xml:"margin"` // time by which the leadership ends before the lease can expire
+	PollInterval  Duration `xml:"look"`   // time between reads of the leader's keys
+	RetryInterval Duration `xml:"retry"`  // delay after a failed renewal or read
 	unknownSettings
 }
 
@@ -50,7 +50,7 @@
 	PromoteAfter         Duration `xml:"overtake"`
 	PromoteDeadlineAfter Duration `xml:"overtake-late"`
 	PassInterval         Duration `xml:"pass"`  // minimum time between passes
-	FlushInterval        Duration `xml:"flush"` // between writes of finished-task records
+	FlushInterval        Duration `xml:"flush"` // time between writes of finished-task records
 	PreemptForGuarantees bool     `xml:"preempt-for-guarantees"`
 	MaxPreemptions       int      `xml:"preempt-most"`
 	MaxStarts            int      `xml:"start-most"`
@@ -58,11 +58,11 @@
 	ImageFirst           bool     `xml:"production-image-first"`
 	TightSlack           Duration `xml:"tight"`
 	ExpensiveFactor      float64  `xml:"dear"`
-	ConsolidateInterval  Duration `xml:"consolidate"` // between moves of service replicas; 0 disables moves
+	ConsolidateInterval  Duration `xml:"consolidate"` // time between moves of service replicas; 0 disables moves
 	FetchByDeadline      bool     `xml:"fetch-in-time"`
 	Drain                bool     `xml:"vacate"`
 	StarvationBound      Duration `xml:"begin-within"`
-	Backoff              Duration `xml:"backoff"`      // of a job whose tasks fail on several machines; it doubles
+	Backoff              Duration `xml:"backoff"`      // first retry delay of a job whose tasks fail on several machines; it doubles
 	MaxBackoff           Duration `xml:"backoff-most"` // upper bound of the doubled Backoff
 	unknownSettings
 }
@@ -78,8 +78,8 @@
 	BootTimeoutExtra   Duration `xml:"boot-extra"`
 	RefusalBackoff     Duration `xml:"refused"`
 	LookaheadBootTimes float64  `xml:"soon-boots"`
-	ListInterval       Duration `xml:"list"`    // between reads of the cloud's machine list
-	CatalogInterval    Duration `xml:"catalog"` // between reads of the cloud's catalog
+	ListInterval       Duration `xml:"list"`    // time between reads of the cloud's machine list
+	CatalogInterval    Duration `xml:"catalog"` // time between reads of the cloud's catalog
 	unknownSettings
 }
 
@@ -89,14 +89,14 @@
 	UnresponsiveAfter    Duration `xml:"silent-after"` // 0 means that it is derived from the heartbeat interval
 	MaxUnresponsiveShare float64  `xml:"silent-share"` // fraction of machines; if more are unresponsive, a partition is assumed
 	MachineFaultErrors   int      `xml:"sick-errors"`  // number of failing jobs that make a machine count as faulty
-	CommandTimeout       Duration `xml:"direct-wait"`  // of a command that is sent directly to a worker
-	CommandHoldOff       Duration `xml:"direct-hold"`  // without direct commands after one was not answered
+	CommandTimeout       Duration `xml:"direct-wait"`  // timeout of a command that is sent directly to a worker
+	CommandHoldOff       Duration `xml:"direct-hold"`  // pause in direct commands to a machine that did not answer one
 	unknownSettings
 }
 
 // HTTPAPI holds the settings of the users' interface.
 type HTTPAPI struct {
-	StateTimeout       Duration `xml:"state-timeout"` // of one request to the state service
+	StateTimeout       Duration `xml:"state-timeout"` // timeout of one request to the state service
 	RetryAfter         Duration `xml:"retry-after"`   // lower bound of the Retry-After header
 	MaxCachedEndedJobs int      `xml:"keep-ended"`    // maximum number of ended jobs in the cache
 	unknownSettings
--- a/internal/config/operator_optional.go
+++ b/internal/config/operator_optional.go
@@ -25,10 +25,10 @@
 
 // FairShare holds the settings of fair share, which orders the teams' work beyond their guarantees.
 type FairShare struct {
-	HalfLife     Duration     `xml:"half-life"`     // after which usage counts half
+	HalfLife     Duration     `xml:"half-life"`     // time after which usage counts half
 	GPUWeight    float64      `xml:"gpu-weight"`    // CPUs that a GPU counts as
 	MemoryWeight float64      `xml:"memory-weight"` // CPUs that a GB of memory counts as
-	Weights      []TeamWeight `xml:"weight"`        // of the teams whose weight is not the default
+	Weights      []TeamWeight `xml:"weight"`        // weights of the teams whose weight is not the default
 	unknownSettings
 }
 
@@ -60,7 +60,7 @@
 // Rollout enables feature levels: members announce the level that their program supports, and a level comes into
 // force once all members support it.
 type Rollout struct {
-	SettleTime Duration `xml:"steady"` // for which all members must have supported the next level without a restart
+	SettleTime Duration `xml:"steady"` // how long all members must have supported the next level without a restart
 	Paused     bool     `xml:"hold"`   // this member does not raise the level
 	unknownSettings
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -3,12 +3,11 @@
 // controller.
 //
 // ReadPlatform and ReadOperator read the files. CheckConsistency checks them against each other. The names in the
-// files are published and cannot change. Only the struct tags in this package refer to them; the fields have names
-// in standard terms.
+// files are published and cannot change. Only the struct tags and the error messages of this package contain them;
+// the rest of the code uses the names of the fields.
 //
-// The functions in settings.go, settings_ledger.go and settings_members.go then fill the Settings of other
-// packages. For this purpose this package alone imports eleven other packages. None of those depends on the files,
-// and this is the one place that shows which setting reaches which package.
+// The functions in settings.go, settings_ledger.go and settings_members.go then fill the Settings of other packages.
+// So those packages do not depend on the files, and one place shows which setting reaches which package.
 package config
 
 import (
@@ -25,9 +24,9 @@
 // IPv4 address and a port.
 type Platform struct {
 	Member     string     `toml:"member"`  // name of this controller
-	Zone       string     `toml:"domain"`  // of this controller
-	HTTPAddr   string     `toml:"front"`   // for users and workers
-	PeerAddr   string     `toml:"back"`    // for the other controllers
+	Zone       string     `toml:"domain"`  // zone of this controller
+	HTTPAddr   string     `toml:"front"`   // address for users and workers
+	PeerAddr   string     `toml:"back"`    // address for the other controllers
 	Members    []Peer     `toml:"members"` // the other controllers
 	Services   Services   `toml:"outside"`
 	Deployment Deployment `toml:"deployment"`
@@ -72,16 +71,16 @@
 type Objective struct {
 	Kind             string  `toml:"kind"` // "wait" (start of a task), "finished" (end of a job) or "deadline"
 	Class            string  `toml:"class"`
-	WithinSeconds    float64 `toml:"within_s"` // of the kinds "wait" and "finished": seconds since the job became eligible
-	Share            float64 `toml:"share"`    // of the jobs; not used
-	DeadlineMultiple float64 `toml:"times"`    // of the kind "deadline": multiple of a job's own deadline
+	WithinSeconds    float64 `toml:"within_s"` // for "wait" and "finished": seconds since the job became eligible
+	Share            float64 `toml:"share"`    // fraction of the jobs that must meet the objective; not used
+	DeadlineMultiple float64 `toml:"times"`    // for "deadline": multiple of the job's own deadline
 }
 
 // WorkerTimes holds the timings of the workers, in seconds.
 type WorkerTimes struct {
-	HeartbeatSeconds float64 `toml:"report_s"`    // between heartbeats
+	HeartbeatSeconds float64 `toml:"report_s"`    // time between heartbeats
 	LeaseSeconds     float64 `toml:"lease_s"`     // validity of a lease after the response to a heartbeat
-	GangWaitSeconds  float64 `toml:"gang_wait_s"` // for which a gang's task waits for the other tasks to be ready
+	GangWaitSeconds  float64 `toml:"gang_wait_s"` // how long a gang's task waits for the other tasks to be ready
 	GangPeerSeconds  float64 `toml:"gang_peer_s"` // timeout between the workers of a gang; not used by controllers
 	CancelSeconds    float64 `toml:"cancel_s"`    // maximum time from a cancellation to the end of the job's tasks
 }
@@ -89,7 +88,7 @@
 // StateService holds the present and the upcoming limits of the state service.
 type StateService struct {
 	StateLimits
-	Next StateLimits `toml:"next"` // apply from an unknown time on; 0 means that the present limit stays
+	Next StateLimits `toml:"next"` // limits from an unknown time on; 0 means that the present limit stays
 }
 
 // CloudService holds the limits of the cloud.
--- a/internal/config/settings_members.go
+++ b/internal/config/settings_members.go
@@ -18,13 +18,13 @@
 	// write limit. The responses to them take the same number of writes.
 	relayWriteShare = 0.05
 
-	minBatchInterval      = 200 * time.Millisecond  // between batches of relayed heartbeats
-	maxBatchInterval      = time.Second             // between batches, however low the write limit is
+	minBatchInterval      = 200 * time.Millisecond  // time between batches of relayed heartbeats
+	maxBatchInterval      = time.Second             // time between batches, however low the write limit is
 	maxRelayQueue         = 512                     // heartbeats that wait for a batch
 	maxRelayQueueBytes    = 2 << 20                 // size of these heartbeats together
 	maxBatchesInFlight    = 3                       // batches without a response
-	relayHeartbeatTimeout = 3300 * time.Millisecond // for the response to a heartbeat
-	relayRetryAfter       = 8 * time.Second         // before an unreachable leader is tried again
+	relayHeartbeatTimeout = 3300 * time.Millisecond // time limit for the response to a heartbeat
+	relayRetryAfter       = 8 * time.Second         // delay before an unreachable leader is tried again
 )
 
 // ElectionSettings returns the settings of the leader election. Its vote durations are 0 if votes are disabled, or
@@ -46,11 +46,10 @@
 }
 
 // voteDurations returns how long a vote for a leader is valid, and how long it is valid during an outage of the
-// state service. A vote of 0 means that members must not vote, and an outageVote of 0 that it is no longer than
-// vote.
+// state service. If vote is 0, members must not vote. If outageVote is 0, votes last no longer during an outage.
 //
-// In the worst case, a leader learns of a cancellation only at the end of its leadership. The workers' leases,
-// which it has renewed until then, must expire before the cancelled job's tasks must have ended.
+// In the worst case, a leader learns of a cancellation only at the end of its leadership, and renews the workers'
+// leases until then. These leases must expire before the deadline by which the cancelled job's tasks have to end.
 func voteDurations(p *Platform, lease, outage time.Duration) (vote, outageVote time.Duration) {
 	workerLease, cancelWithin := seconds(p.Deployment.Workers.LeaseSeconds), seconds(p.Deployment.Workers.CancelSeconds)
 	if workerLease+lease+voteSlack >= cancelWithin {
--- a/internal/connquota/class.go
+++ b/internal/connquota/class.go
@@ -6,14 +6,14 @@
 // The classes of connections.
 const (
 	Unclassified   Class = iota // accepted connections whose first request has not arrived yet
-	Users                       // requests of users
-	Heartbeats                  // heartbeats of workers
+	Users                       // requests from users
+	Heartbeats                  // heartbeats from workers
 	HealthChecks                // requests to the health check endpoint
 	DirectCommands              // commands that are sent to workers between their heartbeats
 	Peers                       // other controllers, in both directions
 	StateService                // requests to the state service
 	Cloud                       // requests to the cloud
-	Operators                   // requests to the admin API
+	Operators                   // requests to the operators' interface
 	classCount
 )
 
@@ -25,6 +25,6 @@
 	return names[c]
 }
 
-// reserved reports whether the class has sockets reserved for it, as many as its quota. A burst of connections of
-// workers and users can then not take the sockets that the renewal of the leadership lease needs.
+// reserved reports whether the class has sockets reserved for it, as many as its quota. The reservations keep a burst
+// of connections from workers and users from taking the sockets that the renewal of the leadership lease needs.
 func (c Class) reserved() bool { return c >= Peers }
--- a/internal/connquota/quotas.go
+++ b/internal/connquota/quotas.go
@@ -1,7 +1,7 @@
 // Package connquota limits the number of open sockets of a process. It divides the sockets that the platform allows
 // among classes of connections, each of which has a quota.
 //
-// Quotas.Acquire counts a socket before it is opened and returns its Slot; Slot.Release ends the count. Listener and
+// Quotas.Acquire counts a socket before it is opened and returns its Slot; Slot.Release stops counting it. Listener and
 // Quotas.Dialer do both for connections. The HTTP server assigns a Slot to a class when the first request shows the
 // class, and marks it busy or idle together with its connection. Idle connections of users, and connections that have
 // not sent a request yet, may be closed to free sockets for others. The package opens no socket and reads no clock.
@@ -24,7 +24,7 @@
 	// Quotas of the classes with reserved sockets.
 	stateServiceQuota = 48 + 8 // the state service's client has 48 connections for requests and 8 for watches
 	cloudQuota        = 8      // connections of the cloud's client
-	operatorsQuota    = 17     // one more than the admin API serves at a time
+	operatorsQuota    = 17     // one more than the operators' interface serves at a time
 	// quotaPerPeer allows two connections in each direction, and as many that the peer has abandoned without
 	// closing them.
 	quotaPerPeer  = 8
@@ -44,8 +44,7 @@
 	retrySpreadSteps = 3
 )
 
-// ErrQuotaExhausted is returned if no socket is free: the class has used up its quota, or all shared sockets are in
-// use.
+// ErrQuotaExhausted means that no socket is free: the class has used up its quota, or all shared sockets are in use.
 var ErrQuotaExhausted = errors.New("connection quota exhausted")
 
 // Quotas limits and counts the open sockets of a process by class. It is safe for concurrent use.
@@ -150,7 +149,7 @@
 	return nil
 }
 
-// release ends the count of a slot, unless it was released before. q.mu must be held.
+// release stops counting a slot, unless it was released before. q.mu must be held.
 func (q *Quotas) release(slot *Slot) {
 	if slot.released {
 		return
--- a/internal/connquota/quotas_test.go
+++ b/internal/connquota/quotas_test.go
@@ -126,7 +126,7 @@
 			q.Occupancy(), user.KeepAlive(), workers[0].KeepAlive(), OccupancyFull)
 	}
 	if slot, err := q.Acquire(startTime, Unclassified, nil); err != nil || slot.Classify(Users) {
-		t.Errorf("new user at full occupancy: got %v, or a slot, want Classify to reject it", err)
+		t.Errorf("new user at full occupancy: got error %v, or a slot of class Users, want no error and no such slot", err)
 	}
 	for _, slot := range workers {
 		slot.Release()
--- a/internal/connquota/slot.go
+++ b/internal/connquota/slot.go
@@ -74,7 +74,7 @@
 	return true
 }
 
-// Release ends the count of the socket. It is called when the connection is closed; further calls have no effect.
+// Release stops counting the socket. It is called when the connection is closed; further calls have no effect.
 func (s *Slot) Release() {
 	s.quotas.mu.Lock()
 	defer s.quotas.mu.Unlock()
--- a/internal/constraint/check.go
+++ b/internal/constraint/check.go
@@ -11,7 +11,7 @@
 // ContradictionError reports that the constraints of a job contradict each other or other fields of the job, so that
 // the job could never run.
 type ContradictionError struct {
-	// Clauses describes a set of conditions that cannot hold together. Without any one of them the others can. It is
+	// Clauses describes a set of conditions that cannot hold together, but can if any one of them is removed. It is
 	// empty if the catalog offers no machines.
 	Clauses []string
 
@@ -19,8 +19,8 @@
 	// reached its bounds.
 	Smallest bool
 
-	// ConcurrentTasks is the number of tasks that run at the same time if one of the conditions limits how they are
-	// distributed over zones, and 0 otherwise.
+	// ConcurrentTasks is the number of the job's tasks that run at the same time. It is 0 if none of the conditions
+	// limits how these tasks are distributed over zones.
 	ConcurrentTasks int
 }
 
--- a/internal/constraint/constraint_test.go
+++ b/internal/constraint/constraint_test.go
@@ -26,8 +26,8 @@
 	m.Run()
 }
 
-// randomJob is a job with rules over a small catalog. Next to the rule text it holds the meaning of each rule,
-// independently of the parser.
+// randomJob is a job with rules over a small catalog. Besides the rule text, it holds the meaning of each rule in a
+// form that does not depend on the parser.
 type randomJob struct {
 	types         []model.MachineType
 	spec          *model.Spec
@@ -209,7 +209,7 @@
 	}
 }
 
-// hostileTexts returns rule texts that are meant to keep a controller busy, by a description of each.
+// hostileTexts returns rule texts that are meant to keep a controller busy, keyed by a description.
 func hostileTexts() map[string]string {
 	var zones []string
 	for i := range maxClauses {
--- a/internal/controller/backend.go
+++ b/internal/controller/backend.go
@@ -96,8 +96,8 @@
 // no other controller is a better choice. The controller therefore reports itself unhealthy only while it
 // receives messages from a leader, because the leader's lease proves that the state service answers other
 // members. In an outage that affects all members, that lease expires before this controller has been without
-// the state service for long enough to report itself unhealthy. A leader whose leadership is held by votes only
-// proves nothing about the state service.
+// the state service for long enough to report itself unhealthy. If the leader has lost its lease and
+// leads by votes alone, its messages prove nothing about the state service.
 //
 // A controller that reaches no other member is also unhealthy. Otherwise users would stay with the one
 // controller that cannot do anything for them. If all members are partitioned from each other while the state
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// cloneSlices returns an effect that shares no slice with the reconciler, because the reconciler may write to
-// its slices while the effect is performed.
+// cloneSlices returns an effect that shares no slice that the reconciler may write to while the effect is
+// performed.
 func cloneSlices(effect reconciler.Effect) reconciler.Effect {
 	switch e := effect.(type) {
 	case reconciler.SendCommands:
--- a/internal/controller/explain.go
+++ b/internal/controller/explain.go
@@ -21,9 +21,9 @@
 // explainTimeout bounds the time to answer a request for an explanation.
 const explainTimeout = 3 * time.Second
 
-// Explain returns a JSON document that says why a job's tasks are waiting. The document is empty if the job is
-// not an unfinished one. A controller that does not lead asks the leader, and returns ErrNoLeader if none is
-// reachable.
+// Explain returns a JSON document that says why a job's tasks are waiting. The document is empty if no
+// unfinished job has the ID. A controller that does not lead asks the leader, and returns ErrNoLeader if it
+// knows none or if the controller that it asked does not lead.
 func (c *Controller) Explain(ctx context.Context, id string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
--- a/internal/controller/hold.go
+++ b/internal/controller/hold.go
@@ -11,7 +11,7 @@
 
 const (
 	longPassThreshold = 200 * time.Millisecond // a scheduling pass that takes longer is logged
-	holdLogInterval   = 10 * time.Second       // between two log messages of the event loop statistics
+	holdLogInterval   = 10 * time.Second       // between two info messages on the event loop or on connection occupancy
 )
 
 // holdMonitor measures how long single pieces of work occupy the event loop. It is owned by the event loop.
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// leaderContactTimeout is how long after its last message a leader is treated as unreachable by this
-// controller.
+// leaderContactTimeout is the time since a leader's last message after which this controller treats the leader
+// as unreachable.
 const leaderContactTimeout = 3 * time.Second
 
 // leaderView is what this member knows about the current leader. The event loop writes name and changedAt, the
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -11,7 +11,7 @@
 const (
 	inboxCapacity     = 256
 	urgentCapacity    = 64
-	maxInboxDrainTime = 20 * time.Millisecond // for messages, before urgent work and timers are handled again
+	maxInboxDrainTime = 20 * time.Millisecond // for messages, before timers are handled again
 	minTimerDelay     = time.Millisecond
 )
 
@@ -123,8 +123,8 @@
 }
 
 // tick passes the current time to both state machines and returns when it has to be called again. ok is false
-// if this controller has just stepped down because it reaches no worker. In that case no timer is set, and only
-// input wakes the loop.
+// if this controller has just stepped down because it reaches no worker. In that case the loop does not reset
+// its timer, so that usually only input wakes it.
 func (c *Controller) tick(now time.Time) (wake time.Time, ok bool) {
 	c.updateCancellationFreshness(now)
 	c.stepElection(now, election.Tick{})
--- a/internal/controller/member_status.go
+++ b/internal/controller/member_status.go
@@ -8,7 +8,7 @@
 	"github.com/glentiller/glentiller/internal/election"
 )
 
-// MemberStatus returns this controller's status for the operators' interface. An error is that of ctx, if the
+// MemberStatus returns this controller's status for the operators' interface. It returns the error of ctx if the
 // event loop does not answer in time.
 func (c *Controller) MemberStatus(ctx context.Context) (*admin.MemberStatus, error) {
 	var hold loopHold
--- a/internal/controller/parts_test.go
+++ b/internal/controller/parts_test.go
@@ -80,7 +80,7 @@
 		t.Errorf("got valid until %v, want %v", got, want)
 	}
 	if !lease.mayStartTasks(now.Add(3*time.Second)) || lease.mayStartTasks(now.Add(5*time.Second)) {
-		t.Error("got another staleness limit for task starts, want 4 s")
+		t.Error("got task starts refused after 3 s or allowed after 5 s, want them allowed for 4 s")
 	}
 	freshness.limitLease(now.Add(10*time.Second), lease)
 	if !freshness.tooStale {
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -16,10 +16,10 @@
 	jobs atomic.Pointer[map[string]jobProgress]
 }
 
-// jobProgress is the number of tasks of a job that are done and running.
+// jobProgress holds how many tasks of a job are done and how many are running.
 type jobProgress struct{ done, running int }
 
-// lookup returns how many tasks of a job are done and running, or zeros if the job is not known.
+// lookup returns how many tasks of a job are done and how many are running. Both are 0 if the job is not known.
 func (v *progressView) lookup(id string) (done, running int) {
 	if jobs := v.jobs.Load(); jobs != nil {
 		p := (*jobs)[id]
--- a/internal/controller/relay_direct.go
+++ b/internal/controller/relay_direct.go
@@ -70,7 +70,7 @@
 }
 
 // worker returns the entry of a worker. If there is none, it adds one and removes the entries that have not
-// changed for long. The caller must hold mu.
+// changed for twice extendedRelayPeriod. The caller must hold mu.
 func (r *relayTracker) worker(machine string, now time.Time) *relayedWorker {
 	if r.workers == nil {
 		r.workers = map[string]*relayedWorker{}
@@ -121,7 +121,7 @@
 	case unreachable && viaStore == nil:
 		return nil, false
 	case unreachable, noContact && viaStore.active():
-		// A leader that this member does not reach is likely unreachable for its workers too.
+		// A leader that this member does not reach is likely unreachable for nearby workers too.
 		return viaStore.send(ctx, heartbeat)
 	case !noContact && !c.relayTracker.shouldRelay(machine, now):
 		return nil, false
--- a/internal/controller/relay_leader.go
+++ b/internal/controller/relay_leader.go
@@ -62,7 +62,7 @@
 func (c *Controller) answerBatch(batch store.RelayBatch) {
 	envelopes, err := relay.Unpack(batch.Payload)
 	if err != nil {
-		c.log.Warn("malformed batch of relayed heartbeats", "member", batch.Member, "err", err)
+		c.log.Warn("ignoring malformed batch of relayed heartbeats", "member", batch.Member, "err", err)
 		return
 	}
 	c.putResponses(batch, c.batchResponses(envelopes))
--- a/internal/controller/relay_store.go
+++ b/internal/controller/relay_store.go
@@ -22,7 +22,7 @@
 	relayIdleTimeout     = 15 * time.Second // time without heartbeats until the watch ends and the records are deleted
 	responseWatchTimeout = 2 * time.Second  // of a single watch for responses
 
-	flushRetryDelay          = 20 * time.Millisecond // while the watch for responses is not established
+	flushRetryDelay          = 20 * time.Millisecond // while no batch is due or the watch for responses is not established
 	relayRevisionRetryDelay  = 200 * time.Millisecond
 	watchResponsesRetryDelay = 100 * time.Millisecond
 )
@@ -243,9 +243,9 @@
 	return nil
 }
 
-// pauseUntilHeartbeat ends the watch, deletes this member's relay records from the state service if it has
-// written any, and waits for the next heartbeat. It returns the time of that heartbeat, or lastUsed if the
-// context is cancelled.
+// pauseUntilHeartbeat ends the watch, deletes this member's relay records from the state service if any
+// heartbeat was queued, and waits for the next heartbeat. It returns the time of that heartbeat, or lastUsed if
+// the context is cancelled.
 func (r *storeRelay) pauseUntilHeartbeat(lastUsed time.Time) time.Time {
 	r.responsesWatched.Store(false)
 	if !lastUsed.IsZero() {
--- a/internal/controller/staleness.go
+++ b/internal/controller/staleness.go
@@ -14,9 +14,10 @@
 	"github.com/glentiller/glentiller/internal/store"
 )
 
-// cancellationFreshness limits a leader by the age of its knowledge of cancellations. Any member may
-// acknowledge a cancellation to its user, after which the tasks have to end in time (docs/safety.md, "Bounded
-// staleness of cancellations"). It is owned by the event loop, except for bound, which is immutable.
+// cancellationFreshness limits the leadership lease to the time for which the leader's knowledge of cancellations is
+// recent enough. Any member may acknowledge a cancellation to a user, and the tasks then have to end in time
+// (docs/safety.md, "Bounded staleness of cancellations"). It is owned by the event loop, except for bound, which is
+// immutable.
 type cancellationFreshness struct {
 	bound               staleness.Bound
 	tracker             *staleness.Tracker                  // nil if this controller has no reconciler
@@ -120,11 +121,11 @@
 
 const (
 	maxJobPollInterval = time.Second
-	pollsPerStartBound = 4 // polls within the staleness at which a leader stops starting tasks
+	pollsPerStartBound = 4 // polls within the maximum staleness for starting tasks
 )
 
-// pollJobRecords has a leader read the changes of the job records if nothing else has read them recently. This
-// is necessary because a watch reports changes, but not their absence.
+// pollJobRecords makes a leader read the changes of the job records if nothing else has read them recently. A watch
+// is not enough: while it is silent, it does not prove that there are no changes.
 func (c *Controller) pollJobRecords() error {
 	interval := min(maxJobPollInterval, c.cancellations.bound.StartTasks/pollsPerStartBound)
 	for c.tasks.running() {
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -16,11 +16,10 @@
 	// maxVoteDuration bounds the duration that a vote request may ask for.
 	maxVoteDuration = time.Minute
 
-	// maxContactLead is how much more recent than the leader's this member's last contact with the state
-	// service may be for this member to vote for the leader while the state service serves this member. If the
-	// difference is larger, the state service is unreachable for the leader only, and another member should
-	// lead. If the state service is unreachable for this member too, the difference is ignored: no member could
-	// take over, and the vote keeps running tasks alive.
+	// If this member's last contact with the state service is more recent than the leader's by more than
+	// maxContactLead, it does not vote for the leader: the state service is then unreachable for the leader only,
+	// and another member should lead. The limit does not apply while the state service is unreachable for this
+	// member too: no member could take over, and the vote keeps running tasks alive.
 	maxContactLead = 2 * time.Second
 )
 
@@ -81,7 +80,7 @@
 	})
 }
 
-// queryLeadership asks the other members whether they lead, on behalf of an election that has just started.
+// queryLeadership asks the other members whether they lead, and reports to the election those that do not.
 func (c *Controller) queryLeadership() {
 	for name, client := range c.peers {
 		c.tasks.spawn(func() {
@@ -163,7 +162,7 @@
 // claim the leadership while its vote lasts.
 func (c *Controller) grantVote(now time.Time, request *peerpb.PromiseAsk) time.Duration {
 	// An earlier incarnation of this member may have acknowledged cancellations to users. Until this process
-	// has read the records, neither it nor the leader may know of them.
+	// has read the records, it does not know of them, and possibly the leader does not either.
 	if c.jobs.Revision() == 0 {
 		return 0
 	}
--- a/internal/effects/election.go
+++ b/internal/effects/election.go
@@ -14,6 +14,7 @@
 	ReadLeaderRecord(ctx context.Context) (record election.Record, revision uint64, err error)
 	GrantLease(duration time.Duration) (leaseID uint64, err error)
 	ClaimLeadership(ctx context.Context, member string, claim election.Claim) (tokenVersion uint64, ok bool, err error)
+	// RenewLease returns store.ErrLeaseExpired, possibly wrapped, if the lease does not exist any more.
 	RenewLease(leaseID uint64) error
 }
 
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -42,7 +42,7 @@
 	RetryInterval time.Duration // the delay after a failed request
 
 	VoteDuration       time.Duration // how long a member's vote for a leader lasts; zero disables votes
-	OutageVoteDuration time.Duration // how long it lasts while the state service is unreachable, if longer
+	OutageVoteDuration time.Duration // how long a vote lasts while the state service is unreachable, if that is longer
 
 	MaxLevel featuregate.Level // the highest feature level that this program supports
 }
--- a/internal/election/events.go
+++ b/internal/election/events.go
@@ -9,8 +9,8 @@
 // Event is an input of the state machine.
 type Event interface{ electionEvent() }
 
-// The events. In each of them, Sent is the local time at which the request was sent to which the event is the
-// response.
+// The events. In each of them, Sent is the local time at which this member sent the request whose response the event
+// reports.
 type (
 	// Tick reports that time has passed. NextTick returns when the next one is due.
 	Tick struct{}
--- a/internal/election/step.go
+++ b/internal/election/step.go
@@ -60,8 +60,8 @@
 func (m *StateMachine) tick(now time.Time) []Effect {
 	var effects []Effect
 	if m.mustQueryLeadership(now) && !now.Before(m.votes.nextRequestAt) {
-		// The query does not wait for the next read of the leader's keys. When members start at the same time, the
-		// first one queries before the others can respond, and would otherwise query again only seconds later.
+		// The query is not tied to the next read of the leader's keys. When members start at the same time, the others
+		// do not respond to the first one's query yet, and its next query would otherwise be sent only seconds later.
 		m.votes.nextRequestAt = now.Add(m.settings.RetryInterval)
 		effects = append(effects, QueryLeadership{})
 	}
--- a/internal/election/validity.go
+++ b/internal/election/validity.go
@@ -21,8 +21,9 @@
 }
 
 // StartsValidUntil returns until when the leader may start tasks. It returns the zero time if this controller does not
-// lead. It is earlier than ValidUntil if that depends on votes for longer than VoteDuration, since a member that has
-// not answered for VoteDuration may have acknowledged cancellations to users in the meantime.
+// lead. The result is earlier than that of ValidUntil if the leadership depends on votes that last longer than
+// VoteDuration, since a member that has not answered for VoteDuration may have acknowledged cancellations to users in
+// the meantime.
 func (m *StateMachine) StartsValidUntil() time.Time {
 	until := m.LeaseValidUntil()
 	if m.state == Leading {
--- a/internal/election/votes.go
+++ b/internal/election/votes.go
@@ -23,7 +23,7 @@
 	received          map[string]receivedVote // by member
 	requestSeq        uint64                  // the number of the last vote request of the term
 	waivedSeq         uint64                  // votes for requests up to this number do not count any more
-	extendedRequested bool                    // a later request asked for an extended vote
+	extendedRequested bool                    // a request after waivedSeq asked for an extended vote
 }
 
 // receivedVote holds until when the votes of one member count for the leader.
@@ -37,7 +37,7 @@
 
 // The states of a member's own vote.
 const (
-	voteNone       voteState = iota // no vote does
+	voteNone       voteState = iota // no vote prevents it
 	voteRecovering                  // a vote that an earlier incarnation cast may still be in effect
 	voteCast                        // a vote that this incarnation cast is in effect
 )
@@ -169,8 +169,8 @@
 }
 
 // unanimousUntil returns until when the votes of all peers are valid, and until when the leader may start tasks on the
-// strength of them. Both are zero if a peer has not voted. A majority of votes would not be sufficient: a minority of
-// the members that alone reaches the state service could claim the leadership.
+// strength of them. Both are zero if a peer has not voted. A majority of votes would not be sufficient: if only
+// the other members reached the state service, one of them could claim the leadership.
 func (v *votes) unanimousUntil(s *Settings) (validUntil, startsUntil time.Time) {
 	if s.VoteDuration == 0 || len(s.Peers) == 0 {
 		return time.Time{}, time.Time{}
--- a/internal/fake/answers.go
+++ b/internal/fake/answers.go
@@ -8,9 +8,9 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// jobAnswers summarizes the answers that users have received about one job. In a World each question is answered at
-// once, so the answers are in the order of the questions. An answer that says less than an earlier one is therefore
-// stale: an accepted job stays known, and a final state never changes.
+// jobAnswers summarizes the answers that users have received about one job. In a World each request is answered at
+// once, so the answers are in the order of the requests. An accepted job stays known, and a final state never changes,
+// so an answer that contradicts an earlier one is stale.
 type jobAnswers struct {
 	answeredBy      string        // the member that gave the latest answer, or the first one with a final state
 	finalState      wire.JobState // wire.StateUnknown until an answer has a final state
--- a/internal/fake/cancellation_test.go
+++ b/internal/fake/cancellation_test.go
@@ -41,7 +41,7 @@
 					}
 				}
 				if isolatedFor <= 3*second && (w.Leader() != leader || activeTasks(w, remaining) != 2 || w.KilledTasks > 0) {
-					t.Errorf("job that was not cancelled: got %d active tasks, want 2; killed tasks: got %d, want 0",
+					t.Errorf("got %d active tasks of the remaining job, %d killed tasks, want 2, 0 and the same leader as before",
 						activeTasks(w, remaining), w.KilledTasks)
 				}
 				w.State.SetDown(false)
@@ -172,7 +172,8 @@
 	waitUntil(t, w, 8*second, "the cancelled tasks have ended", func() bool { return activeTasks(w, runningJob) == 0 })
 	w.Advance(2 * w.CancelDeadline)
 	if w.Leader() != leader || activeTasks(w, remaining) != 2 || w.KilledTasks > 0 {
-		t.Errorf("active replicas: got %d, want 2; killed tasks: got %d, want 0", activeTasks(w, remaining), w.KilledTasks)
+		t.Errorf("got %d active replicas and %d killed tasks, want 2, 0 and the same leader as before",
+			activeTasks(w, remaining), w.KilledTasks)
 	}
 }
 
@@ -278,7 +279,8 @@
 		for _, c := range w.Controllers {
 			stateReachable := !c.StateUnreachable && !w.State.Down
 			if record, err := w.Cancel(c, "wk-999999"); stateReachable != (err == nil) || record.State != wire.StateUnknown {
-				t.Errorf("cancellation of an unknown job at %s: got %v, %v", c.Member, record.State, err)
+				t.Errorf("cancellation of an unknown job at %s: got %v, %v, want unknown, and an error only if it cannot be read",
+					c.Member, record.State, err)
 			}
 			if record, err := w.Cancel(c, doneJob.ID); err != nil || record.State != wire.StateDone {
 				t.Errorf("cancellation of a done job at %s: got %v, %v, want done", c.Member, record.State, err)
--- a/internal/fake/constraints_test.go
+++ b/internal/fake/constraints_test.go
@@ -164,7 +164,8 @@
 		len(explanation.Machines) == 0 ||
 		explanation.Machines[0].Reason != refusal ||
 		explanation.Machines[0].Count != 2 {
-		t.Fatalf("explanation while no machine type matches: got %+v", explanation)
+		t.Fatalf("no machine type matches: got explanation %+v, want 1 waiting task, 2 refused machines and a remedy",
+			explanation)
 	}
 	w.Types = allTypes
 	waitUntil(t, w, 120*second, "the job is done after the machine type has returned", jobDone(t, w, spec))
@@ -179,7 +180,8 @@
 	explanation := w.Leader().Reconciler.Explain(w.Now(), spec.ID)
 	if activeTasks(w, spec) != 0 || explanation == nil || len(explanation.Reasons) != 1 ||
 		!strings.Contains(explanation.Reasons[0], "cannot be read") {
-		t.Errorf("with unreadable constraints %d tasks run, and the explanation is %+v", activeTasks(w, spec), explanation)
+		t.Errorf("with unreadable constraints: got %d running tasks and explanation %+v, want 0 and that they cannot be read",
+			activeTasks(w, spec), explanation)
 	}
 }
 
@@ -214,6 +216,6 @@
 	explanation := w.Leader().Reconciler.Explain(w.Now(), overQuota.ID)
 	if explanation.OnMachines != 8 || explanation.Waiting != 2 || len(explanation.Placements) != 8 ||
 		!strings.Contains(explanation.Placements[0].Reason, "most efficient") {
-		t.Errorf("explanation of a job that is partly placed: got %+v", explanation)
+		t.Errorf("partly placed job: got explanation %+v, want 8 efficient placements and 2 waiting tasks", explanation)
 	}
 }
--- a/internal/fake/controller_election.go
+++ b/internal/fake/controller_election.go
@@ -11,8 +11,8 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// maxContactLead is how much more recent than the leader's a member's last contact with the state service may be if the
-// member is to vote for the leader.
+// maxContactLead bounds how much later than the leader a member may have last contacted the state service. A member
+// whose last contact is more recent than that does not vote for the leader while it can reach the state service.
 const maxContactLead = 2 * time.Second
 
 // stepElection passes an event to the election and executes the effects.
--- a/internal/fake/delayed_writes_test.go
+++ b/internal/fake/delayed_writes_test.go
@@ -10,7 +10,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// heldTransactions holds transactions that controllers have sent, that were not carried out and got no answer.
+// heldTransactions holds transactions that controllers have sent and that were neither committed nor answered.
 type heldTransactions struct{ bodies [][]byte }
 
 // hold intercepts transactions that write a key with the given prefix, until limit transactions are held. The sender
--- a/internal/fake/dependencies_test.go
+++ b/internal/fake/dependencies_test.go
@@ -178,7 +178,8 @@
 	w.Controllers[0].StateUnreachable = true
 	err = w.Submit(w.Controllers[0], newDependentJob(&model.Spec{ID: "wk-999998"}))
 	if err == nil || errors.Is(err, store.ErrUnknownDependency) {
-		t.Errorf("unknown dependency while the state service is unreachable: got error %v, want another one", err)
+		t.Errorf("unknown dependency, state service unreachable: got %v, want an error other than ErrUnknownDependency",
+			err)
 	}
 }
 
--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -31,7 +31,7 @@
 	OnAttemptKnown func(w *Worker, t *Task, known bool)
 
 	answers   map[string]*jobAnswers                           // what users have been answered, by job ID
-	gangTasks func(job string, attempt uint64) iter.Seq[*Task] // yields the tasks of an attempt at a gang on all machines
+	gangTasks func(job string, attempt uint64) iter.Seq[*Task] // yields the tasks of one attempt at a gang
 }
 
 // Timing holds the durations of tasks on workers and the intervals of the worker protocol.
@@ -70,8 +70,8 @@
 	}
 }
 
-// newEnvironment returns an environment without jobs whose time begins at now. gangTasks must yield the tasks of an
-// attempt at a gang on all machines.
+// newEnvironment returns an environment without jobs whose time begins at now. gangTasks must yield the tasks of one
+// attempt at a gang, across all machines.
 func newEnvironment(now time.Time, gangTasks func(job string, attempt uint64) iter.Seq[*Task]) Environment {
 	return Environment{
 		now:              now,
--- a/internal/fake/failover_test.go
+++ b/internal/fake/failover_test.go
@@ -206,7 +206,7 @@
 		t.Errorf("late transaction of a deposed leader: got committed=%v, err=%v, want it rejected", committed, err)
 	}
 	if got := refreshedState(t, w.Controllers[1], spec.ID); got == wire.StateDone {
-		t.Error("state of the running job after the late transaction: got done")
+		t.Error("state of the running job after the late transaction: got done, want it unfinished")
 	}
 }
 
--- a/internal/fake/fleet.go
+++ b/internal/fake/fleet.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// gangAttemptTasks yields the tasks of an attempt at a gang on all machines.
+// gangAttemptTasks yields the tasks of one attempt at a gang, across all machines.
 func (f *Fleet) gangAttemptTasks(job string, attempt uint64) iter.Seq[*Task] {
 	return maps.Keys(f.gangs[gangAttempt{job, attempt}])
 }
--- a/internal/fake/operations_test.go
+++ b/internal/fake/operations_test.go
@@ -13,7 +13,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// The tests in this file simulate faults of everyday operation: frozen controllers, a guest team without a guarantee,
+// The tests in this file simulate problems of everyday operation: frozen controllers, a guest team without a guarantee,
 // failing jobs, and machines that boot late or never.
 
 // The leader or all controllers are frozen for between 1 s and 70 s. When they resume, they process the messages that
@@ -169,7 +169,7 @@
 func (h drainRecorder) Handle(_ context.Context, record slog.Record) error {
 	attrs := map[string]string{}
 	record.Attrs(func(a slog.Attr) bool { attrs[a.Key] = a.Value.String(); return true })
-	if record.Message == "draining" && attrs["reason"] == "sick" {
+	if record.Message == "draining machine" && attrs["reason"] == "sick" {
 		h.names[attrs["machine"]] = true
 	}
 	return nil
--- a/internal/fake/settings_test.go
+++ b/internal/fake/settings_test.go
@@ -278,9 +278,9 @@
 	})
 }
 
-// completeOrCancel reports whether a job is complete, or is a service that runs and that it has cancelled. If the
-// cloud has too few machines for all jobs, it also cancels a service of which only some replicas run, to make room
-// for other jobs.
+// completeOrCancel reports whether the test need not wait for a job any longer: all its tasks have completed, or it is
+// a service that runs and that completeOrCancel has now cancelled. If the cloud has just enough machines for the
+// largest job, a service of which only some replicas run is cancelled too, to make room for other jobs.
 func completeOrCancel(w *World, spec *model.Spec) bool {
 	if spec.Shape != model.Service {
 		return w.AllCompleted(spec.ID)
--- a/internal/fake/unresponsive_test.go
+++ b/internal/fake/unresponsive_test.go
@@ -8,7 +8,7 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// These tests cover workers whose messages with the controllers are blocked. If commands reach a worker while its
+// These tests cover workers whose messages to or from the controllers are blocked. If commands reach a worker while its
 // heartbeats reach no controller, its lease expires even though it answers the commands.
 
 // The outbound heartbeats of a worker are blocked, while it answers a stop every few seconds, since jobs on it are
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -52,7 +52,8 @@
 
 // Observer is notified of messages between controllers and the fakes.
 type Observer interface {
-	// HeartbeatAccepted is called when a leader, whose fencing token is given, accepts a heartbeat of a worker.
+	// HeartbeatAccepted is called before a leader's reconciler processes a heartbeat of a worker. token is the leader's
+	// fencing token.
 	HeartbeatAccepted(c *Controller, token uint64, heartbeat *model.Heartbeat)
 	// TransactionSent is called when a controller sends a transaction, for the first time or as a retry.
 	TransactionSent(ops []Operation)
@@ -252,7 +253,7 @@
 	return machines
 }
 
-// gangAttemptTasks yields the tasks of an attempt at a gang on all machines.
+// gangAttemptTasks yields the tasks of one attempt at a gang, across all machines.
 func (w *World) gangAttemptTasks(job string, attempt uint64) iter.Seq[*Task] {
 	return func(yield func(*Task) bool) {
 		for _, worker := range w.Workers {
--- a/internal/httpapi/fakes_test.go
+++ b/internal/httpapi/fakes_test.go
@@ -24,7 +24,7 @@
 
 // fakeJobs implements Jobs with records in memory.
 type fakeJobs struct {
-	records          map[string]store.JobRecord // by job id
+	records          map[string]store.JobRecord // by job ID
 	stateServiceDown bool                       // only Peek, and Lookup of an ended job, succeed
 }
 
@@ -202,7 +202,7 @@
 // MessagePack; a nil body is empty.
 type testClient func(method, path string, body any) testResponse
 
-// serveHTTP runs a server on an in-memory listener and returns a client of it. The server forwards no requests.
+// serveHTTP runs a server on an in-memory listener and returns a client for it. The server forwards no requests.
 func serveHTTP(t *testing.T, jobs *fakeJobs, backend *fakeBackend) testClient {
 	t.Helper()
 	return serveHTTPWith(t, Settings{RetryAfter: time.Second, MaxConns: 10}, jobs, backend)
--- a/internal/httpapi/forwarding_test.go
+++ b/internal/httpapi/forwarding_test.go
@@ -20,7 +20,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// serveForwardingPair runs two servers with separate job records, and returns a client of the first one. The first
+// serveForwardingPair runs two servers with separate job records, and returns a client for the first one. The first
 // server forwards requests to the second.
 func serveForwardingPair(t *testing.T, first, second *fakeJobs) testClient {
 	t.Helper()
@@ -235,7 +235,7 @@
 	for range quotas.Status().Classes[connquota.Users].Quota {
 		slot, err := quotas.Acquire(time.Now(), connquota.Unclassified, nil)
 		if err != nil || !slot.Classify(connquota.Users) {
-			t.Fatalf("user's connection within the quota: got %v, want none rejected", err)
+			t.Fatalf("user's connection within the quota: got rejected, error %v, want accepted", err)
 		}
 	}
 	listener := listen(t, s)
--- a/internal/httpapi/handler.go
+++ b/internal/httpapi/handler.go
@@ -11,8 +11,8 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// Paths of the HTTP API. A job is polled at jobsPath, a slash and its id, and cancelled at that path
-// with cancelSuffix.
+// Paths of the HTTP API. A job is polled at jobsPath, a slash and its ID, and cancelled at that path with
+// cancelSuffix.
 const (
 	heartbeatPath = "/v1/report"
 	healthPath    = "/healthz"
@@ -20,7 +20,7 @@
 	cancelSuffix  = "/withdraw"
 )
 
-// Handle answers an HTTP request of a user, a worker or a health check. It is safe for concurrent use. A panic is
+// Handle answers an HTTP request from a user, a worker or a health check. It is safe for concurrent use. A panic is
 // logged and answered with status 503.
 func (s *Server) Handle(ctx *fasthttp.RequestCtx) {
 	defer func() {
--- a/internal/httpapi/jobs.go
+++ b/internal/httpapi/jobs.go
@@ -41,8 +41,8 @@
 	return answerAboutJob(ctx, id, cancel, encode)
 }
 
-// answerAboutJob answers a request about the job with the given id. fetch returns the job's record, and
-// encode returns the response body for a known job. If the id is not valid or the job is unknown, the
+// answerAboutJob answers a request about the job with the given ID. fetch returns the job's record, and
+// encode returns the response body for a known job. If the ID is not valid or the job is unknown, the
 // response has status 404.
 func answerAboutJob(
 	ctx context.Context,
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -1,5 +1,5 @@
-// Package httpapi serves the HTTP API of a controller: submissions, polls and cancellations of users, heartbeats of
-// workers, and health checks of the load balancer.
+// Package httpapi serves the HTTP API of a controller: submissions, polls and cancellations from users, heartbeats from
+// workers, and health checks from the load balancer.
 //
 // New returns a Server, which reads and writes job records through Jobs and uses the rest of the controller
 // through Backend. Serve answers requests until its listener is closed. If a route.Router is set, it decides
@@ -83,7 +83,7 @@
 	Router *route.Router
 }
 
-// Server answers the HTTP requests of users, workers and health checks. It is safe for concurrent use.
+// Server answers HTTP requests from users, workers and health checks. It is safe for concurrent use.
 type Server struct {
 	settings   Settings
 	jobs       Jobs
@@ -151,7 +151,7 @@
 func (discardLogger) Printf(string, ...any) {}
 
 // Serve accepts connections on listener, within the connection quotas if there are any, and answers their requests.
-// It returns when the listener is closed.
+// It returns nil after the listener is closed, or the error if accepting a connection fails.
 func (s *Server) Serve(listener net.Listener) error {
 	if s.settings.ConnQuotas == nil {
 		return s.httpServer.Serve(listener)
--- a/internal/httpapi/submission.go
+++ b/internal/httpapi/submission.go
@@ -18,8 +18,8 @@
 
 var errBodyTooLarge = errors.New("the body is too large")
 
-// validateSubmission checks the size and the encoding of a submission's body, and returns the id of the job. The
-// other fields are not checked, since a job that is already known is answered without them.
+// validateSubmission checks the size and the encoding of a submission's body, and returns the ID of the job. The
+// other fields are not checked, since they do not matter if the job is already known.
 func validateSubmission(body []byte) (id string, err error) {
 	if len(body) > wire.MaxBodyBytes {
 		return "", errBodyTooLarge
--- a/internal/httpapi/submission_test.go
+++ b/internal/httpapi/submission_test.go
@@ -62,7 +62,7 @@
 	t.Helper()
 	for field := range submissionFields("wk-000001") {
 		if len(invalidValues[field]) == 0 {
-			t.Errorf("no invalid values of %s", field)
+			t.Errorf("required field %s: got no invalid values, want at least one", field)
 		}
 		fields := submissionFields("wk-000001")
 		delete(fields, field)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -2,9 +2,9 @@
 // team has one account, which is stored as a hash chain of segments with integer amounts. A segment covers one hour,
 // and old ones are merged into days and months.
 //
-// The package also computes the teams' fair shares. They are based on decayed usage: the past usage of a team, whose
-// value halves with each half-life. The package performs no input or output and reads no clock. Its types are not
-// safe for concurrent use.
+// The package also computes the teams' fair shares. They are based on decayed usage: the past usage of a team, in
+// which an amount loses half of its weight with each half-life. The package performs no input or output and reads no
+// clock. Its types are not safe for concurrent use.
 //
 // A leader creates Accounts from the stored records and adds usage with Charge. Charges are stored by settlements:
 // the leader sends the Settlement that Settle returns for each of the DueTeams to the state service, and reports the
--- a/internal/ledger/seal.go
+++ b/internal/ledger/seal.go
@@ -82,7 +82,7 @@
 		case segment.First != last+1 || segment.Last < segment.First:
 			return last, link, fmt.Errorf("%w: segment %d follows segment %d", ErrGap, segment.First, last)
 		case segment.PrevLink != link:
-			return last, link, fmt.Errorf("segment %d: %w, or that of the segment before it: their link does not match",
+			return last, link, fmt.Errorf("segment %d does not link to the segment before it: %w in one of them",
 				segment.First, ErrChanged)
 		case s.Hash(segment) != segment.Hash:
 			return last, link, fmt.Errorf("segment %d: %w", segment.First, ErrChanged)
--- a/internal/ledger/segment.go
+++ b/internal/ledger/segment.go
@@ -32,8 +32,8 @@
 }
 
 // Segment is a closed segment of a team's account. It is immutable, except that Compact replaces the segments of one
-// day or month by a single one. Segments are ordered by their numbers and not by their start times: after the time of
-// day has jumped back, the next segment only has an earlier start than the previous one.
+// day or month by a single one. Segments are ordered by their numbers and not by their start times: a segment may start
+// earlier than the one before it if the wall clock has jumped back in between.
 type Segment struct {
 	Team           string
 	First, Last    uint64 // range of numbers of the hourly segments that were merged into it; equal if none were
--- a/internal/liveness/detector.go
+++ b/internal/liveness/detector.go
@@ -42,8 +42,7 @@
 // without a probe.
 const maxIgnoredResponses = 2
 
-// epochMarginDivisor determines how long an epoch has to last after the start of a suspicion to prove that its lease
-// has been renewed since: for one lease duration plus a margin of the lease duration divided by this number.
+// epochMarginDivisor sets the safety margin of epochOutlivesSuspicion, as the lease duration divided by this number.
 const epochMarginDivisor = 8
 
 // transition is the only method that changes the state. It reports whether the state has changed.
@@ -88,8 +87,8 @@
 // Evidence is what a heartbeat shows about the liveness of its machine.
 type Evidence struct {
 	Direct          bool // the worker sent it to the leader directly, not through another member
-	Acknowledges    bool // it shows for the first time that the machine has received a certain message
-	MissesCommands  bool // it does not show the commands in the response to an earlier direct heartbeat of the epoch
+	Acknowledges    bool // it shows for the first time that the machine has received a certain message of the leader
+	MissesCommands  bool // it shows no effect of the commands in the response to an earlier direct heartbeat
 	NewEpoch        bool // the worker has begun a new epoch, so its previous lease has expired
 	ZonePartitioned bool // many machines of the zone are unresponsive, so a network partition may explain gaps
 }
@@ -97,9 +96,9 @@
 // ObserveHeartbeat applies the evidence of a fresh heartbeat that is answered, and reports whether the state has
 // changed.
 //
-// Only responses to direct heartbeats count against a machine, since the response to a relayed heartbeat may arrive too
-// late. A worker that gets no response turns to another member, so the heartbeat that shows the missing response is
-// usually a relayed one.
+// A single response counts against a machine only if the heartbeat was direct, since the response to a relayed
+// heartbeat may arrive too late. A worker that gets no response turns to another member, so the heartbeat that shows
+// the missing response is usually a relayed one.
 func (d *Detector) ObserveHeartbeat(now time.Time, evidence Evidence, settings Settings) (changed bool) {
 	gap, wasRelayed := now.Sub(d.lastDirect), d.lastRelayed
 	hasDirect := !d.lastDirect.IsZero()
@@ -141,8 +140,8 @@
 	return d.Probe(now, "it lacks what it was told")
 }
 
-// epochOutlivesSuspicion reports whether the epoch has lasted for longer than a lease duration since the suspicion
-// began. That proves that the worker has received a response in the meantime.
+// epochOutlivesSuspicion reports whether the epoch has lasted for longer than a lease duration plus a margin since the
+// suspicion began. That proves that the worker has received a response in the meantime.
 func (d *Detector) epochOutlivesSuspicion(now time.Time, lease time.Duration) bool {
 	return now.Sub(d.Since) > lease+lease/epochMarginDivisor
 }
--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -71,9 +71,9 @@
 
 // AttemptDelivery records which commands about an attempt were sent to the worker.
 type AttemptDelivery struct {
-	// CommandedState is the state that the last direct command conveyed. It is 0 if there was none or the grace
-	// period has changed since. A direct command is due if State is another one, and is AttemptLaunching or
-	// AttemptStopping.
+	// CommandedState is the state that the last direct command conveyed. It is 0 if there was none or the grace period
+	// has changed since. A direct command is due if State is AttemptLaunching or AttemptStopping and differs from
+	// CommandedState.
 	CommandedState   AttemptState
 	LaunchedDirectly bool // whether its launch was ever sent as a direct command
 	// SentInReplyTo is the number of the first heartbeat whose response conveyed the present state. Only heartbeats
@@ -84,8 +84,8 @@
 // AttemptCharge is the period for which the ledger charges an attempt. It is zero until a message to this leader
 // reports the attempt running.
 type AttemptCharge struct {
-	// ChargedFrom is the time of the first message to this leader that reported the attempt running. Once run time
-	// was charged as lost, it is the end of that run time.
+	// ChargedFrom is the time of the first message to this leader that reported the attempt running. Once run time was
+	// charged as wasted, it is the end of that run time.
 	ChargedFrom  time.Time
 	ChargedUntil time.Time // end of the charged run time
 }
--- a/internal/model/job.go
+++ b/internal/model/job.go
@@ -81,8 +81,8 @@
 const (
 	// faultyJobMachines is the number of machines on which a job has to fail before the job itself counts as faulty.
 	faultyJobMachines = 2
-	// maxAvoidedMachines bounds the number of machines that a job avoids because it has failed on them. When it
-	// reaches the bound without any success, it may try all of them again except the last one.
+	// maxAvoidedMachines bounds the number of machines that a job avoids because it has failed on them. When a job
+	// reaches the bound before any of its tasks has completed, it may try all of them again except the last one.
 	maxAvoidedMachines = 4
 )
 
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,7 +12,7 @@
 	"github.com/glentiller/glentiller/internal/route"
 )
 
-// Handler handles the messages of other controllers. Its methods are called concurrently. The context of a method
+// Handler handles messages from other controllers. Its methods are called concurrently. The context of a method
 // is cancelled when the connection is lost or the server stops.
 type Handler interface {
 	// HandleHeartbeat handles a worker's encoded heartbeat that another controller relays.
--- a/internal/reconciler/accounting.go
+++ b/internal/reconciler/accounting.go
@@ -134,8 +134,8 @@
 	a.ledger.Charge(now, attempt.Team, attempt.Job.Spec.Class, ledger.RateOf(attempt.Demand).Usage(milliseconds))
 }
 
-// chargeWasted charges as lost the run time that has to be repeated because the attempt neither completed nor saved a
-// checkpoint on exit. That is all of its run time or, if the job saves periodic checkpoints, the time since the last
+// chargeWasted charges as wasted the run time that has to be repeated because the attempt neither completed nor saved
+// a checkpoint on exit. That is all of its run time or, if the job saves periodic checkpoints, the time since the last
 // of them. Nothing is charged for services and for jobs that have ended.
 func (a *accounting) chargeWasted(now time.Time, attempt *model.Attempt) {
 	if a == nil || attempt.ChargedUntil.IsZero() {
--- a/internal/reconciler/attempts.go
+++ b/internal/reconciler/attempts.go
@@ -66,8 +66,8 @@
 	return attempt
 }
 
-// adoptOrphan adds an attempt whose job has ended and stops it if it is still running. Its demand and its team are no
-// longer known, so until it is gone it counts as occupying the whole machine, for every team.
+// adoptOrphan adds an attempt whose job has ended or is unknown, and stops it if it has not exited. Its demand and its
+// team are not known, so until it is gone its usage is that of the whole machine and counts against every team.
 func (c *Core) adoptOrphan(now time.Time, attempt *model.Attempt) {
 	attempt.Job, attempt.Demand, attempt.Usage = nil, attempt.Machine.Type.Capacity, &c.usage.orphans
 	attempt.Transition(model.AttemptPresent)
@@ -143,7 +143,7 @@
 	case model.CauseError:
 		c.taskFailed(now, attempt)
 	case model.CauseNoCapacity, model.CauseAttemptConflict, model.CauseUnknownJob:
-		c.log.Warn("start command refused by worker", "task", attempt.Task, "machine", attempt.Machine.Name,
+		c.log.Warn("launch command refused by worker", "task", attempt.Task, "machine", attempt.Machine.Name,
 			"cause", attempt.Cause.String())
 		job.RetryNotBefore = now.Add(c.settings.Backoff / 4)
 	}
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -30,8 +30,8 @@
 func (c *Core) responseCommands(now time.Time, machine *model.Machine, direct bool) []model.Command {
 	var commands []model.Command
 	for _, attempt := range machine.Attempts {
-		// Stops come first. If launches filled the response, it would renew the lease of a machine that still holds
-		// tasks of a cancelled job, without stopping them.
+		// Stops come first. A response that is full of launches would renew the worker's lease without stopping the
+		// tasks of cancelled jobs on the machine.
 		if attempt.State == model.AttemptStopping && len(commands) < maxCommands {
 			commands = appendCommands(commands, attempt)
 		}
--- a/internal/reconciler/commits.go
+++ b/internal/reconciler/commits.go
@@ -10,12 +10,12 @@
 
 // pendingCommits holds the record changes that wait to be written. One transaction is in flight at a time.
 type pendingCommits struct {
-	changes          []record.Change
-	queuedChunks     map[chunkKey]bool // the chunks that have a PutTasks among the changes
-	inFlight         bool              // a transaction or fence has been sent and not answered
-	fenceNeeded      bool              // an unanswered transaction may still be executed
-	lastWasOwnCommit bool              // the last transaction carried a change that needs its own commit
-	notBefore        time.Time         // earliest time of the next transaction
+	changes               []record.Change
+	queuedChunks          map[chunkKey]bool // the chunks that have a PutTasks among the changes
+	inFlight              bool              // a transaction or fence has been sent and not answered
+	fenceNeeded           bool              // an unanswered transaction may still be executed
+	lastHadOwnTransaction bool              // the last transaction was for a change that needs its own transaction
+	notBefore             time.Time         // earliest time of the next transaction
 }
 
 // chunkKey identifies a chunk of a job's finished-task record.
@@ -85,8 +85,8 @@
 
 // next returns the index of the change that the next transaction is for, or -1 if all changes are blocked. Completed
 // jobs and new machines come first, since users and tasks wait for them. After them, changes that need their own
-// commit alternate with batches of the others. blocked reports whether a change has to wait, and returns the index of
-// the change to send in its place, or -1 if there is none.
+// transaction alternate with batches of the others. blocked reports whether a change has to wait, and returns the
+// index of the change to send in its place, or -1 if there is none.
 func (p *pendingCommits) next(blocked func(*record.Change) (substitute int, waits bool)) int {
 	candidate := -1
 	for i := range p.changes {
@@ -101,7 +101,8 @@
 			}
 			return i
 		}
-		if candidate < 0 || p.lastWasOwnCommit && needsOwnTransaction(&p.changes[candidate]) && !needsOwnTransaction(change) {
+		if candidate < 0 || p.lastHadOwnTransaction &&
+			needsOwnTransaction(&p.changes[candidate]) && !needsOwnTransaction(change) {
 			candidate = i
 		}
 	}
@@ -144,8 +145,8 @@
 		return
 	}
 	var batch []record.Change
-	c.commits.lastWasOwnCommit = needsOwnTransaction(&c.commits.changes[next])
-	if c.commits.lastWasOwnCommit {
+	c.commits.lastHadOwnTransaction = needsOwnTransaction(&c.commits.changes[next])
+	if c.commits.lastHadOwnTransaction {
 		batch, c.commits.changes = c.takeOwnTransaction(now, next)
 	} else {
 		batch = c.commits.takeBatch(c.settings.MaxTxnOps, c.fillChunk)
@@ -204,7 +205,7 @@
 		return
 	}
 	if event.Outcome != OutcomeOK {
-		return // the end of a job was already recorded by another leader or the user, and the watch will report it
+		return // another leader or a user's cancellation has already ended the job, and the watch will report it
 	}
 	switch change.Kind {
 	case record.PutMachine:
--- a/internal/reconciler/constraints.go
+++ b/internal/reconciler/constraints.go
@@ -93,8 +93,8 @@
 	c.checkSatisfiable(job, constraints)
 }
 
-// checkSatisfiable logs when a new catalog makes a job's constraints unsatisfiable, and when a later one makes them
-// satisfiable again. The job remains accepted in either case.
+// checkSatisfiable logs when no machine in the catalog satisfies the constraints of a job, and when a later catalog
+// makes them satisfiable again. The job remains accepted in either case.
 func (c *Core) checkSatisfiable(job *model.Job, constraints *jobConstraints) {
 	if constraints.set == nil || len(c.machineTypes) == 0 {
 		return
--- a/internal/reconciler/core.go
+++ b/internal/reconciler/core.go
@@ -132,8 +132,8 @@
 
 // runTimers does the periodic work that is due: it sweeps the machines, runs a scheduling pass and queries the cloud.
 // It runs only on a Tick. The controller sends a Tick after all other events that have been received, and only while
-// the leadership lease is valid. A heartbeat, whose response renews a worker's lease, therefore never waits behind a
-// pass, and a leader that was suspended does not count heartbeats as missing that it merely has not read yet.
+// the leadership lease is valid. Heartbeats, whose responses renew workers' leases, therefore never wait behind a pass.
+// A leader that was suspended reads the heartbeats that have arrived before it decides which ones are missing.
 func (c *Core) runTimers(now time.Time) {
 	if !now.Before(c.nextSweepAt) {
 		c.sweep(now)
--- a/internal/reconciler/dependencies_test.go
+++ b/internal/reconciler/dependencies_test.go
@@ -71,7 +71,7 @@
 	now := at.Add(10 * time.Second)
 	c := newTestLeader(now, snapshot)
 	if got := c.guaranteedJobs(); !got[c.jobs["wk-000001"]] || got[c.jobs["wk-000002"]] || got[c.jobs["wk-000003"]] {
-		t.Errorf("got %d guaranteed jobs, want the first one only: it takes 8 of 10 guaranteed CPUs", len(got))
+		t.Errorf("wrong guarantees of %d jobs, want only that of the first: it uses 8 of 10 guaranteed CPUs", len(got))
 	}
 	var lookedUp []string
 	for _, effect := range c.Step(now, Tick{}) {
@@ -85,7 +85,7 @@
 	job := c.jobs["wk-000002"]
 	c.Step(now, JobEnded{ID: "wk-000001", Outcome: model.OutcomeDone, EndedAt: now})
 	if startable(job) {
-		t.Fatal("startable although the end of a dependency is not known")
+		t.Fatal("got a startable job although the end of a dependency is not known, want it to wait")
 	}
 	// The end was recorded by an earlier program version, which stored no end time.
 	c.Step(now, JobEndsReceived{Ends: []record.JobEnd{{ID: "wk-000009", Outcome: model.OutcomeDone}}})
@@ -93,10 +93,10 @@
 		t.Errorf("got startable %v, eligible at %v; want true, %v", startable(job), job.EligibleAt, now)
 	}
 	if c.jobsByAge[len(c.jobsByAge)-1] != job {
-		t.Error("job is not last in the queue, behind the jobs that became eligible before it")
+		t.Error("got the job before another one in the queue, want it last, since it became eligible last")
 	}
 	if got := c.guaranteedJobs(); !got[c.jobs["wk-000003"]] || got[job] {
-		t.Errorf("got guarantees %v and %v, want them for the job that could start first",
+		t.Errorf("got guarantees %v for the job that became eligible first and %v for the other, want true and false",
 			got[c.jobs["wk-000003"]], got[job])
 	}
 }
--- a/internal/reconciler/effects.go
+++ b/internal/reconciler/effects.go
@@ -11,8 +11,9 @@
 
 // The effects. Each of them except HeartbeatResponse is answered by an event.
 type (
-	// HeartbeatResponse answers the heartbeat of this Step. It is refused if the worker certainly no longer waits for
-	// the answer, if the heartbeat is of another machine with the same name, or if its machine has been released.
+	// HeartbeatResponse answers the heartbeat of this Step. The heartbeat is refused if it is certain that its worker
+	// no longer waits for the answer, if it is of another machine with the same name, or if its machine has been
+	// released.
 	HeartbeatResponse struct {
 		Commands []model.Command
 		Refused  bool
@@ -37,7 +38,7 @@
 	LookUpJobEnds struct{ IDs []string }
 	// Commit writes changes in one transaction.
 	Commit struct{ Changes []record.Change }
-	// Fence ensures that no earlier transaction that was not answered is executed from now on.
+	// Fence ensures that unanswered transactions, which may still be on their way, are not executed any more.
 	Fence struct{}
 	// ReadAccounts requests the stored accounts of teams.
 	ReadAccounts struct{ Teams []string }
--- a/internal/reconciler/explain.go
+++ b/internal/reconciler/explain.go
@@ -30,8 +30,8 @@
 	Placements  []PlacementReason `json:"placed,omitempty"`   // the first maxPlacements tasks that are on machines
 }
 
-// MachineCount is the number of machines for which the same reason states why they cannot, or that they can, run one
-// more task of the job.
+// MachineCount is the number of machines that share a reason. The reason states that they can run one more task of the
+// job, or why they cannot.
 type MachineCount struct {
 	Reason string `json:"why"`
 	Count  int    `json:"count"`
--- a/internal/reconciler/faults.go
+++ b/internal/reconciler/faults.go
@@ -11,7 +11,7 @@
 // that is not enough, the machine is quarantined until more is known.
 
 const (
-	maxQuarantine               = 45 * time.Second // the machine then counts as faulty, if nothing more has become known
+	maxQuarantine               = 45 * time.Second // a machine that stays in quarantine for longer counts as faulty
 	healthyRunTime              = 15 * time.Second // a task that has run for this long is considered healthy
 	failedMachinesBeforeBackoff = 2                // a job that failed on this many machines is delayed
 	maxBackoffShift             = 6                // the backoff doubles at most this many times
--- a/internal/reconciler/finished.go
+++ b/internal/reconciler/finished.go
@@ -24,7 +24,8 @@
 	f.dirtyJobs[job] = true
 }
 
-// remove removes a job whose end is recorded or is about to be. Its finished tasks need no records of their own.
+// remove removes a job whose changed chunks are being queued, or whose end is recorded or about to be. In the latter
+// case its finished tasks need no records of their own.
 func (f *finishedTasks) remove(job string) { delete(f.dirtyJobs, job) }
 
 // next returns the time at which the next batch is due. ok is false if there is nothing to write.
--- a/internal/reconciler/heartbeats.go
+++ b/internal/reconciler/heartbeats.go
@@ -12,8 +12,8 @@
 	return model.AttemptKey{Task: status.Task, Number: status.Attempt}
 }
 
-// heartbeatReceived applies a worker's heartbeat and answers it. The answer is a refusal if the worker certainly no
-// longer waits for it (docs/safety.md, "Duplicates and incarnations").
+// heartbeatReceived applies a worker's heartbeat and answers it. A heartbeat is refused if it is certain that the
+// worker no longer waits for the answer (docs/safety.md, "Duplicates and incarnations").
 func (c *Core) heartbeatReceived(now time.Time, event HeartbeatReceived) {
 	heartbeat := event.Heartbeat
 	machine := c.machines[heartbeat.Machine]
@@ -49,7 +49,7 @@
 	}
 	if kind != liveness.Duplicate {
 		// A heartbeat that was overtaken by the answer to a command also renews the worker's lease. A duplicate does
-		// not, since the worker sent it before its first copy arrived.
+		// not: workers count their lease from when they sent the heartbeat, which was before its first copy arrived.
 		c.renewLease(now, machine)
 	}
 	c.emit(HeartbeatResponse{Commands: c.responseCommands(now, machine, !event.Relayed)})
@@ -134,8 +134,8 @@
 }
 
 // renewLease records that a heartbeat is being answered, which renews the worker's lease. An answer to a command does
-// not count. Otherwise a machine that receives commands but reaches no controller would be given tasks again and
-// again, and they would end each time its lease expires.
+// not count as a heartbeat. Otherwise a machine that receives commands but reaches no controller would be given tasks
+// again and again, and they would end each time its lease expires.
 func (c *Core) renewLease(now time.Time, machine *model.Machine) {
 	machine.LeaseExpiry = c.leaseExpiry(now)
 	if machine.ActiveCount == 0 && now.Sub(machine.LastHeartbeat) > c.settings.UnresponsiveAfter {
@@ -193,8 +193,8 @@
 		machine.UnansweredLaunches.Clear()
 	}
 	machine.ExpiredEpoch = epoch - 1
-	// The new epoch has its own lease, which began before now. With the expiry of the former lease, tasks of the new
-	// epoch would be started elsewhere while they are still running.
+	// The new epoch has its own lease, which began before now. If the expiry of the former lease stayed in force,
+	// tasks of the new epoch would be started elsewhere while they are still running.
 	machine.LeaseExpiry = c.leaseExpiry(now)
 	machine.ErrorsByJob = map[string]int{}
 }
@@ -208,8 +208,8 @@
 	for i := range tasks {
 		status := &tasks[i]
 		if status.Attempt > c.lastAttemptNumber() {
-			// No leader up to this one has assigned this number, so it would collide with that of a later attempt. If
-			// a later leader has assigned it, nothing that this leader does has an effect any more.
+			// Neither this leader nor an earlier one has assigned this number, and this leader may still assign it to
+			// another attempt. If a later leader has assigned it, nothing that this leader does has an effect any more.
 			continue
 		}
 		key := statusKey(status)
@@ -243,7 +243,7 @@
 			// one is of another incarnation. A delayed copy must not cause a running task to be started elsewhere.
 			c.probe(now, machine)
 		case attempt.Phase != 0 && !machine.UnansweredLaunches.MayArrive(key):
-			c.log.Warn("running attempt missing from worker's report", "task", attempt.Task, "attempt", attempt.Number,
+			c.log.Warn("reported attempt missing from worker's heartbeat", "task", attempt.Task, "attempt", attempt.Number,
 				"machine", machine.Name)
 			c.accounting.chargeUntil(now, attempt, lastSeen)
 			c.accounting.chargeWasted(now, attempt)
--- a/internal/reconciler/inventory.go
+++ b/internal/reconciler/inventory.go
@@ -16,8 +16,10 @@
 
 const (
 	catalogRetryDelay = 2 * time.Second
-	listLagFactor     = 3                // a machine list may lag by this multiple of the stated lag,
-	listLagMargin     = 10 * time.Second // plus this margin
+
+	// A machine list is assumed to lag by less than listLagFactor times Settings.MachineListLag plus listLagMargin.
+	listLagFactor = 3
+	listLagMargin = 10 * time.Second
 )
 
 // newCloudInventory returns an inventory that requests the machine list at once, and also the catalog unless types
@@ -59,8 +61,8 @@
 	c.passes.request()
 }
 
-// machineListReceived applies the cloud's machine list. Listed machines that this leader does not know were
-// provisioned by an earlier leader.
+// machineListReceived applies the cloud's machine list. It adds the listed machines that this leader does not know,
+// which earlier leaders have usually provisioned.
 func (c *Core) machineListReceived(now time.Time, event MachineListReceived) {
 	c.inventory.machineListPending = false
 	c.inventory.nextMachineListAt = now.Add(c.settings.MachineListInterval)
--- a/internal/reconciler/liveness.go
+++ b/internal/reconciler/liveness.go
@@ -28,14 +28,14 @@
 // mismatch.
 const identityMismatchLogInterval = 10 * time.Second
 
-// responseTimeout is the time that a worker waits for the response to a heartbeat, as the protocol defines it. A
-// heartbeat is late by at most a quarter of the heartbeat interval.
+// responseTimeout is the time that a worker waits for the response to a heartbeat, as the protocol defines it.
 const responseTimeout = 4 * time.Second
 
 func newLivenessTracker(now time.Time, settings *Settings) livenessTracker {
 	return livenessTracker{
 		settings: liveness.Settings{
-			Lease:        settings.WorkerLease,
+			Lease: settings.WorkerLease,
+			// A heartbeat is late by at most a quarter of the interval, so a gap of 1.5 intervals is too long.
 			HeartbeatGap: max(responseTimeout, settings.HeartbeatInterval+settings.HeartbeatInterval/2),
 			ReplaceAfter: settings.UnresponsiveAfter,
 		},
@@ -140,7 +140,8 @@
 	}
 }
 
-// missesCommands reports whether a heartbeat shows none of the launches that the response to an earlier one contained.
+// missesCommands reports whether a heartbeat shows none of the launches that responses to earlier heartbeats
+// contained. It is false if there were no such launches.
 func missesCommands(machine *model.Machine, heartbeat *model.Heartbeat) bool {
 	number := liveness.MessageNumber{Epoch: heartbeat.Epoch, Seq: heartbeat.Seq}
 	commanded := 0
--- a/internal/reconciler/liveness_test.go
+++ b/internal/reconciler/liveness_test.go
@@ -185,7 +185,7 @@
 		t.Errorf("after an unanswered probe: got %v, want %v", got, liveness.Suspect)
 	}
 	if s.core.placeable(s.now, s.core.machines["n-1"]) {
-		t.Error("tasks may be placed on a suspect")
+		t.Error("got a suspect on which tasks may be placed, want none placed there")
 	}
 	// A worker that receives its responses through another member keeps its epoch, and is trusted again.
 	for seq := uint64(4); seq < 12; seq++ {
--- a/internal/reconciler/machines.go
+++ b/internal/reconciler/machines.go
@@ -65,8 +65,8 @@
 	return machineType.Capacity.CPU > minCatalogCPUs
 }
 
-// leaseExpiry returns the time at which a worker's lease has certainly expired if its last answered heartbeat was
-// received at the given time. The worker counts its lease from when it sent the heartbeat, which was earlier.
+// leaseExpiry returns a time by which a worker's lease has expired. heartbeat is when the last answered heartbeat was
+// received. The worker counts its lease from when it sent that heartbeat, which was earlier.
 func (c *Core) leaseExpiry(heartbeat time.Time) time.Time {
 	lease := c.settings.WorkerLease
 	return heartbeat.Add(lease + time.Duration(float64(lease)*maxClockDrift) + c.settings.LeaseMargin)
@@ -92,7 +92,7 @@
 // drain stops placing tasks on a machine. The machine is released when it is empty.
 func (c *Core) drain(now time.Time, machine *model.Machine, reason string) {
 	if machine.Transition(now, model.MachineDraining, reason) {
-		c.log.Info("draining", "machine", machine.Name, "reason", reason, "attempts", machine.ActiveCount)
+		c.log.Info("draining machine", "machine", machine.Name, "reason", reason, "attempts", machine.ActiveCount)
 		c.passes.request()
 	}
 }
--- a/internal/reconciler/partitions.go
+++ b/internal/reconciler/partitions.go
@@ -25,7 +25,7 @@
 	return detector
 }
 
-// resetHeartbeatTimeouts disregards all missing heartbeats until now, since workers could not send any.
+// resetHeartbeatTimeouts starts all heartbeat timeouts anew, because workers could not deliver heartbeats before now.
 func (d *partitionDetector) resetHeartbeatTimeouts(now time.Time, unresponsiveAfter time.Duration) {
 	d.timeoutsIgnoredUntil = now.Add(unresponsiveAfter)
 }
--- a/internal/reconciler/provisioning.go
+++ b/internal/reconciler/provisioning.go
@@ -13,7 +13,7 @@
 type provisioner struct {
 	requestCounter uint64                         // number of request names that this leader has generated
 	requests       map[string]model.Provisioning  // unanswered requests by name
-	retryAt        map[string]time.Time           // retry times by name of requests with an unknown outcome
+	retryAt        map[string]time.Time           // retry times by name of requests that were not answered
 	refusedUntil   map[autoscaler.Offer]time.Time // ends of the back-off for offers that the cloud has refused
 	lastScaleOutAt time.Time                      // when scaling out was last considered
 }
@@ -150,7 +150,7 @@
 	return left < time.Duration(c.settings.Autoscaler.LookaheadBootTimes*float64(machineType.BootTime))
 }
 
-// retryProvisioning repeats requests whose outcome is unknown, under their original names.
+// retryProvisioning repeats requests that were not answered, under their original names.
 func (c *Core) retryProvisioning(now time.Time) {
 	for name, at := range c.provisioning.retryAt {
 		if now.After(at) {
@@ -160,7 +160,7 @@
 	}
 }
 
-// provisionCompleted handles the outcome of a request for machines. A request with an unknown outcome is repeated. If
+// provisionCompleted handles the outcome of a request for machines. A request that was not answered is repeated. If
 // the cloud provides fewer machines than requested, the offer is not requested again during the back-off period.
 func (c *Core) provisionCompleted(now time.Time, event ProvisionCompleted) {
 	request := event.Provisioning
--- a/internal/reconciler/settings.go
+++ b/internal/reconciler/settings.go
@@ -8,7 +8,7 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// Settings configures a Core. The values come from the platform and the operators. Package config fills them in.
+// Settings configures a Core. Package config fills it in from the values of the platform and the operators.
 type Settings struct {
 	Member     string // name of this controller, which requests to the cloud carry
 	Teams      []model.Team
@@ -19,7 +19,7 @@
 	HeartbeatInterval time.Duration
 	WorkerLease       time.Duration
 	GangWait          time.Duration // time for which a gang's task waits for the others
-	GangPeer          time.Duration
+	GangPeer          time.Duration // timeout between the workers of a gang
 	CancelWithin      time.Duration // maximum time from a job's cancellation to the end of its tasks
 
 	MachineListLag time.Duration // maximum lag of the cloud's machine list
@@ -36,7 +36,7 @@
 	MaxUnresponsiveShare float64       // unless more than this share of its zone or of all machines is unresponsive
 	Backoff              time.Duration // delay of a job after failed tasks, which doubles with further failures
 	MaxBackoff           time.Duration
-	MachineFaultErrors   int           // number of failing jobs that show that a machine is faulty
+	MachineFaultErrors   int           // failing jobs, or errors of one healthy job, that show that a machine is faulty
 	CommandHoldOff       time.Duration // pause in direct commands to a machine that did not answer one
 	ConsolidateInterval  time.Duration // time between moves off expensive machines; 0 disables them
 	MaxTxnOps            int           // maximum number of changes in one transaction
--- a/internal/reconciler/settlements.go
+++ b/internal/reconciler/settlements.go
@@ -59,7 +59,7 @@
 	remainingOps := c.settings.MaxTxnOps
 	for i, change := range c.commits.changes {
 		joins := i == first || i > first && remainingOps >= maxSettlementOps &&
-			sharesCommit(&firstChange) && sharesCommit(&change)
+			canShareTransaction(&firstChange) && canShareTransaction(&change)
 		if !joins {
 			rest = append(rest, change)
 			continue
@@ -72,7 +72,7 @@
 			change.Settlement = c.accounting.ledger.Settle(now, c.accounting.settings.TimeOfDay(now), change.Team)
 		}
 		if change.Settlement == nil {
-			continue // nothing to settle
+			continue // a settlement is pending already, or the record cannot be read
 		}
 		batch = append(batch, change)
 		if remainingOps--; change.Settlement.Closed != nil {
@@ -82,13 +82,13 @@
 	return batch, rest
 }
 
-// sharesCommit reports whether a change is a settlement that may share a transaction with other settlements.
-func sharesCommit(change *record.Change) bool {
+// canShareTransaction reports whether a change is a settlement that may share a transaction with other settlements.
+func canShareTransaction(change *record.Change) bool {
 	return change.Kind == record.SettleAccount && !change.CommitAlone
 }
 
-// settleWithJobEnd creates the settlement that shares the transaction of a job's end. It returns nil if the change
-// does not settle an account, a settlement is pending already, or there is nothing to settle.
+// settleWithJobEnd creates the settlement that shares the transaction of a job's end. It returns nil if no account is
+// settled together with the change, a settlement is pending already, or there is nothing to settle.
 func (c *Core) settleWithJobEnd(now time.Time, change *record.Change) (batch []record.Change) {
 	team, ok := c.settlingTeam(change)
 	if !ok || c.accounting.ledger.HasPending(team) {
--- a/internal/reconciler/takeover.go
+++ b/internal/reconciler/takeover.go
@@ -8,7 +8,7 @@
 	"github.com/glentiller/glentiller/internal/scheduler"
 )
 
-// takeover tracks what a new leader does not know yet about the time before its failover: which tasks earlier leaders
+// takeover tracks what a new leader does not know yet about the time before its takeover: which tasks earlier leaders
 // started on the machines that it inherits. docs/safety.md, "Reconciliation after failover", argues why it is safe to
 // start other tasks in the meantime.
 type takeover struct {
@@ -112,7 +112,7 @@
 }
 
 // markReconciled records that everything on an inherited machine is known. When this holds for all machines,
-// incomplete gangs are stopped. how states for the log what showed it.
+// incomplete gangs are stopped. how names the evidence for the log.
 func (c *Core) markReconciled(now time.Time, machine *model.Machine, how string) {
 	c.takeover.reconciled(machine)
 	if machine.State == model.MachineInherited {
@@ -135,11 +135,11 @@
 	}
 }
 
-// reconcileUnrenewed reconciles a machine that has sent heartbeats since the takeover, but has not taken this
-// leader's fencing token for more than a lease. The machine has just sent a fresh heartbeat. It holds nothing that an
-// earlier leader started, apart from what its heartbeats have shown (docs/safety.md, "Reconciliation after
-// failover"). Without this rule, tasks from before the takeover would wait for as long as the machine receives
-// nothing, because each of its heartbeats postpones the expiry of its lease.
+// reconcileUnrenewed reconciles a machine that has just sent a fresh heartbeat, more than a lease after the takeover,
+// but still without this leader's fencing token. The machine holds nothing that an earlier leader started, apart from
+// what its heartbeats have shown (docs/safety.md, "Reconciliation after failover"). Without this rule, tasks from
+// before the takeover would wait for as long as the machine receives nothing, because each of its heartbeats postpones
+// the expiry of its lease.
 func (c *Core) reconcileUnrenewed(now time.Time, machine *model.Machine) {
 	if machine.Detector.FencingTokenNotAccepted(now) {
 		c.livenessChanged(machine)
@@ -179,7 +179,7 @@
 }
 
 // mayAlreadyRun reports whether a waiting task of a job may already be running on a machine that has not been
-// reconciled since the takeover, so that it must not be started. It cannot be if the job was accepted after the
+// reconciled since the takeover, so that it must not be started. That is ruled out if the job was accepted after the
 // takeover, or if no leader can have placed it on any of the unreconciled kinds of machines (docs/safety.md,
 // "Reconciliation after failover").
 func (c *Core) mayAlreadyRun(job *model.Job) bool {
--- a/internal/reconciler/waiting.go
+++ b/internal/reconciler/waiting.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// stopWaiting charges the current waiting period of a job, none of whose tasks waits any more.
+// stopWaiting charges the current waiting period of a job and ends it.
 func (a *accounting) stopWaiting(now time.Time, job *model.Job) {
 	if a != nil {
 		a.chargeWait(now, job)
--- a/internal/relay/outbox.go
+++ b/internal/relay/outbox.go
@@ -73,9 +73,9 @@
 
 // LeaderChanged must be called when another member becomes the leader, or with noLeader when the leadership is
 // vacant. The path is kept: a partition between this member and the last leader is likely to separate it from the
-// new one too, and workers that were redirected to an unreachable leader would lose seconds that their leases do
-// not have. Only PathNone changes to PathViaStateService, since the new leader may respond. The heartbeats of batches
-// in flight are queued again, because a new leader only reads batches that are written after its takeover.
+// new one too, and workers that were redirected to an unreachable leader would wait for seconds, while their leases
+// might expire. Only PathNone changes to PathViaStateService, since the new leader may respond. The heartbeats of
+// batches in flight are queued again, because a new leader only reads batches that are written after its takeover.
 func (o *Outbox) LeaderChanged(now time.Time, noLeader bool) {
 	o.noLeader, o.unansweredBatches = noLeader, 0
 	if o.path == PathNone {
--- a/internal/route/attempts.go
+++ b/internal/route/attempts.go
@@ -166,7 +166,7 @@
 		return Action{Response: &response}
 	}
 	if isLocal || a.lastRefusal.Outcome == Answered {
-		// A local refusal takes precedence, since it tells the user more than what other members lack.
+		// A local refusal replaces another member's, since its reason tells the user more.
 		a.lastRefusal = response
 	}
 	if !a.localStart.IsZero() {
--- a/internal/route/attempts_test.go
+++ b/internal/route/attempts_test.go
@@ -27,14 +27,14 @@
 	}
 	if member != "" {
 		if r.attempted[member] || r.answered {
-			t.Fatalf("attempt on %s: got a second one, or one after the response", member)
+			t.Fatalf("attempt on %s: got a second one, or one after the response, want neither", member)
 		}
 		r.attempted[member] = true
 		r.outstanding = append(r.outstanding, member)
 	}
 	if action.Response != nil {
 		if r.answered || member != "" {
-			t.Fatal("got a second response, or a response and an attempt in one action")
+			t.Fatal("got a second response, or a response and an attempt in one action, want one response alone")
 		}
 		r.answered = true
 	}
--- a/internal/route/breaker.go
+++ b/internal/route/breaker.go
@@ -64,7 +64,7 @@
 	return false
 }
 
-// record takes into account whether a request has succeeded.
+// record updates the breaker with the result of a request.
 func (b *breaker) record(now time.Time, ok bool) {
 	switch {
 	case ok:
--- a/internal/route/concurrency_limit.go
+++ b/internal/route/concurrency_limit.go
@@ -33,7 +33,7 @@
 	minGradient           = 0.5
 	maxGradient           = 1.0
 	limitSmoothing        = 0.2  // weight of a newly computed limit against the current one
-	backOffFactor         = 0.9  // applied to the limit when a request is dropped
+	backOffFactor         = 0.9  // applied to the limit by backOff
 	longAverageDecay      = 0.95 // applied to longAverage with each sample while it is more than twice shortAverage
 	warmUpSamples         = 20   // number of samples before the limit adapts
 )
@@ -84,7 +84,7 @@
 	l.setLimit(l.limit*(1-limitSmoothing) + limitSmoothing*(l.limit*gradient+math.Sqrt(l.limit)))
 }
 
-// backOff lowers the limit after a request has been dropped because too many requests were queued.
+// backOff lowers the limit after the rate limit of the state service has not admitted a request in time.
 func (l *concurrencyLimit) backOff() {
 	if !l.fixed {
 		l.setLimit(l.limit * backOffFactor)
--- a/internal/route/reachability.go
+++ b/internal/route/reachability.go
@@ -21,9 +21,9 @@
 }
 
 const (
-	// probePeersAfter is the time without an answer of the state service after which the other members are probed.
+	// probePeersAfter is the time without an answer from the state service after which the other members are probed.
 	probePeersAfter = time.Second
-	// isolatedAfter is the time of probing without an answer of any other member after which this one counts as
+	// isolatedAfter is the time of probing without an answer from any other member after which this member counts as
 	// isolated. It allows for two probes and a lost packet.
 	isolatedAfter = 3 * time.Second
 )
@@ -34,7 +34,7 @@
 type PeerReachability struct {
 	mu          sync.Mutex // guards the fields below
 	state       ReachabilityState
-	lastContact time.Time // the later of the start of probing and the last answer of a peer
+	lastContact time.Time // the later of the start of probing and the last answer from a peer
 }
 
 // transition is the only function that changes the state. It reports whether the new state differs from
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -19,7 +19,7 @@
 // Request is a user's request about one job.
 type Request struct {
 	Kind Kind
-	ID   string // id of the job
+	ID   string // ID of the job
 	Body []byte // the encoded submission; nil for other kinds
 }
 
--- a/internal/route/retry_budget.go
+++ b/internal/route/retry_budget.go
@@ -8,7 +8,7 @@
 	initialRetryBalance = maxRetryBalance / 2
 )
 
-// retryBudget bounds the retries of the process to a fraction of the requests that succeed and a minimum rate, like
+// retryBudget bounds the retries of the process to a fraction of the requests that succeed plus a minimum rate, like
 // the retry budgets of Finagle. Without it, each request that a failing member receives could become two requests
 // to other members. The router's mutex guards it.
 type retryBudget struct {
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -79,7 +79,7 @@
 	lastStateServiceResponse := timeAfterStart(125 * time.Millisecond)
 	attempts, action := r.Begin(now, timeAfterStart(3*time.Second), lastStateServiceResponse, Request{}, false)
 	if !action.Local {
-		t.Fatalf("after a response of the state service: got %+v, want a local attempt", action)
+		t.Fatalf("after a response from the state service: got %+v, want a local attempt", action)
 	}
 	if _, other := r.begin(timeAfterStart(131*time.Millisecond), Submit); other.Local {
 		t.Errorf("during the probe: got %+v, want no local attempt", other)
--- a/internal/route/status.go
+++ b/internal/route/status.go
@@ -4,14 +4,14 @@
 
 // Counts counts the decisions of a Router since the start of the process.
 type Counts struct {
-	Local             uint64 `json:"here"`       // attempts on this member at requests of its own users
+	Local             uint64 `json:"here"`       // attempts on this member at its own users' requests
 	Forwarded         uint64 `json:"handed"`     // attempts on other members
 	Hedged            uint64 `json:"hedged"`     // forwarded attempts that hedged a local attempt
 	AttemptsExhausted uint64 `json:"again"`      // times that all attempts at a request had ended without an answer
 	Rejected          uint64 `json:"refused"`    // requests that ended without an answer
 	RetriesDenied     uint64 `json:"no_retry"`   // retries and hedges that the retry budget did not allow
 	Shed              uint64 `json:"shed"`       // local attempts that the concurrency limit did not allow
-	ServedForOthers   uint64 `json:"for_others"` // attempts on this member at requests that others forwarded
+	ServedForOthers   uint64 `json:"for_others"` // attempts on this member at requests that other members forwarded
 }
 
 // Status is a snapshot of a Router, for operators. Breaker states are given by their names, and maps are keyed by
--- a/internal/scheduler/explain.go
+++ b/internal/scheduler/explain.go
@@ -37,7 +37,7 @@
 	return s.teams[0] != "" && s.teams[0] != team || s.teams[1] != "" && s.teams[1] != team
 }
 
-// waitReason returns the reason why a request waits for which no node has capacity.
+// waitReason returns the reason why a request waits if no node has capacity for it.
 func (s *servedSummary) waitReason(request *Request) WaitReason {
 	switch {
 	case request.qosClass() != qosBestEffort:
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -25,8 +25,8 @@
 	return qosBestEffort
 }
 
-// The queues within one QoS class and fair-share band, in the order in which they are served. Afterwards
-// promoteWaiting moves the requests of queuePromoted.
+// The queues within one QoS class and fair-share band, in the order in which they are served. The only exception is
+// that promoteWaiting moves requests of queuePromoted behind higher-priority requests of queueDeadline.
 const (
 	queueStarving = iota // first tasks of a job that has waited for long without starting
 	queuePromoted        // requests that have waited long enough to overtake others
@@ -62,7 +62,7 @@
 	priority                model.Priority
 }
 
-// computePosition returns the request's position, before promoteWaiting.
+// computePosition returns the request's position in the order, in which promoteWaiting may still move the request.
 func (r *Request) computePosition(settings *Settings) position {
 	class := r.qosClass()
 	if r.Starving {
@@ -127,7 +127,7 @@
 	return cmp.Or(cmp.Compare(other.priority, p.priority), cmp.Compare(other.waited, p.waited))
 }
 
-// compareTrueFirst compares two booleans that differ, of which the first is given, and sorts true first.
+// compareTrueFirst compares first with its opposite like cmp.Compare, with true ordered before false.
 func compareTrueFirst(first bool) int {
 	if first {
 		return -1
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -43,9 +43,9 @@
 	p.snapshot.addUsage(request.Job.Spec.Team, request.Job.Spec.Demand.Times(len(placements)))
 }
 
-// zonesFor returns the zones to try in turn for a request, where "" stands for any zone. It returns only the job's
-// own zone, which may be "", if the job names one or may use several zones. Otherwise it returns the zones that the
-// job's tasks occupy or, if they occupy none, all zones.
+// zonesFor returns the zones to try in turn for a request, where "" stands for any zone. For a job that names a zone,
+// that is the only one, and for a job whose tasks may be in several zones it is "". Otherwise zonesFor returns the
+// zones that the job's tasks occupy or, if they occupy none, all zones.
 func (s *Snapshot) zonesFor(request *Request) []string {
 	spec := request.Job.Spec
 	if !spec.SingleZone || spec.Zone != "" {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -20,9 +20,10 @@
 	likelyMissSlack     = 30 * time.Second // slack below which a stopped attempt would likely miss its deadline
 )
 
-// mayPreempt reports whether an attempt may be stopped for the request. The attempt must have a lower priority, or
-// run beyond another team's guarantee while the request is within its own. It must also come after the request in the
-// order. Otherwise it would be placed again first, and the two would preempt each other in turns.
+// mayPreempt reports whether an attempt may be stopped for the request. The attempt must have a lower priority, or be
+// of another team and run beyond that team's guarantee while the request is within its own team's. It must also come
+// after the request in the order. Otherwise it would be placed again first, and the two would preempt each other in
+// turns.
 func (r *Request) mayPreempt(candidate *PreemptionCandidate) bool {
 	if candidate.Priority == model.PriorityProduction {
 		return false // its users would notice at once
@@ -142,9 +143,8 @@
 	return missing
 }
 
-// nodeOption is a node on which attempts could be preempted for a request. Its cost is evaluated when it is first
-// needed. It is evaluated again after a preemption on the node, or if the pass has too few preemptions left for the
-// choice.
+// nodeOption is a node on which attempts could be preempted for a request. It is evaluated when it is first needed, and
+// again after capacity on the node was claimed or if the pass has too few preemptions left for the chosen candidates.
 type nodeOption struct {
 	node                  *Node
 	evaluated             bool  // the fields below are valid
@@ -203,7 +203,7 @@
 	s.pass.nodeOptions = s.options
 }
 
-// admits reports whether one more of the job's tasks may be placed on a machine, given the locked zone and the number
+// admits reports whether one more of the job's tasks may be placed on a machine, given the pinned zone and the number
 // of its tasks in the zone and on the machine.
 func (s *preemptionSearch) admits(machine *model.Machine) bool {
 	if s.pinnedZone != "" && machine.Zone != s.pinnedZone {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -7,8 +7,9 @@
 	"github.com/glentiller/glentiller/internal/model"
 )
 
-// admit returns how many tasks of a request may start under its team's quota. If the quota allows none, it records
-// the shortage and returns 0. Gangs and services of which all tasks are pending start whole or not at all.
+// admit returns how many tasks of a request may start under its team's quota. If none may, it records the shortage.
+// Gangs and services of which all tasks are pending start whole or not at all. If the quota is too small, admit may
+// preempt lower-priority work of the team, which frees quota for a later pass.
 func (p *pass) admit(request *Request) int {
 	spec := request.Job.Spec
 	tasks := min(request.PendingTasks, request.MaxStarts)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -6,8 +6,8 @@
 // the placements, stops the preempted attempts and requests machines for the shortages. If nothing is pending, it
 // calls Consolidate and Drain to find a service replica that should move to another machine.
 //
-// The order of requests and the ranking of nodes follow POFARE and POFAME of the paper, as docs/design.md interprets
-// them.
+// The order of requests and the ranking of nodes follow the algorithms POFARE and POFAME of the paper that
+// docs/design.md interprets.
 //
 // The files are split by decision: order.go orders requests, feasible.go and rules.go filter nodes, rank.go scores
 // them, place.go and pass.go place tasks, preempt.go and quota.go preempt attempts, starvation.go reserves capacity
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -1,5 +1,5 @@
-// Package staleness bounds the age of the knowledge of cancellations with which a leader may renew workers' leases and
-// start tasks.
+// Package staleness limits how old a leader's knowledge of cancellations may be when the leader renews workers' leases
+// or starts tasks.
 //
 // Every member may acknowledge cancellations to users. If the state service does not respond to the leader, the leader
 // relies on the reports of the other members to learn about these cancellations. A leader keeps a Tracker, passes it
@@ -19,7 +19,7 @@
 	lateStopAllowance = 3 * time.Second         // the allowance for workers that stop their tasks late
 	maxClockDrift     = 0.001                   // the maximum relative drift between the monotonic clocks of two machines
 	minBound          = 1500 * time.Millisecond // the smallest bound with which a leader can operate
-	maxStartBound     = 4 * time.Second         // enough to query every member twice without faults
+	maxStartBound     = 4 * time.Second         // enough to query every member twice if there are no faults
 )
 
 // BoundFor returns the bound with which the tasks of a cancelled job end within cancelWithin if workers' leases have
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// For random settings, a lease that is renewed at the maximum age that the bound allows expires within the time to
-// cancel, with clocks that drift. Otherwise BoundFor reports that it cannot ensure that, but only if too little time is
-// left after the lease and the allowance for late stops.
+// For random settings, a lease that is renewed at the maximum age of the knowledge expires within the time to cancel,
+// even if clocks drift, unless BoundFor reports that no bound ensures this. BoundFor may report that only if too little
+// time is left after the lease and the allowance for late stops.
 func TestBoundEndsCancelledTasksInTime(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 20_000 {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -17,8 +17,7 @@
 	ErrCompacted = errors.New("changes since the requested revision are compacted")
 	// ErrLeaseExpired means that the state service no longer knows a lease, because it has expired or was revoked.
 	ErrLeaseExpired = errors.New("lease has expired")
-	// ErrRateLimited means that a request was not sent, because this client's rate limits did not admit it before the
-	// timeout.
+	// ErrRateLimited means that a request was not sent, because this client's rate limits did not admit it in time.
 	ErrRateLimited = errors.New("rate limit reached, request not sent")
 )
 
@@ -29,8 +28,7 @@
 	ErrUnknownDependency = errors.New("awaits a job that was never accepted")
 	// ErrServiceDependency permanently rejects a job that depends on a service. Its text is sent to users.
 	ErrServiceDependency = errors.New("awaits a service, which is never done")
-	// ErrTooLarge permanently rejects a job whose records exceed the limits of the state service. Its text is sent to
-	// users.
+	// ErrTooLarge permanently rejects a job whose records exceed the state service's limits. Its text is sent to users.
 	ErrTooLarge = errors.New("too large to be kept")
 	// ErrNotLoaded means that the cache has not been loaded yet, or has to be loaded again after a compaction.
 	ErrNotLoaded = errors.New("job records not loaded yet")
--- a/internal/store/helpers_test.go
+++ b/internal/store/helpers_test.go
@@ -19,7 +19,7 @@
 	ordinaryLimits = store.Limits{MaxValueBytes: 16 << 10, MaxChanges: 12}
 )
 
-// newTestStore returns a fake state service with the lowest limits, and a client of it.
+// newTestStore returns a fake state service with the lowest limits, and a client for it.
 func newTestStore() (*fake.State, *store.Client) {
 	now := time.Unix(1000, 0)
 	state := fake.NewState(func() time.Time { return now })
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -13,9 +13,8 @@
 )
 
 // JobCache is this controller's copy of the job records: all unfinished jobs, and the ended jobs that it learned of
-// last. Run follows the changes. Sync and Lookup additionally read the latest changes before they return, for
-// answers to users that must not be older than the answer of any other controller. The methods are safe for
-// concurrent use.
+// last. Run follows the changes. Sync and Lookup bring the copy up to date before they return, so that an answer to a
+// user is never older than an earlier answer of another controller. The methods are safe for concurrent use.
 type JobCache struct {
 	client      *Client
 	log         *slog.Logger
@@ -122,8 +121,7 @@
 	return err
 }
 
-// Loaded reports whether the cache is loaded. A cache has to be loaded again after the changes that it lacks were
-// compacted.
+// Loaded reports whether the cache is loaded. It has to be loaded again after the changes that it lacks were compacted.
 func (j *JobCache) Loaded() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/store/job_changes.go
+++ b/internal/store/job_changes.go
@@ -130,9 +130,9 @@
 	j.ended.add(id, record)
 }
 
-// applyEndAndNotify applies an end that was not read with the changes, and calls notify at once. While the state
-// service is unreachable no changes can be read, so a leader may learn only in this way of a cancellation that it
-// acknowledges to a user itself.
+// applyEndAndNotify applies an end that was not read with the changes, and calls notify at once. A leader that
+// acknowledges a cancellation to a user cannot rely on reading the change later, because the state service may become
+// unreachable before that.
 func (j *JobCache) applyEndAndNotify(id string, record JobRecord) {
 	_, wasActive := j.active[id]
 	j.applyEnd(id, record)
--- a/internal/store/job_load.go
+++ b/internal/store/job_load.go
@@ -45,8 +45,8 @@
 		recentAfter:     revision,
 	}
 	if j.AsOf().IsZero() {
-		// An earlier incarnation may have acknowledged ends of jobs to users. Reading the latest ones again makes the
-		// reports of cancellations complete also for a leader that has read the records up to a slightly lower revision.
+		// An earlier incarnation may have acknowledged ends of jobs to users. The latest ends are read again, so that the
+		// cancellation reports are complete even for a leader that has read the records up to a slightly lower revision.
 		after := revision - min(revision, recentRevisions)
 		if page, err := j.client.Changes(ctx, jobPrefix, after, 0); err == nil {
 			loaded.recentChanges, loaded.recentAfter = page.Entries, after
@@ -56,8 +56,7 @@
 	return nil
 }
 
-// applyLoaded replaces the unfinished jobs in the cache by those that were read, and passes the differences to
-// notify.
+// applyLoaded replaces the unfinished jobs in the cache by those that were read, and calls notify with the differences.
 func (j *JobCache) applyLoaded(loaded loadedRecords) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -100,8 +99,8 @@
 	return allDecoded
 }
 
-// decodeActiveJobs returns the unfinished jobs by ID, and the changes compared with the cache. For a job that is no
-// longer unfinished, the change does not say how it ended.
+// decodeActiveJobs returns the unfinished jobs by ID, and the changes compared with the cache. For a job that has
+// ended since, the change does not say how.
 func (j *JobCache) decodeActiveJobs(entries []wire.Entry) (active map[string]JobRecord, changes []JobChange) {
 	active = make(map[string]JobRecord, len(entries))
 	for _, e := range entries {
--- a/internal/store/job_lookup.go
+++ b/internal/store/job_lookup.go
@@ -9,7 +9,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// maxLookupAttempts bounds the attempts of Lookup to find a job whose record changes meanwhile.
+// maxLookupAttempts bounds the attempts of Lookup if the job's record changes during each of them.
 const maxLookupAttempts = 3
 
 // Lookup returns the current record of a job; its state is StateUnknown if the job was never accepted. An end that
--- a/internal/store/job_records.go
+++ b/internal/store/job_records.go
@@ -20,8 +20,8 @@
 	dependencyPartPrefix = "job/w/" // parts of dependency lists; written before the job's active record
 )
 
-// Limits are the limits of the state service within which records are kept. If a limit is known to change in the
-// future, it is the smaller of the present and the future value, because the change takes effect without notice.
+// Limits are the limits of the state service within which records are kept. If a limit is known to change, the field
+// holds the smaller of the present and the future value, because the change takes effect without notice.
 type Limits struct {
 	MaxValueBytes int // maximum size of a value
 	MaxChanges    int // maximum number of changes in a transaction
@@ -29,8 +29,8 @@
 
 // Sizes that bound the records of a job and the transactions that write them.
 const (
-	dependencyPartOverheadBytes = 100      // upper bound on the size of a dependency list part besides its job IDs
-	dependencyIDOverheadBytes   = 4        // upper bound on the size of a job ID besides its characters
+	dependencyPartOverheadBytes = 100      // upper bound on the size of a dependency list part without its job IDs
+	dependencyIDOverheadBytes   = 4        // upper bound on what the encoding of a job ID adds to its characters
 	conditionsPerChange         = 4        // conditions that a transaction may have for each of MaxChanges
 	maxTxnValueBytes            = 48 << 10 // maximum size of a transaction's values; the published limit is 64 KiB
 )
--- a/internal/store/job_submission.go
+++ b/internal/store/job_submission.go
@@ -10,7 +10,7 @@
 	"github.com/glentiller/glentiller/internal/wire"
 )
 
-// maxCancelAttempts bounds the attempts of Cancel to end a job whose record changes meanwhile.
+// maxCancelAttempts bounds the attempts of Cancel if the job's record changes during each of them.
 const maxCancelAttempts = 4
 
 // ResolveDependencies looks up the jobs that a new job depends on, and reduces spec.Dependencies to the unfinished
--- a/internal/store/job_sync.go
+++ b/internal/store/job_sync.go
@@ -68,8 +68,7 @@
 	}
 }
 
-// takePendingSync removes and returns the pending batch. If there is none, it returns nil and marks syncLoop as
-// ended.
+// takePendingSync removes and returns the pending batch. If there is none, it marks syncLoop as ended and returns nil.
 func (j *JobCache) takePendingSync() *syncBatch {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -55,9 +55,9 @@
 	return record, nil
 }
 
-// WatchLeader waits for changes of the election's keys after a revision, and returns the revision from which to
-// continue. vacant is true if the last of the changes ended a leadership. leader is the name of a new leader, or
-// empty if the leader has not changed or the leadership is vacant.
+// WatchLeader waits up to watchTimeout for changes of the election's keys after a revision, and returns the revision
+// from which to continue. vacant is true if the last of the changes ended a leadership. leader is the name of a new
+// leader, or empty if the leader has not changed or the leadership is vacant.
 func (c *Client) WatchLeader(
 	ctx context.Context, after uint64,
 ) (revision uint64, vacant bool, leader string, err error) {
--- a/internal/store/ledger.go
+++ b/internal/store/ledger.go
@@ -40,9 +40,8 @@
 	return segmentPrefix + teamKeyPart(team) + "/" + sortableNumber(first)
 }
 
-// addLedgerChange adds a change of the ledger to a transaction. A settlement and a compaction require the versions
-// of the records that they replace, so that a duplicate of the transaction is not executed: docs/safety.md,
-// "Ledger".
+// addLedgerChange adds a change of the ledger to a transaction. A settlement and a compaction require the versions of
+// the records that they replace, so that a duplicate of the transaction is not executed (docs/safety.md, "Ledger").
 func addLedgerChange(txn *wire.Txn, ch *record.Change, key string) {
 	switch ch.Kind {
 	case record.SettleAccount:
--- a/internal/store/relay_test.go
+++ b/internal/store/relay_test.go
@@ -72,7 +72,7 @@
 	}
 	s.Preload("leader/token", wire.AppendLeaderRecord(nil, 8, "c"))
 	if ok, err := c.PutHeartbeatResponses(ctx, tokenVersion, batches[0]); ok || err != nil {
-		t.Errorf("responses of a deposed leader: got ok=%v, error %v; want false and none", ok, err)
+		t.Errorf("responses from a deposed leader: got ok=%v, error %v; want false and none", ok, err)
 	}
 	if err := c.DeleteRelayRecords(ctx, "a", s.MaxOps); err != nil || len(s.Keys("relay/")) != 0 {
 		t.Errorf("after DeleteRelayRecords: got keys %v, error %v; want neither", s.Keys("relay/"), err)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -23,8 +23,8 @@
 
 // Client sends requests to the state service, within rate limits for requests and for changes. Its methods, except
 // SetClock, are safe for concurrent use. Reads return an error that wraps ErrRateLimited if the rate limits do not
-// admit the request within the timeout; other errors wrap that of the Transport or of the decoder. For writes see
-// Commit.
+// admit the request within the timeout; other errors wrap the error of the Transport or of the decoder. Commit
+// describes the errors of writes.
 type Client struct {
 	requestTransport, watchTransport Transport
 	timeout                          time.Duration // of a request, and of the wait for the rate limits before it
@@ -44,8 +44,7 @@
 	watchConns   = 8
 )
 
-// Rate limits that apply until SetRateLimits is called, in requests and changes per second, and the sizes of
-// bursts.
+// Rate limits, in requests and changes per second, and sizes of bursts that apply until SetRateLimits is called.
 const (
 	defaultRequestRate  = 10
 	defaultRequestBurst = 10
@@ -85,8 +84,7 @@
 	c.now, c.sleep = now, sleep
 }
 
-// SetRateLimits sets this controller's share of the state service's rate limits, in requests and in changes per
-// second.
+// SetRateLimits sets this controller's share of the state service's rate limits, in requests and changes per second.
 func (c *Client) SetRateLimits(requests, changes float64) {
 	c.requestLimiter.SetLimit(rate.Limit(requests))
 	c.requestLimiter.SetBurst(max(minRequestBurst, int(requests/2)))
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -10,8 +10,8 @@
 )
 
 // DecodeCatalog decodes the cloud's catalog of machine types. It skips types without a name or without CPUs: no task
-// can be placed on them, and they must not make the rest of the catalog unusable. It returns an error if no type is
-// left.
+// can be placed on them, and they must not make the rest of the catalog unusable. If no type is left, it returns an
+// error.
 func DecodeCatalog(b []byte) ([]model.MachineType, error) {
 	types, err := decodeSingleField(b, cloudCatalog, readCatalog)
 	if err == nil && len(types) == 0 {
@@ -84,8 +84,7 @@
 	return decodeSingleField(b, cloudMachines, readStrings)
 }
 
-// DecodeMachineList decodes one page of the cloud's list of provisioned machines. more reports whether further pages
-// follow.
+// DecodeMachineList decodes one page of the cloud's list of provisioned machines. more reports whether others follow.
 func DecodeMachineList(b []byte) (machines []model.MachineInfo, more bool, err error) {
 	err = decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
 		switch name {
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -190,8 +190,7 @@
 	return rest, true, err
 }
 
-// decodeSingleField decodes one field of a message and skips the others. It returns the zero value if the field is
-// absent.
+// decodeSingleField decodes one field of a message and skips the others. The zero value stands for an absent field.
 func decodeSingleField[T any](
 	b []byte, field string, read func(b []byte, dst *T) (rest []byte, handled bool, err error),
 ) (T, error) {
@@ -205,8 +204,7 @@
 	return v, err
 }
 
-// decodePositiveUint decodes one integer field of a message and skips the others. The field must be present and
-// positive.
+// decodePositiveUint decodes one integer field of a message, which must be present and positive. It skips the others.
 func decodePositiveUint(b []byte, field string) (uint64, error) {
 	v, err := decodeSingleField(b, field, readUint)
 	if err == nil && v == 0 {
@@ -215,7 +213,7 @@
 	return v, err
 }
 
-// secondsToDuration converts a duration on the wire, which is in seconds.
+// secondsToDuration converts a number of seconds, the unit of durations on the wire.
 func secondsToDuration(s float64) time.Duration {
 	return time.Duration(math.Round(s * float64(time.Second)))
 }
--- a/internal/wire/job_status.go
+++ b/internal/wire/job_status.go
@@ -37,8 +37,7 @@
 	return model.OutcomeUnknown
 }
 
-// AppendJobStatus appends the response to a poll. done and running are numbers of tasks. Negative numbers are sent as
-// 0.
+// AppendJobStatus appends the response to a poll. done and running are numbers of tasks; negative ones are sent as 0.
 func AppendJobStatus(b []byte, id string, state JobState, done, running int) []byte {
 	b = msgp.AppendMapHeader(b, 4)
 	b = appendString(b, responseJobID, id)
--- a/internal/wire/ledger.go
+++ b/internal/wire/ledger.go
@@ -146,8 +146,7 @@
 	return appendUint(b, ledgerUnsettledLeaders, interval.UnsettledLeaders)
 }
 
-// DecodeUnaccountedInterval decodes the record of an interval whose usage no leader accounted for. The times are in
-// UTC.
+// DecodeUnaccountedInterval decodes the record of an unaccounted interval. The times are in UTC.
 func DecodeUnaccountedInterval(b []byte) (interval ledger.UnaccountedInterval, err error) {
 	var start, end uint64
 	err = decodeMap(b, func(name string, b []byte) ([]byte, bool, error) {
--- a/internal/wire/standin.go
+++ b/internal/wire/standin.go
@@ -161,8 +161,7 @@
 	return b
 }
 
-// AppendMachineList appends one page of the cloud's list of provisioned machines. more says whether further pages
-// follow.
+// AppendMachineList appends one page of the cloud's list of provisioned machines. more says whether others follow.
 func AppendMachineList(b []byte, page []model.MachineInfo, more bool) []byte {
 	b = msgp.AppendMapHeader(b, 2)
 	b = appendBool(b, cloudMore, more)
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -15,8 +15,7 @@
 	Removed bool   // whether the key was deleted
 }
 
-// Condition is a condition of a transaction: the key must have this version. Version 0 means that the key must not
-// exist.
+// Condition is a condition of a transaction: the key must have this version, or must not exist if the version is 0.
 type Condition struct {
 	Key     string
 	Version uint64
@@ -132,10 +131,10 @@
 	return rest, true, err
 }
 
-// DecodeRevision decodes the revision in the response to a transaction. It is an error if there is none.
+// DecodeRevision decodes the revision in the response to a transaction. It returns an error if there is none.
 func DecodeRevision(b []byte) (uint64, error) { return decodePositiveUint(b, stateRevision) }
 
-// DecodeLeaseID decodes the ID of a newly granted lease.
+// DecodeLeaseID decodes the ID of a newly granted lease. It returns an error if there is none.
 func DecodeLeaseID(b []byte) (uint64, error) { return decodePositiveUint(b, stateLease) }
 
 // AppendLeaseRequest appends a request to grant a lease that expires after ttlMilliseconds unless it is renewed.
--- a/internal/wire/stored_size.go
+++ b/internal/wire/stored_size.go
@@ -15,9 +15,9 @@
 	escapeOverheadBytes = 2
 )
 
-// StoredSize returns an upper bound on the size in bytes of an encoded value as the state service measures it. That is
-// the length of the value in JSON, which depends on how numbers and non-ASCII characters are written; the bound holds
-// for any way. The result is math.MaxInt if the value is malformed.
+// StoredSize returns an upper bound on the size in bytes of an encoded value as the state service measures it, which is
+// the length of the value in JSON. The bound holds however the state service writes numbers and non-ASCII characters.
+// The result is math.MaxInt if the value is malformed.
 func StoredSize(value []byte) int {
 	var size byteCounter
 	if _, err := msgp.UnmarshalAsJSON(&size, value); err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -123,7 +123,7 @@
 			t.Errorf("got heartbeat %+v, want an error because the machine or epoch is missing", h)
 		}
 		if s, err := DecodeJob(b); err == nil && (!model.ValidJobID(s.ID) || s.Tasks < 1 || s.Tasks > 100_000) {
-			t.Errorf("got job %+v, want an error", s)
+			t.Errorf("got job %+v, want an error because the ID or the number of tasks is invalid", s)
 		}
 		if p, err := DecodePage(b); err != nil && p.More && len(p.Entries) > len(b) {
 			t.Errorf("got %d entries from %d bytes, want at most one per byte", len(p.Entries), len(b))
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -40,7 +40,7 @@
 	timeout  time.Duration
 	wrapDial rpc.DialWrapper
 
-	mu        sync.Mutex               // guards the fields below, and the changing ones of workerClients
+	mu        sync.Mutex               // guards the fields below and the mutable fields of each workerClient
 	byAddr    map[string]*list.Element // elements of byLastUse by the worker's address
 	byLastUse *list.List               // of *workerClient, least recently used first
 }
@@ -54,8 +54,8 @@
 	lastCallUrgent bool // the last call was urgent
 }
 
-// New returns a client. timeout bounds each request. wrapDial is applied to the making of connections, for example to
-// enforce a quota of sockets; it may be nil.
+// New returns a client. timeout bounds each request. wrapDial wraps the function that opens connections, for example
+// to enforce a quota of sockets; it may be nil.
 func New(timeout time.Duration, wrapDial rpc.DialWrapper) *Client {
 	return &Client{
 		timeout:   timeout,
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -12,8 +12,8 @@
 	"github.com/glentiller/glentiller/internal/connquota"
 )
 
-// startWorker starts a worker that does not answer commands until the channel unblock is closed. It returns the
-// address of the worker, which ends with the test.
+// startWorker starts a worker that does not answer commands until the channel unblock is closed, and returns its
+// address. The worker accepts connections until the test ends.
 func startWorker(t *testing.T, unblock <-chan struct{}) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
